--- a/internal/front/conn.go
+++ b/internal/front/conn.go
@@ -37,6 +37,7 @@
 	probed bool // its goroutine looks whether anything has come; if not, it ends
 	ahead  bool // its goroutine reads on while a request waits for its answer
 	flood  bool // its client has sent more behind a request than is kept
+	told   bool // the answer of x says whether the connection goes on; what comes now is kept
 	since  time.Time
 	served sync.Cond // x became nil
 	x      *Exchange // the request that waits for its answer
@@ -110,7 +111,7 @@
 		return false
 	}
 	s.open[x.ID] = struct{}{}
-	c.x = x
+	c.x, c.told = x, false
 	return true
 }
 
@@ -178,7 +179,9 @@
 
 // attend reads on while a request waits for its answer, so that the client's end is seen also
 // behind bytes that it has sent ahead. What the buffer holds no more is thrown away, and the
-// connection ends with the answer; past maxLingerBytes it is cut. An answer wakes it.
+// connection ends with the answer; past maxLingerBytes it is cut. An answer wakes it. Once the
+// answer has told the client that the connection goes on, nothing is thrown away: what comes may
+// be its next request, sent before this side has noted the answer's end.
 func (c *conn) attend() error {
 	s := c.srv
 	var scratch []byte
@@ -188,8 +191,15 @@
 			s.mu.Unlock()
 			return nil
 		}
-		c.ahead = true
 		full := c.br.Buffered() == c.br.Size()
+		if full && c.told && !c.flood {
+			for c.x != nil {
+				c.served.Wait()
+			}
+			s.mu.Unlock()
+			return nil
+		}
+		c.ahead = true
 		c.flood = c.flood || full
 		s.mu.Unlock()
 		var err error
--- a/internal/front/crossings_test.go
+++ b/internal/front/crossings_test.go
@@ -9,6 +9,7 @@
 	"sync"
 	"syscall"
 	"testing"
+	"testing/synctest"
 	"time"
 )
 
@@ -153,6 +154,38 @@
 	}
 }
 
+// A long request that crosses the answer before it, behind the word that the connection goes on,
+// is answered too. Its bytes, taken for more than may lie behind a request, would be thrown away.
+func TestLongRequestCrossesAnAnswer(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		got := make(chan *Exchange, 10)
+		f := &fake{do: func(x *Exchange) { got <- x }, gone: make(chan *Exchange, 10), over: make(map[*Exchange]bool)}
+		s := New(Config{MaxConns: 10, MaxBodyBytes: 1 << 20}, f)
+		near, far := net.Pipe()
+		defer near.Close()
+		s.add(far, "")
+		c := &client{t, near, bufio.NewReader(near)}
+		c.say(request("GET /a", ids))
+		go answerWhole(<-got, "one")
+		synctest.Wait() // the answer has its head, and waits for the client to read it
+		body := strings.Repeat("b", 100<<10)
+		go io.WriteString(near, request("POST /a", field("Req-Id", "2")+field("Content-Length", fmt.Sprint(len(body))))+body)
+		synctest.Wait() // what is read of the second request beside it has been read
+		if status, body, h := c.hear(); status != 200 || body != "one" || h.Get("Connection") != "" {
+			t.Fatalf("answered %d %q %v", status, body, h)
+		}
+		select {
+		case x := <-got:
+			go echo(x)
+		case <-time.After(patience):
+			t.Fatal("the second request is lost")
+		}
+		if status, answer, _ := c.hear(); status != 200 || answer != body {
+			t.Fatalf("the second is answered %d, %d bytes", status, len(answer))
+		}
+	})
+}
+
 // One that sends without end behind a request is cut, and counts as gone.
 func TestFloodBehindARequestIsCut(t *testing.T) {
 	s, f, got := holds(t)
--- a/internal/front/exchange.go
+++ b/internal/front/exchange.go
@@ -196,7 +196,7 @@
 // next request.
 func (x *Exchange) answer(status int, field string, h http.Header, body []byte) {
 	c := x.conn
-	x.keep = x.keep && !c.srv.closing(x)
+	x.keep = x.keep && !c.srv.tells(x)
 	buf := buffers.Get().(*[]byte)
 	b := message.AppendLength(x.head((*buf)[:0], status, field, h), int64(len(body)))
 	b = append(b, "\r\n"...)
@@ -245,11 +245,12 @@
 	return b
 }
 
-// closing says whether a connection ends with an answer: the server drains, or the client
-// has sent, or still sends, what nobody will read as a request.
-func (s *Server) closing(x *Exchange) bool {
+// tells says whether a connection ends with an answer, which is about to tell its client so: the
+// server drains, or the client has sent, or still sends, what nobody will read as a request.
+func (s *Server) tells(x *Exchange) (closing bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
+	x.conn.told = true
 	return s.draining || x.unread || x.conn.flood
 }
 
@@ -313,7 +314,7 @@
 func (x *Exchange) Stream(answer any, _ func()) core.Stream {
 	ans := answer.(*message.Answer)
 	w := &Stream{x: x, status: statusOf(ans), left: ans.Length}
-	x.keep = x.keep && !x.conn.srv.closing(x)
+	x.keep = x.keep && !x.conn.srv.tells(x)
 	if ans.Length < 0 {
 		w.chunked = !x.http10
 		x.keep = x.keep && w.chunked
