--- a/internal/front/conn.go
+++ b/internal/front/conn.go
@@ -110,11 +110,18 @@
 	if _, taken := s.open[x.ID]; taken {
 		return false
 	}
-	s.open[x.ID] = struct{}{}
+	s.open[x.ID] = x
 	c.x, c.told = x, false
 	return true
 }
 
+// free lets the id of a request be used again. It is called with the lock held.
+func (s *Server) free(x *Exchange) {
+	if s.open[x.ID] == x {
+		delete(s.open, x.ID)
+	}
+}
+
 // hasLeft says whether the client has closed its connection, behind whatever it has sent.
 func (c *conn) hasLeft(x *Exchange) bool {
 	if x.unread { // what is to be read is the body
@@ -243,7 +250,7 @@
 	s := c.srv
 	s.mu.Lock()
 	if c.x != nil {
-		delete(s.open, c.x.ID)
+		s.free(c.x)
 		c.x.entry.Over(figures.Left)
 	}
 	c.busy = false
--- a/internal/front/crossings_test.go
+++ b/internal/front/crossings_test.go
@@ -183,6 +183,65 @@
 		if status, answer, _ := c.hear(); status != 200 || answer != body {
 			t.Fatalf("the second is answered %d, %d bytes", status, len(answer))
 		}
+		synctest.Wait() // the fake does not stand a client's end beside its answer's
+	})
+}
+
+// returnsLate is a connection of the server's whose writes return late.
+type returnsLate struct {
+	net.Conn
+	goOn chan struct{}
+}
+
+func (l returnsLate) Write(p []byte) (int, error) {
+	defer func() { <-l.goOn }()
+	return l.Conn.Write(p)
+}
+
+// A client that has read its answer may ask again under the same id on another connection, in
+// the moment before the answer's end is noted; and that end does not free the new one's id.
+func TestSameIDCrossesTheAnswersEnd(t *testing.T) {
+	for name, fields := range map[string]string{"goes on": ids, "told to close": ids + field("Connection", "close")} {
+		t.Run(name, func(t *testing.T) { sameIDCrossesTheAnswersEnd(t, fields) })
+	}
+}
+
+func sameIDCrossesTheAnswersEnd(t *testing.T, fields string) {
+	synctest.Test(t, func(t *testing.T) {
+		got := make(chan *Exchange, 10)
+		f := &fake{do: func(x *Exchange) { got <- x }, gone: make(chan *Exchange, 10), over: make(map[*Exchange]bool)}
+		s := New(Config{MaxConns: 10, MaxBodyBytes: 1 << 20}, f)
+		goOn := make(chan struct{})
+		open := func(wrap func(net.Conn) net.Conn) *client {
+			near, far := net.Pipe()
+			t.Cleanup(func() { near.Close() })
+			s.add(wrap(far), "")
+			return &client{t, near, bufio.NewReader(near)}
+		}
+		plain := func(nc net.Conn) net.Conn { return nc }
+		first, second, third := open(func(nc net.Conn) net.Conn { return returnsLate{nc, goOn} }), open(plain), open(plain)
+		first.say(request("GET /a", fields))
+		go answerWhole(<-got, "one")
+		if status, body, _ := first.hear(); status != 200 || body != "one" {
+			t.Fatalf("answered %d %q", status, body)
+		}
+		second.say(request("GET /a", ids))
+		synctest.Wait()
+		if len(got) != 1 {
+			status, _, _ := second.hear()
+			t.Fatalf("the second is answered %d", status)
+		}
+		close(goOn)
+		synctest.Wait()
+		third.say(request("GET /a", ids))
+		if status, _, _ := third.hear(); status != 409 {
+			t.Errorf("beside the second, which waits, the third is answered %d", status)
+		}
+		go answerWhole(<-got, "two")
+		if status, body, _ := second.hear(); status != 200 || body != "two" {
+			t.Errorf("the second is answered %d %q", status, body)
+		}
+		synctest.Wait() // the fake does not stand a client's end beside its answer's
 	})
 }
 
--- a/internal/front/exchange.go
+++ b/internal/front/exchange.go
@@ -196,7 +196,8 @@
 // next request.
 func (x *Exchange) answer(status int, field string, h http.Header, body []byte) {
 	c := x.conn
-	x.keep = x.keep && !c.srv.tells(x)
+	closing := c.srv.tells(x, true)
+	x.keep = x.keep && !closing
 	buf := buffers.Get().(*[]byte)
 	b := message.AppendLength(x.head((*buf)[:0], status, field, h), int64(len(body)))
 	b = append(b, "\r\n"...)
@@ -246,11 +247,15 @@
 }
 
 // tells says whether a connection ends with an answer, which is about to tell its client so: the
-// server drains, or the client has sent, or still sends, what nobody will read as a request.
-func (s *Server) tells(x *Exchange) (closing bool) {
+// server drains, or the client has sent, or still sends, what nobody will read as a request. The
+// id of a request whose answer is whole is free from here on: its client may ask again, on another
+// connection too, before this side has noted the answer's end.
+func (s *Server) tells(x *Exchange, whole bool) (closing bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	x.conn.told = true
+	if x.conn.told = true; whole {
+		s.free(x)
+	}
 	return s.draining || x.unread || x.conn.flood
 }
 
@@ -267,7 +272,7 @@
 	s.mu.Lock()
 	keep := ok && x.keep && !c.flood
 	if c.x != nil {
-		delete(s.open, c.x.ID)
+		s.free(c.x)
 	}
 	c.x, c.busy, c.since = nil, false, time.Now()
 	c.shut = c.shut || !ok
@@ -314,7 +319,8 @@
 func (x *Exchange) Stream(answer any, _ func()) core.Stream {
 	ans := answer.(*message.Answer)
 	w := &Stream{x: x, status: statusOf(ans), left: ans.Length}
-	x.keep = x.keep && !x.conn.srv.tells(x)
+	closing := x.conn.srv.tells(x, false)
+	x.keep = x.keep && !closing
 	if ans.Length < 0 {
 		w.chunked = !x.http10
 		x.keep = x.keep && w.chunked
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -86,13 +86,13 @@
 
 	mu       sync.Mutex
 	conns    map[*conn]struct{}
-	open     map[string]struct{} // ids of the requests that wait for their answer
+	open     map[string]*Exchange // ids of the requests that wait for their answer
 	draining bool
 }
 
 // New returns a Server that hands requests to h.
 func New(cfg Config, h Handler) *Server {
-	return &Server{cfg: cfg, handler: h, budget: budget{left: cfg.MaxBodyBytes}, conns: make(map[*conn]struct{}), open: make(map[string]struct{})}
+	return &Server{cfg: cfg, handler: h, budget: budget{left: cfg.MaxBodyBytes}, conns: make(map[*conn]struct{}), open: make(map[string]*Exchange)}
 }
 
 // Serve accepts connections until the listener is closed.
