--- a/internal/rig/rig.go
+++ b/internal/rig/rig.go
@@ -334,9 +334,13 @@
 var addresses atomic.Uint32
 
 // address is one for a process to listen at. Each is at a host of its own: guards against a port
-// that is let go for its process, and taken by another one that starts beside it.
+// that is let go for its process, and taken by another one that starts beside it. Nothing is
+// forked while the port is held: a child has a copy of the listener until it is executed, and the
+// port could not be listened at until then.
 func address() (string, error) {
 	n := addresses.Add(1)
+	syscall.ForkLock.RLock()
+	defer syscall.ForkLock.RUnlock()
 	ln, err := net.Listen("tcp", fmt.Sprintf("127.%d.%d.%d:0", 130+n/250%100, os.Getpid()&0xff, 1+n%250))
 	if err != nil {
 		return "", err
