--- a/admit_test.go
+++ b/admit_test.go
@@ -6,10 +6,11 @@
 	"time"
 )
 
-// Balancers that see the same of one overloaded fleet come to one shed level, whatever
-// each began with and however much it sends. Guards against a fleet in which the busiest
-// sheds what is dearest while others still send what is cheapest.
-func TestLevelsOfAFleetAgree(t *testing.T) {
+// Balancers that see the same shares of late and refused sends settle at about
+// the same shed level, whatever their first level and their send rate. Otherwise
+// the busiest would shed the classes of highest worth while others still send
+// those of lowest worth.
+func TestShedLevelsOfBalancersConverge(t *testing.T) {
 	cfg := Config{Instances: 3, MaxAttempts: 1, Classes: []Class{{Aim: time.Second, Worth: 1}}}
 	for _, full := range []float64{0.35, 0.4, 0.5} {
 		low, high := 1.0, 0.0
@@ -19,7 +20,7 @@
 			const outcomes = 4000
 			for k := range outcomes {
 				r := rng.Float64()
-				a.outcome(r < full, r > 0.94, c.rate, time.Duration(float64(k)/c.rate*float64(time.Second)))
+				a.recordOutcome(r < full, r > 0.94, c.rate, time.Duration(float64(k)/c.rate*float64(time.Second)))
 				if k >= outcomes/2 {
 					sum += a.level / (outcomes / 2)
 				}
@@ -28,29 +29,30 @@
 		}
 		t.Logf("%.0f %% turned away: levels from %.2f to %.2f", 100*full, low, high)
 		if high-low > 0.15 || full == 0.5 && low < 0.2 {
-			t.Errorf("%.0f %% turned away, 6 %% late: levels from %.2f to %.2f", 100*full, low, high)
+			t.Errorf("%.0f %% turned away, 6 %% late: levels from %.2f to %.2f, want a spread of at most 0.15, and 0.2 or more at 50 %%", 100*full, low, high)
 		}
 	}
 }
 
-// A common failure (a zone that is gone) takes more further attempts than are earned. The
-// cheap class, which asks most, leaves what is left of them to the dearer ones.
-func TestCheapRetriesLeaveTheBudgetToOthers(t *testing.T) {
+// A large failure, such as the loss of a zone, needs more retries than the budget
+// allows. The class of lowest worth, which has most of the requests, must leave
+// the rest of the budget to the classes of higher worth.
+func TestLowWorthRetriesLeaveBudgetToOthers(t *testing.T) {
 	cfg := testConfig()
 	cfg.Classes = []Class{{Aim: time.Second, Worth: 1}, {Aim: time.Second, Worth: 3}, {Aim: time.Second, Worth: 12}}
 	for _, c := range []struct {
 		class int
 		left  float64
 		sends int
-	}{{0, retriesMax, 2}, {0, 4, 1}, {1, 4, 2}, {1, 0.9, 1}, {2, 0, 2}} {
-		b, r := newTest(t, cfg, Endpoint{Name: "a"}, Endpoint{Name: "b"})
-		b.noCopies()
-		b.admit.share = []float64{0.5, 0, 0.3, 0, 0.2, 0} // a mean worth of 3.8
+	}{{0, maxRetryTokens, 2}, {0, 4, 1}, {1, 4, 2}, {1, 0.9, 1}, {2, 0, 2}} {
+		b, r := newTestBalancer(t, cfg, Endpoint{Name: "a"}, Endpoint{Name: "b"})
+		b.disableCopies()
+		b.admitter.arrivalShares = []float64{0.5, 0, 0.3, 0, 0.2, 0} // a mean worth of 3.8
 		b.Arrive(0, Request{ID: 1, Class: c.class, Deadline: 2 * time.Second})
-		b.retries = c.left
+		b.retryTokens = c.left
 		b.Done(ms, 1, 0, ConnectFailed, false, Report{})
 		if len(r.servers) != c.sends {
-			t.Errorf("class %d with %v further attempts left: %d sends, want %d", c.class, c.left, len(r.servers), c.sends)
+			t.Errorf("class %d with %v retry tokens left: %d sends, want %d", c.class, c.left, len(r.servers), c.sends)
 		}
 	}
 }
--- a/architecture_test.go
+++ b/architecture_test.go
@@ -14,7 +14,8 @@
 
 const module = "chalkrack"
 
-// allowed reads the table of docs/ARCHITECTURE.md: what each package may import.
+// allowed returns the packages and libraries that each package may import,
+// by the table in docs/ARCHITECTURE.md.
 func allowed(t *testing.T) map[string][]string {
 	t.Helper()
 	text, err := os.ReadFile(filepath.Join("docs", "ARCHITECTURE.md"))
@@ -42,13 +43,13 @@
 		}
 	}
 	if len(rules) < 10 {
-		t.Fatalf("the table has %d rows", len(rules))
+		t.Fatalf("the table of imports has %d rows, want 10 or more", len(rules))
 	}
 	return rules
 }
 
-// The table in docs/ARCHITECTURE.md is how the packages import one another, each has a
-// row, and nothing of the table is out of use.
+// The packages import one another and libraries exactly as the table in
+// docs/ARCHITECTURE.md says: each package has a row, and each entry is used.
 func TestImportsAsTheDocumentSays(t *testing.T) {
 	rules := allowed(t)
 	used := make(map[string]map[string]bool)
@@ -96,18 +97,18 @@
 	for pkg, imports := range used {
 		may, known := rules[pkg]
 		if !known {
-			t.Errorf("%s has no row", pkg)
+			t.Errorf("package %s has no row in the table", pkg)
 		}
 		for name := range imports {
 			if !slices.Contains(may, name) {
-				t.Errorf("%s imports %s", pkg, name)
+				t.Errorf("package %s imports %s, which the table does not allow", pkg, name)
 			}
 		}
 	}
 	for pkg, may := range rules {
 		for _, name := range may {
 			if !used[pkg][name] {
-				t.Errorf("%s does not import %s", pkg, name)
+				t.Errorf("package %s does not import %s, which the table lists", pkg, name)
 			}
 		}
 	}
--- a/balancer.go
+++ b/balancer.go
@@ -1,11 +1,11 @@
-// Package chalkrack makes the decisions of a client-side load balancer: where
-// to send each request, when to send a copy of a slow one, when to try again
-// and when to refuse. It hedges by SingleR and first-sends by two random
-// choices over this balancer's own in-flight requests.
+// Package chalkrack makes the decisions of a client-side load balancer: which
+// server gets each request, when a slow request gets a copy, when to retry and
+// when to refuse. Copies are hedged by SingleR; first attempts go to the better
+// of two random servers by this balancer's own requests in flight.
 //
 // A Balancer has no goroutines, clock or I/O. The host calls one method per
 // event, from one goroutine at a time, with a time that never goes back, and
-// carries out what the Balancer asks of it through Host.
+// carries out what the Balancer asks for through Host.
 package chalkrack
 
 import (
@@ -19,8 +19,8 @@
 // RequestID identifies a request for the life of a Balancer.
 type RequestID uint64
 
-// Host carries out a Balancer's decisions. Its methods are called from within
-// the Balancer's own and must not call back into it.
+// Host carries out a Balancer's decisions. The Balancer calls its methods from
+// within its own methods; they must not call back into it.
 type Host interface {
 	// Send starts the request's next attempt; attempts count from 0.
 	Send(id RequestID, server string, timeout time.Duration)
@@ -29,7 +29,7 @@
 	// Refuse ends a request and tells the client that a retry is harmless,
 	// preferably not before retryAfter.
 	Refuse(id RequestID, retryAfter time.Duration)
-	// Fail ends a request and promises nothing.
+	// Fail ends a request that may have run; the client is not told that a retry is harmless.
 	Fail(id RequestID)
 	// SetTimer asks for a Timer event after a delay.
 	SetTimer(cookie uint64, after time.Duration)
@@ -37,20 +37,20 @@
 	CloseIdle(server string)
 	// Probe asks a server for its load report.
 	Probe(server string)
-	// Subscribe asks discovery for the list's changes from now on.
+	// Subscribe asks discovery for the server list and its changes from now on.
 	Subscribe()
 }
 
-// Effect says what repeating a request does.
+// Effect says whether a request may be repeated.
 type Effect int
 
 const (
-	Safe Effect = iota
-	Keyed
-	Unsafe // must not run twice
+	Safe   Effect = iota // may run any number of times
+	Keyed                // servers drop repeats by the request's key, within Class.Scope and Class.Window
+	Unsafe               // must not run twice
 )
 
-// Scope is the group of servers that drops repeats of a keyed request.
+// Scope is the set of servers that drops repeats of a keyed request.
 type Scope int
 
 const (
@@ -61,7 +61,7 @@
 
 // Class describes one class of requests.
 type Class struct {
-	Aim       time.Duration // an answer within it earns the full worth
+	Aim       time.Duration // target latency; an answer within it earns the full worth
 	LateWorth float64       // share of the worth that a later answer earns
 	Worth     float64
 	Effect    Effect
@@ -69,12 +69,12 @@
 	Window    time.Duration // for Keyed: how long repeats are dropped
 }
 
-// Config is what a Balancer is told of its site.
+// Config describes the site to a Balancer.
 type Config struct {
 	Instances      int // balancers in the tier, this one included
 	Classes        []Class
-	Tenants        []float64 // requests a second of all balancers that are within the tenant's share
-	OverShareWorth float64   // share of its worth that a request above it has
+	Tenants        []float64 // requests a second, over all balancers, within each tenant's share
+	OverShareWorth float64   // factor on the worth of a request above its tenant's share
 	Zone           string
 	MaxAttempts    int
 	MayCancel      bool
@@ -82,47 +82,48 @@
 	MaxRetryAfter  time.Duration
 	CrossZoneCost  float64
 	WarmKeys       bool
-	ConnectionCost float64 // points lost for 100 open connections a server
+	ConnectionCost float64 // points lost for each 100 open connections of a server
 	WasteCost      float64
 	Probes         bool // servers report their load when probed, and only then
 	ProbeCost      float64
 
-	// AskWithin, where above 0, says that the server list comes only to those
-	// who subscribe, and that one who has not asked for so long counts as told.
+	// AskWithin, where above 0, says that only subscribers get the server list
+	// and that a balancer that has not subscribed within this time counts as
+	// informed.
 	AskWithin time.Duration
 
-	ColdFrom       float64 // share of its capacity that a fresh server has
+	ColdFrom       float64 // share of its capacity that a server has right after its start
 	ColdFor        time.Duration
-	OverloadFactor float64       // multiple of its capacity that fells a cold server
+	OverloadFactor float64       // multiple of its capacity that overloads a cold server
 	OverloadFor    time.Duration // when sent for this long
 }
 
-// Validate says what of c can't be used, by the name of its field.
+// Validate returns an error that names the first unusable field of c, or nil.
 func (c *Config) Validate() error {
 	var err error
-	need := func(ok bool, field, want string) {
+	check := func(ok bool, field, want string) {
 		if !ok && err == nil {
 			err = fmt.Errorf("chalkrack: config: %s must be %s", field, want)
 		}
 	}
-	need(c.Instances >= 1, "Instances", "at least 1")
-	need(len(c.Classes) > 0, "Classes", "non-empty")
-	need(c.MaxAttempts >= 1, "MaxAttempts", "at least 1")
-	need(c.ColdFrom >= 0 && c.ColdFrom <= 1, "ColdFrom", "within 0 and 1")
-	need(c.OverloadFactor >= 0, "OverloadFactor", "0 or more")
-	for i, d := range []time.Duration{c.MaxRetryAfter, c.ColdFor, c.OverloadFor, c.AskWithin} {
-		need(d >= 0, [...]string{"MaxRetryAfter", "ColdFor", "OverloadFor", "AskWithin"}[i], "0 or more")
+	check(c.Instances >= 1, "Instances", "at least 1")
+	check(len(c.Classes) > 0, "Classes", "non-empty")
+	check(c.MaxAttempts >= 1, "MaxAttempts", "at least 1")
+	check(c.ColdFrom >= 0 && c.ColdFrom <= 1, "ColdFrom", "within 0 and 1")
+	check(c.OverloadFactor >= 0, "OverloadFactor", "0 or more")
+	for i, duration := range []time.Duration{c.MaxRetryAfter, c.ColdFor, c.OverloadFor, c.AskWithin} {
+		check(duration >= 0, [...]string{"MaxRetryAfter", "ColdFor", "OverloadFor", "AskWithin"}[i], "0 or more")
 	}
-	for i, k := range c.Classes {
+	for i, class := range c.Classes {
 		name := fmt.Sprintf("Classes[%d].", i)
-		need(k.Aim > 0, name+"Aim", "above 0")
-		need(k.Effect >= Safe && k.Effect <= Unsafe, name+"Effect", "Safe, Keyed or Unsafe")
-		need(k.Scope >= ScopeAll && k.Scope <= ScopeGroup, name+"Scope", "ScopeAll, ScopeZone or ScopeGroup")
+		check(class.Aim > 0, name+"Aim", "above 0")
+		check(class.Effect >= Safe && class.Effect <= Unsafe, name+"Effect", "Safe, Keyed or Unsafe")
+		check(class.Scope >= ScopeAll && class.Scope <= ScopeGroup, name+"Scope", "ScopeAll, ScopeZone or ScopeGroup")
 	}
 	return err
 }
 
-// State is a server's state on the list.
+// State is a server's state on the server list.
 type State int
 
 const (
@@ -136,8 +137,8 @@
 	Name    string
 	Zone    string
 	Group   int
-	Hint    float64       // capacity hint; only comparisons mean anything
-	Started time.Duration // time of its last start; 0: long ago
+	Hint    float64       // capacity hint, relative to those of the other servers
+	Started time.Duration // time of the last start; 0: long ago
 	State   State
 }
 
@@ -148,150 +149,161 @@
 	Tenant   int // index into Config.Tenants, -1: none
 	Key      string
 	Deadline time.Duration
-	// Attempts lowers Config.MaxAttempts; 0: it does not. With 1 a tier before this
-	// one decides: the request earns no budget here and spends none.
+	// Attempts lowers Config.MaxAttempts for this request; 0 leaves it. 1 means
+	// that an upstream tier retries: the request neither earns nor spends retry
+	// and copy budget here.
 	Attempts int
-	Only     string  // the one server that may take it; empty: any
-	Under    *Config // rules it to its end, with its own of Classes; nil: the Balancer's
-	Coming   bool    // its body is not kept and still on its way: Attempts is 1, and Whole comes
+	Only     string  // the one server that may take the request; empty: any
+	Under    *Config // configuration that holds for the request until it ends, its Classes included; nil: the Balancer's current one
+	Coming   bool    // the body is not buffered and still arriving; Attempts is 1, and Whole is called at its end
 }
 
 // Outcome is how an attempt ended.
 type Outcome int
 
 const (
-	OK          Outcome = iota
-	ServerError         // the server answered with an error
-	Full
-	TimedOut      // no answer in time
-	ConnectFailed // no connection in time
+	OK            Outcome = iota
+	ServerError           // the server answered with an error
+	Full                  // the server turned the attempt away because it is full
+	TimedOut              // no answer in time
+	ConnectFailed         // no connection in time
 	Reset
 	Cancelled
-	NotSent // the request was over or its attempts used up
+	NotSent // the request had ended or had no attempts left
 )
 
-// NeverRan says whether the outcome proves that the attempt had no effect.
+// NeverRan reports whether the outcome proves that the attempt had no effect.
 func (o Outcome) NeverRan() bool { return o == Full || o == ConnectFailed || o == NotSent }
 
-// Report is a server's load report: the fields it carried, by meaning.
+// Report is a server's load report, with the fields that it contained.
 type Report struct {
 	HasInFlight, HasUtil bool
 	InFlight             float64
 	Util                 float64
 }
 
+// attempt is one send of a request to a server.
 type attempt struct {
-	to                               *server
-	sent                             time.Duration
-	done, neverRan, isCopy, censored bool
-	held                             float64 // what its server held by report, with it
-	took                             float64
+	server                           *server
+	sentAt                           time.Duration
+	done, neverRan, isCopy, censored bool    // censored: the response time is only a lower bound
+	serverHeld                       float64 // requests that the server held by its load report, this one included
+	responseTime                     float64 // in fractions of the aim
 }
 
 const (
-	// A first send earns retryBudget further attempts, up to retriesMax in all.
-	// Dear ones (dearFactor times the mean worth) retry without, cheap ones leave half to others.
-	retryBudget = 0.3
-	retriesMax  = 10.0
-	dearFactor  = 2.0
-	probesEach  = 3
-	probePrice  = 0.01
-	probeWait   = 0.04
+	// Each first attempt earns retryTokensPerRequest, up to maxRetryTokens in
+	// all; a retry costs one token. Requests of at least highWorthFactor times
+	// the mean worth retry without tokens, and those of the lowest worth leave
+	// half of the tokens to others.
+	retryTokensPerRequest = 0.3
+	maxRetryTokens        = 10.0
+	highWorthFactor       = 2.0
+	probesPerRequest      = 3
+	maxProbeCost          = 0.01 // probes are sent only where those of one request cost no more than this, in calls
+	maxProbeWait          = 0.04 // longest wait for probes, in fractions of the aim
 )
 
+// request is a client's request and the state of its attempts.
 type request struct {
 	Request
-	class                                        *Class
-	rank                                         int // for shedding
-	arrived                                      time.Duration
-	attempts                                     []attempt
-	out                                          int // attempts without an outcome
-	wholePair, ended, streamed, copyDue, overdue bool
-	key, timer                                   uint64
+	class                                                 *Class
+	rank                                                  int // for shedding, see admitter
+	arrivedAt                                             time.Duration
+	attempts                                              []attempt
+	outstanding                                           int  // attempts without an outcome
+	observesPair, ended, streamed, copyPlanned, isOverdue bool // observesPair: the slower attempt is not cancelled; isOverdue: counted as late at its aim
+	keyHash, timerCookie                                  uint64
 }
 
-// Balancer makes one client process's decisions.
+// Balancer makes the decisions of one client process. It is not safe for
+// concurrent use.
 type Balancer struct {
-	cfg      Config
-	host     Host
-	rng      *rand.Rand
-	fleet    fleet
-	reissue  reissuer
-	admit    admitter
-	requests map[RequestID]*request
-	timers   map[uint64]*request
-	cookies  uint64
-	retries  float64
-	gate     gates
-
-	askCookie uint64 // the timer of the next call to discovery
-	askBack   time.Duration
-}
-
-// New returns a Balancer for cfg that draws its random numbers from seed.
+	cfg          Config
+	host         Host
+	rng          *rand.Rand
+	fleet        fleet
+	reissuer     reissuer
+	admitter     admitter
+	requests     map[RequestID]*request
+	timers       map[uint64]*request
+	lastCookie   uint64
+	retryTokens  float64
+	restrictions restrictions
+
+	subscribeCookie  uint64        // timer cookie of the next subscription; 0: none is planned
+	subscribeBackoff time.Duration // backoff between subscriptions
+}
+
+// New returns a Balancer for cfg that draws its random numbers from seed. It
+// returns an error if cfg is invalid.
 func New(cfg Config, seed uint64, host Host) (*Balancer, error) {
 	b := &Balancer{
-		host:     host,
-		rng:      rand.New(rand.NewPCG(seed, 0x9e3779b97f4a7c15)),
-		reissue:  newReissuer(cfg.WasteCost),
-		requests: make(map[RequestID]*request),
-		timers:   make(map[uint64]*request),
-		retries:  retriesMax,
-		gate:     gates{open{}, open{}},
-	}
-	b.fleet = fleet{cfg: &b.cfg, taken: 1, byName: make(map[string]*server), rand: b.rng.Float64}
+		host:         host,
+		rng:          rand.New(rand.NewPCG(seed, 0x9e3779b97f4a7c15)),
+		reissuer:     newReissuer(cfg.WasteCost),
+		requests:     make(map[RequestID]*request),
+		timers:       make(map[uint64]*request),
+		retryTokens:  maxRetryTokens,
+		restrictions: restrictions{unrestricted{}, unrestricted{}},
+	}
+	b.fleet = fleet{cfg: &b.cfg, acceptedShare: 1, byName: make(map[string]*server), rand: b.rng.Float64}
 	if err := b.Adopt(cfg); err != nil {
 		return nil, err
 	}
 	if cfg.AskWithin > 0 {
-		b.askCookie = b.setTimer(time.Duration(b.rng.Float64() * 0.8 * float64(cfg.AskWithin)))
+		b.subscribeCookie = b.setTimer(time.Duration(b.rng.Float64() * 0.8 * float64(cfg.AskWithin)))
 	}
 	return b, nil
 }
 
-// Adopt goes on under cfg with all that was learned. Classes and Tenants keep their
-// places: there may be more, not fewer.
+// Adopt replaces the configuration and keeps everything learned so far. Classes
+// and Tenants may be appended, but not removed or moved. It returns an error and
+// changes nothing if cfg is invalid.
 func (b *Balancer) Adopt(cfg Config) error {
 	if err := cfg.Validate(); err != nil {
 		return err
 	}
 	b.cfg = cfg
-	b.admit = newAdmitter(&b.cfg, b.admit)
-	b.cfg.Probes = cfg.Probes && probesEach*cfg.ProbeCost <= probePrice
-	b.reissue.budget = newReissuer(cfg.WasteCost).budget
+	b.admitter = newAdmitter(&b.cfg, b.admitter)
+	b.cfg.Probes = cfg.Probes && probesPerRequest*cfg.ProbeCost <= maxProbeCost
+	b.reissuer.budget = newReissuer(cfg.WasteCost).budget
 	return nil
 }
 
+// setTimer asks the host for a Timer event and returns its cookie.
 func (b *Balancer) setTimer(after time.Duration) uint64 {
-	b.cookies++
-	b.host.SetTimer(b.cookies, after)
-	return b.cookies
+	b.lastCookie++
+	b.host.SetTimer(b.lastCookie, after)
+	return b.lastCookie
 }
 
-// ServersChanged takes changed entries of the server list.
+// ServersChanged applies changed entries of the server list.
 func (b *Balancer) ServersChanged(now time.Duration, changed []Endpoint) {
-	b.askBack = b.cfg.AskWithin / 2
+	b.subscribeBackoff = b.cfg.AskWithin / 2
 	for _, e := range changed {
-		b.fleet.update(e, now)
+		b.fleet.updateServer(e, now)
 	}
 }
 
-// ServersListed takes the whole server list.
+// ServersListed applies a whole server list.
 func (b *Balancer) ServersListed(now time.Duration, list []Endpoint) {
-	b.askBack = b.cfg.AskWithin / 2
-	b.fleet.replace(list, now)
+	b.subscribeBackoff = b.cfg.AskWithin / 2
+	b.fleet.replaceList(list, now)
 }
 
-// DiscoveryFailed says that a call to discovery failed or the subscription broke.
+// DiscoveryFailed tells the Balancer that a call to discovery failed or that the
+// subscription broke. It plans the next subscription, with a growing delay.
 func (b *Balancer) DiscoveryFailed(now time.Duration) {
 	if b.cfg.AskWithin == 0 {
 		return
 	}
-	b.askCookie = b.setTimer(b.askBack/2 + time.Duration(b.rng.Float64()*float64(b.askBack)))
-	b.askBack = min(b.askBack*2, 2*b.cfg.AskWithin)
+	b.subscribeCookie = b.setTimer(b.subscribeBackoff/2 + time.Duration(b.rng.Float64()*float64(b.subscribeBackoff)))
+	b.subscribeBackoff = min(b.subscribeBackoff*2, 2*b.cfg.AskWithin)
 }
 
-// Arrive takes a client's request; the balancer owes it one final answer.
+// Arrive accepts a client's request. It ends with one final answer: an attempt's,
+// Host.Refuse or Host.Fail.
 func (b *Balancer) Arrive(now time.Duration, r Request) {
 	if b.requests[r.ID] != nil {
 		return
@@ -303,299 +315,324 @@
 		b.host.Refuse(r.ID, 0)
 		return
 	}
-	q := &request{Request: r, class: &r.Under.Classes[r.Class], arrived: now}
-	q.Attempts = min(cmp.Or(max(r.Attempts, 0), r.Under.MaxAttempts), r.Under.MaxAttempts)
+	req := &request{Request: r, class: &r.Under.Classes[r.Class], arrivedAt: now}
+	req.Attempts = min(cmp.Or(max(r.Attempts, 0), r.Under.MaxAttempts), r.Under.MaxAttempts)
 	if r.Under.WarmKeys {
-		q.key = hashName(r.Key)
+		req.keyHash = hashName(r.Key)
 	}
-	b.requests[r.ID] = q
-	q.rank = b.admit.arrived(r.Class, r.Tenant, now)
-	if odds := b.admit.odds(q.rank, now); b.gate.Turn(now, r.Class) || b.rng.Float64() < odds {
-		b.end(q)
+	b.requests[r.ID] = req
+	req.rank = b.admitter.recordArrival(r.Class, r.Tenant, now)
+	if probability := b.admitter.shedProbability(req.rank, now); b.restrictions.Turn(now, r.Class) || b.rng.Float64() < probability {
+		b.endUnanswered(req)
 		return
 	}
-	if b.cfg.Probes && b.gate.Probes() {
-		b.fleet.refresh(now)
-		for range probesEach {
-			if s := b.fleet.draw(); s != nil {
+	if b.cfg.Probes && b.restrictions.Probes() {
+		b.fleet.refreshWeights(now)
+		for range probesPerRequest {
+			if s := b.fleet.drawServer(); s != nil {
 				b.host.Probe(s.name)
 			}
 		}
-		b.timerFor(q, min(time.Duration(probeWait*float64(q.class.Aim)), (q.Deadline-now)/2))
+		b.setRequestTimer(req, min(time.Duration(maxProbeWait*float64(req.class.Aim)), (req.Deadline-now)/2))
 		return
 	}
-	b.first(q, now)
+	b.sendFirst(req, now)
 }
 
-// first makes q's first send.
-func (b *Balancer) first(q *request, now time.Duration) {
-	if !b.try(q, now, false) {
-		b.end(q)
+// sendFirst sends the first attempt of req and adds to the budgets for retries
+// and copies, or ends it if no server is available.
+func (b *Balancer) sendFirst(req *request, now time.Duration) {
+	if !b.sendAttempt(req, now, false) {
+		b.endUnanswered(req)
 		return
 	}
-	if q.Attempts > 1 {
-		b.reissue.tokens = min(b.reissue.tokens+b.reissue.budget, hedgeTokensMax)
-		b.retries = min(b.retries+retryBudget, retriesMax)
+	if req.Attempts > 1 {
+		b.reissuer.tokens = min(b.reissuer.tokens+b.reissuer.budget, maxHedgeTokens)
+		b.retryTokens = min(b.retryTokens+retryTokensPerRequest, maxRetryTokens)
 	}
-	b.planCopy(q, now)
+	b.planCopy(req, now)
 }
 
-// timerFor sets q's timer.
-func (b *Balancer) timerFor(q *request, after time.Duration) {
-	q.timer = b.setTimer(after)
-	b.timers[q.timer] = q
+// setRequestTimer sets the timer of req.
+func (b *Balancer) setRequestTimer(req *request, after time.Duration) {
+	req.timerCookie = b.setTimer(after)
+	b.timers[req.timerCookie] = req
 }
 
-// planCopy draws whether q gets a copy and sets its timer, else the one for its aim.
-func (b *Balancer) planCopy(q *request, now time.Duration) {
-	after := q.arrived + q.class.Aim - now
-	if q.class.Effect != Unsafe && q.Attempts > 1 {
-		b.reissue.recompute(now, b.rng.Float64())
-		d := time.Duration(b.reissue.d * float64(q.class.Aim))
-		if q.copyDue = b.rng.Float64() < b.reissue.q && d < after; q.copyDue {
-			after = d
+// planCopy decides at random whether req gets a copy. It sets the timer for the
+// copy, or for the aim if there is none.
+func (b *Balancer) planCopy(req *request, now time.Duration) {
+	after := req.arrivedAt + req.class.Aim - now
+	if req.class.Effect != Unsafe && req.Attempts > 1 {
+		b.reissuer.recompute(now, b.rng.Float64())
+		delay := time.Duration(b.reissuer.delay * float64(req.class.Aim))
+		if req.copyPlanned = b.rng.Float64() < b.reissuer.probability && delay < after; req.copyPlanned {
+			after = delay
 		}
 	}
-	b.timerFor(q, after)
+	b.setRequestTimer(req, after)
 }
 
-// Timer takes a timer that came due. Stale ones are ignored.
+// Timer handles a timer that has expired. It ignores timers that no longer apply.
 func (b *Balancer) Timer(now time.Duration, cookie uint64) {
-	if cookie == b.askCookie && cookie != 0 {
-		b.askCookie = 0
+	if cookie == b.subscribeCookie && cookie != 0 {
+		b.subscribeCookie = 0
 		b.host.Subscribe()
 		return
 	}
-	if q := b.timers[cookie]; q != nil {
+	if req := b.timers[cookie]; req != nil {
 		delete(b.timers, cookie)
 		switch {
-		case len(q.attempts) == 0:
-			b.first(q, now)
-		case q.Coming: // no server is late before it has all of the request
-		case q.copyDue:
-			q.copyDue = false
-			b.hedge(q, now)
-			b.timerFor(q, q.arrived+q.class.Aim-now)
-		default: // guards against hearing of a jam only by time-outs
-			q.overdue = true
-			b.admit.outcome(false, true, b.fleet.rate(now), now)
+		case len(req.attempts) == 0:
+			b.sendFirst(req, now)
+		case req.Coming: // a server cannot be late before it has the whole request
+		case req.copyPlanned:
+			req.copyPlanned = false
+			b.sendCopy(req, now)
+			b.setRequestTimer(req, req.arrivedAt+req.class.Aim-now)
+		default: // counts as late at the aim, since time-outs would show an overload only seconds later
+			req.isOverdue = true
+			b.admitter.recordOutcome(false, true, b.fleet.sendRate(now), now)
 		}
 	}
 }
 
-func (b *Balancer) hedge(q *request, now time.Duration) {
-	if q.out == 1 && b.gate.Copies() && b.reissue.tokens >= 1 && b.admit.faded(now) < shedSlack && b.try(q, now, true) {
-		b.reissue.tokens--
-		q.wholePair = b.rng.Float64() < pairShare
+// sendCopy sends a copy of req if the policy and the budget allow it and the
+// Balancer does not shed.
+func (b *Balancer) sendCopy(req *request, now time.Duration) {
+	if req.outstanding == 1 && b.restrictions.Copies() && b.reissuer.tokens >= 1 && b.admitter.currentLevel(now) < minShedLevel && b.sendAttempt(req, now, true) {
+		b.reissuer.tokens--
+		req.observesPair = b.rng.Float64() < observedPairShare
 	}
 }
 
-func (q *request) anchor() *attempt {
-	if i := slices.IndexFunc(q.attempts, func(a attempt) bool { return !a.done || !a.neverRan }); i >= 0 {
-		return &q.attempts[i]
+// anchor returns the first attempt that may have run, or nil. A keyed request
+// may be repeated only within this attempt's scope and window.
+func (req *request) anchor() *attempt {
+	if i := slices.IndexFunc(req.attempts, func(a attempt) bool { return !a.done || !a.neverRan }); i >= 0 {
+		return &req.attempts[i]
 	}
 	return nil
 }
 
-// mayTry says whether q may have one more attempt: a keyed request that may have
-// run goes on inside its anchor's group and window only.
-func (b *Balancer) mayTry(q *request, anchor *attempt, now time.Duration) bool {
+// mayAttempt reports whether req may have one more attempt. A keyed request that
+// may have run gets one only within its anchor's window; sendAttempt checks the
+// scope.
+func (b *Balancer) mayAttempt(req *request, anchor *attempt, now time.Duration) bool {
 	switch {
-	case q.ended || q.streamed || len(q.attempts) >= q.Attempts || now >= q.Deadline,
-		q.out > 0 && !q.Under.SecondCopies:
+	case req.ended || req.streamed || len(req.attempts) >= req.Attempts || now >= req.Deadline,
+		req.outstanding > 0 && !req.Under.SecondCopies:
 		return false
-	case q.class.Effect == Safe || anchor == nil:
+	case req.class.Effect == Safe || anchor == nil:
 		return true
 	}
-	return q.class.Effect == Keyed && now-anchor.sent < q.class.Window
+	return req.class.Effect == Keyed && now-anchor.sentAt < req.class.Window
 }
 
-// try sends q's next attempt, if it may have one and a server is to be had.
-func (b *Balancer) try(q *request, now time.Duration, isCopy bool) bool {
-	anchor := q.anchor()
-	if !b.mayTry(q, anchor, now) {
+// sendAttempt sends the next attempt of req. It reports false if req may have no
+// more attempts, if no server is available, or if by the load reports the answer
+// would come too late to earn anything.
+func (b *Balancer) sendAttempt(req *request, now time.Duration, isCopy bool) bool {
+	anchor := req.anchor()
+	if !b.mayAttempt(req, anchor, now) {
 		return false
 	}
-	may := func(s *server) bool {
-		return (q.Only == "" || q.Only == s.name) && b.gate.Room(now, s.zone, q.Class) && !slices.ContainsFunc(q.attempts, func(a attempt) bool { return a.to == s }) &&
-			(anchor == nil || q.class.Effect != Keyed || sameGroup(q.class.Scope, anchor.to, s))
+	isAllowed := func(s *server) bool {
+		return (req.Only == "" || req.Only == s.name) && b.restrictions.Room(now, s.zone, req.Class) && !slices.ContainsFunc(req.attempts, func(a attempt) bool { return a.server == s }) &&
+			(anchor == nil || req.class.Effect != Keyed || inSameScope(req.class.Scope, anchor.server, s))
 	}
-	due, s := b.gate.Due(now, q.class.Effect != Unsafe), (*server)(nil)
-	for pass := 1 - min(len(due), 1); s == nil && pass < 3; pass++ {
-		// Guards against a suspect that is tested by what can't be made good if it fails.
-		s = b.fleet.pick(now, q.key, func(s *server) bool {
-			return (pass > 0 || s.zone == due) && (pass > 1 || !s.barredFor(q.Class, now) && (q.class.Effect != Unsafe || !s.out.suspect(now))) && may(s)
+	preferredZone, s := b.restrictions.Due(now, req.class.Effect != Unsafe), (*server)(nil)
+	for pass := 1 - min(len(preferredZone), 1); s == nil && pass < 3; pass++ {
+		// Unsafe requests go to suspect servers only in the last pass, because
+		// they cannot be retried if the server fails.
+		s = b.fleet.pickServer(now, req.keyHash, func(s *server) bool {
+			return (pass > 0 || s.zone == preferredZone) && (pass > 1 || !s.isEjectedFor(req.Class, now) && (req.class.Effect != Unsafe || !s.ejection.isSuspect(now))) && isAllowed(s)
 		})
 	}
 	if s == nil {
 		return false
 	}
-	held := s.held(now)
-	if b.cfg.Probes && q.class.LateWorth == 0 &&
-		b.fleet.perHeld*held*float64(q.class.Aim) > float64(q.arrived+q.class.Aim-now) {
+	heldRequests := s.held(now)
+	if b.cfg.Probes && req.class.LateWorth == 0 &&
+		b.fleet.latencyPerHeld*heldRequests*float64(req.class.Aim) > float64(req.arrivedAt+req.class.Aim-now) {
 		return false
 	}
-	q.attempts = append(q.attempts, attempt{to: s, sent: now, isCopy: isCopy, held: held})
-	q.out++
-	b.fleet.book(s, now)
-	b.host.Send(q.ID, s.name, q.Deadline-now)
+	req.attempts = append(req.attempts, attempt{server: s, sentAt: now, isCopy: isCopy, serverHeld: heldRequests})
+	req.outstanding++
+	b.fleet.recordSend(s, now)
+	b.host.Send(req.ID, s.name, req.Deadline-now)
 	return true
 }
 
-func sameGroup(scope Scope, a, b *server) bool {
+// inSameScope reports whether a and b drop repeats of each other's keyed requests.
+func inSameScope(scope Scope, a, b *server) bool {
 	return scope == ScopeAll || a.zone == b.zone && (scope == ScopeZone || a.group == b.group)
 }
 
-// Probed takes the load report that a probe brought.
+// Probed applies the load report that a probe returned.
 func (b *Balancer) Probed(now time.Duration, server string, rep Report) {
-	if s := b.fleet.byName[server]; s != nil && now >= s.loadAt { // one that others saw may be old
-		s.heed(rep, now)
+	if s := b.fleet.byName[server]; s != nil && now >= s.loadAt { // a report received by other balancers may be older than the last one
+		s.applyReport(rep, now)
 	}
 }
 
-// Started says that an answer has begun to stream: the client has its attempt.
+// Started tells the Balancer that the answer of attempt n has begun to stream to
+// the client. It cancels the other attempts.
 func (b *Balancer) Started(now time.Duration, id RequestID, n int) {
-	if q := b.requests[id]; q != nil && n >= 0 && n < len(q.attempts) {
-		q.streamed = true
-		b.cancelOthers(q, n)
+	if req := b.requests[id]; req != nil && n >= 0 && n < len(req.attempts) {
+		req.streamed = true
+		b.cancelOthers(req, n)
 	}
 }
 
-// Whole says that the last byte of a Coming request has come: its time counts from now.
+// Whole tells the Balancer that the last byte of the body of a Coming request has
+// arrived. The aim and the given deadline count from now.
 func (b *Balancer) Whole(now time.Duration, id RequestID, deadline time.Duration) {
-	if q := b.requests[id]; q != nil && q.Coming && q.out > 0 {
-		q.Coming, q.arrived, q.attempts[0].sent, q.Deadline = false, now, now, deadline
-		delete(b.timers, q.timer)
-		b.planCopy(q, now)
+	if req := b.requests[id]; req != nil && req.Coming && req.outstanding > 0 {
+		req.Coming, req.arrivedAt, req.attempts[0].sentAt, req.Deadline = false, now, now, deadline
+		delete(b.timers, req.timerCookie)
+		b.planCopy(req, now)
 	}
 }
 
-// EmptyBudgets takes the budgets of retries and copies away, to be earned anew.
-func (b *Balancer) EmptyBudgets() { b.retries, b.reissue.tokens = 0, 0 }
+// EmptyBudgets sets the budgets for retries and copies to zero; first attempts
+// earn them again.
+func (b *Balancer) EmptyBudgets() { b.retryTokens, b.reissuer.tokens = 0, 0 }
 
-// Done takes an attempt's outcome; over says that the request has ended.
+// Done records the outcome o of attempt n. over says that the request has ended.
 func (b *Balancer) Done(now time.Duration, id RequestID, n int, o Outcome, over bool, rep Report) {
-	q := b.requests[id]
-	if q == nil || n < 0 || n >= len(q.attempts) || q.attempts[n].done {
+	req := b.requests[id]
+	if req == nil || n < 0 || n >= len(req.attempts) || req.attempts[n].done {
 		return
 	}
-	a := &q.attempts[n]
+	a := &req.attempts[n]
 	a.done, a.neverRan = true, o.NeverRan()
-	q.out--
-	a.to.inFlight--
-	b.note(q, a, o, now, rep)
+	req.outstanding--
+	a.server.inFlight--
+	b.recordOutcome(req, a, o, now, rep)
 	if over {
-		q.ended = true
-		delete(b.timers, q.timer)
-		if !q.wholePair || o != OK {
-			b.cancelOthers(q, n)
+		req.ended = true
+		delete(b.timers, req.timerCookie)
+		if !req.observesPair || o != OK {
+			b.cancelOthers(req, n)
 		}
-		b.forget(q)
+		b.removeIfFinished(req)
 		return
 	}
 	switch {
-	case q.ended:
-		b.forget(q)
-	case q.out > 0: // another attempt may still answer
-	case q.class.LateWorth == 0 && now >= q.arrived+q.class.Aim: // nothing to win any more
-		b.end(q)
-	case q.Attempts == 1 || !b.mayRetry(q) || !b.try(q, now, false):
-		b.end(q)
-	case b.retries >= 1: // only what was sent is paid for
-		b.retries--
+	case req.ended:
+		b.removeIfFinished(req)
+	case req.outstanding > 0: // another attempt may still answer
+	case req.class.LateWorth == 0 && now >= req.arrivedAt+req.class.Aim: // a late answer is worth nothing
+		b.endUnanswered(req)
+	case req.Attempts == 1 || !b.mayRetry(req) || !b.sendAttempt(req, now, false):
+		b.endUnanswered(req)
+	case b.retryTokens >= 1: // only an attempt that was sent costs a token
+		b.retryTokens--
 	}
 }
 
-func (b *Balancer) mayRetry(q *request) bool {
-	worth, mean := b.admit.worth(q.rank), b.admit.meanWorth()
-	need := 1 + retriesMax/2*max(0, 1-worth/max(mean, 1e-9))
-	return b.gate.Retries(q.Class) && b.retries >= need || worth >= dearFactor*mean
+// mayRetry reports whether the policy and the retry budget allow a retry of req.
+// A request below the mean worth needs more tokens left in the budget.
+func (b *Balancer) mayRetry(req *request) bool {
+	worth, mean := b.admitter.worth(req.rank), b.admitter.meanWorth()
+	neededTokens := 1 + maxRetryTokens/2*max(0, 1-worth/max(mean, 1e-9))
+	return b.restrictions.Retries(req.Class) && b.retryTokens >= neededTokens || worth >= highWorthFactor*mean
 }
 
-func (b *Balancer) note(q *request, a *attempt, o Outcome, now time.Duration, rep Report) {
-	s, took := a.to, float64(now-a.sent)/float64(q.class.Aim)
-	if o != Cancelled && o != NotSent && !q.overdue && !q.Coming {
-		b.admit.outcome(o == Full, now-q.arrived > q.class.Aim, b.fleet.rate(now), now)
+// recordOutcome updates the shed level, the server's state and the response time
+// samples with the outcome of an attempt.
+func (b *Balancer) recordOutcome(req *request, a *attempt, outcome Outcome, now time.Duration, loadReport Report) {
+	s, responseTime := a.server, float64(now-a.sentAt)/float64(req.class.Aim)
+	if outcome != Cancelled && outcome != NotSent && !req.isOverdue && !req.Coming {
+		b.admitter.recordOutcome(outcome == Full, now-req.arrivedAt > req.class.Aim, b.fleet.sendRate(now), now)
 	}
-	if b.fleet.taken *= 1 - meanStep; o != Full {
-		b.fleet.taken += meanStep
+	if b.fleet.acceptedShare *= 1 - runningMeanStep; outcome != Full {
+		b.fleet.acceptedShare += runningMeanStep
 	}
-	switch o {
+	switch outcome {
 	case OK:
-		s.out.served(now)
-		if q.Class < len(s.barred) {
-			s.barred[q.Class].served(now)
+		s.ejection.recordSuccess(now)
+		if req.Class < len(s.classEjections) {
+			s.classEjections[req.Class].recordSuccess(now)
 		}
 	case ServerError, ConnectFailed, Reset, TimedOut:
-		b.fleet.failed(s, now)
+		b.fleet.recordFailure(s, now)
 	}
 	switch {
-	case q.Coming: // what a client needs for its body says nothing of the server
-	case o == OK || o == TimedOut:
-		b.fleet.report(s, o, rep, took, a.held, now)
-	case o == ServerError: // how soon it came says nothing of speed: one that fails fast would draw more
-		s.heed(rep, now)
-		s.out.at = now
-		b.fleet.classFailed(s, q.Class, now)
-	}
-	if b.cfg.ConnectionCost > 0 && !s.inSet && s.inFlight == 0 {
-		b.host.CloseIdle(s.name) // a guest's connection would stand open unused
-	}
-	if q.class.Effect == Unsafe || q.Coming || (o != OK && o != Cancelled && o != TimedOut) {
+	case req.Coming: // the time that a client takes for its body says nothing about the server
+	case outcome == OK || outcome == TimedOut:
+		b.fleet.recordLatency(s, outcome, loadReport, responseTime, a.serverHeld, now)
+	case outcome == ServerError: // its response time is not recorded: a server that fails fast would get more requests
+		s.applyReport(loadReport, now)
+		s.ejection.errorAt = now
+		b.fleet.recordClassFailure(s, req.Class, now)
+	}
+	if b.cfg.ConnectionCost > 0 && !s.inWorkingSet && s.inFlight == 0 {
+		b.host.CloseIdle(s.name) // a connection to a server outside the working set would stay open unused
+	}
+	if req.class.Effect == Unsafe || req.Coming || (outcome != OK && outcome != Cancelled && outcome != TimedOut) {
 		return
 	}
-	a.took, a.censored = took, o != OK
+	a.responseTime, a.censored = responseTime, outcome != OK
 	if a.isCopy {
-		b.reissue.copies.add(sample{took, a.censored}, copyWindow)
+		b.reissuer.copies.add(sample{responseTime, a.censored}, copyWindowSize)
 	} else {
-		b.reissue.primary.add(sample{took, a.censored}, primaryWindow)
-		b.reissue.fresh++
+		b.reissuer.primary.add(sample{responseTime, a.censored}, primaryWindowSize)
+		b.reissuer.newSamples++
 	}
-	if q.wholePair && q.out == 0 && len(q.attempts) == 2 {
-		x, y := &q.attempts[0], &q.attempts[1]
-		if !x.censored && !y.censored && x.took > 0 && y.took > 0 {
-			b.reissue.pairs.add(pair{x.took, y.took}, pairWindow)
+	if req.observesPair && req.outstanding == 0 && len(req.attempts) == 2 {
+		x, y := &req.attempts[0], &req.attempts[1]
+		if !x.censored && !y.censored && x.responseTime > 0 && y.responseTime > 0 {
+			b.reissuer.pairs.add(pair{x.responseTime, y.responseTime}, pairWindowSize)
 		}
 	}
 }
 
-func (b *Balancer) cancelOthers(q *request, n int) {
-	if !q.Under.MayCancel || q.out == 0 {
+// cancelOthers cancels all attempts of req without an outcome except attempt n,
+// if attempts may be cancelled.
+func (b *Balancer) cancelOthers(req *request, n int) {
+	if !req.Under.MayCancel || req.outstanding == 0 {
 		return
 	}
-	for i := range q.attempts {
-		if i != n && !q.attempts[i].done {
-			b.host.Cancel(q.ID, i)
+	for i := range req.attempts {
+		if i != n && !req.attempts[i].done {
+			b.host.Cancel(req.ID, i)
 		}
 	}
 }
 
-// ClientGone says that the client has left; attempts still out will end.
+// ClientGone tells the Balancer that the client has left. Outstanding attempts
+// are cancelled where that is allowed.
 func (b *Balancer) ClientGone(now time.Duration, id RequestID) {
-	if q := b.requests[id]; q != nil && !q.ended {
-		b.close(q)
+	if req := b.requests[id]; req != nil && !req.ended {
+		b.closeRequest(req)
 	}
 }
 
-func (b *Balancer) end(q *request) {
-	b.close(q)
-	if e := q.class.Effect; e == Safe || e == Keyed && q.class.Scope == ScopeAll || q.anchor() == nil {
+// endUnanswered ends req without an answer: with a refusal if a retry is
+// harmless, otherwise with a failure.
+func (b *Balancer) endUnanswered(req *request) {
+	b.closeRequest(req)
+	if e := req.class.Effect; e == Safe || e == Keyed && req.class.Scope == ScopeAll || req.anchor() == nil {
 		part := b.rng.Float64()
-		b.host.Refuse(q.ID, max(b.gate.Wait(q.Class, part), time.Duration((0.5+part/2)*float64(q.Under.MaxRetryAfter))))
+		b.host.Refuse(req.ID, max(b.restrictions.Wait(req.Class, part), time.Duration((0.5+part/2)*float64(req.Under.MaxRetryAfter))))
 	} else {
-		b.host.Fail(q.ID)
+		b.host.Fail(req.ID)
 	}
 }
 
-func (b *Balancer) close(q *request) {
-	q.ended = true
-	delete(b.timers, q.timer)
-	b.cancelOthers(q, -1)
-	b.forget(q)
+// closeRequest marks req as ended and cancels its outstanding attempts.
+func (b *Balancer) closeRequest(req *request) {
+	req.ended = true
+	delete(b.timers, req.timerCookie)
+	b.cancelOthers(req, -1)
+	b.removeIfFinished(req)
 }
 
-func (b *Balancer) forget(q *request) {
-	if q.ended && q.out == 0 {
-		delete(b.requests, q.ID)
+// removeIfFinished removes req once it has ended and all attempts have outcomes.
+func (b *Balancer) removeIfFinished(req *request) {
+	if req.ended && req.outstanding == 0 {
+		delete(b.requests, req.ID)
 	}
 }
--- a/balancer_attempts_test.go
+++ b/balancer_attempts_test.go
@@ -5,28 +5,29 @@
 	"time"
 )
 
-// tally is a Host that counts and remembers.
-type tally struct {
+// countingHost is a Host that counts calls and records servers and timers.
+type countingHost struct {
 	sends, refused, failed int
 	timers                 []uint64
-	to                     []string
+	servers                []string
 }
 
-func (h *tally) Send(_ RequestID, server string, _ time.Duration) {
+func (h *countingHost) Send(_ RequestID, server string, _ time.Duration) {
 	h.sends++
-	h.to = append(h.to, server)
+	h.servers = append(h.servers, server)
 }
-func (h *tally) Cancel(RequestID, int)                   {}
-func (h *tally) Refuse(RequestID, time.Duration)         { h.refused++ }
-func (h *tally) Fail(RequestID)                          { h.failed++ }
-func (h *tally) SetTimer(cookie uint64, _ time.Duration) { h.timers = append(h.timers, cookie) }
-func (h *tally) CloseIdle(string)                        {}
-func (h *tally) Probe(string)                            {}
-func (h *tally) Subscribe()                              {}
+func (h *countingHost) Cancel(RequestID, int)                   {}
+func (h *countingHost) Refuse(RequestID, time.Duration)         { h.refused++ }
+func (h *countingHost) Fail(RequestID)                          { h.failed++ }
+func (h *countingHost) SetTimer(cookie uint64, _ time.Duration) { h.timers = append(h.timers, cookie) }
+func (h *countingHost) CloseIdle(string)                        {}
+func (h *countingHost) Probe(string)                            {}
+func (h *countingHost) Subscribe()                              {}
 
-func fourServers(t *testing.T) (*Balancer, *tally) {
+// fourServers returns a Balancer with four servers and its host.
+func fourServers(t *testing.T) (*Balancer, *countingHost) {
 	t.Helper()
-	h := new(tally)
+	h := new(countingHost)
 	b, err := New(Config{Instances: 1, MaxAttempts: 3, SecondCopies: true, Classes: []Class{{Aim: time.Second, Worth: 1}}}, 1, h)
 	if err != nil {
 		t.Fatal(err)
@@ -35,8 +36,9 @@
 	return b, h
 }
 
-// A request may lower the number of its attempts and never raise it.
-func TestAttemptsOfARequest(t *testing.T) {
+// A request may lower the number of its attempts below the configured one, but
+// not raise it.
+func TestRequestLowersMaxAttempts(t *testing.T) {
 	for _, c := range []struct{ attempts, want int }{{0, 3}, {1, 1}, {2, 2}, {3, 3}, {99, 3}, {-5, 3}} {
 		b, h := fourServers(t)
 		b.Arrive(0, Request{ID: 1, Tenant: -1, Deadline: time.Second, Attempts: c.attempts})
@@ -44,37 +46,37 @@
 			b.Done(time.Millisecond, 1, n, Full, false, Report{})
 		}
 		if h.sends != c.want || h.refused != 1 {
-			t.Errorf("with %d: %d sends, %d refusals", c.attempts, h.sends, h.refused)
+			t.Errorf("with Attempts %d: %d sends and %d refusals, want at most the configured sends and 1 refusal", c.attempts, h.sends, h.refused)
 		}
 	}
 }
 
-// What a tier before this one decides earns no budget and spends none: else calls that
-// it repeats would have this tier repeat more too.
-func TestDecidedElsewhere(t *testing.T) {
+// A request whose retries an upstream tier decides neither earns nor spends
+// budget. Otherwise the retries of that tier would make this tier retry more too.
+func TestSingleAttemptRequestsLeaveBudgetsUnchanged(t *testing.T) {
 	b, h := fourServers(t)
 	b.EmptyBudgets()
 	for id := range RequestID(500) {
 		b.Arrive(time.Duration(id)*time.Millisecond, Request{ID: id, Tenant: -1, Deadline: time.Hour, Attempts: 1})
 	}
-	if b.retries != 0 || b.reissue.tokens != 0 || h.sends != 500 {
-		t.Errorf("earned %v retries and %v copies by %d sends", b.retries, b.reissue.tokens, h.sends)
+	if b.retryTokens != 0 || b.reissuer.tokens != 0 || h.sends != 500 {
+		t.Errorf("earned %v retry and %v copy tokens by %d sends, want no tokens and 500 sends", b.retryTokens, b.reissuer.tokens, h.sends)
 	}
-	b.retries, b.reissue.tokens = retriesMax, hedgeTokensMax
+	b.retryTokens, b.reissuer.tokens = maxRetryTokens, maxHedgeTokens
 	for _, cookie := range h.timers {
 		b.Timer(600*time.Millisecond, cookie)
 	}
 	for id := range RequestID(500) {
 		b.Done(700*time.Millisecond, id, 0, Full, false, Report{})
 	}
-	if b.retries != retriesMax || b.reissue.tokens != hedgeTokensMax || h.sends != 500 || h.refused != 500 {
-		t.Errorf("%v retries and %v copies left, %d sends, %d refused", b.retries, b.reissue.tokens, h.sends, h.refused)
+	if b.retryTokens != maxRetryTokens || b.reissuer.tokens != maxHedgeTokens || h.sends != 500 || h.refused != 500 {
+		t.Errorf("%v retry and %v copy tokens left, %d sends, %d refused, want all tokens, 500 sends and 500 refused", b.retryTokens, b.reissuer.tokens, h.sends, h.refused)
 	}
 }
 
-// A request that is bound to a server goes there and nowhere else, whatever becomes of
-// it; one whose server is not on the list, or has gone, ends at once.
-func TestBoundToAServer(t *testing.T) {
+// A request bound to a server goes only there, whatever the outcome. It ends at
+// once if the server is not on the list or has left it.
+func TestRequestBoundToServer(t *testing.T) {
 	for id := range RequestID(40) {
 		b, h := fourServers(t)
 		b.Arrive(0, Request{ID: id, Tenant: -1, Deadline: time.Second, Only: "c"})
@@ -84,8 +86,8 @@
 		for _, cookie := range h.timers {
 			b.Timer(600*time.Millisecond, cookie)
 		}
-		if len(h.to) != 1 || h.to[0] != "c" || h.refused+h.failed != 1 {
-			t.Errorf("sent to %v, %d refused, %d failed", h.to, h.refused, h.failed)
+		if len(h.servers) != 1 || h.servers[0] != "c" || h.refused+h.failed != 1 {
+			t.Errorf("bound to c: sent to %v, %d refused, %d failed, want one send and one answer", h.servers, h.refused, h.failed)
 		}
 	}
 	for _, gone := range []bool{false, true} {
@@ -100,16 +102,16 @@
 			b.Timer(time.Minute+2*time.Second, cookie)
 		}
 		if h.sends != 0 || h.refused+h.failed != 1 {
-			t.Errorf("%s: sent to %v, %d refused, %d failed", only, h.to, h.refused, h.failed)
+			t.Errorf("bound to %s, which is not listed: sent to %v, %d refused, %d failed, want no send and one answer", only, h.servers, h.refused, h.failed)
 		}
 	}
 }
 
-// A request whose body is still on its way gets one attempt, and its time counts from
-// the last byte: what its client needs for it is no lateness and no sign of a server's
-// speed. Before that byte nothing has run, whatever the class; after it the class's
-// rules hold.
-func TestBodyOnItsWay(t *testing.T) {
+// A request whose body is still arriving gets one attempt, and its aim counts
+// from the last byte: the time that the client takes to send it must not count as
+// lateness or as a server's latency. Before that byte nothing has run, so that a
+// request of any class may be refused; after it the rules of the class hold.
+func TestRequestWithArrivingBody(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		class int
@@ -123,15 +125,15 @@
 		{"keyed, reset", 1, true, Reset, []string{"send 1", "fail 1"}},
 		{"unsafe, reset", 2, true, Reset, []string{"send 1", "fail 1"}},
 	} {
-		b, r := newTest(t, testConfig(), Endpoint{Name: "a", Zone: "z"}, Endpoint{Name: "b", Zone: "z"})
-		b.reissue.q = 1 // each safe request would get a copy
-		level := b.admit.level
+		b, r := newTestBalancer(t, testConfig(), Endpoint{Name: "a", Zone: "z"}, Endpoint{Name: "b", Zone: "z"})
+		b.reissuer.probability = 1 // each safe request would get a copy
+		level := b.admitter.level
 		b.Arrive(0, Request{ID: 1, Class: c.class, Deadline: time.Hour, Attempts: 1, Coming: true})
 		for _, cookie := range r.timers {
-			b.Timer(10*time.Second, cookie) // the aim is long past
+			b.Timer(10*time.Second, cookie) // long after the aim
 		}
-		if b.admit.level != level {
-			t.Errorf("%s: a client that takes its time counts as lateness", c.name)
+		if b.admitter.level != level {
+			t.Errorf("%s: the time that the client takes for its body counts as lateness", c.name)
 		}
 		at := 20 * time.Second
 		if c.whole {
@@ -141,30 +143,30 @@
 		for _, cookie := range r.timers {
 			b.Timer(at+2*ms, cookie)
 		}
-		if got := r.got; len(got) != 2 || got[0] != c.want[0] || got[1] != c.want[1] {
+		if got := r.decisions; len(got) != 2 || got[0] != c.want[0] || got[1] != c.want[1] {
 			t.Errorf("%s: %v, want %v", c.name, got, c.want)
 		}
 	}
-	b, r := newTest(t, testConfig(), Endpoint{Name: "a"})
+	b, r := newTestBalancer(t, testConfig(), Endpoint{Name: "a"})
 	b.Arrive(0, Request{ID: 1, Deadline: time.Hour, Attempts: 1, Coming: true})
-	b.Done(50*time.Second, 1, 0, OK, true, Report{}) // answered before the body's end
-	if s := b.fleet.byName["a"]; s.latN != 0 || b.reissue.fresh != 0 || b.admit.level != 0 {
-		t.Errorf("learned from a body on its way: %+v", s)
+	b.Done(50*time.Second, 1, 0, OK, true, Report{}) // answered before the end of the body
+	if s := b.fleet.byName["a"]; s.latencyWeight != 0 || b.reissuer.newSamples != 0 || b.admitter.level != 0 {
+		t.Errorf("an answer before the end of the body was recorded as a response time: %+v", s)
 	}
 	b.Arrive(0, Request{ID: 2, Deadline: time.Hour, Attempts: 1, Coming: true})
 	b.Whole(60*time.Second, 2, 61*time.Second)
 	if n := len(r.delays); r.delays[n-1] != 100*ms {
-		t.Errorf("the aim counts for %v from the last byte, want 100ms", r.delays[n-1])
+		t.Errorf("the timer for the aim is set to %v at the last byte, want 100ms", r.delays[n-1])
 	}
 	b.Done(60*time.Second+10*ms, 2, 0, OK, true, Report{})
-	if s := b.fleet.byName["a"]; s.latN == 0 || b.fleet.meanLat > 0.11 {
-		t.Errorf("its time does not count from the last byte: mean %v of the aim", b.fleet.meanLat)
+	if s := b.fleet.byName["a"]; s.latencyWeight == 0 || b.fleet.meanLatency > 0.11 {
+		t.Errorf("the response time does not count from the last byte: mean %v of the aim, want 0.1", b.fleet.meanLatency)
 	}
 }
 
-// What can't be tried again costs no budget: else each call that may not run twice, and
-// each that has had its attempts, takes a retry from one that could have had it.
-func TestOnlyRetriesAreChargedFor(t *testing.T) {
+// Only a retry that is sent costs budget. Otherwise each call that must not run
+// twice or has used up its attempts would take a retry from another call.
+func TestOnlySentRetriesCostBudget(t *testing.T) {
 	for name, c := range map[string]struct {
 		class   Class
 		only    string
@@ -183,15 +185,15 @@
 		for n := 0; n < h.sends; n++ {
 			b.Done(time.Millisecond, 1, n, c.outcome, false, Report{})
 		}
-		if want := retriesMax - float64(c.sends-1); h.sends != c.sends || h.refused+h.failed != 1 || b.retries != want {
-			t.Errorf("%s: %d sends, %v retries left, want %v", name, h.sends, b.retries, want)
+		if want := maxRetryTokens - float64(c.sends-1); h.sends != c.sends || h.refused+h.failed != 1 || b.retryTokens != want {
+			t.Errorf("%s: %d sends, %v retries left, want %v", name, h.sends, b.retryTokens, want)
 		}
 	}
 }
 
-// A load report of a time before the one that is known changes nothing: what others saw
-// comes late.
-func TestOldReport(t *testing.T) {
+// A load report older than the last one is ignored: reports received by other
+// balancers arrive late.
+func TestOlderLoadReportIsIgnored(t *testing.T) {
 	b, err := New(Config{Instances: 1, MaxAttempts: 1, Classes: []Class{{Aim: time.Second}}}, 1, nil)
 	if err != nil {
 		t.Fatal(err)
@@ -200,6 +202,6 @@
 	b.Probed(10*time.Second, "a", Report{HasInFlight: true, InFlight: 8})
 	b.Probed(9*time.Second, "a", Report{HasInFlight: true})
 	if got := b.ViewServer(10*time.Second, "a", 0).Load; got != 9 {
-		t.Errorf("the load is %v after an older report of none", got)
+		t.Errorf("load %v after an older report without load, want 9", got)
 	}
 }
--- a/balancer_test.go
+++ b/balancer_test.go
@@ -10,31 +10,31 @@
 
 const ms = time.Millisecond
 
-// recorder is a Host that writes down what it is asked.
+// recorder is a Host that records the decisions.
 type recorder struct {
-	got     []string
-	servers []string // by send
-	timers  []uint64
-	delays  []time.Duration
-	after   []time.Duration // of refusals
+	decisions   []string
+	servers     []string // by send
+	timers      []uint64
+	delays      []time.Duration
+	retryDelays []time.Duration // of refusals
 }
 
-func (r *recorder) say(format string, args ...any) {
-	r.got = append(r.got, fmt.Sprintf(format, args...))
+func (r *recorder) record(format string, args ...any) {
+	r.decisions = append(r.decisions, fmt.Sprintf(format, args...))
 }
 func (r *recorder) Send(id RequestID, server string, _ time.Duration) {
 	r.servers = append(r.servers, server)
-	r.say("send %d", id)
+	r.record("send %d", id)
 }
-func (r *recorder) Cancel(id RequestID, n int) { r.say("cancel %d/%d", id, n) }
+func (r *recorder) Cancel(id RequestID, n int) { r.record("cancel %d/%d", id, n) }
 func (r *recorder) Refuse(id RequestID, after time.Duration) {
-	r.after = append(r.after, after)
-	r.say("refuse %d", id)
+	r.retryDelays = append(r.retryDelays, after)
+	r.record("refuse %d", id)
 }
-func (r *recorder) Fail(id RequestID)       { r.say("fail %d", id) }
+func (r *recorder) Fail(id RequestID)       { r.record("fail %d", id) }
 func (r *recorder) CloseIdle(server string) {}
-func (r *recorder) Probe(server string)     { r.say("probe %s", server) }
-func (r *recorder) Subscribe()              { r.say("subscribe") }
+func (r *recorder) Probe(server string)     { r.record("probe %s", server) }
+func (r *recorder) Subscribe()              { r.record("subscribe") }
 func (r *recorder) SetTimer(c uint64, after time.Duration) {
 	r.timers = append(r.timers, c)
 	r.delays = append(r.delays, after)
@@ -52,7 +52,8 @@
 	}
 }
 
-func newTest(t *testing.T, cfg Config, servers ...Endpoint) (*Balancer, *recorder) {
+// newTestBalancer returns a Balancer that knows the servers, and its host.
+func newTestBalancer(t *testing.T, cfg Config, servers ...Endpoint) (*Balancer, *recorder) {
 	t.Helper()
 	r := new(recorder)
 	b, err := New(cfg, 1, r)
@@ -63,10 +64,10 @@
 	return b, r
 }
 
-// without copies: the draw for one always fails.
-func (b *Balancer) noCopies() { b.reissue.q = 0 }
+// disableCopies sets the probability of copies to 0.
+func (b *Balancer) disableCopies() { b.reissuer.probability = 0 }
 
-func TestFurtherAttempts(t *testing.T) {
+func TestRetriesByEffectAndOutcome(t *testing.T) {
 	two := []Endpoint{{Name: "a", Zone: "z"}, {Name: "b", Zone: "z"}}
 	apart := []Endpoint{{Name: "a", Zone: "y"}, {Name: "b", Zone: "z"}}
 	for _, c := range []struct {
@@ -93,12 +94,12 @@
 		{"unsafe past the aim", 2, two, Reset, 100 * ms, []string{"send 1", "fail 1"}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			b, r := newTest(t, testConfig(), c.servers...)
-			b.noCopies()
+			b, r := newTestBalancer(t, testConfig(), c.servers...)
+			b.disableCopies()
 			b.Arrive(0, Request{ID: 1, Class: c.class, Deadline: 300 * ms})
 			b.Done(c.at, 1, 0, c.o, false, Report{})
-			if !slices.Equal(r.got, c.want) {
-				t.Errorf("got %v, want %v", r.got, c.want)
+			if !slices.Equal(r.decisions, c.want) {
+				t.Errorf("got %v, want %v", r.decisions, c.want)
 			}
 			if len(r.servers) == 2 && r.servers[0] == r.servers[1] {
 				t.Errorf("both attempts went to %s", r.servers[0])
@@ -107,24 +108,25 @@
 	}
 }
 
-// Where only probes tell loads, a request waits for its probes and then goes to
-// the less loaded server; where that one cannot answer within the aim, it is
-// refused at once. Without, quiet balancers fed jams that they could not see.
-func TestProbesFirst(t *testing.T) {
+// Where servers report their load only to probes, a request waits for its probes
+// and then goes to the less loaded server. If that one cannot answer within the
+// aim, the request is refused at once. Without probes, balancers with little
+// traffic kept sending to overloaded servers that they could not recognize.
+func TestSendsAfterProbes(t *testing.T) {
 	cfg := testConfig()
 	cfg.Probes = true
-	b, r := newTest(t, cfg, Endpoint{Name: "a"}, Endpoint{Name: "b"})
-	b.noCopies()
+	b, r := newTestBalancer(t, cfg, Endpoint{Name: "a"}, Endpoint{Name: "b"})
+	b.disableCopies()
 	arrive := func(id RequestID, deadline time.Duration, a, bb float64) {
-		r.got, r.delays = nil, nil
+		r.decisions, r.delays = nil, nil
 		b.Arrive(0, Request{ID: id, Deadline: deadline})
-		if len(r.got) != probesEach {
-			t.Fatalf("asked %v on arrival, want %d probes", r.got, probesEach)
+		if len(r.decisions) != probesPerRequest {
+			t.Fatalf("got %v on arrival, want %d probes", r.decisions, probesPerRequest)
 		}
 		b.Probed(0, "a", Report{HasInFlight: true, InFlight: a})
 		b.Probed(0, "b", Report{HasInFlight: true, InFlight: bb})
 		b.Probed(0, "gone", Report{})
-		r.got = nil
+		r.decisions = nil
 		b.Timer(0, r.timers[len(r.timers)-1])
 	}
 	for id := RequestID(1); id <= 10; id++ {
@@ -135,65 +137,66 @@
 		b.Done(20*ms, id, 0, OK, true, Report{})
 	}
 	arrive(11, 300*ms, 90, 90)
-	if !slices.Equal(r.got, []string{"refuse 11"}) {
-		t.Errorf("got %v where the aim is out of reach, want a refusal", r.got)
+	if !slices.Equal(r.decisions, []string{"refuse 11"}) {
+		t.Errorf("got %v where no server can answer within the aim, want a refusal", r.decisions)
 	}
 	arrive(12, 2*ms, 0, 0)
 	if r.delays[0] > ms {
-		t.Errorf("waits %v for probes with 2 ms left", r.delays[0])
+		t.Errorf("waits %v for probes with 2 ms to the deadline, want at most 1 ms", r.delays[0])
 	}
 }
 
-// Probes that cost more than they can win are not sent.
-func TestDearProbes(t *testing.T) {
+// Probes are not sent where their cost exceeds what they can gain.
+func TestExpensiveProbesAreNotSent(t *testing.T) {
 	cfg := testConfig()
-	cfg.Probes, cfg.ProbeCost = true, 2*probePrice/probesEach
-	b, r := newTest(t, cfg, Endpoint{Name: "a"})
+	cfg.Probes, cfg.ProbeCost = true, 2*maxProbeCost/probesPerRequest
+	b, r := newTestBalancer(t, cfg, Endpoint{Name: "a"})
 	b.Arrive(0, Request{ID: 1, Deadline: 300 * ms})
-	if !slices.Contains(r.got, "send 1") {
-		t.Errorf("got %v, want a send at once", r.got)
+	if !slices.Contains(r.decisions, "send 1") {
+		t.Errorf("got %v, want a send at once", r.decisions)
 	}
 }
 
 func TestHedgeAndCancel(t *testing.T) {
-	b, r := newTest(t, testConfig(), Endpoint{Name: "a"}, Endpoint{Name: "b"})
-	b.reissue.q, b.reissue.d, b.reissue.tokens = 1, 0.5, 3
+	b, r := newTestBalancer(t, testConfig(), Endpoint{Name: "a"}, Endpoint{Name: "b"})
+	b.reissuer.probability, b.reissuer.delay, b.reissuer.tokens = 1, 0.5, 3
 	b.Arrive(0, Request{ID: 1, Deadline: 300 * ms})
 	if len(r.delays) != 1 || r.delays[0] != 50*ms {
 		t.Fatalf("timers %v, want one after half the aim", r.delays)
 	}
 	b.Timer(50*ms, r.timers[0])
-	b.requests[1].wholePair = false
+	b.requests[1].observesPair = false
 	b.Done(60*ms, 1, 1, OK, true, Report{})
 	b.Done(60*ms, 1, 0, Cancelled, true, Report{})
-	if want := []string{"send 1", "send 1", "cancel 1/0"}; !slices.Equal(r.got, want) {
-		t.Errorf("got %v, want %v", r.got, want)
+	if want := []string{"send 1", "send 1", "cancel 1/0"}; !slices.Equal(r.decisions, want) {
+		t.Errorf("got %v, want %v", r.decisions, want)
 	}
 	if n := len(b.requests) + len(b.timers); n != 0 {
-		t.Errorf("%d requests and timers kept after the end", n)
+		t.Errorf("%d requests and timers kept after the request ended, want 0", n)
 	}
-	if p := b.reissue.primary.buf; len(p) != 1 || !p[0].censored {
-		t.Errorf("primary log %v, want one censored sample", p)
+	if p := b.reissuer.primary.values; len(p) != 1 || !p[0].censored {
+		t.Errorf("primary samples %v, want one censored sample", p)
 	}
 }
 
-// turnedAway plays 200 requests, each of which meets full servers only, every tenth of
-// class 2, and counts the sends of those and of the others.
-func turnedAway(t *testing.T, worth float64) (tenth, others int) {
+// sendsToFullServers runs 200 requests, every tenth of them of class 2 and the
+// others of class 0, where all servers are full. It returns the numbers of sends
+// of the two kinds.
+func sendsToFullServers(t *testing.T, worth float64) (tenth, others int) {
 	t.Helper()
 	cfg := testConfig()
 	cfg.Classes[2].Worth = worth
-	b, r := newTest(t, cfg, fleetOf(4)...)
+	b, r := newTestBalancer(t, cfg, serversNamed(4)...)
 	for id := RequestID(1); id <= 200; id++ {
-		b.noCopies()
+		b.disableCopies()
 		now := time.Duration(id) * 10 * ms
-		b.admit.level = 0
+		b.admitter.level = 0
 		b.Arrive(now, Request{ID: id, Class: int(id%10/9) * 2, Tenant: -1, Deadline: now + 300*ms})
 		for n := 0; b.requests[id] != nil; n++ {
 			b.Done(now, id, n, Full, false, Report{})
 		}
 	}
-	for _, did := range r.got {
+	for _, did := range r.decisions {
 		var id int
 		if _, err := fmt.Sscanf(did, "send %d", &id); err != nil {
 			continue
@@ -207,112 +210,113 @@
 	return tenth, others
 }
 
-// A retry budget binds all but the dearest: where all queues are full, retries
-// only push others out. What the dearest use of it is not there for the cheap.
+// Where all queues are full, retries only displace other requests. The retry
+// budget limits all classes but that of the highest worth, whose retries take
+// from the budget of the others.
 func TestRetryBudget(t *testing.T) {
-	if tenth, others := turnedAway(t, 1); tenth+others < 200+40 || tenth+others > 200+80 {
-		t.Errorf("%d sends of 200 requests of one worth, want about %v retries a request", tenth+others, retryBudget)
+	if tenth, others := sendsToFullServers(t, 1); tenth+others < 200+40 || tenth+others > 200+80 {
+		t.Errorf("%d sends of 200 requests of equal worth, want about %v retries a request", tenth+others, retryTokensPerRequest)
 	}
-	dear, cheap := turnedAway(t, 20)
+	dear, cheap := sendsToFullServers(t, 20)
 	if most := testConfig().MaxAttempts; dear != 20*most {
-		t.Errorf("%d sends of 20 dear requests, want all %d attempts each", dear, most)
+		t.Errorf("%d sends of 20 requests of high worth, want all %d attempts each", dear, most)
 	}
-	if cheap <= 180 || cheap > 180+retriesMax {
-		t.Errorf("%d sends of 180 cheap requests, want a few retries at the start", cheap)
+	if cheap <= 180 || cheap > 180+maxRetryTokens {
+		t.Errorf("%d sends of 180 requests of low worth, want a few retries at the start", cheap)
 	}
 }
 
-// In an overload copies only add to what comes late: while the balancer sheds, a
-// planned copy is not sent.
+// In an overload copies only make more answers late. A planned copy is not sent
+// while the balancer sheds.
 func TestNoCopiesWhileShedding(t *testing.T) {
 	for _, level := range []float64{0, 0.5} {
-		b, r := newTest(t, testConfig(), fleetOf(4)...)
-		b.reissue.q = 1
+		b, r := newTestBalancer(t, testConfig(), serversNamed(4)...)
+		b.reissuer.probability = 1
 		b.Arrive(0, Request{ID: 1, Tenant: -1, Deadline: time.Second})
-		b.admit.level = level
+		b.admitter.level = level
 		b.Timer(10*ms, r.timers[0])
 		if copied := len(r.servers) == 2; copied != (level == 0) {
-			t.Errorf("level %v: copied %v", level, copied)
+			t.Errorf("shed level %v: copy sent: %v", level, copied)
 		}
 	}
 }
 
-// A jam must be heard of at the aim, not only by the time-outs seconds later, and
-// each request counts once.
+// A request without an answer at its aim raises the shed level at that time: the
+// time-out comes only seconds later. Each request counts once.
 func TestOverdueCountsAsLate(t *testing.T) {
-	b, r := newTest(t, testConfig(), fleetOf(4)...)
-	b.reissue.q = 0
+	b, r := newTestBalancer(t, testConfig(), serversNamed(4)...)
+	b.reissuer.probability = 0
 	b.Arrive(0, Request{ID: 1, Class: 2, Tenant: -1, Deadline: time.Second})
 	b.Timer(100*ms, r.timers[0])
-	level := b.admit.level
+	level := b.admitter.level
 	if level <= 0 {
-		t.Error("unanswered at its aim: the shed level did not rise")
+		t.Error("the shed level did not rise for a request unanswered at its aim")
 	}
 	b.Done(150*ms, 1, 0, OK, true, Report{})
-	if b.admit.level != level {
-		t.Errorf("level %v after the late answer, want still %v", b.admit.level, level)
+	if b.admitter.level != level {
+		t.Errorf("shed level %v after the late answer, want %v as before it", b.admitter.level, level)
 	}
 }
 
-// The timer at the aim is never one for a copy, not even from a host whose clock
-// cuts fractions off and fires a little early.
+// The timer for the aim sends no copy, even if the host truncates times and fires
+// it a little early.
 func TestAimTimerSendsNoCopy(t *testing.T) {
-	b, r := newTest(t, testConfig(), fleetOf(4)...)
-	b.reissue.q = 0
+	b, r := newTestBalancer(t, testConfig(), serversNamed(4)...)
+	b.reissuer.probability = 0
 	b.Arrive(0, Request{ID: 1, Tenant: -1, Deadline: time.Second})
 	b.Timer(100*ms-1, r.timers[0])
 	if len(r.servers) != 1 {
-		t.Errorf("%d sends without a copy drawn, want 1", len(r.servers))
+		t.Errorf("%d sends without a planned copy, want 1", len(r.servers))
 	}
 }
 
-// Another configuration in the middle goes on with what was learned, and a request keeps
-// the one that it came under: its attempts, its class, its copies.
-func TestAdopt(t *testing.T) {
+// A change of configuration keeps what was learned, and requests that have
+// arrived before keep their configuration: number of attempts, classes and copies.
+func TestConfigChangeKeepsLearnedState(t *testing.T) {
 	cfg := testConfig()
 	cfg.Tenants = []float64{30}
 	var servers []Endpoint
 	for n := range 4 {
 		servers = append(servers, Endpoint{Name: fmt.Sprint("s", n), Hint: 1})
 	}
-	b, r := newTest(t, cfg, servers...)
+	b, r := newTestBalancer(t, cfg, servers...)
 	old, strict := cfg, cfg
 	old.MaxAttempts, strict.MaxAttempts = 3, 1
 	strict.Classes = append(slices.Clone(cfg.Classes), Class{Aim: 50 * ms, Worth: 2, Effect: Unsafe})
 	b.Arrive(0, Request{ID: 1, Class: 2, Tenant: -1, Deadline: time.Second, Under: &old})
-	for n := range 3 * ejectAfter { // one server fails
-		b.fleet.failed(b.fleet.byName["s1"], time.Duration(n)*ms)
+	for n := range 3 * ejectThreshold { // one server fails
+		b.fleet.recordFailure(b.fleet.byName["s1"], time.Duration(n)*ms)
 	}
-	b.admit.level, b.admit.tenants[0].tokens = 0.4, 0.25
-	share, rank := b.admit.share[4], b.admit.arrived(2, 0, 0)
+	b.admitter.level, b.admitter.tenantBuckets[0].tokens = 0.4, 0.25
+	share, rank := b.admitter.arrivalShares[4], b.admitter.recordArrival(2, 0, 0)
 	strict.ColdFor = 30 * time.Second
 	if err := b.Adopt(strict); err != nil {
 		t.Fatal(err)
 	}
-	if s := b.fleet.byName["s1"]; s.out.until == 0 || b.admit.level != 0.4 || b.admit.tenants[0].tokens != 0.25 && rank != 5 || len(b.admit.share) != 8 || b.admit.share[4] > share {
-		t.Errorf("what was learned is gone: %+v", b.admit)
+	if s := b.fleet.byName["s1"]; s.ejection.until == 0 || b.admitter.level != 0.4 || b.admitter.tenantBuckets[0].tokens != 0.25 && rank != 5 || len(b.admitter.arrivalShares) != 8 || b.admitter.arrivalShares[4] > share {
+		t.Errorf("the learned state changed with the configuration: %+v", b.admitter)
 	}
 	b.ServersChanged(0, []Endpoint{{Name: "cold", Hint: 1, Started: time.Millisecond}})
 	if s := b.fleet.byName["cold"]; b.fleet.warmth(s, 20*time.Second) == 1 {
-		t.Error("a server is warm by the rules before")
+		t.Error("a server counts as warm by the previous configuration")
 	}
 	b.Arrive(ms, Request{ID: 2, Class: 3, Tenant: -1, Deadline: time.Second, Under: &strict})
-	b.Arrive(ms, Request{ID: 3, Class: 3, Tenant: -1, Deadline: time.Second, Under: &old}) // it knows no such class
+	b.Arrive(ms, Request{ID: 3, Class: 3, Tenant: -1, Deadline: time.Second, Under: &old}) // a class that this configuration lacks
 	for id := range RequestID(2) {
 		for n := range 3 {
 			b.Done(2*ms, id+1, n, Full, false, Report{})
 		}
 	}
 	sends := make(map[string]int)
-	for _, s := range r.got {
+	for _, s := range r.decisions {
 		sends[s]++
 	}
 	if sends["send 1"] != 3 || sends["send 2"] != 1 || sends["refuse 1"] != 1 || sends["refuse 2"] != 1 || sends["refuse 3"] != 1 {
-		t.Errorf("%v", sends)
+		t.Errorf("got %v, want 3 sends of request 1, 1 of request 2 and a refusal of each of 1 to 3", sends)
 	}
-	// A copy that was planned before is sent after: the request may have one, though no new
-	// one may.
-	b.admit.level, b.reissue.q, b.reissue.d, b.reissue.tokens = 0, 1, 0.1, 2
+	// A copy that was planned before the change is sent after it, although new
+	// requests may have none.
+	b.admitter.level, b.reissuer.probability, b.reissuer.delay, b.reissuer.tokens = 0, 1, 0.1, 2
 	strict.SecondCopies, strict.MaxAttempts = false, 2
 	b.Arrive(3*ms, Request{ID: 4, Tenant: -1, Deadline: time.Second, Under: &old})
 	b.Arrive(3*ms, Request{ID: 5, Tenant: -1, Deadline: time.Second, Under: &strict})
@@ -323,21 +327,22 @@
 		b.Timer(20*ms, timer)
 	}
 	sends = make(map[string]int)
-	for _, s := range r.got {
+	for _, s := range r.decisions {
 		sends[s]++
 	}
 	if sends["send 4"] != 2 || sends["send 5"] != 1 {
-		t.Errorf("copies: %v", sends)
+		t.Errorf("got %v, want a copy of request 4 and none of request 5", sends)
 	}
-	b.fleet.classFailed(b.fleet.byName["s2"], 3, 0) // of a class that came with the change
+	b.fleet.recordClassFailure(b.fleet.byName["s2"], 3, 0) // a class that the change added
 	if bad := strict; b.Adopt(func() Config { bad.MaxAttempts = 0; return bad }()) == nil || b.cfg.MaxAttempts != 2 {
-		t.Error("a bad configuration is taken, or half of it")
+		t.Error("an invalid configuration was taken in whole or in part")
 	}
 }
 
-// What of a request goes by the configuration that it came under, after another has been
-// adopted: each is other in the two.
-func TestRulesOfTheRequest(t *testing.T) {
+// After a change of configuration, a request that has arrived under the old one
+// is still handled by it: effect, scope, window, retry delay, cancelling and keys.
+// Each of these differs between the two configurations of the test.
+func TestRequestKeepsItsConfig(t *testing.T) {
 	var servers []Endpoint
 	for n := range 6 {
 		servers = append(servers, Endpoint{Name: fmt.Sprint("s", n), Hint: 1})
@@ -350,12 +355,12 @@
 	now.Classes = slices.Clone(now.Classes)
 	now.Classes[1].Effect = Unsafe
 	now.WasteCost = 1
-	b, r := newTest(t, old, servers...)
+	b, r := newTestBalancer(t, old, servers...)
 	if err := b.Adopt(now); err != nil {
 		t.Fatal(err)
 	}
-	if want := newReissuer(now.WasteCost).budget; b.reissue.budget != want {
-		t.Errorf("the budget of copies is %v, want %v", b.reissue.budget, want)
+	if want := newReissuer(now.WasteCost).budget; b.reissuer.budget != want {
+		t.Errorf("the budget of copies is %v, want %v", b.reissuer.budget, want)
 	}
 	both := func(r Request, do func(id RequestID)) {
 		for n, under := range []*Config{&old, &now} {
@@ -364,63 +369,65 @@
 			do(r.ID)
 		}
 	}
-	// A keyed one that may have run goes on; one that must run once does not.
+	// A keyed request that may have run is retried; an unsafe one is not.
 	both(Request{Class: 1}, func(id RequestID) { b.Done(ms, id, 0, Reset, false, Report{}) })
-	if got := fmt.Sprint(r.got); !strings.Contains(got, "send 11 send 11 send 12 fail 12") {
+	if got := fmt.Sprint(r.decisions); !strings.Contains(got, "send 11 send 11 send 12 fail 12") {
 		t.Error(got)
 	}
-	// Refusals say when to come back, and losers are cancelled, where each says so.
-	r.got, b.reissue.q, b.reissue.d, b.reissue.tokens = nil, 1, 0, hedgeTokensMax
+	// The retry delay of refusals and the cancelling of slower attempts follow the
+	// request's configuration.
+	r.decisions, b.reissuer.probability, b.reissuer.delay, b.reissuer.tokens = nil, 1, 0, maxHedgeTokens
 	both(Request{Class: 0}, func(id RequestID) {
 		b.Timer(ms, r.timers[len(r.timers)-1])
 		b.Done(2*ms, id, 0, OK, true, Report{})
 	})
-	if got := fmt.Sprint(r.got); !strings.Contains(got, "cancel 1/1") || strings.Contains(got, "cancel 2") || strings.Count(got, "send") != 4 {
+	if got := fmt.Sprint(r.decisions); !strings.Contains(got, "cancel 1/1") || strings.Contains(got, "cancel 2") || strings.Count(got, "send") != 4 {
 		t.Error(got)
 	}
-	r.after = nil
+	r.retryDelays = nil
 	both(Request{Class: 2, Attempts: 1}, func(id RequestID) { b.Done(3*ms, id, 0, Full, false, Report{}) })
-	if len(r.after) != 2 || r.after[0] > time.Second || r.after[1] < time.Minute {
-		t.Errorf("to come back after %v", r.after)
+	if len(r.retryDelays) != 2 || r.retryDelays[0] > time.Second || r.retryDelays[1] < time.Minute {
+		t.Errorf("retry delays %v, want at most 1s and at least 1m", r.retryDelays)
 	}
-	// Keys draw to their server only where they are warm.
+	// Requests go to their key's server where the configuration has WarmKeys.
 	r.servers = nil
 	for n := range 30 {
 		b.Arrive(10*ms, Request{ID: RequestID(100 + n), Class: 2, Key: "k", Tenant: -1, Deadline: time.Minute, Under: &old})
 		b.Done(10*ms, RequestID(100+n), 0, OK, true, Report{})
 	}
 	if all := slices.Compact(slices.Sorted(slices.Values(r.servers))); len(all) > 2 {
-		t.Errorf("one key went to %v", all)
+		t.Errorf("requests of one key went to %v, want at most 2 servers", all)
 	}
 }
 
-// dueZone has the next call that may be repeated see a zone first.
-type dueZone struct {
-	open
+// preferredZone is a Zones that sends calls that may be repeated to one zone first.
+type preferredZone struct {
+	unrestricted
 	zone string
 }
 
-func (d *dueZone) Due(_ time.Duration, repeats bool) string {
+func (d *preferredZone) Due(_ time.Duration, repeats bool) string {
 	if !repeats {
 		return ""
 	}
 	return d.zone
 }
 
-// What is due is seen first, however bad it looks, and not by what may not run twice. Where it
-// can't be, for a call's attempts have been there or it has no server, the others serve.
-func TestZoneThatIsDue(t *testing.T) {
-	b, r := newTest(t, testConfig(), Endpoint{Name: "a1", Zone: "a"}, Endpoint{Name: "a2", Zone: "a"}, Endpoint{Name: "a3", Zone: "a"}, Endpoint{Name: "b1", Zone: "b"})
-	b.noCopies()
-	b.SetZones(&dueZone{zone: "b"})
-	bad, now := b.fleet.byName["b1"], time.Duration(0)
+// A zone that is due gets the next repeatable call first, even if its latencies
+// are high, and no call that must not run twice. If the call has already been
+// tried there, or the zone has no server, the other zones serve it.
+func TestPreferredZoneIsTriedFirst(t *testing.T) {
+	b, r := newTestBalancer(t, testConfig(), Endpoint{Name: "a1", Zone: "a"}, Endpoint{Name: "a2", Zone: "a"}, Endpoint{Name: "a3", Zone: "a"}, Endpoint{Name: "b1", Zone: "b"})
+	b.disableCopies()
+	b.SetZones(&preferredZone{zone: "b"})
+	slow, now := b.fleet.byName["b1"], time.Duration(0)
 	for id := range RequestID(20) {
 		now += 20 * ms
-		bad.latSum, bad.latN, bad.latAt = 1000, 1, now
+		slow.latencySum, slow.latencyWeight, slow.latencyAt = 1000, 1, now
 		for n, class := range []int{2, 0} {
 			b.Arrive(now, Request{ID: 2*id + RequestID(n), Class: class, Deadline: now + 300*ms})
 			if got := r.servers[len(r.servers)-1]; len(r.servers) != int(2*id)+n+1 || (got == "b1") != (class == 0) {
-				t.Fatalf("class %d went to %s: %v", class, got, r.got)
+				t.Fatalf("class %d went to %s, want b1 for class 0 only: %v", class, got, r.decisions)
 			}
 			b.Done(now+ms, 2*id+RequestID(n), 0, OK, true, Report{})
 		}
@@ -429,11 +436,11 @@
 	b.Arrive(now, Request{ID: 100, Class: 0, Deadline: now + 300*ms})
 	b.Done(now+ms, 100, 0, Full, false, Report{})
 	if got := r.servers[len(r.servers)-2:]; got[0] != "b1" || got[1] == "b1" {
-		t.Errorf("turned away there it went to %v", got)
+		t.Errorf("a call turned away in the zone went to %v, want b1 and then another", got)
 	}
 	b.ServersListed(now+2*ms, []Endpoint{{Name: "a1", Zone: "a"}})
 	b.Arrive(now+3*ms, Request{ID: 101, Class: 0, Deadline: now + 300*ms})
 	if got := r.servers[len(r.servers)-1]; got != "a1" {
-		t.Errorf("without a server of the zone it went to %s", got)
+		t.Errorf("without a server in the zone the call went to %s, want a1", got)
 	}
 }
--- a/example_test.go
+++ b/example_test.go
@@ -7,8 +7,8 @@
 	"chalkrack"
 )
 
-// printer is a Host that prints what it is asked. A real one would do it, and
-// report each attempt's end and each timer back to the balancer.
+// printer is a Host that prints the decisions. A real one carries them out, and
+// reports the end of each attempt and each expired timer to the balancer.
 type printer struct{ timers []uint64 }
 
 func (p *printer) Send(id chalkrack.RequestID, server string, _ time.Duration) {
@@ -26,8 +26,9 @@
 func (p *printer) Probe(string)                            {}
 func (p *printer) Subscribe()                              {}
 
-// A request, its copy, and the loser called off. A new balancer knows no response
-// times yet and copies one request in ten at once; this seed's first is one.
+// A request gets a copy, and the slower attempt is cancelled. A new balancer has
+// no response times yet and copies one request in ten at once; with this seed
+// the first request is one of them.
 func Example() {
 	host := new(printer)
 	b, err := chalkrack.New(chalkrack.Config{
--- a/explain.go
+++ b/explain.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// ServerView is what a Balancer knows of a server at one moment. It is for logs: nothing
-// is decided by it.
+// ServerView is what a Balancer knows about a server at one moment. It serves
+// logs only; no decision depends on it.
 type ServerView struct {
 	Serving  bool    `json:"serving"`
 	InSet    bool    `json:"in_set"`
@@ -14,35 +14,36 @@
 	Barred   bool    `json:"barred"` // for the class asked about
 	InFlight int     `json:"in_flight"`
 	Failures int     `json:"failures"`
-	Latency  float64 `json:"latency"` // relative to the fleet's
-	Load     float64 `json:"load"`
-	Learned  float64 `json:"learned"`
-	Warmth   float64 `json:"warmth"`
-	UpFor    float64 `json:"up_s"` // since its listed start; 0: long ago
+	Latency  float64 `json:"latency"` // relative to the fleet's mean
+	Load     float64 `json:"load"`    // requests held by its load report, plus one
+	Learned  float64 `json:"learned"` // factor on the capacity hint
+	Warmth   float64 `json:"warmth"`  // share of its full capacity
+	UpFor    float64 `json:"up_s"`    // seconds since its listed start; 0: long ago
 }
 
-// StateView is what a Balancer knows of itself at one moment.
+// StateView is the state of a Balancer at one moment.
 type StateView struct {
-	Level   float64 `json:"level"` // of shedding
-	Retries float64 `json:"retries"`
-	Hedges  float64 `json:"hedges"`
-	Delay   float64 `json:"delay"` // of a copy, in fractions of the aim
-	Members int     `json:"members"`
-	Set     int     `json:"set"`
+	Level   float64 `json:"level"`   // shed level
+	Retries float64 `json:"retries"` // retry tokens left
+	Hedges  float64 `json:"hedges"`  // copy tokens left
+	Delay   float64 `json:"delay"`   // before a copy, in fractions of the aim
+	Members int     `json:"members"` // serving servers
+	Set     int     `json:"set"`     // servers in the working set
 	Ejected int     `json:"ejected"`
-	Rate    float64 `json:"rate"` // of sends
+	Rate    float64 `json:"rate"` // sends a second
 }
 
-// ViewServer is what is known of a server now.
+// ViewServer returns what is known about a server now, and a zero view for an
+// unknown server. Barred refers to class.
 func (b *Balancer) ViewServer(now time.Duration, name string, class int) (v ServerView) {
 	s := b.fleet.byName[name]
 	if s == nil {
 		return v
 	}
-	v = ServerView{Serving: s.serving, InSet: s.inSet, Ejected: now < s.out.until, InFlight: s.inFlight, Failures: int(math.Round(s.out.failures)),
-		Latency: s.latency(now), Load: s.held(now), Learned: s.learned, Warmth: b.fleet.warmth(s, now)}
+	v = ServerView{Serving: s.serving, InSet: s.inWorkingSet, Ejected: now < s.ejection.until, InFlight: s.inFlight, Failures: int(math.Round(s.ejection.failures)),
+		Latency: s.relativeLatency(now), Load: s.held(now), Learned: s.learnedWeight, Warmth: b.fleet.warmth(s, now)}
 	if class >= 0 && class < len(b.cfg.Classes) {
-		v.Barred = s.barredFor(class, now)
+		v.Barred = s.isEjectedFor(class, now)
 	}
 	if s.started > 0 {
 		v.UpFor = (now - s.started).Seconds()
@@ -50,16 +51,16 @@
 	return v
 }
 
-// ViewState is what the Balancer knows of itself now.
+// ViewState returns the state of the Balancer now.
 func (b *Balancer) ViewState(now time.Duration) StateView {
-	return StateView{Level: b.admit.faded(now), Retries: b.retries, Hedges: b.reissue.tokens, Delay: b.reissue.d,
-		Members: len(b.fleet.members), Set: len(b.fleet.set), Ejected: len(b.fleet.ejected), Rate: b.fleet.rate(now)}
+	return StateView{Level: b.admitter.currentLevel(now), Retries: b.retryTokens, Hedges: b.reissuer.tokens, Delay: b.reissuer.delay,
+		Members: len(b.fleet.byPriority), Set: len(b.fleet.workingSet), Ejected: len(b.fleet.ejected), Rate: b.fleet.sendRate(now)}
 }
 
-// Ejected is how many of the servers that serve get no requests now, for they failed.
+// Ejected returns how many of the serving servers are ejected now.
 func (b *Balancer) Ejected(now time.Duration) (n int) {
-	for _, s := range b.fleet.members {
-		if now < s.out.until {
+	for _, s := range b.fleet.byPriority {
+		if now < s.ejection.until {
 			n++
 		}
 	}
--- a/gate.go
+++ b/gate.go
@@ -2,45 +2,48 @@
 
 import "time"
 
-// Gate is a reduced service that a Balancer asks what to leave out. It decides nothing
-// that the Balancer does not carry out, and is asked from within its methods.
+// Gate tells a Balancer what to leave out while the service is degraded, as in an
+// emergency. The Balancer calls it from within its own methods and carries out
+// what it says.
 type Gate interface {
-	Turn(now time.Duration, class int) bool     // whether an arrival is to be refused
+	Turn(now time.Duration, class int) bool     // whether to refuse a request that arrives
 	Copies() bool                               // whether slow requests may be copied
 	Probes() bool                               // whether servers may be probed
-	Retries(class int) bool                     // whether a class may have further attempts
-	Wait(class int, part float64) time.Duration // at the least, to tell the refused; part is drawn
+	Retries(class int) bool                     // whether requests of the class may be retried
+	Wait(class int, part float64) time.Duration // least delay to give with a refusal; part is a random number in [0, 1)
 }
 
-// open is the gate of a service that is not reduced.
-type open struct{}
+// unrestricted is a Gate and a Zones that allow everything.
+type unrestricted struct{}
 
-func (open) Turn(time.Duration, int) bool    { return false }
-func (open) Copies() bool                    { return true }
-func (open) Probes() bool                    { return true }
-func (open) Retries(int) bool                { return true }
-func (open) Wait(int, float64) time.Duration { return 0 }
+func (unrestricted) Turn(time.Duration, int) bool    { return false }
+func (unrestricted) Copies() bool                    { return true }
+func (unrestricted) Probes() bool                    { return true }
+func (unrestricted) Retries(int) bool                { return true }
+func (unrestricted) Wait(int, float64) time.Duration { return 0 }
 
-// Zones is what a Balancer asks whether a zone has room for a call. Like a Gate it decides
-// for the fleet, or for the operators, what the Balancer then carries out: of the servers
-// that it leaves, the Balancer chooses.
+// Zones limits the zones that calls may go to, on behalf of the fleet or its
+// operators. The Balancer chooses among the servers that it leaves.
 type Zones interface {
+	// Room reports whether the zone may take a call of the class.
 	Room(now time.Duration, zone string, class int) bool
-	Due(now time.Duration, repeats bool) (zone string) // that the next call is to see, if it can; empty: none
+	// Due returns the zone that the next call should try first, or "" for none.
+	// repeats says whether the call may be repeated.
+	Due(now time.Duration, repeats bool) (zone string)
 }
 
 // Room and Due implement Zones.
-func (open) Room(time.Duration, string, int) bool { return true }
-func (open) Due(time.Duration, bool) string       { return "" }
+func (unrestricted) Room(time.Duration, string, int) bool { return true }
+func (unrestricted) Due(time.Duration, bool) string       { return "" }
 
-// gates are all that a Balancer asks.
-type gates struct {
+// restrictions combines the policies that restrict a Balancer.
+type restrictions struct {
 	Gate
 	Zones
 }
 
-// SetGate has a Balancer ask g from now on.
-func (b *Balancer) SetGate(g Gate) { b.gate.Gate = g }
+// SetGate makes g the Balancer's Gate from now on.
+func (b *Balancer) SetGate(g Gate) { b.restrictions.Gate = g }
 
-// SetZones has a Balancer ask z from now on.
-func (b *Balancer) SetZones(z Zones) { b.gate.Zones = z }
+// SetZones makes z the Balancer's Zones from now on.
+func (b *Balancer) SetZones(z Zones) { b.restrictions.Zones = z }
--- a/memory.go
+++ b/memory.go
@@ -7,18 +7,19 @@
 	"time"
 )
 
-// Memory is what a Balancer has learnt and its successor in the same sidecar goes on
-// from. It holds nothing of requests: those end where they began. Times are the host's.
+// Memory is the state that a Balancer has learned and that its successor in the
+// same sidecar starts from. It holds no requests: a request ends in the Balancer
+// in which it began. Times are the host's.
 type Memory struct {
-	Level   float64        `json:"level"` // of shedding
+	Level   float64        `json:"level"` // shed level
 	LevelAt time.Duration  `json:"level_at"`
-	Shares  []float64      `json:"shares"`
-	Tenants []float64      `json:"tenants"` // tokens
-	Retries float64        `json:"retries"`
-	Hedges  float64        `json:"hedges"`
-	Delay   float64        `json:"delay"`
-	Odds    float64        `json:"odds"`
-	Samples []float64      `json:"samples"` // of first sends; below 0 those that were cut off
+	Shares  []float64      `json:"shares"`  // of arrivals, by rank
+	Tenants []float64      `json:"tenants"` // tokens left, by tenant
+	Retries float64        `json:"retries"` // retry tokens left
+	Hedges  float64        `json:"hedges"`  // copy tokens left
+	Delay   float64        `json:"delay"`   // before a copy, in fractions of the aim
+	Odds    float64        `json:"odds"`    // probability of a copy
+	Samples []float64      `json:"samples"` // response times of first sends; negative if cancelled after that time
 	Copies  []float64      `json:"copies"`
 	Pairs   [][2]float64   `json:"pairs"`
 	Sent    float64        `json:"sent"`
@@ -30,7 +31,7 @@
 	Servers []ServerMemory `json:"servers"`
 }
 
-// ServerMemory is what is known of one server.
+// ServerMemory is the state learned about one server.
 type ServerMemory struct {
 	Name     string        `json:"name"`
 	Started  time.Duration `json:"started"`
@@ -46,7 +47,7 @@
 	Barred   []BarMemory   `json:"barred,omitempty"`
 }
 
-// BarMemory is what keeps requests from a server.
+// BarMemory is the state of an ejection of a server.
 type BarMemory struct {
 	Failures float64       `json:"failures"`
 	Spells   int           `json:"spells"`
@@ -54,27 +55,28 @@
 	Until    time.Duration `json:"until"`
 }
 
-func (b bar) memory() BarMemory { return BarMemory{b.failures, b.spells, b.at, b.until} }
+// export returns the state of e in its exported form.
+func (e ejection) export() BarMemory { return BarMemory{e.failures, e.ejections, e.errorAt, e.until} }
 
-// Memory is what has been learnt by now.
+// Memory returns a copy of the state learned so far.
 func (b *Balancer) Memory(now time.Duration) Memory {
 	m := Memory{
-		Level: b.admit.level, LevelAt: b.admit.at, Shares: slices.Clone(b.admit.share),
-		Retries: b.retries, Hedges: b.reissue.tokens, Delay: b.reissue.d, Odds: b.reissue.q,
-		Sent: b.fleet.sent, SentAt: b.fleet.sentAt, Carried: b.fleet.carried, Taken: b.fleet.taken, MeanLat: b.fleet.meanLat, PerHeld: b.fleet.perHeld,
+		Level: b.admitter.level, LevelAt: b.admitter.levelAt, Shares: slices.Clone(b.admitter.arrivalShares),
+		Retries: b.retryTokens, Hedges: b.reissuer.tokens, Delay: b.reissuer.delay, Odds: b.reissuer.probability,
+		Sent: b.fleet.sends, SentAt: b.fleet.sendsAt, Carried: b.fleet.acceptedSends, Taken: b.fleet.acceptedShare, MeanLat: b.fleet.meanLatency, PerHeld: b.fleet.latencyPerHeld,
 	}
-	for _, t := range b.admit.tenants {
+	for _, t := range b.admitter.tenantBuckets {
 		m.Tenants = append(m.Tenants, t.tokens)
 	}
-	m.Samples, m.Copies = flat(b.reissue.primary.buf), flat(b.reissue.copies.buf)
-	for _, p := range b.reissue.pairs.buf {
-		m.Pairs = append(m.Pairs, [2]float64{p.x, p.y})
+	m.Samples, m.Copies = encodeSamples(b.reissuer.primary.values), encodeSamples(b.reissuer.copies.values)
+	for _, p := range b.reissuer.pairs.values {
+		m.Pairs = append(m.Pairs, [2]float64{p.primary, p.copy})
 	}
 	for _, s := range b.fleet.byName {
-		sm := ServerMemory{Name: s.name, Started: s.started, Since: s.since, Priority: s.priority, LatSum: s.latSum, LatN: s.latN, LatAt: s.latAt,
-			Load: s.load, LoadAt: s.loadAt, Learned: s.learned, Out: s.out.memory()}
-		for _, o := range s.barred {
-			sm.Barred = append(sm.Barred, o.memory())
+		sm := ServerMemory{Name: s.name, Started: s.started, Since: s.coldSince, Priority: s.priority, LatSum: s.latencySum, LatN: s.latencyWeight, LatAt: s.latencyAt,
+			Load: s.load, LoadAt: s.loadAt, Learned: s.learnedWeight, Out: s.ejection.export()}
+		for _, o := range s.classEjections {
+			sm.Barred = append(sm.Barred, o.export())
 		}
 		m.Servers = append(m.Servers, sm)
 	}
@@ -82,90 +84,95 @@
 	return m
 }
 
-func flat(samples []sample) (all []float64) {
+// encodeSamples returns the response times of samples, those of censored ones negated.
+func encodeSamples(samples []sample) (encoded []float64) {
 	for _, s := range samples {
 		if s.censored {
-			s.at = -s.at
+			s.responseTime = -s.responseTime
 		}
-		all = append(all, s.at)
+		encoded = append(encoded, s.responseTime)
 	}
-	return all
+	return encoded
 }
 
-// within is v, or the nearest to it that makes sense.
-func within(v, least, most float64) float64 {
+// clamp returns v limited to the range from lowest to highest, and lowest for NaN.
+func clamp(v, lowest, highest float64) float64 {
 	if math.IsNaN(v) {
-		return least
+		return lowest
 	}
-	return max(least, min(v, most))
+	return max(lowest, min(v, highest))
 }
 
-// past is a time that lies no later than now: what another clock says may.
-func past(t, now time.Duration) time.Duration { return max(0, min(t, now)) }
+// clampToPast returns t limited to the range from 0 to now: a time that another
+// clock gave may lie in the future.
+func clampToPast(t, now time.Duration) time.Duration { return max(0, min(t, now)) }
 
-// Remember goes on from what another Balancer has learnt, of the servers that are listed
-// and have not started anew since. What makes no sense is brought to what does: it may
-// come from a file.
+// Remember takes over the state that another Balancer has learned, for servers
+// that are listed and have not restarted since. Values out of range are clamped,
+// because m may come from a file.
 func (b *Balancer) Remember(now time.Duration, m Memory) {
-	const largest = 1e9
-	b.admit.level, b.admit.at = within(m.Level, 0, 1), past(m.LevelAt, now)
-	if len(m.Shares) == len(b.admit.share) {
+	const maxValue = 1e9
+	b.admitter.level, b.admitter.levelAt = clamp(m.Level, 0, 1), clampToPast(m.LevelAt, now)
+	if len(m.Shares) == len(b.admitter.arrivalShares) {
 		for i, v := range m.Shares {
-			b.admit.share[i] = within(v, 0, 1)
+			b.admitter.arrivalShares[i] = clamp(v, 0, 1)
 		}
 	}
-	if len(m.Tenants) == len(b.admit.tenants) {
+	if len(m.Tenants) == len(b.admitter.tenantBuckets) {
 		for i, v := range m.Tenants {
-			b.admit.tenants[i] = bucket{within(v, 0, largest), now}
+			b.admitter.tenantBuckets[i] = tokenBucket{clamp(v, 0, maxValue), now}
 		}
 	}
-	b.retries, b.reissue.tokens = within(m.Retries, 0, retriesMax), within(m.Hedges, 0, hedgeTokensMax)
-	b.reissue.d, b.reissue.q = within(m.Delay, 0, largest), within(m.Odds, 0, 1)
-	recall(&b.reissue.primary, m.Samples, primaryWindow)
-	recall(&b.reissue.copies, m.Copies, copyWindow)
-	for _, p := range m.Pairs[:min(len(m.Pairs), pairWindow)] {
-		b.reissue.pairs.add(pair{within(p[0], 0, largest), within(p[1], 0, largest)}, pairWindow)
+	b.retryTokens, b.reissuer.tokens = clamp(m.Retries, 0, maxRetryTokens), clamp(m.Hedges, 0, maxHedgeTokens)
+	b.reissuer.delay, b.reissuer.probability = clamp(m.Delay, 0, maxValue), clamp(m.Odds, 0, 1)
+	decodeSamples(&b.reissuer.primary, m.Samples, primaryWindowSize)
+	decodeSamples(&b.reissuer.copies, m.Copies, copyWindowSize)
+	for _, p := range m.Pairs[:min(len(m.Pairs), pairWindowSize)] {
+		b.reissuer.pairs.add(pair{clamp(p[0], 0, maxValue), clamp(p[1], 0, maxValue)}, pairWindowSize)
 	}
 	f := &b.fleet
-	f.sent, f.sentAt, f.taken = within(m.Sent, 0, largest), past(m.SentAt, now), within(m.Taken, 0, 1)
-	f.carried = within(m.Carried, 0, largest)
-	f.meanLat, f.perHeld = within(m.MeanLat, 0, largest), within(m.PerHeld, 0, largest)
+	f.sends, f.sendsAt, f.acceptedShare = clamp(m.Sent, 0, maxValue), clampToPast(m.SentAt, now), clamp(m.Taken, 0, 1)
+	f.acceptedSends = clamp(m.Carried, 0, maxValue)
+	f.meanLatency, f.latencyPerHeld = clamp(m.MeanLat, 0, maxValue), clamp(m.PerHeld, 0, maxValue)
 	for _, sm := range m.Servers {
 		s := f.byName[sm.Name]
 		if s == nil {
 			continue
 		}
-		if sm.Priority >= 0 { // one working set, not two
+		if sm.Priority >= 0 { // keeps the predecessor's working set
 			s.priority = sm.Priority
 		}
 		if sm.Started != s.started {
-			continue // it knows nothing of this start
+			continue // the rest of the state is from before the restart
 		}
-		s.since = past(sm.Since, now)
-		s.latSum, s.latN, s.latAt = within(sm.LatSum, 0, largest), within(sm.LatN, 0, largest), past(sm.LatAt, now)
-		s.load, s.loadAt, s.learned = within(sm.Load, 0, largest), past(sm.LoadAt, now), within(sm.Learned, 1/learnMax, learnMax)
-		s.out, s.barred = sm.Out.bar(now), nil
+		s.coldSince = clampToPast(sm.Since, now)
+		s.latencySum, s.latencyWeight, s.latencyAt = clamp(sm.LatSum, 0, maxValue), clamp(sm.LatN, 0, maxValue), clampToPast(sm.LatAt, now)
+		s.load, s.loadAt, s.learnedWeight = clamp(sm.Load, 0, maxValue), clampToPast(sm.LoadAt, now), clamp(sm.Learned, 1/maxLearnedWeight, maxLearnedWeight)
+		s.ejection, s.classEjections = sm.Out.ejection(now), nil
 		for _, o := range sm.Barred[:min(len(sm.Barred), len(b.cfg.Classes))] {
-			s.barred = append(s.barred, o.bar(now))
+			s.classEjections = append(s.classEjections, o.ejection(now))
 		}
-		if s.serving && now < s.out.until && !slices.Contains(f.ejected, s) {
+		if s.serving && now < s.ejection.until && !slices.Contains(f.ejected, s) {
 			f.ejected = append(f.ejected, s)
 		}
 	}
-	slices.SortFunc(f.members, func(a, b *server) int {
+	slices.SortFunc(f.byPriority, func(a, b *server) int {
 		return cmp.Or(cmp.Compare(a.priority, b.priority), cmp.Compare(a.name, b.name))
 	})
 	f.dirty = true
 }
 
-func recall(w *window[sample], all []float64, most int) {
-	for _, v := range all[:min(len(all), most)] {
+// decodeSamples adds samples encoded by encodeSamples to w and skips values that
+// are not finite.
+func decodeSamples(w *slidingWindow[sample], encoded []float64, limit int) {
+	for _, v := range encoded[:min(len(encoded), limit)] {
 		if !math.IsNaN(v) && !math.IsInf(v, 0) {
-			w.add(sample{at: math.Abs(v), censored: v < 0}, most)
+			w.add(sample{responseTime: math.Abs(v), censored: v < 0}, limit)
 		}
 	}
 }
 
-func (m BarMemory) bar(now time.Duration) bar {
-	return bar{within(m.Failures, 0, 1e3), max(0, min(m.Spells, 64)), past(m.At, now), max(0, min(m.Until, now+2*ejectMax))}
+// ejection returns the state in its internal form, with values clamped.
+func (m BarMemory) ejection(now time.Duration) ejection {
+	return ejection{clamp(m.Failures, 0, 1e3), max(0, min(m.Spells, 64)), clampToPast(m.At, now), max(0, min(m.Until, now+2*maxEjectDuration))}
 }
--- a/memory_test.go
+++ b/memory_test.go
@@ -9,10 +9,11 @@
 	"time"
 )
 
-// lived is a Balancer that has had some requests of each outcome.
-func lived(t *testing.T) (*Balancer, *fakeHost, time.Duration) {
+// usedBalancer returns a Balancer that has handled successful and failed
+// requests, its host, and a time after all outcomes.
+func usedBalancer(t *testing.T) (*Balancer, *fakeHost, time.Duration) {
 	t.Helper()
-	b, h := memoryBalancer(t, 1)
+	b, h := eightServers(t, 1)
 	now := time.Second
 	for n := range 400 {
 		now += 5 * time.Millisecond
@@ -28,9 +29,10 @@
 		}
 		h.sends = h.sends[:0]
 	}
-	return b, h, now + 50*time.Millisecond // past all outcomes
+	return b, h, now + 50*time.Millisecond // after all outcomes
 }
 
+// fakeHost records sends and numbers the attempts of each request.
 type fakeHost struct {
 	sends []struct {
 		id     RequestID
@@ -56,7 +58,9 @@
 func (h *fakeHost) Probe(string)                    {}
 func (h *fakeHost) Subscribe()                      {}
 
-func memoryBalancer(t *testing.T, seed uint64) (*Balancer, *fakeHost) {
+// eightServers returns a Balancer of two classes with eight servers, of which one
+// is cold.
+func eightServers(t *testing.T, seed uint64) (*Balancer, *fakeHost) {
 	t.Helper()
 	h := &fakeHost{attempts: make(map[RequestID]int)}
 	class := Class{Aim: 100 * time.Millisecond, Worth: 1}
@@ -75,52 +79,55 @@
 	return b, h
 }
 
-// A successor that remembers, by way of a file, knows what the one before knew: its
-// servers, which of them are out, its working set, the shed level and the budgets.
-func TestRemember(t *testing.T) {
-	old, _, now := lived(t)
-	text, err := json.Marshal(old.Memory(now))
+// A new Balancer that restores the state of its predecessor, passed as JSON, has
+// the same knowledge: servers, ejections, working set, shed level and budgets.
+// Otherwise each upgrade of the sidecar would learn them again at the cost of
+// failed requests.
+func TestRestoreLearnedState(t *testing.T) {
+	old, _, now := usedBalancer(t)
+	encoded, err := json.Marshal(old.Memory(now))
 	if err != nil {
 		t.Fatal(err)
 	}
 	var m Memory
-	if err := json.Unmarshal(text, &m); err != nil {
+	if err := json.Unmarshal(encoded, &m); err != nil {
 		t.Fatal(err)
 	}
-	b, _ := memoryBalancer(t, 2)
+	b, _ := eightServers(t, 2)
 	now += time.Millisecond
 	b.Remember(now, m)
 	if got := b.Memory(now); !reflect.DeepEqual(got, m) {
-		t.Errorf("remembered %.200q... of %.200q...", fmt.Sprint(got), fmt.Sprint(m))
+		t.Errorf("restored state %.200q..., want %.200q...", fmt.Sprint(got), fmt.Sprint(m))
 	}
 	old.fleet.dirty = true
-	old.fleet.refresh(now)
-	b.fleet.refresh(now)
+	old.fleet.refreshWeights(now)
+	b.fleet.refreshWeights(now)
 	if got, want := b.ViewState(now), old.ViewState(now); got != want {
-		t.Errorf("is %+v, was %+v", got, want)
+		t.Errorf("view after restoring %+v, want %+v", got, want)
 	}
 	if b.Ejected(now) != 1 {
-		t.Errorf("%d ejected", b.Ejected(now))
+		t.Errorf("%d servers ejected, want 1", b.Ejected(now))
 	}
 	for _, name := range []string{"a", "b", "e", "h"} {
 		got, want := b.ViewServer(now, name, 0), old.ViewServer(now, name, 0)
 		if got != want {
-			t.Errorf("%s is %+v, was %+v", name, got, want)
+			t.Errorf("server %s after restoring %+v, want %+v", name, got, want)
 		}
 	}
-	// One that has started anew since is unknown.
-	b, _ = memoryBalancer(t, 3)
+	// The state of a server that has restarted since is not restored.
+	b, _ = eightServers(t, 3)
 	b.ServersChanged(now, []Endpoint{{Name: "b", Zone: "z", Hint: 1, Started: now - 1}})
 	b.Remember(now, m)
 	if v := b.ViewServer(now, "b", 0); v.Ejected || v.Failures != 0 || v.Warmth > 0.3 {
-		t.Errorf("one that started anew: %+v", v)
+		t.Errorf("restarted server has %+v, want a cold one without failures", v)
 	}
 }
 
-// What a file may hold that makes no sense brings nothing down and stays within bounds.
-func TestRememberNonsense(t *testing.T) {
+// A damaged state file may hold any values. Restoring it clamps them, does not
+// panic and leaves a Balancer that works.
+func TestRestoreClampsInvalidState(t *testing.T) {
 	big := math.MaxFloat64
-	b, h := memoryBalancer(t, 1)
+	b, h := eightServers(t, 1)
 	now := 5 * time.Second
 	b.Remember(now, Memory{
 		Level: 40, LevelAt: math.MaxInt64, Shares: []float64{big, -big, 1, 1}, Retries: big, Hedges: -5, Delay: -1, Odds: 9,
@@ -131,15 +138,15 @@
 		},
 	})
 	m := b.Memory(now)
-	if m.Level > 1 || m.Retries > retriesMax || m.Hedges < 0 || m.Sent < 0 || m.Carried < 0 || len(m.Samples) > primaryWindow || len(m.Pairs) > pairWindow {
-		t.Errorf("out of bounds: %+v", m)
+	if m.Level > 1 || m.Retries > maxRetryTokens || m.Hedges < 0 || m.Sent < 0 || m.Carried < 0 || len(m.Samples) > primaryWindowSize || len(m.Pairs) > pairWindowSize {
+		t.Errorf("restored values out of bounds: %+v", m)
 	}
-	if v := b.ViewServer(now+3*ejectMax, "a", 0); v.Ejected {
-		t.Error("out for ever")
+	if v := b.ViewServer(now+3*maxEjectDuration, "a", 0); v.Ejected {
+		t.Error("the server stays ejected beyond the longest ejection")
 	}
-	b.admit.level = 0
+	b.admitter.level = 0
 	b.Arrive(now, Request{ID: 1, Tenant: -1, Deadline: now + time.Second})
 	if len(h.sends) != 1 {
-		t.Errorf("%d sends", len(h.sends))
+		t.Errorf("%d sends for one request, want 1", len(h.sends))
 	}
 }
--- a/pick.go
+++ b/pick.go
@@ -9,228 +9,249 @@
 )
 
 const (
-	samplerAge      = 200 * time.Millisecond // how long sampling weights are kept
-	localPreference = 3.0
-	// A balancer keeps to a working set that it can know: setPerRate servers
-	// for each send a second, at least setMin. Where open connections have a
-	// price, connBudget (in points) shrinks the set further, to connMin at least.
-	setPerRate = 1.0
-	setMin     = 4
-	connBudget = 0.08
-	connMin    = 3
-	// One latency corrects a learned weight by this power; it stays within learnMax of the hint.
-	learnLatency  = 0.2
-	learnMax      = 4.0
-	learnEvery    = 2 * time.Second
-	meanStep      = 0.04 // of running means over all servers
-	rateMemory    = 4 * time.Second
-	carriedMemory = 20 * time.Second // about as long as servers are cold
-	latencyPrior  = 1.0              // the weight, in samples, of "as fast as the fleet" in a latency estimate
-	latencyMemory = 12 * time.Second
-	inFlightFirst = 1e4 // puts one request in flight above all other signs of cost
-	warmSaving    = 0.5 // this share of its cost draws a request from its key's warm server
-	// Failures that add up to ejectAfter, each answer between leaving failuresKept of
-	// them, make a server suspect. It is ejected for ejectBase, doubled each time up
-	// to ejectMax, with a random part so that balancers do not return together.
-	ejectAfter   = 2
-	failuresKept = 0.75
-	ejectBase    = time.Second
-	ejectMax     = 16 * time.Second
-	ejectShare   = 0.4             // of the fleet at most: past it, failures are everyone's or our own
-	coldPart     = 0.5             // of what fells a cold server is sent at most; the rest is for chance
-	reportMemory = 3 * time.Second // how fast a load report loses its weight: queues stay seconds
-	// The load that a late answer stands for, and what it leaves of the weight.
-	jammedLoad   = 8.0
-	jammedWeight = 0.7
+	samplerTTL    = 200 * time.Millisecond // age at which sampling weights are computed again
+	localZoneOdds = 3.0                    // odds that a server of the own zone precedes one of another in the priority order
+	// The working set is kept small enough that the balancer learns from each
+	// of its servers often: serversPerSendRate servers for each send a second,
+	// and at least minWorkingSet. Where open connections have a cost, the set
+	// shrinks further until that cost fits connBudgetPoints (points of the
+	// score), down to minPricedWorkingSet.
+	serversPerSendRate  = 1.0
+	minWorkingSet       = 4
+	connBudgetPoints    = 0.08
+	minPricedWorkingSet = 3
+	// Each latency sample multiplies the server's learned weight by the ratio
+	// of the mean latency to it, raised to latencyExponent (less where the last
+	// sample is younger than learnInterval). The weight stays between
+	// 1/maxLearnedWeight and maxLearnedWeight.
+	latencyExponent    = 0.2
+	maxLearnedWeight   = 4.0
+	learnInterval      = 2 * time.Second
+	runningMeanStep    = 0.04 // step of the running mean and median over all servers
+	sendRateDecay      = 4 * time.Second
+	acceptedDecay      = 20 * time.Second // about as long as servers are cold
+	latencyPriorWeight = 1.0              // weight, in samples, of the assumption that a server is as fast as the fleet
+	latencyDecay       = 12 * time.Second
+	inFlightCost       = 1e4 // makes one own request in flight outweigh every other part of the cost
+	maxKeyCostRatio    = 0.5 // a request leaves its key's first server for the second one below this ratio of costs
+	// A server is ejected when its failures add up to ejectThreshold; each
+	// successful answer in between leaves failureRetention of them. An ejection
+	// lasts ejectBaseDuration, doubled each time up to maxEjectDuration, with a
+	// random part so that balancers do not all return at once.
+	ejectThreshold    = 2
+	failureRetention  = 0.75
+	ejectBaseDuration = time.Second
+	maxEjectDuration  = 16 * time.Second
+	maxEjectedShare   = 0.4             // share of the fleet that may be ejected; beyond it the cause is common to all servers or lies in this process
+	coldSendShare     = 0.5             // share of the load that overloads a cold server that is sent at most; the rest covers random variation
+	loadDecay         = 3 * time.Second // load reports lose weight at this rate, because queues last for seconds
+	// A timed-out or late answer counts as a load report of timedOutLoad and
+	// multiplies the learned weight by timedOutFactor.
+	timedOutLoad   = 8.0
+	timedOutFactor = 0.7
 )
 
-// server is one member as this balancer sees it.
+// server is what this balancer knows about one back end.
 type server struct {
-	name, zone     string
-	hash           uint64
-	group          int
-	hint           float64       // the list's capacity hint, 1 where it gives none
-	learned        float64       // corrects the hint by what was seen
-	started, since time.Duration // of its last start: as told; no later than heard of: our clock may be behind
-	serving, inSet bool          // listed as serving; in the working set
-	inFlight       int
-	out            bar     // ejects it for all classes
-	latSum, latN   float64 // fading sum and weight of relative latencies
-	load           float64 // last load report, in requests held
-	latAt, loadAt  time.Duration
-	learnedAt      time.Duration
-	priority       float64 // order among members, lowest first
-	cold           bucket  // sends that it may get while cold, until at
-	barred         []bar   // by class, once one has failed
+	name, zone                string
+	hash                      uint64
+	group                     int
+	hint                      float64       // capacity hint of the list, 1 where it gives none
+	learnedWeight             float64       // factor that corrects the hint by observed latencies
+	started, coldSince        time.Duration // last start: as listed; and limited to when it was heard of, because the local clock may be behind
+	serving, inWorkingSet     bool          // listed as serving; in the working set
+	inFlight                  int
+	ejection                  ejection // ejection for all classes
+	latencySum, latencyWeight float64  // decaying sum and weight of relative latencies
+	load                      float64  // last load report, in requests held
+	latencyAt, loadAt         time.Duration
+	learnedAt                 time.Duration
+	priority                  float64     // position among the serving servers, lowest first
+	coldBudget                tokenBucket // sends left while cold, in the window that ends at its time
+	classEjections            []ejection  // ejections by class; empty until a class has failed
 }
 
-// bar keeps a class from a server that fails it. Guards against one that fails a
-// single class: what it serves of the others would clear it each time.
-type bar struct {
-	failures float64       // those that answers have not outweighed
-	spells   int           // for the backoff
-	at       time.Duration // of the last error; one time-out may be load
-	until    time.Duration
+// ejection counts the failures of a server and says until when it gets no
+// requests. Each server has one for all classes and one for each class:
+// otherwise a server that fails a single class would be cleared each time by
+// its successes with the other classes.
+type ejection struct {
+	failures  float64       // failures not yet outweighed by successful answers
+	ejections int           // ejections in a row, for the backoff
+	errorAt   time.Duration // time of the last error; time-outs are left out, because a single one may be due to load
+	until     time.Duration
 }
 
-// fleet is the membership, the working set and the sampling table over it.
+// fleet holds the server list, the working set and the sampling table over it.
 type fleet struct {
-	cfg                  *Config
-	rand                 func() float64
-	byName               map[string]*server
-	members              []*server // serving servers, by priority
-	set                  []*server // the working set
-	weights              []float64
-	fresh                time.Duration // when weights were made
-	dirty                bool
-	ejected              []*server
-	sent, carried, taken float64 // fading counts of sends, of those that were taken; the share that is
-	sentAt               time.Duration
-	perHeld              float64 // running median of latency by requests held
-	meanLat              float64 // running mean of latencies, in fractions of the aim
+	cfg                                 *Config
+	rand                                func() float64
+	byName                              map[string]*server
+	byPriority                          []*server // serving servers, by priority
+	workingSet                          []*server
+	cumulativeWeights                   []float64     // running sums of the weights of the working set, 0 for ejected servers
+	weightsAt                           time.Duration // when the weights were computed
+	dirty                               bool          // the list or the ejections changed since
+	ejected                             []*server
+	sends, acceptedSends, acceptedShare float64 // decaying counts of sends and of accepted sends; running share of accepted ones
+	sendsAt                             time.Duration
+	latencyPerHeld                      float64 // running median of the latency per request held
+	meanLatency                         float64 // running mean of latencies, in fractions of the aim
 }
 
-// update takes over what discovery says of one server. Members stay sorted: in a
-// large fleet many small changes come, and sorting it for each cost more than requests.
-func (f *fleet) update(e Endpoint, now time.Duration) {
+// updateServer applies a discovery entry for one server. It keeps the serving
+// servers sorted by insertion: a large fleet sees many small changes, and
+// sorting for each of them cost more than the requests did.
+func (f *fleet) updateServer(entry Endpoint, now time.Duration) {
 	f.dirty = true
-	s := f.byName[e.Name]
-	if s == nil && e.State == Gone {
+	s := f.byName[entry.Name]
+	if s == nil && entry.State == Gone {
 		return
 	}
 	if s == nil {
-		// The order differs by balancer and stays, so that a working set changes little.
-		s = &server{name: e.Name, hash: hashName(e.Name), learned: 1, priority: -math.Log(1 - f.rand())}
-		if f.cfg.CrossZoneCost > 0 && e.Zone == f.cfg.Zone {
-			s.priority /= localPreference
+		// Each balancer draws its own order and keeps it, so that its working set changes little.
+		s = &server{name: entry.Name, hash: hashName(entry.Name), learnedWeight: 1, priority: -math.Log(1 - f.rand())}
+		if f.cfg.CrossZoneCost > 0 && entry.Zone == f.cfg.Zone {
+			s.priority /= localZoneOdds
 		}
-		f.byName[e.Name] = s
+		f.byName[entry.Name] = s
 	}
-	if serving := e.State == Serving; serving != s.serving {
+	if serving := entry.State == Serving; serving != s.serving {
 		s.serving = serving
-		i, _ := slices.BinarySearchFunc(f.members, s, func(a, b *server) int {
+		i, _ := slices.BinarySearchFunc(f.byPriority, s, func(a, b *server) int {
 			return cmp.Or(cmp.Compare(a.priority, b.priority), cmp.Compare(a.name, b.name))
 		})
 		if serving {
-			f.members = slices.Insert(f.members, i, s)
+			f.byPriority = slices.Insert(f.byPriority, i, s)
 		} else {
-			f.members = slices.Delete(f.members, i, i+1)
+			f.byPriority = slices.Delete(f.byPriority, i, i+1)
 		}
 	}
-	if e.State == Gone {
-		delete(f.byName, e.Name)
+	if entry.State == Gone {
+		delete(f.byName, entry.Name)
 		return
 	}
-	s.zone, s.group, s.hint = e.Zone, e.Group, e.Hint
+	s.zone, s.group, s.hint = entry.Zone, entry.Group, entry.Hint
 	if !(s.hint > 0) || math.IsInf(s.hint, 0) {
 		s.hint = 1
 	}
-	if e.Started > s.started {
-		// A restarted process has none of its old faults and none of its speed.
-		// What its bucket saved up while it was warm would come as one burst.
-		s.latSum, s.latN, s.learned, s.cold, s.out, s.barred, s.since = 0, 0, 1, bucket{}, bar{}, nil, max(now, 1)
+	if entry.Started > s.started {
+		// A restarted process has neither the faults nor the speed of the old
+		// one. Tokens left over from its warm time would allow a burst of sends.
+		s.latencySum, s.latencyWeight, s.learnedWeight, s.coldBudget, s.ejection, s.classEjections, s.coldSince = 0, 0, 1, tokenBucket{}, ejection{}, nil, max(now, 1)
 	}
-	s.started, s.since = e.Started, min(s.since, e.Started)
+	s.started, s.coldSince = entry.Started, min(s.coldSince, entry.Started)
 }
 
-func (f *fleet) replace(list []Endpoint, now time.Duration) {
+// replaceList applies a whole server list and removes the servers that it lacks.
+func (f *fleet) replaceList(list []Endpoint, now time.Duration) {
 	listed := make(map[string]bool, len(list))
 	for _, e := range list {
 		listed[e.Name] = true
 	}
-	for name := range f.byName { // in any order: what goes leaves the others as they are
+	for name := range f.byName { // the order does not matter: removals are independent of each other
 		if !listed[name] {
-			f.update(Endpoint{Name: name, State: Gone}, now)
+			f.updateServer(Endpoint{Name: name, State: Gone}, now)
 		}
 	}
 	for _, e := range list {
-		f.update(e, now)
+		f.updateServer(e, now)
 	}
 }
 
+// isCold reports whether s started less than ColdFor ago.
 func (f *fleet) isCold(s *server, now time.Duration) bool {
-	return s.since > 0 && now < s.since+f.cfg.ColdFor
+	return s.coldSince > 0 && now < s.coldSince+f.cfg.ColdFor
 }
 
-// warmth is the share of its full capacity that a server surely has by now.
+// warmth returns the share of its full capacity that s has at least by now.
 func (f *fleet) warmth(s *server, now time.Duration) float64 {
 	if !f.isCold(s, now) {
 		return 1
 	}
-	return f.cfg.ColdFrom + (1-f.cfg.ColdFrom)*float64(max(0, now-s.since))/float64(f.cfg.ColdFor)
+	return f.cfg.ColdFrom + (1-f.cfg.ColdFrom)*float64(max(0, now-s.coldSince))/float64(f.cfg.ColdFor)
 }
 
-// refresh rebuilds the sampling table when it is old or what it stands on changed.
-func (f *fleet) refresh(now time.Duration) {
+// refreshWeights rebuilds the working set and the sampling table when they are
+// old or when the list or the ejections changed.
+func (f *fleet) refreshWeights(now time.Duration) {
 	ejected := len(f.ejected)
-	f.ejected = slices.DeleteFunc(f.ejected, func(s *server) bool { return now >= s.out.until || !s.serving })
+	f.ejected = slices.DeleteFunc(f.ejected, func(s *server) bool { return now >= s.ejection.until || !s.serving })
 	f.dirty = f.dirty || len(f.ejected) < ejected
-	if !f.dirty && now-f.fresh < samplerAge {
+	if !f.dirty && now-f.weightsAt < samplerTTL {
 		return
 	}
-	if size := f.setSize(now); f.dirty || size > len(f.set) || size < len(f.set)*2/3 {
-		f.chooseSet(size, now)
+	if size := f.workingSetSize(now); f.dirty || size > len(f.workingSet) || size < len(f.workingSet)*2/3 {
+		f.chooseWorkingSet(size, now)
 	}
-	f.dirty, f.fresh = false, now
-	f.weights = f.weights[:0]
+	f.dirty, f.weightsAt = false, now
+	f.cumulativeWeights = f.cumulativeWeights[:0]
 	sum := 0.0
-	for _, s := range f.set {
-		if now >= s.out.until {
-			sum += s.hint * s.learned * f.warmth(s, now)
+	for _, s := range f.workingSet {
+		if now >= s.ejection.until {
+			sum += s.hint * s.learnedWeight * f.warmth(s, now)
 		}
-		f.weights = append(f.weights, sum)
+		f.cumulativeWeights = append(f.cumulativeWeights, sum)
 	}
 }
 
-func (f *fleet) setSize(now time.Duration) int {
-	n := len(f.members)
-	size := max(setMin, int(setPerRate*f.rate(now)))
+// workingSetSize returns how many servers the working set should have.
+func (f *fleet) workingSetSize(now time.Duration) int {
+	n := len(f.byPriority)
+	size := max(minWorkingSet, int(serversPerSendRate*f.sendRate(now)))
 	if f.cfg.ConnectionCost > 0 && n > 0 {
-		each := f.cfg.ConnectionCost * float64(f.cfg.Instances) / (100 * float64(n))
-		size = max(connMin, min(size, int(math.Sqrt(connBudget/each)+0.5)))
+		costFactor := f.cfg.ConnectionCost * float64(f.cfg.Instances) / (100 * float64(n))
+		size = max(minPricedWorkingSet, min(size, int(math.Sqrt(connBudgetPoints/costFactor)+0.5)))
 	}
 	return min(size, n)
 }
 
-// chooseSet takes the first servers by priority into the working set, ejected ones last.
-func (f *fleet) chooseSet(size int, now time.Duration) {
-	for _, s := range f.set {
-		s.inSet = false
+// chooseWorkingSet takes the first size servers by priority into the working
+// set; ejected ones come after all others.
+func (f *fleet) chooseWorkingSet(size int, now time.Duration) {
+	for _, s := range f.workingSet {
+		s.inWorkingSet = false
 	}
-	f.set = f.set[:0]
+	f.workingSet = f.workingSet[:0]
 	for _, ejected := range []bool{false, true} {
-		for i := 0; i < len(f.members) && len(f.set) < size; i++ {
-			if s := f.members[i]; now < s.out.until == ejected {
-				s.inSet = true
-				f.set = append(f.set, s)
+		for i := 0; i < len(f.byPriority) && len(f.workingSet) < size; i++ {
+			if s := f.byPriority[i]; now < s.ejection.until == ejected {
+				s.inWorkingSet = true
+				f.workingSet = append(f.workingSet, s)
 			}
 		}
 	}
 }
 
-func (f *fleet) draw() *server {
-	n := len(f.weights)
-	if n == 0 || f.weights[n-1] <= 0 {
+// drawServer returns a random server of the working set by weight, or nil if
+// none has a weight.
+func (f *fleet) drawServer() *server {
+	n := len(f.cumulativeWeights)
+	if n == 0 || f.cumulativeWeights[n-1] <= 0 {
 		return nil
 	}
-	i, _ := slices.BinarySearch(f.weights, math.Nextafter(f.rand()*f.weights[n-1], math.Inf(1)))
-	return f.set[min(i, n-1)]
+	i, _ := slices.BinarySearch(f.cumulativeWeights, math.Nextafter(f.rand()*f.cumulativeWeights[n-1], math.Inf(1)))
+	return f.workingSet[min(i, n-1)]
 }
 
-func (f *fleet) pick(now time.Duration, key uint64, ok func(*server) bool) *server {
-	f.refresh(now)
-	if key != 0 {
-		if s := f.pickWarm(now, key, ok); s != nil {
+// pickServer chooses a server for which isAllowed holds: by rendezvous hashing
+// where keyHash is not 0, else the cheaper of two random choices from the
+// working set. If neither yields a server that is not ejected, any other
+// serving server will do, and an ejected one last. It returns nil if there is none.
+func (f *fleet) pickServer(now time.Duration, keyHash uint64, isAllowed func(*server) bool) *server {
+	f.refreshWeights(now)
+	if keyHash != 0 {
+		if s := f.pickByKey(now, keyHash, isAllowed); s != nil {
 			return s
 		}
 	}
 	best, bestCost := (*server)(nil), math.Inf(1)
 	for tries, found := 0, 0; tries < 8 && found < 2; tries++ {
-		s := f.draw()
+		s := f.drawServer()
 		if s == nil {
 			break
 		}
-		if s == best || !ok(s) || !f.coldRoom(s, now) {
+		if s == best || !isAllowed(s) || !f.hasColdBudget(s, now) {
 			continue
 		}
 		found++
@@ -238,46 +259,50 @@
 			best, bestCost = s, c
 		}
 	}
-	n := len(f.members)
+	n := len(f.byPriority)
 	start := int(f.rand() * float64(n))
-	for i := 0; i < n && (best == nil || now < best.out.until); i++ {
-		if s := f.members[(start+i)%n]; ok(s) && f.coldRoom(s, now) && (best == nil || now >= s.out.until) {
+	for i := 0; i < n && (best == nil || now < best.ejection.until); i++ {
+		if s := f.byPriority[(start+i)%n]; isAllowed(s) && f.hasColdBudget(s, now) && (best == nil || now >= s.ejection.until) {
 			best = s
 		}
 	}
 	return best
 }
 
-func (f *fleet) pickWarm(now time.Duration, key uint64, ok func(*server) bool) *server {
+// pickByKey returns the first server of the working set in the weighted
+// rendezvous order of keyHash, or the second if it costs much less. It returns
+// nil if no server is allowed.
+func (f *fleet) pickByKey(now time.Duration, keyHash uint64, isAllowed func(*server) bool) *server {
 	var first, second *server
-	var high, next, last float64
-	for i, s := range f.set {
-		weight := f.weights[i] - last
-		last = f.weights[i]
-		if weight <= 0 || !ok(s) || !f.coldRoom(s, now) {
+	var firstScore, secondScore, previousSum float64
+	for i, s := range f.workingSet {
+		weight := f.cumulativeWeights[i] - previousSum
+		previousSum = f.cumulativeWeights[i]
+		if weight <= 0 || !isAllowed(s) || !f.hasColdBudget(s, now) {
 			continue
 		}
-		u := (float64(mix(key^s.hash)>>11) + 0.5) / (1 << 53)
-		switch r := weight / -math.Log(u); {
-		case r > high:
-			first, second, high, next = s, first, r, high
-		case r > next:
-			second, next = s, r
+		uniform := (float64(mixHash(keyHash^s.hash)>>11) + 0.5) / (1 << 53)
+		switch score := weight / -math.Log(uniform); {
+		case score > firstScore:
+			first, second, firstScore, secondScore = s, first, score, firstScore
+		case score > secondScore:
+			second, secondScore = s, score
 		}
 	}
-	if second != nil && f.cost(second, now) < warmSaving*f.cost(first, now) {
+	if second != nil && f.cost(second, now) < maxKeyCostRatio*f.cost(first, now) {
 		return second
 	}
 	return first
 }
 
-func mix(h uint64) uint64 {
+// mixHash is the finalizer of the SplitMix64 generator.
+func mixHash(h uint64) uint64 {
 	h = (h ^ h>>30) * 0xbf58476d1ce4e5b9
 	h = (h ^ h>>27) * 0x94d049bb133111eb
 	return h ^ h>>31
 }
 
-// hashName hashes a key or server name; 0 stands for the empty one.
+// hashName returns the FNV-1a hash of a key or server name, and 0 for an empty one.
 func hashName(name string) uint64 {
 	if name == "" {
 		return 0
@@ -287,136 +312,160 @@
 	return h.Sum64()
 }
 
-// cost compares candidates: own in-flight first; quiet balancers mostly tie
-// there, so that the seen latency and the load report decide between equals.
+// cost ranks candidates, first by this balancer's own requests in flight.
+// Balancers with little traffic mostly tie there; the observed latency and the
+// load report then decide.
 func (f *fleet) cost(s *server, now time.Duration) float64 {
-	return inFlightFirst*float64(s.inFlight) + s.held(now)*s.latency(now)
+	return inFlightCost*float64(s.inFlight) + s.held(now)*s.relativeLatency(now)
 }
 
-func (s *server) held(now time.Duration) float64 { return 1 + s.load*fade(now-s.loadAt, reportMemory) }
+// held estimates from the last load report how many requests the server
+// holds, one more included.
+func (s *server) held(now time.Duration) float64 { return 1 + s.load*decay(now-s.loadAt, loadDecay) }
 
-// latency is a server's recent latency relative to the fleet's.
-func (s *server) latency(now time.Duration) float64 {
-	w := fade(now-s.latAt, latencyMemory)
-	return (s.latSum*w + latencyPrior) / (s.latN*w + latencyPrior)
+// relativeLatency returns the server's recent latency relative to the fleet's mean.
+func (s *server) relativeLatency(now time.Duration) float64 {
+	remaining := decay(now-s.latencyAt, latencyDecay)
+	return (s.latencySum*remaining + latencyPriorWeight) / (s.latencyWeight*remaining + latencyPriorWeight)
 }
 
-// report logs how long a send took, in fractions of the aim, takes its load
-// report over and corrects its learned weight. Guards against capacity hints
-// that are missing or wrong: with equal shares a slow kind of server fills first.
-func (f *fleet) report(s *server, o Outcome, rep Report, took, held float64, now time.Duration) {
+// recordLatency records how long a send took, in fractions of the aim, applies
+// the load report and corrects the server's learned weight. The correction is
+// needed where capacity hints are missing or wrong: with equal shares the slower
+// type of server fills up first. held is the number of requests that the server
+// held when it was chosen.
+func (f *fleet) recordLatency(s *server, outcome Outcome, loadReport Report, took, held float64, now time.Duration) {
 	took = max(took, 1e-6)
-	f.meanLat = cmp.Or(f.meanLat, took) // starts at the first
-	f.meanLat += meanStep * (took - f.meanLat)
+	f.meanLatency = cmp.Or(f.meanLatency, took) // the mean starts at the first sample
+	f.meanLatency += runningMeanStep * (took - f.meanLatency)
 	if f.cfg.Probes {
-		f.perHeld = cmp.Or(f.perHeld, took/held)
-		f.perHeld *= math.Pow(1+meanStep, math.Copysign(1, took-f.perHeld*held))
+		f.latencyPerHeld = cmp.Or(f.latencyPerHeld, took/held)
+		f.latencyPerHeld *= math.Pow(1+runningMeanStep, math.Copysign(1, took-f.latencyPerHeld*held))
 	}
-	w := fade(now-s.latAt, latencyMemory)
-	s.latSum, s.latN, s.latAt = s.latSum*w+took/f.meanLat, s.latN*w+1, now
-	strength := learnLatency * min(1, float64(now-s.learnedAt)/float64(learnEvery))
+	remaining := decay(now-s.latencyAt, latencyDecay)
+	s.latencySum, s.latencyWeight, s.latencyAt = s.latencySum*remaining+took/f.meanLatency, s.latencyWeight*remaining+1, now
+	strength := latencyExponent * min(1, float64(now-s.learnedAt)/float64(learnInterval))
 	s.learnedAt = now
-	correct := math.Pow(f.meanLat/took, strength)
-	if o == TimedOut || took > 1 {
-		// Guards against a jam that feeds itself: each balancer keeps just one
-		// send there, yet all of them together hold the queue full.
-		s.load, s.loadAt, correct = jammedLoad, now, jammedWeight
+	correction := math.Pow(f.meanLatency/took, strength)
+	if outcome == TimedOut || took > 1 {
+		// A late answer counts as high load. Otherwise a full queue sustains
+		// itself: each balancer keeps only one send there, but all of them
+		// together keep the queue full.
+		s.load, s.loadAt, correction = timedOutLoad, now, timedOutFactor
 	} else {
-		s.heed(rep, now)
+		s.applyReport(loadReport, now)
 	}
-	s.learned = max(1/learnMax, min(s.learned*correct, learnMax))
+	s.learnedWeight = max(1/maxLearnedWeight, min(s.learnedWeight*correction, maxLearnedWeight))
 }
 
-func (s *server) heed(rep Report, now time.Duration) {
+// applyReport takes the server's load from a load report, if it has one.
+func (s *server) applyReport(loadReport Report, now time.Duration) {
 	switch {
-	case rep.HasInFlight:
-		s.load, s.loadAt = rep.InFlight, now
-	case rep.HasUtil:
-		s.load, s.loadAt = min(rep.Util/(1.01-min(rep.Util, 1)), jammedLoad), now
+	case loadReport.HasInFlight:
+		s.load, s.loadAt = loadReport.InFlight, now
+	case loadReport.HasUtil:
+		s.load, s.loadAt = min(loadReport.Util/(1.01-min(loadReport.Util, 1)), timedOutLoad), now
 	}
 }
 
-// trip counts a failure, and sets the bar when they add up, unless too many others have theirs.
-func (f *fleet) trip(b *bar, others int, now time.Duration) bool {
-	if b.failures++; b.failures < ejectAfter || now < b.until || float64(others+1) > ejectShare*float64(len(f.members)) {
+// countFailure counts a failure and ejects the server when the failures reach
+// the threshold, unless too many of the other servers are ejected. It reports
+// whether it ejected the server.
+func (f *fleet) countFailure(e *ejection, otherEjections int, now time.Duration) bool {
+	if e.failures++; e.failures < ejectThreshold || now < e.until || float64(otherEjections+1) > maxEjectedShare*float64(len(f.byPriority)) {
 		return false
 	}
-	span := min(ejectBase<<min(b.spells, 10), ejectMax)
-	b.spells, b.failures = b.spells+1, ejectAfter-1 // one more failure on return sets it again
-	b.until = now + span/2 + time.Duration(f.rand()*float64(span))
+	duration := min(ejectBaseDuration<<min(e.ejections, 10), maxEjectDuration)
+	e.ejections, e.failures = e.ejections+1, ejectThreshold-1 // one failure after the return ejects it again
+	e.until = now + duration/2 + time.Duration(f.rand()*float64(duration))
 	return true
 }
 
-// served weighs an answer against failures: one that fails a part of its calls is suspect too.
-func (b *bar) served(now time.Duration) {
-	if b.failures *= failuresKept; !b.suspect(now) {
-		b.spells = 0
+// recordSuccess lets a successful answer outweigh a part of the failures, not
+// all of them: a server that fails only some of its calls is suspect too.
+func (e *ejection) recordSuccess(now time.Duration) {
+	if e.failures *= failureRetention; !e.isSuspect(now) {
+		e.ejections = 0
 	}
 }
 
-// suspect is one that gave an error or was ejected, for ejectMax more: then any call may test it.
-func (b *bar) suspect(now time.Duration) bool {
-	return b.failures > ejectAfter/4.0 && max(b.at, b.until) > 0 && now < max(b.at, b.until)+ejectMax
+// isSuspect reports whether failures are left of an error or an ejection that
+// ended less than maxEjectDuration ago. After that any call may test the server.
+func (e *ejection) isSuspect(now time.Duration) bool {
+	return e.failures > ejectThreshold/4.0 && max(e.errorAt, e.until) > 0 && now < max(e.errorAt, e.until)+maxEjectDuration
 }
 
-// failed counts a failure against a server and ejects it when they add up.
-func (f *fleet) failed(s *server, now time.Duration) {
-	if f.trip(&s.out, len(f.ejected), now) {
+// recordFailure counts a failure of s and ejects it for all classes when the
+// failures reach the threshold.
+func (f *fleet) recordFailure(s *server, now time.Duration) {
+	if f.countFailure(&s.ejection, len(f.ejected), now) {
 		f.ejected, f.dirty = append(f.ejected, s), true
 	}
 }
 
-// classFailed is failed for an error of one class, which bars the server for that class.
-func (f *fleet) classFailed(s *server, class int, now time.Duration) {
-	if n := len(f.cfg.Classes) - len(s.barred); n > 0 {
-		s.barred = append(s.barred, make([]bar, n)...)
+// recordClassFailure counts an error of one class and ejects s for that class
+// when its failures reach the threshold.
+func (f *fleet) recordClassFailure(s *server, class int, now time.Duration) {
+	if missing := len(f.cfg.Classes) - len(s.classEjections); missing > 0 {
+		s.classEjections = append(s.classEjections, make([]ejection, missing)...)
 	}
-	others := 0
-	for _, m := range f.members {
-		if m.barredFor(class, now) {
-			others++
+	otherEjections := 0
+	for _, m := range f.byPriority {
+		if m.isEjectedFor(class, now) {
+			otherEjections++
 		}
 	}
-	f.trip(&s.barred[class], others, now)
+	f.countFailure(&s.classEjections[class], otherEjections, now)
 }
 
-func (s *server) barredFor(class int, now time.Duration) bool {
-	return class < len(s.barred) && now < s.barred[class].until
+// isEjectedFor reports whether s is ejected for the class.
+func (s *server) isEjectedFor(class int, now time.Duration) bool {
+	return class < len(s.classEjections) && now < s.classEjections[class].until
 }
 
-// coldRoom says whether a cold server can take one more send from here: a share, by this
-// balancer's own sends, of what all may send in OverloadFor. Part of a send is drawn and first
-// windows end at any time, so that the sum of any number of balancers is the whole and chance,
-// and not one for each. Guests, which all may fall back on, get none.
-func (f *fleet) coldRoom(s *server, now time.Duration) bool {
-	if cold := f.isCold(s, now) && f.cfg.OverloadFor > 0; !cold || !s.inSet {
-		return !cold
-	}
-	if part := 1.0; now >= s.cold.at {
-		if s.cold.at == 0 {
-			part = f.rand()
+// hasColdBudget reports whether s is warm or this balancer may send it one more
+// request while it is cold. The budget is this balancer's share, by its own
+// sends, of what all balancers may send within OverloadFor. Fractions of a send
+// are rounded at random and the first window of each balancer ends at a random
+// time, so that the sends of any number of balancers add up to the whole budget
+// and random variation, and not to one send for each balancer. Cold servers
+// outside the working set get nothing, because all balancers may fall back on
+// them at once.
+func (f *fleet) hasColdBudget(s *server, now time.Duration) bool {
+	if limited := f.isCold(s, now) && f.cfg.OverloadFor > 0; !limited || !s.inWorkingSet {
+		return !limited
+	}
+	if windowPart := 1.0; now >= s.coldBudget.at {
+		if s.coldBudget.at == 0 {
+			windowPart = f.rand()
 		}
-		// What a warm server gets from here, or got before, times what this one can stand; of all,
-		// one at least. What is sent now alone would fall with what can't be sent to cold servers.
-		warm := max(f.taken*f.rate(now), f.carried*fade(now-f.sentAt, carriedMemory)/carriedMemory.Seconds()) / float64(max(1, len(f.set)))
-		share := max(warm*f.cfg.OverloadFor.Seconds()*coldPart*f.cfg.OverloadFactor*f.warmth(s, now), 1/float64(f.cfg.Instances))
-		s.cold = bucket{math.Floor(part*share + f.rand()), now + time.Duration(part*float64(f.cfg.OverloadFor))}
-	}
-	return s.cold.tokens >= 1
+		// The budget is what a warm server gets from this balancer, now or
+		// recently, times what the cold one can take; all balancers together
+		// send at least one. The current rate alone would be too low, because
+		// it falls by what cannot be sent to cold servers.
+		warmRate := max(f.acceptedShare*f.sendRate(now), f.acceptedSends*decay(now-f.sendsAt, acceptedDecay)/acceptedDecay.Seconds()) / float64(max(1, len(f.workingSet)))
+		budget := max(warmRate*f.cfg.OverloadFor.Seconds()*coldSendShare*f.cfg.OverloadFactor*f.warmth(s, now), 1/float64(f.cfg.Instances))
+		s.coldBudget = tokenBucket{math.Floor(windowPart*budget + f.rand()), now + time.Duration(windowPart*float64(f.cfg.OverloadFor))}
+	}
+	return s.coldBudget.tokens >= 1
 }
 
-// book counts a send to s. Guards against deciding blind: the two choices, the
-// working set, the shed level's steps and a cold server's share all stand on it.
-func (f *fleet) book(s *server, now time.Duration) {
+// recordSend counts a send to s. The two random choices, the size of the
+// working set, the steps of the shed level and the budget of a cold server all
+// depend on this count.
+func (f *fleet) recordSend(s *server, now time.Duration) {
 	s.inFlight++
-	f.sent, f.carried, f.sentAt = f.sent*fade(now-f.sentAt, rateMemory)+1, f.carried*fade(now-f.sentAt, carriedMemory)+f.taken, now
+	f.sends, f.acceptedSends, f.sendsAt = f.sends*decay(now-f.sendsAt, sendRateDecay)+1, f.acceptedSends*decay(now-f.sendsAt, acceptedDecay)+f.acceptedShare, now
 	if f.isCold(s, now) {
-		s.cold.tokens--
+		s.coldBudget.tokens--
 	}
 }
 
-func (f *fleet) rate(now time.Duration) float64 {
-	return f.sent * fade(now-f.sentAt, rateMemory) / rateMemory.Seconds()
+// sendRate returns this balancer's recent sends per second.
+func (f *fleet) sendRate(now time.Duration) float64 {
+	return f.sends * decay(now-f.sendsAt, sendRateDecay) / sendRateDecay.Seconds()
 }
 
-func fade(age, memory time.Duration) float64 { return math.Exp(-float64(age) / float64(memory)) }
+// decay returns the weight that is left of a value of the given age when it
+// decays exponentially with the time constant decayTime.
+func decay(age, decayTime time.Duration) float64 { return math.Exp(-float64(age) / float64(decayTime)) }
--- a/pick_test.go
+++ b/pick_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-func fleetOf(n int) []Endpoint {
+func serversNamed(n int) []Endpoint {
 	var list []Endpoint
 	for i := range n {
 		list = append(list, Endpoint{Name: fmt.Sprintf("s%03d", i)})
@@ -18,54 +18,56 @@
 	return list
 }
 
-func TestDefinedAnswersWithoutServers(t *testing.T) {
+func TestRefusesWithoutServers(t *testing.T) {
 	for name, list := range map[string][]Endpoint{
 		"none":         nil,
 		"all draining": {{Name: "a", State: Draining}, {Name: "b", State: Draining}},
 		"all gone":     {{Name: "a", State: Gone}},
 	} {
-		b, r := newTest(t, testConfig(), list...)
+		b, r := newTestBalancer(t, testConfig(), list...)
 		for class := range 3 {
 			b.Arrive(0, Request{ID: RequestID(class + 1), Class: class, Deadline: 300 * ms})
 		}
-		if len(r.got) != 3 || r.got[0] != "refuse 1" || r.got[1] != "refuse 2" || r.got[2] != "refuse 3" {
-			t.Errorf("%s: %v, want three refusals", name, r.got)
+		if len(r.decisions) != 3 || r.decisions[0] != "refuse 1" || r.decisions[1] != "refuse 2" || r.decisions[2] != "refuse 3" {
+			t.Errorf("%s: %v, want three refusals", name, r.decisions)
 		}
 	}
-	b, r := newTest(t, testConfig(), fleetOf(2)...)
+	b, r := newTestBalancer(t, testConfig(), serversNamed(2)...)
 	b.Arrive(time.Second, Request{ID: 1, Deadline: time.Second})
 	b.Arrive(time.Second, Request{ID: 2, Class: 9, Deadline: 2 * time.Second})
-	if len(r.got) != 2 || r.got[0] != "refuse 1" || r.got[1] != "refuse 2" {
-		t.Errorf("deadline past, no such class: %v, want two refusals", r.got)
+	if len(r.decisions) != 2 || r.decisions[0] != "refuse 1" || r.decisions[1] != "refuse 2" {
+		t.Errorf("deadline past and unknown class: %v, want two refusals", r.decisions)
 	}
 }
 
-// All suspect: the capped share keeps some in, and a lone suspect still serves.
+// When all servers fail, at most maxEjectedShare of them are ejected, so that
+// the rest still serve. The ejections end with time.
 func TestEjectionIsCapped(t *testing.T) {
-	b, _ := newTest(t, testConfig(), fleetOf(10)...)
-	b.fleet.refresh(0)
-	for _, s := range b.fleet.members {
+	b, _ := newTestBalancer(t, testConfig(), serversNamed(10)...)
+	b.fleet.refreshWeights(0)
+	for _, s := range b.fleet.byPriority {
 		for range 3 {
-			b.fleet.failed(s, 0)
+			b.fleet.recordFailure(s, 0)
 		}
 	}
 	if len(b.fleet.ejected) != 4 {
 		t.Errorf("%d of 10 ejected, want 4", len(b.fleet.ejected))
 	}
-	b.fleet.refresh(time.Minute)
+	b.fleet.refreshWeights(time.Minute)
 	if len(b.fleet.ejected) != 0 {
 		t.Errorf("%d still ejected after a minute", len(b.fleet.ejected))
 	}
 }
 
-// A restarted server must get only its cold share: no more than coldPart of
-// what would fell it, judged by what its warm peers get.
-func TestColdPacing(t *testing.T) {
+// A restarted server is overloaded by a full share of the requests. While it is
+// cold it gets no more than coldSendShare of what would overload it, measured by
+// what the warm servers get.
+func TestColdServerGetsReducedShare(t *testing.T) {
 	cfg := testConfig()
 	cfg.Classes = cfg.Classes[2:] // no copies
-	list := fleetOf(4)
+	list := serversNamed(4)
 	list[0].Started = 100 * time.Second
-	b, r := newTest(t, cfg)
+	b, r := newTestBalancer(t, cfg)
 	now, cold := 100*time.Second, 0
 	b.ServersListed(now, list)
 	for id := RequestID(1); id <= 400; id++ {
@@ -76,65 +78,67 @@
 		}
 		b.Done(now, id, 0, OK, true, Report{})
 	}
-	// 2 s, a quarter of the sends would be 100; it has 0.2 to 0.36 of its capacity.
+	// The run lasts 2 s and a quarter of the sends would be 100; the server has 0.2 to 0.36 of its capacity.
 	if cold == 0 || cold > 60 {
-		t.Errorf("%d of 400 sends to a server that just started", cold)
+		t.Errorf("%d of 400 sends went to a server that just started, want 1 to 60", cold)
 	}
 }
 
-// A server that restarts, cold once more, has nothing saved up from when it was warm: in its
-// first window it gets a part of the window's share, which is coldPart of what it can stand,
-// and in the mean half of it.
-func TestRestartSavesNothingUp(t *testing.T) {
-	list := fleetOf(setMin)
+// Tokens left from before a restart would allow a burst of sends to a server
+// that is cold again. In its first window the server gets a random part of the
+// window's budget (coldSendShare of what overloads it), half of it in the mean.
+func TestRestartClearsColdBudget(t *testing.T) {
+	list := serversNamed(minWorkingSet)
 	cfg := testConfig()
-	b, _ := newTest(t, cfg, list...)
+	b, _ := newTestBalancer(t, cfg, list...)
 	now := 100 * time.Second
-	sum, draws := 0, 400
-	share := coldPart * cfg.OverloadFactor * cfg.ColdFrom * 100 / setMin * cfg.OverloadFor.Seconds()
-	for range draws {
+	sum, restarts := 0, 400
+	budget := coldSendShare * cfg.OverloadFactor * cfg.ColdFrom * 100 / minWorkingSet * cfg.OverloadFor.Seconds()
+	for range restarts {
 		now += time.Minute
-		b.fleet.sent, b.fleet.carried, b.fleet.sentAt = 100*rateMemory.Seconds(), 100*carriedMemory.Seconds(), now
+		b.fleet.sends, b.fleet.acceptedSends, b.fleet.sendsAt = 100*sendRateDecay.Seconds(), 100*acceptedDecay.Seconds(), now
 		list[0].Started = now
 		b.ServersChanged(now, list[:1])
-		b.fleet.refresh(now)
-		s, room := b.fleet.byName["s000"], 0
-		sent, carried := b.fleet.sent, b.fleet.carried
-		for ; b.fleet.coldRoom(s, now) && room < 100; room++ {
-			b.fleet.book(s, now)
+		b.fleet.refreshWeights(now)
+		s, allowed := b.fleet.byName["s000"], 0
+		sent, carried := b.fleet.sends, b.fleet.acceptedSends
+		for ; b.fleet.hasColdBudget(s, now) && allowed < 100; allowed++ {
+			b.fleet.recordSend(s, now)
 		}
-		if b.fleet.sent, b.fleet.carried = sent, carried; float64(room) > share+1 {
-			t.Fatalf("room for %d sends at the moment of a restart, the share is %.1f", room, share)
+		if b.fleet.sends, b.fleet.acceptedSends = sent, carried; float64(allowed) > budget+1 {
+			t.Fatalf("%d sends allowed at the moment of a restart, the window's budget is %.1f", allowed, budget)
 		}
-		sum += room
+		sum += allowed
 	}
-	if mean := float64(sum) / float64(draws); mean < 0.4*share || mean > 0.6*share {
-		t.Errorf("room for %.2f sends in the mean at a restart, of a share of %.1f", mean, share)
+	if mean := float64(sum) / float64(restarts); mean < 0.4*budget || mean > 0.6*budget {
+		t.Errorf("%.2f sends allowed at a restart in the mean, want about half of the window's budget of %.1f", mean, budget)
 	}
 }
 
-// However many balancers there are and however unevenly they send, all that they may send to
-// a server that has just started, each as soon as it may, is within any OverloadFor what a
-// warm one gets of them times what this one can stand, twice coldPart of it, and chance.
-func TestColdSharesAddUp(t *testing.T) {
+// The budgets that the balancers compute on their own must not add up to an
+// overload of a server that has just started. For any number of balancers and
+// any split of the sends, each sending as soon as it may, the total within any
+// OverloadFor stays below twice coldSendShare of what overloads the server, plus
+// random variation.
+func TestColdBudgetsAddUpWithinLimit(t *testing.T) {
 	for _, count := range []int{2, 5, 30, 300} {
 		for _, uneven := range []bool{false, true} {
-			for _, total := range []float64{40, 400} { // sends a second of all, to setMin servers
-				list := fleetOf(setMin)
+			for _, total := range []float64{40, 400} { // sends a second of all balancers, to minWorkingSet servers
+				list := serversNamed(minWorkingSet)
 				cfg := testConfig()
-				cfg.Instances, cfg.ColdFor = count, time.Hour // it stays as cold as at its start
+				cfg.Instances, cfg.ColdFor = count, time.Hour // the server stays as cold as at its start
 				now := 100 * time.Second
-				rates, unit := make([]float64, count), 0.0
+				rates, totalWeight := make([]float64, count), 0.0
 				for n := range rates {
 					if rates[n] = 1; uneven && n < (count+9)/10 {
 						rates[n] = 10
 					}
-					unit += rates[n]
+					totalWeight += rates[n]
 				}
 				var sends []time.Duration
 				list[0].Started = now
 				for n := range rates {
-					rates[n] *= total / unit
+					rates[n] *= total / totalWeight
 					r := &recorder{}
 					b, err := New(cfg, uint64(n), r)
 					if err != nil {
@@ -142,9 +146,9 @@
 					}
 					b.ServersListed(now, list)
 					for at := now; at < now+5*cfg.OverloadFor; at += 10 * ms {
-						b.fleet.sent, b.fleet.carried, b.fleet.sentAt = rates[n]*rateMemory.Seconds(), rates[n]*carriedMemory.Seconds(), at
-						b.fleet.refresh(at)
-						for s := b.fleet.byName["s000"]; s.inSet && b.fleet.coldRoom(s, at); s.cold.tokens-- {
+						b.fleet.sends, b.fleet.acceptedSends, b.fleet.sendsAt = rates[n]*sendRateDecay.Seconds(), rates[n]*acceptedDecay.Seconds(), at
+						b.fleet.refreshWeights(at)
+						for s := b.fleet.byName["s000"]; s.inWorkingSet && b.fleet.hasColdBudget(s, at); s.coldBudget.tokens-- {
 							sends = append(sends, at)
 						}
 					}
@@ -157,97 +161,98 @@
 					}
 					most = max(most, last-from+1)
 				}
-				budget := total / setMin * cfg.OverloadFactor * cfg.ColdFrom * cfg.OverloadFor.Seconds()
-				// One of all is sure; what more the floor of each adds is at most two.
-				if bound := 2*coldPart*budget + 2*math.Sqrt(budget) + 2; float64(most) > bound {
-					t.Errorf("%d balancers, uneven %v, %.0f a second: %d within a window, bound %.1f", count, uneven, total, most, bound)
+				budget := total / minWorkingSet * cfg.OverloadFactor * cfg.ColdFrom * cfg.OverloadFor.Seconds()
+				// All balancers together send at least one; the minimum of each adds at most two in all.
+				if limit := 2*coldSendShare*budget + 2*math.Sqrt(budget) + 2; float64(most) > limit {
+					t.Errorf("%d balancers, uneven %v, %.0f sends a second: %d sends within a window, want at most %.1f", count, uneven, total, most, limit)
 				}
 				if len(sends) == 0 {
-					t.Errorf("%d balancers, uneven %v, %.0f a second: a cold server gets nothing", count, uneven, total)
+					t.Errorf("%d balancers, uneven %v, %.0f sends a second: the cold server got no request", count, uneven, total)
 				}
 			}
 		}
 	}
 }
 
-// Probes weigh next to nothing beside what a cold server may get, also where all are cold and
-// all that arrives is probed for: at the dearest that are sent, a fortieth of its budget in any
-// OverloadFor.
-func TestProbesCrossAStart(t *testing.T) {
+// Probes are sent to cold servers too and must not overload them. Even where all
+// servers are cold, every arrival is probed for and probes have the highest cost
+// at which they are sent, they cost a server at most a fortieth of its budget
+// within any OverloadFor.
+func TestProbesDoNotOverloadColdServers(t *testing.T) {
 	cfg := testConfig()
-	cfg.Probes, cfg.ProbeCost = true, probePrice/probesEach
-	list := fleetOf(setMin)
+	cfg.Probes, cfg.ProbeCost = true, maxProbeCost/probesPerRequest
+	list := serversNamed(minWorkingSet)
 	now := 100 * time.Second
 	for n := range list {
 		list[n].Started = now
 	}
-	b, r := newTest(t, cfg)
+	b, r := newTestBalancer(t, cfg)
 	b.ServersListed(now, list)
-	const rate = 100 // what arrives a second; warm, the servers could take it just so
-	at := make(map[string][]time.Duration)
+	const rate = 100 // arrivals a second, the capacity of the servers when warm
+	probeTimes := make(map[string][]time.Duration)
 	for id := RequestID(1); now < 100*time.Second+4*cfg.OverloadFor; id++ {
 		now += time.Second / rate
-		r.got = nil
+		r.decisions = nil
 		b.Arrive(now, Request{ID: id, Deadline: now + 300*ms})
-		for _, got := range r.got {
+		for _, got := range r.decisions {
 			if s, ok := strings.CutPrefix(got, "probe "); ok {
-				at[s] = append(at[s], now)
+				probeTimes[s] = append(probeTimes[s], now)
 			}
 		}
 		b.ClientGone(now, id)
 	}
-	budget := rate / setMin * cfg.OverloadFactor * cfg.ColdFrom * cfg.OverloadFor.Seconds() // in calls
+	budget := rate / minWorkingSet * cfg.OverloadFactor * cfg.ColdFrom * cfg.OverloadFor.Seconds() // in calls
 	worst := 0.0
-	for s, probes := range at {
+	for s, probes := range probeTimes {
 		for from, last := 0, 0; last < len(probes); last++ {
 			for probes[last]-probes[from] >= cfg.OverloadFor {
 				from++
 			}
-			weigh := float64(last-from+1) * cfg.ProbeCost
-			if worst = max(worst, weigh); weigh > budget/40 {
-				t.Fatalf("%s: probes within a window weigh %.2f calls, the budget is %.1f", s, weigh, budget)
+			cost := float64(last-from+1) * cfg.ProbeCost
+			if worst = max(worst, cost); cost > budget/40 {
+				t.Fatalf("%s: probes within a window cost %.2f calls, want at most a fortieth of the budget of %.1f", s, cost, budget)
 			}
 		}
 	}
-	t.Logf("probes within a window weigh %.2f calls at the most, the budget is %.1f", worst, budget)
-	if len(at) != setMin {
-		t.Errorf("%d servers were probed", len(at))
+	t.Logf("probes within a window cost %.2f calls at most, the budget is %.1f", worst, budget)
+	if len(probeTimes) != minWorkingSet {
+		t.Errorf("%d servers were probed, want all", len(probeTimes))
 	}
 }
 
-// A cold server outside the working set gets nothing: all balancers could fall
-// back on it together, each with a full share.
-func TestColdGuestGetsNothing(t *testing.T) {
-	list := fleetOf(12)
+// A cold server outside the working set gets no requests: all balancers could
+// fall back on it at once, each with a full budget.
+func TestColdServerOutsideWorkingSetGetsNothing(t *testing.T) {
+	list := serversNamed(12)
 	for i := range list {
 		list[i].Started = 100 * time.Second
 	}
 	cfg := testConfig()
-	cfg.Instances = 1 // else the one send of all is seldom this one's
-	b, _ := newTest(t, cfg)
+	cfg.Instances = 1 // otherwise the one send that all balancers share is seldom this balancer's
+	b, _ := newTestBalancer(t, cfg)
 	f, now := &b.fleet, 100*time.Second
 	b.ServersListed(now, list)
-	f.refresh(now)
-	if len(f.set) == len(f.members) {
-		t.Fatal("no guests to test with")
+	f.refreshWeights(now)
+	if len(f.workingSet) == len(f.byPriority) {
+		t.Fatal("every server is in the working set, want some outside it")
 	}
-	for _, s := range f.members {
-		room := false
-		for at := now; at < now+b.cfg.ColdFor && !room; at += 100 * ms { // in some window
-			room = f.coldRoom(s, at)
+	for _, s := range f.byPriority {
+		allowed := false
+		for at := now; at < now+b.cfg.ColdFor && !allowed; at += 100 * ms { // until a window has a budget
+			allowed = f.hasColdBudget(s, at)
 		}
-		if room != s.inSet {
-			t.Errorf("%s: in the set %v, room %v", s.name, s.inSet, room)
+		if allowed != s.inWorkingSet {
+			t.Errorf("%s: in the working set: %v, has a budget: %v", s.name, s.inWorkingSet, allowed)
 		}
 	}
 }
 
-// Where connections have a price, a large tier keeps small working sets.
-func TestWorkingSetByConnectionPrice(t *testing.T) {
+// Where open connections have a cost, the balancers of a large tier keep small working sets.
+func TestConnectionCostLimitsWorkingSet(t *testing.T) {
 	cfg := testConfig()
 	cfg.Instances, cfg.ConnectionCost = 1200, 0.05
-	b, r := newTest(t, cfg, fleetOf(60)...)
-	b.noCopies()
+	b, r := newTestBalancer(t, cfg, serversNamed(60)...)
+	b.disableCopies()
 	used := map[string]bool{}
 	for id := RequestID(1); id <= 200; id++ {
 		b.Arrive(0, Request{ID: id, Deadline: 300 * ms})
@@ -255,24 +260,24 @@
 		used[r.servers[id-1]] = true
 	}
 	if len(used) > 4 {
-		t.Errorf("%d servers used, want a handful", len(used))
+		t.Errorf("%d servers used, want at most 4", len(used))
 	}
 }
 
-// Two balancers that know the same servers send a key to the same one.
-func TestWarmKeysAgree(t *testing.T) {
+// Two balancers that know the same servers send requests of one key to the same server.
+func TestBalancersAgreeOnServerOfKey(t *testing.T) {
 	cfg := testConfig()
 	cfg.WarmKeys = true
-	one, r1 := newTest(t, cfg, fleetOf(setMin)...)
+	one, r1 := newTestBalancer(t, cfg, serversNamed(minWorkingSet)...)
 	r2 := new(recorder)
 	two, err := New(cfg, 99, r2)
 	if err != nil {
 		t.Fatal(err)
 	}
-	two.ServersListed(0, fleetOf(setMin))
+	two.ServersListed(0, serversNamed(minWorkingSet))
 	for id := RequestID(1); id <= 20; id++ {
 		for _, b := range []*Balancer{one, two} {
-			b.noCopies()
+			b.disableCopies()
 			b.Arrive(0, Request{ID: id, Key: fmt.Sprint(id % 7), Deadline: 300 * ms})
 			b.Done(0, id, 0, OK, true, Report{})
 		}
@@ -282,59 +287,60 @@
 	}
 }
 
-// A quiet balancer whose sends mostly come late must shed nearly all: a level that
-// fades between any two outcomes rests far lower.
+// A balancer with little traffic, half of whose answers are late, sheds nearly
+// everything. A level that decayed between any two outcomes would settle far lower.
 func TestShedLevelHoldsBetweenOutcomes(t *testing.T) {
 	cfg := testConfig()
 	a := newAdmitter(&cfg, admitter{})
 	for i := range 200 { // half are late, twice a second
-		a.outcome(false, i%2 == 0, 2, time.Duration(i)*500*ms)
+		a.recordOutcome(false, i%2 == 0, 2, time.Duration(i)*500*ms)
 	}
-	after := a.level // a calm answer
-	a.outcome(false, true, 2, 100*time.Second)
+	after := a.level // after an answer in time
+	a.recordOutcome(false, true, 2, 100*time.Second)
 	if mean := (after + a.level) / 2; mean < 0.9 {
-		t.Errorf("level %v and %v with half of the answers late", after, a.level)
+		t.Errorf("levels %v and %v with half of the answers late, want a mean of 0.9 or more", after, a.level)
 	}
 }
 
-// What is shed brings no answers to lower the level: a quiet balancer takes
-// larger steps, and the level fades by itself, or it outlives its cause.
-func TestShedLevelFallsWhenQuiet(t *testing.T) {
+// Shed requests bring no answers that could lower the level. A balancer with
+// little traffic therefore takes larger steps and the level decays by itself;
+// otherwise it stays up after its cause is gone.
+func TestShedLevelFallsAtLowRate(t *testing.T) {
 	a := newAdmitter(&Config{Classes: make([]Class, 1)}, admitter{})
 	a.level = 0.6
 	for range 15 {
-		a.outcome(false, false, 1, 0)
+		a.recordOutcome(false, false, 1, 0)
 	}
 	if a.level > 0.05 {
-		t.Errorf("level %v after 15 calm answers of a quiet balancer", a.level)
+		t.Errorf("level %v after 15 answers in time at a low rate, want at most 0.05", a.level)
 	}
-	a.level, a.share[0] = 0.9, 1
-	if before, after := a.odds(0, 0), a.odds(0, 2*shedMemory); before < 0.5 || after > before/4 {
-		t.Errorf("odds went from %v to %v with no outcome for long", before, after)
+	a.level, a.arrivalShares[0] = 0.9, 1
+	if before, after := a.shedProbability(0, 0), a.shedProbability(0, 2*shedLevelDecay); before < 0.5 || after > before/4 {
+		t.Errorf("shed probability went from %v to %v without outcomes, want a fall to a quarter or less", before, after)
 	}
 }
 
-// Each send is booked: on its server until its outcome, in the rate of sends, and
-// against the share of a server that is cold.
-func TestSendsAreBooked(t *testing.T) {
-	list := fleetOf(1)
+// Each send counts as in flight on its server until its outcome, in the rate of
+// sends, and against the budget of a cold server.
+func TestSendsAreCounted(t *testing.T) {
+	list := serversNamed(1)
 	list[0].Started = 100 * time.Second
-	b, _ := newTest(t, testConfig())
-	b.noCopies()
+	b, _ := newTestBalancer(t, testConfig())
+	b.disableCopies()
 	b.ServersListed(100*time.Second, list)
 	s, now := b.fleet.byName["s000"], 100*time.Second
 	for id := RequestID(1); id <= 3; id++ {
-		s.cold = bucket{2, now + 1}
+		s.coldBudget = tokenBucket{2, now + 1}
 		b.Arrive(now, Request{ID: id, Tenant: -1, Deadline: now + time.Second})
-		if s.inFlight != int(id) || s.cold.tokens >= 2 {
-			t.Errorf("send %d: %d in flight, %v of 2 tokens left", id, s.inFlight, s.cold.tokens)
+		if s.inFlight != int(id) || s.coldBudget.tokens >= 2 {
+			t.Errorf("send %d: %d in flight, %v of 2 tokens left", id, s.inFlight, s.coldBudget.tokens)
 		}
 	}
-	if got, want := b.fleet.rate(now), 3/rateMemory.Seconds(); math.Abs(got-want) > 1e-9 {
-		t.Errorf("rate %v after three sends, want %v", got, want)
+	if got, want := b.fleet.sendRate(now), 3/sendRateDecay.Seconds(); math.Abs(got-want) > 1e-9 {
+		t.Errorf("send rate %v after three sends, want %v", got, want)
 	}
-	if got := b.fleet.rate(now + 20*rateMemory); got > 1e-6 {
-		t.Errorf("rate %v long after", got)
+	if got := b.fleet.sendRate(now + 20*sendRateDecay); got > 1e-6 {
+		t.Errorf("send rate %v after 20 time constants without a send, want 0", got)
 	}
 	for id := RequestID(1); id <= 3; id++ {
 		b.Done(now, id, 0, OK, true, Report{})
@@ -344,10 +350,11 @@
 	}
 }
 
-// Two choices by requests in flight: with nothing answered, the load spreads.
-func TestTwoChoicesSpread(t *testing.T) {
-	b, r := newTest(t, testConfig(), fleetOf(setMin)...)
-	b.noCopies()
+// The choice between two random servers goes by requests in flight: requests
+// without an answer spread evenly.
+func TestTwoChoicesSpreadLoad(t *testing.T) {
+	b, r := newTestBalancer(t, testConfig(), serversNamed(minWorkingSet)...)
+	b.disableCopies()
 	counts := make(map[string]int)
 	for id := RequestID(1); id <= 100; id++ {
 		b.Arrive(0, Request{ID: id, Tenant: -1, Deadline: time.Second})
@@ -360,22 +367,22 @@
 	}
 }
 
-// Own in-flight comes before every other sign: a server that holds one of this
-// balancer's requests may be a jam that its old answers do not show yet.
-func TestInFlightComesFirst(t *testing.T) {
-	b, _ := newTest(t, testConfig(), fleetOf(2)...)
+// Own requests in flight outweigh every other part of the cost: a server that
+// holds one of them may have a queue that its earlier answers do not show yet.
+func TestInFlightDominatesCost(t *testing.T) {
+	b, _ := newTestBalancer(t, testConfig(), serversNamed(2)...)
 	busy, slow := b.fleet.byName["s000"], b.fleet.byName["s001"]
 	busy.inFlight = 1
-	slow.load, slow.latSum, slow.latN = jammedLoad, 40, 10
+	slow.load, slow.latencySum, slow.latencyWeight = timedOutLoad, 40, 10
 	if b.fleet.cost(busy, 0) <= b.fleet.cost(slow, 0) {
 		t.Error("a server with a request in flight costs less than an idle one")
 	}
 }
 
-// A server that fails at once is not taken for a fast one.
-func TestFailingFastIsNotFast(t *testing.T) {
-	b, r := newTest(t, testConfig(), fleetOf(setMin)...)
-	b.noCopies()
+// Errors that come at once must not count as low latency: the server would draw more requests.
+func TestFastErrorsAreNotLowLatency(t *testing.T) {
+	b, r := newTestBalancer(t, testConfig(), serversNamed(minWorkingSet)...)
+	b.disableCopies()
 	for id := RequestID(1); id <= 200; id++ {
 		now := time.Duration(id) * 100 * ms
 		b.Arrive(now, Request{ID: id, Class: 2, Tenant: -1, Deadline: now + time.Second})
@@ -385,246 +392,249 @@
 		}
 		b.Done(now+took, id, 0, o, o == OK, Report{})
 	}
-	bad, good := b.fleet.byName["s000"], b.fleet.byName["s001"]
-	if bad.learned > good.learned || bad.latency(20*time.Second) < good.latency(20*time.Second) {
-		t.Errorf("failing: weight %v, latency %v; serving: %v, %v", bad.learned, bad.latency(20*time.Second), good.learned, good.latency(20*time.Second))
+	failing, working := b.fleet.byName["s000"], b.fleet.byName["s001"]
+	if failing.learnedWeight > working.learnedWeight || failing.relativeLatency(20*time.Second) < working.relativeLatency(20*time.Second) {
+		t.Errorf("failing server: weight %v, latency %v; working server: weight %v, latency %v", failing.learnedWeight, failing.relativeLatency(20*time.Second), working.learnedWeight, working.relativeLatency(20*time.Second))
 	}
 }
 
-// A server that fails a third of its calls is left out like one that fails all, though
-// an answer comes between most failures; one that fails a call now and then is not, and
-// both are tried again.
-func TestFailsAPartOfItsCalls(t *testing.T) {
-	for every, most := range map[int]float64{3: 0.12, 50: 9} {
-		b, r := newTest(t, testConfig(), fleetOf(setMin)...)
-		b.noCopies()
-		sick, even := 0, 0
+// A server that fails a third of its calls is ejected like one that fails all,
+// although most failures have a successful answer between them. One that fails
+// one call in 50 is not, and both are tried again.
+func TestEjectsServerThatFailsSomeCalls(t *testing.T) {
+	for every, maxRatio := range map[int]float64{3: 0.12, 50: 9} {
+		b, r := newTestBalancer(t, testConfig(), serversNamed(minWorkingSet)...)
+		b.disableCopies()
+		failingCalls, otherCalls := 0, 0
 		for id := RequestID(1); id <= 4000; id++ { // 80 s, 12 calls a second to each
 			now := time.Duration(id) * 20 * ms
 			b.Arrive(now, Request{ID: id, Tenant: -1, Deadline: now + time.Second})
 			o := OK
 			if r.servers[len(r.servers)-1] == "s000" {
-				if sick++; sick%every == 0 {
+				if failingCalls++; failingCalls%every == 0 {
 					o = ServerError
 				}
 			} else {
-				even++
+				otherCalls++
 			}
 			b.Done(now+50*ms, id, 0, o, o == OK, Report{})
 		}
-		part := float64(sick) / (float64(even) / (setMin - 1)) // of what others get
-		if part > most || part < 0.01 || every == 50 && part < 0.3 {
-			t.Errorf("one failure in %d: drew %.2f of the others' calls", every, part)
+		ratio := float64(failingCalls) / (float64(otherCalls) / (minWorkingSet - 1)) // share of what each of the others gets
+		if ratio > maxRatio || ratio < 0.01 || every == 50 && ratio < 0.3 {
+			t.Errorf("one failure in %d calls: got %.2f of the calls of each other server, want 0.01 to 0.12 for one in 3 and 0.3 to 9 for one in 50", every, ratio)
 		}
 	}
 }
 
-// A server that failed gets no calls that must not run twice before others have shown
-// it well, unless all are suspect.
-func TestSuspectIsTestedByCallsThatMayRepeat(t *testing.T) {
-	b, r := newTest(t, testConfig(), fleetOf(setMin)...)
-	b.noCopies()
+// A server that failed gets no calls that must not run twice until repeatable
+// calls have succeeded there: a failure of such a call cannot be retried. If all
+// servers are suspect, or no repeatable calls come for long, it gets them.
+func TestSuspectServerIsTestedByRepeatableCalls(t *testing.T) {
+	b, r := newTestBalancer(t, testConfig(), serversNamed(minWorkingSet)...)
+	b.disableCopies()
 	id, now := RequestID(0), time.Duration(0)
-	send := func(class int, sick func(string) bool) (to string) {
+	send := func(class int, isFailing func(string) bool) (to string) {
 		id++
 		now += 20 * ms
 		b.Arrive(now, Request{ID: id, Class: class, Tenant: -1, Deadline: now + time.Second})
 		to = r.servers[len(r.servers)-1]
 		o := OK
-		if sick(to) {
+		if isFailing(to) {
 			o = ServerError
 		}
 		b.Done(now, id, 0, o, o == OK, Report{})
 		return to
 	}
-	one := func(to string) bool { return to == "s000" }
+	first := func(to string) bool { return to == "s000" }
 	none := func(string) bool { return false }
-	for send(0, one) != "s000" {
+	for send(0, first) != "s000" {
 	}
 	for range 500 { // 10 s, in which its ejections end several times
-		if send(2, one) == "s000" {
-			t.Fatal("a suspect was tested by a call that must not run twice")
+		if send(2, first) == "s000" {
+			t.Fatal("a suspect server got a call that must not run twice")
 		}
 	}
 	alone := 0
-	for range 1500 { // 30 s: where nothing else comes, one of them has to be the test
+	for range 1500 { // 30 s without repeatable calls, so that one of these has to test the server
 		if send(2, none) == "s000" {
 			alone++
 		}
 	}
-	for send(0, one) != "s000" {
+	for send(0, first) != "s000" {
 	}
-	tested, back := 0, 0
+	tested, returned := 0, 0
 	for range 400 {
 		if send(0, none) == "s000" {
 			tested++
 		}
 		if send(2, none) == "s000" {
-			back++
+			returned++
 		}
 	}
-	if tested == 0 || back == 0 || alone == 0 {
-		t.Errorf("well again: %d calls that may repeat, %d others, %d of those with nothing beside", tested, back, alone)
+	if tested == 0 || returned == 0 || alone == 0 {
+		t.Errorf("recovered server got %d repeatable calls, %d unsafe ones beside them and %d unsafe ones alone, want some of each", tested, returned, alone)
 	}
-	silent := b.fleet.members[0]
-	for range ejectAfter {
-		b.fleet.failed(silent, now)
+	ejected := b.fleet.byPriority[0]
+	for range ejectThreshold {
+		b.fleet.recordFailure(ejected, now)
 	}
-	if back := silent.out.until; back <= now || !silent.out.suspect(back) || silent.out.suspect(back+ejectMax) {
-		t.Error("a server that was ejected is not suspect after it, or for ever")
+	if returned := ejected.ejection.until; returned <= now || !ejected.ejection.isSuspect(returned) || ejected.ejection.isSuspect(returned+maxEjectDuration) {
+		t.Error("an ejected server is not suspect after its return, or stays suspect for ever")
 	}
-	for _, s := range b.fleet.members[1:] {
-		b.fleet.failed(s, now)
-		if s.out.suspect(now) {
-			t.Errorf("%s is suspect for a failure without an error: a time-out may be load", s.name)
+	for _, s := range b.fleet.byPriority[1:] {
+		b.fleet.recordFailure(s, now)
+		if s.ejection.isSuspect(now) {
+			t.Errorf("%s is suspect after a failure without an error, which may be a time-out due to load", s.name)
 		}
-		s.out.failures, s.out.at = 1, now
+		s.ejection.failures, s.ejection.errorAt = 1, now
 	}
-	if to := send(2, none); to == "" || r.got[len(r.got)-1] != fmt.Sprintf("send %d", id) {
-		t.Errorf("all suspect: %v", r.got[len(r.got)-1])
+	if to := send(2, none); to == "" || r.decisions[len(r.decisions)-1] != fmt.Sprintf("send %d", id) {
+		t.Errorf("all servers suspect: got %q, want a send", r.decisions[len(r.decisions)-1])
 	}
 }
 
-// A server that fails one class and serves the others is left out for that class
-// only, is tried again in time; where all fail a class, most go on getting it.
-func TestBarredForOneClass(t *testing.T) {
-	b, r := newTest(t, testConfig(), fleetOf(setMin)...)
-	var sick = map[string]bool{"s000": true}
-	failed, other := 0, 0
+// A server that fails one class and serves the others is ejected for that class
+// only and is tried again later. Where all servers fail a class, most of them
+// still get it.
+func TestEjectedForOneClass(t *testing.T) {
+	b, r := newTestBalancer(t, testConfig(), serversNamed(minWorkingSet)...)
+	var failing = map[string]bool{"s000": true}
+	failed, served := 0, 0
 	serve := func(id RequestID) {
-		b.noCopies()
+		b.disableCopies()
 		now := time.Duration(id) * 20 * ms
 		b.Arrive(now, Request{ID: id, Class: int(id%2) * 2, Tenant: -1, Deadline: now + time.Second})
 		to, o := r.servers[len(r.servers)-1], OK
 		switch {
-		case sick[to] && id%2 == 1:
+		case failing[to] && id%2 == 1:
 			failed++
 			o = ServerError
-		case sick[to]:
-			other++
+		case failing[to]:
+			served++
 		}
 		b.Done(now, id, 0, o, o == OK, Report{})
 	}
 	for id := RequestID(1); id <= 1000; id++ { // 20 s
 		serve(id)
 	}
-	if failed < 3 || failed > 15 || other < 60 {
-		t.Errorf("a sick server failed %d of 500 requests and served %d of the other class", failed, other)
+	if failed < 3 || failed > 15 || served < 60 {
+		t.Errorf("the failing server failed %d of 500 requests and served %d of the other class, want 3 to 15 and 60 or more", failed, served)
 	}
-	sick = nil
+	failing = nil
 	before := len(r.servers)
 	for id := RequestID(1001); id <= 3000; id++ {
 		serve(id)
 	}
-	if s := b.fleet.byName["s000"]; s.barred[2].spells != 0 || s.barred[2].failures > 0.01 {
-		t.Errorf("well for 40 s and still %+v after %d sends", s.barred[2], len(r.servers)-before)
+	if s := b.fleet.byName["s000"]; s.classEjections[2].ejections != 0 || s.classEjections[2].failures > 0.01 {
+		t.Errorf("without a failure for 40 s the class still has %+v after %d sends", s.classEjections[2], len(r.servers)-before)
 	}
 	now := time.Hour
-	for _, s := range b.fleet.members {
-		for range 2 * ejectAfter {
-			b.fleet.classFailed(s, 2, now)
+	for _, s := range b.fleet.byPriority {
+		for range 2 * ejectThreshold {
+			b.fleet.recordClassFailure(s, 2, now)
 		}
 	}
-	barred := 0
-	for _, s := range b.fleet.members {
-		if s.barredFor(2, now) {
-			barred++
+	ejected := 0
+	for _, s := range b.fleet.byPriority {
+		if s.isEjectedFor(2, now) {
+			ejected++
 		}
 	}
-	if barred != 1 {
-		t.Errorf("%d of %d barred, want one", barred, setMin)
+	if ejected != 1 {
+		t.Errorf("%d of %d servers ejected for the class, want 1", ejected, minWorkingSet)
 	}
-	r.got = nil
+	r.decisions = nil
 	b.Arrive(now, Request{ID: 9999, Class: 2, Tenant: -1, Deadline: now + time.Second})
-	if len(r.got) != 1 || r.got[0] != "send 9999" {
-		t.Errorf("all fail: %v, want a send", r.got)
+	if len(r.decisions) != 1 || r.decisions[0] != "send 9999" {
+		t.Errorf("all servers fail the class: got %v, want a send", r.decisions)
 	}
 }
 
-// The least worth is shed first, and all of it before the next class.
-func TestShedsLeastWorthFirst(t *testing.T) {
+// The class of the lowest worth is shed first, and completely before the next one.
+func TestShedsLowestWorthFirst(t *testing.T) {
 	cfg := testConfig()
 	cfg.Classes[2].Worth = 10
-	b, _ := newTest(t, cfg)
+	b, _ := newTestBalancer(t, cfg)
 	for range 300 {
-		b.admit.arrived(0, -1, 0)
-		b.admit.arrived(2, -1, 0)
+		b.admitter.recordArrival(0, -1, 0)
+		b.admitter.recordArrival(2, -1, 0)
 	}
-	b.admit.level = 0.3
-	if lo, hi := b.admit.odds(0, 0), b.admit.odds(2, 0); lo < 0.4 || hi != 0 {
-		t.Errorf("odds %v for the cheap class and %v for the dear one", lo, hi)
+	b.admitter.level = 0.3
+	if low, high := b.admitter.shedProbability(0, 0), b.admitter.shedProbability(2, 0); low < 0.4 || high != 0 {
+		t.Errorf("shed probability %v for the class of low worth and %v for that of high worth, want 0.4 or more and 0", low, high)
 	}
 	for range 1000 {
-		b.admit.outcome(false, false, 10, 0)
+		b.admitter.recordOutcome(false, false, 10, 0)
 	}
-	if b.admit.level != 0 {
-		t.Errorf("level %v after calm", b.admit.level)
+	if b.admitter.level != 0 {
+		t.Errorf("level %v after 1000 answers in time, want 0", b.admitter.level)
 	}
 }
 
-// A busy balancer whose servers all freeze for a moment has hundreds of sends turned away
-// within it: that must not shed all for many times as long, when few sends are left to
-// bring the level down.
-func TestShedLevelOfABusyBalancer(t *testing.T) {
+// When all servers freeze for a moment, hundreds of a busy balancer's sends are
+// turned away within it. That must not shed everything for many times as long,
+// since few sends are left then to bring the level down.
+func TestShedLevelOfBusyBalancerAfterFreeze(t *testing.T) {
 	cfg := testConfig()
-	const rate, still = 400.0, 250 * ms
+	const rate, freeze = 400.0, 250 * ms
 	a := newAdmitter(&cfg, admitter{})
 	now := time.Duration(0)
-	for ; now < still; now += time.Second / rate {
-		a.outcome(true, false, rate, now)
+	for ; now < freeze; now += time.Second / rate {
+		a.recordOutcome(true, false, rate, now)
 	}
-	if l := a.faded(now); l > 0.25 {
-		t.Errorf("level %.2f after %v without room", l, still)
+	if l := a.currentLevel(now); l > 0.25 {
+		t.Errorf("level %.2f after %v of full servers, want at most 0.25", l, freeze)
 	}
-	// One that lasts does shed, within some seconds.
+	// A lasting freeze leads to shedding within a few seconds.
 	for ; now < 4*time.Second; now += time.Second / rate {
-		a.outcome(true, false, rate, now)
+		a.recordOutcome(true, false, rate, now)
 	}
-	if l := a.faded(now); l < 0.8 {
-		t.Errorf("level %.2f after four seconds without room", l)
+	if l := a.currentLevel(now); l < 0.8 {
+		t.Errorf("level %.2f after four seconds of full servers, want 0.8 or more", l)
 	}
-	// Of the few that are let in then a third meets a full server: it goes on falling.
+	// The level falls although a third of the few admitted sends still meet a full server.
 	for n := 0; now < 14*time.Second; n, now = n+1, now+time.Second/50 {
-		a.outcome(n%3 == 0, false, 50, now)
+		a.recordOutcome(n%3 == 0, false, 50, now)
 	}
-	if l := a.faded(now); l > 0.2 {
-		t.Errorf("level %.2f ten seconds later", l)
+	if l := a.currentLevel(now); l > 0.2 {
+		t.Errorf("level %.2f ten seconds later, want at most 0.2", l)
 	}
 }
 
-// What a tenant asks above its share is shed before what others ask within
-// theirs, whatever the class.
+// A tenant's requests above its share are shed before those of other tenants
+// within theirs, whatever their classes.
 func TestShedsAboveShareFirst(t *testing.T) {
 	cfg := testConfig()
 	cfg.Tenants, cfg.OverShareWorth = []float64{9, 9}, 0.1
 	cfg.Classes[2].Worth = 5
 	a := newAdmitter(&cfg, admitter{})
 	within, above := 0, 0
-	for i := range 200 { // 20 dear requests a second of the first tenant, whose share here is 3
+	for i := range 200 { // 20 requests of high worth a second from the first tenant, whose share at this balancer is 3
 		now := time.Duration(i) * 50 * ms
-		if a.arrived(2, 0, now) == 4 {
+		if a.recordArrival(2, 0, now) == 4 {
 			within++
 		} else {
 			above++
 		}
 	}
 	if within < 38 || within > 45 {
-		t.Errorf("%d of 200 within the share, want 3 a second and what was saved up", within)
+		t.Errorf("%d of 200 within the share, want 38 to 45: 3 a second and the saved burst", within)
 	}
-	a.level, a.at = 0.5, 10*time.Second
-	modest := a.arrived(0, 1, 10*time.Second)
-	if lo, hi := a.odds(5, a.at), a.odds(modest, a.at); modest != 0 || lo < 0.4 || hi != 0 {
-		t.Errorf("odds %v above the share, %v within it", lo, hi)
+	a.level, a.levelAt = 0.5, 10*time.Second
+	withinRank := a.recordArrival(0, 1, 10*time.Second)
+	if aboveProbability, withinProbability := a.shedProbability(5, a.levelAt), a.shedProbability(withinRank, a.levelAt); withinRank != 0 || aboveProbability < 0.4 || withinProbability != 0 {
+		t.Errorf("shed probability %v above the share and %v within it, want 0.4 or more and 0", aboveProbability, withinProbability)
 	}
 }
 
-// Sorting a large fleet anew for each of many small changes cost a quiet balancer
-// more than its requests did: members stay sorted as changes come.
-func TestMembersStaySorted(t *testing.T) {
-	b, _ := newTest(t, testConfig(), fleetOf(20)...)
+// Sorting a large fleet for each of many small changes cost a balancer with
+// little traffic more than its requests did. The serving servers are kept sorted
+// as changes come.
+func TestServingServersStaySorted(t *testing.T) {
+	b, _ := newTestBalancer(t, testConfig(), serversNamed(20)...)
 	f, rng := &b.fleet, rand.New(rand.NewPCG(7, 7))
 	for step := range 500 {
-		list := fleetOf(30)
+		list := serversNamed(30)
 		e := list[rng.IntN(len(list))]
 		e.State = State(rng.IntN(3))
 		b.ServersChanged(0, []Endpoint{e})
@@ -637,36 +647,37 @@
 				serving++
 			}
 		}
-		if serving != len(f.members) {
-			t.Fatalf("step %d: %d members, %d servers serve", step, len(f.members), serving)
+		if serving != len(f.byPriority) {
+			t.Fatalf("step %d: %d servers in the order, want the %d serving ones", step, len(f.byPriority), serving)
 		}
-		for i, s := range f.members {
-			if !s.serving || f.byName[s.name] != s || i > 0 && f.members[i-1].priority > s.priority {
-				t.Fatalf("step %d: member %d is out of place", step, i)
+		for i, s := range f.byPriority {
+			if !s.serving || f.byName[s.name] != s || i > 0 && f.byPriority[i-1].priority > s.priority {
+				t.Fatalf("step %d: server %d of the order is out of place", step, i)
 			}
 		}
 	}
 }
 
-// A clock that is behind discovery's has servers start in its future. They are cold from
-// when it hears of them, not for as long as it is behind; a list told again changes nothing.
-func TestStartInTheFuture(t *testing.T) {
+// With a local clock behind that of discovery, a server's start lies in the
+// future. The server is cold from when it was first heard of, not longer by the
+// difference of the clocks, and a repeated list changes nothing.
+func TestServerStartInTheFuture(t *testing.T) {
 	cfg := testConfig()
 	f := fleet{cfg: &cfg, byName: make(map[string]*server), rand: func() float64 { return 0.5 }}
 	const heard, ahead = time.Hour, 3 * time.Hour
 	e := Endpoint{Name: "a", Started: heard + ahead}
-	f.update(e, heard)
-	f.update(e, heard+cfg.ColdFor/2)
+	f.updateServer(e, heard)
+	f.updateServer(e, heard+cfg.ColdFor/2)
 	s := f.byName["a"]
 	if !f.isCold(s, heard+cfg.ColdFor-1) || f.isCold(s, heard+cfg.ColdFor) {
-		t.Error("a server of a start in the future is not cold for as long as any other")
+		t.Error("a server whose start lies in the future is not cold for ColdFor from when it was heard of")
 	}
-	e.Started += ms // once more
-	if f.update(e, heard+cfg.ColdFor); !f.isCold(s, heard+2*cfg.ColdFor-1) {
-		t.Error("its next start is not seen")
+	e.Started += ms // another start
+	if f.updateServer(e, heard+cfg.ColdFor); !f.isCold(s, heard+2*cfg.ColdFor-1) {
+		t.Error("the next start did not make the server cold")
 	}
-	e.Started = heard // a later word of an earlier time is believed
-	if f.update(e, heard+cfg.ColdFor+1); f.isCold(s, heard+cfg.ColdFor+1) {
-		t.Error("cold, though it is known to have started long ago")
+	e.Started = heard // a later list with an earlier start is taken
+	if f.updateServer(e, heard+cfg.ColdFor+1); f.isCold(s, heard+cfg.ColdFor+1) {
+		t.Error("the server is cold although it started long ago by the last list")
 	}
 }
--- a/reissue.go
+++ b/reissue.go
@@ -9,103 +9,113 @@
 
 // SingleR (Kaler, He, Elnikety, SPAA 2017): a request still unanswered after
 // delay d gets, with probability q, one copy on another server. Times here are
-// fractions of the class's aim, so that quiet balancers can pool the samples of
-// all classes.
+// fractions of the class's aim, so that balancers with little traffic can pool
+// the samples of all classes.
 const (
-	reissueBudget  = 0.10
-	reissuePrice   = 0.002
-	tailPercentile = 0.95 // k, the percentile of response times to minimise
-	learningRate   = 0.3
-	primaryWindow  = 256
-	copyWindow     = 96
-	pairWindow     = 64
-	// recomputeEvery new samples and recomputeAfter, stretched at random so that
-	// balancers do not shift d together, lie between two recomputes.
-	recomputeEvery = 32
-	recomputeAfter = time.Second
-	// pairShare of the copies run without cancelling the loser, so that some
-	// pairs are seen whole and feed Pr(Y <= t-d | X > t).
-	pairShare      = 0.1
-	pairPrior      = 12.0
-	hedgeTokensMax = 4.0
+	maxReissueBudget  = 0.10  // highest share of requests that get a copy
+	maxReissueCost    = 0.002 // limits that share where wasted work has a cost: share times Config.WasteCost
+	tailPercentile    = 0.95  // k, the percentile of response times to minimise
+	learningRate      = 0.3
+	primaryWindowSize = 256
+	copyWindowSize    = 96
+	pairWindowSize    = 64
+	// The policy is computed again after minRecomputeSamples new samples and one
+	// to two times minRecomputeInterval, at random so that balancers do not
+	// change d at the same time.
+	minRecomputeSamples  = 32
+	minRecomputeInterval = time.Second
+	// observedPairShare of the copies run without cancelling the slower attempt, so that
+	// both response times of some pairs are known for Pr(Y <= t-d | X > t).
+	observedPairShare = 0.1
+	pairPriorWeight   = 12.0 // weight, in pairs, of the assumption that X and Y are independent
+	maxHedgeTokens    = 4.0
 )
 
-// sample is one logged response time. A send that was cancelled is censored:
-// its answer would have come later than at.
+// sample is one recorded response time. A cancelled send is censored: its answer
+// would have taken longer than responseTime.
 type sample struct {
-	at       float64
-	censored bool
+	responseTime float64
+	censored     bool
 }
 
-type pair struct{ x, y float64 }
+// pair holds the response times of a first attempt (X) and of its copy (Y).
+type pair struct{ primary, copy float64 }
 
-type window[T any] struct {
-	buf  []T
-	next int
+// slidingWindow keeps the last values added to it.
+type slidingWindow[T any] struct {
+	values []T
+	next   int // index of the oldest value once the buffer is full
 }
 
-func (w *window[T]) add(v T, limit int) {
-	if len(w.buf) < limit {
-		w.buf = append(w.buf, v)
+// add appends v and drops the oldest value beyond limit.
+func (w *slidingWindow[T]) add(v T, limit int) {
+	if len(w.values) < limit {
+		w.values = append(w.values, v)
 		return
 	}
-	w.buf[w.next] = v
+	w.values[w.next] = v
 	w.next = (w.next + 1) % limit
 }
 
+// reissuer learns the SingleR policy from the response times of first attempts
+// and copies.
 type reissuer struct {
-	primary window[sample]
-	copies  window[sample]
-	pairs   window[pair]
-	budget  float64 // B
-	d, q    float64
-	fresh   int // primary samples since the last recompute
-	due     time.Duration
-	tokens  float64
-	scratch []sample
-	x, y    survival // reused between recomputes
+	primary                       slidingWindow[sample]
+	copies                        slidingWindow[sample]
+	pairs                         slidingWindow[pair]
+	budget                        float64       // B, the share of requests that get a copy
+	delay, probability            float64       // delay d in fractions of the aim, and probability q
+	newSamples                    int           // primary samples since the policy was last computed
+	nextRecompute                 time.Duration // earliest time of the next computation
+	tokens                        float64       // copies that may be sent now
+	scratch                       []sample
+	primarySurvival, copySurvival survival // of first attempts and of copies; kept to reuse their memory
 }
 
+// newReissuer returns a reissuer whose budget respects the cost of wasted work.
 func newReissuer(wasteCost float64) reissuer {
-	budget := min(reissueBudget, reissuePrice/max(wasteCost, 1e-9))
+	budget := min(maxReissueBudget, maxReissueCost/max(wasteCost, 1e-9))
 	// The paper's starting policy: no delay, probability B.
-	return reissuer{budget: budget, q: budget, tokens: 1}
+	return reissuer{budget: budget, probability: budget, tokens: 1}
 }
 
+// recompute moves the policy towards the optimum for the recorded samples, if
+// there are enough new ones. jitter is a random number in [0, 1).
 func (r *reissuer) recompute(now time.Duration, jitter float64) {
-	if r.fresh < recomputeEvery || now < r.due {
+	if r.newSamples < minRecomputeSamples || now < r.nextRecompute {
 		return
 	}
-	r.due = now + recomputeAfter + time.Duration(jitter*float64(recomputeAfter))
-	step := learningRate * min(1, float64(r.fresh)/primaryWindow*4)
-	r.fresh = 0
-	r.x.estimate(r.primary.buf, &r.scratch)
-	if len(r.copies.buf) >= pairPrior {
-		r.y.estimate(r.copies.buf, &r.scratch)
+	r.nextRecompute = now + minRecomputeInterval + time.Duration(jitter*float64(minRecomputeInterval))
+	step := learningRate * min(1, float64(r.newSamples)/primaryWindowSize*4)
+	r.newSamples = 0
+	r.primarySurvival.estimate(r.primary.values, &r.scratch)
+	if len(r.copies.values) >= pairPriorWeight {
+		r.copySurvival.estimate(r.copies.values, &r.scratch)
 	} else {
-		r.y.estimate(r.primary.buf, &r.scratch)
+		r.copySurvival.estimate(r.primary.values, &r.scratch)
 	}
-	r.d += step * (computeOptimalSingleR(&r.x, &r.y, r.pairs.buf, tailPercentile, r.budget) - r.d)
-	r.q = r.x.reissueOdds(r.d, r.budget)
+	r.delay += step * (computeOptimalSingleR(&r.primarySurvival, &r.copySurvival, r.pairs.values, tailPercentile, r.budget) - r.delay)
+	r.probability = r.primarySurvival.reissueProbability(r.delay, r.budget)
 }
 
-// survival is a Kaplan-Meier estimate: tail[i] is Pr(T > times[i]).
+// survival is a Kaplan-Meier estimate of a distribution of response times T:
+// tail[i] is Pr(T > times[i]).
 type survival struct {
 	times []float64
 	tail  []float64
 }
 
-// estimate fits s to samples, some of them censored. Without censoring the
-// tail is the plain share of samples above each time.
+// estimate fits s to samples, which may include censored ones. Without censoring
+// the tail is the share of samples above each time. scratch is reused memory.
 func (s *survival) estimate(samples []sample, scratch *[]sample) {
 	sorted := append((*scratch)[:0], samples...)
 	*scratch = sorted
-	slices.SortFunc(sorted, func(a, b sample) int { return cmp.Compare(a.at, b.at) })
+	slices.SortFunc(sorted, func(a, b sample) int { return cmp.Compare(a.responseTime, b.responseTime) })
 	s.times, s.tail = s.times[:0], s.tail[:0]
 	alive := 1.0
 	for i := 0; i < len(sorted); {
-		at, answered, j := sorted[i].at, 0, i
-		for ; j < len(sorted) && sorted[j].at == at; j++ {
+		at, answered, j := sorted[i].responseTime, 0, i
+		for ; j < len(sorted) && sorted[j].responseTime == at; j++ {
 			if !sorted[j].censored {
 				answered++
 			}
@@ -119,40 +129,48 @@
 	}
 }
 
-func (s *survival) after(t float64) float64 {
+// probabilityAfter returns Pr(T > t).
+func (s *survival) probabilityAfter(t float64) float64 {
 	if i := sort.Search(len(s.times), func(i int) bool { return s.times[i] > t }); i > 0 {
 		return s.tail[i-1]
 	}
 	return 1
 }
 
-func (s *survival) reissueOdds(d, budget float64) float64 {
-	return min(1, budget/max(s.after(d), 1e-9))
+// reissueProbability returns the probability q that spends the budget on copies
+// after delay d.
+func (s *survival) reissueProbability(d, budget float64) float64 {
+	return min(1, budget/max(s.probabilityAfter(d), 1e-9))
 }
 
+// computeOptimalSingleR returns the delay d that minimises the k-th percentile of
+// response times within the budget, by the paper's algorithm of this name. x and
+// y are the distributions of first attempts and of copies.
 func computeOptimalSingleR(x, y *survival, pairs []pair, k, budget float64) float64 {
 	if len(x.times) == 0 {
 		return 0
 	}
-	top := len(x.times) - 1
+	timeIndex := len(x.times) - 1
 	best := x.times[0]
-	for i := 0; i <= top; i++ {
+	for i := 0; i <= timeIndex; i++ {
 		d := x.times[i]
-		for top > i && successRate(x, y, pairs, budget, x.times[top], d) > k {
-			top--
+		for timeIndex > i && successRate(x, y, pairs, budget, x.times[timeIndex], d) > k {
+			timeIndex--
 			best = d
 		}
 	}
 	return best
 }
 
+// successRate returns the probability that a request is answered by time t if it
+// gets a copy after delay d.
 func successRate(x, y *survival, pairs []pair, budget, t, d float64) float64 {
-	late, q := x.after(t), x.reissueOdds(d, budget)
-	n, inTime := pairPrior, pairPrior*(1-y.after(t-d))
+	late, q := x.probabilityAfter(t), x.reissueProbability(d, budget)
+	n, inTime := pairPriorWeight, pairPriorWeight*(1-y.probabilityAfter(t-d))
 	for _, p := range pairs {
-		if p.x > t {
+		if p.primary > t {
 			n++
-			if p.y <= t-d {
+			if p.copy <= t-d {
 				inTime++
 			}
 		}
