--- a/rules_test.go
+++ b/rules_test.go
@@ -9,114 +9,122 @@
 	"time"
 )
 
-// checker is a Host that plays the fleet and the clients from a seed and holds
-// the balancer to the rules on its own account, apart from the module's state.
+// checker is a Host that simulates servers and clients from a seed. It checks the
+// Balancer's decisions against the rules with its own records, independently of
+// the Balancer's state.
 type checker struct {
-	t       *testing.T
-	cfg     Config
-	rng     *rand.Rand
-	now     time.Duration
-	servers map[string]*listed
-	reqs    map[RequestID]*asked
-	queue   []event
-	order   int
-	sends   int
-	copies  int
-	refused int
-	failed  int
-	broken  []string
+	t          *testing.T
+	cfg        Config
+	rng        *rand.Rand
+	now        time.Duration
+	servers    map[string]*listedServer
+	requests   map[RequestID]*clientRequest
+	events     []event
+	order      int
+	sends      int
+	copies     int
+	refused    int
+	failed     int
+	violations []string
 }
 
-// listed is what the balancer was last told of a server.
-type listed struct {
+// listedServer is a server as the Balancer was last told of it.
+type listedServer struct {
 	Endpoint
-	badSince time.Duration
+	stoppedAt time.Duration // when it last stopped serving
 }
 
-type asked struct {
+// clientRequest is a request as the checker knows it.
+type clientRequest struct {
 	Request
-	class    Class
-	ended    bool
-	byClient bool
-	tries    []try
+	class      Class
+	ended      bool
+	clientLeft bool
+	attempts   []sentAttempt
 }
 
-type try struct {
-	server   Endpoint
-	sent     time.Duration
-	done     bool
-	neverRan bool
-	cancel   bool
+// sentAttempt is an attempt as the checker knows it.
+type sentAttempt struct {
+	server    Endpoint
+	sentAt    time.Duration
+	done      bool
+	neverRan  bool
+	cancelled bool
 }
 
+// event is a planned step of the simulation. Events at the same time run in order.
 type event struct {
 	at    time.Duration
 	order int
-	do    func(b *Balancer)
+	run   func(b *Balancer)
 }
 
-const slack = 20 * ms
+// deadlineTolerance allows for timers, which the checker fires up to 5 ms late.
+const deadlineTolerance = 20 * ms
 
-func (c *checker) broke(format string, args ...any) {
-	c.broken = append(c.broken, fmt.Sprintf("%v: ", c.now)+fmt.Sprintf(format, args...))
+// reportViolation records a broken rule.
+func (c *checker) reportViolation(format string, args ...any) {
+	c.violations = append(c.violations, fmt.Sprintf("%v: ", c.now)+fmt.Sprintf(format, args...))
 }
 
-func (c *checker) at(t time.Duration, do func(b *Balancer)) {
+// schedule plans do at time t.
+func (c *checker) schedule(t time.Duration, do func(b *Balancer)) {
 	c.order++
-	c.queue = append(c.queue, event{t, c.order, do})
+	c.events = append(c.events, event{t, c.order, do})
 }
 
 func (c *checker) Send(id RequestID, name string, timeout time.Duration) {
-	r, s := c.reqs[id], c.servers[name]
+	r, s := c.requests[id], c.servers[name]
 	if r == nil || s == nil {
-		c.broke("send for unknown request %d or server %q", id, name)
+		c.reportViolation("send for unknown request %d or server %q", id, name)
 		return
 	}
 	if r.ended {
-		c.broke("send for ended request %d", id)
+		c.reportViolation("send for ended request %d", id)
 	}
-	if len(r.tries) >= c.cfg.MaxAttempts {
-		c.broke("attempt %d of request %d", len(r.tries), id)
+	if len(r.attempts) >= c.cfg.MaxAttempts {
+		c.reportViolation("attempt %d of request %d, more than MaxAttempts", len(r.attempts), id)
 	}
-	if s.State != Serving && c.now > s.badSince {
-		c.broke("send to %s, which is not serving", name)
+	if s.State != Serving && c.now > s.stoppedAt {
+		c.reportViolation("send to %s, which is not serving", name)
 	}
-	out := false
-	for _, t := range r.tries {
-		out = out || !t.done
+	outstanding := false
+	for _, t := range r.attempts {
+		outstanding = outstanding || !t.done
 		if t.done && t.neverRan {
 			continue
 		}
 		switch {
 		case r.class.Effect == Unsafe:
-			c.broke("unsafe request %d sent again", id)
-		case r.class.Effect == Keyed && c.now-t.sent >= r.class.Window:
-			c.broke("keyed request %d sent past its window", id)
+			c.reportViolation("unsafe request %d sent again", id)
+		case r.class.Effect == Keyed && c.now-t.sentAt >= r.class.Window:
+			c.reportViolation("keyed request %d sent past its window", id)
 		case r.class.Effect == Keyed && (r.class.Scope == ScopeZone && t.server.Zone != s.Zone ||
 			r.class.Scope == ScopeGroup && t.server.Group != s.Group):
-			c.broke("keyed request %d sent outside its group", id)
+			c.reportViolation("keyed request %d sent outside its group", id)
 		}
 	}
-	if out && !c.cfg.SecondCopies {
-		c.broke("two attempts of request %d out", id)
+	if outstanding && !c.cfg.SecondCopies {
+		c.reportViolation("two attempts of request %d outstanding where SecondCopies is off", id)
 	}
-	if out {
+	if outstanding {
 		c.copies++
 	}
 	c.sends++
-	n := len(r.tries)
-	r.tries = append(r.tries, try{server: s.Endpoint, sent: c.now})
+	n := len(r.attempts)
+	r.attempts = append(r.attempts, sentAttempt{server: s.Endpoint, sentAt: c.now})
 	outcomes := []Outcome{OK, OK, OK, OK, OK, Full, Full, ServerError, ConnectFailed, Reset, TimedOut, NotSent}
 	o := outcomes[c.rng.IntN(len(outcomes))]
 	took := time.Duration(c.rng.ExpFloat64() * float64(60*ms))
 	if o == TimedOut || took > timeout {
 		o, took = TimedOut, max(timeout, 0)
 	}
-	c.at(c.now+took, func(b *Balancer) { c.finish(b, r, n, o) })
+	c.schedule(c.now+took, func(b *Balancer) { c.finishAttempt(b, r, n, o) })
 }
 
-func (c *checker) finish(b *Balancer, r *asked, n int, o Outcome) {
-	t := &r.tries[n]
+// finishAttempt reports the outcome of an attempt to the Balancer.
+func (c *checker) finishAttempt(b *Balancer, r *clientRequest, n int, o Outcome) {
+	t := &r.attempts[n]
 	if t.done {
 		return
 	}
@@ -126,76 +134,78 @@
 	}
 	rep := Report{HasInFlight: c.rng.IntN(2) == 0, InFlight: float64(c.rng.IntN(9)), HasUtil: c.rng.IntN(2) == 0, Util: c.rng.Float64()}
 	b.Done(c.now, r.ID, n, o, r.ended, rep)
-	if !r.ended && c.now > r.Deadline+slack {
-		c.broke("request %d unanswered after its deadline", r.ID)
+	if !r.ended && c.now > r.Deadline+deadlineTolerance {
+		c.reportViolation("request %d unanswered after its deadline", r.ID)
 	}
 }
 
 func (c *checker) Cancel(id RequestID, n int) {
-	r := c.reqs[id]
+	r := c.requests[id]
 	switch {
 	case !c.cfg.MayCancel:
-		c.broke("cancel where none is allowed")
-	case r == nil || n >= len(r.tries):
-		c.broke("cancel of an attempt never made")
-	case !r.tries[n].done && !r.tries[n].cancel:
-		r.tries[n].cancel = true
-		c.at(c.now, func(b *Balancer) { c.finish(b, r, n, Cancelled) })
+		c.reportViolation("cancel of an attempt where MayCancel is off")
+	case r == nil || n >= len(r.attempts):
+		c.reportViolation("cancel of an attempt that was never sent")
+	case !r.attempts[n].done && !r.attempts[n].cancelled:
+		r.attempts[n].cancelled = true
+		c.schedule(c.now, func(b *Balancer) { c.finishAttempt(b, r, n, Cancelled) })
 	}
 }
 
-func (c *checker) answer(id RequestID) *asked {
-	r := c.reqs[id]
+// recordAnswer checks that a final answer is the first one and in time.
+func (c *checker) recordAnswer(id RequestID) *clientRequest {
+	r := c.requests[id]
 	if r == nil {
-		c.broke("answer for unknown request %d", id)
-		return &asked{}
+		c.reportViolation("answer for unknown request %d", id)
+		return &clientRequest{}
 	}
-	if r.ended && !r.byClient {
-		c.broke("second answer for request %d", id)
+	if r.ended && !r.clientLeft {
+		c.reportViolation("second answer for request %d", id)
 	}
-	if c.now > r.Deadline+slack {
-		c.broke("answer for request %d after its deadline", id)
+	if c.now > r.Deadline+deadlineTolerance {
+		c.reportViolation("answer for request %d after its deadline", id)
 	}
 	r.ended = true
 	return r
 }
 
 func (c *checker) Refuse(id RequestID, _ time.Duration) {
-	r := c.answer(id)
+	r := c.recordAnswer(id)
 	c.refused++
 	if r.class.Effect == Safe || r.class.Effect == Keyed && r.class.Scope == ScopeAll {
 		return
 	}
-	for _, t := range r.tries {
+	for _, t := range r.attempts {
 		if !t.done || !t.neverRan {
-			c.broke("request %d refused though it may have run", id)
+			c.reportViolation("request %d refused though it may have run", id)
 		}
 	}
 }
 
-func (c *checker) Fail(id RequestID) { c.answer(id); c.failed++ }
+func (c *checker) Fail(id RequestID) { c.recordAnswer(id); c.failed++ }
 
 func (c *checker) SetTimer(cookie uint64, after time.Duration) {
 	if after < 0 {
-		c.broke("timer in the past")
+		c.reportViolation("timer with a negative delay")
 	}
-	c.at(c.now+after+5*ms, func(b *Balancer) { b.Timer(c.now, cookie) })
+	c.schedule(c.now+after+5*ms, func(b *Balancer) { b.Timer(c.now, cookie) })
 }
 
 func (c *checker) CloseIdle(string) {}
 func (c *checker) Probe(string)     {}
 
 func (c *checker) Subscribe() {
-	c.at(c.now+time.Duration(c.rng.IntN(1000))*ms, func(b *Balancer) {
+	c.schedule(c.now+time.Duration(c.rng.IntN(1000))*ms, func(b *Balancer) {
 		if c.rng.IntN(2) == 0 {
 			b.DiscoveryFailed(c.now)
 			return
 		}
-		b.ServersListed(c.now, c.list())
+		b.ServersListed(c.now, c.serverList())
 	})
 }
 
-func (c *checker) list() []Endpoint {
+// serverList returns the current server list, sorted by name.
+func (c *checker) serverList() []Endpoint {
 	var all []Endpoint
 	for _, s := range c.servers {
 		if s.State != Gone {
@@ -206,12 +216,12 @@
 	return all
 }
 
-// change alters one server and tells the balancer.
-func (c *checker) change(b *Balancer, n int) {
+// changeServer changes one of n servers at random and tells the Balancer.
+func (c *checker) changeServer(b *Balancer, n int) {
 	name := fmt.Sprintf("s%d", c.rng.IntN(n))
 	s := c.servers[name]
 	if s == nil {
-		s = &listed{Endpoint: Endpoint{Name: name, Zone: fmt.Sprintf("z%d", c.rng.IntN(2)), Group: c.rng.IntN(3), Hint: c.rng.Float64() * 2}}
+		s = &listedServer{Endpoint: Endpoint{Name: name, Zone: fmt.Sprintf("z%d", c.rng.IntN(2)), Group: c.rng.IntN(3), Hint: c.rng.Float64() * 2}}
 		c.servers[name] = s
 	}
 	was := s.State
@@ -220,69 +230,72 @@
 		s.Started = c.now
 	}
 	if s.State != Serving {
-		s.badSince = c.now
+		s.stoppedAt = c.now
 	}
 	b.ServersChanged(c.now, []Endpoint{s.Endpoint})
 }
 
-// run plays one random script and returns what it broke.
-func runScript(t *testing.T, seed uint64, cfg Config, servers int, gap, patience time.Duration) *checker {
+// runScript runs 600 requests of one random script and returns the checker with
+// the violations that it found.
+func runScript(t *testing.T, seed uint64, cfg Config, servers int, meanGap, maxDeadline time.Duration) *checker {
 	t.Helper()
-	c := &checker{t: t, cfg: cfg, rng: rand.New(rand.NewPCG(seed, 7)), servers: map[string]*listed{}, reqs: map[RequestID]*asked{}, now: time.Hour}
+	c := &checker{t: t, cfg: cfg, rng: rand.New(rand.NewPCG(seed, 7)), servers: map[string]*listedServer{}, requests: map[RequestID]*clientRequest{}, now: time.Hour}
 	b, err := New(cfg, seed, c)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for range servers {
-		c.change(b, servers)
+		c.changeServer(b, servers)
 	}
-	next := c.now
+	nextArrival := c.now
 	for id := RequestID(1); id <= 600; id++ {
-		next += time.Duration(c.rng.ExpFloat64() * float64(gap))
-		r := &asked{Request: Request{ID: id, Class: c.rng.IntN(len(cfg.Classes)), Tenant: c.rng.IntN(4) - 1, Key: fmt.Sprint(c.rng.IntN(20)), Deadline: next + time.Duration(c.rng.Float64()*float64(patience))}}
-		r.class = cfg.Classes[r.Class]
-		c.at(next, func(b *Balancer) {
-			c.reqs[r.ID] = r
-			b.Arrive(c.now, r.Request)
+		nextArrival += time.Duration(c.rng.ExpFloat64() * float64(meanGap))
+		req := &clientRequest{Request: Request{ID: id, Class: c.rng.IntN(len(cfg.Classes)), Tenant: c.rng.IntN(4) - 1, Key: fmt.Sprint(c.rng.IntN(20)), Deadline: nextArrival + time.Duration(c.rng.Float64()*float64(maxDeadline))}}
+		req.class = cfg.Classes[req.Class]
+		c.schedule(nextArrival, func(b *Balancer) {
+			c.requests[req.ID] = req
+			b.Arrive(c.now, req.Request)
 			if c.rng.IntN(10) == 0 {
-				c.at(c.now+time.Duration(c.rng.Float64()*float64(patience)/2), func(b *Balancer) {
-					if !r.ended {
-						r.ended, r.byClient = true, true
+				c.schedule(c.now+time.Duration(c.rng.Float64()*float64(maxDeadline)/2), func(b *Balancer) {
+					if !req.ended {
+						req.ended, req.clientLeft = true, true
 					}
-					b.ClientGone(c.now, r.ID)
+					b.ClientGone(c.now, req.ID)
 				})
 			}
 		})
 		if c.rng.IntN(10) == 0 {
-			c.at(next, func(b *Balancer) { c.change(b, servers) })
+			c.schedule(nextArrival, func(b *Balancer) { c.changeServer(b, servers) })
 		}
 	}
-	for len(c.queue) > 0 {
-		slices.SortFunc(c.queue, func(a, b event) int {
+	for len(c.events) > 0 {
+		slices.SortFunc(c.events, func(a, b event) int {
 			if a.at != b.at {
 				return int(a.at - b.at)
 			}
 			return a.order - b.order
 		})
-		e := c.queue[0]
-		c.queue = c.queue[1:]
-		if e.at > next+patience+20*time.Second {
-			break // only discovery goes on for ever
+		e := c.events[0]
+		c.events = c.events[1:]
+		if e.at > nextArrival+maxDeadline+20*time.Second {
+			break // only discovery events are left; they never end
 		}
 		c.now = max(c.now, e.at)
-		e.do(b)
+		e.run(b)
 	}
-	for id, r := range c.reqs {
-		if !r.ended {
-			c.broke("request %d never answered", id)
+	for id, req := range c.requests {
+		if !req.ended {
+			c.reportViolation("request %d never answered", id)
 		}
 	}
 	if n := len(b.requests) + len(b.timers); n != 0 {
-		c.broke("%d requests and timers kept after all ended", n)
+		c.reportViolation("%d requests and timers kept after all requests ended", n)
 	}
 	return c
 }
 
+// Random sequences of requests, outcomes, list changes and departing clients
+// break none of the rules for attempts, effects, deadlines and answers.
 func TestRulesUnderRandomScripts(t *testing.T) {
 	for _, v := range []struct {
 		name    string
@@ -314,7 +327,7 @@
 				cfg := testConfig()
 				v.change(&cfg)
 				c := runScript(t, seed, cfg, v.servers, v.gap, v.wait)
-				for _, s := range c.broken {
+				for _, s := range c.violations {
 					t.Errorf("seed %d: %s", seed, s)
 				}
 				if c.sends == 0 && v.servers > 1 {
