--- a/memory_test.go
+++ b/learned_state_test.go
@@ -130,15 +130,15 @@
 	b, h := eightServers(t, 1)
 	now := 5 * time.Second
 	b.Remember(now, Memory{
-		Level: 40, LevelAt: math.MaxInt64, Shares: []float64{big, -big, 1, 1}, Retries: big, Hedges: -5, Delay: -1, Odds: 9,
-		Samples: make([]float64, 10000), Pairs: make([][2]float64, 10000), Sent: -big, SentAt: -1, Carried: -big, Taken: big, MeanLat: -3,
-		Servers: []ServerMemory{
-			{Name: "a", Priority: -1, LatSum: -big, LatN: big, Learned: 0, Load: big, Out: BarMemory{Failures: big, Spells: -9, Until: math.MaxInt64}, Barred: make([]BarMemory, 1000)},
+		ShedLevel: 40, ShedLevelAt: math.MaxInt64, ArrivalShares: []float64{big, -big, 1, 1}, RetryTokens: big, HedgeTokens: -5, HedgeDelay: -1, HedgeProbability: 9,
+		PrimarySamples: make([]float64, 10000), Pairs: make([][2]float64, 10000), Sends: -big, SendsAt: -1, AcceptedSends: -big, AcceptedShare: big, MeanLatency: -3,
+		Servers: []LearnedServerState{
+			{Name: "a", Priority: -1, LatencySum: -big, LatencyWeight: big, LearnedWeight: 0, Load: big, Ejection: Ejection{Failures: big, Ejections: -9, Until: math.MaxInt64}, ClassEjections: make([]Ejection, 1000)},
 			{Name: "nobody"},
 		},
 	})
 	m := b.Memory(now)
-	if m.Level > 1 || m.Retries > maxRetryTokens || m.Hedges < 0 || m.Sent < 0 || m.Carried < 0 || len(m.Samples) > primaryWindowSize || len(m.Pairs) > pairWindowSize {
+	if m.ShedLevel > 1 || m.RetryTokens > maxRetryTokens || m.HedgeTokens < 0 || m.Sends < 0 || m.AcceptedSends < 0 || len(m.PrimarySamples) > primaryWindowSize || len(m.Pairs) > pairWindowSize {
 		t.Errorf("restored values out of bounds: %+v", m)
 	}
 	if v := b.ViewServer(now+3*maxEjectDuration, "a", 0); v.Ejected {
