--- a/balancer.go
+++ b/balancer.go
@@ -155,7 +155,7 @@
 	Attempts int
 	Only     string  // the one server that may take the request; empty: any
 	Under    *Config // configuration that holds for the request until it ends, its Classes included; nil: the Balancer's current one
-	Coming   bool    // the body is not buffered and still arriving; Attempts is 1, and Whole is called at its end
+	Coming   bool    // the body is not buffered and still arriving; the request has 1 attempt, and the host reports the end of the body
 }
 
 // Outcome is how an attempt ended.
@@ -200,7 +200,7 @@
 	maxRetryTokens        = 10.0
 	highWorthFactor       = 2.0
 	probesPerRequest      = 3
-	maxProbeCost          = 0.01 // probes are sent only where those of one request cost no more than this, in calls
+	maxProbeCost          = 0.01 // highest cost, in calls, of the probes for one request; above it none are sent
 	maxProbeWait          = 0.04 // longest wait for probes, in fractions of the aim
 )
 
@@ -485,8 +485,8 @@
 	}
 }
 
-// Whole tells the Balancer that the last byte of the body of a Coming request has
-// arrived. The aim and the given deadline count from now.
+// Whole tells the Balancer that a body that was still arriving is complete. The
+// aim and the given deadline count from now.
 func (b *Balancer) Whole(now time.Duration, id RequestID, deadline time.Duration) {
 	if req := b.requests[id]; req != nil && req.Coming && req.outstanding > 0 {
 		req.Coming, req.arrivedAt, req.attempts[0].sentAt, req.Deadline = false, now, now, deadline
--- a/balancer_attempts_test.go
+++ b/balancer_attempts_test.go
@@ -46,7 +46,7 @@
 			b.Done(time.Millisecond, 1, n, Full, false, Report{})
 		}
 		if h.sends != c.want || h.refused != 1 {
-			t.Errorf("with Attempts %d: %d sends and %d refusals, want at most the configured sends and 1 refusal", c.attempts, h.sends, h.refused)
+			t.Errorf("with a limit of %d: %d sends and %d refusals, want at most the configured sends and 1 refusal", c.attempts, h.sends, h.refused)
 		}
 	}
 }
--- a/balancer_test.go
+++ b/balancer_test.go
@@ -196,9 +196,9 @@
 			b.Done(now, id, n, Full, false, Report{})
 		}
 	}
-	for _, did := range r.decisions {
+	for _, decision := range r.decisions {
 		var id int
-		if _, err := fmt.Sscanf(did, "send %d", &id); err != nil {
+		if _, err := fmt.Sscanf(decision, "send %d", &id); err != nil {
 			continue
 		}
 		if id%10 == 9 {
@@ -217,12 +217,12 @@
 	if tenth, others := sendsToFullServers(t, 1); tenth+others < 200+40 || tenth+others > 200+80 {
 		t.Errorf("%d sends of 200 requests of equal worth, want about %v retries a request", tenth+others, retryTokensPerRequest)
 	}
-	dear, cheap := sendsToFullServers(t, 20)
-	if most := testConfig().MaxAttempts; dear != 20*most {
-		t.Errorf("%d sends of 20 requests of high worth, want all %d attempts each", dear, most)
+	highWorthSends, lowWorthSends := sendsToFullServers(t, 20)
+	if maxAttempts := testConfig().MaxAttempts; highWorthSends != 20*maxAttempts {
+		t.Errorf("%d sends of 20 requests of high worth, want all %d attempts each", highWorthSends, maxAttempts)
 	}
-	if cheap <= 180 || cheap > 180+maxRetryTokens {
-		t.Errorf("%d sends of 180 requests of low worth, want a few retries at the start", cheap)
+	if lowWorthSends <= 180 || lowWorthSends > 180+maxRetryTokens {
+		t.Errorf("%d sends of 180 requests of low worth, want a few retries at the start", lowWorthSends)
 	}
 }
 
@@ -400,7 +400,7 @@
 	}
 }
 
-// preferredZone is a Zones that sends calls that may be repeated to one zone first.
+// preferredZone is a zone policy that sends repeatable calls to one zone first.
 type preferredZone struct {
 	unrestricted
 	zone string
@@ -413,9 +413,9 @@
 	return d.zone
 }
 
-// A zone that is due gets the next repeatable call first, even if its latencies
-// are high, and no call that must not run twice. If the call has already been
-// tried there, or the zone has no server, the other zones serve it.
+// A preferred zone gets the next repeatable call, even if its latencies are high,
+// but no calls that must not run twice. If the call has already been tried there,
+// or the zone has no server, the other zones serve it.
 func TestPreferredZoneIsTriedFirst(t *testing.T) {
 	b, r := newTestBalancer(t, testConfig(), Endpoint{Name: "a1", Zone: "a"}, Endpoint{Name: "a2", Zone: "a"}, Endpoint{Name: "a3", Zone: "a"}, Endpoint{Name: "b1", Zone: "b"})
 	b.disableCopies()
--- a/explain.go
+++ b/explain.go
@@ -34,7 +34,8 @@
 }
 
 // ViewServer returns what is known about a server now, and a zero view for an
-// unknown server. Barred refers to class.
+// unknown server. class is the class for which the view says whether the server
+// is ejected.
 func (b *Balancer) ViewServer(now time.Duration, name string, class int) (v ServerView) {
 	s := b.fleet.byName[name]
 	if s == nil {
--- a/learned_state_test.go
+++ b/learned_state_test.go
@@ -64,9 +64,9 @@
 	t.Helper()
 	h := &fakeHost{attempts: make(map[RequestID]int)}
 	class := Class{Aim: 100 * time.Millisecond, Worth: 1}
-	dear := class
-	dear.Effect, dear.Worth = Unsafe, 10
-	b, err := New(Config{Instances: 1, Classes: []Class{class, dear}, MaxAttempts: 3, ColdFrom: 0.2, ColdFor: 10 * time.Second, OverloadFactor: 4, OverloadFor: 2 * time.Second}, seed, h)
+	unsafeClass := class
+	unsafeClass.Effect, unsafeClass.Worth = Unsafe, 10
+	b, err := New(Config{Instances: 1, Classes: []Class{class, unsafeClass}, MaxAttempts: 3, ColdFrom: 0.2, ColdFor: 10 * time.Second, OverloadFactor: 4, OverloadFor: 2 * time.Second}, seed, h)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/pick_test.go
+++ b/pick_test.go
@@ -101,11 +101,11 @@
 		b.ServersChanged(now, list[:1])
 		b.fleet.refreshWeights(now)
 		s, allowed := b.fleet.byName["s000"], 0
-		sent, carried := b.fleet.sends, b.fleet.acceptedSends
+		sends, acceptedSends := b.fleet.sends, b.fleet.acceptedSends
 		for ; b.fleet.hasColdBudget(s, now) && allowed < 100; allowed++ {
 			b.fleet.recordSend(s, now)
 		}
-		if b.fleet.sends, b.fleet.acceptedSends = sent, carried; float64(allowed) > budget+1 {
+		if b.fleet.sends, b.fleet.acceptedSends = sends, acceptedSends; float64(allowed) > budget+1 {
 			t.Fatalf("%d sends allowed at the moment of a restart, the window's budget is %.1f", allowed, budget)
 		}
 		sum += allowed
@@ -154,17 +154,17 @@
 					}
 				}
 				slices.Sort(sends)
-				most := 0
+				maxSends := 0
 				for from, last := 0, 0; last < len(sends); last++ {
 					for sends[last]-sends[from] >= cfg.OverloadFor {
 						from++
 					}
-					most = max(most, last-from+1)
+					maxSends = max(maxSends, last-from+1)
 				}
 				budget := total / minWorkingSet * cfg.OverloadFactor * cfg.ColdFrom * cfg.OverloadFor.Seconds()
 				// All balancers together send at least one; the minimum of each adds at most two in all.
-				if limit := 2*coldSendShare*budget + 2*math.Sqrt(budget) + 2; float64(most) > limit {
-					t.Errorf("%d balancers, uneven %v, %.0f sends a second: %d sends within a window, want at most %.1f", count, uneven, total, most, limit)
+				if limit := 2*coldSendShare*budget + 2*math.Sqrt(budget) + 2; float64(maxSends) > limit {
+					t.Errorf("%d balancers, uneven %v, %.0f sends a second: %d sends within a window, want at most %.1f", count, uneven, total, maxSends, limit)
 				}
 				if len(sends) == 0 {
 					t.Errorf("%d balancers, uneven %v, %.0f sends a second: the cold server got no request", count, uneven, total)
@@ -405,13 +405,13 @@
 	for every, maxRatio := range map[int]float64{3: 0.12, 50: 9} {
 		b, r := newTestBalancer(t, testConfig(), serversNamed(minWorkingSet)...)
 		b.disableCopies()
-		failingCalls, otherCalls := 0, 0
+		failingServerCalls, otherCalls := 0, 0
 		for id := RequestID(1); id <= 4000; id++ { // 80 s, 12 calls a second to each
 			now := time.Duration(id) * 20 * ms
 			b.Arrive(now, Request{ID: id, Tenant: -1, Deadline: now + time.Second})
 			o := OK
 			if r.servers[len(r.servers)-1] == "s000" {
-				if failingCalls++; failingCalls%every == 0 {
+				if failingServerCalls++; failingServerCalls%every == 0 {
 					o = ServerError
 				}
 			} else {
@@ -419,7 +419,7 @@
 			}
 			b.Done(now+50*ms, id, 0, o, o == OK, Report{})
 		}
-		ratio := float64(failingCalls) / (float64(otherCalls) / (minWorkingSet - 1)) // share of what each of the others gets
+		ratio := float64(failingServerCalls) / (float64(otherCalls) / (minWorkingSet - 1)) // share of what each of the others gets
 		if ratio > maxRatio || ratio < 0.01 || every == 50 && ratio < 0.3 {
 			t.Errorf("one failure in %d calls: got %.2f of the calls of each other server, want 0.01 to 0.12 for one in 3 and 0.3 to 9 for one in 50", every, ratio)
 		}
@@ -445,29 +445,29 @@
 		b.Done(now, id, 0, o, o == OK, Report{})
 		return to
 	}
-	first := func(to string) bool { return to == "s000" }
-	none := func(string) bool { return false }
-	for send(0, first) != "s000" {
+	isFirstServer := func(to string) bool { return to == "s000" }
+	isNoServer := func(string) bool { return false }
+	for send(0, isFirstServer) != "s000" {
 	}
 	for range 500 { // 10 s, in which its ejections end several times
-		if send(2, first) == "s000" {
+		if send(2, isFirstServer) == "s000" {
 			t.Fatal("a suspect server got a call that must not run twice")
 		}
 	}
 	alone := 0
 	for range 1500 { // 30 s without repeatable calls, so that one of these has to test the server
-		if send(2, none) == "s000" {
+		if send(2, isNoServer) == "s000" {
 			alone++
 		}
 	}
-	for send(0, first) != "s000" {
+	for send(0, isFirstServer) != "s000" {
 	}
 	tested, returned := 0, 0
 	for range 400 {
-		if send(0, none) == "s000" {
+		if send(0, isNoServer) == "s000" {
 			tested++
 		}
-		if send(2, none) == "s000" {
+		if send(2, isNoServer) == "s000" {
 			returned++
 		}
 	}
@@ -488,7 +488,7 @@
 		}
 		s.ejection.failures, s.ejection.errorAt = 1, now
 	}
-	if to := send(2, none); to == "" || r.decisions[len(r.decisions)-1] != fmt.Sprintf("send %d", id) {
+	if to := send(2, isNoServer); to == "" || r.decisions[len(r.decisions)-1] != fmt.Sprintf("send %d", id) {
 		t.Errorf("all servers suspect: got %q, want a send", r.decisions[len(r.decisions)-1])
 	}
 }
--- a/restrictions.go
+++ b/restrictions.go
@@ -10,10 +10,11 @@
 	Copies() bool                               // whether slow requests may be copied
 	Probes() bool                               // whether servers may be probed
 	Retries(class int) bool                     // whether requests of the class may be retried
-	Wait(class int, part float64) time.Duration // least delay to give with a refusal; part is a random number in [0, 1)
+	Wait(class int, part float64) time.Duration // least delay to give with a refusal; part is random, from 0 to 1
 }
 
-// unrestricted is a Gate and a Zones that allow everything.
+// unrestricted is the policy of a service that is not degraded: it allows
+// everything in every zone.
 type unrestricted struct{}
 
 func (unrestricted) Turn(time.Duration, int) bool    { return false }
@@ -32,9 +33,11 @@
 	Due(now time.Duration, repeats bool) (zone string)
 }
 
-// Room and Due implement Zones.
+// Room allows every zone.
 func (unrestricted) Room(time.Duration, string, int) bool { return true }
-func (unrestricted) Due(time.Duration, bool) string       { return "" }
+
+// Due prefers no zone.
+func (unrestricted) Due(time.Duration, bool) string { return "" }
 
 // restrictions combines the policies that restrict a Balancer.
 type restrictions struct {
@@ -42,8 +45,8 @@
 	Zones
 }
 
-// SetGate makes g the Balancer's Gate from now on.
+// SetGate makes g the Balancer's degradation policy from now on.
 func (b *Balancer) SetGate(g Gate) { b.restrictions.Gate = g }
 
-// SetZones makes z the Balancer's Zones from now on.
+// SetZones makes z the Balancer's zone policy from now on.
 func (b *Balancer) SetZones(z Zones) { b.restrictions.Zones = z }
