--- a/internal/core/action.go
+++ b/internal/core/action.go
@@ -7,22 +7,24 @@
 	"chalkrack"
 )
 
-// action is one wish of the Balancer, carried out after the lock is freed. Guards
-// against I/O under the lock, and against a garbage closure for each wish.
+// action is a command of the Balancer that is executed after the lock is released, so
+// that no I/O happens under the lock. It is a struct rather than a closure to avoid an
+// allocation for each command.
 type action struct {
-	kind   kind
-	unsent bool
-	caller Caller
-	a      *attempt
-	answer any
-	after  time.Duration
-	server string
+	kind       actionKind
+	unsent     bool
+	caller     Caller
+	attempt    *attempt
+	answer     any
+	retryAfter time.Duration
+	server     string
 }
 
-type kind uint8
+// actionKind selects what an action does.
+type actionKind uint8
 
 const (
-	actStart kind = iota
+	actStart actionKind = iota
 	actCancel
 	actCloseAttempt
 	actServe
@@ -34,31 +36,34 @@
 	actTrace
 )
 
+// actionLists recycles the lists of queued actions.
 var actionLists = sync.Pool{New: func() any { l := make([]action, 0, 4); return &l }}
 
-// act writes a wish down.
-func (h *Host) act(a action) {
+// queueAction adds an action that is executed after the lock is released. It is called with the lock held.
+func (h *Host) queueAction(a action) {
 	if h.actions == nil {
 		h.actions = actionLists.Get().(*[]action)
 	}
 	*h.actions = append(*h.actions, a)
 }
 
-func (a *action) do(h *Host) {
+// execute performs the action. It is called without the lock.
+func (a *action) execute(h *Host) {
 	switch a.kind {
 	case actStart:
-		a.a.send.Start()
+		a.attempt.handle.Start()
 	case actCancel:
-		// Told before the connection is closed: its reader would take the end for a
-		// reset, and the server would be blamed for what was called off here.
-		a.a.Done(chalkrack.Cancelled, nil, chalkrack.Report{})
-		a.a.send.Close()
+		// The outcome is reported before the connection is closed. Otherwise the
+		// connection's reader would report the close as a reset, and the cancellation
+		// would count as a failure of the server.
+		a.attempt.Done(chalkrack.Cancelled, nil, chalkrack.Report{})
+		a.attempt.handle.Close()
 	case actCloseAttempt:
-		a.a.send.Close()
+		a.attempt.handle.Close()
 	case actServe:
 		a.caller.Serve(a.answer)
 	case actRefuse:
-		a.caller.Refuse(a.after, a.unsent)
+		a.caller.Refuse(a.retryAfter, a.unsent)
 	case actFail:
 		a.caller.Fail()
 	case actRelease:
@@ -67,10 +72,10 @@
 		h.transport.CloseIdle(a.server)
 	case actProbe:
 		server := a.server
-		h.transport.Probe(server, probeMost, func(rep chalkrack.Report) {
-			h.locked(func(now time.Duration) { h.b.Probed(now, server, rep) })
+		h.transport.Probe(server, probeTimeout, func(rep chalkrack.Report) {
+			h.handleEvent(func(now time.Duration) { h.balancer.Probed(now, server, rep) })
 		})
 	case actTrace:
-		h.write(a.answer.(*Trace))
+		h.writeTrace(a.answer.(*Trace))
 	}
 }
--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -7,193 +7,197 @@
 	"chalkrack"
 )
 
-// attempt is one send of a call, from the Balancer's wish to its end.
+// attempt is one attempt of a call, from the Balancer's Send to its outcome.
 type attempt struct {
-	send Attempt // the transport's
-	host *Host
-	q    *call
-	n    int
-	to   string
-	sent time.Duration
-	done bool
+	handle Attempt // of the transport
+	host   *Host
+	call   *callState
+	index  int
+	server string
+	sentAt time.Duration
+	ended  bool
 
-	ticket   uint64 // of the watch
+	ticket   uint64 // returned by the Watch
 	neverRan bool
 	stream   Stream
 }
 
-// outcomes are the words of the log.
-var outcomes = [...]string{"ok", "server error", "full", "timed out", "connect failed", "reset", "cancelled", "not sent"}
+// outcomeNames holds the names of the outcomes in the log and in traces, by chalkrack.Outcome.
+var outcomeNames = [...]string{"ok", "server error", "full", "timed out", "connect failed", "reset", "cancelled", "not sent"}
 
 // Send implements chalkrack.Host.
 func (h *Host) Send(id chalkrack.RequestID, server string, timeout time.Duration) {
-	q := h.held[id]
-	if q == nil {
+	call := h.held[id]
+	if call == nil {
 		return
 	}
 	now := time.Now()
-	a := &attempt{host: h, q: q, n: len(q.attempts), to: server, sent: h.unix + now.Sub(h.start)}
-	o := Order{
-		Payload:  q.c.Payload,
+	a := &attempt{host: h, call: call, index: len(call.attempts), server: server, sentAt: h.startUnix + now.Sub(h.start)}
+	order := Order{
+		Payload:  call.details.Payload,
 		Server:   server,
-		N:        a.n,
+		N:        a.index,
 		Deadline: now.Add(timeout),
-		Once:     q.class != nil && q.class.Effect == chalkrack.Unsafe,
-		Pass:     q.c.Under.Gen.PassClientErrors,
+		Once:     call.class != nil && call.class.Effect == chalkrack.Unsafe,
+		Pass:     call.details.Under.Gen.PassClientErrors,
 		Sink:     a,
 	}
-	if l := q.c.Limits; l != nil {
-		o.NotAfter = l.NotAfter
-		o.Deadline = o.Deadline.Add(-l.Coming) // servers' time begins with the last byte too
+	if limits := call.details.Limits; limits != nil {
+		order.NotAfter = limits.NotAfter
+		order.Deadline = order.Deadline.Add(-limits.Coming) // the server's time also begins with the last byte of the body
 	}
-	if end := q.repeatBefore(); end > 0 {
-		if at := now.Add(end - a.sent); o.NotAfter.IsZero() || at.Before(o.NotAfter) {
-			o.NotAfter = at
+	if end := call.repeatDeadline(); end > 0 {
+		if at := now.Add(end - a.sentAt); order.NotAfter.IsZero() || at.Before(order.NotAfter) {
+			order.NotAfter = at
 		}
 	}
-	a.send = h.transport.Attempt(o)
+	a.handle = h.transport.Attempt(order)
 	if h.watch != nil {
-		a.ticket = h.watch.Sent(a.sent, server)
-		h.watched[a.ticket] = a
+		a.ticket = h.watch.Sent(a.sentAt, server)
+		h.watchedAttempts[a.ticket] = a
 	}
-	q.attempts = append(q.attempts, a)
-	q.out++
-	h.sends(a.sent, q, a)
-	h.act(action{kind: actStart, a: a})
+	call.attempts = append(call.attempts, a)
+	call.outstanding++
+	h.traceAttempt(a.sentAt, call, a)
+	h.queueAction(action{kind: actStart, attempt: a})
 }
 
 // Cancel implements chalkrack.Host.
 func (h *Host) Cancel(id chalkrack.RequestID, n int) {
-	if q := h.held[id]; q != nil && n < len(q.attempts) {
-		a := q.attempts[n]
-		a.send.Abandon()
-		h.act(action{kind: actCancel, a: a})
+	if call := h.held[id]; call != nil && n < len(call.attempts) {
+		a := call.attempts[n]
+		a.handle.Abandon()
+		h.queueAction(action{kind: actCancel, attempt: a})
 	}
 }
 
-// Stream implements Sink. To the Balancer a long answer is served when it begins:
-// that is its time. Told at its end, the Balancer would take what a slow client needs
-// to read it for lateness of the servers, and shed load.
+// Stream implements Sink. A streamed answer is reported to the Balancer as served when it
+// begins. If it were reported at its end, the time that a slow client takes to read it
+// would count as latency of the server, and the Balancer would shed load.
 func (a *attempt) Stream(answer any, rep chalkrack.Report) (w io.Writer) {
-	a.host.locked(func(now time.Duration) {
-		q := a.q
-		if q.over || a.done {
+	a.host.handleEvent(func(now time.Duration) {
+		call := a.call
+		if call.ended || a.ended {
 			return
 		}
-		a.done, q.over = true, true
-		q.out--
-		a.host.ends(now, q, "served")
-		a.host.attemptEnded(now, a, chalkrack.OK)
+		a.ended, call.ended = true, true
+		call.outstanding--
+		a.host.recordEnd(now, call, "served")
+		a.host.recordOutcome(now, a, chalkrack.OK)
 		h := a.host
-		h.forgo(q)
-		a.stream = q.c.Caller.Stream(answer, a.abort)
+		h.stopUnstarted(call)
+		a.stream = call.details.Caller.Stream(answer, a.abort)
 		w = a.stream
-		defer a.host.forget(q)
-		a.host.b.Done(now, q.id, a.n, chalkrack.OK, true, rep)
+		defer a.host.removeIfDone(call)
+		a.host.balancer.Done(now, call.id, a.index, chalkrack.OK, true, rep)
 	})
 	return w
 }
 
-// abort breaks a long answer off.
+// abort ends a streamed answer early.
 func (a *attempt) abort() {
-	a.send.Abandon()
-	a.send.Close()
+	a.handle.Abandon()
+	a.handle.Close()
 }
 
 // Done implements Sink.
-func (a *attempt) Done(o chalkrack.Outcome, answer any, rep chalkrack.Report) {
+func (a *attempt) Done(outcome chalkrack.Outcome, answer any, rep chalkrack.Report) {
 	if a.stream != nil {
-		if o != chalkrack.OK {
-			a.host.log().Info("long answer broken off", "server", a.to, "by", outcomes[o])
+		if outcome != chalkrack.OK {
+			a.host.log().Info("streamed answer ended early", "server", a.server, "by", outcomeNames[outcome])
 		}
-		a.stream.End(o == chalkrack.OK)
+		a.stream.End(outcome == chalkrack.OK)
 		return
 	}
-	a.host.locked(func(now time.Duration) { a.host.done(now, a, o, answer, rep) })
+	a.host.handleEvent(func(now time.Duration) { a.host.endAttempt(now, a, outcome, answer, rep) })
 }
 
-func (h *Host) done(now time.Duration, a *attempt, o chalkrack.Outcome, answer any, rep chalkrack.Report) {
-	if a.done {
+// endAttempt records the outcome of an attempt and passes it to the Balancer. It is called with
+// the lock held.
+func (h *Host) endAttempt(now time.Duration, a *attempt, outcome chalkrack.Outcome, answer any, rep chalkrack.Report) {
+	if a.ended {
 		return
 	}
-	q := a.q
-	a.done, a.neverRan = true, o.NeverRan()
-	q.out--
-	h.attemptEnded(now, a, o)
+	call := a.call
+	a.ended, a.neverRan = true, outcome.NeverRan()
+	call.outstanding--
+	h.recordOutcome(now, a, outcome)
 	switch {
-	case q.over:
-	case o == chalkrack.OK && answer != nil:
-		q.over = true
-		h.ends(now, q, "served")
-		h.act(action{kind: actServe, caller: q.c.Caller, answer: answer})
-		h.forgo(q)
-	case o == chalkrack.OK: // nothing to show for it
-		o = chalkrack.Reset
+	case call.ended:
+	case outcome == chalkrack.OK && answer != nil:
+		call.ended = true
+		h.recordEnd(now, call, "served")
+		h.queueAction(action{kind: actServe, caller: call.details.Caller, answer: answer})
+		h.stopUnstarted(call)
+	case outcome == chalkrack.OK: // success was reported without an answer
+		outcome = chalkrack.Reset
 	}
-	if o != chalkrack.OK && o != chalkrack.Full && o != chalkrack.Cancelled {
-		h.log().Info("attempt ended: "+outcomes[o], "id", q.id, "class", q.c.Class, "attempt", a.n, "server", a.to, "after", now-a.sent, "phase", a.send.Phase())
+	if outcome != chalkrack.OK && outcome != chalkrack.Full && outcome != chalkrack.Cancelled {
+		h.log().Info("attempt ended: "+outcomeNames[outcome], "id", call.id, "class", call.details.Class, "attempt", a.index, "server", a.server, "after", now-a.sentAt, "phase", a.handle.Phase())
 	}
-	over := q.over
-	h.b.Done(now, q.id, a.n, o, over, rep)
-	h.forget(q)
+	callEnded := call.ended
+	h.balancer.Done(now, call.id, a.index, outcome, callEnded, rep)
+	h.removeIfDone(call)
 }
 
-// forgo stops what of a call's attempts has not begun when it is over. Guards against a
-// connection that comes up after the final answer, or after the client has left, where the
-// Balancer lets both of a pair run, or may cancel nothing: it would be sent on for nobody.
-func (h *Host) forgo(q *call) {
-	for _, a := range q.attempts {
-		if !a.done && a.send.Forgo() {
-			h.act(action{kind: actCancel, a: a})
+// stopUnstarted stops those attempts of an ended call that have not begun. The Balancer may let
+// both attempts of a hedged pair run, or the settings may not allow it to cancel. An attempt
+// whose connection is established after the final answer, or after the client has left,
+// would then be sent although nobody waits for it.
+func (h *Host) stopUnstarted(call *callState) {
+	for _, a := range call.attempts {
+		if !a.ended && a.handle.Forgo() {
+			h.queueAction(action{kind: actCancel, attempt: a})
 		}
 	}
 }
 
-// GiveUp stops waiting for attempts, by the watch's tickets, so that others can be made for
-// their calls. What must not run twice goes on: no other can be made, and this one may
-// still be answered.
+// GiveUp stops waiting for the attempts with the given tickets of the Watch, so that their
+// calls can be attempted again. Attempts of calls that must not run twice go on: those calls
+// cannot be attempted again, and the attempt may still be answered.
 func (h *Host) GiveUp(tickets []uint64) {
 	if len(tickets) == 0 {
 		return
 	}
-	h.locked(func(now time.Duration) {
-		for _, t := range tickets {
-			a := h.watched[t]
-			if a == nil || a.done || a.q.over || a.q.coming || a.q.class == nil || a.q.class.Effect == chalkrack.Unsafe {
+	h.handleEvent(func(now time.Duration) {
+		for _, ticket := range tickets {
+			a := h.watchedAttempts[ticket]
+			if a == nil || a.ended || a.call.ended || a.call.bodyPending || a.call.class == nil || a.call.class.Effect == chalkrack.Unsafe {
 				continue
 			}
-			o := chalkrack.TimedOut
-			if !a.send.Abandon() {
-				o = chalkrack.ConnectFailed
+			outcome := chalkrack.TimedOut
+			if !a.handle.Abandon() {
+				outcome = chalkrack.ConnectFailed
 			}
-			h.act(action{kind: actCloseAttempt, a: a})
-			h.done(now, a, o, nil, chalkrack.Report{})
+			h.queueAction(action{kind: actCloseAttempt, attempt: a})
+			h.endAttempt(now, a, outcome, nil, chalkrack.Report{})
 		}
 	})
 }
 
-// expire ends what a call still has out at its deadline.
-func (h *Host) expire(now time.Duration, q *call) {
-	if h.held[q.id] == nil {
+// expireCall ends a call at its deadline, together with its outstanding attempts. It is called
+// with the lock held.
+func (h *Host) expireCall(now time.Duration, call *callState) {
+	if h.held[call.id] == nil {
 		return
 	}
-	for _, a := range q.attempts {
-		if a.done {
+	for _, a := range call.attempts {
+		if a.ended {
 			continue
 		}
-		o := chalkrack.TimedOut
-		if !a.send.Abandon() {
-			o = chalkrack.ConnectFailed
-			if q.coming { // that the client took so long is no fault of the server's
-				o = chalkrack.NotSent
+		outcome := chalkrack.TimedOut
+		if !a.handle.Abandon() {
+			outcome = chalkrack.ConnectFailed
+			if call.bodyPending { // the client was too slow, which is no failure of the server
+				outcome = chalkrack.NotSent
 			}
 		}
-		h.act(action{kind: actCloseAttempt, a: a})
-		h.done(now, a, o, nil, chalkrack.Report{})
+		h.queueAction(action{kind: actCloseAttempt, attempt: a})
+		h.endAttempt(now, a, outcome, nil, chalkrack.Report{})
 	}
-	if !q.over {
-		h.log().Error("request unanswered at its deadline", "class", q.c.Class)
-		h.b.ClientGone(now, q.id)
-		h.end(q, action{kind: actFail})
+	if !call.ended {
+		h.log().Error("call not answered by its deadline", "class", call.details.Class)
+		h.balancer.ClientGone(now, call.id)
+		h.endCall(call, action{kind: actFail})
 	}
 }
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -1,10 +1,10 @@
-// Package core hosts the decision module for every kind of front and transport. It
-// knows calls and attempts only: what a listener has read and a transport sends goes
-// through it unseen. It brings the events of callers, servers and discovery to the
-// Balancer and carries out its decisions; it makes none itself, beyond guarding its
-// limits. What must hold for every protocol stands here, once: one final answer to
-// each call, in time; deadlines; the window of keyed calls; panics kept to the call
-// that they came from.
+// Package core runs a Balancer independently of any protocol. It handles calls and
+// attempts only and never inspects the payload that a listener reads and a transport
+// sends. It passes the events of callers, servers and discovery to the Balancer and
+// executes its decisions; it makes no decision itself apart from enforcing its own
+// limits. It enforces what holds for every protocol: each call gets one final answer
+// before its deadline, a keyed call is repeated only within its window, and a panic
+// affects only the call that caused it.
 package core
 
 import (
@@ -15,124 +15,136 @@
 	"chalkrack/internal/generation"
 )
 
-// Caller is one call's side toward whoever made it. The core ends each call that has
-// arrived once, by Serve, Refuse, Fail or Stream, unless Gone took it back, and calls
-// Release once, when no attempt needs the payload any more. The methods are called
-// without the core's lock, from any goroutine, and must not wait for the client
-// longer than they bound themselves.
+// Caller receives the result of one call on behalf of its client. The core ends each
+// call that has arrived exactly once, with Serve, Refuse, Fail or Stream, unless
+// Host.Gone withdrew it first, and calls Release exactly once, when no attempt needs the
+// payload any more. Serve, Refuse, Fail and Release are called without the core's lock,
+// from any goroutine. An implementation must bound the time for which a method waits for
+// the client.
 type Caller interface {
-	// Serve passes on a whole answer, as the transport brought it.
+	// Serve delivers a complete answer, as the transport returned it.
 	Serve(answer any)
-	// Refuse says that trying again is harmless, after the time given (0: none given).
-	// unsent says that no attempt can have run.
+	// Refuse reports that the call may be retried without harm after retryAfter (0: no
+	// time is suggested). unsent reports that no attempt can have run.
 	Refuse(retryAfter time.Duration, unsent bool)
-	// Fail says that the call failed, and may have run.
+	// Fail reports that the call failed and may have run.
 	Fail()
-	// Stream begins a long answer. The transport writes the rest and ends it. abort
-	// breaks it off at the transport, which ends it then: for a caller that leaves
-	// while the server says nothing. It must not be called from within Stream.
+	// Stream begins a streamed answer. The transport writes the rest and ends it. abort
+	// makes the transport end the stream early, for a caller that leaves while the
+	// server sends nothing. abort must not be called from within Stream, which runs
+	// under the core's lock.
 	Stream(answer any, abort func()) Stream
+	// Release reports that the core no longer uses the call or its payload.
 	Release()
 }
 
-// Stream is a long answer on its way to the caller.
+// Stream receives the body of a streamed answer.
 type Stream interface {
 	io.Writer
-	// End ends it; ok says that all of it came.
+	// End ends the stream; ok reports whether the body is complete.
 	End(ok bool)
 }
 
-// Call is one call as its caller tells it. The caller owns it and may embed it; the
-// core keeps it until Release.
+// Call describes one call. The caller owns it and may embed it; the core refers to it
+// until Caller.Release.
 type Call struct {
-	ID       string // the same for each attempt and each copy of the call that comes in
+	ID       string // the same for each attempt of the call and each time that it arrives
 	Class    string
 	Tenant   string
 	Key      string
-	Wait     time.Duration // how long the caller waits from Received on; 0: as long as the class may
+	Wait     time.Duration // how long the caller waits, from Received on; 0: the class's deadline
 	Received time.Time
-	Limits   *Limits // nil: those of the settings only
-	// Under is the generation that the call lives under, as Host.Stamp or Host.Route gave
-	// it when the call began to come; zero: the one that it arrives in.
+	Limits   *Limits // nil: only the limits of the settings apply
+	// Under is the configuration generation that applies to the call until its end, as
+	// returned by Host.Stamp or Host.Route when the call began to be read. The zero value
+	// selects the generation that is current when the call arrives.
 	Under   generation.Stamp
-	Payload any // for the transport
+	Payload any // passed to the transport
 	Caller  Caller
-	Retry   bool // its caller's, told for the log
+	Retry   bool // the client marked the call as a retry; used by the trace only
 
-	state *call
+	state *callState
 }
 
-// Limits is what a tier before this one leaves of a call, or its front.
+// Limits restricts a call further than the settings do. It is set by the listener, also
+// on behalf of the previous tier.
 type Limits struct {
-	// Attempts is how many attempts may be made at most; 0: as many as the settings
-	// allow. 1 also says that the tier before decides on the call: it gets that
-	// attempt, and earns and spends no budget here.
+	// Attempts is the maximum number of attempts; 0: the number in the settings. 1 also
+	// means that the previous tier decides on retries: the call gets one attempt, and
+	// neither adds to the retry budget here nor spends from it.
 	Attempts int
-	Mark     string    // with Attempts at 1: names this attempt of the tier before; empty: it comes once
-	NotAfter time.Time // no attempt begins later; zero: no such end
-	Only     string    // the one server that may take it; empty: any
-	// Coming is how long the body may still take of a call that arrives before it is
-	// whole, since it is kept nowhere: it gets one attempt, and its time counts from
-	// Host.Whole on. 0: all of it is here.
+	Mark     string    // with Attempts at 1: identifies this attempt of the previous tier; empty: no duplicate is expected
+	NotAfter time.Time // no attempt begins later; zero: no such limit
+	Only     string    // the only server that the call may go to; empty: any
+	// Coming is the maximum time for the rest of the body of a call that arrives before
+	// its body is complete. As such a body is not stored and cannot be sent again, the
+	// call gets one attempt. Its time counts from Host.Whole on. 0: the body is complete.
 	Coming time.Duration
 }
 
-// Watch is told of each attempt, under the core's lock: it must not wait, nor call back.
+// Watch observes each attempt. Its methods are called with the core's lock held, so they
+// must neither block nor call the Host.
 type Watch interface {
-	// Sent says that an attempt goes to a server. What it returns is told at its end.
+	// Sent reports that an attempt is sent to a server. The ticket that it returns
+	// identifies the attempt in Ended and in Host.GiveUp.
 	Sent(now time.Duration, server string) (ticket uint64)
-	// Ended says how it ended, once.
+	// Ended reports the outcome of an attempt, once for each.
 	Ended(now time.Duration, ticket uint64, o chalkrack.Outcome)
 }
 
-// Order is what a transport is told of one attempt.
+// Order describes one attempt to a transport.
 type Order struct {
-	Payload  any // the call's
+	Payload  any // of the call
 	Server   string
-	N        int       // which attempt of the call, from 0
+	N        int       // the attempt's index within the call, from 0
 	Deadline time.Time // when the core stops waiting
-	NotAfter time.Time // when it is too late to begin; zero: never
-	Once     bool      // must not run twice
-	Pass     bool      // a 4xx is the answer
+	NotAfter time.Time // the attempt must not begin later; zero: no such limit
+	Once     bool      // the call must not run twice
+	Pass     bool      // a 4xx response is passed on as the call's answer
 	Sink     Sink
 }
 
-// Sink is told how an attempt goes.
+// Sink receives the result of an attempt.
 type Sink interface {
-	// Stream says that a long answer has begun, and asks where the rest goes; nil
-	// if nobody wants it.
+	// Stream reports that a streamed answer has begun. It returns the writer for the
+	// rest of the body, or nil if the call has already ended.
 	Stream(answer any, rep chalkrack.Report) io.Writer
-	// Done tells the outcome; answer is set for a whole one. Only the first call counts.
+	// Done reports the outcome; answer is set for a complete answer. Only the first
+	// call has an effect.
 	Done(o chalkrack.Outcome, answer any, rep chalkrack.Report)
 }
 
-// Transport carries attempts to servers. It sends nothing twice and chooses nothing.
+// Transport sends attempts to servers. It sends each attempt at most once and never
+// selects a server.
 type Transport interface {
-	// Attempt readies an attempt. Nothing is sent before its Start.
+	// Attempt prepares an attempt. Nothing is sent before Attempt.Start.
 	Attempt(o Order) Attempt
-	// Serve says where a server is and when it last started.
+	// Serve sets a server's address and the time at which it last started.
 	Serve(server, address string, started time.Duration)
-	// Leave says that a server drains or has gone: nothing new goes to it once the
-	// grace is over, whatever was on its way.
+	// Leave reports that a server is draining or, with gone, has been removed. No attempt
+	// begins there after the drain grace period, not even one that was already queued.
 	Leave(server string, gone bool)
-	// Keep lets go of all servers but those listed.
+	// Keep removes all servers except those listed.
 	Keep(listed map[string]bool)
+	// CloseIdle closes a server's idle connections.
 	CloseIdle(server string)
-	// Probe asks a server for its load. told is called once at most, from any
-	// goroutine, and not if the answer takes longer than wait.
+	// Probe requests a server's load report. told is called at most once, from any
+	// goroutine, and not at all if the report takes longer than wait.
 	Probe(server string, wait time.Duration, told func(chalkrack.Report))
 }
 
 // Attempt is one send of a call to one server.
 type Attempt interface {
-	// Start makes the attempt. It does not wait for the server.
+	// Start begins the attempt. It does not wait for the server.
 	Start()
-	// Abandon stops it, without I/O, and says whether it may have begun.
+	// Abandon stops the attempt without I/O and reports whether it may have begun.
 	Abandon() (began bool)
-	// Forgo stops it, without I/O, if it has not begun; false: it has.
+	// Forgo stops the attempt without I/O unless it has begun, and reports whether it
+	// did so.
 	Forgo() bool
-	// Close frees what an abandoned attempt holds, so that its server may learn of it.
+	// Close frees the resources of an abandoned attempt, for example its connection, by
+	// which the server can notice that the attempt was cancelled.
 	Close()
-	// Phase tells for the log how far it came.
+	// Phase returns the phase that the attempt has reached, for the log.
 	Phase() string
 }
--- a/internal/core/export_test.go
+++ b/internal/core/export_test.go
@@ -1,15 +1,15 @@
 package core
 
-// WithoutBalancer takes the Balancer away, so that each event panics, until the
-// function returned is called.
+// WithoutBalancer removes the Balancer, so that each event panics, until the returned
+// function is called.
 func (h *Host) WithoutBalancer() (back func()) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	b := h.b
-	h.b = nil
+	b := h.balancer
+	h.balancer = nil
 	return func() {
 		h.mu.Lock()
 		defer h.mu.Unlock()
-		h.b = b
+		h.balancer = b
 	}
 }
--- /dev/null
+++ b/internal/core/gate.go
@@ -0,0 +1,53 @@
+package core
+
+import (
+	"time"
+
+	"chalkrack"
+)
+
+// Tally counts attempts that have ended.
+type Tally struct {
+	Ended uint64 // all except those that were cancelled or not sent
+	Late  uint64 // those of Ended, not declined, that timed out or ended after the aim of their call
+	Full  uint64 // those of Ended that the server declined
+}
+
+// SetGate makes the Balancer ask g, which the Host's lock guards from now on.
+func (h *Host) SetGate(g chalkrack.Gate) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.balancer.SetGate(g)
+}
+
+// With calls do with the lock that guards the gate held. It passes the current time, the
+// counts of attempts, the number of serving servers and the number of those that are
+// ejected. do must not call the Host.
+func (h *Host) With(do func(now time.Duration, seen Tally, members, ejected int)) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	now := h.now()
+	state := h.balancer.ViewState(now)
+	do(now, h.tally, state.Members, state.Ejected)
+}
+
+// countOutcome adds the outcome of an attempt to the tally.
+func (h *Host) countOutcome(now time.Duration, a *attempt, outcome chalkrack.Outcome) {
+	if outcome == chalkrack.Cancelled || outcome == chalkrack.NotSent {
+		return
+	}
+	h.tally.Ended++
+	switch {
+	case outcome == chalkrack.Full:
+		h.tally.Full++
+	case outcome == chalkrack.TimedOut, a.call.class != nil && now-a.call.arrivedAt > a.call.class.Aim:
+		h.tally.Late++
+	}
+}
+
+// Reported passes a server's load report that is of the given age to the Balancer.
+func (h *Host) Reported(server string, age time.Duration, rep chalkrack.Report) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.balancer.Probed(h.now()-age, server, rep)
+}
--- a/internal/core/host.go
+++ b/internal/core/host.go
@@ -15,169 +15,175 @@
 )
 
 const (
+	// deadlineMargin is how long before a client's deadline its call ends here.
 	deadlineMargin = 5 * time.Millisecond
-	// longestWait bounds what a client may ask to wait.
-	longestWait = 10 * time.Minute
-	// probeMost is how long a probe may take.
-	probeMost = 500 * time.Millisecond
+	// maxClientWait is the upper limit of the time that a client may ask to wait.
+	maxClientWait = 10 * time.Minute
+	// probeTimeout is the timeout of a probe.
+	probeTimeout = 500 * time.Millisecond
 )
 
-// Host is the chalkrack.Host of one Balancer. One lock guards the Balancer and all
-// that belongs to it. The Balancer's wishes are written down under the lock and
-// carried out after it is freed, by whoever brought the event.
+// Host is the chalkrack.Host of one Balancer. One lock guards the Balancer and all state
+// that belongs to it. The Balancer's commands are queued under the lock and executed after
+// its release, by the goroutine that delivered the event.
 type Host struct {
 	transport Transport
 	log       func() *slog.Logger
-	trace     *slog.Logger // nil: off
-	watch     Watch        // nil: nobody
-
-	start time.Time
-	unix  time.Duration // at start
-
-	view   atomic.Pointer[generation.View] // of gens, to be read without the lock
-	stamps atomic.Uint64                   // given out in trials
-
-	mu      sync.Mutex
-	b       *chalkrack.Balancer
-	gens    *generation.Machine
-	held    map[chalkrack.RequestID]*call
-	last    chalkrack.RequestID
-	marks   marks
-	alarms  alarms
-	watched map[uint64]*attempt // that are out, by the watch's tickets; nil: no watch
-	alarm   *time.Timer
-	alarmAt time.Duration
-	actions *[]action // nil: none
-	quitAt  time.Duration
-	// listedAt is when discovery last said anything.
+	traceLog  *slog.Logger // nil: off
+	watch     Watch        // nil: none
+
+	start     time.Time
+	startUnix time.Duration // the Unix time at start
+
+	generationView atomic.Pointer[generation.View] // of generations, for reading without the lock
+	stampCount     atomic.Uint64                   // number of stamps issued during trials
+
+	mu              sync.Mutex
+	balancer        *chalkrack.Balancer
+	generations     *generation.Machine
+	held            map[chalkrack.RequestID]*callState
+	lastID          chalkrack.RequestID
+	marks           seenMarks
+	timers          timerHeap
+	watchedAttempts map[uint64]*attempt // outstanding attempts by the Watch's ticket; nil: no Watch
+	timer           *time.Timer
+	timerAt         time.Duration // when timer fires; 0: not set
+	actions         *[]action     // nil: none
+	quitAt          time.Duration // 0: QuitAt was not called
+	// listedAt is the time of the last list or change received from discovery.
 	listedAt time.Duration
 	ready    bool
 	closed   bool
 	tally    Tally
 }
 
-// Config is what a Host is told.
+// Config configures a Host.
 type Config struct {
 	Settings  *settings.Settings
-	First     *generation.Generation // in place of Settings
+	First     *generation.Generation // the initial configuration; if set, Settings is ignored
 	Seed      uint64
 	Transport Transport
 	Log       *slog.Logger // nil: the default one
-	// Trace is told of each call that was not served within its aim; nil: nobody is.
+	// Trace logs the trace of each call that was not served within its aim; nil: off.
 	Trace *slog.Logger
-	// Watch is told of each attempt; nil: nobody is.
+	// Watch observes each attempt; nil: none.
 	Watch Watch
 }
 
+// noLimits stands for a nil Call.Limits.
 var noLimits Limits
 
-// call is one that is owed an answer or attempts' ends.
-type call struct {
-	id       chalkrack.RequestID
-	c        *Call
-	deadline time.Duration
-	class    *chalkrack.Class // nil: unknown
-	at       int              // the class's place; -1: unknown
-	attempts []*attempt
-	out      int
-	over     bool
-	coming   bool // its body is not whole
-
-	trace *Trace        // nil: not told
-	came  time.Duration // or when it was whole
+// callState is the state of a call that has no final answer yet or has outstanding attempts.
+type callState struct {
+	id          chalkrack.RequestID
+	details     *Call
+	deadline    time.Duration
+	class       *chalkrack.Class // nil: unknown
+	classIndex  int              // -1: unknown
+	attempts    []*attempt
+	outstanding int  // the number of attempts without an outcome
+	ended       bool // it has its final answer, or its client has left
+	bodyPending bool // its body is not complete
+
+	trace     *Trace        // nil: not traced
+	arrivedAt time.Duration // when it arrived or, if later, when its body was complete
 }
 
-// repeatBefore is when it is too late to repeat a keyed request: a window after the
-// first send that may have run; 0 if none has, or for other requests.
-func (q *call) repeatBefore() time.Duration {
-	if q.class == nil || q.class.Effect != chalkrack.Keyed {
+// repeatDeadline returns the time before which a keyed call may be repeated: one window after
+// the first attempt that may have run. It returns 0 if no attempt may have run, and for
+// calls of other effects.
+func (call *callState) repeatDeadline() time.Duration {
+	if call.class == nil || call.class.Effect != chalkrack.Keyed {
 		return 0
 	}
-	for _, a := range q.attempts {
+	for _, a := range call.attempts {
 		if !a.neverRan {
-			return a.sent + q.class.Window
+			return a.sentAt + call.class.Window
 		}
 	}
 	return 0
 }
 
-// New returns a Host of a new Balancer. Its Listed and DiscoveryFailed take what whoever
-// follows the list says.
+// New returns a Host with a new Balancer. Whoever follows the server list passes it to
+// Listed and reports errors to DiscoveryFailed.
 func New(cfg Config) (*Host, error) {
 	start := time.Now()
 	first := cfg.First
 	if first == nil {
 		first = &generation.Generation{Settings: cfg.Settings}
 	}
-	gens, err := generation.New(first)
+	generations, err := generation.New(first)
 	if err != nil {
 		return nil, err
 	}
 	h := &Host{
-		gens:      gens,
-		transport: cfg.Transport,
-		log:       slog.Default, // each time anew: a program may set it late
-		start:     start,
-		unix:      time.Duration(start.UnixNano()),
-		held:      make(map[chalkrack.RequestID]*call),
-		trace:     cfg.Trace,
-		watch:     cfg.Watch,
+		generations: generations,
+		transport:   cfg.Transport,
+		log:         slog.Default, // called for each line, since a program may set the default logger later
+		start:       start,
+		startUnix:   time.Duration(start.UnixNano()),
+		held:        make(map[chalkrack.RequestID]*callState),
+		traceLog:    cfg.Trace,
+		watch:       cfg.Watch,
 	}
 	if cfg.Log != nil {
 		h.log = func() *slog.Logger { return cfg.Log }
 	}
 	if h.watch != nil {
-		h.watched = make(map[uint64]*attempt)
+		h.watchedAttempts = make(map[uint64]*attempt)
 	}
-	h.view.Store(gens.View())
-	h.alarm = time.AfterFunc(time.Hour, h.ring)
-	h.locked(func(time.Duration) { h.b, err = chalkrack.New(*first.Rules(), cfg.Seed, h) })
+	h.generationView.Store(generations.View())
+	h.timer = time.AfterFunc(time.Hour, h.fireTimers)
+	h.handleEvent(func(time.Duration) { h.balancer, err = chalkrack.New(*first.Rules(), cfg.Seed, h) })
 	if err != nil {
-		h.alarm.Stop()
+		h.timer.Stop()
 	}
 	return h, err
 }
 
-// SetZones has the Balancer ask z whether zones have room for calls.
+// SetZones makes the Balancer ask z whether zones have capacity for calls.
 func (h *Host) SetZones(z chalkrack.Zones) {
-	h.locked(func(time.Duration) { h.b.SetZones(z) })
+	h.handleEvent(func(time.Duration) { h.balancer.SetZones(z) })
 }
 
-// Now is the time that the Balancer goes by.
+// Now returns the Balancer's time, as the time since the Unix epoch.
 func (h *Host) Now() time.Duration { return h.now() }
 
-func (h *Host) now() time.Duration { return h.unix + time.Since(h.start) }
+// now returns the Balancer's time. After the start it follows the monotonic clock.
+func (h *Host) now() time.Duration { return h.startUnix + time.Since(h.start) }
 
-// locked brings an event to the Balancer and then does what it asked for.
-func (h *Host) locked(event func(now time.Duration)) {
-	acts := h.decide(event)
-	if acts == nil {
+// handleEvent runs event with the lock held, then executes the actions that it queued without
+// the lock.
+func (h *Host) handleEvent(event func(now time.Duration)) {
+	actions := h.runLocked(event)
+	if actions == nil {
 		return
 	}
-	for n := range *acts {
-		(*acts)[n].do(h)
+	for n := range *actions {
+		(*actions)[n].execute(h)
 	}
-	clear(*acts)
-	*acts = (*acts)[:0]
-	actionLists.Put(acts)
+	clear(*actions)
+	*actions = (*actions)[:0]
+	actionLists.Put(actions)
 }
 
-// decide frees the lock also if the Balancer panics: others' calls go on.
-func (h *Host) decide(event func(now time.Duration)) *[]action {
+// runLocked runs event with the lock held and returns the queued actions, nil if there are
+// none. It releases the lock even if the Balancer panics, so that other calls continue.
+func (h *Host) runLocked(event func(now time.Duration)) *[]action {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	event(h.now())
-	h.wind()
-	acts := h.actions
+	h.resetTimer()
+	actions := h.actions
 	h.actions = nil
-	return acts
+	return actions
 }
 
-// Arrive takes a call, which it ends once, also where the Balancer panics on it.
+// Arrive accepts a call, which is ended exactly once, even if the Balancer panics on it.
 func (h *Host) Arrive(c *Call) {
 	defer func() {
 		if p := recover(); p != nil {
-			h.log().Error("panic", "at", "a call that arrives", "panic", p, "stack", string(debug.Stack()))
+			h.log().Error("panic", "at", "call arrival", "panic", p, "stack", string(debug.Stack()))
 			if h.Gone(c) {
 				c.Caller.Fail()
 			}
@@ -187,189 +193,195 @@
 		c.Under = h.Stamp()
 	}
 	gen := c.Under.Gen
-	set := gen.Settings
-	h.locked(func(now time.Duration) {
-		class := gen.Class(c.Class)
-		if h.closed || set.MaxHeld > 0 && len(h.held) >= set.MaxHeld {
-			h.log().Warn("call refused", "held", len(h.held), "closed", h.closed)
-			h.gens.Bad(c.Under, class, bake.Refused)
-			h.act(action{kind: actRefuse, caller: c.Caller, after: set.Config.MaxRetryAfter / 10, unsent: true})
-			h.act(action{kind: actRelease, caller: c.Caller})
+	callSettings := gen.Settings
+	h.handleEvent(func(now time.Duration) {
+		classIndex := gen.Class(c.Class)
+		if h.closed || callSettings.MaxHeld > 0 && len(h.held) >= callSettings.MaxHeld {
+			h.log().Warn("call refused: call limit reached or closed", "held", len(h.held), "closed", h.closed)
+			h.generations.Bad(c.Under, classIndex, bake.Refused)
+			h.queueAction(action{kind: actRefuse, caller: c.Caller, retryAfter: callSettings.Config.MaxRetryAfter / 10, unsent: true})
+			h.queueAction(action{kind: actRelease, caller: c.Caller})
 			return
 		}
 		limits := c.Limits
 		if limits == nil {
 			limits = &noLimits
 		}
-		if limits.Attempts == 1 && limits.Mark != "" && h.marks.again(c.ID, limits.Mark, now) {
-			h.log().Warn("marked call came twice: not attempted again", "class", c.Class)
-			h.act(action{kind: actFail, caller: c.Caller})
-			h.act(action{kind: actRelease, caller: c.Caller})
+		if limits.Attempts == 1 && limits.Mark != "" && h.marks.seenBefore(c.ID, limits.Mark, now) {
+			h.log().Warn("duplicate of a marked attempt: not attempted again", "class", c.Class)
+			h.queueAction(action{kind: actFail, caller: c.Caller})
+			h.queueAction(action{kind: actRelease, caller: c.Caller})
 			return
 		}
 		wait := c.Wait
 		if wait == 0 {
-			wait = set.DeadlineOf(c.Class)
+			wait = callSettings.DeadlineOf(c.Class)
 		}
-		deadline := now - time.Since(c.Received) + limits.Coming + within(wait)
+		deadline := now - time.Since(c.Received) + limits.Coming + callTimeout(wait)
 		if h.quitAt > 0 {
 			deadline = min(deadline, h.quitAt)
 		}
-		h.last++
-		q := &call{id: h.last, c: c, deadline: deadline, at: class, came: now, coming: limits.Coming > 0}
-		if class >= 0 {
-			q.class = &gen.Rules().Classes[class]
+		h.lastID++
+		call := &callState{id: h.lastID, details: c, deadline: deadline, classIndex: classIndex, arrivedAt: now, bodyPending: limits.Coming > 0}
+		if classIndex >= 0 {
+			call.class = &gen.Rules().Classes[classIndex]
 		}
-		c.state = q
-		h.held[q.id] = q
-		h.after(alarm{at: deadline, q: q})
-		h.begins(now, q)
-		h.b.Arrive(now, chalkrack.Request{
-			ID:       q.id,
-			Class:    class,
+		c.state = call
+		h.held[call.id] = call
+		h.addTimer(timerEntry{at: deadline, call: call})
+		h.traceArrival(now, call)
+		h.balancer.Arrive(now, chalkrack.Request{
+			ID:       call.id,
+			Class:    classIndex,
 			Tenant:   gen.Tenant(c.Tenant),
 			Key:      c.Key,
 			Deadline: deadline,
-			Attempts: limits.attempts(),
+			Attempts: limits.maxAttempts(),
 			Only:     limits.Only,
-			Coming:   q.coming,
+			Coming:   call.bodyPending,
 			Under:    gen.Rules(),
 		})
 	})
 }
 
-// within is how long a call may take whose caller waits for so long.
-func within(wait time.Duration) time.Duration {
-	return min(wait, longestWait) - min(deadlineMargin, wait/10)
+// callTimeout returns the time that a call may take whose caller waits for the given time. The
+// margin is at most a tenth of the wait, so that a short wait is not used up by it.
+func callTimeout(wait time.Duration) time.Duration {
+	return min(wait, maxClientWait) - min(deadlineMargin, wait/10)
 }
 
-// attempts is the most of a call's attempts: one of a body that nobody keeps.
-func (l *Limits) attempts() int {
+// maxAttempts returns the maximum number of attempts, 0 if it is not limited. It is one while
+// the body is still arriving, since the body is not stored.
+func (l *Limits) maxAttempts() int {
 	if l.Coming > 0 {
 		return 1
 	}
 	return l.Attempts
 }
 
-// Whole says that the last byte of a call with Limits.Coming has come.
+// Whole reports that the last byte of a call with Limits.Coming has been received.
 func (h *Host) Whole(c *Call) {
-	defer h.recovered("a body that is whole")
-	h.locked(func(now time.Duration) {
-		q := c.state
-		if q == nil || q.over || !q.coming {
+	defer h.logPanic("complete body")
+	h.handleEvent(func(now time.Duration) {
+		call := c.state
+		if call == nil || call.ended || !call.bodyPending {
 			return
 		}
 		wait := c.Wait
 		if wait == 0 {
 			wait = c.Under.Gen.Settings.DeadlineOf(c.Class)
 		}
-		q.coming, q.came = false, now
-		q.deadline = min(q.deadline, now+within(wait))
-		h.after(alarm{at: q.deadline, q: q})
-		h.b.Whole(now, q.id, q.deadline)
+		call.bodyPending, call.arrivedAt = false, now
+		call.deadline = min(call.deadline, now+callTimeout(wait))
+		h.addTimer(timerEntry{at: call.deadline, call: call})
+		h.balancer.Whole(now, call.id, call.deadline)
 	})
 }
 
-// Gone says that a call's caller has left. False says that its answer is under way
-// or given, so that the caller hears of it all the same. It holds also where the
-// Balancer panics: the caller's side comes here to end a call that a panic has left
-// open.
+// Gone reports that a call's caller has left, and returns whether that ended the call. If
+// not, the Caller has received or will receive an answer nevertheless. The result is valid
+// even if the Balancer panics, since the caller's side uses Gone to end a call that a panic
+// has left open.
 func (h *Host) Gone(c *Call) (taken bool) {
-	defer h.recovered("a caller that left")
-	h.locked(func(now time.Duration) {
-		q := c.state
-		if q == nil || q.over { // of a long answer the writes will notice
+	defer h.logPanic("departed caller")
+	h.handleEvent(func(now time.Duration) {
+		call := c.state
+		if call == nil || call.ended { // for a streamed answer, writing to the client will fail
 			return
 		}
-		q.over, taken = true, true
-		h.forgo(q)
-		h.ends(now, q, "left")
-		h.log().Info("client left", "id", q.id, "class", c.Class, "after", time.Since(c.Received), "attempts", len(q.attempts), "wait", c.Wait)
-		defer h.forget(q)
-		h.b.ClientGone(now, q.id)
+		call.ended, taken = true, true
+		h.stopUnstarted(call)
+		h.recordEnd(now, call, "left")
+		h.log().Info("client left", "id", call.id, "class", c.Class, "after", time.Since(c.Received), "attempts", len(call.attempts), "wait", c.Wait)
+		defer h.removeIfDone(call)
+		h.balancer.ClientGone(now, call.id)
 	})
 	return taken
 }
 
-// Ready says whether calls may come.
+// Ready reports whether calls may be sent here.
 func (h *Host) Ready() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.ready
 }
 
-// SetReady says whether calls may come.
+// SetReady sets whether calls may be sent here.
 func (h *Host) SetReady(ready bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.ready = ready
 }
 
-// EmptyBudgets takes the budgets of retries and copies away. They are earned anew by
-// the calls that come.
-func (h *Host) EmptyBudgets() { h.locked(func(time.Duration) { h.b.EmptyBudgets() }) }
+// EmptyBudgets sets the budgets of retries and copies to zero. Later calls add to them
+// again.
+func (h *Host) EmptyBudgets() { h.handleEvent(func(time.Duration) { h.balancer.EmptyBudgets() }) }
 
-// QuitAt sees to it that all is answered by then, and clients are told to wait no longer.
+// QuitAt limits the deadline of all current and future calls to the given time from now,
+// so that every call is answered by then.
 func (h *Host) QuitAt(in time.Duration) {
-	h.locked(func(now time.Duration) {
+	h.handleEvent(func(now time.Duration) {
 		h.quitAt = now + in
-		for _, q := range h.held {
-			if q.deadline > h.quitAt {
-				h.after(alarm{at: h.quitAt, q: q})
+		for _, call := range h.held {
+			if call.deadline > h.quitAt {
+				h.addTimer(timerEntry{at: h.quitAt, call: call})
 			}
 		}
 	})
 }
 
-// Ejected is the number of listed servers that get no calls by choice.
+// Ejected returns the number of listed servers that the Balancer has ejected.
 func (h *Host) Ejected() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.b.Ejected(h.now())
+	return h.balancer.Ejected(h.now())
 }
 
-// Memory is what the Balancer has learnt, for another process of the same sidecar.
+// Memory returns the state that the Balancer has learned, for another process of the same
+// sidecar.
 func (h *Host) Memory() chalkrack.Memory {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.b.Memory(h.now())
+	return h.balancer.Memory(h.now())
 }
 
-// Remember goes on from what another process has learnt of the servers that are listed.
+// Remember restores the state that another process has learned about the servers that are
+// listed.
 func (h *Host) Remember(m chalkrack.Memory) {
-	h.locked(func(now time.Duration) { h.b.Remember(now, m) })
+	h.handleEvent(func(now time.Duration) { h.balancer.Remember(now, m) })
 }
 
-// Close ends all that is still held, as failed, and the timer. Calls that arrive later
+// Close fails all calls that are still held and stops the timer. Calls that arrive later
 // are refused.
 func (h *Host) Close() {
-	h.locked(func(now time.Duration) {
+	h.handleEvent(func(now time.Duration) {
 		h.closed = true
-		for _, q := range h.held {
-			h.b.ClientGone(now, q.id) // first: else it would be attempted once more
-			h.end(q, action{kind: actFail})
-			h.expire(now, q)
+		for _, call := range h.held {
+			h.balancer.ClientGone(now, call.id) // first, as otherwise the Balancer would make another attempt
+			h.endCall(call, action{kind: actFail})
+			h.expireCall(now, call)
 		}
 	})
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.alarm.Stop()
+	h.timer.Stop()
 }
 
-// Held is the number of calls held.
+// Held returns the number of calls that have no final answer yet or have outstanding
+// attempts.
 func (h *Host) Held() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return len(h.held)
 }
 
-// Listed takes what is said of the servers.
-func (h *Host) Listed(l *membership.List) {
-	endpoints := make([]chalkrack.Endpoint, len(l.Entries))
-	h.locked(func(now time.Duration) {
+// Listed applies a list of servers, or of changes, from discovery.
+func (h *Host) Listed(list *membership.List) {
+	endpoints := make([]chalkrack.Endpoint, len(list.Entries))
+	h.handleEvent(func(now time.Duration) {
 		h.listedAt = now
-		listed := make(map[string]bool, len(l.Entries))
-		for n, e := range l.Entries {
+		listed := make(map[string]bool, len(list.Entries))
+		for n, e := range list.Entries {
 			endpoints[n] = e.Endpoint
 			listed[e.Name] = true
 			if e.State == chalkrack.Serving {
@@ -378,38 +390,38 @@
 				h.transport.Leave(e.Name, e.State == chalkrack.Gone)
 			}
 		}
-		if l.Whole {
+		if list.Whole {
 			h.transport.Keep(listed)
-			h.b.ServersListed(now, endpoints)
+			h.balancer.ServersListed(now, endpoints)
 		} else {
-			h.b.ServersChanged(now, endpoints)
+			h.balancer.ServersChanged(now, endpoints)
 		}
 	})
 }
 
-// DiscoveryFailed takes a failed call or a watch that ended.
+// DiscoveryFailed reports a discovery call that failed or a subscription that ended.
 func (h *Host) DiscoveryFailed(err error) {
 	h.log().Warn("discovery failed", "err", err)
-	h.locked(func(now time.Duration) { h.b.DiscoveryFailed(now) })
+	h.handleEvent(func(now time.Duration) { h.balancer.DiscoveryFailed(now) })
 }
 
 // Refuse implements chalkrack.Host.
 func (h *Host) Refuse(id chalkrack.RequestID, retryAfter time.Duration) {
-	if q := h.held[id]; q != nil {
-		h.end(q, action{kind: actRefuse, after: retryAfter, unsent: q.unsent()})
+	if call := h.held[id]; call != nil {
+		h.endCall(call, action{kind: actRefuse, retryAfter: retryAfter, unsent: call.unsent()})
 	}
 }
 
 // Fail implements chalkrack.Host.
 func (h *Host) Fail(id chalkrack.RequestID) {
-	if q := h.held[id]; q != nil {
-		h.end(q, action{kind: actFail})
+	if call := h.held[id]; call != nil {
+		h.endCall(call, action{kind: actFail})
 	}
 }
 
-// unsent says that no attempt can have run.
-func (q *call) unsent() bool {
-	for _, a := range q.attempts {
+// unsent reports whether no attempt can have run.
+func (call *callState) unsent() bool {
+	for _, a := range call.attempts {
 		if !a.neverRan {
 			return false
 		}
@@ -417,49 +429,54 @@
 	return true
 }
 
-func (h *Host) end(q *call, answer action) {
-	if q.over {
+// endCall ends a call with the given action, unless it has ended already. It is called with the
+// lock held.
+func (h *Host) endCall(call *callState, final action) {
+	if call.ended {
 		return
 	}
-	q.over = true
-	h.forgo(q)
-	if answer.kind == actRefuse {
-		h.ends(h.now(), q, "refused")
+	call.ended = true
+	h.stopUnstarted(call)
+	if final.kind == actRefuse {
+		h.recordEnd(h.now(), call, "refused")
 	} else {
-		h.ends(h.now(), q, "failed")
+		h.recordEnd(h.now(), call, "failed")
 	}
-	answer.caller = q.c.Caller
-	h.act(answer)
-	h.forget(q)
+	final.caller = call.details.Caller
+	h.queueAction(final)
+	h.removeIfDone(call)
 }
 
 // SetTimer implements chalkrack.Host.
 func (h *Host) SetTimer(cookie uint64, after time.Duration) {
-	h.after(alarm{at: h.now() + max(after, 0), cookie: cookie})
+	h.addTimer(timerEntry{at: h.now() + max(after, 0), cookie: cookie})
 }
 
 // CloseIdle implements chalkrack.Host.
-func (h *Host) CloseIdle(server string) { h.act(action{kind: actCloseIdle, server: server}) }
+func (h *Host) CloseIdle(server string) { h.queueAction(action{kind: actCloseIdle, server: server}) }
 
 // Probe implements chalkrack.Host.
-func (h *Host) Probe(server string) { h.act(action{kind: actProbe, server: server}) }
+func (h *Host) Probe(server string) { h.queueAction(action{kind: actProbe, server: server}) }
 
-// Subscribe implements chalkrack.Host. Whoever follows the list keeps the watch open and
-// owns the waits between two calls: what is told is bounded there, in one place.
+// Subscribe implements chalkrack.Host. It does nothing: whoever follows the server list
+// keeps the subscription open and alone decides on the delay between two calls, so that
+// the rate of calls to discovery is bounded in one place.
 func (h *Host) Subscribe() {}
 
-// forget drops a call that needs nothing more. Its deadline still points to it, but
-// not to its body.
-func (h *Host) forget(q *call) {
-	if q.over && q.out == 0 && q.c != nil {
-		delete(h.held, q.id)
-		h.tell(q)
-		h.act(action{kind: actRelease, caller: q.c.Caller})
-		q.c, q.attempts = nil, nil
+// removeIfDone removes a call that has ended and has no outstanding attempts. Its deadline's timer
+// still refers to the call, but no longer to its payload.
+func (h *Host) removeIfDone(call *callState) {
+	if call.ended && call.outstanding == 0 && call.details != nil {
+		delete(h.held, call.id)
+		h.queueTrace(call)
+		h.queueAction(action{kind: actRelease, caller: call.details.Caller})
+		call.details, call.attempts = nil, nil
 	}
 }
 
-func (h *Host) recovered(at string) {
+// logPanic logs a panic of the calling function, which must defer it. at names the event
+// that was handled.
+func (h *Host) logPanic(at string) {
 	if p := recover(); p != nil {
 		h.log().Error("panic", "at", at, "panic", p, "stack", string(debug.Stack()))
 	}
--- a/internal/core/host_test.go
+++ b/internal/core/host_test.go
@@ -21,36 +21,39 @@
 	"chalkrack/internal/upstream"
 )
 
-const patience = 20 * time.Second
+// testTimeout is the maximum time that a test waits for an event.
+const testTimeout = 20 * time.Second
 
-// script answers the n-th request that a server gets, from 0; an empty text is silence.
+// script returns a server's answer to its n-th request, counted from 0. With an empty text the
+// server stays silent, with "close" it closes the connection.
 type script func(n int, r *http.Request, body string) (answer string)
 
-// server is a fake of a few lines.
-type server struct {
-	addr string
-	got  atomic.Int32
-	open atomic.Int32
-	ids  chan string
+// fakeServer is a fake HTTP server that answers by a script.
+type fakeServer struct {
+	addr       string
+	requests   atomic.Int32
+	openConns  atomic.Int32
+	requestIDs chan string
 }
 
-func newServer(tb testing.TB, do script) *server {
+// newFakeServer starts a fakeServer that is stopped at the end of the test.
+func newFakeServer(tb testing.TB, answerTo script) *fakeServer {
 	tb.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		tb.Fatal(err)
 	}
 	tb.Cleanup(func() { ln.Close() })
-	s := &server{addr: ln.Addr().String(), ids: make(chan string, 1000)}
+	s := &fakeServer{addr: ln.Addr().String(), requestIDs: make(chan string, 1000)}
 	go func() {
 		for {
 			c, err := ln.Accept()
 			if err != nil {
 				return
 			}
-			s.open.Add(1)
+			s.openConns.Add(1)
 			go func() {
-				defer s.open.Add(-1)
+				defer s.openConns.Add(-1)
 				defer c.Close()
 				br := bufio.NewReader(c)
 				for {
@@ -60,10 +63,10 @@
 					}
 					body, _ := io.ReadAll(r.Body)
 					select {
-					case s.ids <- r.Header.Get("Req-Id"):
+					case s.requestIDs <- r.Header.Get("Req-Id"):
 					default:
 					}
-					answer := do(int(s.got.Add(1))-1, r, string(body))
+					answer := answerTo(int(s.requests.Add(1))-1, r, string(body))
 					if answer == "close" {
 						return
 					}
@@ -75,20 +78,25 @@
 	return s
 }
 
-func ok(body string) string {
+// okAnswer returns a complete answer with status 200.
+func okAnswer(body string) string {
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 }
 
-const declined = "HTTP/1.1 503 No\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n"
+// declinedAnswer is the answer of a server that declines a request.
+const declinedAnswer = "HTTP/1.1 503 No\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n"
 
-func always(answer string) script { return func(int, *http.Request, string) string { return answer } }
+// fixed returns a script that always gives the same answer.
+func fixed(answer string) script { return func(int, *http.Request, string) string { return answer } }
 
+// testSettings returns settings with an aim of 10 s, a deadline of 20 s and a window of 8 s.
 func testSettings() *settings.Settings {
-	return settingsOf(10*time.Second, 20*time.Second, "all", 8*time.Second)
+	return newSettings(10*time.Second, 20*time.Second, "all", 8*time.Second)
 }
 
-// settingsOf are of three classes with these times, of which one is keyed within a scope and a window.
-func settingsOf(promise, limit time.Duration, scope string, window time.Duration) *settings.Settings {
+// newSettings returns settings of three classes, safe, unsafe and keyed, with the given times. scope
+// and window apply to the keyed class.
+func newSettings(promise, limit time.Duration, scope string, window time.Duration) *settings.Settings {
 	times := fmt.Sprintf(`"promiseUs":%d,"hardLimitUs":%d,"worth":1`, promise.Microseconds(), limit.Microseconds())
 	s, err := settings.Parse(fmt.Appendf(nil, `{"replicasOfMe":1,"zone":"z","caps":{"attemptsCap":4,"mayCancel":true,"secondCopies":true,"retryAfter":true,
 		"maxRetryAfterUs":1000000,"connIdleUs":30000000,"dialTimeoutUs":2000000,"mostHeld":1000},
@@ -101,25 +109,25 @@
 	return s
 }
 
-// start runs a host on sockets before the given servers.
-func start(tb testing.TB, set *settings.Settings, servers ...*server) (*core.Host, *front.Server, string) {
+// startHost runs a host that listens on a socket in front of the given servers, and returns its address.
+func startHost(tb testing.TB, config *settings.Settings, servers ...*fakeServer) (*core.Host, *front.Server, string) {
 	tb.Helper()
-	return startOn(tb, set, func(t core.Transport) core.Transport { return t }, servers...)
+	return startHostOn(tb, config, func(t core.Transport) core.Transport { return t }, servers...)
 }
 
-// startOn does so with the transport that by makes of the usual one.
-func startOn(tb testing.TB, set *settings.Settings, by func(core.Transport) core.Transport, servers ...*server) (*core.Host, *front.Server, string) {
+// startHostOn is like start, with the transport that by returns for the default one.
+func startHostOn(tb testing.TB, config *settings.Settings, wrap func(core.Transport) core.Transport, servers ...*fakeServer) (*core.Host, *front.Server, string) {
 	tb.Helper()
-	pool := upstream.New(upstream.Config{ConnIdle: set.ConnIdle, DialTimeout: set.DialTimeout, DrainGrace: set.DrainGrace, MaxConns: 100})
-	h, err := core.New(core.Config{Settings: set, Seed: 1, Transport: by(pool)})
+	pool := upstream.New(upstream.Config{ConnIdle: config.ConnIdle, DialTimeout: config.DialTimeout, DrainGrace: config.DrainGrace, MaxConns: 100})
+	h, err := core.New(core.Config{Settings: config, Seed: 1, Transport: wrap(pool)})
 	if err != nil {
 		tb.Fatal(err)
 	}
-	l := &membership.List{Whole: true}
+	list := &membership.List{Whole: true}
 	for n, s := range servers {
-		l.Entries = append(l.Entries, membership.Entry{Endpoint: chalkrack.Endpoint{Name: fmt.Sprint("s", n), Zone: "z", Hint: 1}, Address: s.addr})
+		list.Entries = append(list.Entries, membership.Entry{Endpoint: chalkrack.Endpoint{Name: fmt.Sprint("s", n), Zone: "z", Hint: 1}, Address: s.addr})
 	}
-	h.Listed(l)
+	h.Listed(list)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		tb.Fatal(err)
@@ -130,11 +138,11 @@
 	return h, srv, ln.Addr().String()
 }
 
-// ask sends one request on its own connection and reads the answer; status 0
-// stands for none.
-func ask(tb testing.TB, addr, class, fields, body string) (status int, answer string) {
+// request sends one request on a new connection and reads the answer. Status 0 means that there was
+// none; answer is then the error.
+func request(tb testing.TB, addr, class, fields, body string) (status int, answer string) {
 	tb.Helper()
-	c := send(tb, addr, class, fields, body)
+	c := sendRequest(tb, addr, class, fields, body)
 	defer c.Close()
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 	if err != nil {
@@ -147,16 +155,17 @@
 	return resp.StatusCode, string(b)
 }
 
-// lastID is the id of the last request that was sent without one of its own.
+// lastID is the ID that was last given to a request without an ID of its own.
 var lastID atomic.Int64
 
-func send(tb testing.TB, addr, class, fields, body string) net.Conn {
+// sendRequest writes one request to a new connection and returns the connection.
+func sendRequest(tb testing.TB, addr, class, fields, body string) net.Conn {
 	tb.Helper()
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
 		tb.Fatal(err)
 	}
-	c.SetDeadline(time.Now().Add(patience))
+	c.SetDeadline(time.Now().Add(testTimeout))
 	method := "GET"
 	if class == "u" {
 		method = "POST"
@@ -168,19 +177,20 @@
 	return c
 }
 
-func settle(tb testing.TB, what string, ok func() bool) {
+// waitFor waits until ok returns true and fails the test with what if that takes too long.
+func waitFor(tb testing.TB, what string, ok func() bool) {
 	tb.Helper()
-	for end := time.Now().Add(patience); !ok(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); !ok(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			tb.Fatal(what)
 		}
 	}
 }
 
-// Every request ends with one answer, and the host holds nothing afterwards.
-func TestAnswers(t *testing.T) {
+// Every request must end with one answer, and the host must hold no call afterwards.
+func TestEachRequestGetsOneAnswer(t *testing.T) {
 	echo := func(_ int, r *http.Request, body string) string {
-		return ok(r.Header.Get("Req-Id") + body + r.URL.Path)
+		return okAnswer(r.Header.Get("Req-Id") + body + r.URL.Path)
 	}
 	firstThen := func(first, then string) script {
 		return func(n int, _ *http.Request, _ string) string {
@@ -191,98 +201,99 @@
 		}
 	}
 	long := strings.Repeat("x", 200<<10)
-	longHead := strings.TrimRight(ok(long), "x")
+	longHead := strings.TrimRight(okAnswer(long), "x")
 	for _, c := range []struct {
 		name    string
 		class   string
-		a, b    script // of the two servers, which must not matter
+		a, b    script // of the two servers; the result must not depend on which one is tried first
 		status  int
 		answer  string
-		atMost  int // sends
+		atMost  int // requests at both servers together
 		atLeast int
 	}{
 		{"served", "a", echo, echo, 200, "9b1fhello/a", 1, 1},
 		{"unknown class", "b", echo, echo, 404, "", 0, 0},
-		{"long", "a", always(ok(long)), always(ok(long)), 200, long, 1, 1},
-		{"safe, all decline", "a", always(declined), always(declined), 503, "", 2, 2},
-		{"unsafe, all decline", "u", always(declined), always(declined), 503, "", 2, 2},
-		{"unsafe, broken off", "u", always("close"), always("close"), 502, "", 1, 1},
-		{"unsafe, an error", "u", always("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"), always("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"), 502, "", 1, 1},
-		{"safe, broken off", "a", always("close"), always("close"), 503, "", 2, 2},
-		{"long and nothing of it", "a", always(longHead), always(longHead), 503, "", 2, 2},
-		{"long and soon broken", "u", always(ok(long)[:50<<10]), always(ok(long)[:50<<10]), 502, "", 1, 1},
-		{"long and short of its length", "a", always(ok(long)[:150<<10] + "HTTP"), always(ok(long)[:150<<10]), 0, "", 1, 1},
+		{"long", "a", fixed(okAnswer(long)), fixed(okAnswer(long)), 200, long, 1, 1},
+		{"safe, all decline", "a", fixed(declinedAnswer), fixed(declinedAnswer), 503, "", 2, 2},
+		{"unsafe, all decline", "u", fixed(declinedAnswer), fixed(declinedAnswer), 503, "", 2, 2},
+		{"unsafe, broken off", "u", fixed("close"), fixed("close"), 502, "", 1, 1},
+		{"unsafe, an error", "u", fixed("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"), fixed("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"), 502, "", 1, 1},
+		{"safe, broken off", "a", fixed("close"), fixed("close"), 503, "", 2, 2},
+		{"long and nothing of it", "a", fixed(longHead), fixed(longHead), 503, "", 2, 2},
+		{"long and soon broken", "u", fixed(okAnswer(long)[:50<<10]), fixed(okAnswer(long)[:50<<10]), 502, "", 1, 1},
+		{"long and short of its length", "a", fixed(okAnswer(long)[:150<<10] + "HTTP"), fixed(okAnswer(long)[:150<<10]), 0, "", 1, 1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			s1, s2 := newServer(t, c.a), newServer(t, c.b)
-			h, _, addr := start(t, testSettings(), s1, s2)
-			status, answer := ask(t, addr, c.class, "Req-Id: 9b1f\r\n", "hello")
+			s1, s2 := newFakeServer(t, c.a), newFakeServer(t, c.b)
+			h, _, addr := startHost(t, testSettings(), s1, s2)
+			status, answer := request(t, addr, c.class, "Req-Id: 9b1f\r\n", "hello")
 			if status != c.status || status == 200 && answer != c.answer {
-				t.Errorf("answered %d %.50q", status, answer)
+				t.Errorf("got status %d, answer %.50q", status, answer)
 			}
-			if n := int(s1.got.Load() + s2.got.Load()); n < c.atLeast || n > c.atMost {
-				t.Errorf("%d sends", n)
+			if n := int(s1.requests.Load() + s2.requests.Load()); n < c.atLeast || n > c.atMost {
+				t.Errorf("%d requests were sent to the servers", n)
 			}
-			settle(t, "still held", func() bool { return h.Held() == 0 })
+			waitFor(t, "a call is still held", func() bool { return h.Held() == 0 })
 		})
 	}
 	t.Run("a second attempt serves", func(t *testing.T) {
 		var n atomic.Int32
 		turn := func(_ int, r *http.Request, body string) string {
-			return firstThen(declined, ok("again"))(int(n.Add(1))-1, r, body)
+			return firstThen(declinedAnswer, okAnswer("again"))(int(n.Add(1))-1, r, body)
 		}
-		_, _, addr := start(t, testSettings(), newServer(t, turn), newServer(t, turn))
-		if status, answer := ask(t, addr, "u", "", ""); status != 200 || answer != "again" {
-			t.Errorf("answered %d %q", status, answer)
+		_, _, addr := startHost(t, testSettings(), newFakeServer(t, turn), newFakeServer(t, turn))
+		if status, answer := request(t, addr, "u", "", ""); status != 200 || answer != "again" {
+			t.Errorf("got status %d, answer %q, want 200 and \"again\"", status, answer)
 		}
 	})
 }
 
-// A silent server: the client has its answer at its deadline, and the server
-// learns that nobody waits any more.
-func TestDeadline(t *testing.T) {
+// If the server is silent, the client must get an answer at its deadline, and the connection to the
+// server must be closed so that the server can stop working on the request.
+func TestSilentServerEndsAtDeadline(t *testing.T) {
 	for class, want := range map[string]int{"a": 503, "u": 502} {
-		s := newServer(t, always(""))
-		h, _, addr := start(t, testSettings(), s)
+		s := newFakeServer(t, fixed(""))
+		h, _, addr := startHost(t, testSettings(), s)
 		began := time.Now()
-		status, _ := ask(t, addr, class, "Req-Deadline-Ms: 150\r\n", "")
+		status, _ := request(t, addr, class, "Req-Deadline-Ms: 150\r\n", "")
 		if took := time.Since(began); status != want || took < 100*time.Millisecond {
-			t.Errorf("%s: answered %d after %v", class, status, took)
+			t.Errorf("class %s: got status %d after %v", class, status, took)
 		}
-		settle(t, "still held", func() bool { return h.Held() == 0 })
-		settle(t, "the connection stays", func() bool { return s.open.Load() == 0 })
+		waitFor(t, "a call is still held", func() bool { return h.Held() == 0 })
+		waitFor(t, "the connection to the server is still open", func() bool { return s.openConns.Load() == 0 })
 	}
 }
 
-// A deadline that is set while the timer is wound for a later one is kept.
-func TestShorterDeadlineAfterLonger(t *testing.T) {
-	h, _, addr := start(t, testSettings(), newServer(t, always("")))
-	long := send(t, addr, "u", "Req-Deadline-Ms: 19000\r\n", "")
+// Guards against a deadline that fires too late because it was set while the timer was already set
+// for a later one.
+func TestShorterDeadlineAfterLongerFiresInTime(t *testing.T) {
+	h, _, addr := startHost(t, testSettings(), newFakeServer(t, fixed("")))
+	long := sendRequest(t, addr, "u", "Req-Deadline-Ms: 19000\r\n", "")
 	defer long.Close()
-	settle(t, "not held", func() bool { return h.Held() == 1 })
+	waitFor(t, "the call is not held", func() bool { return h.Held() == 1 })
 	began := time.Now()
-	status, _ := ask(t, addr, "u", "Req-Deadline-Ms: 150\r\n", "")
+	status, _ := request(t, addr, "u", "Req-Deadline-Ms: 150\r\n", "")
 	if took := time.Since(began); status != 502 || took > 5*time.Second {
-		t.Errorf("answered %d after %v", status, took)
+		t.Errorf("got status %d after %v, want 502 within 5s", status, took)
 	}
 }
 
-// recorder is a transport that shows what it is told.
-type recorder struct {
+// forwardingTransport is a transport that reports its orders and passes them on.
+type forwardingTransport struct {
 	core.Transport
 	orders chan core.Order
 }
 
-func (r *recorder) Attempt(o core.Order) core.Attempt {
+func (r *forwardingTransport) Attempt(o core.Order) core.Attempt {
 	r.orders <- o
 	return r.Transport.Attempt(o)
 }
 
-// A repeat of a keyed request that may have run begins within its window or not at all,
-// however long its connection takes to come up. One that never ran has no such end.
-func TestRepeatWindow(t *testing.T) {
-	for first, bound := range map[string]bool{"close": true, declined: false} {
+// A repeat of a keyed request that may have run must begin within the window or not at all, however
+// long its connection takes to be established. A request that never ran has no such limit.
+func TestKeyedRepeatIsBoundByWindow(t *testing.T) {
+	for first, bound := range map[string]bool{"close": true, declinedAnswer: false} {
 		turn := new(atomic.Int32)
 		do := func(int, *http.Request, string) string {
 			if turn.Add(1) == 1 {
@@ -290,80 +301,81 @@
 			}
 			return ""
 		}
-		r := &recorder{orders: make(chan core.Order, 10)}
-		began := time.Now()
-		_, _, addr := startOn(t, testSettings(), func(tr core.Transport) core.Transport {
+		r := &forwardingTransport{orders: make(chan core.Order, 10)}
+		startedAt := time.Now()
+		_, _, addr := startHostOn(t, testSettings(), func(tr core.Transport) core.Transport {
 			r.Transport = tr
 			return r
-		}, newServer(t, do), newServer(t, do))
-		c := send(t, addr, "k", "", "")
+		}, newFakeServer(t, do), newFakeServer(t, do))
+		c := sendRequest(t, addr, "k", "", "")
 		defer c.Close()
 		a, b := <-r.orders, <-r.orders
 		const window = 8 * time.Second
-		if at := b.NotAfter; bound && (at.Before(began.Add(window)) || at.After(time.Now().Add(window))) || bound == at.IsZero() {
-			t.Errorf("after %q: may begin until %v", first, b.NotAfter)
+		if at := b.NotAfter; bound && (at.Before(startedAt.Add(window)) || at.After(time.Now().Add(window))) || bound == at.IsZero() {
+			t.Errorf("after %q: the repeat may begin until %v", first, b.NotAfter)
 		}
 		if !a.NotAfter.IsZero() {
-			t.Error("the first send has an end")
+			t.Error("the first attempt has a limit on its beginning")
 		}
 	}
 }
 
-// A server that has gone gets nothing more, and one that comes is used.
-func TestListChanges(t *testing.T) {
-	s, next := newServer(t, always(ok("old"))), newServer(t, always(ok("new")))
-	h, _, addr := start(t, testSettings(), s)
-	if _, answer := ask(t, addr, "a", "", ""); answer != "old" {
+// A server that drains or is removed must get no further request, and a server that is added must
+// be used.
+func TestListChangesApply(t *testing.T) {
+	s, next := newFakeServer(t, fixed(okAnswer("old"))), newFakeServer(t, fixed(okAnswer("new")))
+	h, _, addr := startHost(t, testSettings(), s)
+	if _, answer := request(t, addr, "a", "", ""); answer != "old" {
 		t.Errorf("answered %q", answer)
 	}
 	for _, state := range []chalkrack.State{chalkrack.Draining, chalkrack.Gone} {
 		h.Listed(&membership.List{Entries: []membership.Entry{{Endpoint: chalkrack.Endpoint{Name: "s0", State: state}, Address: s.addr}}})
-		if status, _ := ask(t, addr, "a", "", ""); status != 503 {
-			t.Errorf("with none left answered %d", status)
+		if status, _ := request(t, addr, "a", "", ""); status != 503 {
+			t.Errorf("got status %d without a serving server, want 503", status)
 		}
 	}
 	h.Listed(&membership.List{Whole: true, Entries: []membership.Entry{{Endpoint: chalkrack.Endpoint{Name: "s1", Hint: 1}, Address: next.addr}}})
-	if _, answer := ask(t, addr, "a", "", ""); answer != "new" {
+	if _, answer := request(t, addr, "a", "", ""); answer != "new" {
 		t.Errorf("answered %q", answer)
 	}
-	if n := s.got.Load(); n != 1 {
-		t.Errorf("the old one got %d", n)
+	if n := s.requests.Load(); n != 1 {
+		t.Errorf("the removed server got %d requests, want 1", n)
 	}
 }
 
-// A long answer counts as served when it begins, however slowly its client reads
-// it: nothing of it is late, and nothing is shed for it.
-func TestSlowReader(t *testing.T) {
-	set := testSettings()
-	set.Config.Classes[0].Aim = time.Second
-	const size = 24 << 20 // more than all buffers on the way
-	s := newServer(t, func(n int, _ *http.Request, _ string) string {
+// Guards against shedding load because of a slow client. A streamed answer must count as served when
+// it begins, however slowly its client reads it.
+func TestSlowReaderCausesNoShedding(t *testing.T) {
+	config := testSettings()
+	config.Config.Classes[0].Aim = time.Second
+	const size = 24 << 20 // more than all buffers between server and client hold
+	s := newFakeServer(t, func(n int, _ *http.Request, _ string) string {
 		if n == 0 {
-			return ok(strings.Repeat("x", size))
+			return okAnswer(strings.Repeat("x", size))
 		}
-		return ok("hi")
+		return okAnswer("hi")
 	})
-	h, srv, addr := start(t, set, s)
-	c := send(t, addr, "a", "Req-Deadline-Ms: 1500\r\n", "")
+	h, srv, addr := startHost(t, config, s)
+	c := sendRequest(t, addr, "a", "Req-Deadline-Ms: 1500\r\n", "")
 	br := bufio.NewReader(c)
 	resp, err := http.ReadResponse(br, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	settle(t, "held while its answer is read", func() bool { return h.Held() == 0 })
+	waitFor(t, "the call is still held while its answer is read", func() bool { return h.Held() == 0 })
 	if srv.Busy() != 1 {
-		t.Error("its client is not busy")
+		t.Error("the client of a streamed answer does not count as busy")
 	}
-	time.Sleep(1600 * time.Millisecond) // past its aim and its deadline
-	if status, _ := ask(t, addr, "a", "", ""); status != 200 {
-		t.Errorf("meanwhile answered %d", status)
+	time.Sleep(1600 * time.Millisecond) // beyond the call's aim and deadline
+	if status, _ := request(t, addr, "a", "", ""); status != 200 {
+		t.Errorf("another call got status %d while the answer was read, want 200", status)
 	}
 	if n, err := io.Copy(io.Discard, resp.Body); n != size || err != nil {
-		t.Errorf("read %d, %v", n, err)
+		t.Errorf("read %d bytes, error %v", n, err)
 	}
 }
 
-// outcomeLog is a slog.Handler that counts the lines on attempts that failed.
+// outcomeLog is a slog.Handler that counts the log lines of failed attempts.
 type outcomeLog struct {
 	slog.Handler
 	failed atomic.Int32
@@ -376,59 +388,62 @@
 	return nil
 }
 
-// What is called off here is no failure of its server.
-func TestCancelledIsNoFailure(t *testing.T) {
+// An attempt that is cancelled because its client left must not be recorded as a failure of its
+// server.
+func TestCancelledAttemptIsNoFailure(t *testing.T) {
 	log, before := &outcomeLog{Handler: slog.NewTextHandler(io.Discard, nil)}, slog.Default()
 	slog.SetDefault(slog.New(log))
 	defer slog.SetDefault(before)
-	s := newServer(t, always(""))
-	h, _, addr := start(t, testSettings(), s)
+	s := newFakeServer(t, fixed(""))
+	h, _, addr := startHost(t, testSettings(), s)
 	for n := range int32(50) {
-		c := send(t, addr, "u", "", "")
-		settle(t, "never sent", func() bool { return s.got.Load() == n+1 })
+		c := sendRequest(t, addr, "u", "", "")
+		waitFor(t, "the request was not sent", func() bool { return s.requests.Load() == n+1 })
 		c.Close()
-		settle(t, "still held", func() bool { return h.Held() == 0 })
-		settle(t, "the connection stays", func() bool { return s.open.Load() == 0 })
+		waitFor(t, "a call is still held", func() bool { return h.Held() == 0 })
+		waitFor(t, "the connection to the server is still open", func() bool { return s.openConns.Load() == 0 })
 	}
 	if n := log.failed.Load(); n > 0 {
-		t.Errorf("%d of 50 attempts that were called off ended otherwise", n)
+		t.Errorf("%d of 50 cancelled attempts were logged as failed", n)
 	}
 }
 
-func TestMaxHeld(t *testing.T) {
-	set := testSettings()
-	set.MaxHeld = 1
-	s := newServer(t, always(""))
-	h, _, addr := start(t, set, s)
-	c := send(t, addr, "a", "", "")
+// A call that exceeds the limit on held calls must be refused.
+func TestCallsOverMaxHeldAreRefused(t *testing.T) {
+	config := testSettings()
+	config.MaxHeld = 1
+	s := newFakeServer(t, fixed(""))
+	h, _, addr := startHost(t, config, s)
+	c := sendRequest(t, addr, "a", "", "")
 	defer c.Close()
-	settle(t, "not held", func() bool { return h.Held() == 1 })
-	if status, _ := ask(t, addr, "a", "", ""); status != 503 {
-		t.Errorf("answered %d", status)
+	waitFor(t, "the call is not held", func() bool { return h.Held() == 1 })
+	if status, _ := request(t, addr, "a", "", ""); status != 503 {
+		t.Errorf("got status %d, want 503", status)
 	}
 }
 
-// A panic of the decision code must not keep the lock, nor lose the request.
-func TestPanic(t *testing.T) {
-	h, _, addr := start(t, testSettings(), newServer(t, always(ok("hi"))))
+// A panic in the Balancer must neither keep the lock locked nor leave the call without an answer.
+func TestPanicFailsOnlyItsCall(t *testing.T) {
+	h, _, addr := startHost(t, testSettings(), newFakeServer(t, fixed(okAnswer("hi"))))
 	back := h.WithoutBalancer()
-	if status, _ := ask(t, addr, "a", "", ""); status != 502 {
-		t.Errorf("answered %d", status)
+	if status, _ := request(t, addr, "a", "", ""); status != 502 {
+		t.Errorf("got status %d during the panic, want 502", status)
 	}
 	back()
-	if status, _ := ask(t, addr, "a", "", ""); status != 200 {
-		t.Errorf("then answered %d", status)
+	if status, _ := request(t, addr, "a", "", ""); status != 200 {
+		t.Errorf("got status %d after the panic, want 200", status)
 	}
 }
 
+// BenchmarkRequest measures one request from a client through the host to a server.
 func BenchmarkRequest(b *testing.B) {
-	s := newServer(b, always(ok("hi")))
-	_, _, addr := start(b, testSettings(), s)
-	oneByOne(b, addr)
+	s := newFakeServer(b, fixed(okAnswer("hi")))
+	_, _, addr := startHost(b, testSettings(), s)
+	benchmarkRequests(b, addr)
 }
 
-// oneByOne sends requests on one connection, one after the other.
-func oneByOne(b *testing.B, addr string) {
+// benchmarkRequests sends requests one after the other on one connection.
+func benchmarkRequests(b *testing.B, addr string) {
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
 		b.Fatal(err)
--- a/internal/core/trace.go
+++ b/internal/core/trace.go
@@ -8,13 +8,13 @@
 	"chalkrack"
 )
 
-// TraceMessage is the message of a line that tells a call's trace. Logs that are kept have this
-// word, and operators' files the setting log.stories.
+// TraceMessage is the log message of a call's trace. Stored logs contain it, and operators'
+// settings files use it in log.stories.
 const TraceMessage = "story"
 
-// Trace is the whole way of a call that was not served within its aim: what the module
-// knew when it came and at each attempt, how each went and what the client saw. Times
-// are in milliseconds since the call came.
+// Trace records a call that was not served within its aim: the Balancer's state when the
+// call arrived and at each attempt, the outcome of each attempt, and what the client
+// received. Times are in milliseconds since the call's arrival.
 type Trace struct {
 	ID       uint64              `json:"id"`
 	Class    string              `json:"class"`
@@ -22,97 +22,101 @@
 	Worth    float64             `json:"worth"`
 	Aim      float64             `json:"aim"`
 	Wait     float64             `json:"wait"`
-	Retry    bool                `json:"retry"` // told by the client
+	Retry    bool                `json:"retry"` // set by the client
 	End      string              `json:"end"`   // served, refused, failed or left
 	Took     float64             `json:"took"`
-	ListAge  float64             `json:"list_age"` // since discovery said anything
-	State    chalkrack.StateView `json:"state"`    // when it came
+	ListAge  float64             `json:"list_age"` // since the last list or change from discovery
+	State    chalkrack.StateView `json:"state"`    // at the call's arrival
 	StateEnd chalkrack.StateView `json:"state_end"`
 	Attempts []AttemptTrace      `json:"attempts"`
 }
 
-// AttemptTrace is one attempt's.
+// AttemptTrace records one attempt of a Trace.
 type AttemptTrace struct {
 	Server  string               `json:"server"`
 	Sent    float64              `json:"sent"`
 	Took    float64              `json:"took"`
 	Outcome string               `json:"outcome"`
 	Phase   string               `json:"phase"`
-	Before  chalkrack.ServerView `json:"before"` // at its sending
-	After   chalkrack.ServerView `json:"after"`  // at its end
+	Before  chalkrack.ServerView `json:"before"` // when it was sent
+	After   chalkrack.ServerView `json:"after"`  // when it ended
 }
 
+// effectNames holds the names of the effects in traces, by chalkrack.Effect.
 var effectNames = [...]string{"safe", "keyed", "once"}
 
+// millis returns d in milliseconds, rounded to 10 microseconds.
 func millis(d time.Duration) float64 { return float64(d.Round(10*time.Microsecond)) / 1e6 }
 
-// begins notes what is known when a call comes. It is called with the lock held, as
-// all of these.
-func (h *Host) begins(now time.Duration, q *call) {
-	if h.trace != nil {
-		q.trace = &Trace{ID: uint64(q.id), State: h.b.ViewState(now), ListAge: millis(now - h.listedAt)}
+// traceArrival starts the trace of a call that arrives. Like all functions of the trace up to
+// queueTrace, it is called with the lock held.
+func (h *Host) traceArrival(now time.Duration, call *callState) {
+	if h.traceLog != nil {
+		call.trace = &Trace{ID: uint64(call.id), State: h.balancer.ViewState(now), ListAge: millis(now - h.listedAt)}
 	}
 }
 
-// sends notes what is known of an attempt's server.
-func (h *Host) sends(now time.Duration, q *call, a *attempt) {
-	if s := q.trace; s != nil {
-		s.Attempts = append(s.Attempts, AttemptTrace{Server: a.to, Sent: millis(now - q.came), Outcome: "under way", Before: h.b.ViewServer(now, a.to, q.at)})
+// traceAttempt adds an attempt that is sent to the trace, with the state of its server.
+func (h *Host) traceAttempt(now time.Duration, call *callState, a *attempt) {
+	if trace := call.trace; trace != nil {
+		trace.Attempts = append(trace.Attempts, AttemptTrace{Server: a.server, Sent: millis(now - call.arrivedAt), Outcome: "under way", Before: h.balancer.ViewServer(now, a.server, call.classIndex)})
 	}
 }
 
-// attemptEnded notes how an attempt went.
-func (h *Host) attemptEnded(now time.Duration, a *attempt, o chalkrack.Outcome) {
-	h.count(now, a, o)
+// recordOutcome records the outcome of an attempt in the tally and the trace, and reports it
+// to the Watch.
+func (h *Host) recordOutcome(now time.Duration, a *attempt, outcome chalkrack.Outcome) {
+	h.countOutcome(now, a, outcome)
 	if h.watch != nil {
-		h.watch.Ended(now, a.ticket, o)
-		delete(h.watched, a.ticket)
+		h.watch.Ended(now, a.ticket, outcome)
+		delete(h.watchedAttempts, a.ticket)
 	}
-	if s := a.q.trace; s != nil && a.n < len(s.Attempts) {
-		t := &s.Attempts[a.n]
-		t.Took, t.Outcome, t.Phase = millis(now-a.sent), outcomes[o], a.send.Phase()
-		t.After = h.b.ViewServer(now, a.to, a.q.at)
+	if trace := a.call.trace; trace != nil && a.index < len(trace.Attempts) {
+		entry := &trace.Attempts[a.index]
+		entry.Took, entry.Outcome, entry.Phase = millis(now-a.sentAt), outcomeNames[outcome], a.handle.Phase()
+		entry.After = h.balancer.ViewServer(now, a.server, a.call.classIndex)
 	}
 }
 
-// ends notes what the client is told, for the trace and for a trial.
-func (h *Host) ends(now time.Duration, q *call, how string) {
-	h.judged(now, q, how)
-	if s := q.trace; s != nil && s.End == "" {
-		s.End, s.Took, s.StateEnd = how, millis(now-q.came), h.b.ViewState(now)
+// recordEnd records how a call ended for its client, in the trace and in the trial.
+func (h *Host) recordEnd(now time.Duration, call *callState, end string) {
+	h.recordInTrial(now, call, end)
+	if trace := call.trace; trace != nil && trace.End == "" {
+		trace.End, trace.Took, trace.StateEnd = end, millis(now-call.arrivedAt), h.balancer.ViewState(now)
 	}
 }
 
-// tell writes a trace down once nothing of it is open, unless the call was served in
-// time.
-func (h *Host) tell(q *call) {
-	s := q.trace
-	q.trace = nil
-	if s == nil || q.class == nil {
+// queueTrace queues the trace of a finished call for the log, unless the call was served within
+// its aim.
+func (h *Host) queueTrace(call *callState) {
+	trace := call.trace
+	call.trace = nil
+	if trace == nil || call.class == nil {
 		return
 	}
-	s.Class, s.Effect, s.Worth = q.c.Class, effectNames[q.class.Effect], q.class.Worth
-	s.Aim, s.Wait, s.Retry = millis(q.class.Aim), millis(q.c.Wait), q.c.Retry
-	if s.End != "served" || s.Took > s.Aim {
-		h.act(action{kind: actTrace, answer: s})
+	trace.Class, trace.Effect, trace.Worth = call.details.Class, effectNames[call.class.Effect], call.class.Worth
+	trace.Aim, trace.Wait, trace.Retry = millis(call.class.Aim), millis(call.details.Wait), call.details.Retry
+	if trace.End != "served" || trace.Took > trace.Aim {
+		h.queueAction(action{kind: actTrace, answer: trace})
 	}
 }
 
-func (h *Host) write(s *Trace) {
-	h.trace.LogAttrs(context.Background(), slog.LevelInfo, TraceMessage, slog.Any("story", s))
+// writeTrace logs a trace. It is called without the lock.
+func (h *Host) writeTrace(trace *Trace) {
+	h.traceLog.LogAttrs(context.Background(), slog.LevelInfo, TraceMessage, slog.Any("story", trace))
 }
 
-// Measured is by how much the module corrects each server's hint by what it saw; 0 where
-// it has seen nothing.
+// Measured returns the factor by which the Balancer corrects each server's hint according
+// to its measurements; 0 for a server without measurements.
 func (h *Host) Measured(servers []string) []float64 {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	now := h.now()
-	all := make([]float64, len(servers))
+	corrections := make([]float64, len(servers))
 	for n, name := range servers {
-		if v := h.b.ViewServer(now, name, -1); v.Learned != 1 {
-			all[n] = v.Learned
+		if view := h.balancer.ViewServer(now, name, -1); view.Learned != 1 {
+			corrections[n] = view.Learned
 		}
 	}
-	return all
+	return corrections
 }
--- a/internal/core/trace_test.go
+++ b/internal/core/trace_test.go
@@ -18,31 +18,32 @@
 	"net"
 )
 
-type lockedLog struct {
+// lockedBuffer is a buffer that is safe for concurrent use.
+type lockedBuffer struct {
 	mu sync.Mutex
 	b  bytes.Buffer
 }
 
-func (l *lockedLog) Write(p []byte) (int, error) {
+func (l *lockedBuffer) Write(p []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.b.Write(p)
 }
 
-// A call that is not served has its trace told, with each attempt; one served in time
-// has none.
-func TestTraceOfALostCall(t *testing.T) {
-	set := testSettings()
-	pool := upstream.New(upstream.Config{ConnIdle: set.ConnIdle, DialTimeout: set.DialTimeout, DrainGrace: set.DrainGrace, MaxConns: 10})
-	var log lockedLog
-	h, err := core.New(core.Config{Settings: set, Seed: 1, Transport: pool, Trace: slog.New(slog.NewJSONHandler(&log, nil))})
+// A call that is not served must be traced with each of its attempts; a call that is served within
+// its aim must not be traced.
+func TestOnlyUnservedCallIsTraced(t *testing.T) {
+	config := testSettings()
+	pool := upstream.New(upstream.Config{ConnIdle: config.ConnIdle, DialTimeout: config.DialTimeout, DrainGrace: config.DrainGrace, MaxConns: 10})
+	var log lockedBuffer
+	h, err := core.New(core.Config{Settings: config, Seed: 1, Transport: pool, Trace: slog.New(slog.NewJSONHandler(&log, nil))})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer h.Close()
-	s := newServer(t, func(n int, _ *http.Request, _ string) string {
+	s := newFakeServer(t, func(n int, _ *http.Request, _ string) string {
 		if n == 0 {
-			return ok("x")
+			return okAnswer("x")
 		}
 		return "close"
 	})
@@ -60,11 +61,11 @@
 		r.Header.Set("Req-Retry", "1")
 		resp, err := http.DefaultTransport.RoundTrip(r)
 		if err != nil || resp.StatusCode != want {
-			t.Fatalf("%v, %v, want %d", resp, err, want)
+			t.Fatalf("response %v, error %v, want status %d", resp, err, want)
 		}
 		resp.Body.Close()
 	}
-	for end := time.Now().Add(patience); ; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
 		log.mu.Lock()
 		text := log.b.String()
 		log.mu.Unlock()
@@ -76,62 +77,64 @@
 			if err := json.Unmarshal([]byte(text), &line); err != nil {
 				t.Fatalf("%v in %q", err, text)
 			}
-			st := line.Trace
-			if line.Msg != core.TraceMessage || st.Class != "u" || st.End != "failed" || !st.Retry || len(st.Attempts) != 1 || st.Attempts[0].Outcome != "reset" || !st.Attempts[0].Before.Serving || st.State.Members != 1 {
-				t.Errorf("%s", text)
+			trace := line.Trace
+			if line.Msg != core.TraceMessage || trace.Class != "u" || trace.End != "failed" || !trace.Retry || len(trace.Attempts) != 1 || trace.Attempts[0].Outcome != "reset" || !trace.Attempts[0].Before.Serving || trace.State.Members != 1 {
+				t.Errorf("unexpected trace: %s", text)
 			}
 			return
 		}
 	}
 }
 
-// still is a transport whose attempts never begin or end.
-type still struct{ core.Transport }
+// inertTransport is a transport, and an attempt, that never begins or ends.
+type inertTransport struct{ core.Transport }
 
-func (still) Serve(string, string, time.Duration) {}
-func (still) Keep(map[string]bool)                {}
-func (still) Attempt(core.Order) core.Attempt     { return still{} }
-func (still) Start()                              {}
-func (still) Abandon() bool                       { return false }
-func (still) Forgo() bool                         { return true }
-func (still) Close()                              {}
-func (still) Phase() string                       { return "writing" }
+func (inertTransport) Serve(string, string, time.Duration) {}
+func (inertTransport) Keep(map[string]bool)                {}
+func (inertTransport) Attempt(core.Order) core.Attempt     { return inertTransport{} }
+func (inertTransport) Start()                              {}
+func (inertTransport) Abandon() bool                       { return false }
+func (inertTransport) Forgo() bool                         { return true }
+func (inertTransport) Close()                              {}
+func (inertTransport) Phase() string                       { return "writing" }
 
-type told struct {
+// refusableCaller is a caller that reports a refusal on a channel.
+type refusableCaller struct {
 	core.Caller
 	refused chan bool
 }
 
-func (c told) Refuse(_ time.Duration, unsent bool) { c.refused <- unsent }
-func (c told) Release()                            {}
+func (c refusableCaller) Refuse(_ time.Duration, unsent bool) { c.refused <- unsent }
+func (c refusableCaller) Release()                            {}
 
-// A body that its client does not bring in time: the call is refused as one that never
-// ran, and its server is not blamed.
-func TestSlowBodyBlamesNoServer(t *testing.T) {
-	var log lockedLog
-	h, err := core.New(core.Config{Settings: testSettings(), Seed: 1, Transport: still{}, Trace: slog.New(slog.NewJSONHandler(&log, nil))})
+// Guards against a server being considered failed because of a slow client. The client does not
+// send the body in time: the call must be refused as one that never ran, without a failure counted
+// for the server.
+func TestSlowBodyIsNoServerFailure(t *testing.T) {
+	var log lockedBuffer
+	h, err := core.New(core.Config{Settings: testSettings(), Seed: 1, Transport: inertTransport{}, Trace: slog.New(slog.NewJSONHandler(&log, nil))})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer h.Close()
 	h.Listed(&membership.List{Whole: true, Entries: []membership.Entry{{Endpoint: chalkrack.Endpoint{Name: "s0", Zone: "z", Hint: 1}, Address: "x"}}})
-	c := told{refused: make(chan bool, 1)}
+	c := refusableCaller{refused: make(chan bool, 1)}
 	h.Arrive(&core.Call{ID: "1", Class: "u", Wait: 20 * time.Millisecond, Received: time.Now(), Limits: &core.Limits{Coming: 20 * time.Millisecond}, Caller: c})
 	select {
 	case unsent := <-c.refused:
 		if !unsent {
-			t.Error("told as one that may have run")
+			t.Error("refused as a call that may have run")
 		}
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Fatal("no answer")
 	}
-	for end := time.Now().Add(patience); ; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
 		log.mu.Lock()
 		text := log.b.String()
 		log.mu.Unlock()
 		if text != "" || time.Now().After(end) {
 			if !strings.Contains(text, `"outcome":"not sent"`) || !strings.Contains(text, `"failures":0`) {
-				t.Errorf("the server is blamed: %s", text)
+				t.Errorf("a failure of the server was recorded: %s", text)
 			}
 			return
 		}
--- a/internal/core/trial.go
+++ b/internal/core/trial.go
@@ -7,88 +7,88 @@
 	"chalkrack/internal/generation"
 )
 
-// Stamp gives a call that begins to come the generation that it lives under to its end.
-// It takes no lock.
+// Stamp returns the configuration generation for a call that begins to arrive. It applies to
+// the call until its end. Stamp takes no lock.
 func (h *Host) Stamp() generation.Stamp {
-	v := h.view.Load()
-	if v.Next == nil {
-		return v.Stamp(0)
+	view := h.generationView.Load()
+	if view.Next == nil {
+		return view.Stamp(0)
 	}
-	return v.Stamp(h.stamps.Add(1))
+	return view.Stamp(h.stampCount.Add(1))
 }
 
-// Route stamps a call by its path, and says which class that names and whether the
-// call's generation knows it.
+// Route returns a stamp for a call, the class that the call's path names, and whether the
+// stamp's generation defines that class.
 func (h *Host) Route(path string) (class string, under generation.Stamp, known bool) {
 	under = h.Stamp()
 	class = under.Gen.ClassOfPath(path)
 	if under.Gen.Class(class) >= 0 {
 		return class, under, true
 	}
-	if h.view.Load().Next != nil {
-		h.locked(func(time.Duration) { h.gens.Unknown(under, class) })
+	if h.generationView.Load().Next != nil {
+		h.handleEvent(func(time.Duration) { h.generations.Unknown(under, class) })
 	}
 	return class, under, false
 }
 
-// Generations are who takes calls now.
-func (h *Host) Generations() *generation.View { return h.view.Load() }
+// Generations returns the configuration generations that currently take calls.
+func (h *Host) Generations() *generation.View { return h.generationView.Load() }
 
-// Try puts a generation on trial beside the one that serves, in one step. Everything
-// that was learned goes over, and calls under way stay as they are. An error leaves all
-// as it was.
+// Try starts a trial of next beside the current generation, atomically. The Balancer keeps
+// everything that it has learned, and calls in progress keep their generation. On an error
+// nothing changes.
 func (h *Host) Try(next *generation.Generation, cfg bake.Config, seed uint64) (err error) {
-	h.locked(func(now time.Duration) {
-		rules, e := h.gens.Begin(now, next, cfg, seed)
+	h.handleEvent(func(now time.Duration) {
+		rules, e := h.generations.Begin(now, next, cfg, seed)
 		if err = e; err == nil {
-			if err = h.b.Adopt(rules); err != nil {
-				h.gens.End(false)
+			if err = h.balancer.Adopt(rules); err != nil {
+				h.generations.End(false)
 			}
 		}
-		h.view.Store(h.gens.View())
+		h.generationView.Store(h.generations.View())
 	})
 	return err
 }
 
-// Rule is the judge's ruling on the trial so far, the class that weighs most by name,
-// and for how long the trial has been on.
-func (h *Host) Rule() (r bake.Ruling, class string, since time.Duration, err error) {
-	h.locked(func(now time.Duration) {
-		if r, since, err = h.gens.Rule(now); err == nil {
-			class = h.gens.Classes()[r.Class]
+// Rule returns the ruling on the trial so far, the name of the class that weighs most in it,
+// and for how long the trial has run. It returns an error if there is no trial.
+func (h *Host) Rule() (ruling bake.Ruling, class string, since time.Duration, err error) {
+	h.handleEvent(func(now time.Duration) {
+		if ruling, since, err = h.generations.Rule(now); err == nil {
+			class = h.generations.Classes()[ruling.Class]
 		}
 	})
-	return r, class, since, err
+	return ruling, class, since, err
 }
 
-// Settle ends the trial, in one step: with keep the new generation serves from now on,
-// else the one before.
+// Settle ends the trial, atomically. With keep, the new generation serves all later calls,
+// otherwise the previous one does. It returns an error if there is no trial.
 func (h *Host) Settle(keep bool) (err error) {
-	h.locked(func(time.Duration) {
-		rules, e := h.gens.End(keep)
+	h.handleEvent(func(time.Duration) {
+		rules, e := h.generations.End(keep)
 		if err = e; err == nil {
-			err = h.b.Adopt(rules)
+			err = h.balancer.Adopt(rules)
 		}
-		h.view.Store(h.gens.View())
+		h.generationView.Store(h.generations.View())
 	})
 	return err
 }
 
-// judged tells the trial how a call ended for its client. One that left within its aim
-// says nothing of either generation.
-func (h *Host) judged(now time.Duration, q *call, how string) {
-	if q.c == nil {
+// recordInTrial reports to the trial how a call ended for its client. A call whose client left
+// within the aim is not counted, as it says nothing about either generation.
+func (h *Host) recordInTrial(now time.Duration, call *callState, end string) {
+	if call.details == nil {
 		return
 	}
-	late := q.class != nil && now-q.came > q.class.Aim
+	late := call.class != nil && now-call.arrivedAt > call.class.Aim
 	switch {
-	case how == "failed":
-		h.gens.Bad(q.c.Under, q.at, bake.Failed)
-	case how == "refused":
-		h.gens.Bad(q.c.Under, q.at, bake.Refused)
+	case end == "failed":
+		h.generations.Bad(call.details.Under, call.classIndex, bake.Failed)
+	case end == "refused":
+		h.generations.Bad(call.details.Under, call.classIndex, bake.Refused)
 	case late:
-		h.gens.Bad(q.c.Under, q.at, bake.Late)
-	case how == "served":
-		h.gens.Good(q.c.Under)
+		h.generations.Bad(call.details.Under, call.classIndex, bake.Late)
+	case end == "served":
+		h.generations.Good(call.details.Under)
 	}
 }
--- a/internal/core/trial_test.go
+++ b/internal/core/trial_test.go
@@ -15,56 +15,57 @@
 	"chalkrack/internal/settings"
 )
 
-// orders is a transport whose attempts end as the test says.
-type orders struct {
-	still
-	got []core.Order
+// recordingTransport is a transport that records the attempts, which the test ends.
+type recordingTransport struct {
+	inertTransport
+	orders []core.Order
 }
 
-func (o *orders) Attempt(order core.Order) core.Attempt {
-	o.got = append(o.got, order)
-	return still{}
+func (o *recordingTransport) Attempt(order core.Order) core.Attempt {
+	o.orders = append(o.orders, order)
+	return inertTransport{}
 }
 
-// fail ends all attempts so far as ones that never ran, which may be tried again.
-func (o *orders) fail() {
-	for _, order := range o.got {
+// failAll ends all attempts so far as attempts that never ran, so that their calls may be retried.
+func (o *recordingTransport) failAll() {
+	for _, order := range o.orders {
 		order.Sink.Done(chalkrack.ConnectFailed, nil, chalkrack.Report{})
 	}
 }
 
-// final is a caller that counts its answers.
-type final struct {
+// countingCaller counts how its calls end.
+type countingCaller struct {
 	core.Caller
 	refused, failed, served, released int
 }
 
-func (f *final) Serve(any) { f.served++ }
+func (f *countingCaller) Serve(any) { f.served++ }
 
-func (f *final) Refuse(time.Duration, bool) { f.refused++ }
-func (f *final) Fail()                      { f.failed++ }
-func (f *final) Release()                   { f.released++ }
+func (f *countingCaller) Refuse(time.Duration, bool) { f.refused++ }
+func (f *countingCaller) Fail()                      { f.failed++ }
+func (f *countingCaller) Release()                   { f.released++ }
 
-func another(t *testing.T, id int, old, new string) *generation.Generation {
+// newGeneration returns a generation whose settings differ by one replaced piece of text.
+func newGeneration(t *testing.T, id int, oldText, newText string) *generation.Generation {
 	t.Helper()
 	text := `{"replicasOfMe":1,"zone":"z","caps":{"attemptsCap":4,"mayCancel":true,"secondCopies":false,"mostHeld":1000},
 		"guarantees":{"drainGraceUs":2000000},"classes":[
 		{"name":"a","effect":"repeatable","promiseUs":10000000,"hardLimitUs":20000000,"worth":1},
 		{"name":"u","effect":"once","promiseUs":10000000,"hardLimitUs":20000000,"worth":1}]}`
-	s, err := settings.Parse(bytes.Replace([]byte(text), []byte(old), []byte(new), 1))
+	s, err := settings.Parse(bytes.Replace([]byte(text), []byte(oldText), []byte(newText), 1))
 	if err != nil {
 		t.Fatal(err)
 	}
 	return &generation.Generation{ID: id, Settings: s}
 }
 
-// A call lives under the configuration that it was stamped with, whatever is switched,
-// kept or undone while its body comes or its attempts are out: its attempts, its class,
-// also one that the next configuration has dropped.
+// Guards against a call being handled under two configurations. The configuration that a call was
+// stamped with must decide on its attempts and its class, whatever trial is started, kept or undone
+// while the call's body arrives or its attempts are outstanding.
 func TestCallsKeepTheirGeneration(t *testing.T) {
 	for _, keep := range []bool{false, true} {
-		transport := new(orders)
-		h, err := core.New(core.Config{First: another(t, 1, `"attemptsCap":4`, `"attemptsCap":2`), Seed: 1, Transport: transport})
+		transport := new(recordingTransport)
+		h, err := core.New(core.Config{First: newGeneration(t, 1, `"attemptsCap":4`, `"attemptsCap":2`), Seed: 1, Transport: transport})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -74,33 +75,33 @@
 			l.Entries = append(l.Entries, membership.Entry{Endpoint: chalkrack.Endpoint{Name: name, Zone: "z", Hint: 1}, Address: "x"})
 		}
 		h.Listed(l)
-		arrive := func(id string, under generation.Stamp) *final {
-			c := new(final)
+		arrive := func(id string, under generation.Stamp) *countingCaller {
+			c := new(countingCaller)
 			h.Arrive(&core.Call{ID: id, Class: "a", Under: under, Received: time.Now(), Caller: c})
 			return c
 		}
-		// ends gives the call's attempts until its answer.
-		ends := func(c *final) (attempts int) {
+		// ends returns the number of the call's attempts until its answer.
+		ends := func(c *countingCaller) (attempts int) {
 			for c.refused+c.failed == 0 {
 				if attempts++; attempts > 10 {
-					t.Fatal("no end")
+					t.Fatal("the call has no answer after 10 attempts")
 				}
-				transport.fail()
+				transport.failAll()
 			}
 			return attempts
 		}
 		out := arrive("sent before", generation.Stamp{})
 		_, coming, known := h.Route("/a")
 		if !known || coming.Gen.ID != 1 {
-			t.Fatalf("%+v", coming)
+			t.Fatalf("stamp before the trial: %+v, want generation 1", coming)
 		}
-		next := another(t, 2, `"attemptsCap":4`, `"attemptsCap":1`)
+		next := newGeneration(t, 2, `"attemptsCap":4`, `"attemptsCap":1`)
 		next = &generation.Generation{ID: 2, Settings: next.Settings, Paths: map[string]string{"/b": "a"}}
 		if err := h.Try(next, bake.Config{Share: 0.5, FalseUndo: 0.01, Notice: 0.5, Bake: time.Minute}, 1); err != nil {
 			t.Fatal(err)
 		}
-		if err := h.Try(another(t, 3, "", ""), bake.Config{}, 1); err == nil {
-			t.Error("two at once")
+		if err := h.Try(newGeneration(t, 3, "", ""), bake.Config{}, 1); err == nil {
+			t.Error("a second trial was started during the first")
 		}
 		seen := make(map[int]generation.Stamp)
 		for len(seen) < 2 {
@@ -108,53 +109,53 @@
 			seen[s.Gen.ID] = s
 		}
 		if n := ends(out); n != 2 {
-			t.Errorf("keep %v: sent before the switch: %d attempts", keep, n)
+			t.Errorf("keep %v: call sent before the trial: %d attempts, want 2", keep, n)
 		}
 		under := arrive("new", seen[2])
 		if n := ends(under); n != 1 {
-			t.Errorf("keep %v: under the new one: %d attempts", keep, n)
+			t.Errorf("keep %v: call of the new generation: %d attempts, want 1", keep, n)
 		}
 		late := arrive("stamped in the trial", seen[1])
 		if err := h.Settle(keep); err != nil {
 			t.Fatal(err)
 		}
 		if n := ends(late); n != 2 {
-			t.Errorf("keep %v: stamped with the old one, sent before the end: %d attempts", keep, n)
+			t.Errorf("keep %v: call of the old generation, sent before the end of the trial: %d attempts, want 2", keep, n)
 		}
 		if n := ends(arrive("its body came slowly", coming)); n != 2 {
-			t.Errorf("keep %v: stamped before the switch: %d attempts", keep, n)
+			t.Errorf("keep %v: call stamped before the trial: %d attempts, want 2", keep, n)
 		}
 		want := map[bool]int{false: 2, true: 1}[keep]
 		if n := ends(arrive("after", generation.Stamp{})); n != want || h.Generations().Next != nil {
-			t.Errorf("keep %v: after the end: %d attempts", keep, n)
+			t.Errorf("keep %v: call after the end of the trial: %d attempts", keep, n)
 		}
 		if _, _, known := h.Route("/b"); known != keep {
-			t.Errorf("keep %v: the path of the new one: %v", keep, known)
+			t.Errorf("keep %v: the path of the new generation is known: %v", keep, known)
 		}
 		if _, _, _, err := h.Rule(); err == nil {
-			t.Error("there is still a trial")
+			t.Error("Rule returned no error after the trial had ended")
 		}
 	}
 }
 
-// A class that the new configuration drops is known to the calls that came under the old
-// one, and its unknown calls speak against the new one.
-func TestDroppedClass(t *testing.T) {
-	transport := new(orders)
-	h, err := core.New(core.Config{First: another(t, 1, "", ""), Seed: 1, Transport: transport})
+// A class that the new configuration drops must stay known to calls stamped with the old one, and
+// calls of this class under the new one must count against it.
+func TestDroppedClassCountsAgainstTrial(t *testing.T) {
+	transport := new(recordingTransport)
+	h, err := core.New(core.Config{First: newGeneration(t, 1, "", ""), Seed: 1, Transport: transport})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer h.Close()
 	h.Listed(&membership.List{Whole: true, Entries: []membership.Entry{{Endpoint: chalkrack.Endpoint{Name: "s0", Zone: "z", Hint: 1}, Address: "x"}}})
 	_, early, _ := h.Route("/u")
-	if err := h.Try(another(t, 2, `"name":"u"`, `"name":"v"`), bake.Config{Share: 0.5, FalseUndo: 0.01, Notice: 0.5, Bake: time.Minute}, 1); err != nil {
+	if err := h.Try(newGeneration(t, 2, `"name":"u"`, `"name":"v"`), bake.Config{Share: 0.5, FalseUndo: 0.01, Notice: 0.5, Bake: time.Minute}, 1); err != nil {
 		t.Fatal(err)
 	}
-	c := new(final)
+	c := new(countingCaller)
 	h.Arrive(&core.Call{ID: "1", Class: "u", Under: early, Received: time.Now(), Caller: c})
-	if len(transport.got) != 1 || !transport.got[0].Once {
-		t.Errorf("%+v", transport.got)
+	if len(transport.orders) != 1 || !transport.orders[0].Once {
+		t.Errorf("orders %+v, want one with Once set", transport.orders)
 	}
 	unknown := 0
 	for range 200 {
@@ -164,26 +165,26 @@
 	}
 	r, class, _, err := h.Rule()
 	if err != nil || r.Verdict != bake.Undo || class != "u" || r.Calls != unknown {
-		t.Errorf("%+v, class %q of %d, %v", r, class, unknown, err)
+		t.Errorf("ruling %+v, class %q, %d calls of an unknown class, error %v", r, class, unknown, err)
 	}
 	if err := h.Settle(false); err != nil {
 		t.Fatal(err)
 	}
 	if _, _, known := h.Route("/u"); !known {
-		t.Error("the class is gone for good")
+		t.Error("the class is unknown after the trial was undone")
 	}
 }
 
-// How a call ends is what the judge hears of it: late by the aim from when it came, or
-// was whole; one whose client left within its aim says nothing; one refused for lack of
-// room speaks as any refusal.
-func TestWhatTheJudgeHears(t *testing.T) {
-	const aim = 10 * time.Second // as another has it
+// Calls must count in a trial as they ended: as late if their aim passed, measured from their
+// arrival or from the end of their body; not at all if the client left within the aim; and as
+// refused also if they were refused for lack of capacity.
+func TestTrialCountsHowCallsEnded(t *testing.T) {
+	const aim = 10 * time.Second // of the classes that another defines
 	for _, c := range []struct {
 		name  string
-		next  [2]string // what is other in the new configuration
+		next  [2]string // the text replaced in the new configuration, and its replacement
 		call  func(h *core.Host, c *core.Call, last func() core.Sink)
-		calls int // of the new generation that count, of 60
+		calls int // calls of the new generation that count, out of 60
 		undo  bool
 		kind  bake.Kind
 	}{
@@ -220,22 +221,22 @@
 			last().Done(chalkrack.OK, "", chalkrack.Report{})
 		}, 60, false, 0},
 		{"no room", [2]string{`"mostHeld":1000`, `"mostHeld":1`}, func(h *core.Host, c *core.Call, last func() core.Sink) {
-			other := &core.Call{ID: c.ID + "x", Class: "a", Received: time.Now(), Caller: new(final), Under: c.Under}
-			h.Arrive(other) // takes the one place
+			other := &core.Call{ID: c.ID + "x", Class: "a", Received: time.Now(), Caller: new(countingCaller), Under: c.Under}
+			h.Arrive(other) // uses the only place
 			h.Arrive(c)
 			h.Gone(other)
 		}, 60, true, bake.Refused},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				transport := new(orders)
-				h, err := core.New(core.Config{First: another(t, 1, "", ""), Seed: 1, Transport: transport})
+				transport := new(recordingTransport)
+				h, err := core.New(core.Config{First: newGeneration(t, 1, "", ""), Seed: 1, Transport: transport})
 				if err != nil {
 					t.Fatal(err)
 				}
 				defer h.Close()
 				h.Listed(&membership.List{Whole: true, Entries: []membership.Entry{{Endpoint: chalkrack.Endpoint{Name: "s0", Zone: "z", Hint: 1}, Address: "x"}}})
-				if err := h.Try(another(t, 2, c.next[0], c.next[1]), bake.Config{Share: 0.5, FalseUndo: 0.01, Notice: 0.5, Bake: time.Hour}, 1); err != nil {
+				if err := h.Try(newGeneration(t, 2, c.next[0], c.next[1]), bake.Config{Share: 0.5, FalseUndo: 0.01, Notice: 0.5, Bake: time.Hour}, 1); err != nil {
 					t.Fatal(err)
 				}
 				var under generation.Stamp
@@ -243,11 +244,11 @@
 					under = h.Stamp()
 				}
 				for n := range 60 {
-					c.call(h, &core.Call{ID: fmt.Sprint(n), Class: "a", Under: under, Received: time.Now(), Caller: new(final)}, func() core.Sink { return transport.got[len(transport.got)-1].Sink })
+					c.call(h, &core.Call{ID: fmt.Sprint(n), Class: "a", Under: under, Received: time.Now(), Caller: new(countingCaller)}, func() core.Sink { return transport.orders[len(transport.orders)-1].Sink })
 				}
 				r, _, _, err := h.Rule()
 				if err != nil || r.Calls != c.calls || (r.Verdict == bake.Undo) != c.undo || c.undo && r.Kind != c.kind {
-					t.Errorf("%+v, %v", r, err)
+					t.Errorf("ruling %+v, error %v", r, err)
 				}
 			})
 		})
--- a/internal/core/watch_test.go
+++ b/internal/core/watch_test.go
@@ -18,64 +18,64 @@
 	"chalkrack/internal/upstream"
 )
 
-// watch writes attempts down.
-type watch struct {
-	mu   sync.Mutex
-	last uint64
-	open map[uint64]string
-	ends map[chalkrack.Outcome]int
+// attemptLog records attempts and their outcomes.
+type attemptLog struct {
+	mu          sync.Mutex
+	lastTicket  uint64
+	outstanding map[uint64]string
+	outcomes    map[chalkrack.Outcome]int
 }
 
-func (w *watch) Sent(_ time.Duration, server string) uint64 {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.last++
-	w.open[w.last] = server
-	return w.last
+func (l *attemptLog) Sent(_ time.Duration, server string) uint64 {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.lastTicket++
+	l.outstanding[l.lastTicket] = server
+	return l.lastTicket
 }
 
-func (w *watch) Ended(_ time.Duration, ticket uint64, o chalkrack.Outcome) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	delete(w.open, ticket)
-	w.ends[o]++
+func (l *attemptLog) Ended(_ time.Duration, ticket uint64, outcome chalkrack.Outcome) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	delete(l.outstanding, ticket)
+	l.outcomes[outcome]++
 }
 
-// tickets are those that are out, once there is one.
-func (w *watch) tickets(t *testing.T) (all []uint64) {
+// tickets waits for an outstanding attempt and returns the tickets of all.
+func (l *attemptLog) tickets(t *testing.T) (all []uint64) {
 	t.Helper()
-	for end := time.Now().Add(patience); len(all) == 0; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); len(all) == 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("nothing is out")
+			t.Fatal("no attempt was sent")
 		}
-		w.mu.Lock()
-		for ticket := range w.open {
+		l.mu.Lock()
+		for ticket := range l.outstanding {
 			all = append(all, ticket)
 		}
-		w.mu.Unlock()
+		l.mu.Unlock()
 	}
 	return all
 }
 
-// watched runs a host with a watch before servers.
-func watched(tb testing.TB, w core.Watch, servers ...*server) (*core.Host, string) {
+// startWatchedHost runs a host with a Watch in front of the given servers and returns its address.
+func startWatchedHost(tb testing.TB, watch core.Watch, servers ...*fakeServer) (*core.Host, string) {
 	tb.Helper()
-	set := testSettings()
-	pool := upstream.New(upstream.Config{ConnIdle: set.ConnIdle, DialTimeout: set.DialTimeout, DrainGrace: set.DrainGrace, MaxConns: 100})
-	h, err := core.New(core.Config{Settings: set, Seed: 1, Transport: pool, Watch: w})
+	config := testSettings()
+	pool := upstream.New(upstream.Config{ConnIdle: config.ConnIdle, DialTimeout: config.DialTimeout, DrainGrace: config.DrainGrace, MaxConns: 100})
+	h, err := core.New(core.Config{Settings: config, Seed: 1, Transport: pool, Watch: watch})
 	if err != nil {
 		tb.Fatal(err)
 	}
-	l := &membership.List{Whole: true}
+	list := &membership.List{Whole: true}
 	for n, s := range servers {
-		l.Entries = append(l.Entries, membership.Entry{Endpoint: chalkrack.Endpoint{Name: fmt.Sprint("s", n), Zone: string(rune('a' + n)), Hint: 1}, Address: s.addr})
+		list.Entries = append(list.Entries, membership.Entry{Endpoint: chalkrack.Endpoint{Name: fmt.Sprint("s", n), Zone: string(rune('a' + n)), Hint: 1}, Address: s.addr})
 	}
-	if z, ok := w.(*zones.Zones); ok {
+	if z, ok := watch.(*zones.Zones); ok {
 		z.Stand(h, h.Listed, func(int, []int) {})
 		h.SetZones(z)
-		z.Listed(l)
+		z.Listed(list)
 	} else {
-		h.Listed(l)
+		h.Listed(list)
 	}
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -86,62 +86,62 @@
 	return h, ln.Addr().String()
 }
 
-// What a watch gives up is tried elsewhere, within the call's attempts; what must not run
-// twice goes on. Each attempt's end is told once.
-func TestGiveUp(t *testing.T) {
+// An attempt that is given up must be replaced by another one within the call's limit on attempts,
+// but a call that must not run twice must go on. The end of each attempt must be reported once.
+func TestGiveUpRetriesUnlessUnsafe(t *testing.T) {
 	for class, again := range map[string]bool{"a": true, "k": true, "u": false} {
-		let, arrived := make(chan struct{}), make(chan struct{})
-		w := &watch{open: make(map[uint64]string), ends: make(map[chalkrack.Outcome]int)}
-		var came atomic.Int32
-		silentOnce := func(int, *http.Request, string) string { // the first at either
-			if came.Add(1) == 1 {
+		release, arrived := make(chan struct{}), make(chan struct{})
+		watch := &attemptLog{outstanding: make(map[uint64]string), outcomes: make(map[chalkrack.Outcome]int)}
+		var requests atomic.Int32
+		silentOnce := func(int, *http.Request, string) string { // the first request, at either server, gets no answer until the test allows it
+			if requests.Add(1) == 1 {
 				close(arrived)
-				<-let
+				<-release
 			}
-			return ok("hi")
+			return okAnswer("hi")
 		}
-		h, addr := watched(t, w, newServer(t, silentOnce), newServer(t, silentOnce))
+		h, addr := startWatchedHost(t, watch, newFakeServer(t, silentOnce), newFakeServer(t, silentOnce))
 		answered := make(chan int, 1)
 		go func() {
-			status, _ := ask(t, addr, class, "Idempotency-Key: x\r\n", "")
+			status, _ := request(t, addr, class, "Idempotency-Key: x\r\n", "")
 			answered <- status
 		}()
-		tickets := w.tickets(t)
-		<-arrived // given up before that, the next attempt would be the one that the servers leave waiting
+		tickets := watch.tickets(t)
+		<-arrived // if it were given up earlier, the next attempt would be the one that gets no answer
 		h.GiveUp(append(tickets, 9999))
 		h.GiveUp(tickets)
 		if again {
 			if status := <-answered; status != 200 {
-				t.Errorf("%s: answered %d", class, status)
+				t.Errorf("class %s: answered %d, want 200", class, status)
 			}
-			close(let)
+			close(release)
 		} else {
 			select {
 			case status := <-answered:
-				t.Errorf("%s: answered %d by another attempt", class, status)
+				t.Errorf("class %s: answered %d by another attempt", class, status)
 			case <-time.After(50 * time.Millisecond):
 			}
-			close(let)
+			close(release)
 			if status := <-answered; status != 200 {
-				t.Errorf("%s: answered %d", class, status)
+				t.Errorf("class %s: answered %d, want 200", class, status)
 			}
 		}
-		for end := time.Now().Add(patience); ; time.Sleep(time.Millisecond) {
-			w.mu.Lock()
-			left, timedOut, good := len(w.open), w.ends[chalkrack.TimedOut], w.ends[chalkrack.OK]
-			w.mu.Unlock()
+		for end := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
+			watch.mu.Lock()
+			left, timedOut, good := len(watch.outstanding), watch.outcomes[chalkrack.TimedOut], watch.outcomes[chalkrack.OK]
+			watch.mu.Unlock()
 			if left == 0 && good == 1 && timedOut == map[bool]int{true: 1}[again] {
 				break
 			}
 			if time.Now().After(end) {
-				t.Fatalf("%s: %d out, ends %v", class, left, w.ends)
+				t.Fatalf("class %s: %d attempts outstanding, outcomes %v", class, left, watch.outcomes)
 			}
 		}
 		h.Close()
 	}
 }
 
-// BenchmarkZones is BenchmarkRequest with zones on.
+// BenchmarkZones is BenchmarkRequest with zone evacuation enabled.
 func BenchmarkZones(b *testing.B) {
 	cfg := evacuation.Default()
 	cfg.Peers = 40
@@ -149,9 +149,9 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	s := newServer(b, always(ok("hi")))
-	_, addr := watched(b, z, s)
+	s := newFakeServer(b, fixed(okAnswer("hi")))
+	_, addr := startWatchedHost(b, z, s)
 	z.Begin()
 	defer z.Close()
-	oneByOne(b, addr)
+	benchmarkRequests(b, addr)
 }
