--- a/internal/failover/failover.go
+++ b/internal/failover/failover.go
@@ -1,78 +1,80 @@
-// Package failover decides, for one caller, whether its calls go by way of the daemon
-// on its host or past it. It has no I/O, clock or goroutines: the caller tells it what
-// it met, and when.
+// Package failover decides for one caller whether its calls go through the daemon on its
+// host or bypass it. It performs no I/O, reads no clock and starts no goroutines: the
+// caller reports events and their times.
 //
-// A daemon is lost at once and comes back slowly: only after some good probes in a
-// row, and then at a random moment within Spread, so that the callers of a host, or of
-// a fleet whose daemons were all restarted, do not return as one. Each loss soon after
-// a return doubles Spread, up to SpreadMost.
+// A daemon counts as lost immediately, but is used again only after several successful
+// probes in a row and a random delay of up to Spread. The delay keeps the callers of a
+// host, or of a fleet whose daemons were all restarted, from returning at the same time.
+// Each loss soon after a return doubles the spread, up to SpreadMost.
 package failover
 
 import "time"
 
-// Config is what a Machine is told. All times must be above 0.
+// Config configures a Machine. All values must be above 0.
 type Config struct {
-	ProbeEach  time.Duration // between two probes of a daemon that is away, at first
-	ProbeMost  time.Duration // what that grows to while it stays away
-	Steady     int           // good probes in a row before a return
-	Spread     time.Duration // a return is put off by a random part of it
-	SpreadMost time.Duration
+	ProbeEach  time.Duration // the initial interval between two probes of a lost daemon
+	ProbeMost  time.Duration // the maximum of that interval, which doubles after each failed probe
+	Steady     int           // the number of successful probes in a row before a return
+	Spread     time.Duration // the maximum of the random delay before a return
+	SpreadMost time.Duration // the maximum to which Spread is doubled
 }
 
-// Default suits a daemon that restarts within a second or two.
+// Default returns a Config for daemons that restart within one or two seconds.
 func Default() Config {
 	return Config{ProbeEach: 100 * time.Millisecond, ProbeMost: 2 * time.Second, Steady: 2, Spread: 2 * time.Second, SpreadMost: time.Minute}
 }
 
-// Machine is the state of one caller. The zero time is not a time.
+// Machine is the state of one caller. It must not be used concurrently. The times passed to
+// it must be above 0, since 0 stands for no time.
 type Machine struct {
 	cfg    Config
 	random func() float64 // within [0, 1)
 
-	away     bool
-	wait     time.Duration // between two probes, now
-	spread   time.Duration
-	good     int
-	probeAt  time.Duration
-	returnAt time.Duration // 0: not settled
-	backAt   time.Duration // when it came back last; 0: never
+	lost          bool          // the daemon is lost
+	probeInterval time.Duration // the current interval between two probes
+	spread        time.Duration // the current maximum of the delay before a return
+	goodProbes    int           // successful probes in a row
+	probeAt       time.Duration
+	returnAt      time.Duration // 0: no return is scheduled
+	returnedAt    time.Duration // the last return; 0: none
 }
 
-// New returns a Machine whose daemon counts as there.
+// New returns a Machine that uses the daemon. random returns values within [0, 1).
 func New(cfg Config, random func() float64) *Machine {
 	return &Machine{cfg: cfg, random: random, spread: cfg.Spread}
 }
 
-// Here says whether calls go by way of the daemon.
-func (m *Machine) Here() bool { return !m.away }
+// Here reports whether calls go through the daemon.
+func (m *Machine) Here() bool { return !m.lost }
 
-// Lost takes a daemon that could not be reached, or does not answer. It says whether
-// the caller takes over just now.
+// Lost reports that the daemon could not be reached or does not answer. It returns whether
+// the caller takes over from the daemon with this event.
 func (m *Machine) Lost(now time.Duration) (takeover bool) {
-	m.good, m.returnAt = 0, 0
-	if m.away {
+	m.goodProbes, m.returnAt = 0, 0
+	if m.lost {
 		return false
 	}
-	last := m.spread
-	if m.spread = m.cfg.Spread; m.backAt > 0 && now-m.backAt < soon*last {
-		m.spread = min(2*last, m.cfg.SpreadMost)
+	lastSpread := m.spread
+	if m.spread = m.cfg.Spread; m.returnedAt > 0 && now-m.returnedAt < relapseSpreads*lastSpread {
+		m.spread = min(2*lastSpread, m.cfg.SpreadMost)
 	}
-	m.away, m.wait = true, m.cfg.ProbeEach
-	m.probeAt = now + m.jitter(m.wait)
+	m.lost, m.probeInterval = true, m.cfg.ProbeEach
+	m.probeAt = now + m.jitter(m.probeInterval)
 	return true
 }
 
-// soon is for how many of the last spreads a loss counts as one of the same spell.
-const soon = 8
+// relapseSpreads is the number of spreads after a return within which a loss doubles the spread.
+const relapseSpreads = 8
 
+// jitter returns a random duration between half of d and one and a half times d.
 func (m *Machine) jitter(d time.Duration) time.Duration {
 	return d/2 + time.Duration(m.random()*float64(d))
 }
 
-// Next is when Due wants to be called, 0 for never.
+// Next returns the time at which Due must be called, or 0 if there is none.
 func (m *Machine) Next() time.Duration {
 	switch {
-	case !m.away:
+	case !m.lost:
 		return 0
 	case m.returnAt > 0:
 		return min(m.returnAt, m.probeAt)
@@ -80,34 +82,34 @@
 	return m.probeAt
 }
 
-// Due says what a time brings: a probe to make, whose end Probed takes, or the
-// caller's return to the daemon.
+// Due returns what is due at a time: a probe to make, whose result must be passed to Probed,
+// or the caller's return to the daemon.
 func (m *Machine) Due(now time.Duration) (probe, back bool) {
 	switch {
-	case !m.away:
+	case !m.lost:
 		return false, false
 	case m.returnAt > 0 && now >= m.returnAt:
-		m.away, m.returnAt, m.backAt = false, 0, now
+		m.lost, m.returnAt, m.returnedAt = false, 0, now
 		return false, true
 	case now >= m.probeAt:
-		m.probeAt = now + m.jitter(m.wait)
+		m.probeAt = now + m.jitter(m.probeInterval)
 		return true, false
 	}
 	return false, false
 }
 
-// Probed takes the end of a probe.
+// Probed records the result of a probe.
 func (m *Machine) Probed(now time.Duration, ok bool) {
-	if !m.away {
+	if !m.lost {
 		return
 	}
 	if !ok {
-		m.good, m.returnAt = 0, 0
-		m.wait = min(2*m.wait, m.cfg.ProbeMost)
+		m.goodProbes, m.returnAt = 0, 0
+		m.probeInterval = min(2*m.probeInterval, m.cfg.ProbeMost)
 		return
 	}
-	m.wait = m.cfg.ProbeEach
-	if m.good++; m.good >= m.cfg.Steady && m.returnAt == 0 {
+	m.probeInterval = m.cfg.ProbeEach
+	if m.goodProbes++; m.goodProbes >= m.cfg.Steady && m.returnAt == 0 {
 		m.returnAt = now + 1 + time.Duration(m.random()*float64(m.spread))
 	}
 }
--- a/internal/failover/failover_test.go
+++ b/internal/failover/failover_test.go
@@ -8,110 +8,112 @@
 	"pgregory.net/rapid"
 )
 
-func cfg() Config {
+func testConfig() Config {
 	return Config{ProbeEach: 100 * time.Millisecond, ProbeMost: 2 * time.Second, Steady: 2, Spread: 2 * time.Second, SpreadMost: 16 * time.Second}
 }
 
-// play runs a Machine from one due time to the next until it is back, with a daemon
-// that answers probes from a time on.
-func play(m *Machine, up time.Duration) (back time.Duration, probes int) {
+// runUntilReturn advances a lost Machine from one due time to the next until it returns to the daemon,
+// which answers probes from the time up on.
+func runUntilReturn(m *Machine, answersFrom time.Duration) (back time.Duration, probes int) {
 	for {
 		now := m.Next()
-		probe, came := m.Due(now)
-		if came {
+		probe, returned := m.Due(now)
+		if returned {
 			return now, probes
 		}
 		if probe {
 			probes++
-			m.Probed(now, now >= up)
+			m.Probed(now, now >= answersFrom)
 		}
 	}
 }
 
-func TestLostAndBack(t *testing.T) {
-	m := New(cfg(), rand.New(rand.NewPCG(1, 1)).Float64)
+// A lost daemon must be taken over from once, be probed at a bounded rate, and be used again
+// only after it answers probes.
+func TestReturnsAfterDaemonAnswers(t *testing.T) {
+	m := New(testConfig(), rand.New(rand.NewPCG(1, 1)).Float64)
 	if !m.Here() || m.Next() != 0 {
-		t.Fatal("not there at first")
+		t.Fatal("a new machine does not use the daemon")
 	}
 	if !m.Lost(time.Second) || m.Lost(time.Second) || m.Here() {
-		t.Fatal("one loss is one take-over")
+		t.Fatal("the first loss is not a take-over, or the second one is")
 	}
-	back, probes := play(m, 11*time.Second)
+	back, probes := runUntilReturn(m, 11*time.Second)
 	if back < 11*time.Second || !m.Here() {
-		t.Errorf("back at %v", back)
+		t.Errorf("returned at %v, want 11s or later", back)
 	}
 	if probes > 20 {
-		t.Errorf("%d probes in 10 s", probes)
+		t.Errorf("%d probes in 10 s, want at most 20", probes)
 	}
 }
 
-// A fleet of callers that lose their daemons for a moment returns over the spread: no
-// tenth of it takes more than a fifth of them.
-func TestReturnsSpread(t *testing.T) {
+// Guards against many callers returning at the same time after all of them lost their daemons
+// for a moment. No tenth of the spread may contain more than a fifth of the returns.
+func TestReturnsAreSpreadOut(t *testing.T) {
 	const callers = 2000
-	var at []time.Duration
+	var returns []time.Duration
 	for n := range uint64(callers) {
-		m := New(cfg(), rand.New(rand.NewPCG(n, 2)).Float64)
+		m := New(testConfig(), rand.New(rand.NewPCG(n, 2)).Float64)
 		m.Lost(time.Second)
-		back, _ := play(m, time.Second)
-		at = append(at, back)
+		back, _ := runUntilReturn(m, time.Second)
+		returns = append(returns, back)
 	}
 	tenths := make(map[int]int)
-	for _, b := range at {
+	for _, b := range returns {
 		tenths[int((b-time.Second)/(200*time.Millisecond))]++
 	}
-	for n, of := range tenths {
-		if of > callers/5 {
-			t.Errorf("%d of %d return in tenth %d", of, callers, n)
+	for n, count := range tenths {
+		if count > callers/5 {
+			t.Errorf("%d of %d callers return in tenth %d of the spread", count, callers, n)
 		}
 	}
 }
 
-// A daemon that comes and goes is gone back to ever later, up to a bound, and as
-// before once it has held.
-func TestFlapping(t *testing.T) {
-	m := New(cfg(), func() float64 { return 0.999 })
+// The return to a daemon that is lost again and again must be delayed longer each time, up to a
+// limit. After the daemon has been in use for an hour, the delay must be back at its initial value.
+func TestFlappingDaemonDelaysReturn(t *testing.T) {
+	m := New(testConfig(), func() float64 { return 0.999 })
 	now := time.Second
-	var took []time.Duration
+	var delays []time.Duration
 	for range 7 {
 		m.Lost(now)
-		back, _ := play(m, now)
-		took = append(took, back-now)
+		back, _ := runUntilReturn(m, now)
+		delays = append(delays, back-now)
 		now = back + time.Millisecond
 	}
 	for n := 1; n < 4; n++ {
-		if took[n] < took[n-1]*3/2 {
-			t.Errorf("returns after %v", took)
+		if delays[n] < delays[n-1]*3/2 {
+			t.Errorf("returns after %v, want each of the first four to take 1.5 times as long as the one before", delays)
 		}
 	}
-	if took[6] > 17*time.Second {
-		t.Errorf("returns after %v", took)
+	if delays[6] > 17*time.Second {
+		t.Errorf("returns after %v, want the last one within 17s", delays)
 	}
 	now += time.Hour
 	m.Lost(now)
-	if back, _ := play(m, now); back-now > took[0]+time.Second {
-		t.Errorf("after an hour: %v, at first %v", back-now, took[0])
+	if back, _ := runUntilReturn(m, now); back-now > delays[0]+time.Second {
+		t.Errorf("return after %v once an hour has passed, want the initial %v", back-now, delays[0])
 	}
 }
 
-// A bad probe before the return puts it off.
-func TestBadProbeResets(t *testing.T) {
-	m := New(cfg(), func() float64 { return 0.5 })
+// A failed probe before a scheduled return must cancel the return.
+func TestFailedProbeCancelsReturn(t *testing.T) {
+	m := New(testConfig(), func() float64 { return 0.5 })
 	m.Lost(time.Second)
 	m.Probed(2*time.Second, true)
 	m.Probed(2*time.Second, true)
-	settled := m.returnAt
+	scheduled := m.returnAt
 	m.Probed(2*time.Second, false)
-	if _, back := m.Due(settled); back || m.Here() {
-		t.Error("back after a bad probe")
+	if _, back := m.Due(scheduled); back || m.Here() {
+		t.Error("returned to the daemon after a failed probe")
 	}
 }
 
-// Whatever is met in whatever order: it never returns without Steady good probes since
-// the last loss or bad probe, and there is always a next step while it is away.
-func TestAnyOrder(t *testing.T) {
+// For any order of events: the machine must not return before Steady successful probes since the
+// last loss or failed probe, and must have a next due time while the daemon is lost.
+func TestNoReturnWithoutSteadyProbesInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		c := cfg()
+		c := testConfig()
 		m := New(c, func() float64 { return rapid.Float64Range(0, 0.999).Draw(t, "random") })
 		now, good := time.Second, 0
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
@@ -130,19 +132,19 @@
 				}
 			default:
 				if _, back := m.Due(now); back && good < c.Steady {
-					t.Fatalf("back after %d good probes", good)
+					t.Fatalf("returned after %d successful probes", good)
 				} else if back {
 					good = 0
 				}
 			}
 			if !m.Here() && m.Next() == 0 {
-				t.Fatal("away with nothing to come")
+				t.Fatal("the daemon is lost and there is no due time")
 			}
 			if m.Here() {
 				good = 0
 			}
-			if m.spread > c.SpreadMost || m.wait > c.ProbeMost {
-				t.Fatalf("spread %v, wait %v", m.spread, m.wait)
+			if m.spread > c.SpreadMost || m.probeInterval > c.ProbeMost {
+				t.Fatalf("spread %v, wait %v", m.spread, m.probeInterval)
 			}
 		}
 	})
