--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,5 +1,5 @@
-// Package settings reads the settings of a deployment into what the balancer
-// and its hosts need of them, so that all hosts share one mapping.
+// Package settings parses the settings of a deployment into the values that the Balancer
+// and its hosts need, so that all hosts share one mapping.
 package settings
 
 import (
@@ -13,22 +13,22 @@
 	"chalkrack"
 )
 
-// Settings is what a deployment's settings say.
+// Settings holds the settings of a deployment.
 type Settings struct {
 	Config    chalkrack.Config
-	Deadlines []time.Duration // by class: how long a client waits at most
+	Deadlines []time.Duration // by class: the maximum time that a client waits
 
-	// What only a host on real sockets needs.
-	ConnIdle    time.Duration // a server closes a connection that has been idle for so long
+	// The following fields are used only by hosts that send requests over the network.
+	ConnIdle    time.Duration // the idle time after which a server closes a connection
 	DialTimeout time.Duration
 	DrainGrace  time.Duration
-	MaxHeld     int // requests held at once
+	MaxHeld     int // the maximum number of calls held at once; 0: no limit
 
 	classes, tenants map[string]int
 }
 
-// env is the settings object; keys that have no use here are skipped.
-type env struct {
+// document is the settings document. Keys without a field here are ignored.
+type document struct {
 	Caps struct {
 		AttemptsCap     int
 		MayCancel       bool
@@ -38,7 +38,7 @@
 		RetryAfter      bool
 		ConnIdleUs      int64
 		DialTimeoutUs   int64
-		MaxHeld         int `json:"mostHeld"` // the platform's word
+		MaxHeld         int `json:"mostHeld"` // the platform's name
 	}
 	Classes []struct {
 		Name           string
@@ -71,56 +71,56 @@
 	Zone         string
 }
 
-// Parse reads the settings object. Errors name the field.
+// Parse parses and checks a settings document in JSON. Errors name the field.
 func Parse(data []byte) (*Settings, error) {
-	var e env
-	if err := json.Unmarshal(data, &e); err != nil {
+	var doc document
+	if err := json.Unmarshal(data, &doc); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	if err := e.check(); err != nil {
+	if err := doc.validate(); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
 	s := &Settings{
-		Config:      config(&e),
-		ConnIdle:    micros(e.Caps.ConnIdleUs),
-		DialTimeout: micros(e.Caps.DialTimeoutUs),
-		DrainGrace:  micros(e.Guarantees.DrainGraceUs),
-		MaxHeld:     e.Caps.MaxHeld,
+		Config:      newConfig(&doc),
+		ConnIdle:    microseconds(doc.Caps.ConnIdleUs),
+		DialTimeout: microseconds(doc.Caps.DialTimeoutUs),
+		DrainGrace:  microseconds(doc.Guarantees.DrainGraceUs),
+		MaxHeld:     doc.Caps.MaxHeld,
 		classes:     make(map[string]int),
 		tenants:     make(map[string]int),
 	}
-	for n, c := range e.Classes {
+	for n, c := range doc.Classes {
 		s.classes[c.Name] = n
-		s.Deadlines = append(s.Deadlines, micros(c.HardLimitUs))
+		s.Deadlines = append(s.Deadlines, microseconds(c.HardLimitUs))
 	}
-	for n, t := range e.Tenants {
+	for n, t := range doc.Tenants {
 		s.tenants[t.Name] = n
 	}
 	return s, nil
 }
 
-// New returns settings that a program states itself, with a name and a deadline for
-// each class of cfg. The rest is for the caller to set.
+// New returns settings for a program that configures itself, with a name and a deadline for
+// each class of cfg. The caller sets the other fields. Errors name the field.
 func New(cfg chalkrack.Config, names []string, deadlines []time.Duration) (*Settings, error) {
 	if err := cfg.Validate(); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	c := checker{}
+	check := checker{}
 	seen := make(map[string]bool)
 	s := &Settings{Config: cfg, Deadlines: deadlines, classes: make(map[string]int)}
 	for n := range cfg.Classes {
-		at := fmt.Sprintf("Classes[%d].", n)
-		c.name(at+"Name", names[n], seen)
-		c.need(deadlines[n] > 0, at+"Deadline", "above 0")
+		prefix := fmt.Sprintf("Classes[%d].", n)
+		check.requireUniqueName(prefix+"Name", names[n], seen)
+		check.require(deadlines[n] > 0, prefix+"Deadline", "above 0")
 		s.classes[names[n]] = n
 	}
-	if c.err != nil {
-		return nil, fmt.Errorf("settings: %w", c.err)
+	if check.err != nil {
+		return nil, fmt.Errorf("settings: %w", check.err)
 	}
 	return s, nil
 }
 
-// ClassOf is what is known of a class, nil if there is none of that name.
+// ClassOf returns the class with a name, or nil if there is none.
 func (s *Settings) ClassOf(name string) *chalkrack.Class {
 	if n := s.Class([]byte(name)); n >= 0 {
 		return &s.Config.Classes[n]
@@ -128,85 +128,93 @@
 	return nil
 }
 
-// Longest is the longest time that a client waits.
+// Longest returns the longest deadline of any class.
 func (s *Settings) Longest() (d time.Duration) {
-	for _, own := range s.Deadlines {
-		d = max(d, own)
+	for _, deadline := range s.Deadlines {
+		d = max(d, deadline)
 	}
 	return d
 }
 
-// usMost is the longest time in microseconds that a Duration holds.
-const usMost = math.MaxInt64 / int64(time.Microsecond)
+// maxMicros is the maximum number of microseconds that a time.Duration can hold.
+const maxMicros = math.MaxInt64 / int64(time.Microsecond)
 
-// checker keeps the first complaint.
+// checker collects the first error of several checks.
 type checker struct{ err error }
 
-func (c *checker) need(ok bool, field, want string, args ...any) {
+// require records an error for field unless ok holds.
+func (c *checker) require(ok bool, field, want string, args ...any) {
 	if !ok && c.err == nil {
 		c.err = fmt.Errorf("%s must be "+want, append([]any{field}, args...)...)
 	}
 }
 
-func (c *checker) times(prefix string, fields map[string]int64) {
+// requireMicros checks that each field is a number of microseconds that a time.Duration can hold.
+func (c *checker) requireMicros(prefix string, fields map[string]int64) {
 	for _, name := range slices.Sorted(maps.Keys(fields)) {
-		c.need(fields[name] >= 0 && fields[name] <= usMost, prefix+name, "within 0 and %d", usMost)
+		c.require(fields[name] >= 0 && fields[name] <= maxMicros, prefix+name, "within 0 and %d", maxMicros)
 	}
 }
 
-func (c *checker) amounts(prefix string, fields map[string]float64) {
+// requireNonNegative checks that no field is negative.
+func (c *checker) requireNonNegative(prefix string, fields map[string]float64) {
 	for _, name := range slices.Sorted(maps.Keys(fields)) {
-		c.need(fields[name] >= 0, prefix+name, "0 or more")
+		c.require(fields[name] >= 0, prefix+name, "0 or more")
 	}
 }
 
-func (c *checker) word(field, got string, known ...string) {
-	c.need(slices.Contains(known, got), field, "one of %q, not %q", known, got)
+// requireOneOf checks that the value of field is one of known.
+func (c *checker) requireOneOf(field, got string, known ...string) {
+	c.require(slices.Contains(known, got), field, "one of %q, not %q", known, got)
 }
 
-func (c *checker) name(field, got string, seen map[string]bool) {
-	c.need(got != "" && !seen[got], field, "set and the only one of its kind, not %q", got)
+// requireUniqueName checks that a name is neither empty nor in seen, and adds it to seen.
+func (c *checker) requireUniqueName(field, got string, seen map[string]bool) {
+	c.require(got != "" && !seen[got], field, "set and the only one of its kind, not %q", got)
 	seen[got] = true
 }
 
-// check says which field can't be used. Guards above all against a word that is not
-// known: an effect taken for 'repeatable' would have requests run twice.
-func (e *env) check() error {
+// validate returns an error that names the first invalid field. Unknown words are errors rather
+// than replaced by a default, because requests would run twice if an effect were taken for
+// 'repeatable' by mistake.
+func (doc *document) validate() error {
 	var c checker
-	g := &e.Guarantees
-	c.times("caps.", map[string]int64{"maxRetryAfterUs": e.Caps.MaxRetryAfterUs, "connIdleUs": e.Caps.ConnIdleUs, "dialTimeoutUs": e.Caps.DialTimeoutUs})
-	c.times("guarantees.", map[string]int64{"askWithinUs": g.AskWithinUs, "coldUs": g.ColdUs, "drainGraceUs": g.DrainGraceUs, "overloadForUs": g.OverloadForUs})
-	c.amounts("costs.", map[string]float64{"connection": e.Costs.Connection, "crossZone": e.Costs.CrossZone, "probe": e.Costs.Probe, "waste": e.Costs.Waste})
-	c.amounts("", map[string]float64{"overShareWorth": e.OverShareWorth})
-	c.word("registryMode", e.RegistryMode, "", "automatic", "subscribe")
-	c.need(e.RegistryMode != "subscribe" || g.AskWithinUs > 0, "guarantees.askWithinUs", "above 0 where the list must be asked for")
-	e.checkClasses(&c)
+	g := &doc.Guarantees
+	c.requireMicros("caps.", map[string]int64{"maxRetryAfterUs": doc.Caps.MaxRetryAfterUs, "connIdleUs": doc.Caps.ConnIdleUs, "dialTimeoutUs": doc.Caps.DialTimeoutUs})
+	c.requireMicros("guarantees.", map[string]int64{"askWithinUs": g.AskWithinUs, "coldUs": g.ColdUs, "drainGraceUs": g.DrainGraceUs, "overloadForUs": g.OverloadForUs})
+	c.requireNonNegative("costs.", map[string]float64{"connection": doc.Costs.Connection, "crossZone": doc.Costs.CrossZone, "probe": doc.Costs.Probe, "waste": doc.Costs.Waste})
+	c.requireNonNegative("", map[string]float64{"overShareWorth": doc.OverShareWorth})
+	c.requireOneOf("registryMode", doc.RegistryMode, "", "automatic", "subscribe")
+	c.require(doc.RegistryMode != "subscribe" || g.AskWithinUs > 0, "guarantees.askWithinUs", "above 0 where the list must be asked for")
+	doc.validateClasses(&c)
 	seen := make(map[string]bool)
-	for n, t := range e.Tenants {
-		at := fmt.Sprintf("tenants[%d].", n)
-		c.name(at+"name", t.Name, seen)
-		c.amounts(at, map[string]float64{"allowancePerS": t.AllowancePerS})
+	for n, t := range doc.Tenants {
+		prefix := fmt.Sprintf("tenants[%d].", n)
+		c.requireUniqueName(prefix+"name", t.Name, seen)
+		c.requireNonNegative(prefix, map[string]float64{"allowancePerS": t.AllowancePerS})
 	}
 	return c.err
 }
 
-func (e *env) checkClasses(c *checker) {
+// validateClasses checks the classes. Only a class whose effect is by_key needs a dedupScope.
+func (doc *document) validateClasses(c *checker) {
 	seen := make(map[string]bool)
-	for n, class := range e.Classes {
-		at := fmt.Sprintf("classes[%d].", n)
-		c.name(at+"name", class.Name, seen)
-		c.word(at+"effect", class.Effect, "repeatable", "by_key", "once")
+	for n, class := range doc.Classes {
+		prefix := fmt.Sprintf("classes[%d].", n)
+		c.requireUniqueName(prefix+"name", class.Name, seen)
+		c.requireOneOf(prefix+"effect", class.Effect, "repeatable", "by_key", "once")
 		scopes := []string{"all", "zone", "cell", ""}
 		if class.Effect == "by_key" {
 			scopes = scopes[:3]
 		}
-		c.word(at+"dedupScope", class.DedupScope, scopes...)
-		c.times(at, map[string]int64{"promiseUs": class.PromiseUs, "hardLimitUs": class.HardLimitUs, "repeatWindowUs": class.RepeatWindowUs})
-		c.amounts(at, map[string]float64{"worth": class.Worth, "lateValue": class.LateValue})
+		c.requireOneOf(prefix+"dedupScope", class.DedupScope, scopes...)
+		c.requireMicros(prefix, map[string]int64{"promiseUs": class.PromiseUs, "hardLimitUs": class.HardLimitUs, "repeatWindowUs": class.RepeatWindowUs})
+		c.requireNonNegative(prefix, map[string]float64{"worth": class.Worth, "lateValue": class.LateValue})
 	}
 }
 
-// DeadlineOf is a class's own deadline, that of the longest for one unknown.
+// DeadlineOf returns the deadline of a class. For an unknown class it returns the longest
+// deadline of any class, at least one second.
 func (s *Settings) DeadlineOf(name string) time.Duration {
 	if n := s.Class([]byte(name)); n >= 0 {
 		return s.Deadlines[n]
@@ -214,7 +222,7 @@
 	return max(s.Longest(), time.Second)
 }
 
-// ShortestAim is the shortest time within which a class of requests wants its answer.
+// ShortestAim returns the shortest target latency of any class.
 func (s *Settings) ShortestAim() time.Duration {
 	var d time.Duration
 	for n, c := range s.Config.Classes {
@@ -225,67 +233,71 @@
 	return d
 }
 
-// Class is the place of a class, -1 if there is none of that name.
-func (s *Settings) Class(name []byte) int { return index(s.classes, name) }
+// Class returns the index of a class in Config.Classes, or -1 if there is none of that name.
+func (s *Settings) Class(name []byte) int { return indexOf(s.classes, name) }
 
-// Names are the classes' names, by their places.
-func (s *Settings) Names() []string { return byPlace(s.classes) }
+// Names returns the names of the classes, by index.
+func (s *Settings) Names() []string { return namesByIndex(s.classes) }
 
-func byPlace(places map[string]int) []string {
-	names := make([]string, len(places))
-	for name, n := range places {
+// namesByIndex returns the keys of indexes, ordered by their values.
+func namesByIndex(indexes map[string]int) []string {
+	names := make([]string, len(indexes))
+	for name, n := range indexes {
 		names[n] = name
 	}
 	return names
 }
 
-// TenantNames are the tenants' names, by their places.
-func (s *Settings) TenantNames() []string { return byPlace(s.tenants) }
+// TenantNames returns the names of the tenants, by index.
+func (s *Settings) TenantNames() []string { return namesByIndex(s.tenants) }
 
-// Tenant is the place of a tenant, -1 if there is none of that name.
-func (s *Settings) Tenant(name []byte) int { return index(s.tenants, name) }
+// Tenant returns the index of a tenant in Config.Tenants, or -1 if there is none of that
+// name.
+func (s *Settings) Tenant(name []byte) int { return indexOf(s.tenants, name) }
 
-func index(places map[string]int, name []byte) int {
-	if n, ok := places[string(name)]; ok {
+// indexOf returns the index of a name, or -1 if it is unknown.
+func indexOf(indexes map[string]int, name []byte) int {
+	if n, ok := indexes[string(name)]; ok {
 		return n
 	}
 	return -1
 }
 
-func config(e *env) chalkrack.Config {
+// newConfig converts a checked settings document to a Balancer's configuration.
+func newConfig(doc *document) chalkrack.Config {
 	cfg := chalkrack.Config{
-		Instances:      e.ReplicasOfMe,
-		Zone:           e.Zone,
-		OverShareWorth: e.OverShareWorth,
-		MaxAttempts:    e.Caps.AttemptsCap,
-		MayCancel:      e.Caps.MayCancel,
-		SecondCopies:   e.Caps.SecondCopies,
-		WasteCost:      e.Costs.Waste,
-		Probes:         e.Caps.Probes && e.Feedback.How == "probe",
-		ProbeCost:      e.Costs.Probe,
-		WarmKeys:       e.FamilyInfo.WarmKeys,
-		ConnectionCost: e.Costs.Connection,
-		CrossZoneCost:  e.Costs.CrossZone,
-		ColdFrom:       e.Guarantees.ColdFrom,
-		ColdFor:        micros(e.Guarantees.ColdUs),
-		OverloadFactor: e.Guarantees.OverloadFactor,
-		OverloadFor:    micros(e.Guarantees.OverloadForUs),
+		Instances:      doc.ReplicasOfMe,
+		Zone:           doc.Zone,
+		OverShareWorth: doc.OverShareWorth,
+		MaxAttempts:    doc.Caps.AttemptsCap,
+		MayCancel:      doc.Caps.MayCancel,
+		SecondCopies:   doc.Caps.SecondCopies,
+		WasteCost:      doc.Costs.Waste,
+		Probes:         doc.Caps.Probes && doc.Feedback.How == "probe",
+		ProbeCost:      doc.Costs.Probe,
+		WarmKeys:       doc.FamilyInfo.WarmKeys,
+		ConnectionCost: doc.Costs.Connection,
+		CrossZoneCost:  doc.Costs.CrossZone,
+		ColdFrom:       doc.Guarantees.ColdFrom,
+		ColdFor:        microseconds(doc.Guarantees.ColdUs),
+		OverloadFactor: doc.Guarantees.OverloadFactor,
+		OverloadFor:    microseconds(doc.Guarantees.OverloadForUs),
 	}
-	if e.RegistryMode == "subscribe" {
-		cfg.AskWithin = micros(e.Guarantees.AskWithinUs)
+	if doc.RegistryMode == "subscribe" {
+		cfg.AskWithin = microseconds(doc.Guarantees.AskWithinUs)
 	}
-	if e.Caps.RetryAfter {
-		cfg.MaxRetryAfter = micros(e.Caps.MaxRetryAfterUs)
+	if doc.Caps.RetryAfter {
+		cfg.MaxRetryAfter = microseconds(doc.Caps.MaxRetryAfterUs)
 	}
-	for _, t := range e.Tenants {
+	for _, t := range doc.Tenants {
 		cfg.Tenants = append(cfg.Tenants, t.AllowancePerS)
 	}
-	for _, c := range e.Classes {
+	for _, c := range doc.Classes {
 		class := chalkrack.Class{
-			Aim:       micros(c.PromiseUs),
+			Aim:       microseconds(c.PromiseUs),
 			LateWorth: c.LateValue,
 			Worth:     c.Worth,
-			Window:    micros(c.RepeatWindowUs),
+			Window:    microseconds(c.RepeatWindowUs),
 		}
 		switch c.Effect {
 		case "by_key":
@@ -304,4 +316,5 @@
 	return cfg
 }
 
-func micros(us int64) time.Duration { return time.Duration(us) * time.Microsecond }
+// microseconds returns us microseconds as a Duration.
+func microseconds(us int64) time.Duration { return time.Duration(us) * time.Microsecond }
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -8,7 +8,8 @@
 	"chalkrack"
 )
 
-func TestParse(t *testing.T) {
+// The fields of the document must reach the settings, and unknown keys must be ignored.
+func TestParseMapsFields(t *testing.T) {
 	s, err := Parse([]byte(`{"zone":"z","overShareWorth":0.5,"unknown":1,"replicasOfMe":3,"registryMode":"automatic",
 		"tenants":[{"name":"p","allowancePerS":7.5,"share":1}],
 		"caps":{"connIdleUs":30000000,"dialTimeoutUs":250000,"mostHeld":9,"maxRetryAfterUs":7,"retryAfter":true},
@@ -22,26 +23,26 @@
 		c.MaxRetryAfter != 7*time.Microsecond || c.AskWithin != 0 || len(c.Classes) != 2 ||
 		c.Classes[0].Effect != chalkrack.Keyed || c.Classes[0].Scope != chalkrack.ScopeGroup ||
 		c.Classes[1].Effect != chalkrack.Unsafe || c.Classes[0].Aim != 5*time.Microsecond {
-		t.Errorf("config: %+v", c)
+		t.Errorf("unexpected Config: %+v", c)
 	}
 	if s.ConnIdle != 30*time.Second || s.DialTimeout != 250*time.Millisecond || s.DrainGrace != 2*time.Second ||
 		s.MaxHeld != 9 || s.Deadlines[0] != 6*time.Microsecond {
-		t.Errorf("settings: %+v", s)
+		t.Errorf("unexpected Settings: %+v", s)
 	}
 	if d := s.ShortestAim(); d != 4*time.Microsecond {
-		t.Errorf("shortest aim %v", d)
+		t.Errorf("ShortestAim returned %v, want 4µs", d)
 	}
 	if s.Class([]byte("b")) != 1 || s.Class([]byte("c")) != -1 || s.Tenant([]byte("p")) != 0 || s.Tenant(nil) != -1 {
-		t.Error("places of names")
+		t.Error("Class or Tenant returned a wrong index")
 	}
 	if _, err := Parse([]byte(`[]`)); err == nil {
-		t.Error("a list passed as settings")
+		t.Error("Parse accepted a JSON array")
 	}
 }
 
-// What is not understood stops the start, by its name: guessed, an effect or a scope
-// would have requests run twice.
-func TestBadSettings(t *testing.T) {
+// Guards against invalid settings being replaced by a default, by which requests would run twice if
+// it were an effect or a scope. Parse must return an error that names the field.
+func TestInvalidSettingIsRejectedByName(t *testing.T) {
 	const good = `{"registryMode":"automatic","overShareWorth":0.5,
 		"tenants":[{"name":"p","allowancePerS":7.5},{"name":"q"}],
 		"caps":{"connIdleUs":30000000},"costs":{"waste":0.2},"guarantees":{"coldUs":5},
@@ -69,7 +70,7 @@
 	} {
 		_, err := Parse([]byte(strings.Replace(good, c.old, c.new, 1)))
 		if err == nil || !strings.Contains(err.Error(), c.names) {
-			t.Errorf("%s in place of %s: %v, want %s named", c.new, c.old, err, c.names)
+			t.Errorf("%s in place of %s: error %v, want one that names %s", c.new, c.old, err, c.names)
 		}
 	}
 }
--- a/internal/settings/sites_test.go
+++ b/internal/settings/sites_test.go
@@ -20,8 +20,8 @@
 	"chalkrack"
 )
 
-// site is what a site's file says that the settings tell a sidecar. Ranges are drawn from for
-// each day; what is read here is fixed.
+// site holds those values of a site file that the settings document passes to a sidecar. Values that
+// the file gives as ranges are drawn anew for each simulated day; the values read here are fixed.
 type site struct {
 	Name string
 	Net  struct{ Zones []string }
@@ -82,7 +82,7 @@
 	return s
 }
 
-// document is what the platform tells a sidecar of the site, by its words.
+// document returns the settings document that the platform gives a sidecar of the site.
 func (s *site) document() map[string]any {
 	effects := map[string]string{"safe": "repeatable", "keyed": "by_key", "unsafe": "once"}
 	var classes, tenants []any
@@ -93,8 +93,8 @@
 		}
 		classes = append(classes, m)
 	}
-	for n, name := range s.Tenant {
-		tenants = append(tenants, map[string]any{"name": name.Name, "allowancePerS": 10.5 + float64(n)})
+	for n, tenant := range s.Tenant {
+		tenants = append(tenants, map[string]any{"name": tenant.Name, "allowancePerS": 10.5 + float64(n)})
 	}
 	mode := map[string]string{"push": "automatic", "ask": "subscribe"}[s.Discovery.Mode]
 	tier := s.Tier[0]
@@ -110,11 +110,11 @@
 	}
 }
 
-func sites(t *testing.T) (paths []string) {
+func sitePaths(t *testing.T) (paths []string) {
 	t.Helper()
 	paths, err := filepath.Glob("../../deploy/sites/*/*.toml")
 	if err != nil || len(paths) < 2 {
-		t.Fatalf("%d variants, %v", len(paths), err)
+		t.Fatalf("%d site files, error %v, want at least 2", len(paths), err)
 	}
 	return paths
 }
@@ -132,9 +132,9 @@
 	return s
 }
 
-// Settings of other customers come out as their files say, to the last class and limit.
-func TestVariantsComeOutAsTheyAre(t *testing.T) {
-	for _, path := range sites(t) {
+// For each site file, Parse must return the classes, tenants and limits of that file.
+func TestSitesParseToTheirValues(t *testing.T) {
+	for _, path := range sitePaths(t) {
 		file := readSite(t, path)
 		s := parse(t, file.document())
 		if err := s.Config.Validate(); err != nil {
@@ -149,29 +149,29 @@
 				want.Scope = map[string]chalkrack.Scope{"all": chalkrack.ScopeAll, "zone": chalkrack.ScopeZone, "cell": chalkrack.ScopeGroup}[c.Group]
 			}
 			if s.Class([]byte(c.Name)) != n || got != want || s.DeadlineOf(c.Name) != time.Duration(c.DeadlineMs)*ms {
-				t.Errorf("%s: class %s is %+v, deadline %v", file.Name, c.Name, got, s.DeadlineOf(c.Name))
+				t.Errorf("%s: class %s parsed as %+v, deadline %v", file.Name, c.Name, got, s.DeadlineOf(c.Name))
 			}
 		}
-		for n, k := range file.Tenant {
-			if s.Tenant([]byte(k.Name)) != n {
-				t.Errorf("%s: tenant %s is %d", file.Name, k.Name, s.Tenant([]byte(k.Name)))
+		for n, tenant := range file.Tenant {
+			if s.Tenant([]byte(tenant.Name)) != n {
+				t.Errorf("%s: tenant %s has index %d", file.Name, tenant.Name, s.Tenant([]byte(tenant.Name)))
 			}
 		}
-		k := s.Config
-		if len(k.Classes) != len(file.Class) || len(k.Tenants) != len(file.Tenant) || k.Zone != file.Net.Zones[0] || k.Instances != 37 ||
-			(k.AskWithin > 0) != (file.Discovery.Mode == "ask") || k.SecondCopies != file.Allow.SecondCopies || k.MaxAttempts != file.Allow.MaxAttempts ||
-			k.Probes != (file.Allow.Probes && file.Tier[0].Report.How == "probe") || s.DrainGrace != time.Duration(file.Rules.DrainGraceMs)*time.Millisecond {
-			t.Errorf("%s: %+v", file.Name, s)
+		config := s.Config
+		if len(config.Classes) != len(file.Class) || len(config.Tenants) != len(file.Tenant) || config.Zone != file.Net.Zones[0] || config.Instances != 37 ||
+			(config.AskWithin > 0) != (file.Discovery.Mode == "ask") || config.SecondCopies != file.Allow.SecondCopies || config.MaxAttempts != file.Allow.MaxAttempts ||
+			config.Probes != (file.Allow.Probes && file.Tier[0].Report.How == "probe") || s.DrainGrace != time.Duration(file.Rules.DrainGraceMs)*time.Millisecond {
+			t.Errorf("%s: unexpected settings %+v", file.Name, s)
 		}
 	}
 }
 
-// Nothing that the settings tell is a constant here: each number and word of them that is
-// changed alone makes other settings, or an error that names its field.
-func TestEverySettingCounts(t *testing.T) {
-	for _, path := range sites(t) {
+// Guards against a setting that is ignored or replaced by a constant. Changing any single value of
+// the document must change the parsed settings or cause an error that names the field.
+func TestEverySettingHasAnEffect(t *testing.T) {
+	for _, path := range sitePaths(t) {
 		base := readSite(t, path)
-		if base.Discovery.Mode != "ask" { // both forms take part in each field
+		if base.Discovery.Mode != "ask" { // covers probes on the sites that do not subscribe to discovery
 			base.Tier[0].Report.How = "probe"
 		}
 		want := parse(t, base.document())
@@ -204,25 +204,26 @@
 			}
 			set(other)
 			defer set(v)
-			text, _ := json.Marshal(doc)
+			text, _ := json.Marshal(walkedDocument)
 			got, err := Parse(text)
 			name := at[strings.LastIndexAny(at, ".")+1:]
 			switch {
 			case err != nil && !strings.Contains(err.Error(), name):
-				t.Errorf("%s: the error does not name %s: %v", base.Name, at, err)
-			case err == nil && reflect.DeepEqual(got, want) && !idle(base, name):
-				t.Errorf("%s: %s changes nothing", base.Name, at)
+				t.Errorf("%s: the error for a changed %s does not name it: %v", base.Name, at, err)
+			case err == nil && reflect.DeepEqual(got, want) && !hasNoEffect(base, name):
+				t.Errorf("%s: a changed %s has no effect", base.Name, at)
 			}
 		}
-		doc = base.document()
-		walk("", doc, nil)
+		walkedDocument = base.document()
+		walk("", walkedDocument, nil)
 	}
 }
 
-var doc map[string]any // that the walk changes
+// walkedDocument is the document that TestEverySettingHasAnEffect changes.
+var walkedDocument map[string]any
 
-// idle says of a field that it tells nothing with the site's other ones.
-func idle(s *site, name string) bool {
+// hasNoEffect reports whether a field has no effect with the site's other values.
+func hasNoEffect(s *site, name string) bool {
 	switch name {
 	case "askWithinUs":
 		return s.Discovery.Mode != "ask"
@@ -232,17 +233,18 @@
 	return false
 }
 
-// What is linked into the sidecar names no class, tenant, zone or server of any deployment.
-func TestNoDeploymentIsBuiltIn(t *testing.T) {
+// Guards against code that depends on one deployment: no package linked into the sidecar may contain
+// a string that names a class, tenant, zone or server of a deployment.
+func TestSidecarNamesNoDeployment(t *testing.T) {
 	names := map[string]bool{"java-activation": true, "status-check": true, "id-register": true, "activate": true, "activation-servers": true,
 		"jakarta": true, "bandung": true, "semarang": true, "half-speed": true}
-	for _, path := range sites(t) {
+	for _, path := range sitePaths(t) {
 		s := readSite(t, path)
 		for _, c := range s.Class {
 			names[c.Name] = true
 		}
-		for _, k := range s.Tenant {
-			names[k.Name] = true
+		for _, tenant := range s.Tenant {
+			names[tenant.Name] = true
 		}
 		for _, z := range s.Net.Zones {
 			names[z] = true
@@ -270,7 +272,7 @@
 			ast.Inspect(f, func(n ast.Node) bool {
 				if lit, ok := n.(*ast.BasicLit); ok && lit.Kind == token.STRING {
 					if text, _ := strconv.Unquote(lit.Value); names[text] {
-						t.Errorf("%s names %q", filepath.Base(path), text)
+						t.Errorf("%s contains the deployment's name %q", filepath.Base(path), text)
 					}
 				}
 				return true
@@ -278,6 +280,6 @@
 		}
 	}
 	if files < 50 {
-		t.Errorf("only %d files were read", files)
+		t.Errorf("%d files were read, want at least 50", files)
 	}
 }
