--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -1,5 +1,5 @@
-// Package membership holds the list of servers as whoever names them tells it and
-// the core takes it: discovery, a fixed list, or another source.
+// Package membership defines the server list that a source (discovery, a fixed list or
+// another one) passes to the core, and decides which lists of a source are used.
 package membership
 
 import (
@@ -9,49 +9,51 @@
 	"chalkrack"
 )
 
-// Entry is one server on the list, with the address that it has for this process.
+// Entry is one server of a list, with the address at which this process reaches it.
 type Entry struct {
 	chalkrack.Endpoint
 	Address string // host:port
 }
 
-// List is a list of servers, or of those that changed.
+// List is a complete list of servers, or a list of the servers that changed.
 type List struct {
-	Index   int64 // the version, as its source counts them
-	Whole   bool  // what it does not name has gone
+	Index   int64 // the version that the source assigned
+	Whole   bool  // the list is complete: servers that it does not name have been removed
 	Entries []Entry
 }
 
-// Track is what came of one source's lists so far. It decides which of them is used, and
-// from what version the source is asked to go on. It belongs to whoever asks the source.
+// Track follows the lists of one source. It decides which lists are used, and after which
+// version the source is asked for changes. It belongs to the client of the source and must
+// not be used concurrently.
 type Track struct {
-	Index int64 // the last version used; 0: the whole list is asked for
-	Held  bool  // a list with a server on it is in use
+	Index int64 // the last version used; 0: the complete list must be requested
+	Held  bool  // the list in use names at least one server
 }
 
-// Holding is the track of one who holds l already.
+// Holding returns the Track of a client that already uses l.
 func Holding(l *List) Track {
-	return Track{Index: l.Index, Held: l.serves()}
+	return Track{Index: l.Index, Held: l.hasServers()}
 }
 
-func (l *List) serves() bool {
+// hasServers reports whether l names a server that has not been removed.
+func (l *List) hasServers() bool {
 	return slices.ContainsFunc(l.Entries, func(e Entry) bool { return e.State != chalkrack.Gone })
 }
 
-// Take says whether l is used. One that is not leaves the list held in use, and the whole
-// of it has to be asked for: what came cannot be relied on to go on from. Guards against
-// changes of a version that has gone back, and against a whole list that names no server,
-// which would end all service though a source that lost its state may be all it tells of.
-// The first list may be empty: nothing is lost by it.
+// Take decides whether l is used and returns an error if it is not. In that case the previous
+// list stays in use and the complete list must be requested, since further changes cannot be
+// based on l. Take rejects changes whose version went backwards, and a complete list without
+// a server: a source that lost its state may send one, and using it would stop all service.
+// The first list may be empty, as no server is lost by it.
 func (t *Track) Take(l *List) error {
-	had := t.Index
+	previous := t.Index
 	t.Index = 0
 	switch {
-	case !l.Whole && l.Index < had:
-		return fmt.Errorf("changes of version %d after version %d", l.Index, had)
-	case l.Whole && t.Held && !l.serves():
-		return fmt.Errorf("a whole list of version %d without a server", l.Index)
+	case !l.Whole && l.Index < previous:
+		return fmt.Errorf("server list: changes of version %d after version %d, versions must not decrease", l.Index, previous)
+	case l.Whole && t.Held && !l.hasServers():
+		return fmt.Errorf("server list: complete list of version %d names no server, the previous one does", l.Index)
 	}
-	t.Index, t.Held = l.Index, t.Held || l.serves()
+	t.Index, t.Held = l.Index, t.Held || l.hasServers()
 	return nil
 }
