--- a/internal/message/message.go
+++ b/internal/message/message.go
@@ -1,6 +1,6 @@
-// Package message is an HTTP message as the two sides of a call share it: what a
-// listener has read, a transport sends, and the other way round. The core carries
-// both without looking into them.
+// Package message defines the HTTP requests and answers that listeners and transports
+// exchange. A listener reads a request and a transport sends it, and the other way round
+// for an answer. The core passes both on without inspecting them.
 package message
 
 import (
@@ -8,53 +8,54 @@
 	"strconv"
 )
 
-// Request is a client's request as each of its attempts sends it.
+// Request is a client's request in the form that each attempt sends.
 type Request struct {
 	Method string
-	Head   []byte   // request line and header fields, but for the deadline and the empty line
+	Head   []byte   // request line and header fields, without the deadline field and the final empty line
 	Body   [][]byte // in pieces
-	Source Source   // a body of another kind; nil: Body has it whole
-	// Again is called when a further attempt is made with Body; nil: nobody counts them.
+	Source Source   // the body if Body does not hold it; nil: Body holds the complete body
+	// Again is called when a further attempt is made with Body; nil: not called.
 	Again func()
-	// Chunked says that Source goes on in chunks (RFC 9112 section 7.1): Head tells no
-	// length.
+	// Chunked reports that Source is sent with the chunked transfer coding (RFC 9112
+	// section 7.1), as Head states no length.
 	Chunked bool
-	Marked  bool // each attempt tells the next tier that it is decided here
-	// Client is who waits for the answer; nil: nobody can tell.
+	Marked  bool // each attempt tells the next tier that retries are decided here
+	// Client is the client that waits for the answer; nil: unknown.
 	Client Client
 }
 
-// Client is who waits for a call's answer.
+// Client is the client that waits for a call's answer.
 type Client interface {
-	// Left says whether it has left by now, also where nobody has been told yet. It may
-	// cost a system call, waits for nothing, and may be called from any goroutine.
+	// Left reports whether the client has left, even if that has not been reported yet. It
+	// may make a system call, does not block, and may be called from any goroutine.
 	Left() bool
 }
 
 // Answer is a server's answer.
 type Answer struct {
-	Status int // 0 stands for 200
+	Status int // 0 means 200
 	Header http.Header
-	Body   []byte // whole, or of a long one what has come so far
-	Length int64  // of a long one, -1 if it is not told
+	Body   []byte // the complete body or, for a streamed answer, the part received so far
+	Length int64  // of a streamed answer's body; -1: unknown
 }
 
-// AttemptsField tells the next tier how many attempts it may make for a call. Its
-// value is a number, and behind '; nth=' which attempt of the sender's this is. A
-// receiver only ever lowers its own limit by it: a value that it can't read counts
-// as 1, so a forged or spoilt field costs attempts and never adds any.
+// AttemptsField is the header field that tells the next tier how many attempts it may make
+// for a call. Its value is a number, optionally followed by '; nth=' and the number
+// of the sender's attempt. A receiver uses the value only to lower its own limit, and treats one
+// that it cannot parse as 1, so a forged or corrupt field reduces the attempts and never
+// adds any.
 const AttemptsField = "Req-Attempts"
 
-// hop has the fields that belong to one hop only (RFC 9110 section 7.6.1, and the
-// platform's own).
-var hop = map[string]bool{
+// hopFields holds the header fields that are not forwarded: those of RFC 9110 section 7.6.1 and
+// the platform's own.
+var hopFields = map[string]bool{
 	"Connection": true, "Keep-Alive": true, "Proxy-Connection": true, "Te": true, "Trailer": true,
 	"Transfer-Encoding": true, "Upgrade": true, "Expect": true, "Content-Length": true, "Req-Deadline-Ms": true,
 	AttemptsField: true,
 }
 
-// AppendHead appends the head of a request to the next hop, without the empty line
-// that ends it. A size below 0 says that there is no body.
+// AppendHead appends the head of a request for the next hop, without the final empty line.
+// A size below 0 means that there is no body.
 func AppendHead(b []byte, method, uri, host string, h http.Header, size int64) []byte {
 	b = append(b, method...)
 	b = append(b, ' ')
@@ -69,10 +70,10 @@
 	return b
 }
 
-// AppendFields appends the fields that go on to the next hop.
+// AppendFields appends the header fields that are forwarded to the next hop.
 func AppendFields(b []byte, h http.Header) []byte {
 	for name, values := range h {
-		if hop[name] {
+		if hopFields[name] {
 			continue
 		}
 		for _, v := range values {
@@ -85,27 +86,28 @@
 	return b
 }
 
-// AppendLength appends the length of a body.
+// AppendLength appends the Content-Length field for a body of n bytes.
 func AppendLength(b []byte, n int64) []byte {
 	b = append(b, "Content-Length: "...)
 	b = strconv.AppendInt(b, n, 10)
 	return append(b, "\r\n"...)
 }
 
-// Source is a body that attempts read, each from its beginning.
+// Source is a request body that each attempt reads from its beginning.
 type Source interface {
-	// Open begins a reading. The error says that the body can't be read, or not again.
+	// Open returns a new Reading. It returns an error if the body cannot be read, or not
+	// once more.
 	Open() (Reading, error)
-	// Length is how long it is, -1 while that is not known.
+	// Length returns the length in bytes, or -1 while it is unknown.
 	Length() int64
 }
 
-// Reading is one attempt's. Close may be called from another goroutine than Next.
+// Reading reads a body for one attempt. Close may be called concurrently with Next.
 type Reading interface {
-	// Next returns the next piece, good until the call after it, and waits for one that
-	// has not come yet; io.EOF says that the last one has been. Another error says that
-	// no more comes.
+	// Next returns the next piece, which is valid until the following call. It blocks until
+	// a piece is available. After the last piece it returns io.EOF; any other error means
+	// that the rest of the body is not available.
 	Next() ([]byte, error)
-	// Close ends the reading, also one that waits in Next.
+	// Close ends the reading and unblocks a pending Next.
 	Close()
 }
