--- a/internal/failover/failover.go
+++ b/internal/failover/failover.go
@@ -3,25 +3,25 @@
 // caller reports events and their times.
 //
 // A daemon counts as lost immediately, but is used again only after several successful
-// probes in a row and a random delay of up to Spread. The delay keeps the callers of a
+// probes in a row and a random delay of up to ReturnSpread. The delay keeps the callers of a
 // host, or of a fleet whose daemons were all restarted, from returning at the same time.
-// Each loss soon after a return doubles the spread, up to SpreadMost.
+// Each loss soon after a return doubles the spread, up to MaxReturnSpread.
 package failover
 
 import "time"
 
 // Config configures a Machine. All values must be above 0.
 type Config struct {
-	ProbeEach  time.Duration // the initial interval between two probes of a lost daemon
-	ProbeMost  time.Duration // the maximum of that interval, which doubles after each failed probe
-	Steady     int           // the number of successful probes in a row before a return
-	Spread     time.Duration // the maximum of the random delay before a return
-	SpreadMost time.Duration // the maximum to which Spread is doubled
+	ProbeInterval    time.Duration // the initial interval between two probes of a lost daemon
+	MaxProbeInterval time.Duration // the maximum of that interval, which doubles after each failed probe
+	MinGoodProbes    int           // the number of successful probes in a row before a return
+	ReturnSpread     time.Duration // the maximum of the random delay before a return
+	MaxReturnSpread  time.Duration // the maximum to which ReturnSpread is doubled
 }
 
 // Default returns a Config for daemons that restart within one or two seconds.
 func Default() Config {
-	return Config{ProbeEach: 100 * time.Millisecond, ProbeMost: 2 * time.Second, Steady: 2, Spread: 2 * time.Second, SpreadMost: time.Minute}
+	return Config{ProbeInterval: 100 * time.Millisecond, MaxProbeInterval: 2 * time.Second, MinGoodProbes: 2, ReturnSpread: 2 * time.Second, MaxReturnSpread: time.Minute}
 }
 
 // Machine is the state of one caller. It must not be used concurrently. The times passed to
@@ -41,7 +41,7 @@
 
 // New returns a Machine that uses the daemon. random returns values within [0, 1).
 func New(cfg Config, random func() float64) *Machine {
-	return &Machine{cfg: cfg, random: random, spread: cfg.Spread}
+	return &Machine{cfg: cfg, random: random, spread: cfg.ReturnSpread}
 }
 
 // Here reports whether calls go through the daemon.
@@ -55,10 +55,10 @@
 		return false
 	}
 	lastSpread := m.spread
-	if m.spread = m.cfg.Spread; m.returnedAt > 0 && now-m.returnedAt < relapseSpreads*lastSpread {
-		m.spread = min(2*lastSpread, m.cfg.SpreadMost)
+	if m.spread = m.cfg.ReturnSpread; m.returnedAt > 0 && now-m.returnedAt < relapseSpreads*lastSpread {
+		m.spread = min(2*lastSpread, m.cfg.MaxReturnSpread)
 	}
-	m.lost, m.probeInterval = true, m.cfg.ProbeEach
+	m.lost, m.probeInterval = true, m.cfg.ProbeInterval
 	m.probeAt = now + m.jitter(m.probeInterval)
 	return true
 }
@@ -105,11 +105,11 @@
 	}
 	if !ok {
 		m.goodProbes, m.returnAt = 0, 0
-		m.probeInterval = min(2*m.probeInterval, m.cfg.ProbeMost)
+		m.probeInterval = min(2*m.probeInterval, m.cfg.MaxProbeInterval)
 		return
 	}
-	m.probeInterval = m.cfg.ProbeEach
-	if m.goodProbes++; m.goodProbes >= m.cfg.Steady && m.returnAt == 0 {
+	m.probeInterval = m.cfg.ProbeInterval
+	if m.goodProbes++; m.goodProbes >= m.cfg.MinGoodProbes && m.returnAt == 0 {
 		m.returnAt = now + 1 + time.Duration(m.random()*float64(m.spread))
 	}
 }
--- a/internal/failover/failover_test.go
+++ b/internal/failover/failover_test.go
@@ -9,7 +9,7 @@
 )
 
 func testConfig() Config {
-	return Config{ProbeEach: 100 * time.Millisecond, ProbeMost: 2 * time.Second, Steady: 2, Spread: 2 * time.Second, SpreadMost: 16 * time.Second}
+	return Config{ProbeInterval: 100 * time.Millisecond, MaxProbeInterval: 2 * time.Second, MinGoodProbes: 2, ReturnSpread: 2 * time.Second, MaxReturnSpread: 16 * time.Second}
 }
 
 // runUntilReturn advances a lost Machine from one due time to the next until it returns to the daemon,
@@ -109,9 +109,9 @@
 	}
 }
 
-// For any order of events: the machine must not return before Steady successful probes since the
+// For any order of events: the machine must not return before MinGoodProbes successful probes since the
 // last loss or failed probe, and must have a next due time while the daemon is lost.
-func TestNoReturnWithoutSteadyProbesInAnyOrder(t *testing.T) {
+func TestNoReturnWithoutGoodProbesInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := testConfig()
 		m := New(c, func() float64 { return rapid.Float64Range(0, 0.999).Draw(t, "random") })
@@ -131,7 +131,7 @@
 					m.Probed(now, false)
 				}
 			default:
-				if _, back := m.Due(now); back && good < c.Steady {
+				if _, back := m.Due(now); back && good < c.MinGoodProbes {
 					t.Fatalf("returned after %d successful probes", good)
 				} else if back {
 					good = 0
@@ -143,7 +143,7 @@
 			if m.Here() {
 				good = 0
 			}
-			if m.spread > c.SpreadMost || m.probeInterval > c.ProbeMost {
+			if m.spread > c.MaxReturnSpread || m.probeInterval > c.MaxProbeInterval {
 				t.Fatalf("spread %v, wait %v", m.spread, m.probeInterval)
 			}
 		}
