--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -85,7 +85,7 @@
 		a.host.recordEnd(now, call, "served")
 		a.host.recordOutcome(now, a, chalkrack.OK)
 		h := a.host
-		h.stopUnstarted(call)
+		h.cancelUnsent(call)
 		a.stream = call.details.Caller.Stream(answer, a.abort)
 		w = a.stream
 		defer a.host.removeIfDone(call)
@@ -128,7 +128,7 @@
 		call.ended = true
 		h.recordEnd(now, call, "served")
 		h.queueAction(action{kind: actServe, caller: call.details.Caller, answer: answer})
-		h.stopUnstarted(call)
+		h.cancelUnsent(call)
 	case outcome == chalkrack.OK: // success was reported without an answer
 		outcome = chalkrack.Reset
 	}
@@ -140,11 +140,11 @@
 	h.removeIfDone(call)
 }
 
-// stopUnstarted stops those attempts of an ended call that have not begun. The Balancer may let
+// cancelUnsent stops those attempts of an ended call that have not begun. The Balancer may let
 // both attempts of a hedged pair run, or the settings may not allow it to cancel. An attempt
 // whose connection is established after the final answer, or after the client has left,
 // would then be sent although nobody waits for it.
-func (h *Host) stopUnstarted(call *callState) {
+func (h *Host) cancelUnsent(call *callState) {
 	for _, a := range call.attempts {
 		if !a.ended && a.handle.Forgo() {
 			h.queueAction(action{kind: actCancel, attempt: a})
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -133,14 +133,14 @@
 	Probe(server string, wait time.Duration, told func(chalkrack.Report))
 }
 
-// Attempt is one send of a call to one server.
+// Attempt is one send of a call to one server. It has begun once the server may act on it.
 type Attempt interface {
 	// Start begins the attempt. It does not wait for the server.
 	Start()
 	// Abandon stops the attempt without I/O and reports whether it may have begun.
 	Abandon() (began bool)
-	// Forgo stops the attempt without I/O unless it has begun, and reports whether it
-	// did so.
+	// Forgo stops the attempt without I/O unless it has begun, and reports whether it was
+	// stopped.
 	Forgo() bool
 	// Close frees the resources of an abandoned attempt, for example its connection, by
 	// which the server can notice that the attempt was cancelled.
--- a/internal/core/host.go
+++ b/internal/core/host.go
@@ -290,7 +290,7 @@
 			return
 		}
 		call.ended, taken = true, true
-		h.stopUnstarted(call)
+		h.cancelUnsent(call)
 		h.recordEnd(now, call, "left")
 		h.log().Info("client left", "id", call.id, "class", c.Class, "after", time.Since(c.Received), "attempts", len(call.attempts), "wait", c.Wait)
 		defer h.removeIfDone(call)
@@ -436,7 +436,7 @@
 		return
 	}
 	call.ended = true
-	h.stopUnstarted(call)
+	h.cancelUnsent(call)
 	if final.kind == actRefuse {
 		h.recordEnd(h.now(), call, "refused")
 	} else {
