--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -17,7 +17,7 @@
 	sentAt time.Duration
 	ended  bool
 
-	ticket   uint64 // returned by the Watch
+	ticket   uint64 // returned by the observer
 	neverRan bool
 	stream   Stream
 }
@@ -152,7 +152,7 @@
 	}
 }
 
-// GiveUp stops waiting for the attempts with the given tickets of the Watch, so that their
+// GiveUp stops waiting for the attempts with the given tickets of the observer, so that their
 // calls can be attempted again. Attempts of calls that must not run twice go on: those calls
 // cannot be attempted again, and the attempt may still be answered.
 func (h *Host) GiveUp(tickets []uint64) {
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -73,7 +73,7 @@
 	// means that the previous tier decides on retries: the call gets one attempt, and
 	// neither adds to the retry budget here nor spends from it.
 	Attempts int
-	Mark     string    // with Attempts at 1: identifies this attempt of the previous tier; empty: no duplicate is expected
+	Mark     string    // with Limits.Attempts at 1: identifies this attempt of the previous tier; empty: no duplicate is expected
 	NotAfter time.Time // no attempt begins later; zero: no such limit
 	Only     string    // the only server that the call may go to; empty: any
 	// Coming is the maximum time for the rest of the body of a call that arrives before
--- a/internal/core/gate.go
+++ b/internal/core/gate.go
@@ -31,7 +31,7 @@
 	do(now, h.tally, state.Members, state.Ejected)
 }
 
-// countOutcome adds the outcome of an attempt to the tally.
+// countOutcome adds the outcome of an attempt to the counts.
 func (h *Host) countOutcome(now time.Duration, a *attempt, outcome chalkrack.Outcome) {
 	if outcome == chalkrack.Cancelled || outcome == chalkrack.NotSent {
 		return
--- a/internal/core/host.go
+++ b/internal/core/host.go
@@ -45,7 +45,7 @@
 	lastID          chalkrack.RequestID
 	marks           seenMarks
 	timers          timerHeap
-	watchedAttempts map[uint64]*attempt // outstanding attempts by the Watch's ticket; nil: no Watch
+	watchedAttempts map[uint64]*attempt // outstanding attempts by the observer's ticket; nil: no observer
 	timer           *time.Timer
 	timerAt         time.Duration // when timer fires; 0: not set
 	actions         *[]action     // nil: none
@@ -280,7 +280,7 @@
 
 // Gone reports that a call's caller has left, and returns whether that ended the call. If
 // not, the Caller has received or will receive an answer nevertheless. The result is valid
-// even if the Balancer panics, since the caller's side uses Gone to end a call that a panic
+// even if the Balancer panics, since the caller's side uses Host.Gone to end a call that a panic
 // has left open.
 func (h *Host) Gone(c *Call) (taken bool) {
 	defer h.logPanic("departed caller")
--- a/internal/core/races_test.go
+++ b/internal/core/races_test.go
@@ -26,15 +26,15 @@
 
 // memAttempt is an attempt of a memTransport.
 type memAttempt struct {
-	transport *memTransport
+	owner     *memTransport
 	order     core.Order
 	startedAt time.Time // zero: not started
 	dials     bool      // it has to connect before it writes
 	writtenAt time.Time // with dials: zero: not written
-	stopped   bool      // by Abandon or Forgo
+	stopped   bool      // by Attempt.Abandon or Attempt.Forgo
 }
 
-func (m *memTransport) Attempt(o core.Order) core.Attempt                   { return &memAttempt{transport: m, order: o} }
+func (m *memTransport) Attempt(o core.Order) core.Attempt                   { return &memAttempt{owner: m, order: o} }
 func (m *memTransport) Serve(string, string, time.Duration)                 {}
 func (m *memTransport) Leave(string, bool)                                  {}
 func (m *memTransport) Keep(map[string]bool)                                {}
@@ -43,15 +43,15 @@
 func (a *memAttempt) Close()                                                {}
 func (a *memAttempt) Phase() string                                         { return "sent" }
 func (a *memAttempt) Abandon() bool {
-	a.transport.mu.Lock()
-	defer a.transport.mu.Unlock()
+	a.owner.mu.Lock()
+	defer a.owner.mu.Unlock()
 	a.stopped = true
 	return !a.startedAt.IsZero()
 }
 
 func (a *memAttempt) Forgo() bool {
-	a.transport.mu.Lock()
-	defer a.transport.mu.Unlock()
+	a.owner.mu.Lock()
+	defer a.owner.mu.Unlock()
 	if !a.dials || !a.writtenAt.IsZero() {
 		return false
 	}
@@ -60,18 +60,18 @@
 }
 
 func (a *memAttempt) Start() {
-	a.transport.mu.Lock()
+	a.owner.mu.Lock()
 	stopped := a.stopped
 	if !stopped {
 		a.startedAt = time.Now()
-		a.transport.attempts = append(a.transport.attempts, a)
+		a.owner.attempts = append(a.owner.attempts, a)
 	}
-	a.transport.mu.Unlock()
+	a.owner.mu.Unlock()
 	if stopped {
 		a.order.Sink.Done(chalkrack.NotSent, nil, chalkrack.Report{})
 		return
 	}
-	a.transport.onStart(a)
+	a.owner.onStart(a)
 }
 
 // recordingCaller records how its call ends.
@@ -338,16 +338,16 @@
 // connect simulates a connection that takes wait to be established. After that the attempt is
 // written and then is called, unless the attempt was abandoned.
 func (a *memAttempt) connect(wait time.Duration, then func()) {
-	a.transport.mu.Lock()
+	a.owner.mu.Lock()
 	a.dials = true
-	a.transport.mu.Unlock()
+	a.owner.mu.Unlock()
 	time.AfterFunc(wait, func() {
-		a.transport.mu.Lock()
+		a.owner.mu.Lock()
 		stopped := a.stopped
 		if !stopped {
 			a.writtenAt = time.Now()
 		}
-		a.transport.mu.Unlock()
+		a.owner.mu.Unlock()
 		if stopped {
 			a.order.Sink.Done(chalkrack.ConnectFailed, nil, chalkrack.Report{})
 		} else {
--- a/internal/core/trace.go
+++ b/internal/core/trace.go
@@ -63,8 +63,8 @@
 	}
 }
 
-// recordOutcome records the outcome of an attempt in the tally and the trace, and reports it
-// to the Watch.
+// recordOutcome records the outcome of an attempt in the counts and the trace, and reports it
+// to the observer.
 func (h *Host) recordOutcome(now time.Duration, a *attempt, outcome chalkrack.Outcome) {
 	h.countOutcome(now, a, outcome)
 	if h.watch != nil {
--- a/internal/core/watch_test.go
+++ b/internal/core/watch_test.go
@@ -57,7 +57,7 @@
 	return all
 }
 
-// startWatchedHost runs a host with a Watch in front of the given servers and returns its address.
+// startWatchedHost runs a host with an observer in front of the given servers and returns its address.
 func startWatchedHost(tb testing.TB, watch core.Watch, servers ...*fakeServer) (*core.Host, string) {
 	tb.Helper()
 	config := testSettings()
--- a/internal/failover/failover.go
+++ b/internal/failover/failover.go
@@ -71,7 +71,7 @@
 	return d/2 + time.Duration(m.random()*float64(d))
 }
 
-// Next returns the time at which Due must be called, or 0 if there is none.
+// Next returns the time at which Machine.Due must be called, or 0 if there is none.
 func (m *Machine) Next() time.Duration {
 	switch {
 	case !m.lost:
@@ -82,8 +82,8 @@
 	return m.probeAt
 }
 
-// Due returns what is due at a time: a probe to make, whose result must be passed to Probed,
-// or the caller's return to the daemon.
+// Due returns what is due at a time: a probe to make, whose result must be passed to
+// Machine.Probed, or the caller's return to the daemon.
 func (m *Machine) Due(now time.Duration) (probe, back bool) {
 	switch {
 	case !m.lost:
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -30,7 +30,7 @@
 	Held  bool  // the list in use names at least one server
 }
 
-// Holding returns the Track of a client that already uses l.
+// Holding returns the state of a client that already uses l.
 func Holding(l *List) Track {
 	return Track{Index: l.Index, Held: l.hasServers()}
 }
@@ -42,7 +42,7 @@
 
 // Take decides whether l is used and returns an error if it is not. In that case the previous
 // list stays in use and the complete list must be requested, since further changes cannot be
-// based on l. Take rejects changes whose version went backwards, and a complete list without
+// based on l. It rejects changes whose version went backwards, and a complete list without
 // a server: a source that lost its state may send one, and using it would stop all service.
 // The first list may be empty, as no server is lost by it.
 func (t *Track) Take(l *List) error {
--- a/internal/message/message.go
+++ b/internal/message/message.go
@@ -95,7 +95,7 @@
 
 // Source is a request body that each attempt reads from its beginning.
 type Source interface {
-	// Open returns a new Reading. It returns an error if the body cannot be read, or not
+	// Open returns a reader that starts at the beginning. It returns an error if the body cannot be read, or not
 	// once more.
 	Open() (Reading, error)
 	// Length returns the length in bytes, or -1 while it is unknown.
