--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -61,7 +61,7 @@
 	Under   generation.Stamp
 	Payload any // passed to the transport
 	Caller  Caller
-	Retry   bool // the client marked the call as a retry; used by the trace only
+	Retry   bool // the client marked the call as a retry; recorded in the trace
 
 	state *callState
 }
@@ -73,7 +73,7 @@
 	// means that the previous tier decides on retries: the call gets one attempt, and
 	// neither adds to the retry budget here nor spends from it.
 	Attempts int
-	Mark     string    // with Limits.Attempts at 1: identifies this attempt of the previous tier; empty: no duplicate is expected
+	Mark     string    // with Limits.Attempts at 1: the ID of this attempt in the previous tier; empty: no duplicate is expected
 	NotAfter time.Time // no attempt begins later; zero: no such limit
 	Only     string    // the only server that the call may go to; empty: any
 	// Coming is the maximum time for the rest of the body of a call that arrives before
@@ -135,7 +135,7 @@
 
 // Attempt is one send of a call to one server. It has begun once the server may act on it.
 type Attempt interface {
-	// Start begins the attempt. It does not wait for the server.
+	// Start starts sending the attempt. It does not wait for the server.
 	Start()
 	// Abandon stops the attempt without I/O and reports whether it may have begun.
 	Abandon() (began bool)
--- a/internal/core/host_test.go
+++ b/internal/core/host_test.go
@@ -115,7 +115,7 @@
 	return startHostOn(tb, config, func(t core.Transport) core.Transport { return t }, servers...)
 }
 
-// startHostOn is like start, with the transport that by returns for the default one.
+// startHostOn is like startHost, with the transport that wrap returns for the default one.
 func startHostOn(tb testing.TB, config *settings.Settings, wrap func(core.Transport) core.Transport, servers ...*fakeServer) (*core.Host, *front.Server, string) {
 	tb.Helper()
 	pool := upstream.New(upstream.Config{ConnIdle: config.ConnIdle, DialTimeout: config.DialTimeout, DrainGrace: config.DrainGrace, MaxConns: 100})
--- a/internal/core/trial_test.go
+++ b/internal/core/trial_test.go
@@ -179,7 +179,7 @@
 // arrival or from the end of their body; not at all if the client left within the aim; and as
 // refused also if they were refused for lack of capacity.
 func TestTrialCountsHowCallsEnded(t *testing.T) {
-	const aim = 10 * time.Second // of the classes that another defines
+	const aim = 10 * time.Second // of the classes that newGeneration defines
 	for _, c := range []struct {
 		name  string
 		next  [2]string // the text replaced in the new configuration, and its replacement
