--- a/internal/evacuation/evidence.go
+++ b/internal/evacuation/evidence.go
@@ -6,174 +6,176 @@
 	"time"
 )
 
-// Kind is what an attempt met.
+// Kind is the result of an attempt.
 type Kind uint8
 
 const (
 	Good    Kind = iota
-	NoConn       // no connection came up
-	Broken       // the connection was reset or ended
-	Late         // no answer in time, or one that took far longer than elsewhere
-	Errored      // an answer that is an error
-	Full         // turned away: it is up and busy, which says nothing of failure
-	kinds
+	NoConn       // no connection was established
+	Broken       // the connection was reset or closed
+	Late         // no response in time, or one that took far longer than in other zones
+	Errored      // the response is an error
+	Full         // refused: the server is up and busy, which is no sign of failure
+	resultKindCount
 )
 
-// String is the kind's word.
+// String returns the name of the result as shown to operators.
 func (k Kind) String() string {
 	return [...]string{"good", "no connection", "broken", "late", "error", "turned away"}[k]
 }
 
-// bad says that a kind speaks against the zone.
-func (k Kind) bad() bool { return k != Good && k != Full }
+// isFailure reports whether the result counts as a failure of the zone.
+func (k Kind) isFailure() bool { return k != Good && k != Full }
 
-// seen counts by kind, and forgets. It is what operators are shown.
-type seen struct {
-	n  [kinds]float64
-	at time.Duration
+// resultCounts holds exponentially decaying counts by result. Operators see them in View.
+type resultCounts struct {
+	counts    [resultKindCount]float64
+	updatedAt time.Duration
 }
 
-func (t *seen) fade(now, window time.Duration) {
-	if now > t.at {
-		f := math.Exp(-float64(now-t.at) / float64(window))
-		for k := range t.n {
-			t.n[k] *= f
+func (c *resultCounts) decay(now, window time.Duration) {
+	if now > c.updatedAt {
+		factor := math.Exp(-float64(now-c.updatedAt) / float64(window))
+		for k := range c.counts {
+			c.counts[k] *= factor
 		}
-		t.at = now
+		c.updatedAt = now
 	}
 }
 
-// server is one of a zone's, with what the last of its answers was.
+// server is a server of a zone with its latest result.
 type server struct {
-	name string
-	zone *zone
-	last Kind
-	at   time.Duration // when; below 0: never
+	name         string
+	zone         *zone
+	lastResult   Kind
+	lastResultAt time.Duration // negative: never
 }
 
-// attempt is one that has no end yet.
+// attempt is an attempt that has not ended.
 type attempt struct {
-	to   *server
-	sent time.Duration
-	late bool // counted already
-	lost bool // given up already
+	server           *server
+	sentAt           time.Duration
+	countedLate      bool // already counted as late
+	reportedHopeless bool // already reported in Output.HopelessAttempts
 }
 
-// mean is a fading mean of how long good answers take.
-type mean struct{ sum, n float64 }
+// decayingMean is a decaying mean of the response times of successful attempts.
+type decayingMean struct{ sum, weight float64 }
 
-func (m *mean) add(x float64) { m.sum, m.n = m.sum*0.95+x, m.n*0.95+1 }
+func (m *decayingMean) add(x float64) { m.sum, m.weight = m.sum*0.95+x, m.weight*0.95+1 }
 
-func (m *mean) value() float64 {
-	if m.n < 1 {
+func (m *decayingMean) value() float64 {
+	if m.weight < 1 {
 		return 0
 	}
-	return m.sum / m.n
+	return m.sum / m.weight
 }
 
-// opinion is what a sidecar's own evidence says of a zone: of each server the last word
-// counts, the more the newer it is. Guards against one server that fails fast and so
-// often, which would speak for the whole zone.
-type opinion struct {
-	ratio  float64 // of bad
-	weight float64 // of all that was seen
-	heard  int     // servers with a weight that counts
-	bad    int     // of them with a bad one
-	full   float64 // share of refusals
-	good   float64 // weight of good ones
+// evidence summarizes a sidecar's own evidence on a zone. Only the latest result of each server
+// counts, weighted by its age. Otherwise a single server that fails fast, and therefore often,
+// would speak for the whole zone.
+type evidence struct {
+	badRatio      float64 // weight of bad results divided by weight
+	weight        float64 // total weight of good and bad results
+	recentServers int     // servers whose result is recent enough to count
+	badServers    int     // of these, servers whose result is bad
+	refusalShare  float64 // share of refusals
+	goodWeight    float64 // weight of good results
 }
 
-// countsFor windows what was met by kind is remembered.
-const countsFor = 3
+// resultWindows is the time constant of the result counts, in multiples of Config.Window.
+const resultWindows = 3
 
-// least is the weight of evidence below which it says nothing.
-const least = 0.5
+// minEvidenceWeight is the evidence weight below which no conclusion is drawn.
+const minEvidenceWeight = 0.5
 
-func (z *zone) opinion(now, window time.Duration) (o opinion) {
-	bad := 0.0
+// evidence returns the evidence on the zone at the given time.
+func (z *zone) evidence(now, window time.Duration) (e evidence) {
+	badWeight := 0.0
 	for _, s := range z.servers {
-		if s.at < 0 {
+		if s.lastResultAt < 0 {
 			continue
 		}
-		w := math.Exp(-float64(now-s.at) / float64(window/2))
-		if w < 0.05 {
+		weight := math.Exp(-float64(now-s.lastResultAt) / float64(window/2))
+		if weight < 0.05 {
 			continue
 		}
 		switch {
-		case s.last.bad():
-			bad += w
-			o.bad++
-		case s.last == Good:
-			o.good += w
+		case s.lastResult.isFailure():
+			badWeight += weight
+			e.badServers++
+		case s.lastResult == Good:
+			e.goodWeight += weight
 		}
-		o.heard++
+		e.recentServers++
 	}
-	o.weight = bad + o.good
-	if o.weight > 0 {
-		o.ratio = bad / o.weight
+	e.weight = badWeight + e.goodWeight
+	if e.weight > 0 {
+		e.badRatio = badWeight / e.weight
 	}
-	z.counts.fade(now, countsFor*window)
-	all := 0.0
-	for _, x := range z.counts.n {
-		all += x
+	z.results.decay(now, resultWindows*window)
+	total := 0.0
+	for _, x := range z.results.counts {
+		total += x
 	}
-	if all > least {
-		o.full = z.counts.n[Full] / all
+	if total > minEvidenceWeight {
+		e.refusalShare = z.results.counts[Full] / total
 	}
-	return o
+	return e
 }
 
-// Sent says that an attempt went to a server. What it returns is for Ended.
+// Sent records that an attempt was sent to a server. It returns the ticket that identifies the
+// attempt in Ended.
 func (m *Machine) Sent(now time.Duration, name string) uint64 {
-	m.ticket++
-	if s := m.servers[name]; s != nil && len(m.open) < openMost {
-		m.open[m.ticket] = attempt{to: s, sent: now}
+	m.lastTicket++
+	if s := m.servers[name]; s != nil && len(m.openAttempts) < maxOpenAttempts {
+		m.openAttempts[m.lastTicket] = attempt{server: s, sentAt: now}
 	}
-	return m.ticket
+	return m.lastTicket
 }
 
-// Ended says how an attempt ended. One that was called off says nothing.
+// Ended records the result of an attempt. A cancelled attempt is no evidence.
 func (m *Machine) Ended(now time.Duration, ticket uint64, k Kind, calledOff bool) {
-	a, ok := m.open[ticket]
+	a, ok := m.openAttempts[ticket]
 	if !ok {
 		return
 	}
-	delete(m.open, ticket)
-	if calledOff || a.late || m.servers[a.to.name] != a.to {
+	delete(m.openAttempts, ticket)
+	if calledOff || a.countedLate || m.servers[a.server.name] != a.server {
 		return
 	}
 	if k == Good {
-		if took := now - a.sent; took > m.bound() {
+		if took := now - a.sentAt; took > m.lateThreshold() {
 			k = Late
 		} else {
-			a.to.zone.took.add(float64(took))
+			a.server.zone.responseTimes.add(float64(took))
 		}
 	}
-	m.met(now, a, k)
+	m.recordResult(now, a, k)
 }
 
-// met takes what an attempt met.
-func (m *Machine) met(now time.Duration, a attempt, k Kind) {
-	z := a.to.zone
-	z.counts.fade(now, countsFor*m.cfg.Window)
-	z.counts.n[k]++
+// recordResult records the result of an attempt as evidence.
+func (m *Machine) recordResult(now time.Duration, a attempt, k Kind) {
+	z := a.server.zone
+	z.results.decay(now, resultWindows*m.cfg.Window)
+	z.results.counts[k]++
 	if k == Full {
 		return
 	}
-	a.to.last, a.to.at = k, now
+	a.server.lastResult, a.server.lastResultAt = k, now
 	switch {
 	case k == Good:
-		z.goodSent = max(z.goodSent, a.sent)
-		if a.sent >= z.badSent {
-			z.badSent = -1
+		z.lastGoodSent = max(z.lastGoodSent, a.sentAt)
+		if a.sentAt >= z.firstBadSent {
+			z.firstBadSent = -1
 		}
-	case z.badSent < 0:
-		z.badSent = a.sent
+	case z.firstBadSent < 0:
+		z.firstBadSent = a.sentAt
 	}
 	if k != Good {
-		z.badLast = max(z.badLast, a.sent)
+		z.lastBadSent = max(z.lastBadSent, a.sentAt)
 	}
-	if z.rec.Stage >= First && a.sent >= z.since {
+	if z.record.Stage >= StageOneIn64 && a.sentAt >= z.stageSince {
 		if k == Good {
 			z.stageGood++
 		} else {
@@ -182,90 +184,92 @@
 	}
 }
 
-// bound is how long an attempt may take before it is bad: by what is usual in the quickest
-// zone, so that one that slows down does not become its own measure.
-func (m *Machine) bound() time.Duration {
-	usual := 0.0
+// lateThreshold returns the time after which an attempt counts as late. It depends on the usual
+// response time of the fastest zone, so that a zone that slows down does not raise its own limit.
+func (m *Machine) lateThreshold() time.Duration {
+	fastest := 0.0
 	for _, o := range m.zones {
-		if v := o.took.value(); v > 0 && (usual == 0 || v < usual) {
-			usual = v
+		if v := o.responseTimes.value(); v > 0 && (fastest == 0 || v < fastest) {
+			fastest = v
 		}
 	}
-	return max(m.cfg.Silence, time.Duration(m.cfg.Slow*usual))
+	return max(m.cfg.Silence, time.Duration(m.cfg.Slow*fastest))
 }
 
-// overdue counts the attempts that have had no answer for too long, each once.
-func (m *Machine) overdue() {
-	bound := m.bound()
-	for ticket, a := range m.open {
-		if a.late || m.now-a.sent <= bound {
+// recordOverdueAttempts records each attempt that has exceeded the time limit as late, once.
+func (m *Machine) recordOverdueAttempts() {
+	bound := m.lateThreshold()
+	for ticket, a := range m.openAttempts {
+		if a.countedLate || m.now-a.sentAt <= bound {
 			continue
 		}
-		a.late = true
-		m.open[ticket] = a
-		if m.servers[a.to.name] == a.to {
-			m.met(m.now, a, Late)
+		a.countedLate = true
+		m.openAttempts[ticket] = a
+		if m.servers[a.server.name] == a.server {
+			m.recordResult(m.now, a, Late)
 		}
 	}
 }
 
-// hopeless are the attempts to zones that fail, or were left, which have waited for half
-// of what makes one late: others can still be made for their calls. Each is told once.
-func (m *Machine) hopeless() (tickets []uint64) {
-	bound := m.bound()
-	for ticket, a := range m.open {
-		z := a.to.zone
-		if a.lost || z.vote != Failing && z.vote != CutOff && (z.rec.Stage != Out || z.order.Action != Auto) || m.now-a.sent <= bound/2 {
+// takeHopelessAttempts returns the tickets of the attempts to zones that fail or were left by
+// evidence, once they have waited for half the time after which they count as late, so that their
+// calls still have time for another attempt. Each ticket is returned once.
+func (m *Machine) takeHopelessAttempts() (tickets []uint64) {
+	bound := m.lateThreshold()
+	for ticket, a := range m.openAttempts {
+		z := a.server.zone
+		if a.reportedHopeless || z.vote != VoteFailing && z.vote != VoteCutOff && (z.record.Stage != Out || z.order.Action != Auto) || m.now-a.sentAt <= bound/2 {
 			continue
 		}
-		a.lost = true
-		m.open[ticket] = a
+		a.reportedHopeless = true
+		m.openAttempts[ticket] = a
 		tickets = append(tickets, ticket)
 	}
 	slices.Sort(tickets)
 	return tickets
 }
 
-// vote is what this sidecar says of a zone by its own evidence, before others are heard.
-func (m *Machine) vote(z *zone) Vote {
-	if z.rec.Stage >= First { // what counts is what was sent in this stage
+// voteByEvidence returns this sidecar's vote on a zone by its own evidence, without the reports of
+// peers.
+func (m *Machine) voteByEvidence(z *zone) Vote {
+	if z.record.Stage >= StageOneIn64 { // only attempts that were sent in this stage count
 		switch {
 		case z.stageBad > 0 && 3*z.stageBad >= z.stageBad+z.stageGood:
-			return Failing
+			return VoteFailing
 		case z.stageGood > 0:
-			return Fine
+			return VoteFine
 		}
-		return None
+		return VoteUnknown
 	}
-	o := z.opinion(m.now, m.cfg.Window)
+	evidence := z.evidence(m.now, m.cfg.Window)
 	switch {
-	case o.weight < least:
-		return None
-	case o.ratio < m.cfg.Limps:
-		return Fine
-	case o.ratio < m.cfg.Fails || o.bad < min(2, len(z.servers)):
-		return Limping
+	case evidence.weight < minEvidenceWeight:
+		return VoteUnknown
+	case evidence.badRatio < m.cfg.Limps:
+		return VoteFine
+	case evidence.badRatio < m.cfg.Fails || evidence.badServers < min(2, len(z.servers)):
+		return VoteDegraded
 	}
-	z.ill = m.now
-	// It has to be better elsewhere, by what was sent there since it went bad here: where
-	// all is as bad there is a common cause, and where nothing is known of the others nobody
-	// can say that they would be better. Nor does it say anything that another one is well which
-	// was as bad, where nothing has been sent here since: it may be well here too.
+	z.lastFailingAt = m.now
+	// Another zone must be better, by attempts sent there since this zone went bad. If all zones
+	// are as bad, the cause is common to them; if nothing is known about the others, they cannot be
+	// called better. A zone that was as bad after the last failed attempt to this one and is well
+	// now proves nothing either: this zone may have recovered with it.
 	better, worse := false, false
-	for _, x := range m.zones {
+	for _, other := range m.zones {
 		switch {
-		case x == z || x.rec.Stage == Out:
-		case x.goodSent >= z.badSent && x.goodSent >= 0 && x.ill <= z.badLast:
+		case other == z || other.record.Stage == Out:
+		case other.lastGoodSent >= z.firstBadSent && other.lastGoodSent >= 0 && other.lastFailingAt <= z.lastBadSent:
 			better = true
-		case x.badSent >= 0:
+		case other.firstBadSent >= 0:
 			worse = true
 		}
 	}
 	switch {
 	case better:
-		return Failing
+		return VoteFailing
 	case worse:
-		return Alike
+		return VoteCommonCause
 	}
-	return None
+	return VoteUnknown
 }
--- a/internal/evacuation/evidence_test.go
+++ b/internal/evacuation/evidence_test.go
@@ -5,42 +5,42 @@
 	"time"
 )
 
-// Attempts to a zone that fails, which have waited for long, are told as hopeless, each
-// once; those elsewhere, and to a zone that an operator has the fleet leave, are not.
-func TestHopeless(t *testing.T) {
+// Attempts that have waited long for a zone that fails must be reported as hopeless once, but not
+// those to other zones or to a zone that an operator ordered the fleet to leave.
+func TestAttemptsToFailingZoneAreAbandoned(t *testing.T) {
 	a, _ := pair(t)
 	at := sec
-	all := map[uint64]bool{a.Sent(at, "s1"): true, a.Sent(at, "s2"): true}
+	expected := map[uint64]bool{a.Sent(at, "s1"): true, a.Sent(at, "s2"): true}
 	elsewhere := a.Sent(at, "s3")
 	a.Ended(at+20*time.Millisecond, a.Sent(at+10*time.Millisecond, "s4"), Good, false)
-	var told []uint64
+	var reported []uint64
 	for at < 2*sec {
 		at += 40 * time.Millisecond
-		told = append(told, a.Tick(at).Lost...)
-		if at == sec+200*time.Millisecond && len(told) > 0 {
-			t.Errorf("after 200 ms: %v", told)
+		reported = append(reported, a.Tick(at).HopelessAttempts...)
+		if at == sec+200*time.Millisecond && len(reported) > 0 {
+			t.Errorf("attempts reported after 200 ms: %v, want none", reported)
 		}
 	}
-	for _, ticket := range told {
-		if !all[ticket] {
-			t.Errorf("%d is told (%d went elsewhere), all are %v", ticket, elsewhere, told)
+	for _, ticket := range reported {
+		if !expected[ticket] {
+			t.Errorf("reported attempt %d (%d went to another zone), want one of %v", ticket, elsewhere, reported)
 		}
 	}
-	if len(told) != 2 {
-		t.Errorf("told %v", told)
+	if len(reported) != 2 {
+		t.Errorf("reported attempts %v, want 2", reported)
 	}
 	_, b := pair(t)
 	b.Sent(sec, "s3")
-	if err := b.Order(sec, "b", "leave", "x", "y"); err != nil {
+	if err := b.SubmitOrder(sec, "b", "leave", "x", "y"); err != nil {
 		t.Fatal(err)
 	}
-	if lost := b.Tick(sec + 300*time.Millisecond).Lost; len(lost) > 0 {
-		t.Errorf("by an order: %v", lost)
+	if lost := b.Tick(sec + 300*time.Millisecond).HopelessAttempts; len(lost) > 0 {
+		t.Errorf("zone left by order: reported attempts %v, want none", lost)
 	}
 }
 
-// Answers that take ten times as long as elsewhere are bad, though each is answered.
-func TestSlowZone(t *testing.T) {
+// Answers that take ten times as long as in another zone must count as failures.
+func TestSlowZoneFails(t *testing.T) {
 	a, _ := pair(t)
 	now := 2 * sec
 	for n := range 40 {
@@ -55,17 +55,17 @@
 		a.Tick(now)
 	}
 	a.Tick(now + 100*time.Millisecond)
-	if v := a.zones[0].vote; v != Failing {
-		t.Errorf("zone a is %v", v)
+	if v := a.zones[0].vote; v != VoteFailing {
+		t.Errorf("vote on zone a is %v, want failing", v)
 	}
-	if v := a.zones[1].vote; v != Fine {
-		t.Errorf("zone b is %v", v)
+	if v := a.zones[1].vote; v != VoteFine {
+		t.Errorf("vote on zone b is %v, want fine", v)
 	}
 }
 
-// A zone in a stage of return is due at each that goes first, until that one has sent there
-// in this stage; not for what may not run twice.
-func TestDue(t *testing.T) {
+// Each sidecar chosen to send in a return stage must get the zone as due until it has sent there in
+// this stage, except for calls that must not run twice.
+func TestZoneIsDueUntilFirstSend(t *testing.T) {
 	cfg := Default()
 	cfg.Peers = 2
 	m, err := New(cfg)
@@ -76,17 +76,17 @@
 	due := func(now time.Duration, want string) {
 		t.Helper()
 		if got := m.Due(now, true); got != want || m.Due(now, false) != "" {
-			t.Errorf("at %v %q is due, want %q; for what runs once %q", now, got, want, m.Due(now, false))
+			t.Errorf("at %v: zone %q is due, want %q; for a call that must not run twice: %q, want none", now, got, want, m.Due(now, false))
 		}
 	}
 	due(time.Second, "")
-	m.Plant(time.Second, "a", Record{Gen: 1, Step: 1, Stage: Quarter}, None)
-	for step := uint16(1); m.Uses("a"); step++ { // until it is another's turn
-		m.Plant(time.Second, "a", Record{Gen: 1, Step: step, Stage: Quarter}, None)
+	m.SetState(time.Second, "a", Record{Gen: 1, Step: 1, Stage: StageOneIn4}, VoteUnknown)
+	for step := uint16(1); m.Uses("a"); step++ { // until another sidecar is chosen
+		m.SetState(time.Second, "a", Record{Gen: 1, Step: step, Stage: StageOneIn4}, VoteUnknown)
 	}
 	due(time.Second, "")
-	for step := uint16(1); !m.Uses("a"); step++ { // until it is this one's turn
-		m.Plant(time.Second, "a", Record{Gen: 1, Step: step, Stage: Quarter}, None)
+	for step := uint16(1); !m.Uses("a"); step++ { // until this sidecar is chosen
+		m.SetState(time.Second, "a", Record{Gen: 1, Step: step, Stage: StageOneIn4}, VoteUnknown)
 	}
 	due(2*time.Second, "a")
 	m.Booked(2*time.Second, "b")
--- a/internal/evacuation/export_test.go
+++ b/internal/evacuation/export_test.go
@@ -2,32 +2,34 @@
 
 import "time"
 
-// What tests of a fleet look at and plant, beyond what a Machine shows.
+// Access for tests of a fleet to state that Machine does not export.
 
-// Pace is what a zone's stage allows the fleet a second, and how many sidecars go first.
-func (m *Machine) Pace(zone string) (pace float64, members int) {
-	z := m.named(zone)
-	return m.pace(z), m.members(z.rec.Stage)
+// StageRate returns the rate limit of a zone's stage, in calls per second of the fleet, and the
+// number of sidecars that send.
+func (m *Machine) StageRate(zone string) (rate float64, canaries int) {
+	z := m.findZone(zone)
+	return m.stageRate(z), m.canaryCount(z.record.Stage)
 }
 
-// First is who goes first once a zone's stage has had one step more.
-func (m *Machine) First(zone string) int {
-	z := *m.named(zone)
-	z.rec.Step++
-	z.rec.Stage = First
+// FirstCanary returns the number of the first sidecar that will send in StageOneIn64 after one more
+// step of the zone; -1: there is none.
+func (m *Machine) FirstCanary(zone string) int {
+	z := *m.findZone(zone)
+	z.record.Step++
+	z.record.Stage = StageOneIn64
 	for n := range m.cfg.Peers {
-		if m.member(&z, n) {
+		if m.isCanary(&z, n) {
 			return n
 		}
 	}
 	return -1
 }
 
-// Need is how many sidecars' word it takes.
-func (m *Machine) Need() int { return m.need() }
+// RequiredVotes returns the number of sidecars whose votes are required.
+func (m *Machine) RequiredVotes() int { return m.requiredVotes() }
 
-// Plant has it hold a record, and vote, as nothing that it saw would make it.
-func (m *Machine) Plant(now time.Duration, zone string, r Record, v Vote) {
-	z := m.named(zone)
-	z.rec, z.since, z.vote = r, now, v
+// SetState sets a zone's record and vote, whatever the evidence.
+func (m *Machine) SetState(now time.Duration, zone string, r Record, v Vote) {
+	z := m.findZone(zone)
+	z.record, z.stageSince, z.vote = r, now, v
 }
--- a/internal/evacuation/fleet_test.go
+++ b/internal/evacuation/fleet_test.go
@@ -13,56 +13,57 @@
 	sec = time.Second
 )
 
-// fleet is a virtual fleet with the faults of a test. Zones are a, b and c.
+// fleet is a simulated fleet with zones a, b and c, whose faults a test sets.
 type fleet struct {
 	*zonal.World
-	t     testing.TB
-	fails map[string]evacuation.Kind // what calls to a zone meet; those that are not there are good
-	by    func(n int) bool           // whose calls; nil: everybody's
+	t       testing.TB
+	results map[string]evacuation.Kind // result of calls by zone; default Good
+	affects func(n int) bool           // sidecars that the failures affect; nil: all
 }
 
-func newFleet(t testing.TB, seed uint64, cars int) *fleet {
+func newFleet(t testing.TB, seed uint64, sidecars int) *fleet {
 	t.Helper()
-	return fleetOf(t, seed, evacuation.Default(), cars)
+	return newFleetWithConfig(t, seed, evacuation.Default(), sidecars)
 }
 
-func fleetOf(t testing.TB, seed uint64, cfg evacuation.Config, cars int) *fleet {
+func newFleetWithConfig(t testing.TB, seed uint64, cfg evacuation.Config, sidecars int) *fleet {
 	t.Helper()
-	w, err := zonal.New(seed, cfg, cars, 3, "a", "b", "c")
+	w, err := zonal.New(seed, cfg, sidecars, 3, "a", "b", "c")
 	if err != nil {
 		t.Fatal(err)
 	}
-	f := &fleet{World: w, t: t, fails: make(map[string]evacuation.Kind)}
+	f := &fleet{World: w, t: t, results: make(map[string]evacuation.Kind)}
 	w.Up = func(n int, s evacuation.Server) evacuation.Kind {
-		if f.by != nil && !f.by(n) {
+		if f.affects != nil && !f.affects(n) {
 			return evacuation.Good
 		}
-		return f.fails[s.Zone]
+		return f.results[s.Zone]
 	}
 	return f
 }
 
-// vanish has a zone fail after the fleet has run for 3 s.
-func (f *fleet) vanish(zone string) {
+// failZone makes connections to a zone fail, at 3 s or now, whichever is later.
+func (f *fleet) failZone(zone string) {
 	if f.Now < 3*sec {
 		f.Run(3 * sec)
 	}
-	f.fails[zone] = evacuation.NoConn
+	f.results[zone] = evacuation.NoConn
 }
 
-// wait plays on until something holds, and fails if that takes longer.
-func (f *fleet) wait(what string, most time.Duration, holds func() bool) time.Duration {
+// waitFor runs the fleet until holds returns true. It fails the test if that takes longer than
+// maxTime.
+func (f *fleet) waitFor(what string, maxTime time.Duration, holds func() bool) time.Duration {
 	f.t.Helper()
-	took, ok := f.Until(most, 10*ms, holds)
+	took, ok := f.Until(maxTime, 10*ms, holds)
 	if !ok {
-		f.t.Errorf("at %v: not %s within %v", f.Now, what, most)
+		f.t.Errorf("at %v: condition %q not met within %v", f.Now, what, maxTime)
 	}
 	return took
 }
 
-// left waits until nobody that runs sends to a zone, and says how long nine tenths and all
-// took.
-func (f *fleet) left(zone string, most time.Duration) (nine, all time.Duration) {
+// waitUntilLeft waits until no running sidecar sends to a zone. It returns how long that took for
+// nine tenths of them and for all.
+func (f *fleet) waitUntilLeft(zone string, maxTime time.Duration) (nine, all time.Duration) {
 	f.t.Helper()
 	out := func(part int) func() bool {
 		return func() bool {
@@ -70,16 +71,16 @@
 			return n <= of/part
 		}
 	}
-	nine = f.wait("nine tenths out of zone "+zone, most, out(10))
-	return nine, nine + f.wait("all out of zone "+zone, most-nine, out(1<<30))
+	nine = f.waitFor("departure of nine tenths from zone "+zone, maxTime, out(10))
+	return nine, nine + f.waitFor("departure of all from zone "+zone, maxTime-nine, out(1<<30))
 }
 
-// back waits until all that run hold that everybody may send to a zone.
-func (f *fleet) back(zone string, most time.Duration) time.Duration {
+// waitUntilReturned waits until the record of each running sidecar is at StageAll.
+func (f *fleet) waitUntilReturned(zone string, maxTime time.Duration) time.Duration {
 	f.t.Helper()
-	return f.wait("all back to zone "+zone, most, func() bool {
+	return f.waitFor("return of all to zone "+zone, maxTime, func() bool {
 		for _, c := range f.Cars {
-			if rec, _ := c.Held(zone); rec.Stage != evacuation.All && !c.Stopped {
+			if rec, _ := c.Held(zone); rec.Stage != evacuation.StageAll && !c.Stopped {
 				return false
 			}
 		}
@@ -87,11 +88,11 @@
 	})
 }
 
-// uses fails unless so many send to a zone.
-func (f *fleet) uses(zone string, want int) {
+// requireUsers fails the test unless want sidecars send to a zone.
+func (f *fleet) requireUsers(zone string, want int) {
 	f.t.Helper()
 	if n, of := f.Using(zone); n != want {
-		f.t.Errorf("at %v: %d of %d use zone %s, want %d (%v)", f.Now, n, of, zone, want, f.Stages(zone))
+		f.t.Errorf("at %v: %d of %d sidecars use zone %s, want %d (by stage: %v)", f.Now, n, of, zone, want, f.Stages(zone))
 	}
 }
 
@@ -104,12 +105,12 @@
 
 func (f *fleet) order(n int, zone, action, reason string) {
 	f.t.Helper()
-	if err := f.Cars[n].Order(f.Now, zone, action, "ops", reason); err != nil {
+	if err := f.Cars[n].SubmitOrder(f.Now, zone, action, "ops", reason); err != nil {
 		f.t.Fatal(err)
 	}
 }
 
-// parted has the first so many and the others not hear each other while it is on.
-func (f *fleet) parted(first int, on *bool) {
-	f.Hears = func(from, to int) bool { return !*on || (from < first) == (to < first) }
+// partition separates sidecars with a number below first from the others while active is true.
+func (f *fleet) partition(first int, active *bool) {
+	f.Hears = func(from, to int) bool { return !*active || (from < first) == (to < first) }
 }
--- a/internal/evacuation/machine.go
+++ b/internal/evacuation/machine.go
@@ -10,96 +10,110 @@
 )
 
 const (
-	// stoppedFor between two ticks says that the process was stopped, or the machine slept:
-	// what it saw before tells nothing of now.
-	stoppedFor = time.Second
-	// heardFor is how long the last word of a peer counts; longer than a note's round.
-	heardFor = 4 * time.Second
-	// eagerFor is how long what is new is told at each tick.
-	eagerFor = 400 * time.Millisecond
-	// Between ticks, while nothing is suspected and while something is.
-	quietTick = 100 * time.Millisecond
-	busyTick  = 40 * time.Millisecond
-	// calmFor at All forgets the relapses.
-	calmFor = 2 * time.Minute
-	// strays is how much of a stage's members may say that it fails, of those that speak.
-	strays = 0.25
+	// suspensionThreshold is the gap between two ticks above which the process or the machine must
+	// have been suspended. Evidence from before such a gap says nothing about the present.
+	suspensionThreshold = time.Second
+	// heardTimeout is how long the last report of a peer counts. It is longer than a round of
+	// notes.
+	heardTimeout = 4 * time.Second
+	// announcementPeriod is how long a change is announced at each tick.
+	announcementPeriod = 400 * time.Millisecond
+	// Tick intervals while no zone is suspected, and while one is.
+	idleTickInterval   = 100 * time.Millisecond
+	activeTickInterval = 40 * time.Millisecond
+	// relapseResetDelay is how long a zone has to stay at StageAll until its relapses are
+	// forgotten.
+	relapseResetDelay = 2 * time.Minute
+	// maxFailingShare is the share of failing votes, among the voting sidecars of a return stage,
+	// above which the stage has failed.
+	maxFailingShare = 0.25
 )
 
-// word is what a peer said last of a zone.
-type word struct {
-	id   ZoneID
-	vote Vote
-	at   time.Duration // of its evidence
-	rec  Record
-	told bool          // a record came
-	held time.Duration // since when it is known to hold rec
+// peerReport is the latest report of a peer on a zone.
+type peerReport struct {
+	zoneID     ZoneID
+	vote       Vote
+	evidenceAt time.Duration // of the evidence behind vote
+	record     Record
+	hasRecord  bool          // the peer sent a record
+	heldSince  time.Duration // since when the peer is known to hold record
 }
 
 type peer struct {
-	inc    uint64
-	seq    uint32
-	at     time.Duration // when heard last; below 0: never
-	words  []word        // of zonesIn zones at the most, each once
-	lately bool          // it is in Machine.lately
-	// quickest is the least of our time less the peer's, in milliseconds, of its notes:
-	// what a later one is above it, it was late.
-	quickest uint32
-	clocked  time.Duration // when it was last that, or was let grow; 0: never
-}
-
-// word is what it said of a zone. A search: it says few, and this is asked for each peer and
-// zone at each tick.
-func (p *peer) word(id ZoneID) (w word, ok bool) {
-	for n := range p.words {
-		if p.words[n].id == id {
-			return p.words[n], true
+	incarnation uint64
+	seq         uint32
+	heardAt     time.Duration // when it was last heard from; negative: never
+	reports     []peerReport  // at most maxNoteZones zones, each once
+	isRecent    bool          // listed in Machine.recentPeers
+	// minClockOffsetMs is the minimum, over the peer's notes, of the local clock minus the peer's
+	// clock, in milliseconds. The excess of a later note over it is that note's delay.
+	minClockOffsetMs uint32
+	minClockOffsetAt time.Duration // when minClockOffsetMs was last lowered or raised; 0: never
+}
+
+// reportOn returns the peer's report on a zone. It searches linearly: a peer reports on few zones,
+// and this runs for each peer and zone at each tick.
+func (p *peer) reportOn(id ZoneID) (w peerReport, ok bool) {
+	for n := range p.reports {
+		if p.reports[n].zoneID == id {
+			return p.reports[n], true
 		}
 	}
 	return w, false
 }
 
-// zone is what is held of one.
+// zone is the state of a zone.
 type zone struct {
-	name    string
-	id      ZoneID
-	servers []*server
-	took    mean
-	counts  seen
-	// When the last attempt was sent that was answered well, and the first of those that
-	// were not since; below 0: none.
-	goodSent, badSent   time.Duration
-	badLast             time.Duration // when the last that was not was sent; below 0: none
-	ill                 time.Duration // when so much was bad last that it fails, or fails like all; below 0: never
-	stageGood, stageBad int           // of what was sent in a stage of return
-	tried               bool          // this one has sent there in this stage
-
-	rec     Record
-	since   time.Duration // of rec
-	order   Order
-	vote    Vote
-	rumour  time.Duration // since when enough hold it to be left, of whom too few see it fail; below 0: they don't
-	suspect time.Duration // when the first of those that say it fails saw so; below 0: nobody does
-	wanted  time.Duration // since when its departure has been called for; below 0: it is not
-	doubted time.Duration // since when this one alone has seen it fail
-	alone   bool          // left by this one alone
-	trial   time.Duration // when an alone one tries again
-	spells  int           // of leaving alone
-	others  time.Duration // since when most of those heard use it, while this one does not; below 0: they don't
-	eager   time.Duration // until when it is news
-	room    float64       // of the pace
-	roomAt  time.Duration
-	// The least weight of those that go first, by the record that it was worked out for; 0:
-	// not yet.
-	firsts   uint64
-	firstsOf Record
-	changes  []Change // the last changesMost
-}
-
-// changesMost bounds what is remembered of a zone's changes.
-const changesMost = 32
-
-// Change is one that operators may see.
+	name          string
+	id            ZoneID
+	servers       []*server
+	responseTimes decayingMean
+	results       resultCounts
+	// Send times of the last attempt that succeeded and of the first attempt that has failed since;
+	// negative: none.
+	lastGoodSent, firstBadSent time.Duration
+	lastBadSent                time.Duration // send time of the last attempt that failed; negative: none
+	// lastFailingAt is when the evidence was last bad enough for a vote of VoteFailing or
+	// VoteCommonCause; negative: never.
+	lastFailingAt       time.Duration
+	stageGood, stageBad int  // results of attempts sent in the current return stage
+	sentInStage         bool // this sidecar has sent to the zone in this stage
+
+	record     Record
+	stageSince time.Duration // when the current stage began
+	order      Order
+	vote       Vote
+	// unconfirmedSince is since when enough peers hold a record that leaves the zone while too few
+	// vote that it fails; negative: not the case.
+	unconfirmedSince time.Duration
+	// suspectSince is the time of the earliest evidence behind a vote that the zone fails;
+	// negative: no such vote.
+	suspectSince time.Duration
+	// departureDueSince is since when the votes suffice to leave the zone; negative: they don't.
+	departureDueSince time.Duration
+	// locallyFailingSince is since when this sidecar sees the zone fail while the fleet does not
+	// leave it; negative: not the case.
+	locallyFailingSince time.Duration
+	leftLocally         bool          // left by this sidecar only
+	localRetryAt        time.Duration // when a zone left by this sidecar only is used again
+	localDepartures     int           // consecutive departures of this sidecar only
+	// leftBehindSince is since when most of the peers heard use the zone while this sidecar does
+	// not; negative: not the case.
+	leftBehindSince time.Duration
+	announceUntil   time.Duration // until when changes are announced at each tick
+	tokens          float64       // tokens left for sends in a return stage
+	refilledAt      time.Duration
+	// minCanaryWeight is the least weight of the sidecars that send in the current stage, computed
+	// for minCanaryWeightRecord; 0: not computed yet.
+	minCanaryWeight       uint64
+	minCanaryWeightRecord Record
+	changes               []Change // at most the last maxChanges
+}
+
+// maxChanges is the number of changes kept for each zone.
+const maxChanges = 32
+
+// Change is a stage change of a zone, as shown to operators.
 type Change struct {
 	At   time.Duration `json:"at_ns"`
 	Zone string        `json:"zone"`
@@ -108,47 +122,47 @@
 	Why  string        `json:"why"`
 }
 
-// Machine is one sidecar's part. One owner calls its methods in turn, with a time that
-// never goes back.
+// Machine decides for one sidecar which zones it uses. It is not safe for concurrent use. The times
+// passed to its methods must not decrease.
 type Machine struct {
-	cfg     Config
-	rng     *rand.Rand
-	now     time.Duration
-	ticked  time.Duration
-	zones   []*zone // by name
-	byID    map[ZoneID]*zone
-	servers map[string]*server
-	open    map[uint64]attempt
-	ticket  uint64
-	peers   []peer
-	lately  []int // the peers that were heard of late
-	seq     uint32
-	woke    time.Duration // when it started, or went on after a stop
-	answers int           // since the last tick
-	told    time.Duration // when peers were last told at once
-	hello   bool          // it has just started and asks what the fleet holds
-	log     []Change
-	strange uint64 // notes that made no sense
-	old     uint64 // that came out of turn
-}
-
-// New returns a Machine that holds all zones to be in use.
+	cfg              Config
+	rng              *rand.Rand
+	now              time.Duration
+	lastTick         time.Duration
+	zones            []*zone // sorted by name
+	zonesByID        map[ZoneID]*zone
+	servers          map[string]*server
+	openAttempts     map[uint64]attempt
+	lastTicket       uint64
+	peers            []peer
+	recentPeers      []int // indices of the peers that were heard recently
+	lastSeq          uint32
+	resumedAt        time.Duration // when the process started or resumed after a suspension
+	repliesSinceTick int           // replies since the last tick
+	lastAnnouncement time.Duration // when peers were last notified of a change
+	helloPending     bool          // the next tick asks peers for the records of the fleet
+	pendingChanges   []Change
+	invalidNotes     uint64 // invalid notes received
+	outdatedNotes    uint64 // duplicate or outdated notes received
+}
+
+// New returns a Machine that uses all zones. It returns an error if cfg is invalid.
 func New(cfg Config) (*Machine, error) {
 	if err := cfg.Validate(); err != nil {
 		return nil, err
 	}
-	m := &Machine{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, uint64(cfg.Self))), byID: make(map[ZoneID]*zone), servers: make(map[string]*server), open: make(map[uint64]attempt), peers: make([]peer, cfg.Peers), hello: cfg.Peers > 1}
+	m := &Machine{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, uint64(cfg.Self))), zonesByID: make(map[ZoneID]*zone), servers: make(map[string]*server), openAttempts: make(map[uint64]attempt), peers: make([]peer, cfg.Peers), helloPending: cfg.Peers > 1}
 	for n := range m.peers {
-		m.peers[n].at = -1
+		m.peers[n].heardAt = -1
 	}
 	return m, nil
 }
 
-// Server is one on the list that serves.
+// Server is a server that takes calls.
 type Server struct{ Name, Zone string }
 
-// Servers takes the list. What is held of a zone stays while none of its servers is listed:
-// it may come back with others.
+// Servers replaces the list of servers. The state of a zone is kept while none of its servers is
+// listed, since it may return with others.
 func (m *Machine) Servers(now time.Duration, list []Server) {
 	m.now = now
 	old := m.servers
@@ -156,364 +170,372 @@
 	for _, z := range m.zones {
 		z.servers = nil
 	}
-	for _, s := range list[:min(len(list), ServersMost)] {
-		z := m.zone(s.Zone)
+	for _, s := range list[:min(len(list), MaxServers)] {
+		z := m.findOrAddZone(s.Zone)
 		if z == nil {
 			continue
 		}
-		x := old[s.Name]
-		if x == nil || x.zone != z {
-			x = &server{name: s.Name, zone: z, at: -1}
+		known := old[s.Name]
+		if known == nil || known.zone != z {
+			known = &server{name: s.Name, zone: z, lastResultAt: -1}
 		}
-		m.servers[s.Name] = x
-		z.servers = append(z.servers, x)
+		m.servers[s.Name] = known
+		z.servers = append(z.servers, known)
 	}
 }
 
-// zone finds or begins one; nil where there are too many, or its id is another's: such a
-// zone is never left.
-func (m *Machine) zone(name string) *zone {
-	id := IDOf(name)
-	if z := m.byID[id]; z != nil {
+// findOrAddZone returns the state of the named zone, which it creates if needed. It returns nil if
+// there are too many zones or if the ID collides with that of another zone; such a zone is always
+// used.
+func (m *Machine) findOrAddZone(name string) *zone {
+	id := HashZoneName(name)
+	if z := m.zonesByID[id]; z != nil {
 		if z.name != name {
 			return nil
 		}
 		return z
 	}
-	if len(m.zones) >= ZonesMost {
+	if len(m.zones) >= MaxZones {
 		return nil
 	}
-	z := &zone{name: name, id: id, wanted: -1, doubted: -1, goodSent: -1, badSent: -1, badLast: -1, ill: -1, since: m.now, suspect: -1, rumour: -1, others: -1, roomAt: m.now}
-	m.byID[id] = z
+	z := &zone{name: name, id: id, departureDueSince: -1, locallyFailingSince: -1, lastGoodSent: -1, firstBadSent: -1, lastBadSent: -1, lastFailingAt: -1, stageSince: m.now, suspectSince: -1, unconfirmedSince: -1, leftBehindSince: -1, refilledAt: m.now}
+	m.zonesByID[id] = z
 	m.zones = append(m.zones, z)
 	slices.SortFunc(m.zones, func(a, b *zone) int { return cmp.Compare(a.name, b.name) })
 	return z
 }
 
-func (m *Machine) named(name string) *zone {
-	if z := m.byID[IDOf(name)]; z != nil && z.name == name {
+// findZone returns the state of the named zone, or nil if the zone is not known.
+func (m *Machine) findZone(name string) *zone {
+	if z := m.zonesByID[HashZoneName(name)]; z != nil && z.name == name {
 		return z
 	}
 	return nil
 }
 
-// Wants is what a Machine wants done.
-type Wants struct {
-	Tell    int           // so many peers are to be told now, drawn
-	To      []int         // and these, by number
-	Changes []Change      // for the log
-	Lost    []uint64      // attempts that are not worth waiting for, by their tickets
-	Next    time.Duration // until the next Tick, at the latest; 0: as it was
-	Moved   bool          // what Uses says of some zone has changed
+// Output tells the owner of a Machine what to do after a call.
+type Output struct {
+	RandomNotes      int           // number of notes to send now, to randomly chosen peers
+	Recipients       []int         // peers to send a note to now, by number
+	Changes          []Change      // stage changes to log
+	HopelessAttempts []uint64      // tickets of attempts that are not worth waiting for
+	NextTick         time.Duration // longest time until the next call of Tick; 0: unchanged
+	UsesChanged      bool          // the result of Uses has changed for a zone
 }
 
-// Tick looks at what is due.
-func (m *Machine) Tick(now time.Duration) (out Wants) {
-	if m.ticked > 0 && now-m.ticked > stoppedFor {
-		m.forget(now)
+// Tick evaluates the evidence, votes and timers of all zones.
+func (m *Machine) Tick(now time.Duration) (out Output) {
+	if m.lastTick > 0 && now-m.lastTick > suspensionThreshold {
+		m.resetAfterSuspension(now)
 	}
-	if m.ticked == 0 {
-		m.woke = now
+	if m.lastTick == 0 {
+		m.resumedAt = now
 	}
-	m.now, m.ticked, m.answers = max(now, m.now), now, 0
-	m.drop(func(p *peer) bool { return now-p.at >= max(heardFor, 2*m.cfg.Window) })
-	m.overdue()
-	uses := m.using()
+	m.now, m.lastTick, m.repliesSinceTick = max(now, m.now), now, 0
+	m.dropPeerReports(func(p *peer) bool { return now-p.heardAt >= max(heardTimeout, 2*m.cfg.Window) })
+	m.recordOverdueAttempts()
+	usesBefore := m.zoneUses()
 	for _, z := range m.zones {
-		m.opine(z)
-		m.adopt(z)
+		m.updateVote(z)
+		m.adoptPeerRecord(z)
 		if z.order.Action != Auto {
-			m.obey(z)
+			m.enforceOrder(z)
 			continue
 		}
-		switch z.rec.Stage {
-		case All, Part:
-			m.judge(z)
+		switch z.record.Stage {
+		case StageAll, StagePart:
+			m.evaluateDeparture(z)
 		default:
-			m.returning(z)
+			m.advanceReturn(z)
 		}
 	}
-	if m.hello { // once: whoever hears of a new start answers
-		m.hello = false
-		out.Tell = m.cfg.Spread
+	if m.helloPending { // asks once: peers reply to the note of a sidecar that has just started
+		m.helloPending = false
+		out.RandomNotes = m.cfg.Spread
 	}
-	out.Next = quietTick
-	due := now-m.told >= busyTick
+	out.NextTick = idleTickInterval
+	due := now-m.lastAnnouncement >= activeTickInterval
 	for _, z := range m.zones {
 		switch {
-		case now < z.eager && due:
-			out.Tell = m.cfg.Spread
-		case z.rec.Stage >= First && due && m.member(z, m.cfg.Self): // what it sees the others wait for
-			out.Tell = max(out.Tell, 1)
+		case now < z.announceUntil && due:
+			out.RandomNotes = m.cfg.Spread
+		case z.record.Stage >= StageOneIn64 && due && m.isCanary(z, m.cfg.Self): // the other sidecars wait for its result
+			out.RandomNotes = max(out.RandomNotes, 1)
 		}
-		if z.suspect >= 0 || now < z.eager {
-			out.Next = busyTick
+		if z.suspectSince >= 0 || now < z.announceUntil {
+			out.NextTick = activeTickInterval
 		}
 	}
-	if out.Tell > 0 {
-		m.told = now
+	if out.RandomNotes > 0 {
+		m.lastAnnouncement = now
 	}
-	out.Lost = m.hopeless()
-	out.Changes, m.log = m.log, nil
-	out.Moved = !slices.Equal(uses, m.using())
+	out.HopelessAttempts = m.takeHopelessAttempts()
+	out.Changes, m.pendingChanges = m.pendingChanges, nil
+	out.UsesChanged = !slices.Equal(usesBefore, m.zoneUses())
 	return out
 }
 
-// using is what Uses says of each zone.
-func (m *Machine) using() (all []bool) {
+// zoneUses returns the result of Uses for each zone, in the order of m.zones.
+func (m *Machine) zoneUses() (all []bool) {
 	for _, z := range m.zones {
-		all = append(all, m.uses(z))
+		all = append(all, m.usesZone(z))
 	}
 	return all
 }
 
-// drop forgets what some of the peers said. What is looked at at each tick are those heard of
-// late, a few, however many there are.
-func (m *Machine) drop(old func(p *peer) bool) {
-	m.lately = slices.DeleteFunc(m.lately, func(n int) bool {
+// dropPeerReports discards the reports of all peers for which isStale returns true. It visits only
+// the peers that were heard recently, which are few whatever the size of the fleet.
+func (m *Machine) dropPeerReports(isStale func(p *peer) bool) {
+	m.recentPeers = slices.DeleteFunc(m.recentPeers, func(n int) bool {
 		p := &m.peers[n]
-		if !old(p) {
+		if !isStale(p) {
 			return false
 		}
-		p.lately, p.words, p.at = false, nil, -1
+		p.isRecent, p.reports, p.heardAt = false, nil, -1
 		return true
 	})
 }
 
-// forget is for a process that was stopped: it has nothing to say of what it saw, waits
-// for no end of a stage that has long passed, and asks what the fleet holds now.
-func (m *Machine) forget(now time.Duration) {
-	clear(m.open)
-	m.woke = now
+// resetAfterSuspension discards all evidence and reports after a suspension of the process. It
+// restarts the time of each stage, so that no stage ends by the time spent suspended, and asks
+// peers for the records of the fleet.
+func (m *Machine) resetAfterSuspension(now time.Duration) {
+	clear(m.openAttempts)
+	m.resumedAt = now
 	for _, s := range m.servers {
-		s.at = -1
+		s.lastResultAt = -1
 	}
-	m.drop(func(*peer) bool { return true })
+	m.dropPeerReports(func(*peer) bool { return true })
 	for _, z := range m.zones {
-		z.vote, z.suspect, z.rumour, z.wanted, z.doubted, z.since = None, -1, -1, -1, -1, now
-		z.goodSent, z.badSent, z.badLast, z.ill, z.stageGood, z.stageBad = -1, -1, -1, -1, 0, 0
-		if z.alone {
-			z.trial = now
+		z.vote, z.suspectSince, z.unconfirmedSince, z.departureDueSince, z.locallyFailingSince, z.stageSince = VoteUnknown, -1, -1, -1, -1, now
+		z.lastGoodSent, z.firstBadSent, z.lastBadSent, z.lastFailingAt, z.stageGood, z.stageBad = -1, -1, -1, -1, 0, 0
+		if z.leftLocally {
+			z.localRetryAt = now
 		}
 	}
-	m.hello = m.cfg.Peers > 1
+	m.helloPending = m.cfg.Peers > 1
 }
 
-func (m *Machine) opine(z *zone) {
-	m.suspects(z)
-	v := m.vote(z)
-	if v == Failing && z.badSent >= 0 && (z.suspect < 0 || z.badSent < z.suspect) {
-		z.suspect = z.badSent
+// updateVote updates this sidecar's vote on a zone from its evidence and the reports of its peers.
+func (m *Machine) updateVote(z *zone) {
+	m.updateSuspectSince(z)
+	v := m.voteByEvidence(z)
+	if v == VoteFailing && z.firstBadSent >= 0 && (z.suspectSince < 0 || z.firstBadSent < z.suspectSince) {
+		z.suspectSince = z.firstBadSent
 	}
-	if failing, against := m.voices(z); v == Failing && z.rec.Stage == All && against >= m.need() && against > failing {
-		v = CutOff
+	if failing, against := m.countVotes(z); v == VoteFailing && z.record.Stage == StageAll && against >= m.requiredVotes() && against > failing {
+		v = VoteCutOff
 	}
 	if v != z.vote {
 		z.vote = v
-		if v == Failing || v == Fine && z.suspect >= 0 {
-			z.eager = m.now + eagerFor
+		if v == VoteFailing || v == VoteFine && z.suspectSince >= 0 {
+			z.announceUntil = m.now + announcementPeriod
 		}
 	}
 }
 
-// need is how many sidecars' word it takes.
-func (m *Machine) need() int { return max(1, min(m.cfg.Witnesses, (m.cfg.Peers+1)/2)) }
+// requiredVotes returns the number of sidecars whose votes a decision of the fleet requires.
+func (m *Machine) requiredVotes() int { return max(1, min(m.cfg.Witnesses, (m.cfg.Peers+1)/2)) }
 
-// needFor is how many it takes for a zone: where most of its region is out already, anybody's.
-func (m *Machine) needFor(z *zone) int {
+// requiredVotesFor returns the number of votes required to leave a zone. It is 1 if most of the
+// zone's region is already out.
+func (m *Machine) requiredVotesFor(z *zone) int {
 	region := m.cfg.Regions[z.name]
 	if region == "" {
-		return m.need()
+		return m.requiredVotes()
 	}
 	all, out := 0, 0
 	for _, o := range m.zones {
 		if m.cfg.Regions[o.name] != region || len(o.servers) == 0 {
 			continue
 		}
-		if all++; o != z && o.rec.Stage == Out && o.order.Action == Auto {
+		if all++; o != z && o.record.Stage == Out && o.order.Action == Auto {
 			out++
 		}
 	}
 	if 2*out > all {
 		return 1
 	}
-	return m.need()
+	return m.requiredVotes()
 }
 
-// fresh says that a peer was heard lately.
-func (m *Machine) fresh(p *peer) bool { return p.at >= 0 && m.now-p.at < heardFor }
+// hasHeard reports whether a peer was heard recently.
+func (m *Machine) hasHeard(p *peer) bool { return p.heardAt >= 0 && m.now-p.heardAt < heardTimeout }
 
-// each calls do with what each sidecar says of a zone, this one too, by evidence within
-// the window.
-func (m *Machine) each(z *zone, do func(n int, w word)) {
-	for _, n := range m.lately {
+// forEachReport calls do with the report of each sidecar, including this one, whose evidence on a
+// zone is within the window.
+func (m *Machine) forEachReport(z *zone, do func(n int, w peerReport)) {
+	for _, n := range m.recentPeers {
 		p := &m.peers[n]
-		if w, ok := p.word(z.id); ok && m.now-p.at < 2*m.cfg.Window && (w.vote == Failing || m.now-w.at < 2*m.cfg.Window) {
+		if w, ok := p.reportOn(z.id); ok && m.now-p.heardAt < 2*m.cfg.Window && (w.vote == VoteFailing || m.now-w.evidenceAt < 2*m.cfg.Window) {
 			do(n, w)
 		}
 	}
-	do(m.cfg.Self, word{vote: z.vote, at: m.sawAt(z), rec: z.rec, held: z.since})
+	do(m.cfg.Self, peerReport{vote: z.vote, evidenceAt: m.evidenceTime(z), record: z.record, heldSince: z.stageSince})
 }
 
-// sawAt is of when what this sidecar votes by is: of a zone that is fine, when the last
-// attempt was sent that was answered well, of one that fails, the first that was not.
-func (m *Machine) sawAt(z *zone) time.Duration {
+// evidenceTime returns the time of the evidence behind this sidecar's vote: when the last
+// successful attempt was sent for VoteFine, when the first failed one was sent for VoteFailing.
+func (m *Machine) evidenceTime(z *zone) time.Duration {
 	switch {
-	case z.vote == Fine && z.goodSent >= 0:
-		return z.goodSent
-	case z.vote == Failing && z.badSent >= 0:
-		return z.badSent
+	case z.vote == VoteFine && z.lastGoodSent >= 0:
+		return z.lastGoodSent
+	case z.vote == VoteFailing && z.firstBadSent >= 0:
+		return z.firstBadSent
 	}
-	return m.ticked
+	return m.lastTick
 }
 
-// voices counts who says that a zone fails, and who speaks against that: it is fine, or
-// what it meets it meets everywhere. Each counts once. What was seen before anybody saw the
-// zone fail speaks against nothing.
-func (m *Machine) voices(z *zone) (failing, against int) {
-	m.each(z, func(_ int, w word) {
+// countVotes counts the sidecars that vote that a zone fails and those that contradict, either
+// because the zone works for them or because all zones are as bad. Evidence from before the first
+// failure was seen does not contradict.
+func (m *Machine) countVotes(z *zone) (failing, against int) {
+	m.forEachReport(z, func(_ int, w peerReport) {
 		switch {
-		case w.vote == Failing:
+		case w.vote == VoteFailing:
 			failing++
-		case w.vote == Alike, w.vote == Fine && w.at >= z.suspect+m.margin(z):
-			against++ // what was sent as it began to fail may just have been answered
+		case w.vote == VoteCommonCause, w.vote == VoteFine && w.evidenceAt >= z.suspectSince+m.contradictionMargin(z):
+			against++ // an attempt sent as the failure began may still have succeeded
 		}
 	})
 	return failing, against
 }
 
-// margin is how much later than the first that failed an attempt must have been sent to
-// speak against that: of those that were out together some are answered before.
-func (m *Machine) margin(z *zone) time.Duration {
-	return min(max(50*time.Millisecond, time.Duration(2*z.took.value())), m.cfg.Silence/2)
+// contradictionMargin returns how much later than the first failed attempt a successful one must
+// have been sent to contradict the failure: of the attempts in flight at that time some still
+// succeed.
+func (m *Machine) contradictionMargin(z *zone) time.Duration {
+	return min(max(50*time.Millisecond, time.Duration(2*z.responseTimes.value())), m.cfg.Silence/2)
 }
 
-// suspects keeps since when anybody says that a zone fails.
-func (m *Machine) suspects(z *zone) {
+// updateSuspectSince updates the time of the earliest evidence behind a vote that a zone fails.
+func (m *Machine) updateSuspectSince(z *zone) {
 	first := time.Duration(-1)
-	m.each(z, func(_ int, w word) {
-		if w.vote == Failing && (first < 0 || w.at < first) {
-			first = max(w.at, 0)
+	m.forEachReport(z, func(_ int, w peerReport) {
+		if w.vote == VoteFailing && (first < 0 || w.evidenceAt < first) {
+			first = max(w.evidenceAt, 0)
 		}
 	})
-	if first < 0 || z.suspect < 0 {
-		z.suspect = first
+	if first < 0 || z.suspectSince < 0 {
+		z.suspectSince = first
 	}
 }
 
-// well says that this sidecar has seen a zone answer since anybody saw it fail.
-func (m *Machine) well(z *zone) bool {
-	return z.vote == Fine && z.goodSent >= z.suspect+m.margin(z)
+// hasSeenRecovery reports whether this sidecar has seen a zone work since the first vote that it
+// fails.
+func (m *Machine) hasSeenRecovery(z *zone) bool {
+	return z.vote == VoteFine && z.lastGoodSent >= z.suspectSince+m.contradictionMargin(z)
 }
 
-// lastLeft says that no other zone is in use that has a server.
-func (m *Machine) lastLeft(z *zone) bool {
+// isLastZone reports whether no other zone with servers is in use.
+func (m *Machine) isLastZone(z *zone) bool {
 	for _, o := range m.zones {
-		if o != z && len(o.servers) > 0 && !o.alone && (o.rec.Stage == All || o.rec.Stage == Part) && o.order.Action != Leave {
+		if o != z && len(o.servers) > 0 && !o.leftLocally && (o.record.Stage == StageAll || o.record.Stage == StagePart) && o.order.Action != Leave {
 			return false
 		}
 	}
 	return true
 }
 
-// judge decides whether a zone in use is left.
-func (m *Machine) judge(z *zone) {
-	if z.rec.Fails > 0 && m.now-z.since > calmFor {
-		z.rec.Fails = 0
-	}
-	m.alone(z)
-	failing, against := m.voices(z)
-	// One that sees it well may err. Where two do it is no failing zone, but a cut between
-	// some and it, and these leave alone.
-	called := failing >= m.needFor(z) && against < min(2, m.need()) && float64(failing) >= m.cfg.Share*float64(failing+against) && (z.vote == Failing || z.vote == Limping) && !m.lastLeft(z)
-	if !called {
-		z.wanted = -1
-		if z.rec.Stage == Part && z.vote == Fine && m.now-z.since > m.cfg.Dwell {
-			m.move(z, All, "it is fine again")
+// evaluateDeparture decides whether the fleet leaves a zone that is in use.
+func (m *Machine) evaluateDeparture(z *zone) {
+	if z.record.Fails > 0 && m.now-z.stageSince > relapseResetDelay {
+		z.record.Fails = 0
+	}
+	m.updateLocalDeparture(z)
+	failing, against := m.countVotes(z)
+	// A single sidecar that sees the zone work may be wrong. If two do, the zone itself works, and
+	// the connection between it and some sidecars is broken. Those leave it by themselves.
+	isDue := failing >= m.requiredVotesFor(z) && against < min(2, m.requiredVotes()) && float64(failing) >= m.cfg.Share*float64(failing+against) && (z.vote == VoteFailing || z.vote == VoteDegraded) && !m.isLastZone(z)
+	if !isDue {
+		z.departureDueSince = -1
+		if z.record.Stage == StagePart && z.vote == VoteFine && m.now-z.stageSince > m.cfg.Dwell {
+			m.stepToStage(z, StageAll, "it is fine again")
 		}
 		return
 	}
-	if z.wanted < 0 {
-		z.wanted = m.now
+	if z.departureDueSince < 0 {
+		z.departureDueSince = m.now
 	}
-	if m.now-z.wanted < m.cfg.Settle {
-		return // others have time to contradict
+	if m.now-z.departureDueSince < m.cfg.Settle {
+		return // peers have time to contradict
 	}
 	why := fmt.Sprintf("%d say that it fails, %d speak against that", failing, against)
-	// What the others can carry: where they refuse already, and this one still serves some,
-	// only what is dear goes there.
-	elsewhere, carried := m.refusals(z), m.carried(z)
-	if (elsewhere > m.cfg.Full || carried < 1) && z.serves() {
-		if z.rec.Stage == All {
-			m.move(z, Part, fmt.Sprintf("%s; the others turn away %.0f%% and carry %.0f%%", why, 100*elsewhere, 100*carried))
+	// If the other zones already refuse calls, or can't carry all of them, and this zone still
+	// serves some, only the calls of classes in Config.Dear move.
+	refused, carried := m.refusalShareElsewhere(z), m.capacityWithout(z)
+	if (refused > m.cfg.Full || carried < 1) && z.isServing() {
+		if z.record.Stage == StageAll {
+			m.stepToStage(z, StagePart, fmt.Sprintf("%s; the others turn away %.0f%% and carry %.0f%%", why, 100*refused, 100*carried))
 		}
 		return
 	}
-	z.rec = Record{Gen: z.rec.Gen + 1, Fails: z.rec.Fails, Stage: z.rec.Stage}
-	m.enter(z, Out, why)
+	z.record = Record{Gen: z.record.Gen + 1, Fails: z.record.Fails, Stage: z.record.Stage}
+	m.enterStage(z, Out, why)
 }
 
-// serves says that a zone has served some calls of late, over a longer time than an opinion
-// looks at: a few bad ones in a row must not pass for all.
-func (z *zone) serves() bool {
-	all := 0.0
-	for _, x := range z.counts.n {
-		all += x
+// isServing reports whether a zone has served some calls recently. It looks at a longer time than
+// zone.evidence does, so that a few failures in a row do not count as a total failure.
+func (z *zone) isServing() bool {
+	total := 0.0
+	for _, x := range z.results.counts {
+		total += x
 	}
-	return z.counts.n[Good] > 0.03*(all-z.counts.n[Full])
+	return z.results.counts[Good] > 0.03*(total-z.results.counts[Full])
 }
 
-// carried is what share of the calls the others carry without a zone, by the plan; 1 where
-// there is none.
-func (m *Machine) carried(z *zone) float64 {
+// capacityWithout returns the share of the calls that the other zones can carry without z; 1 if
+// none is configured.
+func (m *Machine) capacityWithout(z *zone) float64 {
 	if share, ok := m.cfg.Carried[z.name]; ok {
 		return share
 	}
 	return 1
 }
 
-// refusals is the share of answers elsewhere that turned calls away.
-func (m *Machine) refusals(z *zone) (share float64) {
+// refusalShareElsewhere returns the mean share of refusals in the other zones.
+func (m *Machine) refusalShareElsewhere(z *zone) (share float64) {
 	n := 0.0
 	for _, o := range m.zones {
-		if o != z && o.rec.Stage == All {
-			share += o.opinion(m.now, m.cfg.Window).full
+		if o != z && o.record.Stage == StageAll {
+			share += o.evidence(m.now, m.cfg.Window).refusalShare
 			n++
 		}
 	}
 	return share / max(n, 1)
 }
 
-// alone is for what this one sees and the fleet does not: it leaves by itself, says so to
-// nobody as the zone's fault, and tries again after a while.
-func (m *Machine) alone(z *zone) {
+// updateLocalDeparture handles failures that this sidecar sees and the fleet does not. It stops
+// sending to the zone by itself, does not report this as a failure of the zone, and tries again
+// after a dwell time.
+func (m *Machine) updateLocalDeparture(z *zone) {
 	switch {
-	case z.alone && (z.vote == Fine || z.vote == None && m.now >= z.trial):
-		if z.vote == Fine {
-			z.spells = 0
+	case z.leftLocally && (z.vote == VoteFine || z.vote == VoteUnknown && m.now >= z.localRetryAt):
+		if z.vote == VoteFine {
+			z.localDepartures = 0
 		}
-		z.alone = false
-		m.note(z, "left alone", "all", "a trial is due")
-	case z.alone:
-	case (z.vote == Limping || z.vote == None) && !m.lastLeft(z): // the doubt stays until it is well
-	case z.vote != CutOff && z.vote != Failing || m.lastLeft(z):
-		z.doubted = -1
-	case z.doubted < 0:
-		z.doubted = m.now
-	case m.now-z.doubted >= m.cfg.Alone:
-		z.alone, z.doubted = true, -1
-		z.trial = m.now + m.dwell(z.spells)
-		z.spells = min(z.spells+1, 30)
+		z.leftLocally = false
+		m.recordChange(z, "left alone", "all", "a trial is due")
+	case z.leftLocally:
+	case (z.vote == VoteDegraded || z.vote == VoteUnknown) && !m.isLastZone(z): // locallyFailingSince stays set until VoteFine
+	case z.vote != VoteCutOff && z.vote != VoteFailing || m.isLastZone(z):
+		z.locallyFailingSince = -1
+	case z.locallyFailingSince < 0:
+		z.locallyFailingSince = m.now
+	case m.now-z.locallyFailingSince >= m.cfg.Alone:
+		z.leftLocally, z.locallyFailingSince = true, -1
+		z.localRetryAt = m.now + m.dwellTime(z.localDepartures)
+		z.localDepartures = min(z.localDepartures+1, 30)
 		why := "nobody else has said so"
-		if z.vote == CutOff {
+		if z.vote == VoteCutOff {
 			why = "this sidecar is cut off from it"
 		}
-		m.note(z, "all", "left alone", why)
+		m.recordChange(z, "all", "left alone", why)
 	}
 }
 
-// dwell is how long a zone stays out after so many relapses.
-func (m *Machine) dwell(fails int) time.Duration {
+// dwellTime returns how long a zone stays out after the given number of relapses.
+func (m *Machine) dwellTime(fails int) time.Duration {
 	d := m.cfg.Dwell << min(fails, 20)
 	if d > m.cfg.DwellMost || d <= 0 {
 		return m.cfg.DwellMost
@@ -521,31 +543,32 @@
 	return d
 }
 
-func (m *Machine) note(z *zone, from, to, why string) {
+// recordChange adds a change to the zone's history and to the next Output.
+func (m *Machine) recordChange(z *zone, from, to, why string) {
 	c := Change{m.now, z.name, from, to, why}
-	m.log = append(m.log, c)
-	if z.changes = append(z.changes, c); len(z.changes) > changesMost {
+	m.pendingChanges = append(m.pendingChanges, c)
+	if z.changes = append(z.changes, c); len(z.changes) > maxChanges {
 		z.changes = z.changes[1:]
 	}
 }
 
-// enter goes to a stage without a step of its own.
-func (m *Machine) enter(z *zone, s Stage, why string) {
-	from := z.rec.Stage
-	if from <= Part || s <= Part {
-		z.others = -1
+// enterStage sets the stage of a zone without advancing the step of its record.
+func (m *Machine) enterStage(z *zone, s Stage, why string) {
+	from := z.record.Stage
+	if from <= StagePart || s <= StagePart {
+		z.leftBehindSince = -1
 	}
-	z.rec.Stage, z.since, z.wanted = s, m.now, -1
-	z.eager = m.now + eagerFor
-	z.room, z.roomAt, z.alone = 1, m.now, false // one call may go at once: it is what the stage is for
-	z.stageGood, z.stageBad, z.tried = 0, 0, false
-	m.note(z, from.String(), s.String(), why)
+	z.record.Stage, z.stageSince, z.departureDueSince = s, m.now, -1
+	z.announceUntil = m.now + announcementPeriod
+	z.tokens, z.refilledAt, z.leftLocally = 1, m.now, false // one call may be sent at once, since the stage is there to test the zone
+	z.stageGood, z.stageBad, z.sentInStage = 0, 0, false
+	m.recordChange(z, from.String(), s.String(), why)
 }
 
-// move goes to a stage by a step.
-func (m *Machine) move(z *zone, s Stage, why string) {
-	if z.rec.Step < math.MaxUint16 {
-		z.rec.Step++
+// stepToStage sets the stage of a zone and advances the step of its record.
+func (m *Machine) stepToStage(z *zone, s Stage, why string) {
+	if z.record.Step < math.MaxUint16 {
+		z.record.Step++
 	}
-	m.enter(z, s, why)
+	m.enterStage(z, s, why)
 }
--- a/internal/evacuation/note.go
+++ b/internal/evacuation/note.go
@@ -6,212 +6,213 @@
 	"time"
 )
 
-// A note's part for zones: a version, the number of its sender, a count of its notes, its
-// own clock, how many zones, and for each what the sender votes, by how old evidence, the
-// record that it holds and the order. The newest order's texts follow.
+// The part of a note on zones starts with the format version, the sender's number, its sequence
+// number, its clock, flags and the number of zones. Each zone's entry has the sender's vote, the
+// age of the evidence behind it, the sender's record and its order. The texts of the most recently
+// announced order follow.
 const (
-	noteVersion = 1
-	headLen     = 1 + 2 + 4 + 4 + 1 + 1
-	zoneLen     = 2 + 1 + 1 + 4 + 2 + 1 + 4 + 2 + 1
-	zonesIn     = 8 // in one note; more take turns
-	ageUnit     = 20 * time.Millisecond
-	ageMost     = 255
-	hello       = 1 // flag: answer me
+	noteVersion  = 1
+	headerLen    = 1 + 2 + 4 + 4 + 1 + 1
+	zoneEntryLen = 2 + 1 + 1 + 4 + 2 + 1 + 4 + 2 + 1
+	maxNoteZones = 8 // per note; zones that were announced last come first
+	ageUnit      = 20 * time.Millisecond
+	maxAge       = 255
+	flagHello    = 1 // flag: the sender asks for a reply
 )
 
-// RoomLeast is the length of a note's part of one zone, in bytes; more is used as it is
-// there.
-const RoomLeast = headLen + zoneLen + 1
+// MinNoteBytes is the length of a note's part with one zone, in bytes. With more room the part
+// holds more zones.
+const MinNoteBytes = headerLen + zoneEntryLen + 1
 
-// Note is this sidecar's part of a note, room bytes at most; nil where it has nothing to
-// say, or no room.
+// Note returns this sidecar's part of a note, at most room bytes long. It returns nil if room is
+// below MinNoteBytes or no zone is known.
 func (m *Machine) Note(now time.Duration, room int) []byte {
-	if room < RoomLeast || len(m.zones) == 0 {
+	if room < MinNoteBytes || len(m.zones) == 0 {
 		return nil
 	}
-	m.seq++
+	m.lastSeq++
 	flags := byte(0)
-	if m.ticked > 0 && now-m.ticked < stoppedFor && m.greets(now) {
-		flags |= hello
-	}
-	all := m.sortedZones()
-	all = all[:min(len(all), zonesIn, (room-headLen-1)/zoneLen)]
-	b := make([]byte, 0, room)
-	b = append(b, noteVersion)
-	b = binary.BigEndian.AppendUint16(b, uint16(m.cfg.Self))
-	b = binary.BigEndian.AppendUint32(b, m.seq)
-	b = binary.BigEndian.AppendUint32(b, uint32(now/time.Millisecond))
-	b = append(b, flags, byte(len(all)))
+	if m.lastTick > 0 && now-m.lastTick < suspensionThreshold && m.needsHello(now) {
+		flags |= flagHello
+	}
+	zones := m.zonesByAnnouncement()
+	zones = zones[:min(len(zones), maxNoteZones, (room-headerLen-1)/zoneEntryLen)]
+	buf := make([]byte, 0, room)
+	buf = append(buf, noteVersion)
+	buf = binary.BigEndian.AppendUint16(buf, uint16(m.cfg.Self))
+	buf = binary.BigEndian.AppendUint32(buf, m.lastSeq)
+	buf = binary.BigEndian.AppendUint32(buf, uint32(now/time.Millisecond))
+	buf = append(buf, flags, byte(len(zones)))
 	var newest *zone
-	for _, z := range all {
-		b = binary.BigEndian.AppendUint16(b, uint16(z.id))
-		age := min((max(now-m.sawAt(z), 0)+ageUnit-1)/ageUnit, ageMost) // never newer than it is
-		b = append(b, byte(z.vote), byte(age))
-		b = binary.BigEndian.AppendUint32(b, z.rec.Gen)
-		b = binary.BigEndian.AppendUint16(b, z.rec.Step)
-		b = append(b, byte(z.rec.Stage)<<5|min(z.rec.Fails, 31))
-		b = binary.BigEndian.AppendUint32(b, z.order.Version)
-		b = binary.BigEndian.AppendUint16(b, z.order.Author)
-		b = append(b, byte(z.order.Action)<<5|byte(z.order.Stage))
-		if z.order.Version > 0 && (newest == nil || z.eager > newest.eager) {
+	for _, z := range zones {
+		buf = binary.BigEndian.AppendUint16(buf, uint16(z.id))
+		age := min((max(now-m.evidenceTime(z), 0)+ageUnit-1)/ageUnit, maxAge) // rounded up, so that evidence never looks newer than it is
+		buf = append(buf, byte(z.vote), byte(age))
+		buf = binary.BigEndian.AppendUint32(buf, z.record.Gen)
+		buf = binary.BigEndian.AppendUint16(buf, z.record.Step)
+		buf = append(buf, byte(z.record.Stage)<<5|min(z.record.Fails, 31))
+		buf = binary.BigEndian.AppendUint32(buf, z.order.Version)
+		buf = binary.BigEndian.AppendUint16(buf, z.order.Author)
+		buf = append(buf, byte(z.order.Action)<<5|byte(z.order.Stage))
+		if z.order.Version > 0 && (newest == nil || z.announceUntil > newest.announceUntil) {
 			newest = z
 		}
 	}
-	if newest != nil && len(b)+4+len(newest.order.Who)+len(newest.order.Reason) <= room {
-		b = binary.BigEndian.AppendUint16(b, uint16(newest.id))
-		b = append(b, byte(len(newest.order.Who)), byte(len(newest.order.Reason)))
-		b = append(b, newest.order.Who...)
-		b = append(b, newest.order.Reason...)
+	if newest != nil && len(buf)+4+len(newest.order.Who)+len(newest.order.Reason) <= room {
+		buf = binary.BigEndian.AppendUint16(buf, uint16(newest.id))
+		buf = append(buf, byte(len(newest.order.Who)), byte(len(newest.order.Reason)))
+		buf = append(buf, newest.order.Who...)
+		buf = append(buf, newest.order.Reason...)
 	}
-	return b
+	return buf
 }
 
-// greets says that this one has heard of too few to know what the fleet holds.
-func (m *Machine) greets(now time.Duration) bool {
-	return m.cfg.Peers > 1 && m.Heard() < m.need() && m.hellos(now)
+// needsHello reports whether this sidecar has just started and has heard too few peers to know the
+// records of the fleet.
+func (m *Machine) needsHello(now time.Duration) bool {
+	return m.cfg.Peers > 1 && m.RecentPeers() < m.requiredVotes() && m.hasJustResumed(now)
 }
 
-// hellos says that it started, or went on, a short time ago.
-func (m *Machine) hellos(now time.Duration) bool { return now-m.woke < 3*time.Second }
+// hasJustResumed reports whether the process started or resumed a short time ago.
+func (m *Machine) hasJustResumed(now time.Duration) bool { return now-m.resumedAt < 3*time.Second }
 
-// Receive takes the part of a note that another sidecar sent, of the number that the note
-// itself tells, in its incarnation inc. What
-// makes no sense is counted and dropped, and nothing else changes.
-func (m *Machine) Receive(now time.Duration, from int, inc uint64, b []byte) (out Wants) {
+// ReceiveNote handles the part of a note from the sidecar with number from, in incarnation inc.
+// Both come from the note itself. An invalid part is counted and dropped without any other effect.
+func (m *Machine) ReceiveNote(now time.Duration, from int, inc uint64, part []byte) (out Output) {
 	m.now = max(now, m.now)
-	n, ok := parse(b)
-	if !ok || int(n.from) != from || from >= m.cfg.Peers || from == m.cfg.Self {
-		m.strange++
+	note, ok := parseNote(part)
+	if !ok || int(note.from) != from || from >= m.cfg.Peers || from == m.cfg.Self {
+		m.invalidNotes++
 		return out
 	}
-	p := &m.peers[n.from]
-	if m.fresh(p) && (inc < p.inc || inc == p.inc && int32(n.seq-p.seq) <= 0) {
-		m.old++
+	p := &m.peers[note.from]
+	if m.hasHeard(p) && (inc < p.incarnation || inc == p.incarnation && int32(note.seq-p.seq) <= 0) {
+		m.outdatedNotes++
 		return out
 	}
-	if inc != p.inc { // a new start, also of one whose clock was set back meanwhile
-		*p = peer{inc: inc, at: -1, lately: p.lately}
+	if inc != p.incarnation { // a restarted peer, even if its clock was set back
+		*p = peer{incarnation: inc, heardAt: -1, isRecent: p.isRecent}
 	}
-	if !p.lately {
-		p.lately, m.lately = true, append(m.lately, from)
+	if !p.isRecent {
+		p.isRecent, m.recentPeers = true, append(m.recentPeers, from)
 	}
-	// A note may have been held up on its way: by how much it is later than the quickest of
-	// its sender's, what it tells is older.
-	offset := uint32(now.Milliseconds()) - n.sent // both wrap
-	if p.clocked > 0 {                            // clocks may drift apart, by driftMost
-		if grown := uint32(float64(max(now-p.clocked, 0)/time.Millisecond) * driftMost); grown > 0 {
-			p.quickest, p.clocked = p.quickest+grown, now
+	// A note may have been delayed in transit. Its delay beyond that of the sender's fastest note
+	// is added to the age of its content.
+	offset := uint32(now.Milliseconds()) - note.sentMs // both wrap around
+	if p.minClockOffsetAt > 0 {                        // the clocks may drift apart by maxClockDrift
+		if drift := uint32(float64(max(now-p.minClockOffsetAt, 0)/time.Millisecond) * maxClockDrift); drift > 0 {
+			p.minClockOffsetMs, p.minClockOffsetAt = p.minClockOffsetMs+drift, now
 		}
 	}
-	if p.clocked == 0 || int32(offset-p.quickest) < 0 {
-		p.quickest, p.clocked = offset, now
+	if p.minClockOffsetAt == 0 || int32(offset-p.minClockOffsetMs) < 0 {
+		p.minClockOffsetMs, p.minClockOffsetAt = offset, now
 	}
-	late := time.Duration(offset-p.quickest) * time.Millisecond
-	p.seq, p.at = n.seq, now-late
+	delay := time.Duration(offset-p.minClockOffsetMs) * time.Millisecond
+	p.seq, p.heardAt = note.seq, now-delay
 	before := *p
-	p.words = make([]word, 0, len(n.zones))
-	news, soon := false, false // soon: what it says is looked at before the next tick is due
-	for _, t := range n.zones {
-		w := word{id: t.id, vote: t.vote, at: now - late - t.age, rec: t.rec, told: true, held: now}
-		if old, ok := before.word(t.id); ok && old.rec == t.rec {
-			w.held = old.held
+	p.reports = make([]peerReport, 0, len(note.zones))
+	replyDue, urgent := false, false // urgent: evaluate the note before the next tick is due
+	for _, entry := range note.zones {
+		report := peerReport{zoneID: entry.id, vote: entry.vote, evidenceAt: now - delay - entry.age, record: entry.record, hasRecord: true, heldSince: now}
+		if previous, ok := before.reportOn(entry.id); ok && previous.record == entry.record {
+			report.heldSince = previous.heldSince
 		}
-		p.words = append(slices.DeleteFunc(p.words, func(x word) bool { return x.id == t.id }), w)
-		z := m.byID[t.id]
+		p.reports = append(slices.DeleteFunc(p.reports, func(x peerReport) bool { return x.zoneID == entry.id }), report)
+		z := m.zonesByID[entry.id]
 		if z == nil {
 			continue
 		}
-		left := t.rec.Stage == Out && z.rec.Stage <= Part && t.rec.Later(z.rec)
-		soon = soon || t.vote == Failing || left
-		if (t.vote == Failing || left) && z.vote == Fine && m.now-z.goodSent < m.cfg.Window {
-			// One that sees it well says so at once, first to the one that does not.
-			z.eager = max(z.eager, m.now+eagerFor)
-			news = news || z.goodSent >= now-late-t.age+m.margin(z)
+		leaves := entry.record.Stage == Out && z.record.Stage <= StagePart && entry.record.IsLater(z.record)
+		urgent = urgent || entry.vote == VoteFailing || leaves
+		if (entry.vote == VoteFailing || leaves) && z.vote == VoteFine && m.now-z.lastGoodSent < m.cfg.Window {
+			// A sidecar that sees the zone work says so at once, first to the peer that does not.
+			z.announceUntil = max(z.announceUntil, m.now+announcementPeriod)
+			replyDue = replyDue || z.lastGoodSent >= now-delay-entry.age+m.contradictionMargin(z)
 		}
-		if t.order.later(z.order) {
-			if n.text && n.texted == t.id {
-				t.order.Who, t.order.Reason = n.who, n.reason
+		if entry.order.isLater(z.order) {
+			if note.hasText && note.textZone == entry.id {
+				entry.order.Who, entry.order.Reason = note.who, note.reason
 			} else {
-				t.order.Who, t.order.Reason = "somebody", "not told yet"
+				entry.order.Who, entry.order.Reason = "somebody", "not told yet"
 			}
-			m.ordered(z, t.order)
-			news = true
-		} else if n.text && n.texted == t.id && t.order.Version == z.order.Version && t.order.Author == z.order.Author && z.order.Reason != n.reason && z.order.Who == "somebody" {
-			z.order.Who, z.order.Reason = n.who, n.reason
+			m.setOrder(z, entry.order)
+			replyDue = true
+		} else if note.hasText && note.textZone == entry.id && entry.order.Version == z.order.Version && entry.order.Author == z.order.Author && z.order.Reason != note.reason && z.order.Who == "somebody" {
+			z.order.Who, z.order.Reason = note.who, note.reason
 		}
 	}
-	if n.flags&hello != 0 {
-		out.To = append(out.To, int(n.from))
-	} else if news && m.answers < answersMost {
-		m.answers++
-		out.To = append(out.To, int(n.from))
+	if note.flags&flagHello != 0 {
+		out.Recipients = append(out.Recipients, int(note.from))
+	} else if replyDue && m.repliesSinceTick < maxReplies {
+		m.repliesSinceTick++
+		out.Recipients = append(out.Recipients, int(note.from))
 	}
-	if soon && now-m.ticked >= soonest && now-m.ticked <= stoppedFor {
-		to := out.To
+	if urgent && now-m.lastTick >= minEvaluationInterval && now-m.lastTick <= suspensionThreshold {
+		to := out.Recipients
 		out = m.Tick(now)
-		out.To = to
+		out.Recipients = to
 		return out
 	}
-	out.Changes, m.log = m.log, nil
-	out.Moved = len(out.Changes) > 0
+	out.Changes, m.pendingChanges = m.pendingChanges, nil
+	out.UsesChanged = len(out.Changes) > 0
 	return out
 }
 
-// soonest is the least time between two looks at what is due.
-const soonest = 10 * time.Millisecond
+// minEvaluationInterval is the minimum time between two evaluations.
+const minEvaluationInterval = 10 * time.Millisecond
 
-// driftMost is how far two clocks may drift apart, as a share of the time.
-const driftMost = 0.01
+// maxClockDrift is the assumed maximum drift between two clocks, as a share of the elapsed time.
+const maxClockDrift = 0.01
 
-// answersMost bounds the answers to peers that hold something older, between two ticks.
-const answersMost = 4
+// maxReplies limits the replies between two ticks to peers that hold older state.
+const maxReplies = 4
 
-type told struct {
-	id    ZoneID
-	vote  Vote
-	age   time.Duration
-	rec   Record
-	order Order
+type zoneEntry struct {
+	id     ZoneID
+	vote   Vote
+	age    time.Duration
+	record Record
+	order  Order
 }
 
-type noted struct {
+type parsedNote struct {
 	from        uint16
-	seq, sent   uint32
+	seq, sentMs uint32
 	flags       byte
-	zones       []told
-	text        bool // an order's texts follow, of texted
-	texted      ZoneID
+	zones       []zoneEntry
+	hasText     bool // the texts of an order for textZone follow the entries
+	textZone    ZoneID
 	who, reason string
 }
 
-// parse reads a note's part; it accepts nothing that Note would not write.
-func parse(b []byte) (n noted, ok bool) {
-	if len(b) < headLen || b[0] != noteVersion {
-		return n, false
+// parseNote decodes a note's part. It accepts only what Note can write.
+func parseNote(b []byte) (note parsedNote, ok bool) {
+	if len(b) < headerLen || b[0] != noteVersion {
+		return note, false
 	}
-	n.from, n.seq, n.sent, n.flags = binary.BigEndian.Uint16(b[1:]), binary.BigEndian.Uint32(b[3:]), binary.BigEndian.Uint32(b[7:]), b[11]
+	note.from, note.seq, note.sentMs, note.flags = binary.BigEndian.Uint16(b[1:]), binary.BigEndian.Uint32(b[3:]), binary.BigEndian.Uint32(b[7:]), b[11]
 	count := int(b[12])
-	b = b[headLen:]
-	if count > zonesIn || len(b) < count*zoneLen || n.flags&^hello != 0 {
-		return n, false
+	b = b[headerLen:]
+	if count > maxNoteZones || len(b) < count*zoneEntryLen || note.flags&^flagHello != 0 {
+		return note, false
 	}
 	for range count {
-		t := told{id: ZoneID(binary.BigEndian.Uint16(b)), vote: Vote(b[2]), age: time.Duration(b[3]) * ageUnit,
-			rec:   Record{Gen: binary.BigEndian.Uint32(b[4:]), Step: binary.BigEndian.Uint16(b[8:]), Stage: Stage(b[10] >> 5), Fails: b[10] & 31},
-			order: Order{Version: binary.BigEndian.Uint32(b[11:]), Author: binary.BigEndian.Uint16(b[15:]), Action: Action(b[17] >> 5), Stage: Stage(b[17] & 31)}}
-		if t.vote >= votes || t.rec.Stage >= stages || t.order.Action >= actions || t.order.Stage >= stages {
-			return n, false
+		entry := zoneEntry{id: ZoneID(binary.BigEndian.Uint16(b)), vote: Vote(b[2]), age: time.Duration(b[3]) * ageUnit,
+			record: Record{Gen: binary.BigEndian.Uint32(b[4:]), Step: binary.BigEndian.Uint16(b[8:]), Stage: Stage(b[10] >> 5), Fails: b[10] & 31},
+			order:  Order{Version: binary.BigEndian.Uint32(b[11:]), Author: binary.BigEndian.Uint16(b[15:]), Action: Action(b[17] >> 5), Stage: Stage(b[17] & 31)}}
+		if entry.vote >= voteCount || entry.record.Stage >= stageCount || entry.order.Action >= actionCount || entry.order.Stage >= stageCount {
+			return note, false
 		}
-		n.zones = append(n.zones, t)
-		b = b[zoneLen:]
+		note.zones = append(note.zones, entry)
+		b = b[zoneEntryLen:]
 	}
 	if len(b) == 0 {
-		return n, true
+		return note, true
 	}
-	if len(b) < 4 || int(b[2]) > WhoMost || int(b[3]) > ReasonMost || len(b) != 4+int(b[2])+int(b[3]) {
-		return n, false
+	if len(b) < 4 || int(b[2]) > WhoMost || int(b[3]) > MaxReasonBytes || len(b) != 4+int(b[2])+int(b[3]) {
+		return note, false
 	}
-	n.text, n.texted = true, ZoneID(binary.BigEndian.Uint16(b))
-	n.who, n.reason = string(b[4:4+b[2]]), string(b[4+b[2]:])
-	return n, true
+	note.hasText, note.textZone = true, ZoneID(binary.BigEndian.Uint16(b))
+	note.who, note.reason = string(b[4:4+b[2]]), string(b[4+b[2]:])
+	return note, true
 }
--- a/internal/evacuation/note_test.go
+++ b/internal/evacuation/note_test.go
@@ -9,7 +9,7 @@
 
 const sec = time.Second
 
-// pair are two sidecars that know a zone each and tell one another by hand.
+// pair returns two sidecars with the zones a and b, whose notes a test delivers by hand.
 func pair(t *testing.T) (a, b *Machine) {
 	t.Helper()
 	for n := range 2 {
@@ -30,141 +30,142 @@
 	return a, b
 }
 
-// The last zone in use is not left by an order either.
-func TestNoOrderForTheLastZone(t *testing.T) {
+// An order must not make the fleet leave the last zone in use either.
+func TestOrderCannotLeaveLastZone(t *testing.T) {
 	a, _ := pair(t)
 	a.Servers(sec, []Server{{"s1", "a"}})
-	if err := a.Order(sec, "a", "leave", "x", "y"); err == nil || err.Error() != `zone "a": it is all there is` {
+	if err := a.SubmitOrder(sec, "a", "leave", "x", "y"); err == nil || err.Error() != `zone "a": it is all there is` {
 		t.Error(err)
 	}
 }
 
-// What is cut, forged, of another version, of a stranger or oneself, or comes again is
-// counted and dropped, and changes nothing; a whole one is taken.
-func TestNotesThatMakeNoSense(t *testing.T) {
+// A note that is truncated, forged, of another version, from an unknown sidecar or from the
+// receiver itself, or that is a duplicate, must be counted and dropped without effect. A valid note
+// is accepted.
+func TestInvalidNotesAreDropped(t *testing.T) {
 	a, b := pair(t)
-	if err := a.Order(sec, "a", "leave", "kim", "a test"); err != nil {
+	if err := a.SubmitOrder(sec, "a", "leave", "kim", "a test"); err != nil {
 		t.Fatal(err)
 	}
-	good := a.Note(sec, 150)
-	for name, spoil := range map[string]func(b []byte) (from int, bytes []byte){
+	valid := a.Note(sec, 150)
+	for name, corrupt := range map[string]func(b []byte) (from int, bytes []byte){
 		"empty":           func([]byte) (int, []byte) { return 0, nil },
-		"cut in the head": func(b []byte) (int, []byte) { return 0, b[:headLen-1] },
-		"cut in a zone":   func(b []byte) (int, []byte) { return 0, b[:headLen+zoneLen-1] },
+		"cut in the head": func(b []byte) (int, []byte) { return 0, b[:headerLen-1] },
+		"cut in a zone":   func(b []byte) (int, []byte) { return 0, b[:headerLen+zoneEntryLen-1] },
 		"cut in a text":   func(b []byte) (int, []byte) { return 0, b[:len(b)-1] },
 		"too long":        func(b []byte) (int, []byte) { return 0, append(b, 0) },
 		"a version":       func(b []byte) (int, []byte) { b[0] = 9; return 0, b },
 		"another's":       func(b []byte) (int, []byte) { return 1, b },
 		"a stranger's":    func(b []byte) (int, []byte) { b[1] = 9; return 9 << 8, b },
-		"too many zones":  func(b []byte) (int, []byte) { b[12] = zonesIn + 1; return 0, b },
-		"a vote":          func(b []byte) (int, []byte) { b[headLen+2] = byte(votes); return 0, b },
-		"a stage":         func(b []byte) (int, []byte) { b[headLen+10] = 0xff; return 0, b },
-		"an order":        func(b []byte) (int, []byte) { b[headLen+17] = 0xff; return 0, b },
+		"too many zones":  func(b []byte) (int, []byte) { b[12] = maxNoteZones + 1; return 0, b },
+		"a vote":          func(b []byte) (int, []byte) { b[headerLen+2] = byte(voteCount); return 0, b },
+		"a stage":         func(b []byte) (int, []byte) { b[headerLen+10] = 0xff; return 0, b },
+		"an order":        func(b []byte) (int, []byte) { b[headerLen+17] = 0xff; return 0, b },
 		"a flag":          func(b []byte) (int, []byte) { b[11] = 0x80; return 0, b },
 	} {
-		before, _ := b.Counts()
-		from, text := spoil(bytes.Clone(good))
-		out := b.Receive(sec, from, 5, text)
-		if after, _ := b.Counts(); after != before+1 || len(out.To)+len(out.Changes) > 0 || !b.Uses("a") || b.Heard() > 0 {
-			t.Errorf("%s: %d counted, %+v, heard %d", name, after-before, out, b.Heard())
+		before, _ := b.NoteErrors()
+		from, text := corrupt(bytes.Clone(valid))
+		out := b.ReceiveNote(sec, from, 5, text)
+		if after, _ := b.NoteErrors(); after != before+1 || len(out.Recipients)+len(out.Changes) > 0 || !b.Uses("a") || b.RecentPeers() > 0 {
+			t.Errorf("%s: %d notes counted as invalid, want 1; result %+v, want none; %d peers heard, want 0", name, after-before, out, b.RecentPeers())
 		}
 	}
-	b.Receive(sec, 0, 5, good)
-	if b.Uses("a") || b.Heard() != 1 {
-		t.Fatalf("a whole note: uses %v, heard %d", b.Uses("a"), b.Heard())
+	b.ReceiveNote(sec, 0, 5, valid)
+	if b.Uses("a") || b.RecentPeers() != 1 {
+		t.Fatalf("valid note: uses zone a: %v, want false; %d peers heard, want 1", b.Uses("a"), b.RecentPeers())
 	}
-	// Again, and one of a start before: out of turn.
+	// A duplicate, and a note from an earlier incarnation.
 	for _, inc := range []uint64{5, 4} {
-		_, before := b.Counts()
-		if b.Receive(sec, 0, inc, good); true {
-			if _, after := b.Counts(); after != before+1 {
-				t.Errorf("a note of start %d that came before was taken", inc)
+		_, before := b.NoteErrors()
+		if b.ReceiveNote(sec, 0, inc, valid); true {
+			if _, after := b.NoteErrors(); after != before+1 {
+				t.Errorf("duplicate or older note of incarnation %d was not counted as outdated", inc)
 			}
 		}
 	}
-	if n := len(a.Note(sec, RoomLeast-1)); n > 0 {
-		t.Errorf("%d bytes where there is no room", n)
+	if n := len(a.Note(sec, MinNoteBytes-1)); n > 0 {
+		t.Errorf("note of %d bytes without room for a zone, want none", n)
 	}
 }
 
-// A note that a link held up for 30 s says what was then, not what is.
-func TestNotesHeldUp(t *testing.T) {
+// A note delayed by 30 s must count with the age of its content.
+func TestDelayedNoteCountsAsOld(t *testing.T) {
 	a, b := pair(t)
-	a.zones[0].vote, a.zones[0].badSent = Failing, sec
-	quick, held := a.Note(sec, 150), a.Note(sec, 150)
-	b.Receive(sec, 0, 5, quick)
+	a.zones[0].vote, a.zones[0].firstBadSent = VoteFailing, sec
+	fast, delayed := a.Note(sec, 150), a.Note(sec, 150)
+	b.ReceiveNote(sec, 0, 5, fast)
 	b.Tick(sec)
-	if failing, _ := b.voices(b.zones[0]); failing != 1 {
-		t.Fatalf("%d say so by a quick note", failing)
+	if failing, _ := b.countVotes(b.zones[0]); failing != 1 {
+		t.Fatalf("%d failing votes after a fast note, want 1", failing)
 	}
 	later := 31 * sec
 	b.Tick(later)
-	b.Receive(later, 0, 5, held)
+	b.ReceiveNote(later, 0, 5, delayed)
 	b.Tick(later)
-	if failing, _ := b.voices(b.zones[0]); failing != 0 || b.Heard() != 0 {
-		t.Errorf("%d say so by a note that was held up; heard %d", failing, b.Heard())
+	if failing, _ := b.countVotes(b.zones[0]); failing != 0 || b.RecentPeers() != 0 {
+		t.Errorf("%d failing votes after a delayed note, want 0; %d peers heard, want 0", failing, b.RecentPeers())
 	}
-	// Clocks that drift apart by one percent are no delay.
+	// A clock drift of one percent must not count as delay.
 	a2, b2 := pair(t)
 	for s := range 600 {
 		at := time.Duration(s+1) * sec
 		b2.Tick(at + at/101)
-		b2.Receive(at+at/101, 0, 5, a2.Note(at, 150))
+		b2.ReceiveNote(at+at/101, 0, 5, a2.Note(at, 150))
 	}
-	if b2.Heard() != 1 {
+	if b2.RecentPeers() != 1 {
 		t.Error("a peer whose clock is slower by one percent is not heard after ten minutes")
 	}
 }
 
-// One that was stopped says nothing of what it saw before, asks what the fleet holds, and
-// goes on to no stage whose time has passed meanwhile.
-func TestGoesOnAfterAStop(t *testing.T) {
+// After a suspension a sidecar must discard its evidence, ask for the fleet's records, and end no
+// stage by the time spent suspended.
+func TestSuspensionDiscardsEvidence(t *testing.T) {
 	a, b := pair(t)
-	b.Receive(sec, 0, 5, a.Note(sec, 150))
+	b.ReceiveNote(sec, 0, 5, a.Note(sec, 150))
 	for n, name := range []string{"s1", "s2", "s1", "s2"} {
 		b.Ended(sec+time.Duration(n)*time.Millisecond, b.Sent(sec, name), NoConn, false)
 	}
 	b.Ended(sec, b.Sent(sec+time.Millisecond, "s3"), Good, false)
 	b.Tick(sec + 100*time.Millisecond)
-	if v := b.zones[0].vote; v != Failing {
-		t.Fatalf("its vote is %v", v)
+	if v := b.zones[0].vote; v != VoteFailing {
+		t.Fatalf("vote on zone a is %v, want failing", v)
 	}
-	if err := b.Order(sec+100*time.Millisecond, "a", "leave", "x", "y"); err != nil {
+	if err := b.SubmitOrder(sec+100*time.Millisecond, "a", "leave", "x", "y"); err != nil {
 		t.Fatal(err)
 	}
-	b.Order(sec+100*time.Millisecond, "a", "auto", "x", "y")
+	b.SubmitOrder(sec+100*time.Millisecond, "a", "auto", "x", "y")
 	open := b.Sent(sec+100*time.Millisecond, "s1")
 	out := b.Tick(20 * sec)
-	if v := b.zones[0].vote; v != None || b.Heard() != 0 || out.Tell == 0 || b.zones[0].rec.Stage != Out {
-		t.Errorf("after 19 s: %v, heard %d, tells %d, %v", v, b.Heard(), out.Tell, b.zones[0].rec)
+	if v := b.zones[0].vote; v != VoteUnknown || b.RecentPeers() != 0 || out.RandomNotes == 0 || b.zones[0].record.Stage != Out {
+		t.Errorf("after a suspension of 19 s: vote %v, want unknown; %d peers heard, want 0; %d notes to send, want some; record %v, want stage out", v, b.RecentPeers(), out.RandomNotes, b.zones[0].record)
 	}
 	b.Ended(20*sec, open, Late, false)
 	b.Tick(20*sec + 50*time.Millisecond)
-	if v := b.zones[0].vote; v != None {
-		t.Errorf("what ended from before the stop: %v", v)
+	if v := b.zones[0].vote; v != VoteUnknown {
+		t.Errorf("vote %v by an attempt from before the suspension, want unknown", v)
 	}
-	if n := b.Note(20*sec, 150); n[11]&hello == 0 {
-		t.Error("it does not ask")
+	if n := b.Note(20*sec, 150); n[11]&flagHello == 0 {
+		t.Error("note has no hello flag")
 	}
 }
 
-// What was answered as the first saw the zone fail may have been sent before: it speaks
-// against nothing. What was sent a moment later does.
-func TestWhatSpeaksAgainst(t *testing.T) {
+// A successful attempt that may have been sent before the failure began must not contradict it. One
+// that was sent a moment later must.
+func TestContradictionRequiresLaterSend(t *testing.T) {
 	a, b := pair(t)
 	for sent, want := range map[time.Duration]int{10*sec + 40*time.Millisecond: 0, 10*sec + 60*time.Millisecond: 1} {
-		a.ticked, b.ticked, b.now = 10*sec, 10*sec+500*time.Millisecond, 10*sec+500*time.Millisecond
-		a.zones[0].vote, a.zones[0].goodSent = Fine, sent
-		b.zones[0].suspect = 10 * sec
-		b.Receive(b.now, 0, 5, a.Note(b.now, 150))
-		if _, against := b.voices(b.zones[0]); against != want {
-			t.Errorf("sent %v after: %d speak against", sent-10*sec, against)
+		a.lastTick, b.lastTick, b.now = 10*sec, 10*sec+500*time.Millisecond, 10*sec+500*time.Millisecond
+		a.zones[0].vote, a.zones[0].lastGoodSent = VoteFine, sent
+		b.zones[0].suspectSince = 10 * sec
+		b.ReceiveNote(b.now, 0, 5, a.Note(b.now, 150))
+		if _, against := b.countVotes(b.zones[0]); against != want {
+			t.Errorf("success sent %v after the first failure: %d contradict", sent-10*sec, against)
 		}
 	}
 }
 
-func TestConfig(t *testing.T) {
-	for want, spoil := range map[string]func(c *Config){
+func TestConfigValidation(t *testing.T) {
+	for want, invalidate := range map[string]func(c *Config){
 		"zones.witnesses":  func(c *Config) { c.Witnesses = 0 },
 		"zones.share":      func(c *Config) { c.Share = 0.4 },
 		"zones.fails":      func(c *Config) { c.Fails = 1.1 },
@@ -184,9 +185,9 @@
 		"zones.self":       func(c *Config) { c.Self = 1 },
 	} {
 		c := Default()
-		if spoil(&c); true {
+		if invalidate(&c); true {
 			if _, err := New(c); err == nil || !strings.Contains(err.Error(), want) {
-				t.Errorf("%v, want %s", err, want)
+				t.Errorf("error %v, want one with %s", err, want)
 			}
 		}
 	}
@@ -196,7 +197,7 @@
 	}
 }
 
-// What is read is written as it was.
+// Parsed notes stay within the size limits, and a machine that received one still writes its own.
 func FuzzNote(f *testing.F) {
 	cfg := Default()
 	cfg.Peers = 4
@@ -204,24 +205,24 @@
 	m.Servers(sec, []Server{{"s1", "a"}, {"s2", "b"}})
 	m.Tick(sec)
 	f.Add(m.Note(sec, 150))
-	m.Order(sec, "a", "hold", "kim", "why not")
+	m.SubmitOrder(sec, "a", "hold", "kim", "why not")
 	f.Add(m.Note(sec, 150))
 	f.Add([]byte{1})
 	f.Fuzz(func(t *testing.T, b []byte) {
-		n, ok := parse(b)
+		n, ok := parseNote(b)
 		if !ok {
 			return
 		}
-		if len(n.who) > WhoMost || len(n.reason) > ReasonMost || len(n.zones) > zonesIn {
-			t.Errorf("%+v", n)
+		if len(n.who) > WhoMost || len(n.reason) > MaxReasonBytes || len(n.zones) > maxNoteZones {
+			t.Errorf("note exceeds the limits: %+v", n)
 		}
 		cfg.Self = 3
 		m, _ := New(cfg)
 		m.Servers(sec, []Server{{"s1", "a"}, {"s2", "b"}})
-		m.Receive(2*sec, int(n.from), 1, b)
+		m.ReceiveNote(2*sec, int(n.from), 1, b)
 		m.Tick(3 * sec)
 		if m.Note(3*sec, 150) == nil {
-			t.Error("it has nothing to say any more")
+			t.Error("no note after receiving one")
 		}
 	})
 }
--- a/internal/evacuation/random_test.go
+++ b/internal/evacuation/random_test.go
@@ -9,18 +9,18 @@
 	"chalkrack/internal/lab/zonal"
 )
 
-// Over random schedules no zone is left without a cause, and each ends in agreement.
-// FAWN_ZONES says how many, FAWN_ZONES_FROM which is the first.
-func TestRandomSchedules(t *testing.T) {
-	many := 60
+// In random fault schedules no zone may be left without a cause, and each run must end in
+// agreement. FAWN_ZONES sets the number of schedules, FAWN_ZONES_FROM the first seed.
+func TestRandomFaultSchedules(t *testing.T) {
+	schedules := 60
 	if n, err := strconv.Atoi(os.Getenv("FAWN_ZONES")); err == nil {
-		many = n
+		schedules = n
 	}
 	from, _ := strconv.Atoi(os.Getenv("FAWN_ZONES_FROM"))
-	for seed := uint64(from); seed < uint64(from+many); seed++ {
-		cars := 3 + int(seed*7%14)
-		if o, faults, err := zonal.Rehearse(evacuation.Default(), seed, cars, 2, "a", "b", "c"); err != nil || len(o.Broken) > 0 {
-			t.Errorf("seed %d, %d sidecars: %v %v by %v", seed, cars, err, o.Broken, faults)
+	for seed := uint64(from); seed < uint64(from+schedules); seed++ {
+		sidecars := 3 + int(seed*7%14)
+		if outcome, faults, err := zonal.Rehearse(evacuation.Default(), seed, sidecars, 2, "a", "b", "c"); err != nil || len(outcome.Broken) > 0 {
+			t.Errorf("seed %d, %d sidecars: error %v, violations %v, faults %v", seed, sidecars, err, outcome.Broken, faults)
 		}
 	}
 }
--- a/internal/lab/zonal/notes.go
+++ b/internal/lab/zonal/notes.go
@@ -66,7 +66,7 @@
 		if !p.stopped {
 			out := m.Tick(s.Clock.Now)
 			s.Carry(n, out)
-			next = out.Next
+			next = out.NextTick
 		}
 		s.Clock.After(next, tick)
 	}
@@ -101,17 +101,17 @@
 }
 
 // Carry does what a machine wants.
-func (s *Notes) Carry(n int, out evacuation.Wants) {
-	for _, to := range out.To {
+func (s *Notes) Carry(n int, out evacuation.Output) {
+	for _, to := range out.Recipients {
 		s.Send(n, to)
 	}
-	for range out.Tell {
+	for range out.RandomNotes {
 		s.Send(n, s.other(n))
 	}
-	if s.Lost != nil && len(out.Lost) > 0 {
-		s.Lost(n, out.Lost)
+	if s.Lost != nil && len(out.HopelessAttempts) > 0 {
+		s.Lost(n, out.HopelessAttempts)
 	}
-	if s.Moved != nil && out.Moved {
+	if s.Moved != nil && out.UsesChanged {
 		s.Moved(n)
 	}
 }
@@ -148,7 +148,7 @@
 	case p.stopped:
 		s.Clock.After(waitEach, func() { s.Deliver(from, to, inc, b) })
 	default:
-		s.Carry(to, p.m.Receive(s.Clock.Now, from, inc, b))
+		s.Carry(to, p.m.ReceiveNote(s.Clock.Now, from, inc, b))
 	}
 }
 
--- a/internal/lab/zonal/rehearse.go
+++ b/internal/lab/zonal/rehearse.go
@@ -129,7 +129,7 @@
 	_, settled := w.Until(3*cfg.DwellMost, time.Second, func() bool {
 		return !slices.ContainsFunc(w.Zones, func(z string) bool {
 			n, _ := w.Using(z)
-			return n < cars || w.Stages(z)[evacuation.All] < cars
+			return n < cars || w.Stages(z)[evacuation.StageAll] < cars
 		})
 	})
 	o.Settled = w.Now - end
@@ -148,7 +148,7 @@
 func (w *World) command(zone, action string, meant func(c *Car) bool) {
 	for _, c := range w.Cars {
 		if !c.Dead && !c.Stopped && meant(c) {
-			c.Order(w.Now, zone, action, "operator", "a rehearsal")
+			c.SubmitOrder(w.Now, zone, action, "operator", "a rehearsal")
 			return
 		}
 	}
--- a/internal/rooms/zones/zones.go
+++ b/internal/rooms/zones/zones.go
@@ -109,9 +109,9 @@
 
 // Adopt goes on from what another process of the same sidecar held.
 func (z *Zones) Adopt(all []evacuation.ZoneState) {
-	z.change(func(now time.Duration) evacuation.Wants {
+	z.change(func(now time.Duration) evacuation.Output {
 		z.m.Adopt(now, all)
-		return evacuation.Wants{Moved: true}
+		return evacuation.Output{UsesChanged: true}
 	})
 }
 
@@ -132,9 +132,9 @@
 		case <-t.C:
 		}
 		var next time.Duration
-		z.change(func(now time.Duration) evacuation.Wants {
+		z.change(func(now time.Duration) evacuation.Output {
 			out := z.m.Tick(now)
-			next = out.Next
+			next = out.NextTick
 			return out
 		})
 		z.remember()
@@ -167,7 +167,7 @@
 }
 
 // change does something to the Machine and carries out what it wants.
-func (z *Zones) change(do func(now time.Duration) evacuation.Wants) {
+func (z *Zones) change(do func(now time.Duration) evacuation.Output) {
 	now := z.core.Now()
 	z.mu.Lock()
 	out := do(now)
@@ -175,12 +175,12 @@
 	for _, c := range out.Changes {
 		slog.Warn("zone", "zone", c.Zone, "from", c.From, "to", c.To, "why", c.Why)
 	}
-	if out.Moved {
+	if out.UsesChanged {
 		z.retell()
 	}
-	z.core.GiveUp(out.Lost)
-	if out.Tell > 0 || len(out.To) > 0 {
-		z.tell(out.Tell, out.To)
+	z.core.GiveUp(out.HopelessAttempts)
+	if out.RandomNotes > 0 || len(out.Recipients) > 0 {
+		z.tell(out.RandomNotes, out.Recipients)
 	}
 }
 
@@ -301,7 +301,7 @@
 
 // Heard takes the part of another's note.
 func (z *Zones) Heard(number int, inc uint64, part []byte) {
-	z.change(func(now time.Duration) evacuation.Wants { return z.m.Receive(now, number, inc, part) })
+	z.change(func(now time.Duration) evacuation.Output { return z.m.ReceiveNote(now, number, inc, part) })
 }
 
 // View is what operators see.
@@ -318,8 +318,8 @@
 	now := z.core.Now()
 	z.mu.Lock()
 	defer z.mu.Unlock()
-	v := View{Heard: z.m.Heard(), Peers: z.cfg.Machine.Peers - 1, Zones: z.m.View(now)}
-	v.Strange, v.Old = z.m.Counts()
+	v := View{Heard: z.m.RecentPeers(), Peers: z.cfg.Machine.Peers - 1, Zones: z.m.ZoneViews(now)}
+	v.Strange, v.Old = z.m.NoteErrors()
 	for n := range v.Zones {
 		for region, zones := range z.cfg.Regions {
 			if slices.Contains(zones, v.Zones[n].Zone) {
@@ -349,13 +349,13 @@
 		zones = []string{o.Zone}
 	}
 	var err error
-	z.change(func(now time.Duration) evacuation.Wants {
+	z.change(func(now time.Duration) evacuation.Output {
 		for _, name := range zones {
-			if e := z.m.Order(now, name, o.Action, o.Who, o.Reason); e != nil && err == nil {
+			if e := z.m.SubmitOrder(now, name, o.Action, o.Who, o.Reason); e != nil && err == nil {
 				err = e
 			}
 		}
-		return evacuation.Wants{Moved: true, Tell: z.cfg.Machine.Spread}
+		return evacuation.Output{UsesChanged: true, RandomNotes: z.cfg.Machine.Spread}
 	})
 	if err != nil {
 		return nil, err
