--- a/internal/evacuation/cases_test.go
+++ b/internal/evacuation/cases_test.go
@@ -41,7 +41,7 @@
 func TestReturnStaysWithinRate(t *testing.T) {
 	for _, loss := range []float64{0, 0.5} {
 		f := newFleet(t, 11, 40)
-		f.Loss = loss
+		f.LossRate = loss
 		f.Rate = func(n int) float64 { return map[bool]float64{true: 400, false: 30}[n == 5] }
 		f.failZone("a")
 		f.waitUntilLeft("a", 4*sec)
@@ -49,8 +49,8 @@
 		f.results["a"] = evacuation.Good
 		seen := map[evacuation.Stage]bool{}
 		limit := func() (most float64) { // of the stage that allows the most calls
-			for _, c := range f.Cars {
-				if rec, _ := c.Held("a"); rec.Stage == evacuation.StageAll {
+			for _, c := range f.Sidecars {
+				if rec, _ := c.RecordAndOrder("a"); rec.Stage == evacuation.StageAll {
 					return 1e9
 				}
 				rate, canaries := c.StageRate("a")
@@ -58,16 +58,16 @@
 			}
 			return most
 		}
-		for f.Stages("a")[evacuation.StageAll] == 0 && f.Now < 60*sec {
+		for f.CountByStage("a")[evacuation.StageAll] == 0 && f.Now < 60*sec {
 			bound := limit()
 			f.Run(f.Now + 100*ms)
 			bound = max(bound, limit())
-			all := f.Zoned["a"]
+			all := f.SendTimes["a"]
 			from, _ := slices.BinarySearch(all, f.Now-sec)
 			if got := len(all) - from; float64(got) > bound {
-				t.Errorf("loss %v, at %v: %d sends to zone a in a second, want at most %.1f (sidecars by stage: %v)", loss, f.Now, got, bound, f.Stages("a"))
+				t.Errorf("loss %v, at %v: %d sends to zone a in a second, want at most %.1f (sidecars by stage: %v)", loss, f.Now, got, bound, f.CountByStage("a"))
 			}
-			for s := range f.Stages("a") {
+			for s := range f.CountByStage("a") {
 				seen[s] = true
 			}
 		}
@@ -87,7 +87,7 @@
 	f.failZone("a")
 	f.waitUntilLeft("a", 2*sec)
 	f.Run(f.Now + sec)
-	allOut := func() bool { return f.Stages("a")[evacuation.Out] == len(f.Cars) }
+	allOut := func() bool { return f.CountByStage("a")[evacuation.Out] == len(f.Sidecars) }
 	var outs []time.Duration
 	for range 5 {
 		outs = append(outs, f.waitFor("the start of a return", 3*time.Minute, func() bool { return !allOut() }))
@@ -101,7 +101,7 @@
 	if last := outs[len(outs)-1]; last < 8*evacuation.Default().Dwell {
 		t.Errorf("zone a stayed out for %v after five relapses, want at least 8 times the dwell time", last)
 	}
-	if n := f.Departures("a"); n != 1 {
+	if n := f.MaxDepartures("a"); n != 1 {
 		t.Errorf("%d departures of the whole fleet, want 1: only the first sidecars should see a relapse", n)
 	}
 	f.results["a"] = evacuation.Good
@@ -123,13 +123,13 @@
 		for seed := range uint64(5) {
 			f := newFleet(t, seed, 40)
 			f.Run(3 * sec)
-			f.Up = up
+			f.CallResult = up
 			f.Run(20 * sec)
 			for _, z := range f.Zones {
-				if f.Departures(z) > 0 {
+				if f.MaxDepartures(z) > 0 {
 					t.Errorf("%s, seed %d: the fleet left zone %s", name, seed, z)
 				}
-				if n, of := f.Using(z); n < of && !(name == "a bad link" && z == "a" && n == of-1) {
+				if n, of := f.CountUsing(z); n < of && !(name == "a bad link" && z == "a" && n == of-1) {
 					t.Errorf("%s, seed %d: %d of %d use zone %s", name, seed, n, of, z)
 				}
 			}
@@ -150,8 +150,8 @@
 			clear(f.results)
 			f.Run(f.Now + 5*sec)
 			for _, zone := range f.Zones {
-				for n, c := range f.Cars {
-					if rec, _ := c.Held(zone); rec.Gen > 0 {
+				for n, c := range f.Sidecars {
+					if rec, _ := c.RecordAndOrder(zone); rec.Gen > 0 {
 						t.Errorf("%v, seed %d: sidecar %d left zone %s", k, seed, n, zone)
 						break
 					}
@@ -166,18 +166,18 @@
 func TestFalseReportsOfOneSidecarDoNotEmptyZone(t *testing.T) {
 	f := newFleet(t, 3, 40)
 	f.Run(2 * sec)
-	liar := f.Cars[9]
+	liar := f.Sidecars[9]
 	for f.Now < 20*sec {
-		rec, _ := liar.Held("a")
+		rec, _ := liar.RecordAndOrder("a")
 		liar.SetState(f.Now, "a", evacuation.Record{Gen: rec.Gen + 7, Stage: evacuation.Out}, evacuation.VoteFailing)
-		for to := range f.Cars {
+		for to := range f.Sidecars {
 			if to != 9 && f.Rand.IntN(2) == 0 {
-				f.Deliver(9, to, f.Notes.Start(9), liar.Note(f.Now, 150))
+				f.DeliverNote(9, to, f.Notes.Incarnation(9), liar.Note(f.Now, 150))
 			}
 		}
 		f.Run(f.Now + 100*ms)
 	}
-	if n, _ := f.Using("a"); n < 39 {
+	if n, _ := f.CountUsing("a"); n < 39 {
 		t.Errorf("%d sidecars use zone a, want at least 39", n)
 	}
 }
@@ -189,12 +189,12 @@
 	f.affects = func(n int) bool { return n < 20 }
 	f.failZone("a")
 	f.Run(9 * sec) // some sidecars have few calls for that zone
-	for n, c := range f.Cars {
+	for n, c := range f.Sidecars {
 		if c.Uses("a") != (n >= 20) {
 			t.Errorf("sidecar %d uses zone a: %v, want the opposite", n, c.Uses("a"))
 		}
 	}
-	if f.Departures("a") > 0 {
+	if f.MaxDepartures("a") > 0 {
 		t.Error("the fleet left zone a")
 	}
 	f.Run(18 * sec)
@@ -214,9 +214,9 @@
 		f.affects = func(n int) bool { return n < 7 }
 		f.failZone("a")
 		f.Run(12 * sec)
-		if f.Departures("a") > 0 {
+		if f.MaxDepartures("a") > 0 {
 			leftAt = append(leftAt, seed)
-		} else if !f.Cars[7].Uses("a") || !f.Cars[10].Uses("a") || f.Cars[0].Uses("a") {
+		} else if !f.Sidecars[7].Uses("a") || !f.Sidecars[10].Uses("a") || f.Sidecars[0].Uses("a") {
 			t.Errorf("seed %d: want zone a used by sidecars 7 and 10 and not by 0", seed)
 		}
 	}
@@ -234,7 +234,7 @@
 			f := newFleet(t, seed, cars)
 			f.failZone("a")
 			f.waitUntilLeft("a", 4*sec)
-			f.Loss = loss
+			f.LossRate = loss
 			f.results["a"] = evacuation.Good
 			f.waitUntilReturned("a", 9500*ms) // the dwell time and three stages take 8 s
 		}
@@ -246,10 +246,10 @@
 	f := newFleet(t, 31, 12)
 	f.failZone("a")
 	f.waitUntilLeft("a", 2*sec)
-	bad := f.Cars[0].FirstCanary("a")
+	bad := f.Sidecars[0].FirstCanary("a")
 	f.Run(f.Now + sec)
 	f.affects = func(n int) bool { return n == bad }
-	f.waitFor("return of the other sidecars", 2*time.Minute, func() bool { n, _ := f.Using("a"); return n >= 11 })
+	f.waitFor("return of the other sidecars", 2*time.Minute, func() bool { n, _ := f.CountUsing("a"); return n >= 11 })
 }
 
 // Most of the fleet has hardly any calls. Those chosen to send first must not hold up the return
@@ -276,7 +276,7 @@
 		}
 		f := newFleetWithConfig(t, 43, cfg, 24)
 		bad, full := false, false
-		f.Up = func(_ int, s evacuation.Server) evacuation.Kind {
+		f.CallResult = func(_ int, s evacuation.Server) evacuation.Kind {
 			switch {
 			case bad && s.Zone == "a" && f.Rand.IntN(4) > 0:
 				return evacuation.Errored
@@ -290,18 +290,18 @@
 		f.Run(8 * sec)
 		bad = true
 		f.Run(15 * sec)
-		if at := f.Stages("a"); at[evacuation.StagePart] < 20 || at[evacuation.Out] > 0 || f.Departures("a") > 0 {
+		if at := f.CountByStage("a"); at[evacuation.StagePart] < 20 || at[evacuation.Out] > 0 || f.MaxDepartures("a") > 0 {
 			t.Errorf("planned %v: sidecars by stage of zone a: %v, want at least 20 at part, none out", planned, at)
 		}
-		for _, c := range f.Cars {
-			if rec, _ := c.Held("a"); rec.Stage == evacuation.StagePart && (!c.Room(f.Now, "a", 0) || c.Room(f.Now, "a", 1) || !c.Room(f.Now, "b", 1)) {
+		for _, c := range f.Sidecars {
+			if rec, _ := c.RecordAndOrder("a"); rec.Stage == evacuation.StagePart && (!c.Room(f.Now, "a", 0) || c.Room(f.Now, "a", 1) || !c.Room(f.Now, "b", 1)) {
 				t.Errorf("planned %v: want only class 1 to leave zone a", planned)
 			}
 		}
 		full = false
 		f.Run(30 * sec)
-		if left := f.Departures("a") > 0; left == planned {
-			t.Errorf("planned %v: zone a left by the fleet after refusals ended: %v (sidecars by stage: %v)", planned, left, f.Stages("a"))
+		if left := f.MaxDepartures("a") > 0; left == planned {
+			t.Errorf("planned %v: zone a left by the fleet after refusals ended: %v (sidecars by stage: %v)", planned, left, f.CountByStage("a"))
 		}
 	}
 }
@@ -318,7 +318,7 @@
 			t.Fatal(err)
 		}
 		f := &fleet{World: w, t: t, results: make(map[string]evacuation.Kind)}
-		f.Up = func(_ int, s evacuation.Server) evacuation.Kind { return f.results[s.Zone] }
+		f.CallResult = func(_ int, s evacuation.Server) evacuation.Kind { return f.results[s.Zone] }
 		quiet := false
 		f.Rate = func(n int) float64 { return map[bool]float64{true: 0.01, false: 12}[quiet && n > 0] }
 		f.failZone("a")
@@ -329,7 +329,7 @@
 		f.Run(20 * sec)
 		f.failZone("c")
 		f.Run(24 * sec)
-		if n, of := f.Using("c"); region != "" && n > 0 || region == "" && n < of-1 {
+		if n, of := f.CountUsing("c"); region != "" && n > 0 || region == "" && n < of-1 {
 			t.Errorf("region %q: %d of %d use zone c", region, n, of)
 		}
 	}
@@ -344,10 +344,10 @@
 		f := newFleetWithConfig(t, 41, cfg, 12)
 		f.Rate = func(n int) float64 { return map[bool]float64{true: 0.001, false: 12}[n == 4] }
 		f.Run(3 * sec)
-		f.Cars[4].SetState(f.Now, "a", evacuation.Record{Gen: 3, Step: 70, Stage: evacuation.StageOneIn4}, evacuation.VoteUnknown)
+		f.Sidecars[4].SetState(f.Now, "a", evacuation.Record{Gen: 3, Step: 70, Stage: evacuation.StageOneIn4}, evacuation.VoteUnknown)
 		f.Run(f.Now + 6*sec)
-		if rec, _ := f.Cars[4].Held("a"); rec.Stage != evacuation.StageAll {
-			t.Errorf("sidecar 4 has record %+v after 6 s, want stage all (sidecars by stage: %v)", rec, f.Stages("a"))
+		if rec, _ := f.Sidecars[4].RecordAndOrder("a"); rec.Stage != evacuation.StageAll {
+			t.Errorf("sidecar 4 has record %+v after 6 s, want stage all (sidecars by stage: %v)", rec, f.CountByStage("a"))
 		}
 		f.requireUsers("a", 12)
 	}
@@ -359,13 +359,13 @@
 	for seed := range uint64(6) {
 		f := newFleet(t, seed, 12)
 		f.Run(3 * sec)
-		f.Cars[4].SetState(f.Now, "a", evacuation.Record{Gen: 1, Step: 70, Stage: evacuation.StageOneIn4}, evacuation.VoteUnknown)
+		f.Sidecars[4].SetState(f.Now, "a", evacuation.Record{Gen: 1, Step: 70, Stage: evacuation.StageOneIn4}, evacuation.VoteUnknown)
 		f.Run(f.Now + 8*sec)
 		f.requireUsers("a", 12)
 		f.results["a"] = evacuation.NoConn
 		f.Run(f.Now + 3*sec)
 		f.requireUsers("a", 0)
-		for n, c := range f.Cars {
+		for n, c := range f.Sidecars {
 			back := 0
 			for _, v := range c.ZoneViews(f.Now) {
 				for _, x := range v.Changes {
@@ -388,13 +388,13 @@
 	cfg.Proof = 500 * ms
 	for seed := range uint64(8) {
 		f := newFleetWithConfig(t, seed, cfg, 12)
-		f.Late = 50 * ms
+		f.ExtraDelay = 50 * ms
 		f.failZone("a")
 		f.waitUntilLeft("a", 4*sec)
 		f.results["a"] = evacuation.Good
 		f.Rate = func(int) float64 { return 4 }
 		f.waitUntilReturned("a", 60*sec)
-		rec, _ := f.Cars[0].Held("a")
+		rec, _ := f.Sidecars[0].RecordAndOrder("a")
 		steps += int(rec.Step)
 	}
 	if steps > 8*8 { // a return takes at least four steps
@@ -416,19 +416,19 @@
 	f.Run(f.Now + 100*ms)
 	f.start(3)
 	f.Run(f.Now + 250*ms) // it asks peers; random notes alone would reach it later
-	if rec, _ := f.Cars[3].Held("a"); rec.Stage != evacuation.Out {
+	if rec, _ := f.Sidecars[3].RecordAndOrder("a"); rec.Stage != evacuation.Out {
 		t.Errorf("record %v 250 ms after the restart, want stage out", rec)
 	}
 	// Suspended while the zone fails; the zone is in use again before it resumes.
-	f.World.Stop(7, true)
+	f.World.SetStopped(7, true)
 	f.Run(f.Now + sec)
 	f.results["a"] = evacuation.Good
 	f.waitUntilReturned("a", 2*time.Minute)
 	f.Run(f.Now + 20*sec)
-	f.World.Stop(7, false)
+	f.World.SetStopped(7, false)
 	f.Run(f.Now + 3*sec)
 	f.requireUsers("a", 40)
-	f.waitFor("agreed", 5*sec, func() bool { return f.Agree("a") })
+	f.waitFor("agreed", 5*sec, func() bool { return f.IsAgreed("a") })
 }
 
 // Two zones fail one after the other, and both are left. When the third fails as well it must stay
@@ -448,16 +448,16 @@
 // link, must return there instead of staying with a zone that has failed.
 func TestLocallyLeftLastZoneIsRejoined(t *testing.T) {
 	f := newFleet(t, 61, 12)
-	f.Up = func(n int, s evacuation.Server) evacuation.Kind {
+	f.CallResult = func(n int, s evacuation.Server) evacuation.Kind {
 		unreachable := s.Zone == "a" && f.Now > 3*sec || s.Zone == "b" && f.Now > 8*sec || n == 2 && s.Zone == "c" && f.Now > 5*sec && f.Now < 7500*ms
 		return map[bool]evacuation.Kind{true: evacuation.NoConn}[unreachable]
 	}
 	f.Run(7500 * ms)
-	if f.Cars[2].Uses("c") {
+	if f.Sidecars[2].Uses("c") {
 		t.Fatal("sidecar 2 still uses zone c")
 	}
 	f.Run(10 * sec)
-	for n, c := range f.Cars {
+	for n, c := range f.Sidecars {
 		if c.Uses("b") || !c.Uses("c") {
 			t.Errorf("sidecar %d uses zone b: %v, zone c: %v, want only c", n, c.Uses("b"), c.Uses("c"))
 		}
@@ -474,8 +474,8 @@
 	f.waitUntilLeft("a", 2*sec)
 	f.Run(f.Now + 30*sec)
 	f.requireUsers("a", 0)
-	for n, c := range f.Cars {
-		if _, o := c.Held("a"); o.Reason != "a new floor" || o.Who != "ops" {
+	for n, c := range f.Sidecars {
+		if _, o := c.RecordAndOrder("a"); o.Reason != "a new floor" || o.Who != "ops" {
 			t.Errorf("sidecar %d has order %+v", n, o)
 		}
 	}
@@ -491,9 +491,9 @@
 	f.Run(f.Now + 4*sec)
 	parted = false
 	f.Run(f.Now + 2*sec)
-	f.waitFor("agreed", 20*sec, func() bool { return f.Agree("a") })
-	for n, c := range f.Cars {
-		if _, o := c.Held("a"); o.Author != 30 || c.Uses("a") {
+	f.waitFor("agreed", 20*sec, func() bool { return f.IsAgreed("a") })
+	for n, c := range f.Sidecars {
+		if _, o := c.RecordAndOrder("a"); o.Author != 30 || c.Uses("a") {
 			t.Errorf("sidecar %d has order %+v, want author 30; uses zone a: %v, want false", n, o, c.Uses("a"))
 		}
 	}
@@ -510,7 +510,7 @@
 		{"a", "leave", "", "b", evacuation.ErrOrderText.Error()},
 		{"a", "leave", "a", "this reason is far too long to be told in a note", evacuation.ErrOrderText.Error()},
 	} {
-		if err := f.Cars[0].SubmitOrder(f.Now, c.zone, c.action, c.who, c.why); err == nil || err.Error() != c.want {
+		if err := f.Sidecars[0].SubmitOrder(f.Now, c.zone, c.action, c.who, c.why); err == nil || err.Error() != c.want {
 			t.Errorf("order %+v: error %v", c, err)
 		}
 	}
--- a/internal/evacuation/fleet_test.go
+++ b/internal/evacuation/fleet_test.go
@@ -33,7 +33,7 @@
 		t.Fatal(err)
 	}
 	f := &fleet{World: w, t: t, results: make(map[string]evacuation.Kind)}
-	w.Up = func(n int, s evacuation.Server) evacuation.Kind {
+	w.CallResult = func(n int, s evacuation.Server) evacuation.Kind {
 		if f.affects != nil && !f.affects(n) {
 			return evacuation.Good
 		}
@@ -54,7 +54,7 @@
 // maxTime.
 func (f *fleet) waitFor(what string, maxTime time.Duration, holds func() bool) time.Duration {
 	f.t.Helper()
-	took, ok := f.Until(maxTime, 10*ms, holds)
+	took, ok := f.RunUntil(maxTime, 10*ms, holds)
 	if !ok {
 		f.t.Errorf("at %v: condition %q not met within %v", f.Now, what, maxTime)
 	}
@@ -67,7 +67,7 @@
 	f.t.Helper()
 	out := func(part int) func() bool {
 		return func() bool {
-			n, of := f.Using(zone)
+			n, of := f.CountUsing(zone)
 			return n <= of/part
 		}
 	}
@@ -79,8 +79,8 @@
 func (f *fleet) waitUntilReturned(zone string, maxTime time.Duration) time.Duration {
 	f.t.Helper()
 	return f.waitFor("return of all to zone "+zone, maxTime, func() bool {
-		for _, c := range f.Cars {
-			if rec, _ := c.Held(zone); rec.Stage != evacuation.StageAll && !c.Stopped {
+		for _, c := range f.Sidecars {
+			if rec, _ := c.RecordAndOrder(zone); rec.Stage != evacuation.StageAll && !c.Stopped {
 				return false
 			}
 		}
@@ -91,8 +91,8 @@
 // requireUsers fails the test unless want sidecars send to a zone.
 func (f *fleet) requireUsers(zone string, want int) {
 	f.t.Helper()
-	if n, of := f.Using(zone); n != want {
-		f.t.Errorf("at %v: %d of %d sidecars use zone %s, want %d (by stage: %v)", f.Now, n, of, zone, want, f.Stages(zone))
+	if n, of := f.CountUsing(zone); n != want {
+		f.t.Errorf("at %v: %d of %d sidecars use zone %s, want %d (by stage: %v)", f.Now, n, of, zone, want, f.CountByStage(zone))
 	}
 }
 
@@ -105,12 +105,12 @@
 
 func (f *fleet) order(n int, zone, action, reason string) {
 	f.t.Helper()
-	if err := f.Cars[n].SubmitOrder(f.Now, zone, action, "ops", reason); err != nil {
+	if err := f.Sidecars[n].SubmitOrder(f.Now, zone, action, "ops", reason); err != nil {
 		f.t.Fatal(err)
 	}
 }
 
 // partition separates sidecars with a number below first from the others while active is true.
 func (f *fleet) partition(first int, active *bool) {
-	f.Hears = func(from, to int) bool { return !*active || (from < first) == (to < first) }
+	f.IsReachable = func(from, to int) bool { return !*active || (from < first) == (to < first) }
 }
--- a/internal/evacuation/parted_test.go
+++ b/internal/evacuation/partition_test.go
@@ -15,15 +15,15 @@
 	f.affects = func(n int) bool { return n < 20 }
 	f.failZone("a")
 	f.Run(6 * sec)
-	first, _ := f.Cars[0].Held("a")
-	last, _ := f.Cars[39].Held("a")
+	first, _ := f.Sidecars[0].RecordAndOrder("a")
+	last, _ := f.Sidecars[39].RecordAndOrder("a")
 	if first.Stage != evacuation.Out || last.Stage != evacuation.StageAll {
-		t.Fatalf("during the partition: sidecars by stage: %v, want the first half out", f.Stages("a"))
+		t.Fatalf("during the partition: sidecars by stage: %v, want the first half out", f.CountByStage("a"))
 	}
 	parted, f.results["a"] = false, evacuation.Good
 	f.Run(9 * sec)
-	f.waitFor("agreed", 60*sec, func() bool { return f.Agree("a") })
-	for n, c := range f.Cars {
+	f.waitFor("agreed", 60*sec, func() bool { return f.IsAgreed("a") })
+	for n, c := range f.Sidecars {
 		for _, v := range c.ZoneViews(f.Now) {
 			if len(v.Changes) > 10 {
 				t.Errorf("%d changes of zone %s at sidecar %d, want at most 10", len(v.Changes), v.Zone, n)
@@ -54,7 +54,7 @@
 	f.t.Helper()
 	for end := f.Now + period; f.Now < end; {
 		f.Run(f.Now + 50*ms)
-		for n, c := range f.Cars[few:] {
+		for n, c := range f.Sidecars[few:] {
 			if !c.Uses("a") {
 				f.t.Fatalf("at %v: sidecar %d left zone a: %+v", f.Now, n+few, c.ZoneViews(f.Now)[0].Changes)
 			}
@@ -79,7 +79,7 @@
 			f, parted := newFleetWithMinorityOut(t)
 			f.results["a"] = evacuation.Good
 			f.waitFor("change of sidecar 0 to the expected stage", time.Minute, func() bool {
-				rec, _ := f.Cars[0].Held("a")
+				rec, _ := f.Sidecars[0].RecordAndOrder("a")
 				return rec.Stage == stage
 			})
 			*parted = false
@@ -99,7 +99,7 @@
 			parted := true
 			f.partition(6, &parted)
 			f.Run(3 * sec)
-			f.Up = func(n int, s evacuation.Server) evacuation.Kind {
+			f.CallResult = func(n int, s evacuation.Server) evacuation.Kind {
 				lost := s.Zone == "a" && f.Now < 7*sec
 				if n >= 6 {
 					lost = s.Zone != "a" || !parted
@@ -107,17 +107,17 @@
 				return map[bool]evacuation.Kind{true: evacuation.NoConn}[lost]
 			}
 			f.waitFor("change of sidecar 0 to the expected stage", time.Minute, func() bool {
-				rec, _ := f.Cars[0].Held("a")
+				rec, _ := f.Sidecars[0].RecordAndOrder("a")
 				return rec.Stage == stage
 			})
 			f.Run(max(f.Now, 8*sec))
-			if c := f.Cars[8]; c.Uses("b") || c.Uses("c") || !c.Uses("a") {
+			if c := f.Sidecars[8]; c.Uses("b") || c.Uses("c") || !c.Uses("a") {
 				t.Fatalf("sidecar 8 uses other zones than a: %+v", c.ZoneViews(f.Now))
 			}
 			parted = false
 			for to := f.Now + 6*sec; f.Now < to; {
 				f.Run(f.Now + 50*ms)
-				for n, c := range f.Cars {
+				for n, c := range f.Sidecars {
 					if !c.Uses("a") && !c.Uses("b") && !c.Uses("c") {
 						t.Fatalf("at %v: sidecar %d uses no zone: %+v", f.Now, n, c.ZoneViews(f.Now)[0].Changes)
 					}
--- a/internal/lab/zonal/notes.go
+++ b/internal/lab/zonal/notes.go
@@ -1,5 +1,6 @@
-// Package zonal is a fleet of zones' machines in virtual time: what a decision of package
-// evacuation does over minutes, for any size, the same on every run.
+// Package zonal simulates a fleet of evacuation machines in virtual time. It shows the effect of
+// decisions of package evacuation over minutes in a fleet of any size, and is deterministic for a
+// seed.
 package zonal
 
 import (
@@ -10,147 +11,147 @@
 	"chalkrack/internal/lab/virtual"
 )
 
-// What package duty does with notes by default: so many a second to peers that are drawn,
-// so many at the most, and with what it had saved up for as long again.
+// Defaults of package duty for notes: the number sent to random peers per second, the maximum rate,
+// up to twice of which may be sent in a burst, the room for zones in a note, and the range of
+// transit times.
 const (
-	notesEach = 4
-	notesMost = 20.0
-	noteRoom  = 150
-	delayMin  = 1400 * time.Microsecond
-	delayMore = 32600 * time.Microsecond
+	notesPerSecond    = 4
+	maxNotesPerSecond = 20.0
+	maxNoteBytes      = 150
+	minTransitTime    = 1400 * time.Microsecond
+	transitTimeRange  = 32600 * time.Microsecond
 )
 
-// Notes carries what machines tell one another, as package duty does.
+// Notes simulates the network that carries notes between machines, with the limits of package duty.
 type Notes struct {
-	Clock *virtual.Clock
-	Rand  *rand.Rand
-	Loss  float64                 // the share of notes that never come
-	Late  time.Duration           // that notes take longer
-	Hears func(from, to int) bool // nil: all hear each other
-	Lost  func(n int, l []uint64) // takes the attempts that a machine gives up; nil: nobody does
-	Moved func(n int)             // is told that what a machine uses has changed; nil: nobody is
-	Count int                     // of notes
-	Bytes int                     // of their parts for zones
-	Most  int                     // notes of one machine in one second
-	all   []*speaker
+	Clock       *virtual.Clock
+	Rand        *rand.Rand
+	LossRate    float64                 // share of notes that are lost
+	ExtraDelay  time.Duration           // additional transit time
+	IsReachable func(from, to int) bool // whether a note arrives; nil: always
+	OnHopeless  func(n int, l []uint64) // receives the attempts that machine n gives up; nil: ignored
+	Moved       func(n int)             // called when the zones that machine n uses have changed; nil: ignored
+	Count       int                     // notes sent
+	Bytes       int                     // total length of the notes' parts for zones
+	Most        int                     // maximum number of regular notes of one machine in one second
+	senders     []*sender
 }
 
-// speaker is one sidecar's machine, in one of its starts.
-type speaker struct {
-	m       *evacuation.Machine
-	inc     uint64
-	stopped bool
-	room    float64
-	roomAt  time.Duration
-	told    int // since the last second began
+// sender is the sender state of one incarnation of a sidecar.
+type sender struct {
+	machine         *evacuation.Machine
+	incarnation     uint64
+	stopped         bool
+	tokens          float64
+	refilledAt      time.Duration
+	notesThisSecond int // notes sent in the current second
 }
 
-// Put has the n-th sidecar speak by a machine from now on, in a new start of its own. nil: it
-// is dead.
+// Put sets the machine of sidecar n and starts a new incarnation of it. A nil machine stands for a
+// dead process.
 func (s *Notes) Put(n int, m *evacuation.Machine) {
-	for len(s.all) <= n {
-		s.all = append(s.all, &speaker{})
+	for len(s.senders) <= n {
+		s.senders = append(s.senders, &sender{})
 	}
-	p := &speaker{m: m, inc: s.all[n].inc + 1, room: 2 * notesMost, roomAt: s.Clock.Now}
-	s.all[n] = p
+	current := &sender{machine: m, incarnation: s.senders[n].incarnation + 1, tokens: 2 * maxNotesPerSecond, refilledAt: s.Clock.Now}
+	s.senders[n] = current
 	if m == nil {
 		return
 	}
-	lives := func() bool { return s.all[n] == p }
-	var tick, tell func()
+	isCurrent := func() bool { return s.senders[n] == current }
+	var tick, sendNotes func()
 	tick = func() {
 		next := 100 * time.Millisecond
-		if !lives() {
+		if !isCurrent() {
 			return
 		}
-		if !p.stopped {
+		if !current.stopped {
 			out := m.Tick(s.Clock.Now)
-			s.Carry(n, out)
+			s.Execute(n, out)
 			next = out.NextTick
 		}
 		s.Clock.After(next, tick)
 	}
-	tell = func() {
-		if !lives() {
+	sendNotes = func() {
+		if !isCurrent() {
 			return
 		}
-		for range notesEach {
-			s.Send(n, s.other(n))
+		for range notesPerSecond {
+			s.SendNote(n, s.randomOther(n))
 		}
-		s.Most, p.told = max(s.Most, p.told), 0
-		s.Clock.After(time.Second, tell)
+		s.Most, current.notesThisSecond = max(s.Most, current.notesThisSecond), 0
+		s.Clock.After(time.Second, sendNotes)
 	}
 	s.Clock.After(time.Duration(s.Rand.Int64N(int64(100*time.Millisecond))), tick)
-	s.Clock.After(time.Duration(s.Rand.Int64N(int64(time.Second))), tell)
+	s.Clock.After(time.Duration(s.Rand.Int64N(int64(time.Second))), sendNotes)
 }
 
-// Stop has the n-th sidecar stopped, or go on: meanwhile it does nothing, and what comes for
-// it waits.
-func (s *Notes) Stop(n int, stopped bool) { s.all[n].stopped = stopped }
+// SetStopped suspends or resumes sidecar n. A suspended sidecar does nothing, and notes to it wait.
+func (s *Notes) SetStopped(n int, stopped bool) { s.senders[n].stopped = stopped }
 
-// other draws another than n, or n where there is none.
-func (s *Notes) other(n int) int {
-	if len(s.all) < 2 {
+// randomOther returns the number of a random sidecar other than n, or n if there is none.
+func (s *Notes) randomOther(n int) int {
+	if len(s.senders) < 2 {
 		return n
 	}
-	o := s.Rand.IntN(len(s.all) - 1)
+	o := s.Rand.IntN(len(s.senders) - 1)
 	if o >= n {
 		o++
 	}
 	return o
 }
 
-// Carry does what a machine wants.
-func (s *Notes) Carry(n int, out evacuation.Output) {
+// Execute carries out the actions that the machine of sidecar n has returned.
+func (s *Notes) Execute(n int, out evacuation.Output) {
 	for _, to := range out.Recipients {
-		s.Send(n, to)
+		s.SendNote(n, to)
 	}
 	for range out.RandomNotes {
-		s.Send(n, s.other(n))
+		s.SendNote(n, s.randomOther(n))
 	}
-	if s.Lost != nil && len(out.HopelessAttempts) > 0 {
-		s.Lost(n, out.HopelessAttempts)
+	if s.OnHopeless != nil && len(out.HopelessAttempts) > 0 {
+		s.OnHopeless(n, out.HopelessAttempts)
 	}
 	if s.Moved != nil && out.UsesChanged {
 		s.Moved(n)
 	}
 }
 
-// Send sends a note, where the budget has room.
-func (s *Notes) Send(n, to int) {
-	p := s.all[n]
-	p.room = min(2*notesMost, p.room+notesMost*(s.Clock.Now-p.roomAt).Seconds())
-	p.roomAt = s.Clock.Now
-	if n == to || p.m == nil || p.stopped || p.room < 1 {
+// SendNote sends a note from sidecar n to another if its rate limit allows it.
+func (s *Notes) SendNote(n, to int) {
+	from := s.senders[n]
+	from.tokens = min(2*maxNotesPerSecond, from.tokens+maxNotesPerSecond*(s.Clock.Now-from.refilledAt).Seconds())
+	from.refilledAt = s.Clock.Now
+	if n == to || from.machine == nil || from.stopped || from.tokens < 1 {
 		return
 	}
-	b := p.m.Note(s.Clock.Now, noteRoom)
-	if b == nil {
+	part := from.machine.Note(s.Clock.Now, maxNoteBytes)
+	if part == nil {
 		return
 	}
-	p.room--
-	p.told++
+	from.tokens--
+	from.notesThisSecond++
 	s.Count++
-	s.Bytes += len(b)
-	if s.Rand.Float64() < s.Loss || s.Hears != nil && !s.Hears(n, to) {
+	s.Bytes += len(part)
+	if s.Rand.Float64() < s.LossRate || s.IsReachable != nil && !s.IsReachable(n, to) {
 		return
 	}
-	s.Clock.After(s.Late+delayMin+time.Duration(s.Rand.Int64N(int64(delayMore))), func() { s.Deliver(n, to, p.inc, b) })
+	s.Clock.After(s.ExtraDelay+minTransitTime+time.Duration(s.Rand.Int64N(int64(transitTimeRange))), func() { s.DeliverNote(n, to, from.incarnation, part) })
 }
 
-// waitEach is how often what waits for a stopped process is looked at.
-const waitEach = 50 * time.Millisecond
+// resumeCheckInterval is the interval at which events for a suspended process are retried.
+const resumeCheckInterval = 50 * time.Millisecond
 
-// Deliver brings a note of a start of one sidecar's to another.
-func (s *Notes) Deliver(from, to int, inc uint64, b []byte) {
-	switch p := s.all[to]; {
-	case p.m == nil:
+// DeliverNote passes a note from an incarnation of a sidecar to another sidecar.
+func (s *Notes) DeliverNote(from, to int, incarnation uint64, part []byte) {
+	switch p := s.senders[to]; {
+	case p.machine == nil:
 	case p.stopped:
-		s.Clock.After(waitEach, func() { s.Deliver(from, to, inc, b) })
+		s.Clock.After(resumeCheckInterval, func() { s.DeliverNote(from, to, incarnation, part) })
 	default:
-		s.Carry(to, p.m.ReceiveNote(s.Clock.Now, from, inc, b))
+		s.Execute(to, p.machine.ReceiveNote(s.Clock.Now, from, incarnation, part))
 	}
 }
 
-// Start is the count of the n-th sidecar's starts.
-func (s *Notes) Start(n int) uint64 { return s.all[n].inc }
+// Incarnation returns the current incarnation of sidecar n.
+func (s *Notes) Incarnation(n int) uint64 { return s.senders[n].incarnation }
--- a/internal/lab/zonal/rehearse.go
+++ b/internal/lab/zonal/rehearse.go
@@ -9,144 +9,146 @@
 	"chalkrack/internal/evacuation"
 )
 
-// FaultKind is what a Fault does.
+// FaultKind is the type of a Fault.
 type FaultKind int
 
-// Faults of a rehearsal.
+// Types of faults.
 const (
-	ZoneFails  FaultKind = iota // calls of all to the zone meet How
-	CutOff                      // those of one sidecar
-	HalfCutOff                  // those of the first half
-	Parted                      // the first At sidecars and the others don't hear each other
-	NotesLost                   // half of the notes
-	Stopped                     // one sidecar
-	Killed                      // and started again at the end
-	Ordered                     // one sidecar is told to leave the zone, and at the end to return
-	faultKinds
+	FaultZoneFails  FaultKind = iota // calls of all sidecars to Zone end in Result
+	FaultCutOff                      // calls of sidecar Target to Zone end in Result
+	FaultHalfCutOff                  // calls of the first half of the sidecars to Zone end in Result
+	FaultPartition                   // no notes pass between the first Target sidecars and the others
+	FaultNoteLoss                    // half of the notes are lost
+	FaultStop                        // sidecar Target is suspended
+	FaultKill                        // sidecar Target is killed, and started again at the end
+	FaultOrder                       // sidecar Target is ordered to leave Zone; the end orders the return
+	faultKindCount
 )
 
-// Fault is one of a rehearsal.
+// Fault is a fault of a simulated run, active between From and To.
 type Fault struct {
 	Kind     FaultKind
 	Zone     string
 	From, To time.Duration
-	At       int // the sidecar, or where the fleet is parted
-	How      evacuation.Kind
+	Target   int // number of a sidecar; for FaultPartition, the size of the first part
+	Result   evacuation.Kind
 }
 
-// String is the fault in a line.
+// String describes the fault in one line.
 func (f Fault) String() string {
 	what := [...]string{"zone %s fails, %v", "cut off from %s, %v", "half cut off from %s, %v", "parted", "half of the notes lost", "stopped", "killed", "ordered out of %s"}[f.Kind]
 	switch f.Kind {
-	case ZoneFails, CutOff, HalfCutOff:
-		what = fmt.Sprintf(what, f.Zone, f.How)
-	case Ordered:
+	case FaultZoneFails, FaultCutOff, FaultHalfCutOff:
+		what = fmt.Sprintf(what, f.Zone, f.Result)
+	case FaultOrder:
 		what = fmt.Sprintf(what, f.Zone)
 	}
-	return fmt.Sprintf("%v to %v: %s (%d)", f.From.Round(time.Millisecond), f.To.Round(time.Millisecond), what, f.At)
+	return fmt.Sprintf("%v to %v: %s (%d)", f.From.Round(time.Millisecond), f.To.Round(time.Millisecond), what, f.Target)
 }
 
-// calm is how long a rehearsal runs before its first fault.
-const calm = 3 * time.Second
+// warmup is how long a run lasts before the first fault.
+const warmup = 3 * time.Second
 
-// Draw is up to five faults for a fleet, within half a minute.
-func Draw(rng *rand.Rand, cars int, zones []string) (all []Fault) {
+// DrawFaults returns one to five random faults, all within the first 34 seconds of a run.
+func DrawFaults(rng *rand.Rand, sidecars int, zones []string) (all []Fault) {
 	for range 1 + rng.IntN(5) {
-		f := Fault{Kind: FaultKind(rng.IntN(int(faultKinds))), Zone: zones[rng.IntN(len(zones))], From: calm + time.Duration(rng.Int64N(int64(20*time.Second))), At: rng.IntN(cars),
-			How: []evacuation.Kind{evacuation.NoConn, evacuation.Broken, evacuation.Late, evacuation.Errored}[rng.IntN(4)]}
+		f := Fault{Kind: FaultKind(rng.IntN(int(faultKindCount))), Zone: zones[rng.IntN(len(zones))], From: warmup + time.Duration(rng.Int64N(int64(20*time.Second))), Target: rng.IntN(sidecars),
+			Result: []evacuation.Kind{evacuation.NoConn, evacuation.Broken, evacuation.Late, evacuation.Errored}[rng.IntN(4)]}
 		f.To = f.From + 300*time.Millisecond + time.Duration(rng.Int64N(int64(10*time.Second)))
-		if f.Kind == Parted {
-			f.At = 1 + rng.IntN(max(1, cars-1))
+		if f.Kind == FaultPartition {
+			f.Target = 1 + rng.IntN(max(1, sidecars-1))
 		}
 		all = append(all, f)
 	}
 	return all
 }
 
-// Outcome is what a rehearsal saw.
+// Outcome is the result of a run.
 type Outcome struct {
-	Broken     []string                 // what must not be, each in a line
-	Departures map[string]uint32        // by zone
-	Settled    time.Duration            // from the last fault's end until all zones were in use by all
-	Left       map[string]time.Duration // of zones that failed for all: from then until all were out; -1: never
-	Notes      float64                  // a sidecar a second
-	Bytes      float64                  // of the zones' part of them
+	Broken     []string          // violated invariants
+	Departures map[string]uint32 // of the fleet, by zone
+	Settled    time.Duration     // time from the end of the last fault until all sidecars used all zones
+	// Left maps zones that failed for all sidecars to the time until all had left them; -1: never.
+	Left  map[string]time.Duration
+	Notes float64 // per sidecar and second
+	Bytes float64 // length of the notes' parts for zones, per sidecar and second
 }
 
-// needOf is how many sidecars cut off are the fleet's word.
-func needOf(c evacuation.Config, cars int) int { return max(1, min(c.Witnesses, (cars+1)/2)) }
-
-// Play plays faults, and says what broke: a zone that the fleet left with no cause, or a
-// fleet that does not come to have all zones in use again once all is well.
-func (w *World) Play(faults []Fault) (o Outcome, err error) {
-	cars := len(w.Cars)
-	cfg := w.Cars[0].Config
-	on := func(f Fault, k FaultKind) bool { return f.Kind == k && w.Now >= f.From && w.Now < f.To }
-	w.Up = func(n int, s evacuation.Server) evacuation.Kind {
+// minVotes returns the number of sidecars whose votes are required for a departure.
+func minVotes(c evacuation.Config, sidecars int) int { return max(1, min(c.Witnesses, (sidecars+1)/2)) }
+
+// RunFaults runs the fleet with the given faults and reports violations: a departure of the fleet
+// without a cause, or zones that are not in use again by all sidecars after the end of the last
+// fault.
+func (w *World) RunFaults(faults []Fault) (outcome Outcome, err error) {
+	sidecars := len(w.Sidecars)
+	cfg := w.Sidecars[0].Config
+	isActive := func(f Fault, k FaultKind) bool { return f.Kind == k && w.Now >= f.From && w.Now < f.To }
+	w.CallResult = func(n int, s evacuation.Server) evacuation.Kind {
 		for _, f := range faults {
-			if f.Zone == s.Zone && (on(f, ZoneFails) || on(f, CutOff) && n == f.At || on(f, HalfCutOff) && n < cars/2) {
-				return f.How
+			if f.Zone == s.Zone && (isActive(f, FaultZoneFails) || isActive(f, FaultCutOff) && n == f.Target || isActive(f, FaultHalfCutOff) && n < sidecars/2) {
+				return f.Result
 			}
 		}
 		return evacuation.Good
 	}
-	w.Hears = func(from, to int) bool {
+	w.IsReachable = func(from, to int) bool {
 		for _, f := range faults {
-			if on(f, Parted) && (from < f.At) != (to < f.At) || on(f, NotesLost) && w.draw.IntN(2) == 0 {
+			if isActive(f, FaultPartition) && (from < f.Target) != (to < f.Target) || isActive(f, FaultNoteLoss) && w.rng.IntN(2) == 0 {
 				return false
 			}
 		}
 		return true
 	}
-	caused, cutOff, end := make(map[string]bool), make(map[string]map[int]bool), calm
-	o.Left, o.Departures = make(map[string]time.Duration), make(map[string]uint32)
+	caused, cutOff, lastEnd := make(map[string]bool), make(map[string]map[int]bool), warmup
+	outcome.Left, outcome.Departures = make(map[string]time.Duration), make(map[string]uint32)
 	for _, f := range faults {
-		end = max(end, f.To)
+		lastEnd = max(lastEnd, f.To)
 		switch f.Kind {
-		case ZoneFails, HalfCutOff, Ordered:
+		case FaultZoneFails, FaultHalfCutOff, FaultOrder:
 			caused[f.Zone] = true
-		case CutOff: // so many are the fleet's word, for all that anybody can tell
+		case FaultCutOff: // the fleet can't tell this number of cut off sidecars from a failing zone
 			if cutOff[f.Zone] == nil {
 				cutOff[f.Zone] = make(map[int]bool)
 			}
-			cutOff[f.Zone][f.At] = true
-			caused[f.Zone] = caused[f.Zone] || len(cutOff[f.Zone]) >= needOf(cfg, cars)
+			cutOff[f.Zone][f.Target] = true
+			caused[f.Zone] = caused[f.Zone] || len(cutOff[f.Zone]) >= minVotes(cfg, sidecars)
 		}
-		w.begin(f, &o, &err)
+		w.scheduleFault(f, &outcome, &err)
 	}
-	w.Run(end)
+	w.Run(lastEnd)
 	for _, z := range w.Zones {
-		if o.Departures[z] = w.Departures(z); !caused[z] && o.Departures[z] > 0 {
-			o.Broken = append(o.Broken, fmt.Sprintf("zone %s was left with no cause", z))
+		if outcome.Departures[z] = w.MaxDepartures(z); !caused[z] && outcome.Departures[z] > 0 {
+			outcome.Broken = append(outcome.Broken, fmt.Sprintf("zone %s was left with no cause", z))
 		}
 	}
-	// An order to return that did not reach the one to leave's holder is given again, as an
-	// operator would who looks at the status.
-	w.Run(end + 10*time.Second)
+	// An order to return may not have reached the sidecar that holds the order to leave. It is
+	// repeated, as an operator would do after a look at the status.
+	w.Run(lastEnd + 10*time.Second)
 	for _, z := range w.Zones {
-		w.command(z, "return", func(c *Car) bool { _, order := c.Held(z); return order.Action == evacuation.Leave })
+		w.giveOrder(z, "return", func(c *Sidecar) bool { _, order := c.RecordAndOrder(z); return order.Action == evacuation.Leave })
 	}
-	_, settled := w.Until(3*cfg.DwellMost, time.Second, func() bool {
+	_, settled := w.RunUntil(3*cfg.DwellMost, time.Second, func() bool {
 		return !slices.ContainsFunc(w.Zones, func(z string) bool {
-			n, _ := w.Using(z)
-			return n < cars || w.Stages(z)[evacuation.StageAll] < cars
+			n, _ := w.CountUsing(z)
+			return n < sidecars || w.CountByStage(z)[evacuation.StageAll] < sidecars
 		})
 	})
-	o.Settled = w.Now - end
-	o.Notes = float64(w.Count) / float64(cars) / w.Now.Seconds()
-	o.Bytes = float64(w.Bytes) / float64(cars) / w.Now.Seconds()
+	outcome.Settled = w.Now - lastEnd
+	outcome.Notes = float64(w.Count) / float64(sidecars) / w.Now.Seconds()
+	outcome.Bytes = float64(w.Bytes) / float64(sidecars) / w.Now.Seconds()
 	if !settled {
 		for _, z := range w.Zones {
-			n, _ := w.Using(z)
-			o.Broken = append(o.Broken, fmt.Sprintf("zone %s: %v, used by %d of %d, %v after the last fault", z, w.Stages(z), n, cars, o.Settled))
+			n, _ := w.CountUsing(z)
+			outcome.Broken = append(outcome.Broken, fmt.Sprintf("zone %s: %v, used by %d of %d, %v after the last fault", z, w.CountByStage(z), n, sidecars, outcome.Settled))
 		}
 	}
-	return o, err
+	return outcome, err
 }
 
-// command has the first that runs, of those that are meant, take an order.
-func (w *World) command(zone, action string, meant func(c *Car) bool) {
-	for _, c := range w.Cars {
+// giveOrder gives an order to the first running sidecar for which meant returns true.
+func (w *World) giveOrder(zone, action string, meant func(c *Sidecar) bool) {
+	for _, c := range w.Sidecars {
 		if !c.Dead && !c.Stopped && meant(c) {
 			c.SubmitOrder(w.Now, zone, action, "operator", "a rehearsal")
 			return
@@ -154,73 +156,73 @@
 	}
 }
 
-// begin has a fault begin and end at its times, beyond what Up and Hears ask.
-func (w *World) begin(f Fault, o *Outcome, err *error) {
-	c := w.Cars[f.At]
+// scheduleFault schedules the effects of a fault that CallResult and IsReachable do not cover.
+func (w *World) scheduleFault(f Fault, outcome *Outcome, err *error) {
+	c := w.Sidecars[f.Target]
 	switch f.Kind {
-	case ZoneFails:
-		w.After(f.From, func() { w.watch(f, o) })
-	case Stopped:
-		w.After(f.From, func() { w.Stop(f.At, true) })
-		w.After(f.To, func() { w.Stop(f.At, false) })
-	case Killed:
-		w.After(f.From, func() { w.Kill(f.At) })
+	case FaultZoneFails:
+		w.After(f.From, func() { w.measureDeparture(f, outcome) })
+	case FaultStop:
+		w.After(f.From, func() { w.SetStopped(f.Target, true) })
+		w.After(f.To, func() { w.SetStopped(f.Target, false) })
+	case FaultKill:
+		w.After(f.From, func() { w.Kill(f.Target) })
 		w.After(f.To, func() {
 			if c.Dead {
-				if e := w.Start(f.At); e != nil && *err == nil {
+				if e := w.Start(f.Target); e != nil && *err == nil {
 					*err = e
 				}
 			}
 		})
-	case Ordered:
-		w.After(f.From, func() { w.command(f.Zone, "leave", func(x *Car) bool { return x == c }) })
-		w.After(f.To, func() { w.command(f.Zone, "return", func(*Car) bool { return true }) })
+	case FaultOrder:
+		w.After(f.From, func() { w.giveOrder(f.Zone, "leave", func(x *Sidecar) bool { return x == c }) })
+		w.After(f.To, func() { w.giveOrder(f.Zone, "return", func(*Sidecar) bool { return true }) })
 	}
 }
 
-// watchEach is how exactly the time is told in which a zone was left.
-const watchEach = 20 * time.Millisecond
+// watchInterval is the resolution with which the departure time is measured.
+const watchInterval = 20 * time.Millisecond
 
-// watch measures how long a zone that fails takes to be left by all.
-func (w *World) watch(f Fault, o *Outcome) {
-	if n, of := w.Using(f.Zone); n == 0 && of > 0 {
-		o.Left[f.Zone] = max(o.Left[f.Zone], w.Now-f.From)
+// measureDeparture measures how long all sidecars take to leave a zone that fails.
+func (w *World) measureDeparture(f Fault, outcome *Outcome) {
+	if n, of := w.CountUsing(f.Zone); n == 0 && of > 0 {
+		outcome.Left[f.Zone] = max(outcome.Left[f.Zone], w.Now-f.From)
 		return
 	}
 	if w.Now >= f.To {
-		if _, known := o.Left[f.Zone]; !known {
-			o.Left[f.Zone] = -1
+		if _, known := outcome.Left[f.Zone]; !known {
+			outcome.Left[f.Zone] = -1
 		}
 		return
 	}
-	w.After(watchEach, func() { w.watch(f, o) })
+	w.After(watchInterval, func() { w.measureDeparture(f, outcome) })
 }
 
-// Rehearse plays the schedule of a seed on a fleet of a Config, and if something breaks tells
-// the fewest of its faults that break it.
-func Rehearse(cfg evacuation.Config, seed uint64, cars, each int, zones ...string) (Outcome, []Fault, error) {
-	faults := Draw(rand.New(rand.NewPCG(seed, 9)), cars, zones)
-	play := func(faults []Fault) (Outcome, error) {
-		w, err := New(seed, cfg, cars, each, zones...)
+// Rehearse runs a fleet with random faults, determined by seed. If an invariant is violated it
+// drops faults while the violation remains, and returns the outcome with the remaining faults.
+func Rehearse(cfg evacuation.Config, seed uint64, sidecars, serversPerZone int, zones ...string) (Outcome, []Fault, error) {
+	faults := DrawFaults(rand.New(rand.NewPCG(seed, 9)), sidecars, zones)
+	run := func(faults []Fault) (Outcome, error) {
+		w, err := New(seed, cfg, sidecars, serversPerZone, zones...)
 		if err != nil {
 			return Outcome{}, err
 		}
 		w.Rate = func(n int) float64 {
-			if n%4 == 3 { // quiet ones are hard to lead
+			if n%4 == 3 { // sidecars with few calls are the harder case
 				return 0.7
 			}
 			return 8
 		}
-		return w.Play(faults)
+		return w.RunFaults(faults)
 	}
-	o, err := play(faults)
-	for n := 0; n < len(faults) && len(o.Broken) > 0 && err == nil; {
-		less := slices.Delete(slices.Clone(faults), n, n+1)
-		if p, e := play(less); e == nil && len(p.Broken) > 0 {
-			faults, o = less, p
+	outcome, err := run(faults)
+	for n := 0; n < len(faults) && len(outcome.Broken) > 0 && err == nil; {
+		fewer := slices.Delete(slices.Clone(faults), n, n+1)
+		if fewerOutcome, e := run(fewer); e == nil && len(fewerOutcome.Broken) > 0 {
+			faults, outcome = fewer, fewerOutcome
 		} else {
 			n++
 		}
 	}
-	return o, faults, err
+	return outcome, faults, err
 }
--- a/internal/lab/zonal/world.go
+++ b/internal/lab/zonal/world.go
@@ -9,42 +9,43 @@
 	"chalkrack/internal/lab/virtual"
 )
 
-// World is a fleet with calls at random times to servers that are as its owner says.
+// World simulates a fleet of sidecars that make calls at random times. Its owner sets the result of
+// calls.
 type World struct {
 	virtual.Clock
 	Notes
-	Zones   []string
-	Servers []evacuation.Server
-	Rate    func(n int) float64                              // calls a second of a sidecar; nil: 12
-	Up      func(n int, s evacuation.Server) evacuation.Kind // what a call meets; nil: all is good
-	Work    time.Duration                                    // that a good call takes
-	Zoned   map[string][]time.Duration                       // sends to a zone
-	Cars    []*Car
-	draw    *rand.Rand
-	ok      []evacuation.Server // where a call may go, used again
+	Zones        []string
+	Servers      []evacuation.Server
+	Rate         func(n int) float64                              // calls per second of sidecar n; nil: 12
+	CallResult   func(n int, s evacuation.Server) evacuation.Kind // result of a call of sidecar n; nil: Good
+	CallDuration time.Duration                                    // mean duration of a successful call
+	SendTimes    map[string][]time.Duration                       // send times by zone
+	Sidecars     []*Sidecar
+	rng          *rand.Rand
+	eligible     []evacuation.Server // reused list of servers that a call may go to
 }
 
-// Car is one sidecar.
-type Car struct {
+// Sidecar is a simulated sidecar.
+type Sidecar struct {
 	*evacuation.Machine
-	Config  evacuation.Config
-	Dead    bool
-	Stopped bool
-	loop    int // its chain of calls; a start begins another
+	Config   evacuation.Config
+	Dead     bool
+	Stopped  bool
+	callLoop int // current chain of calls; increases with each start and kill
 }
 
-// New is a World of so many sidecars, each with a machine of a Config and its own number, and
-// so many servers in each zone.
-func New(seed uint64, cfg evacuation.Config, cars, each int, zones ...string) (*World, error) {
-	w := &World{Zones: zones, Work: 40 * time.Millisecond, Zoned: make(map[string][]time.Duration), draw: rand.New(rand.NewPCG(seed, 3))}
-	w.Notes = Notes{Clock: &w.Clock, Rand: w.draw}
-	for n := range each * len(zones) {
+// New returns a World with a number of sidecars, whose machines differ only in Self, and with
+// serversPerZone servers in each zone. It returns an error if cfg is invalid.
+func New(seed uint64, cfg evacuation.Config, sidecars, serversPerZone int, zones ...string) (*World, error) {
+	w := &World{Zones: zones, CallDuration: 40 * time.Millisecond, SendTimes: make(map[string][]time.Duration), rng: rand.New(rand.NewPCG(seed, 3))}
+	w.Notes = Notes{Clock: &w.Clock, Rand: w.rng}
+	for n := range serversPerZone * len(zones) {
 		w.Servers = append(w.Servers, evacuation.Server{Name: fmt.Sprint("s", n), Zone: zones[n%len(zones)]})
 	}
-	for n := range cars {
-		c := &Car{Config: cfg}
-		c.Config.Self, c.Config.Peers, c.Config.Seed = n, cars, seed
-		w.Cars = append(w.Cars, c)
+	for n := range sidecars {
+		c := &Sidecar{Config: cfg}
+		c.Config.Self, c.Config.Peers, c.Config.Seed = n, sidecars, seed
+		w.Sidecars = append(w.Sidecars, c)
 		if err := w.Start(n); err != nil {
 			return nil, err
 		}
@@ -52,83 +53,83 @@
 	return w, nil
 }
 
-// Start begins a sidecar from nothing.
+// Start starts sidecar n without any state.
 func (w *World) Start(n int) error {
-	c := w.Cars[n]
+	c := w.Sidecars[n]
 	m, err := evacuation.New(c.Config)
 	if err != nil {
 		return err
 	}
 	c.Machine, c.Dead, c.Stopped = m, false, false
-	c.loop++
+	c.callLoop++
 	m.Servers(w.Now, w.Servers)
 	w.Put(n, m)
-	loop := c.loop
+	loop := c.callLoop
 	gap := func() time.Duration {
 		rate := 12.0
 		if w.Rate != nil {
 			rate = w.Rate(n)
 		}
-		return time.Duration(w.draw.ExpFloat64() / rate * float64(time.Second))
+		return time.Duration(w.rng.ExpFloat64() / rate * float64(time.Second))
 	}
 	var call func()
 	call = func() {
-		if c.loop != loop {
+		if c.callLoop != loop {
 			return
 		}
 		if !c.Stopped {
-			w.call(n)
+			w.makeCall(n)
 		}
 		w.After(gap(), call)
 	}
-	w.After(time.Duration(w.draw.Int64N(int64(time.Second))), call)
+	w.After(time.Duration(w.rng.Int64N(int64(time.Second))), call)
 	return nil
 }
 
-// Kill ends a sidecar.
+// Kill ends sidecar n and discards its state.
 func (w *World) Kill(n int) {
-	w.Cars[n].Dead = true
-	w.Cars[n].loop++
+	w.Sidecars[n].Dead = true
+	w.Sidecars[n].callLoop++
 	w.Put(n, nil)
 }
 
-// Stop has a sidecar stopped, or go on.
-func (w *World) Stop(n int, stopped bool) {
-	w.Cars[n].Stopped = stopped
-	w.Notes.Stop(n, stopped)
+// SetStopped suspends or resumes sidecar n.
+func (w *World) SetStopped(n int, stopped bool) {
+	w.Sidecars[n].Stopped = stopped
+	w.Notes.SetStopped(n, stopped)
 }
 
-// call makes one call, to one of the servers that may be used.
-func (w *World) call(n int) {
-	c := w.Cars[n]
-	may := make(map[string]bool, len(w.Zones))
+// makeCall makes one call of sidecar n to a random server of the zones that it may use.
+func (w *World) makeCall(n int) {
+	c := w.Sidecars[n]
+	allowed := make(map[string]bool, len(w.Zones))
 	for _, z := range w.Zones {
-		may[z] = c.Uses(z) && c.Room(w.Now, z, 0)
+		allowed[z] = c.Uses(z) && c.Room(w.Now, z, 0)
 	}
-	ok := w.ok[:0]
+	eligible := w.eligible[:0]
 	due := c.Due(w.Now, true)
-	if !may[due] {
+	if !allowed[due] {
 		due = ""
 	}
 	for _, s := range w.Servers {
-		if may[s.Zone] && (due == "" || s.Zone == due) {
-			ok = append(ok, s)
+		if allowed[s.Zone] && (due == "" || s.Zone == due) {
+			eligible = append(eligible, s)
 		}
 	}
-	w.ok = ok
-	if len(ok) == 0 {
+	w.eligible = eligible
+	if len(eligible) == 0 {
 		return
 	}
-	s := ok[w.draw.IntN(len(ok))]
+	s := eligible[w.rng.IntN(len(eligible))]
 	ticket := c.Sent(w.Now, s.Name)
 	c.Booked(w.Now, s.Zone)
-	w.Zoned[s.Zone] = append(w.Zoned[s.Zone], w.Now)
-	k := evacuation.Good
-	if w.Up != nil {
-		k = w.Up(n, s)
+	w.SendTimes[s.Zone] = append(w.SendTimes[s.Zone], w.Now)
+	result := evacuation.Good
+	if w.CallResult != nil {
+		result = w.CallResult(n, s)
 	}
-	took := time.Duration(float64(w.Work) * (0.2 + 0.8*w.draw.ExpFloat64()))
-	switch k {
+	took := time.Duration(float64(w.CallDuration) * (0.2 + 0.8*w.rng.ExpFloat64()))
+	switch result {
 	case evacuation.NoConn:
 		took = 250 * time.Millisecond
 	case evacuation.Late:
@@ -136,24 +137,25 @@
 	case evacuation.Broken, evacuation.Errored, evacuation.Full:
 		took = 2 * time.Millisecond
 	}
-	w.ends(took, c, c.loop, ticket, k)
+	w.scheduleEnd(took, c, c.callLoop, ticket, result)
 }
 
-// ends tells a sidecar of an attempt's end, once it runs.
-func (w *World) ends(after time.Duration, c *Car, loop int, ticket uint64, k evacuation.Kind) {
+// scheduleEnd reports the end of an attempt to a sidecar after the given time, or once the sidecar
+// resumes.
+func (w *World) scheduleEnd(after time.Duration, c *Sidecar, loop int, ticket uint64, k evacuation.Kind) {
 	w.After(after, func() {
 		switch {
-		case c.loop != loop:
+		case c.callLoop != loop:
 		case c.Stopped:
-			w.ends(waitEach, c, loop, ticket, k)
+			w.scheduleEnd(resumeCheckInterval, c, loop, ticket, k)
 		default:
 			c.Ended(w.Now, ticket, k, false)
 		}
 	})
 }
 
-// Held is what a sidecar holds of a zone.
-func (c *Car) Held(zone string) (evacuation.Record, evacuation.Order) {
+// RecordAndOrder returns the record and the order that the sidecar holds of a zone.
+func (c *Sidecar) RecordAndOrder(zone string) (evacuation.Record, evacuation.Order) {
 	for _, s := range c.State() {
 		if s.Zone == zone {
 			return s.Record, s.Order
@@ -162,21 +164,22 @@
 	return evacuation.Record{}, evacuation.Order{}
 }
 
-// Stages is how many of those that live hold which stage of a zone.
-func (w *World) Stages(zone string) map[evacuation.Stage]int {
+// CountByStage returns the number of live sidecars by stage of a zone.
+func (w *World) CountByStage(zone string) map[evacuation.Stage]int {
 	all := make(map[evacuation.Stage]int)
-	for _, c := range w.Cars {
+	for _, c := range w.Sidecars {
 		if !c.Dead {
-			rec, _ := c.Held(zone)
+			rec, _ := c.RecordAndOrder(zone)
 			all[rec.Stage]++
 		}
 	}
 	return all
 }
 
-// Using is how many of those that run send to a zone, of how many.
-func (w *World) Using(zone string) (n, of int) {
-	for _, c := range w.Cars {
+// CountUsing returns how many of the running sidecars send to a zone, and the number of running
+// sidecars.
+func (w *World) CountUsing(zone string) (n, of int) {
+	for _, c := range w.Sidecars {
 		if c.Dead || c.Stopped {
 			continue
 		}
@@ -187,19 +190,20 @@
 	return n, of
 }
 
-// Departures is the most departures of a zone that any sidecar holds.
-func (w *World) Departures(zone string) (most uint32) {
-	for _, c := range w.Cars {
+// MaxDepartures returns the highest number of departures of a zone in any live sidecar's record.
+func (w *World) MaxDepartures(zone string) (most uint32) {
+	for _, c := range w.Sidecars {
 		if !c.Dead {
-			rec, _ := c.Held(zone)
+			rec, _ := c.RecordAndOrder(zone)
 			most = max(most, rec.Gen)
 		}
 	}
 	return most
 }
 
-// Agree says whether all that run hold the same of a zone: departures, stage and order.
-func (w *World) Agree(zone string) bool {
+// IsAgreed reports whether all running sidecars hold the same departures, stage and order of a
+// zone.
+func (w *World) IsAgreed(zone string) bool {
 	type held struct {
 		gen     uint32
 		stage   evacuation.Stage
@@ -207,22 +211,22 @@
 		author  uint16
 	}
 	all := make(map[held]bool)
-	for _, c := range w.Cars {
+	for _, c := range w.Sidecars {
 		if !c.Dead && !c.Stopped {
-			rec, order := c.Held(zone)
+			rec, order := c.RecordAndOrder(zone)
 			all[held{rec.Gen, rec.Stage, order.Version, order.Author}] = true
 		}
 	}
 	return len(all) <= 1
 }
 
-// Until plays on step by step until something holds, and says how long that took; false: it
-// did not within a time.
-func (w *World) Until(most, step time.Duration, holds func() bool) (time.Duration, bool) {
+// RunUntil runs the fleet in steps until holds returns true. It returns the time taken, and false
+// if that reached maxTime.
+func (w *World) RunUntil(maxTime, step time.Duration, holds func() bool) (time.Duration, bool) {
 	began := w.Now
 	for !holds() {
-		if w.Now-began >= most {
-			return most, false
+		if w.Now-began >= maxTime {
+			return maxTime, false
 		}
 		w.Run(w.Now + step)
 	}
