--- a/internal/rooms/zones/zones.go
+++ b/internal/rooms/zones/zones.go
@@ -1,5 +1,6 @@
-// Package zones hosts an evacuation.Machine in a sidecar's process: its clock, its place
-// between discovery and the core, its part of notes, its file and what operators see.
+// Package zones runs an evacuation.Machine in a sidecar's process. It drives the machine's clock,
+// filters the server lists on their way from discovery to the core, connects the machine to notes
+// between sidecars, stores its state in a file and serves the operators' view and orders.
 package zones
 
 import (
@@ -19,111 +20,113 @@
 	"chalkrack/internal/membership"
 )
 
-// tickFirst is when the first tick comes; the Machine says when the next do.
-const tickFirst = 50 * time.Millisecond
+// firstTickDelay is the delay of the first tick. The Machine sets the delay of the following ones.
+const firstTickDelay = 50 * time.Millisecond
 
-// Core is what a Zones stands before.
+// Core is the balancer core behind a Zones.
 type Core interface {
-	// Now is the time that the decision module goes by.
+	// Now returns the time on the clock that the core uses.
 	Now() time.Duration
-	// GiveUp stops waiting for attempts, by the tickets that Sent returned.
+	// GiveUp cancels attempts, identified by the tickets that Sent returned.
 	GiveUp(tickets []uint64)
 }
 
-// Config is what a Zones is told.
+// Config holds the parameters of a Zones.
 type Config struct {
 	Machine evacuation.Config
-	Folder  string              // remembers what is held over a start; empty: nobody does
-	Name    string              // of the sidecar, for its file
-	Regions map[string][]string // zones, by the region's name
+	Folder  string              // where the state is stored; empty: not stored
+	Name    string              // of the sidecar, used in the name of the state file
+	Regions map[string][]string // zones by region name
 }
 
-// Zones is a sidecar's. Its methods may be called from any goroutine.
+// Zones decides which zones a sidecar uses. After Stand its methods may be called from any
+// goroutine.
 type Zones struct {
-	cfg  Config
-	path string // empty: nowhere
-	stop chan struct{}
-	wg   sync.WaitGroup
-	core Core
-	next func(*membership.List)
-	tell func(n int, numbers []int)
+	cfg       Config
+	statePath string // state file; empty: none
+	stop      chan struct{}
+	running   sync.WaitGroup
+	core      Core
+	forward   func(*membership.List)
+	sendNotes func(n int, numbers []int)
 
-	telling sync.Mutex // held over a list's way to the core: they arrive there in order
-	mu      sync.Mutex // never held over a call of others'
-	m       *evacuation.Machine
-	listed  map[string]membership.Entry
-	used    map[string]bool // zones, as the core was told last
-	written []evacuation.ZoneState
+	forwardMu  sync.Mutex // held while a list is passed to the core, so that lists arrive in order
+	mu         sync.Mutex // never held during calls to other packages' callbacks
+	machine    *evacuation.Machine
+	entries    map[string]membership.Entry
+	zoneUses   map[string]bool // whether the zone is used, as last passed to the core
+	savedState []evacuation.ZoneState
 }
 
-// New returns a Zones that holds what its file says, if there is one that can be read.
+// New returns a Zones, or an error if cfg is invalid. Begin loads the state file.
 func New(cfg Config) (*Zones, error) {
 	m, err := evacuation.New(cfg.Machine)
 	if err != nil {
 		return nil, fmt.Errorf("features: %w", err)
 	}
-	z := &Zones{cfg: cfg, m: m, stop: make(chan struct{}), listed: make(map[string]membership.Entry), used: make(map[string]bool)}
+	z := &Zones{cfg: cfg, machine: m, stop: make(chan struct{}), entries: make(map[string]membership.Entry), zoneUses: make(map[string]bool)}
 	if cfg.Folder != "" {
 		info, err := os.Stat(cfg.Folder)
 		if err != nil || !info.IsDir() {
-			return nil, fmt.Errorf("features: zones.folder: %q is no folder", cfg.Folder)
+			return nil, fmt.Errorf("features: zones.folder: %q is not a directory", cfg.Folder)
 		}
-		z.path = filepath.Join(cfg.Folder, "fawnrock-zones-"+filepath.Base(cfg.Name)+".json")
+		z.statePath = filepath.Join(cfg.Folder, "fawnrock-zones-"+filepath.Base(cfg.Name)+".json")
 	}
 	return z, nil
 }
 
-// Stand puts it in its place: behind it the core, whose clock it goes by, and next, who
-// takes lists as they are used; tell has so many peers, drawn, and those with a number told
-// at once. It comes before all but New.
-func (z *Zones) Stand(core Core, next func(*membership.List), tell func(n int, numbers []int)) {
-	z.core, z.next, z.tell = core, next, tell
+// Stand connects z to its neighbours and must be called before any other method. core provides the
+// clock, forward receives the server lists after filtering, and sendNotes sends notes at once to n
+// random peers and to the peers with the given numbers.
+func (z *Zones) Stand(core Core, forward func(*membership.List), sendNotes func(n int, numbers []int)) {
+	z.core, z.forward, z.sendNotes = core, forward, sendNotes
 }
 
-// Begin starts its clock.
+// Begin loads the stored state and starts the ticks.
 func (z *Zones) Begin() {
-	z.recall()
-	z.wg.Go(z.run)
+	z.loadState()
+	z.running.Go(z.run)
 }
 
-// recall takes up what the file says. One that can't be read is no reason not to start: the
-// others tell what the fleet holds.
-func (z *Zones) recall() {
-	if z.path == "" {
+// loadState loads the state file. An unreadable file does not prevent the start, since peers report
+// the fleet's state in their notes.
+func (z *Zones) loadState() {
+	if z.statePath == "" {
 		return
 	}
-	text, err := os.ReadFile(z.path)
+	text, err := os.ReadFile(z.statePath)
 	if errors.Is(err, os.ErrNotExist) {
 		return
 	}
-	var all []evacuation.ZoneState
+	var states []evacuation.ZoneState
 	if err == nil {
-		err = json.Unmarshal(text, &all)
+		err = json.Unmarshal(text, &states)
 	}
 	if err != nil {
-		slog.Error("zones: what was held before can't be read", "file", z.path, "err", err)
+		slog.Error("zones: reading the state file failed", "file", z.statePath, "err", err)
 		return
 	}
-	z.Adopt(all)
+	z.Adopt(states)
 }
 
-// Adopt goes on from what another process of the same sidecar held.
-func (z *Zones) Adopt(all []evacuation.ZoneState) {
-	z.change(func(now time.Duration) evacuation.Output {
-		z.m.Adopt(now, all)
+// Adopt restores the state that another process of the same sidecar held.
+func (z *Zones) Adopt(states []evacuation.ZoneState) {
+	z.update(func(now time.Duration) evacuation.Output {
+		z.machine.Adopt(now, states)
 		return evacuation.Output{UsesChanged: true}
 	})
 }
 
-// State is what is held, for another process.
+// State returns the state to hand over to another process.
 func (z *Zones) State() []evacuation.ZoneState {
 	z.mu.Lock()
 	defer z.mu.Unlock()
-	return z.m.State()
+	return z.machine.State()
 }
 
+// run calls Tick and saves the state until z is closed.
 func (z *Zones) run() {
-	t := time.NewTimer(tickFirst)
+	t := time.NewTimer(firstTickDelay)
 	defer t.Stop()
 	for {
 		select {
@@ -132,42 +135,42 @@
 		case <-t.C:
 		}
 		var next time.Duration
-		z.change(func(now time.Duration) evacuation.Output {
-			out := z.m.Tick(now)
+		z.update(func(now time.Duration) evacuation.Output {
+			out := z.machine.Tick(now)
 			next = out.NextTick
 			return out
 		})
-		z.remember()
+		z.saveState()
 		t.Reset(next)
 	}
 }
 
-// remember writes what is held down, where that has changed.
-func (z *Zones) remember() {
-	if z.path == "" {
+// saveState writes the state file if the state has changed.
+func (z *Zones) saveState() {
+	if z.statePath == "" {
 		return
 	}
 	z.mu.Lock()
-	now := z.m.State()
-	same := slices.Equal(now, z.written)
+	state := z.machine.State()
+	unchanged := slices.Equal(state, z.savedState)
 	z.mu.Unlock()
-	if same {
+	if unchanged {
 		return
 	}
-	text, err := json.Marshal(now)
+	text, err := json.Marshal(state)
 	if err == nil {
-		err = durable.Replace(z.path, append(text, '\n'))
+		err = durable.Replace(z.statePath, append(text, '\n'))
 	}
 	if err != nil {
-		slog.Error("zones: what is held can't be written down", "file", z.path, "err", err)
+		slog.Error("zones: writing the state file failed", "file", z.statePath, "err", err)
 	}
 	z.mu.Lock()
-	z.written = now // else the log would fill
+	z.savedState = state // also after an error, so as not to log it at each tick
 	z.mu.Unlock()
 }
 
-// change does something to the Machine and carries out what it wants.
-func (z *Zones) change(do func(now time.Duration) evacuation.Output) {
+// update applies do to the Machine and carries out the actions that it returns.
+func (z *Zones) update(do func(now time.Duration) evacuation.Output) {
 	now := z.core.Now()
 	z.mu.Lock()
 	out := do(now)
@@ -176,62 +179,62 @@
 		slog.Warn("zone", "zone", c.Zone, "from", c.From, "to", c.To, "why", c.Why)
 	}
 	if out.UsesChanged {
-		z.retell()
+		z.forwardChangedZones()
 	}
 	z.core.GiveUp(out.HopelessAttempts)
 	if out.RandomNotes > 0 || len(out.Recipients) > 0 {
-		z.tell(out.RandomNotes, out.Recipients)
+		z.sendNotes(out.RandomNotes, out.Recipients)
 	}
 }
 
-// retell tells the core of the servers of zones that are used now and were not, or the
-// other way round.
-func (z *Zones) retell() {
-	z.telling.Lock()
-	defer z.telling.Unlock()
-	l := &membership.List{}
+// forwardChangedZones passes the servers of all zones whose use has changed to the core.
+func (z *Zones) forwardChangedZones() {
+	z.forwardMu.Lock()
+	defer z.forwardMu.Unlock()
+	list := &membership.List{}
 	z.mu.Lock()
-	for name, used := range z.used {
-		if is := z.m.Uses(name); is != used {
-			z.used[name] = is
-			for _, e := range z.listed {
+	for name, used := range z.zoneUses {
+		if is := z.machine.Uses(name); is != used {
+			z.zoneUses[name] = is
+			for _, e := range z.entries {
 				if e.Zone == name {
-					l.Entries = append(l.Entries, z.lay(e))
+					list.Entries = append(list.Entries, z.effectiveEntry(e))
 				}
 			}
 		}
 	}
 	z.mu.Unlock()
-	if len(l.Entries) > 0 {
-		z.next(l)
+	if len(list.Entries) > 0 {
+		z.forward(list)
 	}
 }
 
-// lay is an entry as it is used: in a zone that is left a server drains.
-func (z *Zones) lay(e membership.Entry) membership.Entry {
-	if e.State == chalkrack.Serving && !z.used[e.Zone] {
+// effectiveEntry returns e as the core should see it: a server of a zone that is not used is
+// draining.
+func (z *Zones) effectiveEntry(e membership.Entry) membership.Entry {
+	if e.State == chalkrack.Serving && !z.zoneUses[e.Zone] {
 		e.State = chalkrack.Draining
 	}
 	return e
 }
 
-// Listed takes a list and hands it on as it is used.
-func (z *Zones) Listed(l *membership.List) {
-	z.telling.Lock()
-	defer z.telling.Unlock()
+// Listed applies a list from discovery and passes it on with the servers of unused zones draining.
+func (z *Zones) Listed(list *membership.List) {
+	z.forwardMu.Lock()
+	defer z.forwardMu.Unlock()
 	z.mu.Lock()
-	if l.Whole {
-		clear(z.listed)
+	if list.Whole {
+		clear(z.entries)
 	}
-	for _, e := range l.Entries {
+	for _, e := range list.Entries {
 		if e.State == chalkrack.Gone {
-			delete(z.listed, e.Name)
+			delete(z.entries, e.Name)
 		} else {
-			z.listed[e.Name] = e
+			z.entries[e.Name] = e
 		}
 	}
-	servers := make([]evacuation.Server, 0, len(z.listed))
-	for _, e := range z.listed {
+	servers := make([]evacuation.Server, 0, len(z.entries))
+	for _, e := range z.entries {
 		if e.State == chalkrack.Serving {
 			servers = append(servers, evacuation.Server{Name: e.Name, Zone: e.Zone})
 		}
@@ -242,95 +245,95 @@
 		}
 		return 1
 	})
-	z.m.Servers(z.core.Now(), servers)
-	laid := *l
-	laid.Entries = make([]membership.Entry, len(l.Entries))
-	for n, e := range l.Entries {
-		z.used[e.Zone] = z.m.Uses(e.Zone)
-		laid.Entries[n] = z.lay(e)
+	z.machine.Servers(z.core.Now(), servers)
+	filtered := *list
+	filtered.Entries = make([]membership.Entry, len(list.Entries))
+	for n, e := range list.Entries {
+		z.zoneUses[e.Zone] = z.machine.Uses(e.Zone)
+		filtered.Entries[n] = z.effectiveEntry(e)
 	}
 	z.mu.Unlock()
-	z.next(&laid)
+	z.forward(&filtered)
 }
 
 // Sent implements core.Watch.
 func (z *Zones) Sent(now time.Duration, server string) uint64 {
 	z.mu.Lock()
 	defer z.mu.Unlock()
-	if e, ok := z.listed[server]; ok {
-		z.m.Booked(now, e.Zone)
+	if e, ok := z.entries[server]; ok {
+		z.machine.Booked(now, e.Zone)
 	}
-	return z.m.Sent(now, server)
+	return z.machine.Sent(now, server)
 }
 
-// kinds are what outcomes are as evidence; those that are not there say nothing.
-var kinds = map[chalkrack.Outcome]evacuation.Kind{
+// resultByOutcome maps outcomes to evidence. Outcomes without an entry are no evidence.
+var resultByOutcome = map[chalkrack.Outcome]evacuation.Kind{
 	chalkrack.OK: evacuation.Good, chalkrack.ServerError: evacuation.Errored, chalkrack.Full: evacuation.Full,
 	chalkrack.TimedOut: evacuation.Late, chalkrack.ConnectFailed: evacuation.NoConn, chalkrack.Reset: evacuation.Broken,
 }
 
 // Ended implements core.Watch.
 func (z *Zones) Ended(now time.Duration, ticket uint64, o chalkrack.Outcome) {
-	k, tells := kinds[o]
+	result, isEvidence := resultByOutcome[o]
 	z.mu.Lock()
 	defer z.mu.Unlock()
-	z.m.Ended(now, ticket, k, !tells)
+	z.machine.Ended(now, ticket, result, !isEvidence)
 }
 
 // Room implements chalkrack.Zones.
 func (z *Zones) Room(now time.Duration, zone string, class int) bool {
 	z.mu.Lock()
 	defer z.mu.Unlock()
-	return z.m.Room(now, zone, class)
+	return z.machine.Room(now, zone, class)
 }
 
 // Due implements chalkrack.Zones.
 func (z *Zones) Due(now time.Duration, repeats bool) string {
 	z.mu.Lock()
 	defer z.mu.Unlock()
-	return z.m.Due(now, repeats)
+	return z.machine.Due(now, repeats)
 }
 
-// Part is this sidecar's part of a note.
+// Part returns this sidecar's part of a note, at most room bytes long.
 func (z *Zones) Part(room int) []byte {
 	now := z.core.Now()
 	z.mu.Lock()
 	defer z.mu.Unlock()
-	return z.m.Note(now, room)
+	return z.machine.Note(now, room)
 }
 
-// Heard takes the part of another's note.
+// Heard handles the part of a note from the peer with the given number, in incarnation inc.
 func (z *Zones) Heard(number int, inc uint64, part []byte) {
-	z.change(func(now time.Duration) evacuation.Output { return z.m.ReceiveNote(now, number, inc, part) })
+	z.update(func(now time.Duration) evacuation.Output { return z.machine.ReceiveNote(now, number, inc, part) })
 }
 
-// View is what operators see.
+// View is the state of all zones as shown to operators.
 type View struct {
-	Heard   int               `json:"heard"` // other sidecars, lately
-	Peers   int               `json:"peers"` // that there are
-	Strange uint64            `json:"strange_notes"`
-	Old     uint64            `json:"old_notes"`
-	Zones   []evacuation.View `json:"zones"`
+	Heard         int               `json:"heard"` // peers heard recently
+	Peers         int               `json:"peers"` // other sidecars configured
+	InvalidNotes  uint64            `json:"strange_notes"`
+	OutdatedNotes uint64            `json:"old_notes"`
+	Zones         []evacuation.View `json:"zones"`
 }
 
-// View is what is held and seen.
+// View returns a View of the current state.
 func (z *Zones) View() any {
 	now := z.core.Now()
 	z.mu.Lock()
 	defer z.mu.Unlock()
-	v := View{Heard: z.m.RecentPeers(), Peers: z.cfg.Machine.Peers - 1, Zones: z.m.ZoneViews(now)}
-	v.Strange, v.Old = z.m.NoteErrors()
-	for n := range v.Zones {
+	view := View{Heard: z.machine.RecentPeers(), Peers: z.cfg.Machine.Peers - 1, Zones: z.machine.ZoneViews(now)}
+	view.InvalidNotes, view.OutdatedNotes = z.machine.NoteErrors()
+	for n := range view.Zones {
 		for region, zones := range z.cfg.Regions {
-			if slices.Contains(zones, v.Zones[n].Zone) {
-				v.Zones[n].Region = region
+			if slices.Contains(zones, view.Zones[n].Zone) {
+				view.Zones[n].Region = region
 			}
 		}
 	}
-	return v
+	return view
 }
 
-// Order is what an operator asks for a zone, or for all zones of a region.
+// Order is an operator's request for a zone, or for all zones of a region.
 type Order struct {
 	Zone   string `json:"zone"`
 	Action string `json:"action"` // leave, return, hold or auto
@@ -338,21 +341,22 @@
 	Reason string `json:"reason"`
 }
 
-// Deed takes an Order as JSON.
+// Deed executes an Order given as JSON and returns the resulting View. It returns the first error
+// of any zone; the order still applies to the other zones of the region.
 func (z *Zones) Deed(text []byte) (any, error) {
-	var o Order
-	if err := json.Unmarshal(text, &o); err != nil {
+	var order Order
+	if err := json.Unmarshal(text, &order); err != nil {
 		return nil, fmt.Errorf("zones: %w", err)
 	}
-	zones := z.cfg.Regions[o.Zone]
+	zones := z.cfg.Regions[order.Zone]
 	if len(zones) == 0 {
-		zones = []string{o.Zone}
+		zones = []string{order.Zone}
 	}
 	var err error
-	z.change(func(now time.Duration) evacuation.Output {
+	z.update(func(now time.Duration) evacuation.Output {
 		for _, name := range zones {
-			if e := z.m.SubmitOrder(now, name, o.Action, o.Who, o.Reason); e != nil && err == nil {
-				err = e
+			if orderErr := z.machine.SubmitOrder(now, name, order.Action, order.Who, order.Reason); orderErr != nil && err == nil {
+				err = orderErr
 			}
 		}
 		return evacuation.Output{UsesChanged: true, RandomNotes: z.cfg.Machine.Spread}
@@ -360,12 +364,12 @@
 	if err != nil {
 		return nil, err
 	}
-	z.remember()
+	z.saveState()
 	return z.View(), nil
 }
 
-// Close ends its clock.
+// Close stops the ticks and waits for the current one to end. It must be called once.
 func (z *Zones) Close() {
 	close(z.stop)
-	z.wg.Wait()
+	z.running.Wait()
 }
