--- a/internal/evacuation/cases_test.go
+++ b/internal/evacuation/cases_test.go
@@ -166,13 +166,13 @@
 func TestFalseReportsOfOneSidecarDoNotEmptyZone(t *testing.T) {
 	f := newFleet(t, 3, 40)
 	f.Run(2 * sec)
-	liar := f.Sidecars[9]
+	faulty := f.Sidecars[9]
 	for f.Now < 20*sec {
-		rec, _ := liar.RecordAndOrder("a")
-		liar.SetState(f.Now, "a", evacuation.Record{Gen: rec.Gen + 7, Stage: evacuation.Out}, evacuation.VoteFailing)
+		rec, _ := faulty.RecordAndOrder("a")
+		faulty.SetState(f.Now, "a", evacuation.Record{Gen: rec.Gen + 7, Stage: evacuation.Out}, evacuation.VoteFailing)
 		for to := range f.Sidecars {
 			if to != 9 && f.Rand.IntN(2) == 0 {
-				f.DeliverNote(9, to, f.Notes.Incarnation(9), liar.Note(f.Now, 150))
+				f.DeliverNote(9, to, f.Notes.Incarnation(9), faulty.Note(f.Now, 150))
 			}
 		}
 		f.Run(f.Now + 100*ms)
@@ -207,7 +207,7 @@
 // seven leave by themselves. Most votes say that the zone fails, yet the fleet must not leave it,
 // unless those votes arrive long before any of the other three.
 func TestContradictionPreventsDeparture(t *testing.T) {
-	var leftAt []uint64 // seeds at which the three votes came too late
+	var departedSeeds []uint64 // seeds at which the three votes came too late
 	for seed := range uint64(5) {
 		f := newFleet(t, seed, 12)
 		f.Rate = func(n int) float64 { return map[bool]float64{true: 0.3, false: 24}[n >= 10] }
@@ -215,13 +215,13 @@
 		f.failZone("a")
 		f.Run(12 * sec)
 		if f.MaxDepartures("a") > 0 {
-			leftAt = append(leftAt, seed)
+			departedSeeds = append(departedSeeds, seed)
 		} else if !f.Sidecars[7].Uses("a") || !f.Sidecars[10].Uses("a") || f.Sidecars[0].Uses("a") {
 			t.Errorf("seed %d: want zone a used by sidecars 7 and 10 and not by 0", seed)
 		}
 	}
-	if len(leftAt) > 1 {
-		t.Errorf("the fleet left zone a with seeds %v, want at most one", leftAt)
+	if len(departedSeeds) > 1 {
+		t.Errorf("the fleet left zone a with seeds %v, want at most one", departedSeeds)
 	}
 }
 
@@ -229,9 +229,9 @@
 // although they are fewer than a departure requires, and a lost or missing vote must not hold up
 // the return.
 func TestCanaryVotesAdvanceReturn(t *testing.T) {
-	for cars, loss := range map[int]float64{6: 0, 40: 0.5} {
+	for sidecars, loss := range map[int]float64{6: 0, 40: 0.5} {
 		for seed := range uint64(12) {
-			f := newFleet(t, seed, cars)
+			f := newFleet(t, seed, sidecars)
 			f.failZone("a")
 			f.waitUntilLeft("a", 4*sec)
 			f.LossRate = loss
--- a/internal/evacuation/machine.go
+++ b/internal/evacuation/machine.go
@@ -39,6 +39,7 @@
 	heldSince  time.Duration // since when the peer is known to hold record
 }
 
+// peer is what this sidecar knows of another one.
 type peer struct {
 	incarnation uint64
 	seq         uint32
--- a/internal/evacuation/note.go
+++ b/internal/evacuation/note.go
@@ -167,6 +167,7 @@
 // maxReplies limits the replies between two ticks to peers that hold older state.
 const maxReplies = 4
 
+// zoneEntry is the entry of a zone in a note.
 type zoneEntry struct {
 	id     ZoneID
 	vote   Vote
@@ -175,6 +176,7 @@
 	order  Order
 }
 
+// parsedNote is a decoded part of a note.
 type parsedNote struct {
 	from        uint16
 	seq, sentMs uint32
