--- a/internal/front/body.go
+++ b/internal/front/body.go
@@ -9,94 +9,101 @@
 	"time"
 )
 
-// bodyTimeout is how long a body may take in all.
+// bodyTimeout bounds the time that a client may take to send a body.
 const bodyTimeout = 10 * time.Minute
 
+// A body of unknown length is read in pieces of these sizes. The first piece is small, so that a
+// short body takes little of the budget.
 const (
-	firstPiece = 4 << 10
-	pieceSize  = 64 << 10
+	firstPieceBytes = 4 << 10
+	pieceBytes      = 64 << 10
 )
 
-type budget struct {
-	mu   sync.Mutex
-	left int64
+// byteBudget bounds the bytes of request bodies that all connections hold in memory together.
+type byteBudget struct {
+	mu        sync.Mutex
+	remaining int64
 }
 
-func (b *budget) take(n int64) bool {
+// reserve takes n bytes from the budget, and reports false if fewer are left.
+func (b *byteBudget) reserve(n int64) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.left < n {
+	if b.remaining < n {
 		return false
 	}
-	b.left -= n
+	b.remaining -= n
 	return true
 }
 
-func (b *budget) give(n int64) {
+// release returns n bytes to the budget.
+func (b *byteBudget) release(n int64) {
 	if n > 0 {
 		b.mu.Lock()
-		b.left += n
+		b.remaining += n
 		b.mu.Unlock()
 	}
 }
 
-// readBody reads a request's body under the byte budget. Past it the rest is
-// read off and thrown away, and kept is -1.
-func (c *conn) readBody(r *http.Request) (body [][]byte, kept int64, status int) {
+// readBody reads the body of a request into memory, within the server's byte budget, and
+// returns how many bytes it has reserved for it. If the budget is exceeded it reads and
+// discards the rest of the body, and reserved is -1. A status above 0 is to be answered; below
+// 0, the connection has failed.
+func (c *conn) readBody(r *http.Request) (body [][]byte, reserved int64, status int) {
 	if r.Body == http.NoBody {
 		return nil, 0, 0
 	}
 	b := &c.srv.budget
-	in := c.pace(r.Body, leastRate, bodyTimeout)
-	over := false
-	drop := func() {
-		b.give(kept)
-		body, kept = nil, 0
+	reader := c.newMinRateReader(r.Body, minBodyRate, bodyTimeout)
+	overBudget := false
+	discard := func() {
+		b.release(reserved)
+		body, reserved = nil, 0
 	}
-	var waste []byte
-	size := int64(firstPiece)
-	for total := int64(0); ; size = pieceSize {
+	var scratch []byte
+	size := int64(firstPieceBytes)
+	for total := int64(0); ; size = pieceBytes {
 		if r.ContentLength > 0 {
-			size = min(pieceSize, r.ContentLength-total)
+			size = min(pieceBytes, r.ContentLength-total)
 		}
-		if !over && !b.take(size) {
-			over = true
-			drop()
-			waste = make([]byte, pieceSize)
+		if !overBudget && !b.reserve(size) {
+			overBudget = true
+			discard()
+			scratch = make([]byte, pieceBytes)
 		}
-		piece := waste
-		if !over {
-			kept += size
+		piece := scratch
+		if !overBudget {
+			reserved += size
 			piece = make([]byte, size)
 		}
-		n, err := fill(in, piece)
+		n, err := readFull(reader, piece)
 		total += int64(n)
-		if !over && n > 0 {
+		if !overBudget && n > 0 {
 			body = append(body, piece[:n])
 		}
-		var ne net.Error
+		var netErr net.Error
 		switch {
 		case total > maxBodyBytes:
 			status = http.StatusRequestEntityTooLarge
 		case err == io.EOF, err == nil && total == r.ContentLength:
-			if over {
-				kept = -1
+			if overBudget {
+				reserved = -1
 			}
-			return body, kept, 0
+			return body, reserved, 0
 		case err == nil:
 			continue
-		case errors.Is(err, io.ErrUnexpectedEOF), errors.As(err, &ne):
+		case errors.Is(err, io.ErrUnexpectedEOF), errors.As(err, &netErr):
 			status = -1
 		default:
 			status = http.StatusBadRequest
 		}
-		drop()
+		discard()
 		return nil, 0, status
 	}
 }
 
-// fill fills p; io.EOF says that the body ended before.
-func fill(body io.Reader, p []byte) (n int, err error) {
+// readFull reads from body until p is full or a read fails, with io.EOF at the end of the body.
+func readFull(body io.Reader, p []byte) (n int, err error) {
 	for n < len(p) && err == nil {
 		var k int
 		k, err = body.Read(p[n:])
--- a/internal/front/conn.go
+++ b/internal/front/conn.go
@@ -15,54 +15,57 @@
 	"chalkrack/internal/message"
 )
 
+// conn is one client connection. Its goroutine runs serve.
 type conn struct {
 	srv *Server
 	nc  net.Conn
-	in  capped
+	in  limitedConn
 
 	listener string
 	br       *bufio.Reader
-	sight    sight
+	peeker   socketPeeker
 
-	// Where it is in its life, guarded by the server's lock. A connection is fresh until its
-	// first byte, busy while a request is read (in its head at first) or answered, idle
-	// between two, and ending from then on: half-closed by us, what still comes is read off
-	// until its client has closed too, or a bound. Then, or when it gives way, it is shut.
-	fresh  bool
-	busy   bool
-	head   bool
-	ending bool // nothing that comes is taken any more
-	half   bool // half-closed
-	shut   bool // closed by the sidecar
-	probed bool // its goroutine looks whether anything has come; if not, it ends
-	ahead  bool // its goroutine reads on while a request waits for its answer
-	flood  bool // its client has sent more behind a request than is kept
-	told   bool // the answer of x says whether the connection goes on; what comes now is kept
-	since  time.Time
-	served sync.Cond // x became nil
-	x      *Exchange // the request that waits for its answer
+	// The state of the connection, guarded by the server's lock. A connection is fresh until
+	// its first byte, busy while a request is read (inHead during its head) or answered, and
+	// idle between requests. When it is ending, the sidecar half-closes it and discards what
+	// still arrives, until the client closes too or a bound is reached. It is closed after
+	// that, or when it is evicted.
+	fresh        bool
+	busy         bool
+	inHead       bool
+	ending       bool // no further request is accepted
+	halfClosed   bool // the sidecar has shut down its write side
+	closed       bool // closed by the sidecar
+	probing      bool // its goroutine was woken to check for bytes; without any, it ends the connection
+	readingAhead bool // its goroutine reads while a request waits for its answer
+	overflowed   bool // bytes after the current request were discarded, so the connection ends with the answer
+	answerBegun  bool // the answer has begun and says whether the connection goes on; from here on no bytes are discarded
+	stateSince   time.Time
+	answered     sync.Cond // signals that current has become nil
+	current      *Exchange // the request that waits for its answer
 
-	began time.Time // what headTimeout counts from; the goroutine's own
-	body  paced     // the body that is being read; the goroutine's own
+	headStart  time.Time     // start of headTimeout; used by the goroutine of the connection only
+	bodyReader minRateReader // reads the current body; used by the goroutine of the connection only
 }
 
-// serve is a connection's goroutine. On a crowded server it refuses the one
-// request of its connection.
+// serve reads and passes on the requests of the connection until it ends. If crowded is set the
+// connection is over the limit, and its one request is refused unless another connection can
+// be evicted.
 func (c *conn) serve(crowded bool) {
 	defer c.close()
 	defer func() {
 		if p := recover(); p != nil {
-			slog.Error("panic at a client connection", "panic", p, "stack", string(debug.Stack()))
+			slog.Error("panic while serving a client connection", "panic", p, "stack", string(debug.Stack()))
 			c.srv.mu.Lock()
-			x := c.x
+			x := c.current
 			c.srv.mu.Unlock()
-			if x != nil && x.to.Gone(&x.Call) {
+			if x != nil && x.handler.Gone(&x.Call) {
 				x.Fail()
 			}
 		}
 	}()
-	for c.next() {
-		x, status := c.read(crowded)
+	for c.awaitRequest() {
+		x, status := c.readRequest(crowded)
 		switch {
 		case status < 0:
 			return
@@ -71,69 +74,70 @@
 			return
 		case x == nil:
 		default:
-			if x.kept == nil || !x.kept.Coming() { // else it is not taken yet
-				c.srv.cfg.Figures.Take(&x.entry, x.Class)
+			if x.keptBody == nil || !x.keptBody.Coming() { // else its body is not complete yet; forwardBody counts it
+				c.srv.cfg.Figures.Take(&x.counter, x.Class)
 			}
-			if !c.open(x) {
-				slog.Warn("request turned away: its id is taken", "class", x.Class)
-				x.answer(http.StatusConflict, "", nil, nil)
+			if !c.openExchange(x) {
+				slog.Warn("request refused: another open request has the same id", "class", x.Class)
+				x.writeAnswer(http.StatusConflict, "", nil, nil)
 				x.Release()
-				if x.unread {
+				if x.bodyUnread {
 					c.linger()
 					return
 				}
 				continue
 			}
-			if c.hasLeft(x) {
-				// Guards against a process that was stopped, or starved of its core: what
-				// came meanwhile is read when it goes on, before the word that its client
-				// has left since, and would be sent on for nobody.
+			if c.clientHasLeft(x) {
+				// When the process was stopped or starved of CPU time, it reads requests that
+				// arrived in the meantime before it reads the end of their connections, and would
+				// forward requests of clients that have left.
 				slog.Info("client left before its request was read", "class", x.Class)
 				x.Release()
 				return
 			}
-			x.to.Arrive(&x.Call)
-			if x.kept != nil && x.kept.Coming() && !c.forward(x) {
+			x.handler.Arrive(&x.Call)
+			if x.keptBody != nil && x.keptBody.Coming() && !c.forwardBody(x) {
 				return
 			}
 		}
 	}
 }
 
-// open makes x the request that waits for its answer, unless its id is open already.
-// Guards against a client that sends another's id: servers would take the one for a
-// repeat of the other.
-func (c *conn) open(x *Exchange) bool {
+// openExchange makes x the current request of the connection, which waits for its answer. It
+// reports false if another open request has the same id. Servers would take one of the two for
+// a repetition of the other.
+func (c *conn) openExchange(x *Exchange) bool {
 	s := c.srv
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if _, taken := s.open[x.ID]; taken {
+	if _, taken := s.openIDs[x.ID]; taken {
 		return false
 	}
-	s.open[x.ID] = x
-	c.x, c.told = x, false
+	s.openIDs[x.ID] = x
+	c.current, c.answerBegun = x, false
 	return true
 }
 
-// free lets the id of a request be used again. It is called with the lock held.
-func (s *Server) free(x *Exchange) {
-	if s.open[x.ID] == x {
-		delete(s.open, x.ID)
+// freeID makes the id of a request available to new requests. The caller holds s.mu.
+func (s *Server) freeID(x *Exchange) {
+	if s.openIDs[x.ID] == x {
+		delete(s.openIDs, x.ID)
 	}
 }
 
-// hasLeft says whether the client has closed its connection, behind whatever it has sent.
-func (c *conn) hasLeft(x *Exchange) bool {
-	if x.unread { // what is to be read is the body
+// clientHasLeft reports whether the client has closed its connection, also if bytes that it
+// sent after the request are still unread.
+func (c *conn) clientHasLeft(x *Exchange) bool {
+	if x.bodyUnread { // unread bytes belong to the body
 		return false
 	}
 	for {
-		n, err := c.sight.peek()
+		n, err := c.peeker.peek()
 		switch {
 		case err != nil || n == 0:
-			return ended(n, err)
+			return isRemoteClosed(n, err)
 		case c.br.Buffered() == c.br.Size():
-			return c.sight.closing()
+			return c.peeker.inCloseWait()
 		}
 		if _, err := c.br.Peek(c.br.Buffered() + 1); err != nil {
 			return true
@@ -141,73 +145,76 @@
 	}
 }
 
-// next waits for a request to begin. Guards against clients that connect and say
-// nothing: each would hold a descriptor for as long as it likes.
-func (c *conn) next() bool {
-	c.in.left = maxHeadBytes
-	first := c.began.IsZero()
+// awaitRequest blocks until the first byte of the next request has arrived and the current one
+// is answered. It reports false if the connection ends. The first byte on a connection has to
+// arrive within headTimeout; otherwise clients that connect and send nothing would hold
+// descriptors indefinitely.
+func (c *conn) awaitRequest() bool {
+	c.in.remaining = maxHeadBytes
+	first := c.headStart.IsZero()
 	if first {
-		c.began = time.Now()
-		c.nc.SetReadDeadline(c.began.Add(headTimeout))
+		c.headStart = time.Now()
+		c.nc.SetReadDeadline(c.headStart.Add(headTimeout))
 	}
 	_, err := c.br.Peek(1)
-	if err != nil && c.reprieved(err) {
+	if err != nil && c.keepAfterProbe(err) {
 		c.nc.SetReadDeadline(time.Now().Add(headTimeout))
 		_, err = c.br.Peek(1)
 	}
 	if err == nil {
-		err = c.attend()
+		err = c.readAhead()
 	}
 	if !first {
-		c.began = time.Now()
+		c.headStart = time.Now()
 	}
 	s := c.srv
 	s.mu.Lock()
-	if err != nil && c.x != nil {
-		x := c.x
+	if err != nil && c.current != nil {
+		x := c.current
 		s.mu.Unlock()
-		if x.to.Gone(&x.Call) {
+		if x.handler.Gone(&x.Call) {
 			return false
 		}
 		s.mu.Lock()
 	}
-	for c.x != nil {
-		c.served.Wait()
+	for c.current != nil {
+		c.answered.Wait()
 	}
 	defer s.mu.Unlock()
-	if err != nil || c.shut || c.ending {
+	if err != nil || c.closed || c.ending {
 		return false
 	}
-	c.busy, c.head, c.fresh, c.probed, c.since = true, true, false, false, time.Now()
+	c.busy, c.inHead, c.fresh, c.probing, c.stateSince = true, true, false, false, time.Now()
 	return true
 }
 
-var errFlood = errors.New("front: too much behind a request that waits for its answer")
+var errReadAheadLimit = errors.New("front: too many bytes after a request that waits for its answer")
 
-// attend reads on while a request waits for its answer, so that the client's end is seen also
-// behind bytes that it has sent ahead. What the buffer holds no more is thrown away, and the
-// connection ends with the answer; past maxLingerBytes it is cut. An answer wakes it. Once the
-// answer has told the client that the connection goes on, nothing is thrown away: what comes may
-// be its next request, sent before this side has noted the answer's end.
-func (c *conn) attend() error {
+// readAhead reads while a request waits for its answer, to detect that the client closes the
+// connection after sending further bytes. It returns nil when the answer ends, which wakes it.
+// Bytes that exceed the buffer are discarded, and the connection then ends with the answer;
+// after maxLingerBytes of them it returns errReadAheadLimit. Once the answer has told the
+// client that the connection goes on, nothing is discarded: the bytes may be the client's next
+// request, sent before finishAnswer has run.
+func (c *conn) readAhead() error {
 	s := c.srv
 	var scratch []byte
-	for most := maxLingerBytes; ; {
+	for remaining := maxLingerBytes; ; {
 		s.mu.Lock()
-		if c.x == nil {
+		if c.current == nil {
 			s.mu.Unlock()
 			return nil
 		}
 		full := c.br.Buffered() == c.br.Size()
-		if full && c.told && !c.flood {
-			for c.x != nil {
-				c.served.Wait()
+		if full && c.answerBegun && !c.overflowed {
+			for c.current != nil {
+				c.answered.Wait()
 			}
 			s.mu.Unlock()
 			return nil
 		}
-		c.ahead = true
-		c.flood = c.flood || full
+		c.readingAhead = true
+		c.overflowed = c.overflowed || full
 		s.mu.Unlock()
 		var err error
 		if full {
@@ -216,21 +223,21 @@
 			}
 			var n int
 			if n, err = c.nc.Read(scratch); err == nil {
-				if most -= n; most < 0 {
-					err = errFlood
+				if remaining -= n; remaining < 0 {
+					err = errReadAheadLimit
 				}
 			}
 		} else {
 			_, err = c.br.Peek(c.br.Buffered() + 1)
 		}
 		s.mu.Lock()
-		c.ahead = false
-		over := c.x == nil
-		if over && !c.ending {
-			c.nc.SetReadDeadline(time.Time{}) // by which the answer woke us
+		c.readingAhead = false
+		answered := c.current == nil
+		if answered && !c.ending {
+			c.nc.SetReadDeadline(time.Time{}) // clears the deadline with which finishAnswer wakes the read
 		}
 		s.mu.Unlock()
-		if over {
+		if answered {
 			return nil
 		}
 		if err != nil {
@@ -244,62 +251,63 @@
 	return ok && ne.Timeout()
 }
 
-// close ends a connection for good. Guards against counting those that are gone:
-// after as many clients as there is room for, all others would be turned away.
+// close closes the connection and removes it from the server's set; if it stayed there, the
+// limit would eventually refuse all new clients. A connection that is ending is half-closed
+// first, and what still arrives is discarded, within lingerTimeout and maxLingerBytes.
 func (c *conn) close() {
 	s := c.srv
 	s.mu.Lock()
-	if c.x != nil {
-		s.free(c.x)
-		c.x.entry.Over(figures.Left)
+	if c.current != nil {
+		s.freeID(c.current)
+		c.current.counter.Over(figures.Left)
 	}
 	c.busy = false
-	graceful := c.ending && !c.shut
+	graceful := c.ending && !c.closed
 	if graceful {
-		c.since = time.Now()
+		c.stateSince = time.Now()
 		c.halfClose()
 	}
 	s.mu.Unlock()
 	if graceful {
-		io.CopyN(io.Discard, c.nc, maxLingerBytes) // until its client has closed too
+		io.CopyN(io.Discard, c.nc, maxLingerBytes) // until the client closes too
 	}
 	s.mu.Lock()
-	c.shut = true
+	c.closed = true
 	delete(s.conns, c)
 	s.mu.Unlock()
 	c.nc.Close()
 }
 
-// halfClose tells the client that nothing more comes; what still comes is read off, within a
-// bound. Guards against a close over unread bytes, which turns into a reset and takes back an
-// answer that was just written. It is called with the server's lock held.
+// halfClose closes the write side of the connection and bounds further reads by lingerTimeout.
+// Closing both sides while bytes are unread would send a reset, and the client could lose an
+// answer that was just written. The caller holds the server's lock.
 func (c *conn) halfClose() {
-	if c.half {
+	if c.halfClosed {
 		return
 	}
-	c.half = true
+	c.halfClosed = true
 	if tc, ok := c.nc.(interface{ CloseWrite() error }); ok {
 		tc.CloseWrite()
 	}
 	c.nc.SetReadDeadline(time.Now().Add(lingerTimeout))
 }
 
-// reject answers what is no request and closes the connection, after reading off
-// what the client still sends: closing at once would take the answer back. What it
-// sends beyond maxLingerBytes is not worth the reading. Meanwhile the connection counts
-// as idle, so that it gives way to others.
+// reject answers a request that is not passed on with status, and ends the connection. What
+// the client still sends is discarded, up to maxLingerBytes, because closing at once could
+// lose the answer. Until then the connection can be evicted.
 func (c *conn) reject(status int) { c.rejectWith(status, "") }
 
+// rejectWith is like reject and adds the header lines in field.
 func (c *conn) rejectWith(status int, field string) {
 	x := &Exchange{conn: c}
-	b := append(message.AppendLength(x.head(nil, status, field, nil), 0), "\r\n"...)
+	b := append(message.AppendLength(x.appendHead(nil, status, field, nil), 0), "\r\n"...)
 	c.nc.SetWriteDeadline(time.Now().Add(lingerTimeout))
 	c.nc.Write(b)
 	c.linger()
 }
 
-// linger has the connection end in good order: its close reads off what the client still
-// sends, for a while.
+// linger marks the connection as ending, so that close discards what the client still sends,
+// within lingerTimeout and maxLingerBytes, before it closes the connection.
 func (c *conn) linger() {
 	c.srv.mu.Lock()
 	c.ending = true
--- a/internal/front/exchange.go
+++ b/internal/front/exchange.go
@@ -17,49 +17,50 @@
 	"chalkrack/internal/message"
 )
 
-// Exchange is one request and its answer. Its answering methods may be called
-// from any goroutine, one of them once.
+// Exchange is one request and its answer. It implements core.Caller. Of the methods that
+// answer, Serve, Refuse, Fail and Stream, one is called, once; from any goroutine.
 type Exchange struct {
 	core.Call
 	Request message.Request
 
-	conn     *conn
-	to       Handler // who takes it
-	entry    figures.Request
-	here     Choice // with a Status: the answer that no server gives
-	reserved int64
-	kept     *body.Body // nil: none, or Request has it
-	tier     bool       // a tier before this one has marked it
-	unread   bool       // its client is still sending it; guarded by the server's lock
-	keep     bool       // the connection may go on
-	http10   bool
+	conn          *conn
+	handler       Handler // takes the call
+	counter       figures.Request
+	localAnswer   Choice // the answer of the sidecar itself, if its Status is not 0
+	reservedBytes int64
+	keptBody      *body.Body // nil: there is no body, or Request.Body holds it
+	isBehindTier  bool       // a balancer tier in front of this one has set the attempts mark
+	bodyUnread    bool       // the client is still sending the body; guarded by the server's lock
+	keepAlive     bool       // the connection may go on after the answer
+	isHTTP10      bool
 }
 
-// parse takes r over; it returns the status to answer at once, 0 for none.
-func (x *Exchange) parse(r *http.Request, h Handler) (status int) {
-	x.http10 = !r.ProtoAtLeast(1, 1)
-	x.to = h
+// parseHead sets the call from the head r, with h as the default handler. It returns the
+// status to answer instead of passing the call on, 0 if there is none.
+func (x *Exchange) parseHead(r *http.Request, h Handler) (status int) {
+	x.isHTTP10 = !r.ProtoAtLeast(1, 1)
+	x.handler = h
 	class := ""
 	if choose := x.conn.srv.cfg.Choose; choose != nil {
-		c := choose(r, x.conn.listener, source(x.conn.nc))
+		c := choose(r, x.conn.listener, clientAddr(x.conn.nc))
 		if c.Status != 0 {
-			if x.here = c; r.Method == http.MethodHead {
-				x.here.Body = "" // what follows would be read as the next answer
+			if x.localAnswer = c; r.Method == http.MethodHead {
+				x.localAnswer.Body = "" // the client would read a body as its next answer
 			}
 			return c.Status
 		}
 		if c.To != nil {
-			x.to = c.To
+			x.handler = c.To
 		}
 		if class = c.Class; c.Path != "" {
 			r.RequestURI = (&url.URL{Path: c.Path, RawQuery: r.URL.RawQuery}).RequestURI()
 		}
 	}
-	// The class tells what may be repeated, and servers go by the path: guards
-	// against one that does not exist and two that differ.
+	// The class decides what may be repeated, and servers act by the path. So a class that
+	// does not exist, or a Req-Kind that differs from the class of the path, is an error.
 	var known bool
-	if x.Class, x.Under, known = x.to.Route(r.URL.Path); class != "" {
-		x.Class = class // one that routes name is known
+	if x.Class, x.Under, known = x.handler.Route(r.URL.Path); class != "" {
+		x.Class = class // routes name known classes only
 	} else if !known {
 		return http.StatusNotFound
 	}
@@ -79,7 +80,7 @@
 		x.Wait = max(time.Duration(ms)*time.Millisecond, 1)
 	}
 	if mark := r.Header[message.AttemptsField]; mark != nil {
-		x.Limits, x.tier = limits(mark), true
+		x.Limits, x.isBehindTier = tierLimits(mark), true
 	}
 	x.Tenant = r.Header.Get("Req-Owner")
 	x.Retry = r.Header.Get("Req-Retry") != ""
@@ -91,29 +92,29 @@
 	return 0
 }
 
-// Left implements message.Client. One that has closed its connection has left, though the
-// word of it may not have been read yet.
-func (x *Exchange) Left() bool { return x.conn.sight.hungUp() }
+// Left implements message.Client. It reports whether the client has closed its connection,
+// also if the end of the stream has not been read yet.
+func (x *Exchange) Left() bool { return x.conn.peeker.remoteClosed() }
 
-// source is a client's address.
-func source(nc net.Conn) netip.Addr {
+// clientAddr returns the address of the client, or the zero Addr if it is not a TCP address.
+func clientAddr(nc net.Conn) netip.Addr {
 	if a, ok := nc.RemoteAddr().(*net.TCPAddr); ok {
 		return a.AddrPort().Addr()
 	}
 	return netip.Addr{}
 }
 
-// answerHere answers a request that goes nowhere.
-func (x *Exchange) answerHere(status int) {
+// answerLocally answers a request that is not passed to a handler.
+func (x *Exchange) answerLocally(status int) {
 	field := ""
-	if x.here.Location != "" {
-		field = "Location: " + x.here.Location + "\r\n"
+	if x.localAnswer.Location != "" {
+		field = "Location: " + x.localAnswer.Location + "\r\n"
 	}
-	x.answer(status, field, nil, []byte(x.here.Body))
+	x.writeAnswer(status, field, nil, []byte(x.localAnswer.Body))
 }
 
-// compose readies a request with a body that lies in memory.
-func (x *Exchange) compose(r *http.Request, body [][]byte) {
+// composeRequest sets Request for a body that is in memory, nil for none.
+func (x *Exchange) composeRequest(r *http.Request, body [][]byte) {
 	size := int64(-1)
 	if body != nil || r.Method != http.MethodGet && r.Method != http.MethodHead {
 		size = 0
@@ -125,7 +126,8 @@
 	x.Request.Body = body
 }
 
-// composeHead readies a request with a body of that size, -1 for none or one in chunks.
+// composeHead sets Request without its body, whose length is size bytes; -1: there is no body
+// or it is chunked.
 func (x *Exchange) composeHead(r *http.Request, size int64) {
 	uri := r.RequestURI
 	if !strings.HasPrefix(uri, "/") {
@@ -137,10 +139,10 @@
 	x.Payload, x.Caller = &x.Request, x
 }
 
-// limits reads what the tier before leaves to this one. What makes no sense leaves one
-// attempt: guards against a spoilt mark that would add attempts to those of the tier
-// that set it.
-func limits(values []string) *core.Limits {
+// tierLimits parses the attempts mark, in which the tier in front of this one states how many
+// attempts it leaves to it. An invalid mark leaves one attempt; otherwise a damaged mark would
+// multiply the attempts of the tier that set it.
+func tierLimits(values []string) *core.Limits {
 	mark := strings.Join(values, ",")
 	if len(values) == 1 {
 		number, _, _ := strings.Cut(mark, ";")
@@ -151,83 +153,90 @@
 	return &core.Limits{Attempts: 1, Mark: "=" + mark}
 }
 
-// Refuse implements core.Caller: the client is told that trying again is harmless.
-// A tier before this one is told too when nothing has run, in the words of a server
-// that turns a request away: it may then make another attempt, whatever the class.
+// Refuse implements core.Caller: it answers with 503, which tells the client that it may safely
+// retry. If no attempt can have run, a tier in front of this one is told so with Srv-Declined,
+// as a server does that refuses a request; the tier may then make another attempt, whatever
+// the class.
 func (x *Exchange) Refuse(retryAfter time.Duration, unsent bool) {
 	field := ""
 	if retryAfter > 0 {
-		field = retryField(retryAfter)
+		field = retryAfterField(retryAfter)
 	}
-	if unsent && x.tier {
+	if unsent && x.isBehindTier {
 		field += "Srv-Declined: 1\r\n"
 	}
-	field += x.unkept(true)
-	x.answer(http.StatusServiceUnavailable, field, nil, nil)
+	field += x.unkeptBodyField(true)
+	x.writeAnswer(http.StatusServiceUnavailable, field, nil, nil)
 }
 
-// Fail implements core.Caller: the client is told that the request failed.
-func (x *Exchange) Fail() { x.answer(http.StatusBadGateway, x.unkept(false), nil, nil) }
+// Fail implements core.Caller: it answers with 502, because the request failed and may have run.
+func (x *Exchange) Fail() { x.writeAnswer(http.StatusBadGateway, x.unkeptBodyField(false), nil, nil) }
 
-// Serve implements core.Caller: a server's whole answer, a *message.Answer, is passed
-// on.
+// Serve implements core.Caller: it writes the complete answer of a server, a *message.Answer,
+// to the client.
 func (x *Exchange) Serve(answer any) {
 	ans := answer.(*message.Answer)
-	x.answer(statusOf(ans), "", ans.Header, ans.Body)
+	x.writeAnswer(answerStatus(ans), "", ans.Header, ans.Body)
 }
 
-func statusOf(ans *message.Answer) int {
+// answerStatus returns the status of an answer, whose zero value stands for 200.
+func answerStatus(ans *message.Answer) int {
 	if ans.Status == 0 {
 		return http.StatusOK
 	}
 	return ans.Status
 }
 
+// buffers holds *[]byte for the heads that are read and the answers that are written.
 var buffers = sync.Pool{New: func() any { b := make([]byte, 0, 4<<10); return &b }}
 
-// giveBack returns a buffer to its pool, unless it has grown too large to keep.
-func giveBack(buf *[]byte) {
+// putBuffer returns buf to the pool, unless it has grown too large to keep.
+func putBuffer(buf *[]byte) {
 	if cap(*buf) <= 80<<10 {
 		buffers.Put(buf)
 	}
 }
 
-// answer writes a whole answer, in one write, and readies the connection for the
-// next request.
-func (x *Exchange) answer(status int, field string, h http.Header, body []byte) {
+// writeAnswer writes a complete answer in one write and makes the connection ready for the
+// next request. field holds extra header lines.
+func (x *Exchange) writeAnswer(status int, field string, h http.Header, body []byte) {
 	c := x.conn
-	closing := c.srv.tells(x, true)
-	x.keep = x.keep && !closing
+	closing := c.srv.beginAnswer(x, true)
+	x.keepAlive = x.keepAlive && !closing
 	buf := buffers.Get().(*[]byte)
-	b := message.AppendLength(x.head((*buf)[:0], status, field, h), int64(len(body)))
+	b := message.AppendLength(x.appendHead((*buf)[:0], status, field, h), int64(len(body)))
 	b = append(b, "\r\n"...)
 	b = append(b, body...)
-	// Small ones too: guards against a client that asks and never reads, whose full
-	// buffers would hold up whoever brings the answer.
+	// Small answers need a deadline too: a client that sends requests and never reads fills
+	// the socket buffers, and the write would block the goroutine that delivers the answer.
 	c.nc.SetWriteDeadline(time.Now().Add(writeTimeout))
 	_, err := c.nc.Write(b)
 	*buf = b
-	giveBack(buf)
-	x.counted(status, err == nil)
-	x.end(err == nil)
+	putBuffer(buf)
+	x.recordEnd(status, err == nil)
+	x.finishAnswer(err == nil)
 }
 
-// counted counts the request's end, and that it came where it ends at the front.
-func (x *Exchange) counted(status int, whole bool) {
-	x.conn.srv.cfg.Figures.Take(&x.entry, x.Class)
+// recordEnd counts the outcome of the request by status; an answer that was not written in
+// full counts as aborted. It counts the arrival too if that has not been counted, for requests
+// that were never passed on.
+func (x *Exchange) recordEnd(status int, complete bool) {
+	x.conn.srv.cfg.Figures.Take(&x.counter, x.Class)
 	switch {
-	case !whole:
-		x.entry.Over(figures.Aborted)
+	case !complete:
+		x.counter.Over(figures.Aborted)
 	case status == http.StatusOK:
-		x.entry.Over(figures.Succeeded)
+		x.counter.Over(figures.Succeeded)
 	case status == http.StatusTooManyRequests || status == http.StatusServiceUnavailable:
-		x.entry.Over(figures.Declined)
+		x.counter.Over(figures.Declined)
 	default:
-		x.entry.Over(figures.Aborted)
+		x.counter.Over(figures.Aborted)
 	}
 }
 
-func (x *Exchange) head(b []byte, status int, field string, h http.Header) []byte {
+// appendHead appends the status line and header of an answer to b, without the field for the
+// length and the final empty line.
+func (x *Exchange) appendHead(b []byte, status int, field string, h http.Header) []byte {
 	b = append(b, "HTTP/1.1 "...)
 	b = strconv.AppendInt(b, int64(status), 10)
 	b = append(b, ' ')
@@ -238,94 +247,98 @@
 		b = append(strconv.AppendInt(append(b, "Fawn-Config: "...), int64(x.Under.Gen.ID), 10), "\r\n"...)
 	}
 	b = message.AppendFields(b, h)
-	if !x.keep {
+	if !x.keepAlive {
 		b = append(b, "Connection: close\r\n"...)
-	} else if x.http10 {
+	} else if x.isHTTP10 {
 		b = append(b, "Connection: keep-alive\r\n"...)
 	}
 	return b
 }
 
-// tells says whether a connection ends with an answer, which is about to tell its client so: the
-// server drains, or the client has sent, or still sends, what nobody will read as a request. The
-// id of a request whose answer is whole is free from here on: its client may ask again, on another
-// connection too, before this side has noted the answer's end.
-func (s *Server) tells(x *Exchange, whole bool) (closing bool) {
+// beginAnswer is called before the head of an answer is written. It reports whether the answer
+// has to announce the end of the connection: the server is draining, the client is still
+// sending the body, or bytes that it sent were discarded. If complete is set the answer goes
+// out in one write, and the request's id is free from here on: the client may read the answer
+// and send the id again, perhaps on another connection, before finishAnswer has run.
+func (s *Server) beginAnswer(x *Exchange, complete bool) (closing bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if x.conn.told = true; whole {
-		s.free(x)
+	if x.conn.answerBegun = true; complete {
+		s.freeID(x)
 	}
-	return s.draining || x.unread || x.conn.flood
+	return s.draining || x.bodyUnread || x.conn.overflowed
 }
 
-// end frees the connection of an answered request. Guards against one that counts
-// as busy for ever: it could be neither evicted nor closed at a drain. One that does not go
-// on is half-closed here, so that the client learns of it at once; its own goroutine, which
-// may be reading, closes it.
-func (x *Exchange) end(ok bool) {
+// finishAnswer makes the connection idle after an answer; a connection that stayed busy could
+// be neither evicted nor closed by a drain. If the connection does not go on it is half-closed
+// here, so that the client learns of it at once; its own goroutine, which may be reading,
+// closes it. If ok is false, the answer is incomplete and the connection is reset.
+func (x *Exchange) finishAnswer(ok bool) {
 	c := x.conn
 	if !ok {
-		cut(c)
+		resetOnClose(c)
 	}
 	s := c.srv
 	s.mu.Lock()
-	keep := ok && x.keep && !c.flood
-	if c.x != nil {
-		s.free(c.x)
-	}
-	c.x, c.busy, c.since = nil, false, time.Now()
-	c.shut = c.shut || !ok
-	c.ending = c.ending || !keep
-	half := ok && !keep && !c.shut && !x.unread // else its reader does so, when the client can have seen the answer
+	keepAlive := ok && x.keepAlive && !c.overflowed
+	if c.current != nil {
+		s.freeID(c.current)
+	}
+	c.current, c.busy, c.stateSince = nil, false, time.Now()
+	c.closed = c.closed || !ok
+	c.ending = c.ending || !keepAlive
+	halfClose := ok && !keepAlive && !c.closed && !x.bodyUnread // with an unread body its goroutine does so, once the client has had time to read the answer
 	switch {
-	case half:
+	case halfClose:
 		c.halfClose()
-	case c.ahead:
+	case c.readingAhead:
 		c.nc.SetReadDeadline(time.Unix(1, 0))
 	}
 	s.mu.Unlock()
 	if !ok {
 		c.nc.Close()
 	}
-	c.served.Signal()
+	c.answered.Signal()
 }
 
-// Release implements core.Caller: it gives the body's bytes back.
+// Release implements core.Caller: it releases the memory or storage of the request body.
 func (x *Exchange) Release() {
-	if x.kept != nil {
-		x.kept.Drop()
+	if x.keptBody != nil {
+		x.keptBody.Drop()
 	}
-	x.conn.srv.budget.give(x.reserved)
-	x.reserved = 0
+	x.conn.srv.budget.release(x.reservedBytes)
+	x.reservedBytes = 0
 }
 
-func cut(c *conn) {
+// resetOnClose makes closing the connection send a reset, so that an incomplete answer is not
+// taken for a complete one.
+func resetOnClose(c *conn) {
 	if l, ok := c.nc.(interface{ SetLinger(int) error }); ok {
 		l.SetLinger(0)
 	}
 }
 
-// Stream is a long answer on its way to the client.
+// Stream writes a long answer to the client piece by piece. It implements core.Stream.
 type Stream struct {
-	x       *Exchange
-	status  int
-	chunked bool
-	head    []byte
-	left    int64
+	x         *Exchange
+	status    int
+	chunked   bool
+	head      []byte
+	remaining int64
 }
 
-// Stream implements core.Caller. That a client has left shows when it is written to. The answer, a *message.Answer, holds the beginning.
+// Stream implements core.Caller. answer is a *message.Answer with the status, the header and
+// the length. It ignores abort: a client that has left is detected by the next write.
 func (x *Exchange) Stream(answer any, _ func()) core.Stream {
 	ans := answer.(*message.Answer)
-	w := &Stream{x: x, status: statusOf(ans), left: ans.Length}
-	closing := x.conn.srv.tells(x, false)
-	x.keep = x.keep && !closing
+	w := &Stream{x: x, status: answerStatus(ans), remaining: ans.Length}
+	closing := x.conn.srv.beginAnswer(x, false)
+	x.keepAlive = x.keepAlive && !closing
 	if ans.Length < 0 {
-		w.chunked = !x.http10
-		x.keep = x.keep && w.chunked
+		w.chunked = !x.isHTTP10
+		x.keepAlive = x.keepAlive && w.chunked
 	}
-	w.head = x.head(nil, statusOf(ans), "", ans.Header)
+	w.head = x.appendHead(nil, answerStatus(ans), "", ans.Header)
 	if ans.Length >= 0 {
 		w.head = message.AppendLength(w.head, ans.Length)
 	} else if w.chunked {
@@ -335,9 +348,10 @@
 	return w
 }
 
-var errTooMuch = errors.New("front: more than the stated length")
+var errLengthExceeded = errors.New("front: answer exceeds its announced length")
 
-// Write passes a part on at once.
+// Write sends p to the client at once; the first call also sends the head. It blocks for at
+// most writeTimeout.
 func (w *Stream) Write(p []byte) (int, error) {
 	if len(p) == 0 {
 		return 0, nil
@@ -350,9 +364,9 @@
 		b = append(b, p...)
 		b = append(b, "\r\n"...)
 	} else {
-		if w.left >= 0 {
-			if w.left -= int64(len(p)); w.left < 0 {
-				return 0, errTooMuch
+		if w.remaining >= 0 {
+			if w.remaining -= int64(len(p)); w.remaining < 0 {
+				return 0, errLengthExceeded
 			}
 		}
 		b = append(b, p...)
@@ -366,16 +380,17 @@
 
 var _ core.Caller = (*Exchange)(nil)
 
-// End ends the answer; ok says that all of it came.
+// End ends the answer. ok reports whether the server sent all of it; if not, or if the announced
+// length was not reached, the connection is reset.
 func (w *Stream) End(ok bool) {
 	if ok && w.chunked {
 		_, err := w.x.conn.nc.Write(append(w.head, "0\r\n\r\n"...))
 		ok = err == nil
 	}
-	if w.left > 0 {
+	if w.remaining > 0 {
 		ok = false
 	}
 	w.x.conn.nc.SetWriteDeadline(time.Time{})
-	w.x.counted(w.status, ok)
-	w.x.end(ok)
+	w.x.recordEnd(w.status, ok)
+	w.x.finishAnswer(ok)
 }
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -1,5 +1,7 @@
-// Package front is the sidecar's side towards its client: it accepts
-// connections, reads requests, writes answers and notices a client that leaves.
+// Package front is the client-facing HTTP/1.1 server of the sidecar. It accepts
+// connections, parses requests, passes each one as a core.Call to a Handler and writes
+// the answer back. It detects clients that close their connections, and bounds the
+// connections, head sizes, body bytes and read times that clients can take up.
 package front
 
 import (
@@ -22,83 +24,99 @@
 const (
 	maxHeadBytes = 64 << 10
 	maxBodyBytes = 32 << 20
-	// A head must be whole so long after its first byte, the first one of a connection so
-	// long after the connection came up; for bodies see pace.
-	headTimeout  = 2500 * time.Millisecond
-	longBody     = 64 << 10
-	headPatience = time.Second
-	// A client that takes nothing of its answer for so long has hung.
+	// headTimeout bounds the time from the first byte of a head to its end; for the first
+	// head of a connection it counts from the accept. minRateReader sets the deadlines of
+	// bodies.
+	headTimeout = 2500 * time.Millisecond
+	// A body that is longer than maxShortBodyBytes, or of unknown length, counts as long.
+	maxShortBodyBytes = 64 << 10
+	// A connection whose head is older than minEvictableHeadAge may be closed to make room
+	// for a new one.
+	minEvictableHeadAge = time.Second
+	// writeTimeout bounds each write of an answer: a client that reads nothing for that long
+	// is taken for hung.
 	writeTimeout = 10 * time.Second
-	// How long a refused connection is read off, so that its client sees why.
+	// lingerTimeout and maxLingerBytes bound how long and how much is read and discarded from
+	// a connection that is ending, so that its client can read the last answer.
 	lingerTimeout  = 2 * time.Second
 	maxLingerBytes = 1 << 20
-	freshTimeout   = 500 * time.Millisecond
+	// freshTimeout is how long a new connection that has sent nothing counts as busy, and is
+	// spared by a drain: its first request may be about to arrive.
+	freshTimeout = 500 * time.Millisecond
 )
 
-// Handler takes calls: the core.
+// Handler takes the calls that a Server reads. core.Host implements it.
 type Handler interface {
+	// Arrive starts a call. The handler ends it once, through c.Caller.
 	Arrive(c *core.Call)
-	// Gone says that the client has left; false if an answer is under way.
+	// Gone reports to the handler that the client has closed its connection. It returns
+	// false if an answer has begun or was given.
 	Gone(c *core.Call) bool
-	// Ready says whether clients may come.
+	// Ready reports whether calls are accepted.
 	Ready() bool
-	// Route stamps a call by its path, and says which class that names and whether there
-	// is such a class for it.
+	// Route returns the class that a request path names, the stamp of the configuration
+	// generation that the call runs under, and whether that generation knows the class.
 	Route(path string) (class string, under generation.Stamp, known bool)
-	// Whole says that the body of a call that came before it is whole.
+	// Whole reports that the body of a call that arrived before the end of its body is now
+	// complete.
 	Whole(c *core.Call)
 }
 
-// Config is what a Server is told.
+// Config is the configuration of a Server.
 type Config struct {
-	MaxConns     int   // client connections at once
-	MaxBodyBytes int64 // bytes of request bodies held at once
-	// Choose says what becomes of a request, by its head; nil: all go to the Server's
-	// Handler as they come.
-	// listener is the name of the one that its connection came by.
+	MaxConns     int   // limit of simultaneous client connections
+	MaxBodyBytes int64 // limit of the bytes of request bodies in memory at one time
+	// Choose routes a request by its head, the name of the listener that accepted its
+	// connection, and the address of its client. If it is nil, all requests go unchanged to
+	// the Server's Handler.
 	Choose func(r *http.Request, listener string, from netip.Addr) Choice
-	// TellConfig answers with the number of the configuration that a call lived under.
+	// TellConfig adds a Fawn-Config field to answers, with the number of the configuration
+	// that the call ran under.
 	TellConfig bool
-	// Bodies keeps request bodies; nil: all are held in memory, within MaxBodyBytes.
+	// Bodies stores all request bodies. If it is nil, bodies are held in memory, within
+	// MaxBodyBytes.
 	Bodies *Bodies
-	// Long keeps those that are long or tell no length, where Bodies is nil; nil: nobody
-	// does.
+	// Long stores bodies that are longer than 64 KiB or of unknown length, if Bodies is nil.
+	// If both are nil, these are held in memory too.
 	Long *Bodies
-	// Figures counts requests and their ends; nil: nobody does.
+	// Figures counts requests by class and outcome. If it is nil, nothing is counted.
 	Figures *figures.Figures
 }
 
-// Choice is what becomes of a request.
+// Choice is the routing decision for one request.
 type Choice struct {
-	To    Handler // nil: the Server's
-	Class string  // empty: as the path names it
-	Path  string  // in place of the request's; empty: as it came
-	// Status, where it is not 0, answers here, with Location or Body.
+	To    Handler // takes the call; nil: the Server's Handler
+	Class string  // class of the call; empty: the class that the path names
+	Path  string  // replaces the path of the request; empty: unchanged
+	// Status, if not 0, is answered by the Server itself, with Location or Body.
 	Status         int
 	Location, Body string
 }
 
-// Server serves the client.
+// Server accepts client connections and serves the requests on them. Its methods may be
+// called from any goroutine.
 type Server struct {
 	cfg     Config
 	handler Handler
-	budget  budget
+	budget  byteBudget
 
 	mu       sync.Mutex
 	conns    map[*conn]struct{}
-	open     map[string]*Exchange // ids of the requests that wait for their answer
+	openIDs  map[string]*Exchange // requests that wait for their answer, by id
 	draining bool
 }
 
-// New returns a Server that hands requests to h.
+// New returns a Server that passes requests to h.
 func New(cfg Config, h Handler) *Server {
-	return &Server{cfg: cfg, handler: h, budget: budget{left: cfg.MaxBodyBytes}, conns: make(map[*conn]struct{}), open: make(map[string]*Exchange)}
+	return &Server{cfg: cfg, handler: h, budget: byteBudget{remaining: cfg.MaxBodyBytes}, conns: make(map[*conn]struct{}), openIDs: make(map[string]*Exchange)}
 }
 
-// Serve accepts connections until the listener is closed.
+// Serve accepts connections on ln and blocks until ln is closed, whose net.ErrClosed it
+// returns. The listener has no name.
 func (s *Server) Serve(ln net.Listener) error { return s.ServeAs("", ln) }
 
-// ServeAs does so for a listener with a name. All listeners' connections count together.
+// ServeAs is like Serve for a listener with a name, which Config.Choose receives. The
+// connections of all listeners count towards one Config.MaxConns.
 func (s *Server) ServeAs(name string, ln net.Listener) error {
 	for {
 		nc, err := ln.Accept()
@@ -106,32 +124,35 @@
 			if errors.Is(err, net.ErrClosed) {
 				return err
 			}
-			// Out of descriptors or the like: it passes, and connections wait meanwhile.
-			slog.Warn("can't accept", "err", err)
-			s.evict(0)
+			// For instance, the process is out of descriptors. That is temporary, and new
+			// connections wait in the backlog until then.
+			slog.Warn("cannot accept a client connection; will retry", "err", err)
+			s.evictConn(0)
 			time.Sleep(5 * time.Millisecond)
 			continue
 		}
-		s.add(nc, name)
+		s.addConn(nc, name)
 	}
 }
 
-// spareConns is how many connections over the limit are told why they are refused. Guards the
-// descriptors that the list of servers and new connections to them need: past it a connection
-// gives way at once, the one that has been in a head for the longest or the new one.
-const spareConns = 8
+// maxExcessConns is how many connections over Config.MaxConns are accepted for the time it
+// takes to answer their request with a refusal. Beyond it a connection is closed at once: the
+// one that has been sending its head for the longest, or else the new one. This keeps
+// descriptors free for the discovery of servers and for new connections to servers.
+const maxExcessConns = 8
 
-func (s *Server) add(nc net.Conn, listener string) {
-	c := &conn{srv: s, nc: nc, listener: listener, in: capped{Conn: nc}, fresh: true, since: time.Now()}
+// addConn starts to serve a new connection, or closes it if none can be evicted for it.
+func (s *Server) addConn(nc net.Conn, listener string) {
+	c := &conn{srv: s, nc: nc, listener: listener, in: limitedConn{Conn: nc}, fresh: true, stateSince: time.Now()}
 	c.br = bufio.NewReaderSize(&c.in, 4<<10)
-	c.served.L = &s.mu
-	c.sight.of(nc)
+	c.answered.L = &s.mu
+	c.peeker.attach(nc)
 	s.mu.Lock()
 	over := len(s.conns) - s.cfg.MaxConns
 	s.mu.Unlock()
-	crowded := over >= 0 && !s.evict(headPatience)
-	if crowded && over >= spareConns && !s.evict(0) {
-		slog.Warn("connection closed at a limit", "conns", s.tally())
+	crowded := over >= 0 && !s.evictConn(minEvictableHeadAge)
+	if crowded && over >= maxExcessConns && !s.evictConn(0) {
+		slog.Warn("client connection closed: connection limit reached", "conns", s.describeConns())
 		nc.Close()
 		return
 	}
@@ -141,86 +162,92 @@
 	go c.serve(crowded)
 }
 
-// evict closes a connection that can be spared: one that ends, the one that has idled for the
-// longest with nothing to read on it, or one that has been in a head for longer than patience.
-func (s *Server) evict(patience time.Duration) bool {
+// evictConn closes one connection to make room, and reports whether it found one. It picks,
+// in this order, the oldest that is ending, the one that has been idle for the longest and has
+// no bytes to read, or the one that has been sending its head for the longest, if for longer
+// than minHeadAge.
+func (s *Server) evictConn(minHeadAge time.Duration) bool {
 	s.mu.Lock()
 	var ending, idle, slow *conn
-	older := func(c, than *conn) bool { return than == nil || c.since.Before(than.since) }
+	older := func(c, other *conn) bool { return other == nil || c.stateSince.Before(other.stateSince) }
 	for c := range s.conns {
 		switch {
-		case c.shut:
+		case c.closed:
 		case c.ending && !c.busy:
 			if older(c, ending) {
 				ending = c
 			}
 		case !c.busy:
-			// Guards against closing over a request that has just come.
-			if older(c, idle) && !c.sight.pending() {
+			// A connection with bytes to read is spared: they may be a request that its
+			// goroutine has not read yet.
+			if older(c, idle) && !c.peeker.hasPending() {
 				idle = c
 			}
-		case c.head && time.Since(c.since) > patience:
+		case c.inHead && time.Since(c.stateSince) > minHeadAge:
 			if older(c, slow) {
 				slow = c
 			}
 		}
 	}
-	out := cmp.Or(ending, idle, slow)
-	if out != nil {
-		out.shut = true
-		delete(s.conns, out)
+	victim := cmp.Or(ending, idle, slow)
+	if victim != nil {
+		victim.closed = true
+		delete(s.conns, victim)
 	}
 	s.mu.Unlock()
-	if out != nil {
-		out.nc.Close()
+	if victim != nil {
+		victim.nc.Close()
 	}
-	return out != nil
+	return victim != nil
 }
 
-// Drain readies for the end: idle connections are ended, the others after their next
-// answer. New ones are still served. It may be called again and again: what has gone idle
-// since, and what was opened and rests, is ended too.
+// Drain prepares the shutdown. It ends idle connections now and the others after their next
+// answer. New connections are still served. Call it repeatedly: each call also ends the
+// connections that have become idle, and the new ones that have sent nothing for
+// freshTimeout.
 func (s *Server) Drain() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.draining = true
 	for c := range s.conns {
-		if !c.fresh || time.Since(c.since) >= freshTimeout {
-			s.probe(c)
+		if !c.fresh || time.Since(c.stateSince) >= freshTimeout {
+			s.probeIdle(c)
 		}
 	}
 }
 
-// Busy is the number of connections with a request, or about to bring one.
+// Busy returns the number of connections that have a request, or that are too new to count
+// as idle.
 func (s *Server) Busy() (n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for c := range s.conns {
-		if c.busy || c.fresh && time.Since(c.since) < freshTimeout {
+		if c.busy || c.fresh && time.Since(c.stateSince) < freshTimeout {
 			n++
 		}
 	}
 	return n
 }
 
-// LimitBodies goes on with another number of bytes of bodies at once. Past it nothing is
-// taken until enough has been given back.
-func (s *Server) LimitBodies(most int64) {
+// LimitBodies changes Config.MaxBodyBytes to maxBytes. If more bytes are reserved already, no
+// body is accepted until enough of them have been released.
+func (s *Server) LimitBodies(maxBytes int64) {
 	s.budget.mu.Lock()
 	defer s.budget.mu.Unlock()
-	s.budget.left += most - s.cfg.MaxBodyBytes
-	s.cfg.MaxBodyBytes = most
+	s.budget.remaining += maxBytes - s.cfg.MaxBodyBytes
+	s.cfg.MaxBodyBytes = maxBytes
 }
 
-func (s *Server) tally() string {
+// describeConns returns the number of connections in each state, for log lines.
+func (s *Server) describeConns() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var fresh, idle, heads, bodies, waiting int
 	for c := range s.conns {
 		switch {
-		case c.x != nil:
+		case c.current != nil:
 			waiting++
-		case c.head:
+		case c.inHead:
 			heads++
 		case c.busy:
 			bodies++
@@ -230,10 +257,10 @@
 			idle++
 		}
 	}
-	return fmt.Sprintf("%d without a byte, %d idle, %d in a head, %d in a body, %d waiting", fresh, idle, heads, bodies, waiting)
+	return fmt.Sprintf("%d fresh, %d idle, %d reading a head, %d reading a body, %d waiting for an answer", fresh, idle, heads, bodies, waiting)
 }
 
-// Conns is the number of client connections.
+// Conns returns the number of client connections.
 func (s *Server) Conns() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/front/front_test.go
+++ b/internal/front/front_test.go
@@ -17,27 +17,28 @@
 	"chalkrack/internal/message"
 )
 
-const patience = 20 * time.Second
+// testTimeout bounds each wait of a test for an event that is expected.
+const testTimeout = 20 * time.Second
 
-// fake is a Handler: do answers what arrives, in its goroutine.
+// fake is a Handler that calls handle for each call that arrives, in the connection's goroutine.
 type fake struct {
-	do   func(x *Exchange)
-	gone chan *Exchange
+	handle func(x *Exchange)
+	gone   chan *Exchange
 
-	mu   sync.Mutex
-	over map[*Exchange]bool
+	mu    sync.Mutex
+	ended map[*Exchange]bool
 }
 
-func (f *fake) Arrive(c *core.Call) { f.do(c.Caller.(*Exchange)) }
+func (f *fake) Arrive(c *core.Call) { f.handle(c.Caller.(*Exchange)) }
 
 func (f *fake) Gone(c *core.Call) bool {
 	x := c.Caller.(*Exchange)
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.over[x] {
+	if f.ended[x] {
 		return false
 	}
-	f.over[x] = true
+	f.ended[x] = true
 	x.Release()
 	f.gone <- x
 	return true
@@ -49,16 +50,17 @@
 	class = new(generation.Generation).ClassOfPath(path)
 	return class, under, class == "a"
 }
-func answerWhole(x *Exchange, b string)  { x.Serve(&message.Answer{Body: []byte(b)}); x.Release() }
-func echo(x *Exchange)                   { answerWhole(x, string(bytes.Join(x.Request.Body, nil))) }
+func answerWith(x *Exchange, b string)   { x.Serve(&message.Answer{Body: []byte(b)}); x.Release() }
+func echo(x *Exchange)                   { answerWith(x, string(bytes.Join(x.Request.Body, nil))) }
 func field(name, value string) string    { return name + ": " + value + "\r\n" }
 func request(line, fields string) string { return line + " HTTP/1.1\r\nHost: h\r\n" + fields + "\r\n" }
 
-const ids = "Req-Id: 9b1f\r\nReq-Kind: a\r\n"
+const idFields = "Req-Id: 9b1f\r\nReq-Kind: a\r\n"
 
-func start(t *testing.T, cfg Config, do func(*Exchange)) (*Server, *fake, func() *client) {
+// startServer starts a Server with a fake that calls handle, and returns a function that dials it.
+func startServer(t *testing.T, cfg Config, handle func(*Exchange)) (*Server, *fake, func() *client) {
 	t.Helper()
-	f := &fake{do: do, gone: make(chan *Exchange, 10), over: make(map[*Exchange]bool)}
+	f := &fake{handle: handle, gone: make(chan *Exchange, 10), ended: make(map[*Exchange]bool)}
 	if cfg.MaxConns == 0 {
 		cfg.MaxConns = 100
 	}
@@ -79,18 +81,19 @@
 			t.Fatal(err)
 		}
 		t.Cleanup(func() { nc.Close() })
-		nc.SetDeadline(time.Now().Add(patience))
+		nc.SetDeadline(time.Now().Add(testTimeout))
 		return &client{t, nc, bufio.NewReader(nc)}
 	}
 }
 
+// client is the client's end of a connection.
 type client struct {
 	t *testing.T
 	net.Conn
 	br *bufio.Reader
 }
 
-func (c *client) say(text string) *client {
+func (c *client) send(text string) *client {
 	c.t.Helper()
 	if _, err := io.WriteString(c.Conn, text); err != nil {
 		c.t.Fatal(err)
@@ -98,8 +101,8 @@
 	return c
 }
 
-// hear reads an answer; a status of 0 stands for none.
-func (c *client) hear() (status int, body string, h http.Header) {
+// receive reads an answer. If there is none, the status is 0 and the body the error.
+func (c *client) receive() (status int, body string, h http.Header) {
 	c.t.Helper()
 	resp, err := http.ReadResponse(c.br, nil)
 	if err != nil {
@@ -115,71 +118,72 @@
 	return resp.StatusCode, string(b), resp.Header
 }
 
-// closed says whether the server ends the connection.
-func (c *client) closed() bool {
+// isClosed waits for the end of the connection, and reports whether the server closed it in time.
+func (c *client) isClosed() bool {
 	_, err := c.br.ReadByte()
 	ne, ok := err.(net.Error)
 	return err != nil && !(ok && ne.Timeout())
 }
 
-func settle(t *testing.T, what string, ok func() bool) {
+// waitFor waits until ok returns true, and fails the test with what after testTimeout.
+func waitFor(t *testing.T, what string, ok func() bool) {
 	t.Helper()
-	for end := time.Now().Add(patience); !ok(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); !ok(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal(what)
 		}
 	}
 }
 
-// hidden is a body that ends at once in chunks, and has a request behind that.
-var hidden = "0\r\n\r\n" + request("GET /a", ids)
+// smuggledRequest is an empty chunked body, followed by a request.
+var smuggledRequest = "0\r\n\r\n" + request("GET /a", idFields)
 
-func TestRequests(t *testing.T) {
+func TestRequestStatuses(t *testing.T) {
 	for _, c := range []struct {
 		name, text string
 		status     int
 		body       string
 		closed     bool
 	}{
-		{"plain", request("GET /a", ids), 200, "", false},
-		{"with a body", request("POST /a", ids+field("Content-Length", "2")) + "hi", 200, "hi", false},
-		{"in chunks", request("POST /a", ids+field("Transfer-Encoding", "chunked")) + "2\r\nhi\r\n1\r\n!\r\n0\r\n\r\n", 200, "hi!", false},
+		{"plain", request("GET /a", idFields), 200, "", false},
+		{"with a body", request("POST /a", idFields+field("Content-Length", "2")) + "hi", 200, "hi", false},
+		{"in chunks", request("POST /a", idFields+field("Transfer-Encoding", "chunked")) + "2\r\nhi\r\n1\r\n!\r\n0\r\n\r\n", 200, "hi!", false},
 		{"class in the path only", request("GET /a/b?c", field("Req-Id", "1")), 200, "", false},
-		{"told to close", request("GET /a", ids+field("Connection", "close")), 200, "", true},
-		{"of the old version", "GET /a HTTP/1.0\r\n" + ids + "\r\n", 200, "", true},
+		{"told to close", request("GET /a", idFields+field("Connection", "close")), 200, "", true},
+		{"of the old version", "GET /a HTTP/1.0\r\n" + idFields + "\r\n", 200, "", true},
 		{"health", request("GET /_health", ""), 200, "", false},
 		{"no class", request("GET /b", field("Req-Id", "1")), 404, "", false},
 		{"no such class", request("GET /b", field("Req-Id", "1")+field("Req-Kind", "b")), 404, "", false},
-		{"a class beside the path's", request("GET /b", ids), 404, "", false},
+		{"a class beside the path's", request("GET /b", idFields), 404, "", false},
 		{"a path beside the class's", request("GET /a", field("Req-Id", "1")+field("Req-Kind", "b")), 400, "", false},
-		{"two classes", request("GET /a", ids+field("Req-Kind", "b")), 400, "", false},
+		{"two classes", request("GET /a", idFields+field("Req-Kind", "b")), 400, "", false},
 		{"no id", request("GET /a", field("Req-Kind", "a")), 400, "", false},
-		{"bad deadline", request("GET /a", ids+field("Req-Deadline-Ms", "soon")), 400, "", false},
-		{"negative deadline", request("GET /a", ids+field("Req-Deadline-Ms", "-5")), 400, "", false},
+		{"bad deadline", request("GET /a", idFields+field("Req-Deadline-Ms", "soon")), 400, "", false},
+		{"negative deadline", request("GET /a", idFields+field("Req-Deadline-Ms", "-5")), 400, "", false},
 		{"no HTTP", "hello there\r\n\r\n", 400, "", true},
-		{"bad length", request("POST /a", ids+field("Content-Length", "x")), 400, "", true},
-		{"bad chunk", request("POST /a", ids+field("Transfer-Encoding", "chunked")) + "zz\r\n", 400, "", true},
-		{"a length beside an encoding", request("POST /a", ids+field("Content-Length", "5")+field("Transfer-Encoding", "chunked")) + hidden, 400, "", true},
-		{"an encoding beside a length", request("POST /a", ids+field("transfer-encoding", "chunked")+field("content-length", "5")) + hidden, 400, "", true},
-		{"an encoding of the old version", "POST /a HTTP/1.0\r\nConnection: keep-alive\r\n" + ids + "Transfer-Encoding: chunked\r\n\r\n" + hidden, 400, "", true},
+		{"bad length", request("POST /a", idFields+field("Content-Length", "x")), 400, "", true},
+		{"bad chunk", request("POST /a", idFields+field("Transfer-Encoding", "chunked")) + "zz\r\n", 400, "", true},
+		{"a length beside an encoding", request("POST /a", idFields+field("Content-Length", "5")+field("Transfer-Encoding", "chunked")) + smuggledRequest, 400, "", true},
+		{"an encoding beside a length", request("POST /a", idFields+field("transfer-encoding", "chunked")+field("content-length", "5")) + smuggledRequest, 400, "", true},
+		{"an encoding of the old version", "POST /a HTTP/1.0\r\nConnection: keep-alive\r\n" + idFields + "Transfer-Encoding: chunked\r\n\r\n" + smuggledRequest, 400, "", true},
 		{"head too long", "GET /a HTTP/1.1\r\nX: " + strings.Repeat("x", maxHeadBytes), 431, "", true},
-		{"body too long", request("POST /a", ids+field("Content-Length", fmt.Sprint(maxBodyBytes+1))), 413, "", true},
+		{"body too long", request("POST /a", idFields+field("Content-Length", fmt.Sprint(maxBodyBytes+1))), 413, "", true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			_, _, dial := start(t, Config{}, echo)
-			cl := dial().say(c.text)
-			status, body, _ := cl.hear()
+			_, _, dial := startServer(t, Config{}, echo)
+			cl := dial().send(c.text)
+			status, body, _ := cl.receive()
 			if status != c.status || status == 200 && body != c.body {
 				t.Fatalf("answered %d %q", status, body)
 			}
 			if c.closed {
 				cl.CloseWrite()
-				if !cl.closed() {
-					t.Error("not closed")
+				if !cl.isClosed() {
+					t.Error("connection is not closed")
 				}
-			} else if status, _, _ := cl.say(request("GET /a", ids)).hear(); status != 200 {
-				t.Errorf("then answered %d", status)
+			} else if status, _, _ := cl.send(request("GET /a", idFields)).receive(); status != 200 {
+				t.Errorf("next request answered %d", status)
 			}
 		})
 	}
@@ -187,82 +191,82 @@
 
 func (c *client) CloseWrite() { c.Conn.(*net.TCPConn).CloseWrite() }
 
-func TestWhatGoesOn(t *testing.T) {
+func TestForwardedRequestFields(t *testing.T) {
 	got := make(chan *Exchange, 1)
-	_, _, dial := start(t, Config{}, func(x *Exchange) { got <- x; x.Fail() })
-	dial().say(request("POST /a/b?c=d", ids+field("Req-Owner", "acme")+field("Cookie", "x=1; user=7f3a")+field("Req-Deadline-Ms", "480")+
-		field("Idempotency-Key", "k")+field("Connection", "keep-alive")+field("Content-Length", "2")) + "hi").hear()
+	_, _, dial := startServer(t, Config{}, func(x *Exchange) { got <- x; x.Fail() })
+	dial().send(request("POST /a/b?c=d", idFields+field("Req-Owner", "acme")+field("Cookie", "x=1; user=7f3a")+field("Req-Deadline-Ms", "480")+
+		field("Idempotency-Key", "k")+field("Connection", "keep-alive")+field("Content-Length", "2")) + "hi").receive()
 	x := <-got
 	if x.Class != "a" || x.Tenant != "acme" || x.Key != "7f3a" || x.Wait != 480*time.Millisecond {
-		t.Errorf("%+v", x)
+		t.Errorf("call %+v, want class a, tenant acme, key 7f3a, timeout 480ms", x)
 	}
 	head := string(x.Request.Head)
 	if !strings.HasPrefix(head, "POST /a/b?c=d HTTP/1.1\r\nHost: h\r\n") {
-		t.Errorf("head %q", head)
+		t.Errorf("head %q has another beginning", head)
 	}
 	for _, want := range []string{"Req-Id: 9b1f\r\n", "Idempotency-Key: k\r\n", "Content-Length: 2\r\n"} {
 		if !strings.Contains(head, want) {
 			t.Errorf("head %q lacks %q", head, want)
 		}
 	}
-	for _, not := range []string{"Connection", "Req-Deadline-Ms"} {
-		if strings.Contains(head, not) {
-			t.Errorf("head %q has %q", head, not)
+	for _, unwanted := range []string{"Connection", "Req-Deadline-Ms"} {
+		if strings.Contains(head, unwanted) {
+			t.Errorf("head %q has %q", head, unwanted)
 		}
 	}
 }
 
-func TestAnswers(t *testing.T) {
-	_, _, dial := start(t, Config{}, func(x *Exchange) { x.Refuse(1500*time.Millisecond, false) })
-	if status, _, h := dial().say(request("GET /a", ids)).hear(); status != 503 || h.Get("Retry-After") != "1.500" {
-		t.Errorf("refusal: %d %v", status, h)
+func TestRefusalAndFailureAnswers(t *testing.T) {
+	_, _, dial := startServer(t, Config{}, func(x *Exchange) { x.Refuse(1500*time.Millisecond, false) })
+	if status, _, h := dial().send(request("GET /a", idFields)).receive(); status != 503 || h.Get("Retry-After") != "1.500" {
+		t.Errorf("refusal answered %d %v", status, h)
 	}
-	_, _, dial = start(t, Config{}, (*Exchange).Fail)
-	if status, _, _ := dial().say(request("GET /a", ids)).hear(); status != 502 {
-		t.Errorf("failure: %d", status)
+	_, _, dial = startServer(t, Config{}, (*Exchange).Fail)
+	if status, _, _ := dial().send(request("GET /a", idFields)).receive(); status != 502 {
+		t.Errorf("failure answered %d", status)
 	}
 }
 
-// A head and a body that come byte by byte, and one that stops for the client
-// to be told to go on.
+// A head and a body that arrive byte by byte are answered, and so is a body whose client waits for
+// 100 Continue.
 func TestSlowClient(t *testing.T) {
-	_, _, dial := start(t, Config{}, echo)
+	_, _, dial := startServer(t, Config{}, echo)
 	c := dial()
-	for _, b := range request("POST /a", ids+field("Content-Length", "5")) + "hello" {
-		c.say(string(b))
+	for _, b := range request("POST /a", idFields+field("Content-Length", "5")) + "hello" {
+		c.send(string(b))
 	}
-	if status, body, _ := c.hear(); status != 200 || body != "hello" {
+	if status, body, _ := c.receive(); status != 200 || body != "hello" {
 		t.Errorf("answered %d %q", status, body)
 	}
-	c.say(request("POST /a", ids+field("Content-Length", "2")+field("Expect", "100-continue")))
+	c.send(request("POST /a", idFields+field("Content-Length", "2")+field("Expect", "100-continue")))
 	if line, _ := c.br.ReadString('\n'); !strings.Contains(line, "100") {
-		t.Errorf("told %q", line)
+		t.Errorf("interim answer %q, want 100", line)
 	}
 	c.br.ReadString('\n')
-	if status, body, _ := c.say("hi").hear(); status != 200 || body != "hi" {
+	if status, body, _ := c.send("hi").receive(); status != 200 || body != "hi" {
 		t.Errorf("answered %d %q", status, body)
 	}
 }
 
-// What is no whole request in time is closed, with or without an answer: nothing at
-// all, half a head, half a body, and one that goes on late or byte by byte. Nobody
-// else is disturbed meanwhile.
-func TestTooSlow(t *testing.T) {
-	long := request("POST /a", ids+field("Content-Length", "200000"))
+// A connection is closed, with or without an answer, if its request is not complete in time:
+// nothing arrives, or part of a head or body, or the rest arrives late or byte by byte. Other
+// clients are answered meanwhile.
+func TestSlowRequestsAreClosed(t *testing.T) {
+	long := request("POST /a", idFields+field("Content-Length", "200000"))
 	for name, c := range map[string]struct{ text, late, drip string }{
 		"says nothing":            {"", "", ""},
 		"half a head":             {"GET /a HTTP/1.1\r\nHos", "", ""},
 		"drips a head":            {"GET /a HTTP/1.1\r\nHost: ", "", "h"},
 		"half a body":             {long + "hi", "", ""},
-		"goes on late":            {long, strings.Repeat("x", longBody-1), ""},
+		"goes on late":            {long, strings.Repeat("x", maxShortBodyBytes-1), ""},
 		"drips a body":            {long, "", "x"},
-		"drips a chunk":           {request("POST /a", ids+field("Transfer-Encoding", "chunked")) + "ffff\r\n", strings.Repeat("x", firstPiece), "x"},
-		"huge, but no more of it": {request("POST /a", ids+field("Content-Length", fmt.Sprint(maxBodyBytes))) + "hi", "", ""},
+		"drips a chunk":           {request("POST /a", idFields+field("Transfer-Encoding", "chunked")) + "ffff\r\n", strings.Repeat("x", firstPieceBytes), "x"},
+		"huge, but no more of it": {request("POST /a", idFields+field("Content-Length", fmt.Sprint(maxBodyBytes))) + "hi", "", ""},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			s, _, dial := start(t, Config{}, echo)
-			cl, other := dial().say(c.text), dial()
+			s, _, dial := startServer(t, Config{}, echo)
+			cl, other := dial().send(c.text), dial()
 			began := time.Now()
 			go func() {
 				time.Sleep(headTimeout * 4 / 5)
@@ -273,179 +277,178 @@
 					time.Sleep(20 * time.Millisecond)
 				}
 			}()
-			if status, _, _ := other.say(request("GET /a", ids)).hear(); status != 200 {
+			if status, _, _ := other.send(request("GET /a", idFields)).receive(); status != 200 {
 				t.Errorf("another client was answered %d", status)
 			}
-			if status, _, _ := cl.hear(); status >= 100 && status < 400 {
+			if status, _, _ := cl.receive(); status >= 100 && status < 400 {
 				t.Errorf("answered %d", status)
 			}
-			if !cl.closed() {
-				t.Error("not closed")
+			if !cl.isClosed() {
+				t.Error("connection is not closed")
 			}
 			if took := time.Since(began); took > 2*headTimeout {
-				t.Errorf("closed after %v", took)
+				t.Errorf("closed after %v, want at most twice headTimeout", took)
 			}
 			other.Close()
-			settle(t, "still counted", func() bool { return s.Conns() == 0 })
+			waitFor(t, "closed connections are still counted", func() bool { return s.Conns() == 0 })
 		})
 	}
 }
 
-// A connection that has had an answer may be silent for longer.
-func TestIdleIsKept(t *testing.T) {
-	_, _, dial := start(t, Config{}, echo)
+// A connection that has had an answer may be idle for longer than headTimeout.
+func TestIdleConnectionOutlivesHeadTimeout(t *testing.T) {
+	_, _, dial := startServer(t, Config{}, echo)
 	c := dial()
 	for range 2 {
-		if status, _, _ := c.say(request("GET /a", ids)).hear(); status != 200 {
+		if status, _, _ := c.send(request("GET /a", idFields)).receive(); status != 200 {
 			t.Errorf("answered %d", status)
 		}
 		time.Sleep(headTimeout + headTimeout/4)
 	}
 }
 
-// The two lengths of a body are seen also where the head comes in pieces, and behind
-// another request; names of these fields in a value are none.
-func TestTwoLengths(t *testing.T) {
-	_, _, dial := start(t, Config{}, echo)
-	bad := request("POST /a", ids+field("Content-Length", "5")+field("Transfer-Encoding", "chunked")) + hidden
+// An ambiguous body length is detected also if the head arrives in pieces, and in a pipelined
+// request. The name of such a field in the value of another field does not count.
+func TestAmbiguousBodyLengthIsRejected(t *testing.T) {
+	_, _, dial := startServer(t, Config{}, echo)
+	bad := request("POST /a", idFields+field("Content-Length", "5")+field("Transfer-Encoding", "chunked")) + smuggledRequest
 	c := dial()
 	for n := range bad {
 		if _, err := io.WriteString(c.Conn, bad[n:n+1]); err != nil {
-			break // answered and closed
+			break // already answered and closed
 		}
 	}
-	if status, _, _ := c.hear(); status != 400 {
-		t.Errorf("in pieces: answered %d", status)
+	if status, _, _ := c.receive(); status != 400 {
+		t.Errorf("head in pieces answered %d, want 400", status)
 	}
-	c = dial().say(request("POST /a", ids+field("X", "Transfer-Encoding: chunked")+field("Content-Length", "2")) + "hi" + bad)
+	c = dial().send(request("POST /a", idFields+field("X", "Transfer-Encoding: chunked")+field("Content-Length", "2")) + "hi" + bad)
 	for _, want := range []int{200, 400} {
-		if status, _, _ := c.hear(); status != want {
-			t.Errorf("behind another: answered %d, want %d", status, want)
+		if status, _, _ := c.receive(); status != want {
+			t.Errorf("pipelined request answered %d, want %d", status, want)
 		}
 	}
-	if !c.closed() {
-		t.Error("not closed")
+	if !c.isClosed() {
+		t.Error("connection is not closed")
 	}
 }
 
-// A client that is turned away while it still sends sees why, all of it.
-func TestRejectIsSeen(t *testing.T) {
-	s, _, dial := start(t, Config{}, echo)
+// A client whose request is rejected while it is still sending receives the complete answer.
+func TestRejectionReachesSendingClient(t *testing.T) {
+	s, _, dial := startServer(t, Config{}, echo)
 	for range 20 {
-		c := dial().say(request("POST /a", ids+field("Content-Length", "x")))
+		c := dial().send(request("POST /a", idFields+field("Content-Length", "x")))
 		for range 8 {
-			c.say(strings.Repeat("x", maxLingerBytes/16))
+			c.send(strings.Repeat("x", maxLingerBytes/16))
 			time.Sleep(time.Millisecond)
 		}
-		if status, _, h := c.hear(); status != 400 || h.Get("Connection") != "close" {
+		if status, _, h := c.receive(); status != 400 || h.Get("Connection") != "close" {
 			t.Fatalf("answered %d %v", status, h)
 		}
-		if !c.closed() {
-			t.Error("not closed")
+		if !c.isClosed() {
+			t.Error("connection is not closed")
 		}
 		c.Close()
 	}
-	settle(t, "still counted", func() bool { return s.Conns() == 0 })
+	waitFor(t, "closed connections are still counted", func() bool { return s.Conns() == 0 })
 }
 
-// deadlined is a connection that knows whether a write may take for ever.
-type deadlined struct {
+// deadlineConn is a connection that records whether a write had no deadline.
+type deadlineConn struct {
 	net.Conn
-	until   time.Time
-	forever bool
+	deadline  time.Time
+	unbounded bool
 }
 
-func (d *deadlined) SetWriteDeadline(t time.Time) error {
-	d.until = t
+func (d *deadlineConn) SetWriteDeadline(t time.Time) error {
+	d.deadline = t
 	return d.Conn.SetWriteDeadline(t)
 }
 
-func (d *deadlined) Write(p []byte) (int, error) {
-	d.forever = d.forever || d.until.IsZero()
+func (d *deadlineConn) Write(p []byte) (int, error) {
+	d.unbounded = d.unbounded || d.deadline.IsZero()
 	return d.Conn.Write(p)
 }
 
-// No client that reads nothing can hold up whoever brings its answer, however small.
-func TestAnswersAreBounded(t *testing.T) {
+// Every write of an answer has a deadline, however small the answer. Otherwise a client that reads
+// nothing could block the goroutine that delivers its answer.
+func TestAnswerWritesHaveDeadlines(t *testing.T) {
 	nc, other := net.Pipe()
 	defer other.Close()
 	go io.Copy(io.Discard, other)
 	s := New(Config{MaxBodyBytes: 1 << 20}, &fake{})
-	d := &deadlined{Conn: nc}
+	d := &deadlineConn{Conn: nc}
 	c := &conn{srv: s, nc: d}
-	c.served.L = &s.mu
-	(&Exchange{conn: c, keep: true}).Fail()
-	if d.forever {
+	c.answered.L = &s.mu
+	(&Exchange{conn: c, keepAlive: true}).Fail()
+	if d.unbounded {
 		t.Error("an answer is written without a deadline")
 	}
-	// What tells a client to go on has a deadline of its own, not that of the answer
-	// before, which may be over.
-	d.until = time.Time{}
-	c.in, c.began = capped{Conn: &said{Reader: strings.NewReader(request("POST /a", ids+field("Content-Length", "2")+field("Expect", "100-continue")) + "hi")}, left: maxHeadBytes}, time.Now()
+	// 100 Continue has a deadline of its own: that of the answer before it may have passed.
+	d.deadline = time.Time{}
+	c.in, c.headStart = limitedConn{Conn: &readerConn{Reader: strings.NewReader(request("POST /a", idFields+field("Content-Length", "2")+field("Expect", "100-continue")) + "hi")}, remaining: maxHeadBytes}, time.Now()
 	c.br = bufio.NewReader(&c.in)
 	s.handler = &fake{}
-	if x, _ := c.read(false); x == nil || d.until.IsZero() {
-		t.Error("a client is told to go on without a deadline")
+	if x, _ := c.readRequest(false); x == nil || d.deadline.IsZero() {
+		t.Error("100 Continue is written without a deadline")
 	}
 }
 
-// said is a connection that only brings what was said.
-type said struct {
+// readerConn is a connection that reads from Reader.
+type readerConn struct {
 	net.Conn
 	io.Reader
 }
 
-func (s *said) Read(p []byte) (int, error) { return s.Reader.Read(p) }
+func (s *readerConn) Read(p []byte) (int, error) { return s.Reader.Read(p) }
 
-// The id of a request that waits for its answer is its own: another with it is
-// turned away and the first is not disturbed. Once that is over, or its client has
-// left, the id is free.
-func TestOpenID(t *testing.T) {
+// A request with the id of another one that waits for its answer is rejected, and the other one is
+// not affected. The id is free once the other one is answered or its client has left.
+func TestOpenIDIsRejected(t *testing.T) {
 	got := make(chan *Exchange, 10)
-	s, f, dial := start(t, Config{}, func(x *Exchange) { got <- x })
-	first := dial().say(request("GET /a", ids))
+	s, f, dial := startServer(t, Config{}, func(x *Exchange) { got <- x })
+	first := dial().send(request("GET /a", idFields))
 	x := <-got
 	second := dial()
-	if status, _, _ := second.say(request("GET /a", ids)).hear(); status != 409 {
-		t.Errorf("an id that is open: answered %d", status)
+	if status, _, _ := second.send(request("GET /a", idFields)).receive(); status != 409 {
+		t.Errorf("request with an open id answered %d, want 409", status)
 	}
-	answerWhole(x, "hi")
-	if status, body, _ := first.hear(); status != 200 || body != "hi" {
-		t.Errorf("the first was answered %d %q", status, body)
+	answerWith(x, "hi")
+	if status, body, _ := first.receive(); status != 200 || body != "hi" {
+		t.Errorf("first request answered %d %q", status, body)
 	}
-	second.say(request("GET /a", ids))
+	second.send(request("GET /a", idFields))
 	<-got
 	second.Close()
 	<-f.gone
-	settle(t, "still counted", func() bool { return s.Conns() == 1 })
-	first.say(request("GET /a", ids))
-	answerWhole(<-got, "again")
-	if status, body, _ := first.hear(); status != 200 || body != "again" {
-		t.Errorf("then answered %d %q", status, body)
+	waitFor(t, "closed connections are still counted", func() bool { return s.Conns() == 1 })
+	first.send(request("GET /a", idFields))
+	answerWith(<-got, "again")
+	if status, body, _ := first.receive(); status != 200 || body != "again" {
+		t.Errorf("request with a free id answered %d %q", status, body)
 	}
-	if status, _, _ := first.say(request("GET /a", ids+field("Req-Id", "2"))).hear(); status != 400 {
-		t.Errorf("two ids: answered %d", status)
+	if status, _, _ := first.send(request("GET /a", idFields+field("Req-Id", "2"))).receive(); status != 400 {
+		t.Errorf("request with two ids answered %d, want 400", status)
 	}
 }
 
-// Two requests at once are answered in turn.
-func TestPipelined(t *testing.T) {
-	_, _, dial := start(t, Config{}, func(x *Exchange) {
+// Two pipelined requests are answered in their order.
+func TestPipelinedRequestsAreAnsweredInOrder(t *testing.T) {
+	_, _, dial := startServer(t, Config{}, func(x *Exchange) {
 		go func() { time.Sleep(time.Millisecond); echo(x) }()
 	})
-	post := request("POST /a", ids+field("Content-Length", "1"))
-	c := dial().say(post + "1" + post + "2")
+	post := request("POST /a", idFields+field("Content-Length", "1"))
+	c := dial().send(post + "1" + post + "2")
 	for _, want := range []string{"1", "2"} {
-		if status, body, _ := c.hear(); status != 200 || body != want {
+		if status, body, _ := c.receive(); status != 200 || body != want {
 			t.Errorf("answered %d %q", status, body)
 		}
 	}
 }
 
-// Past the byte budget a body is read off and its request refused, and the
-// bytes of others come back.
+// A body that exceeds the byte budget is read and discarded, and its request is refused. All
+// reserved bytes are released afterwards.
 func TestBodyBudget(t *testing.T) {
-	s, _, dial := start(t, Config{MaxBodyBytes: 1 << 20}, echo)
+	s, _, dial := startServer(t, Config{MaxBodyBytes: 1 << 20}, echo)
 	big := strings.Repeat("x", 2<<20)
 	for _, fields := range []string{field("Content-Length", fmt.Sprint(len(big))), field("Transfer-Encoding", "chunked")} {
 		text := big
@@ -453,14 +456,14 @@
 			text = fmt.Sprintf("%x\r\n%s\r\n0\r\n\r\n", len(big), big)
 		}
 		c := dial()
-		if status, _, h := c.say(request("POST /a", ids+fields) + text).hear(); status != 503 || h.Get("Retry-After") == "" {
+		if status, _, h := c.send(request("POST /a", idFields+fields) + text).receive(); status != 503 || h.Get("Retry-After") == "" {
 			t.Errorf("answered %d %v", status, h)
 		}
-		if status, body, _ := c.say(request("POST /a", ids+field("Content-Length", "2")) + "hi").hear(); status != 200 || body != "hi" {
-			t.Errorf("then answered %d %q", status, body)
+		if status, body, _ := c.send(request("POST /a", idFields+field("Content-Length", "2")) + "hi").receive(); status != 200 || body != "hi" {
+			t.Errorf("next request answered %d %q", status, body)
 		}
 	}
-	settle(t, "bytes are missing", func() bool { s.budget.mu.Lock(); defer s.budget.mu.Unlock(); return s.budget.left == 1<<20 })
+	waitFor(t, "not all bytes were released to the budget", func() bool { s.budget.mu.Lock(); defer s.budget.mu.Unlock(); return s.budget.remaining == 1<<20 })
 }
 
 func TestStream(t *testing.T) {
@@ -477,76 +480,76 @@
 		{"ends short of its length", 9, true, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			_, _, dial := start(t, Config{}, func(x *Exchange) {
+			_, _, dial := startServer(t, Config{}, func(x *Exchange) {
 				w := x.Stream(&message.Answer{Length: c.length}, nil)
 				io.WriteString(w, "he")
 				io.WriteString(w, "llo")
 				w.End(c.end)
 				x.Release()
 			})
-			status, body, _ := dial().say(request("GET /a", ids)).hear()
+			status, body, _ := dial().send(request("GET /a", idFields)).receive()
 			if whole := status == 200 && body == "hello"; whole != c.whole {
-				t.Errorf("heard %d %q", status, body)
+				t.Errorf("answered %d %q", status, body)
 			}
 		})
 	}
 }
 
-// A connection that its client or the server has closed is counted no more: after
-// many short ones there is room for the next.
-func TestClosedConnsAreForgotten(t *testing.T) {
-	s, _, dial := start(t, Config{MaxConns: 3}, echo)
+// A connection that the client or the server has closed is no longer counted. Otherwise the limit
+// would refuse all connections after enough short ones.
+func TestClosedConnectionsAreNotCounted(t *testing.T) {
+	s, _, dial := startServer(t, Config{MaxConns: 3}, echo)
 	for n := range 10 {
 		c := dial()
-		fields := ids
+		fields := idFields
 		if n%2 == 0 {
 			fields += field("Connection", "close")
 		}
-		if status, _, _ := c.say(request("GET /a", fields)).hear(); status != 200 {
+		if status, _, _ := c.send(request("GET /a", fields)).receive(); status != 200 {
 			t.Fatalf("connection %d: answered %d", n, status)
 		}
 		c.Close()
-		settle(t, "closed and still counted", func() bool { return s.Conns() == 0 })
+		waitFor(t, "closed connection is still counted", func() bool { return s.Conns() == 0 })
 	}
 }
 
-// An answered connection is idle: it gives way to a new one where all places are
-// taken, and a drain closes it.
-func TestAnsweredConnsAreIdle(t *testing.T) {
-	s, _, dial := start(t, Config{MaxConns: 2}, echo)
+// A connection is idle after its answer: it is evicted for a new one at the limit, and a drain
+// closes it.
+func TestAnsweredConnectionsAreIdle(t *testing.T) {
+	s, _, dial := startServer(t, Config{MaxConns: 2}, echo)
 	ask := func(c *client) {
 		t.Helper()
-		if status, _, _ := c.say(request("GET /a", ids)).hear(); status != 200 {
+		if status, _, _ := c.send(request("GET /a", idFields)).receive(); status != 200 {
 			t.Fatalf("answered %d", status)
 		}
-		settle(t, "busy after its answer", func() bool { return s.Busy() == 0 })
+		waitFor(t, "connection is busy after its answer", func() bool { return s.Busy() == 0 })
 	}
 	first, second, third := dial(), dial(), dial
 	ask(first)
 	ask(second)
 	ask(third())
-	if !first.closed() {
-		t.Error("the oldest idle connection was kept")
+	if !first.isClosed() {
+		t.Error("the oldest idle connection was not evicted")
 	}
 	ask(second)
 	s.Drain()
-	if !second.closed() {
-		t.Error("an idle connection outlives a drain")
+	if !second.isClosed() {
+		t.Error("an idle connection is open after a drain")
 	}
 }
 
-// A panic while handling a request fails that one only.
-func TestPanic(t *testing.T) {
-	_, _, dial := start(t, Config{}, func(x *Exchange) {
+// A panic while a request is handled fails only that request.
+func TestPanicFailsOnlyItsRequest(t *testing.T) {
+	_, _, dial := startServer(t, Config{}, func(x *Exchange) {
 		if x.Tenant == "bad" {
 			panic("oh")
 		}
 		echo(x)
 	})
-	if status, _, _ := dial().say(request("GET /a", ids+field("Req-Owner", "bad"))).hear(); status != 502 {
+	if status, _, _ := dial().send(request("GET /a", idFields+field("Req-Owner", "bad"))).receive(); status != 502 {
 		t.Errorf("answered %d", status)
 	}
-	if status, _, _ := dial().say(request("GET /a", ids)).hear(); status != 200 {
-		t.Errorf("then answered %d", status)
+	if status, _, _ := dial().send(request("GET /a", idFields)).receive(); status != 200 {
+		t.Errorf("next request answered %d", status)
 	}
 }
--- a/internal/front/nodelay_test.go
+++ b/internal/front/nodelay_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// noDelay says whether small writes go out at once on a connection.
-func noDelay(t *testing.T, nc net.Conn) bool {
+// hasNoDelay reports whether TCP_NODELAY is set on nc, so that small writes are sent at once.
+func hasNoDelay(t *testing.T, nc net.Conn) bool {
 	t.Helper()
 	raw, err := nc.(syscall.Conn).SyscallConn()
 	if err != nil {
