--- a/internal/agreed/council.go
+++ b/internal/agreed/council.go
@@ -7,53 +7,53 @@
 	"slices"
 )
 
-// Kind is what an entry of the log does.
+// Kind is the type of a log entry.
 type Kind string
 
-// Entries.
+// Kinds of entries.
 const (
-	Propose  Kind = "propose"  // Doc, against the version Base
-	Withdraw Kind = "withdraw" // the proposal on its way, of Version
-	Join     Kind = "join"     // a sidecar that was not there, or starts anew, and acts on Version
-	Yes      Kind = "yes"      // a sidecar is prepared for Version
-	No       Kind = "no"       // it is not, for Reason
-	Acts     Kind = "acts"     // a sidecar acts on Version
-	Gone     Kind = "gone"     // its lease has ended; Inc is the start that had it
-	Forget   Kind = "forget"   // an operator says that a silent one is no more
+	Propose          Kind = "propose"  // proposes Doc, written against version Base
+	Withdraw         Kind = "withdraw" // withdraws the pending proposal Version
+	KindJoin         Kind = "join"     // adds a new or restarted sidecar that has Version active
+	KindPrepared     Kind = "yes"      // a sidecar has prepared Version
+	KindRejected     Kind = "no"       // a sidecar rejects Version for Reason
+	KindActive       Kind = "acts"     // a sidecar has Version active
+	KindLeaseExpired Kind = "gone"     // the lease of a sidecar's Incarnation has expired
+	Forget           Kind = "forget"   // an operator removes a sidecar whose lease has expired
 )
 
-// Entry is one of the log.
+// Entry is one entry of the log. Which fields are set depends on its kind.
 type Entry struct {
-	Kind    Kind   `json:"kind"`
-	Car     string `json:"car,omitempty"`
-	Inc     uint64 `json:"inc,omitempty"` // of the sidecar's start
-	Version uint64 `json:"version,omitempty"`
-	Base    uint64 `json:"base,omitempty"`
-	Doc     *Doc   `json:"doc,omitempty"`
-	Who     string `json:"who,omitempty"`
-	Reason  string `json:"reason,omitempty"`
+	Kind        Kind   `json:"kind"`
+	Car         string `json:"car,omitempty"`
+	Incarnation uint64 `json:"inc,omitempty"` // of the sidecar
+	Version     uint64 `json:"version,omitempty"`
+	Base        uint64 `json:"base,omitempty"`
+	Doc         *Doc   `json:"doc,omitempty"`
+	Who         string `json:"who,omitempty"`
+	Reason      string `json:"reason,omitempty"`
 }
 
-// Sidecar is what the council knows of one.
+// Sidecar is the council's record of one sidecar.
 type Sidecar struct {
-	Inc   uint64 `json:"inc"`
-	Acts  uint64 `json:"acts"`  // the version that it has said it acts on
-	Ready uint64 `json:"ready"` // and has said yes to, at the most
-	Gone  bool   `json:"gone,omitempty"`
+	Incarnation     uint64 `json:"inc"`
+	Acts            uint64 `json:"acts"`           // the version last reported as active
+	PreparedVersion uint64 `json:"ready"`          // the highest version reported as prepared
+	Gone            bool   `json:"gone,omitempty"` // its lease has expired
 }
 
-// Outcome is what became of a proposal.
+// Outcome is the state of a proposal.
 type Outcome string
 
-// Outcomes.
+// Outcomes of a proposal.
 const (
-	Preparing Outcome = "preparing"
+	Preparing Outcome = "preparing" // sidecars are still preparing it
 	InForce   Outcome = "in force"
-	Refused   Outcome = "refused"   // by a sidecar, for a reason
+	Refused   Outcome = "refused"   // rejected by a sidecar
 	Withdrawn Outcome = "withdrawn" // by an operator
 )
 
-// Ending is a proposal's, for who asks again.
+// Ending is the result of a proposal, kept so that a repeated proposal gets the same result.
 type Ending struct {
 	Key     string  `json:"key"`
 	Version uint64  `json:"version"`
@@ -62,259 +62,268 @@
 	Reason  string  `json:"reason,omitempty"`
 }
 
-// State is what the log means. It is made by Apply alone, in the log's order, and is the same
-// wherever that was. The zero State is of an empty log.
+// State is the replicated state. It changes only by Apply, in the order of the log, and is the
+// same at each member that has applied the same entries. The zero State is that of an empty log.
 type State struct {
-	Last    uint64             `json:"last"` // the highest version that was ever given
-	Force   Doc                `json:"force"`
-	Next    *Doc               `json:"next,omitempty"`
-	Cars    map[string]Sidecar `json:"cars,omitempty"`
-	Old     map[uint64]Doc     `json:"old,omitempty"` // what those that are gone act on, without bodies
-	Endings []Ending           `json:"endings,omitempty"`
+	LastVersion uint64             `json:"last"` // the highest version number assigned so far
+	InForce     Doc                `json:"force"`
+	Pending     *Doc               `json:"next,omitempty"` // the pending proposal; nil: none
+	Sidecars    map[string]Sidecar `json:"cars,omitempty"`
+	Superseded  map[uint64]Doc     `json:"old,omitempty"` // superseded versions that sidecars have active, without bodies
+	Results     []Ending           `json:"endings,omitempty"`
 }
 
-// Errors of entries. They change nothing.
+// Errors of Apply. An entry that fails changes nothing.
 var (
-	ErrBase      = errors.New("another version is in force than the one that this was written against")
-	ErrBusy      = errors.New("another proposal is on its way")
-	ErrUnsettled = errors.New("the version in force is not settled yet")
-	ErrNone      = errors.New("there is no such proposal on its way")
-	ErrCar       = errors.New("there is no such sidecar")
-	ErrStarted   = errors.New("another start of this sidecar is known")
-	ErrLive      = errors.New("it is not silent: its lease runs")
-	ErrFloor     = errors.New("a sidecar that is silent may still act on less")
-	ErrForgotten = errors.New("what that version asked is not known any more: it takes the one in force first")
-	ErrFull      = errors.New("too many")
-	ErrEntry     = errors.New("the entry makes no sense")
+	ErrBaseVersion      = errors.New("another version is in force than the one that this was written against")
+	ErrProposalPending  = errors.New("another proposal is on its way")
+	ErrNotSettled       = errors.New("the version in force is not settled yet")
+	ErrNoProposal       = errors.New("there is no such proposal on its way")
+	ErrUnknownSidecar   = errors.New("there is no such sidecar")
+	ErrOtherIncarnation = errors.New("another start of this sidecar is known")
+	ErrLeaseActive      = errors.New("it is not silent: its lease runs")
+	ErrStaleSidecar     = errors.New("a sidecar that is silent may still act on less")
+	ErrUnknownVersion   = errors.New("what that version asked is not known any more: it takes the one in force first")
+	ErrLimit            = errors.New("too many")
+	ErrInvalidEntry     = errors.New("the entry makes no sense")
 )
 
-// Settled says that each live sidecar acts on the version in force.
-func (s *State) Settled() bool {
-	for _, c := range s.Cars {
-		if !c.Gone && c.Acts < s.Force.Version {
+// IsSettled reports whether each live sidecar has the version in force active.
+func (s *State) IsSettled() bool {
+	for _, c := range s.Sidecars {
+		if !c.Gone && c.Acts < s.InForce.Version {
 			return false
 		}
 	}
 	return true
 }
 
-// Waits are the live sidecars that a proposal or the version in force waits for, by name.
-func (s *State) Waits() (all []string) {
-	for name, c := range s.Cars {
-		if !c.Gone && (s.Next != nil && c.Ready < s.Next.Version || c.Acts < s.Force.Version) {
-			all = append(all, name)
+// PendingSidecars returns the names, sorted, of the live sidecars that have not prepared the pending
+// proposal or do not have the version in force active.
+func (s *State) PendingSidecars() (names []string) {
+	for name, c := range s.Sidecars {
+		if !c.Gone && (s.Pending != nil && c.PreparedVersion < s.Pending.Version || c.Acts < s.InForce.Version) {
+			names = append(names, name)
 		}
 	}
-	slices.Sort(all)
-	return all
+	slices.Sort(names)
+	return names
 }
 
-// Apply does what an entry says. An error says why it does nothing; it is part of what the log
-// means, so that each member gives the same one.
+// Apply applies one log entry. An error says why the entry has no effect; it depends only on the
+// log, so each member returns the same one.
 func (s *State) Apply(e *Entry) error {
 	switch e.Kind {
 	case Propose:
 		return s.propose(e)
 	case Withdraw:
-		if s.Next == nil || s.Next.Version != e.Version {
-			return fmt.Errorf("version %d: %w", e.Version, ErrNone)
+		if s.Pending == nil || s.Pending.Version != e.Version {
+			return fmt.Errorf("version %d: %w", e.Version, ErrNoProposal)
 		}
-		s.end(Withdrawn, e.Who, e.Reason)
+		s.finishProposal(Withdrawn, e.Who, e.Reason)
 		return nil
-	case Join:
+	case KindJoin:
 		return s.join(e)
 	case Forget:
-		c, ok := s.Cars[e.Car]
+		c, ok := s.Sidecars[e.Car]
 		switch {
 		case !ok:
-			return fmt.Errorf("%q: %w", e.Car, ErrCar)
+			return fmt.Errorf("%q: %w", e.Car, ErrUnknownSidecar)
 		case !c.Gone:
-			return fmt.Errorf("%q: %w", e.Car, ErrLive)
+			return fmt.Errorf("%q: %w", e.Car, ErrLeaseActive)
 		}
-		delete(s.Cars, e.Car)
-		s.step()
+		delete(s.Sidecars, e.Car)
+		s.advance()
 		return nil
 	}
-	c, ok := s.Cars[e.Car]
+	c, ok := s.Sidecars[e.Car]
 	switch {
 	case !ok:
-		return fmt.Errorf("%q: %w", e.Car, ErrCar)
-	case c.Inc != e.Inc:
-		return fmt.Errorf("%q: %w", e.Car, ErrStarted)
-	case e.Kind == Gone:
+		return fmt.Errorf("%q: %w", e.Car, ErrUnknownSidecar)
+	case c.Incarnation != e.Incarnation:
+		return fmt.Errorf("%q: %w", e.Car, ErrOtherIncarnation)
+	case e.Kind == KindLeaseExpired:
 		c.Gone = true
-	case c.Gone: // its lease has ended: it joins first
-		return fmt.Errorf("%q: %w", e.Car, ErrCar)
-	case e.Kind == Yes:
-		if s.Next == nil || s.Next.Version != e.Version {
-			return fmt.Errorf("version %d: %w", e.Version, ErrNone)
+	case c.Gone: // its lease has expired: it must join first
+		return fmt.Errorf("%q: %w", e.Car, ErrUnknownSidecar)
+	case e.Kind == KindPrepared:
+		if s.Pending == nil || s.Pending.Version != e.Version {
+			return fmt.Errorf("version %d: %w", e.Version, ErrNoProposal)
 		}
-		c.Ready = max(c.Ready, e.Version)
-	case e.Kind == No:
-		if s.Next == nil || s.Next.Version != e.Version {
-			return fmt.Errorf("version %d: %w", e.Version, ErrNone)
+		c.PreparedVersion = max(c.PreparedVersion, e.Version)
+	case e.Kind == KindRejected:
+		if s.Pending == nil || s.Pending.Version != e.Version {
+			return fmt.Errorf("version %d: %w", e.Version, ErrNoProposal)
 		}
-		s.end(Refused, e.Car, e.Reason)
+		s.finishProposal(Refused, e.Car, e.Reason)
 		return nil
-	case e.Kind == Acts:
-		if e.Version > s.Force.Version {
-			return fmt.Errorf("version %d: %w", e.Version, ErrNone)
+	case e.Kind == KindActive:
+		if e.Version > s.InForce.Version {
+			return fmt.Errorf("version %d: %w", e.Version, ErrNoProposal)
 		}
 		c.Acts = max(c.Acts, e.Version)
 	default:
-		return fmt.Errorf("%q: %w", e.Kind, ErrEntry)
+		return fmt.Errorf("%q: %w", e.Kind, ErrInvalidEntry)
 	}
-	s.Cars[e.Car] = c
-	s.step()
+	s.Sidecars[e.Car] = c
+	s.advance()
 	return nil
 }
 
+// propose makes the document of an entry the pending proposal, with the next version number. A
+// proposal whose key is known already has no effect and no error.
 func (s *State) propose(e *Entry) error {
 	if e.Doc == nil {
-		return fmt.Errorf("no document: %w", ErrEntry)
+		return fmt.Errorf("no document: %w", ErrInvalidEntry)
 	}
 	d := *e.Doc
-	for _, x := range s.Endings { // sent again
+	for _, x := range s.Results { // a repeated proposal
 		if x.Key == d.Key {
 			return nil
 		}
 	}
-	if s.Next != nil && s.Next.Key == d.Key {
+	if s.Pending != nil && s.Pending.Key == d.Key {
 		return nil
 	}
 	if err := d.Validate(); err != nil {
 		return err
 	}
 	switch {
-	case e.Base != s.Force.Version:
-		return fmt.Errorf("version %d, not %d: %w", s.Force.Version, e.Base, ErrBase)
-	case s.Next != nil:
-		return fmt.Errorf("version %d: %w", s.Next.Version, ErrBusy)
-	case !s.Settled():
-		return fmt.Errorf("version %d: %w", s.Force.Version, ErrUnsettled)
-	case len(s.Old) >= oldMost:
-		return fmt.Errorf("versions that silent sidecars act on: %w", ErrFull)
+	case e.Base != s.InForce.Version:
+		return fmt.Errorf("version %d, not %d: %w", s.InForce.Version, e.Base, ErrBaseVersion)
+	case s.Pending != nil:
+		return fmt.Errorf("version %d: %w", s.Pending.Version, ErrProposalPending)
+	case !s.IsSettled():
+		return fmt.Errorf("version %d: %w", s.InForce.Version, ErrNotSettled)
+	case len(s.Superseded) >= maxSuperseded:
+		return fmt.Errorf("versions that silent sidecars act on: %w", ErrLimit)
 	}
-	if err := s.promised(&d); err != nil {
+	if err := s.checkStaleSidecars(&d); err != nil {
 		return err
 	}
-	s.Last++
-	d.Version = s.Last
-	s.Next = &d
-	s.step()
+	s.LastVersion++
+	d.Version = s.LastVersion
+	s.Pending = &d
+	s.advance()
 	return nil
 }
 
-// promised says whether a version asks more than a sidecar that is silent, and has not heard of
-// it, acts on. Servers that are out it can't hear of; that is not held against the version.
-func (s *State) promised(d *Doc) error {
-	for _, name := range slices.Sorted(maps.Keys(s.Cars)) {
-		c := s.Cars[name]
-		if !c.Gone || d.Version != 0 && c.Ready == d.Version { // who has said yes acts on it too
+// checkStaleSidecars returns an error if d requires a stricter level of a class than a sidecar with an
+// expired lease applies that has not prepared d. Server keys are not checked: such a sidecar can't
+// learn which servers were taken out, and that does not hold up the version.
+func (s *State) checkStaleSidecars(d *Doc) error {
+	for _, name := range slices.Sorted(maps.Keys(s.Sidecars)) {
+		c := s.Sidecars[name]
+		if !c.Gone || d.Version != 0 && c.PreparedVersion == d.Version { // a prepared sidecar applies d's levels too
 			continue
 		}
-		old := s.known(c.Acts)
+		active := s.docOf(c.Acts)
 		for _, key := range slices.Sorted(maps.Keys(d.Rules)) {
-			if len(key) > len(ClassKey) && key[:len(ClassKey)] == ClassKey && old.Stale(key) < d.Rules[key] {
-				return fmt.Errorf("%s: sidecar %q, silent under version %d: %w", key, name, c.Acts, ErrFloor)
+			if len(key) > len(ClassPrefix) && key[:len(ClassPrefix)] == ClassPrefix && active.StaleLevel(key) < d.Rules[key] {
+				return fmt.Errorf("%s: sidecar %q, silent under version %d: %w", key, name, c.Acts, ErrStaleSidecar)
 			}
 		}
 	}
 	return nil
 }
 
-// known is a version that somebody may act on; the zero Doc where there was none.
-func (s *State) known(version uint64) *Doc {
-	if version == s.Force.Version {
-		return &s.Force
+// docOf returns a version that a sidecar may have active, or a zero Doc if the version is not
+// known.
+func (s *State) docOf(version uint64) *Doc {
+	if version == s.InForce.Version {
+		return &s.InForce
 	}
-	d := s.Old[version]
+	d := s.Superseded[version]
 	return &d
 }
 
+// join adds a sidecar, or replaces the record of its previous incarnation.
 func (s *State) join(e *Entry) error {
-	if e.Car == "" || len(e.Car) > KeyMost {
-		return fmt.Errorf("a sidecar's name has 1 to %d bytes: %w", KeyMost, ErrEntry)
+	if e.Car == "" || len(e.Car) > MaxKeyBytes {
+		return fmt.Errorf("a sidecar's name has 1 to %d bytes: %w", MaxKeyBytes, ErrInvalidEntry)
 	}
-	c, ok := s.Cars[e.Car]
+	c, ok := s.Sidecars[e.Car]
 	switch {
-	case !ok && len(s.Cars) >= CarsMost:
-		return fmt.Errorf("sidecars: %w", ErrFull)
-	case ok && e.Inc < c.Inc:
-		return fmt.Errorf("%q: %w", e.Car, ErrStarted)
-	case ok && e.Inc == c.Inc && !c.Gone:
+	case !ok && len(s.Sidecars) >= MaxSidecars:
+		return fmt.Errorf("sidecars: %w", ErrLimit)
+	case ok && e.Incarnation < c.Incarnation:
+		return fmt.Errorf("%q: %w", e.Car, ErrOtherIncarnation)
+	case ok && e.Incarnation == c.Incarnation && !c.Gone:
 		return nil
-	case e.Version > s.Force.Version: // it acts on what this council never had
-		return fmt.Errorf("%q acts on version %d, %d is in force: %w", e.Car, e.Version, s.Force.Version, ErrEntry)
+	case e.Version > s.InForce.Version: // this council never had that version
+		return fmt.Errorf("%q acts on version %d, %d is in force: %w", e.Car, e.Version, s.InForce.Version, ErrInvalidEntry)
 	}
-	if _, old := s.Old[e.Version]; e.Version != 0 && e.Version != s.Force.Version && !old { // nobody knows what it promised
-		return fmt.Errorf("%q acts on version %d, %d is in force: %w", e.Car, e.Version, s.Force.Version, ErrForgotten)
+	if _, isSuperseded := s.Superseded[e.Version]; e.Version != 0 && e.Version != s.InForce.Version && !isSuperseded { // its rules and floors are no longer known
+		return fmt.Errorf("%q acts on version %d, %d is in force: %w", e.Car, e.Version, s.InForce.Version, ErrUnknownVersion)
 	}
-	if s.Cars == nil {
-		s.Cars = make(map[string]Sidecar)
+	if s.Sidecars == nil {
+		s.Sidecars = make(map[string]Sidecar)
 	}
-	// An earlier start may have acted on less: what it sent may still run, no longer.
-	s.Cars[e.Car] = Sidecar{Inc: e.Inc, Acts: e.Version}
-	s.step()
+	// The previous incarnation may have applied less strict rules. Calls that it sent may still
+	// run, but it sends no more.
+	s.Sidecars[e.Car] = Sidecar{Incarnation: e.Incarnation, Acts: e.Version}
+	s.advance()
 	return nil
 }
 
-// step puts a proposal in force once each live sidecar has said yes.
-func (s *State) step() {
-	if s.Next != nil && s.ready() {
-		was := s.Force
-		if s.Old == nil {
-			s.Old = make(map[uint64]Doc)
+// advance brings the pending proposal into force once each live sidecar has prepared it, and drops
+// superseded versions that are no longer needed.
+func (s *State) advance() {
+	if s.Pending != nil && s.isReady() {
+		superseded := s.InForce
+		if s.Superseded == nil {
+			s.Superseded = make(map[uint64]Doc)
 		}
-		was.Body = nil
-		s.Old[was.Version] = was
-		next := s.Next
-		s.end(InForce, "", "")
-		s.Force = *next
+		superseded.Body = nil
+		s.Superseded[superseded.Version] = superseded
+		pending := s.Pending
+		s.finishProposal(InForce, "", "")
+		s.InForce = *pending
 	}
-	s.prune()
+	s.pruneSuperseded()
 }
 
-// ready says that each live sidecar is prepared for the proposal, and that none has gone silent
-// meanwhile under a version that promises less.
-func (s *State) ready() bool {
-	for _, c := range s.Cars {
-		if !c.Gone && c.Ready != s.Next.Version {
+// isReady reports whether each live sidecar has prepared the pending proposal and no sidecar whose
+// lease has expired meanwhile may apply less strict levels.
+func (s *State) isReady() bool {
+	for _, c := range s.Sidecars {
+		if !c.Gone && c.PreparedVersion != s.Pending.Version {
 			return false
 		}
 	}
-	return s.promised(s.Next) == nil
+	return s.checkStaleSidecars(s.Pending) == nil
 }
 
-// end remembers what became of the proposal that was on its way.
-func (s *State) end(o Outcome, who, reason string) {
-	s.Endings = append(s.Endings, Ending{s.Next.Key, s.Next.Version, o, who, reason})
-	s.Endings = s.Endings[max(0, len(s.Endings)-EndingsMost):]
-	s.Next = nil
+// finishProposal records the result of the pending proposal and removes it.
+func (s *State) finishProposal(outcome Outcome, who, reason string) {
+	s.Results = append(s.Results, Ending{s.Pending.Key, s.Pending.Version, outcome, who, reason})
+	s.Results = s.Results[max(0, len(s.Results)-MaxResults):]
+	s.Pending = nil
 }
 
-// prune forgets versions that nobody who is silent may act on.
-func (s *State) prune() {
-	for v := range s.Old {
-		used := false
-		for _, c := range s.Cars {
-			used = used || c.Acts == v
+// pruneSuperseded drops the superseded versions that no sidecar has active.
+func (s *State) pruneSuperseded() {
+	for version := range s.Superseded {
+		isActive := false
+		for _, c := range s.Sidecars {
+			isActive = isActive || c.Acts == version
 		}
-		if !used {
-			delete(s.Old, v)
+		if !isActive {
+			delete(s.Superseded, version)
 		}
 	}
 }
 
-// Outcome is what became of a proposal, by its key; empty: nothing is known of it.
-func (s *State) Outcome(key string) (e Ending, known bool) {
-	if s.Next != nil && s.Next.Key == key {
-		return Ending{Key: key, Version: s.Next.Version, Outcome: Preparing}, true
+// Result returns the state or result of the proposal with the given key; known is false if
+// there is no record of it.
+func (s *State) Result(key string) (result Ending, known bool) {
+	if s.Pending != nil && s.Pending.Key == key {
+		return Ending{Key: key, Version: s.Pending.Version, Outcome: Preparing}, true
 	}
-	for _, x := range s.Endings {
+	for _, x := range s.Results {
 		if x.Key == key {
 			return x, true
 		}
 	}
-	return e, false
+	return result, false
 }
--- a/internal/agreed/council_test.go
+++ b/internal/agreed/council_test.go
@@ -12,76 +12,77 @@
 	return &Doc{Key: key, Who: "kim", Reason: "a test", Rules: Rules{"class/a": level}}
 }
 
-// What each entry does to a log's state, in turn, and what it answers where it does nothing.
-func TestEntries(t *testing.T) {
+// Applies one sequence of entries and checks, after each, the error, the version in force and the
+// pending proposal. An entry that fails must leave the state unchanged.
+func TestApplyEntries(t *testing.T) {
 	s := new(State)
 	for n, c := range []struct {
 		e     Entry
 		err   error
-		force uint64 // in force after it
-		next  uint64 // on its way; 0: none
+		force uint64 // version in force after the entry
+		next  uint64 // pending proposal after the entry; 0: none
 	}{
-		{Entry{Kind: Propose, Doc: doc("k1", 0)}, nil, 1, 0}, // nobody is there to ask
-		{Entry{Kind: Join, Car: "a", Inc: 5, Version: 1}, nil, 1, 0},
-		{Entry{Kind: Join, Car: "b", Inc: 5, Version: 7}, ErrEntry, 1, 0},
-		{Entry{Kind: Join, Car: "b", Inc: 5, Version: 1}, nil, 1, 0},
-		{Entry{Kind: Join, Car: "b", Inc: 4, Version: 1}, ErrStarted, 1, 0},
-		{Entry{Kind: Propose, Base: 0, Doc: doc("k2", 2)}, ErrBase, 1, 0},
-		{Entry{Kind: Propose, Base: 1, Doc: doc("k2", 3)}, ErrDoc, 1, 0},
+		{Entry{Kind: Propose, Doc: doc("k1", 0)}, nil, 1, 0}, // no sidecar has to prepare it
+		{Entry{Kind: KindJoin, Car: "a", Incarnation: 5, Version: 1}, nil, 1, 0},
+		{Entry{Kind: KindJoin, Car: "b", Incarnation: 5, Version: 7}, ErrInvalidEntry, 1, 0},
+		{Entry{Kind: KindJoin, Car: "b", Incarnation: 5, Version: 1}, nil, 1, 0},
+		{Entry{Kind: KindJoin, Car: "b", Incarnation: 4, Version: 1}, ErrOtherIncarnation, 1, 0},
+		{Entry{Kind: Propose, Base: 0, Doc: doc("k2", 2)}, ErrBaseVersion, 1, 0},
+		{Entry{Kind: Propose, Base: 1, Doc: doc("k2", 3)}, ErrInvalidDoc, 1, 0},
 		{Entry{Kind: Propose, Base: 1, Doc: doc("k2", 2)}, nil, 1, 2},
-		{Entry{Kind: Propose, Base: 1, Doc: doc("k2", 2)}, nil, 1, 2}, // sent again
-		{Entry{Kind: Propose, Base: 1, Doc: doc("k3", 1)}, ErrBusy, 1, 2},
-		{Entry{Kind: Yes, Car: "a", Inc: 5, Version: 2}, nil, 1, 2},
-		{Entry{Kind: Yes, Car: "b", Inc: 4, Version: 2}, ErrStarted, 1, 2},
-		{Entry{Kind: Yes, Car: "c", Inc: 4, Version: 2}, ErrCar, 1, 2},
-		{Entry{Kind: Withdraw, Version: 1}, ErrNone, 1, 2},
+		{Entry{Kind: Propose, Base: 1, Doc: doc("k2", 2)}, nil, 1, 2}, // repeated
+		{Entry{Kind: Propose, Base: 1, Doc: doc("k3", 1)}, ErrProposalPending, 1, 2},
+		{Entry{Kind: KindPrepared, Car: "a", Incarnation: 5, Version: 2}, nil, 1, 2},
+		{Entry{Kind: KindPrepared, Car: "b", Incarnation: 4, Version: 2}, ErrOtherIncarnation, 1, 2},
+		{Entry{Kind: KindPrepared, Car: "c", Incarnation: 4, Version: 2}, ErrUnknownSidecar, 1, 2},
+		{Entry{Kind: Withdraw, Version: 1}, ErrNoProposal, 1, 2},
 		{Entry{Kind: Withdraw, Version: 2, Who: "kim"}, nil, 1, 0},
-		{Entry{Kind: Yes, Car: "b", Inc: 5, Version: 2}, ErrNone, 1, 0},
-		{Entry{Kind: Propose, Base: 1, Doc: doc("k2", 2)}, nil, 1, 0}, // it was withdrawn: sent again it stays so
+		{Entry{Kind: KindPrepared, Car: "b", Incarnation: 5, Version: 2}, ErrNoProposal, 1, 0},
+		{Entry{Kind: Propose, Base: 1, Doc: doc("k2", 2)}, nil, 1, 0}, // a withdrawn proposal stays withdrawn when repeated
 		{Entry{Kind: Propose, Base: 1, Doc: doc("k4", 2)}, nil, 1, 3},
-		{Entry{Kind: No, Car: "a", Inc: 5, Version: 3, Reason: "class a"}, nil, 1, 0},
+		{Entry{Kind: KindRejected, Car: "a", Incarnation: 5, Version: 3, Reason: "class a"}, nil, 1, 0},
 		{Entry{Kind: Propose, Base: 1, Doc: doc("k5", 1)}, nil, 1, 4},
-		{Entry{Kind: Yes, Car: "a", Inc: 5, Version: 4}, nil, 1, 4},
-		{Entry{Kind: Forget, Car: "b"}, ErrLive, 1, 4},
-		{Entry{Kind: Gone, Car: "b", Inc: 5}, nil, 4, 0}, // who is left has said yes
-		{Entry{Kind: Acts, Car: "b", Inc: 5, Version: 4}, ErrCar, 4, 0},
-		{Entry{Kind: Propose, Base: 4, Doc: doc("k6", 0)}, ErrUnsettled, 4, 0},
-		{Entry{Kind: Acts, Car: "a", Inc: 5, Version: 9}, ErrNone, 4, 0},
-		{Entry{Kind: Acts, Car: "a", Inc: 5, Version: 4}, nil, 4, 0},
-		{Entry{Kind: Join, Car: "b", Inc: 6, Version: 1}, nil, 4, 0}, // it was silent under 1, which is known for that
-		{Entry{Kind: Join, Car: "a", Inc: 6, Version: 1}, nil, 4, 0},
-		{Entry{Kind: Acts, Car: "a", Inc: 6, Version: 4}, nil, 4, 0},
-		{Entry{Kind: Acts, Car: "b", Inc: 6, Version: 4}, nil, 4, 0},
-		{Entry{Kind: Join, Car: "c", Inc: 1, Version: 1}, ErrForgotten, 4, 0}, // nobody acts on that any more
-		{Entry{Kind: "what", Car: "a", Inc: 6}, ErrEntry, 4, 0},
-		{Entry{Kind: Propose, Base: 4}, ErrEntry, 4, 0},
+		{Entry{Kind: KindPrepared, Car: "a", Incarnation: 5, Version: 4}, nil, 1, 4},
+		{Entry{Kind: Forget, Car: "b"}, ErrLeaseActive, 1, 4},
+		{Entry{Kind: KindLeaseExpired, Car: "b", Incarnation: 5}, nil, 4, 0}, // the remaining live sidecar has prepared it
+		{Entry{Kind: KindActive, Car: "b", Incarnation: 5, Version: 4}, ErrUnknownSidecar, 4, 0},
+		{Entry{Kind: Propose, Base: 4, Doc: doc("k6", 0)}, ErrNotSettled, 4, 0},
+		{Entry{Kind: KindActive, Car: "a", Incarnation: 5, Version: 9}, ErrNoProposal, 4, 0},
+		{Entry{Kind: KindActive, Car: "a", Incarnation: 5, Version: 4}, nil, 4, 0},
+		{Entry{Kind: KindJoin, Car: "b", Incarnation: 6, Version: 1}, nil, 4, 0}, // its lease expired with version 1 active, so version 1 is still kept
+		{Entry{Kind: KindJoin, Car: "a", Incarnation: 6, Version: 1}, nil, 4, 0},
+		{Entry{Kind: KindActive, Car: "a", Incarnation: 6, Version: 4}, nil, 4, 0},
+		{Entry{Kind: KindActive, Car: "b", Incarnation: 6, Version: 4}, nil, 4, 0},
+		{Entry{Kind: KindJoin, Car: "c", Incarnation: 1, Version: 1}, ErrUnknownVersion, 4, 0}, // no sidecar has version 1 active any more
+		{Entry{Kind: "what", Car: "a", Incarnation: 6}, ErrInvalidEntry, 4, 0},
+		{Entry{Kind: Propose, Base: 4}, ErrInvalidEntry, 4, 0},
 	} {
 		before := *s
 		err := s.Apply(&c.e)
 		next := uint64(0)
-		if s.Next != nil {
-			next = s.Next.Version
+		if s.Pending != nil {
+			next = s.Pending.Version
 		}
-		if !errors.Is(err, c.err) || c.err == nil && err != nil || s.Force.Version != c.force || next != c.next {
-			t.Fatalf("entry %d, %+v: %v, version %d in force, %d on its way", n, c.e, err, s.Force.Version, next)
+		if !errors.Is(err, c.err) || c.err == nil && err != nil || s.InForce.Version != c.force || next != c.next {
+			t.Fatalf("entry %d, %+v: error %v, version %d in force, version %d pending", n, c.e, err, s.InForce.Version, next)
 		}
 		if err != nil && !reflect.DeepEqual(before, *s) {
-			t.Errorf("entry %d has changed something", n)
+			t.Errorf("entry %d failed but changed the state", n)
 		}
 	}
 	for key, want := range map[string]Outcome{"k2": Withdrawn, "k4": Refused, "k5": InForce, "k9": ""} {
-		if got, _ := s.Outcome(key); got.Outcome != want {
-			t.Errorf("%s: %+v", key, got)
+		if got, _ := s.Result(key); got.Outcome != want {
+			t.Errorf("proposal %s: wrong outcome in %+v", key, got)
 		}
 	}
-	if len(s.Old) != 0 {
-		t.Errorf("nobody acts on %v", s.Old)
+	if len(s.Superseded) != 0 {
+		t.Errorf("superseded versions are kept that no sidecar has active: %v", s.Superseded)
 	}
 }
 
-// A version that tightens a class past what a silent sidecar acts on waits for that one, or for
-// an operator's word that it is no more; one that does not goes on without it.
-func TestPromises(t *testing.T) {
+// A version that makes a class stricter than an expired sidecar applies it must wait until that
+// sidecar joins again or an operator removes it. A version that is no stricter does not wait.
+func TestProposalWaitsForStaleSidecar(t *testing.T) {
 	first := doc("k1", 0)
 	first.Floor = Rules{"class/a": 1}
 	for _, c := range []struct {
@@ -89,12 +90,12 @@
 		ends  Entry
 		err   error
 	}{
-		{1, Entry{}, nil}, // by its floor it acts on that
-		{2, Entry{Kind: Forget, Car: "b"}, ErrFloor},
-		{2, Entry{Kind: Join, Car: "b", Inc: 2, Version: 1}, ErrFloor},
+		{1, Entry{}, nil}, // the floor already gives level 1
+		{2, Entry{Kind: Forget, Car: "b"}, ErrStaleSidecar},
+		{2, Entry{Kind: KindJoin, Car: "b", Incarnation: 2, Version: 1}, ErrStaleSidecar},
 	} {
 		s := new(State)
-		for _, e := range []Entry{{Kind: Propose, Doc: first}, {Kind: Join, Car: "a", Inc: 1, Version: 1}, {Kind: Join, Car: "b", Inc: 1, Version: 1}, {Kind: Gone, Car: "b", Inc: 1}} {
+		for _, e := range []Entry{{Kind: Propose, Doc: first}, {Kind: KindJoin, Car: "a", Incarnation: 1, Version: 1}, {Kind: KindJoin, Car: "b", Incarnation: 1, Version: 1}, {Kind: KindLeaseExpired, Car: "b", Incarnation: 1}} {
 			if err := s.Apply(&e); err != nil {
 				t.Fatal(err)
 			}
@@ -102,7 +103,7 @@
 		next := Entry{Kind: Propose, Base: 1, Doc: doc("k2", c.level)}
 		err := s.Apply(&next)
 		if !errors.Is(err, c.err) || c.err == nil && err != nil {
-			t.Errorf("level %d: %v", c.level, err)
+			t.Errorf("level %d: unexpected result of the proposal: %v", c.level, err)
 		}
 		if err == nil {
 			continue
@@ -113,37 +114,37 @@
 		if err := s.Apply(&next); err != nil {
 			t.Errorf("level %d after %s: %v", c.level, c.ends.Kind, err)
 		}
-		// It goes silent again while it is asked: what was proposed waits.
-		if err := s.Apply(&Entry{Kind: Yes, Car: "a", Inc: 1, Version: 2}); err != nil {
+		// Its lease expires again during the preparation: the proposal must wait.
+		if err := s.Apply(&Entry{Kind: KindPrepared, Car: "a", Incarnation: 1, Version: 2}); err != nil {
 			t.Error(err)
 		}
-		if c.ends.Kind == Join {
-			if err := s.Apply(&Entry{Kind: Gone, Car: "b", Inc: 2}); err != nil || s.Force.Version != 1 {
-				t.Errorf("version %d is in force beside one that is silent under 1, %v", s.Force.Version, err)
+		if c.ends.Kind == KindJoin {
+			if err := s.Apply(&Entry{Kind: KindLeaseExpired, Car: "b", Incarnation: 2}); err != nil || s.InForce.Version != 1 {
+				t.Errorf("version %d is in force while an expired sidecar has version 1 active, error %v", s.InForce.Version, err)
 			}
 			if err := s.Apply(&Entry{Kind: Forget, Car: "b"}); err != nil {
 				t.Error(err)
 			}
 		}
-		if s.Force.Version != 2 {
-			t.Errorf("after %s version %d is in force", c.ends.Kind, s.Force.Version)
+		if s.InForce.Version != 2 {
+			t.Errorf("after %s: version %d is in force, want 2", c.ends.Kind, s.InForce.Version)
 		}
 	}
 }
 
-// What can't be proposed, by the field or key.
-func TestBadDocuments(t *testing.T) {
+// Invalid documents and lease times are rejected with an error that names the field or key.
+func TestInvalidDocumentsAndTimes(t *testing.T) {
 	for want, spoil := range map[string]func(*Doc){
 		"key:":            func(d *Doc) { d.Key = "" },
 		"who:":            func(d *Doc) { d.Who = strings.Repeat("x", 97) },
 		"reason:":         func(d *Doc) { d.Reason = "" },
-		"body:":           func(d *Doc) { d.Body = make([]byte, BodyMost+1) },
+		"body:":           func(d *Doc) { d.Body = make([]byte, MaxBodyBytes+1) },
 		`"class/" names`:  func(d *Doc) { d.Rules["class/"] = 1 },
 		"class/a: level":  func(d *Doc) { d.Rules["class/a"] = 3 },
 		"server/s: level": func(d *Doc) { d.Rules["server/s"] = 2 },
 		`"what" is no`:    func(d *Doc) { d.Rules["what"] = 1 },
 		"513 keys": func(d *Doc) {
-			for n := range RulesMost {
+			for n := range MaxRules {
 				d.Rules["class/"+strings.Repeat("x", n%50)+string(rune('0'+n))] = 1
 			}
 		},
@@ -152,24 +153,24 @@
 	} {
 		d := doc("k", 1)
 		spoil(d)
-		if err := d.Validate(); !errors.Is(err, ErrDoc) || !strings.Contains(err.Error(), want) {
-			t.Errorf("%s: %v", want, err)
+		if err := d.Validate(); !errors.Is(err, ErrInvalidDoc) || !strings.Contains(err.Error(), want) {
+			t.Errorf("want error %q, got %v", want, err)
 		}
 	}
-	good := Times{Lease: 10 * time.Second, Drift: 0.01, Margin: time.Second, Call: 3 * time.Second}
-	if err := good.Validate(); err != nil || good.Bound() < 12*time.Second || good.Bound() > 12200*time.Millisecond {
-		t.Errorf("%v, %v", err, good.Bound())
+	good := LeaseTimes{Lease: 10 * time.Second, Drift: 0.01, Margin: time.Second, Call: 3 * time.Second}
+	if err := good.Validate(); err != nil || good.MaxStaleness() < 12*time.Second || good.MaxStaleness() > 12200*time.Millisecond {
+		t.Errorf("valid times: error %v, bound %v, want 12s to 12.2s", err, good.MaxStaleness())
 	}
-	for field, spoil := range map[string]func(*Times){
-		"council.lease":  func(x *Times) { x.Lease = 0 },
-		"council.drift":  func(x *Times) { x.Drift = 0.2 },
-		"council.margin": func(x *Times) { x.Margin = 3 * time.Second },
-		"council.call":   func(x *Times) { x.Call = 0 },
+	for field, spoil := range map[string]func(*LeaseTimes){
+		"council.lease":  func(x *LeaseTimes) { x.Lease = 0 },
+		"council.drift":  func(x *LeaseTimes) { x.Drift = 0.2 },
+		"council.margin": func(x *LeaseTimes) { x.Margin = 3 * time.Second },
+		"council.call":   func(x *LeaseTimes) { x.Call = 0 },
 	} {
 		x := good
 		spoil(&x)
 		if err := x.Validate(); err == nil || !strings.HasPrefix(err.Error(), field) {
-			t.Errorf("%s: %v", field, err)
+			t.Errorf("want an error of %s, got %v", field, err)
 		}
 	}
 }
--- a/internal/agreed/explore_test.go
+++ b/internal/agreed/explore_test.go
@@ -11,119 +11,122 @@
 	"time"
 )
 
-// tick is the model's unit of time. Leases last for two.
-const tick = time.Microsecond
+// modelTick is the model's unit of time. A lease lasts two ticks.
+const modelTick = time.Microsecond
 
-var modelTimes = Times{Lease: 2 * tick, Drift: 0.25, Call: 1}
+var modelTimes = LeaseTimes{Lease: 2 * modelTick, Drift: 0.25, Call: 1}
 
-// fault is one that is planted into the machines, or none.
-type fault int
+// defect is a defect injected into the state machines, or none.
+type defect int
 
 const (
-	sound          fault = iota
-	fromTheAnswer        // a lease counts from when its answer comes
-	noDrift              // the leader trusts all clocks
-	forgetsLeases        // a new leader takes what it has not granted for ended
-	oldAnswers           // what is older than what is known is taken
-	withoutAll           // in force though one has not said yes
-	laxWhenStale         // one without a lease goes on as before
-	oldLeader            // one that leads no more grants without asking the others
-	keepsNothing         // what was said yes to is not kept over a start
-	forgetsPromise       // who is silent is not asked what it may act on
+	noDefect               defect = iota // no defect
+	leaseFromResponse                    // a lease counts from the arrival of the response
+	ignoresDrift                         // the leader allows for no clock drift
+	newLeaderForgetsLeases               // a new leader takes leases that it has not granted itself as expired
+	acceptsOldResponses                  // a response older than one already processed is accepted
+	skipsPreparation                     // a version comes into force although a sidecar has not prepared it
+	keepsLevelWithoutLease               // a sidecar without a lease keeps the levels of its active version
+	deposedLeaderGrants                  // a deposed leader grants leases without contacting a majority
+	losesPrepared                        // the prepared version is lost on a restart
+	skipsStaleCheck                      // the levels that an expired sidecar may apply are not checked
 )
 
-// bounds are how far the model is explored.
-type bounds struct {
-	ticks, starts, leaders, doubles int
-	asks                            [2]int  // requests of each sidecar, beside its first
-	heard                           [2]bool // of the second version's proposal with the first
-	floor                           bool    // the first version promises that classes need not be Once where it may be stale
+// modelBounds limits the exploration of the model.
+type modelBounds struct {
+	ticks, restarts, leaderChanges, duplicates int
+	requests                                   [2]int  // requests of each sidecar after its first
+	knowsProposal                              [2]bool // the sidecar's first request comes after the proposal of version 2
+	hasFloor                                   bool    // version 1 has a floor below LevelOnce for its class
 }
 
-// inFlight is a message on its way.
-type inFlight struct {
-	car int
-	inc uint64 // of the sidecar's start
-	req *Request
-	ans *Answer
+// message is a request or response that has been sent and not yet delivered.
+type message struct {
+	sidecar     int
+	incarnation uint64 // incarnation of the sidecar
+	request     *Request
+	response    *Response
 }
 
-// world is a council's log, its leader, two sidecars and what is on its way between them.
-type world struct {
-	now     int // ticks
-	state   State
-	index   uint64
-	holder  *Holder
-	was     *State // of the leader before, where it goes on granting
-	cars    [2]*Car
-	left    [2]int // requests
-	starts  int
-	turns   int // leaders
-	doubles int // messages that come again
-	step    int // what the operators have done
-	flight  []inFlight
-	forced  []int // the tick at which each version from 2 on came into force
+// modelState is one state of the model: the replicated log, its leader, two sidecars and the messages
+// in flight between them.
+type modelState struct {
+	now              int // in ticks
+	state            State
+	index            uint64
+	leases           *LeaseTracker
+	deposedState     *State // state at the previous leader, which may continue to grant leases
+	sidecars         [2]*Participant
+	requestsLeft     [2]int // requests that each sidecar may still send
+	restarts         int    // restarts of sidecars so far
+	leaderChanges    int    // changes of leader so far
+	duplicates       int    // messages delivered twice so far
+	proposedVersions int    // number of versions proposed so far
+	messages         []message
+	inForceSince     []int // the tick at which each version from 2 on came into force
 }
 
-// Clocks: the first sidecar's is slow, the leader's fast, by all that is assumed.
-func (w *world) carNow(n int) time.Duration {
+// sidecarNow returns the time by the clock of a sidecar. The clock of the first sidecar is slow, and
+// that of the leader fast, by the maximum drift.
+func (w *modelState) sidecarNow(n int) time.Duration {
 	rate := []float64{1 - modelTimes.Drift, 1}[n]
-	return time.Duration(float64(w.now) * rate * float64(tick))
+	return time.Duration(float64(w.now) * rate * float64(modelTick))
 }
 
-func (w *world) leaderNow() time.Duration {
-	return time.Duration(float64(w.now) * (1 + modelTimes.Drift) * float64(tick))
+func (w *modelState) leaderNow() time.Duration {
+	return time.Duration(float64(w.now) * (1 + modelTimes.Drift) * float64(modelTick))
 }
 
-const modelKey = ClassKey + "a"
+const modelKey = ClassPrefix + "a"
 
-// levels of the versions, from 1: safe, once, safe again.
-var levels = []uint64{0, Once, 0}
+// versionLevels holds the class level of each version, from version 1 on.
+var versionLevels = []uint64{0, LevelOnce, 0}
 
-func docOf(version int, floor bool) *Doc {
-	d := &Doc{Rules: Rules{modelKey: levels[version-1]}, Key: fmt.Sprint("k", version), Who: "w", Reason: "r"}
+func modelDoc(version int, hasFloor bool) *Doc {
+	d := &Doc{Rules: Rules{modelKey: versionLevels[version-1]}, Key: fmt.Sprint("k", version), Who: "w", Reason: "r"}
 	if version == 1 {
 		d.Version = 1
-		if floor { // less than the next asks: who is silent under it holds the next up
+		if hasFloor { // below the level of version 2, so that an expired sidecar holds up version 2
 			d.Floor = Rules{modelKey: 1}
 		}
 	}
 	return d
 }
 
-func (w *world) clone() *world {
+func (w *modelState) clone() *modelState {
 	x := *w
-	x.state.Cars, x.state.Old = maps.Clone(w.state.Cars), maps.Clone(w.state.Old)
-	x.state.Endings = slices.Clone(w.state.Endings)
-	h := *w.holder
+	x.state.Sidecars, x.state.Superseded = maps.Clone(w.state.Sidecars), maps.Clone(w.state.Superseded)
+	x.state.Results = slices.Clone(w.state.Results)
+	h := *w.leases
 	h.last = maps.Clone(h.last)
-	x.holder = &h
-	for n, c := range w.cars {
+	x.leases = &h
+	for n, c := range w.sidecars {
 		y := *c
-		y.sent = slices.Clone(c.sent)
-		x.cars[n] = &y
+		y.outstanding = slices.Clone(c.outstanding)
+		x.sidecars[n] = &y
 	}
-	x.flight, x.forced = slices.Clone(w.flight), slices.Clone(w.forced)
+	x.messages, x.inForceSince = slices.Clone(w.messages), slices.Clone(w.inForceSince)
 	return &x
 }
 
-// tidy leaves out messages that nothing can come of, and has the order of the others matter
-// nothing: what is late, or lost, is not delivered yet, or never.
-func (w *world) tidy() {
-	w.flight = slices.DeleteFunc(w.flight, func(m inFlight) bool {
-		c := w.cars[m.car]
-		if m.req != nil {
-			return m.req.Inc < w.state.Cars[c.name].Inc
+// normalize removes messages that can have no effect and sorts the others, so that states which differ
+// only in the order of their messages are the same. A late message is one not delivered yet, a
+// lost one is never delivered.
+func (w *modelState) normalize() {
+	w.messages = slices.DeleteFunc(w.messages, func(m message) bool {
+		c := w.sidecars[m.sidecar]
+		if m.request != nil {
+			return m.request.Incarnation < w.state.Sidecars[c.name].Incarnation
 		}
-		known := slices.ContainsFunc(c.sent, func(a asked) bool { return a.seq == m.ans.Seq })
-		return !known || m.inc != c.inc
+		known := slices.ContainsFunc(c.outstanding, func(a sentRequest) bool { return a.seq == m.response.Seq })
+		return !known || m.incarnation != c.incarnation
 	})
-	slices.SortFunc(w.flight, func(a, b inFlight) int {
-		key := func(m inFlight) int {
-			if m.req != nil {
-				return m.car<<16 | int(m.req.Inc)<<12 | int(m.req.Seq)<<8
+	slices.SortFunc(w.messages, func(a, b message) int {
+		key := func(m message) int {
+			if m.request != nil {
+				return m.sidecar<<16 | int(m.request.Incarnation)<<12 | int(m.request.Seq)<<8
 			}
-			return m.car<<16 | int(m.ans.Seq)<<8 | int(m.ans.Index)<<1 | 1
+			return m.sidecar<<16 | int(m.response.Seq)<<8 | int(m.response.Index)<<1 | 1
 		}
 		return key(a) - key(b)
 	})
@@ -131,8 +134,8 @@
 
 var modelSeed = maphash.MakeSeed()
 
-// sum is the same for worlds from which the same can follow.
-func (w *world) sum() uint64 {
+// hash returns a hash that is the same for equivalent worlds.
+func (w *modelState) hash() uint64 {
 	var h maphash.Hash
 	h.SetSeed(modelSeed)
 	put := func(all ...int) {
@@ -148,251 +151,253 @@
 			put(int(d.Version))
 		}
 	}
-	put(w.now, int(w.index), w.starts, w.turns, w.doubles, w.step, int(w.state.Last), int(w.state.Force.Version), len(w.state.Endings), len(w.state.Old))
-	doc(w.state.Next)
-	for n, c := range w.cars {
-		s, ok := w.state.Cars[c.name]
-		put(w.left[n], int(c.inc), int(c.until), int(c.index), int(c.seq), int(c.no), int(c.acts.Version), int(s.Inc), int(s.Acts), int(s.Ready))
-		put(map[bool]int{true: 1}[ok], map[bool]int{true: 1}[s.Gone], int(w.holder.last[c.name]))
-		doc(c.next)
-		for _, a := range c.sent {
-			put(int(a.seq), int(a.at))
+	put(w.now, int(w.index), w.restarts, w.leaderChanges, w.duplicates, w.proposedVersions, int(w.state.LastVersion), int(w.state.InForce.Version), len(w.state.Results), len(w.state.Superseded))
+	doc(w.state.Pending)
+	for n, c := range w.sidecars {
+		s, ok := w.state.Sidecars[c.name]
+		put(w.requestsLeft[n], int(c.incarnation), int(c.leaseEnd), int(c.index), int(c.seq), int(c.rejectedVersion), int(c.active.Version), int(s.Incarnation), int(s.Acts), int(s.PreparedVersion))
+		put(map[bool]int{true: 1}[ok], map[bool]int{true: 1}[s.Gone], int(w.leases.last[c.name]))
+		doc(c.prepared)
+		for _, a := range c.outstanding {
+			put(int(a.seq), int(a.sentAt))
 		}
 	}
-	put(int(w.holder.since), len(w.forced))
-	put(w.forced...)
-	if w.was != nil {
-		put(int(w.was.Force.Version))
-		doc(w.was.Next)
+	put(int(w.leases.since), len(w.inForceSince))
+	put(w.inForceSince...)
+	if w.deposedState != nil {
+		put(int(w.deposedState.InForce.Version))
+		doc(w.deposedState.Pending)
 	}
-	for _, m := range w.flight {
-		put(7, m.car)
-		if m.req != nil {
-			put(int(m.req.Seq), int(m.req.Inc), int(m.req.Acts), int(m.req.Ready))
+	for _, m := range w.messages {
+		put(7, m.sidecar)
+		if m.request != nil {
+			put(int(m.request.Seq), int(m.request.Incarnation), int(m.request.ActiveVersion), int(m.request.PreparedVersion))
 		} else {
-			put(int(m.ans.Seq), int(m.ans.Index), map[bool]int{true: 1}[m.ans.Lease])
-			doc(m.ans.Force)
-			doc(m.ans.Next)
+			put(int(m.response.Seq), int(m.response.Index), map[bool]int{true: 1}[m.response.LeaseGranted])
+			doc(m.response.InForce)
+			doc(m.response.Next)
 		}
 	}
 	return h.Sum64()
 }
 
-// apply has the log hold an entry.
-func (w *world) apply(f fault, e *Entry) {
-	if f == withoutAll && e.Kind == Yes {
-		for name, c := range w.state.Cars {
-			c.Ready = e.Version
-			w.state.Cars[name] = c
+// applyEntry appends an entry to the log and applies it.
+func (w *modelState) applyEntry(f defect, e *Entry) {
+	if f == skipsPreparation && e.Kind == KindPrepared {
+		for name, c := range w.state.Sidecars {
+			c.PreparedVersion = e.Version
+			w.state.Sidecars[name] = c
 		}
 	}
-	if f == forgetsPromise && w.state.Next != nil { // nobody is held to be silent under less than all
-		for v, d := range w.state.Old {
+	if f == skipsStaleCheck && w.state.Pending != nil { // without floors, every expired sidecar counts as applying LevelOnce
+		for v, d := range w.state.Superseded {
 			d.Floor = nil
-			w.state.Old[v] = d
+			w.state.Superseded[v] = d
 		}
-		w.state.Force.Floor = nil
+		w.state.InForce.Floor = nil
 	}
-	was := w.state.Force.Version
+	before := w.state.InForce.Version
 	if w.state.Apply(e) == nil {
 		w.index++
 	}
-	if w.state.Force.Version == was {
+	if w.state.InForce.Version == before {
 		return
 	}
-	w.forced = append(w.forced, w.now)
+	w.inForceSince = append(w.inForceSince, w.now)
 }
 
-// answers is what the council does with a request.
-func (w *world) answers(f fault, m inFlight) inFlight {
-	r := m.req
-	w.apply(f, &Entry{Kind: Join, Car: r.Car, Inc: r.Inc, Version: r.Acts})
-	w.apply(f, &Entry{Kind: Acts, Car: r.Car, Inc: r.Inc, Version: r.Acts})
-	if r.Ready > 0 {
-		w.apply(f, &Entry{Kind: Yes, Car: r.Car, Inc: r.Inc, Version: r.Ready})
-	}
-	a := &Answer{Seq: r.Seq, Index: w.index}
-	if c, ok := w.state.Cars[r.Car]; ok && c.Inc == r.Inc && !c.Gone {
-		w.holder.Granted(r.Car, w.leaderNow())
-		a.Lease = true
-	}
-	force := w.state.Force
-	a.Force, a.Next = &force, w.state.Next
-	return inFlight{car: m.car, inc: m.inc, ans: a}
+// handleRequest has the council process a request, and returns the response.
+func (w *modelState) handleRequest(f defect, m message) message {
+	r := m.request
+	w.applyEntry(f, &Entry{Kind: KindJoin, Car: r.Sidecar, Incarnation: r.Incarnation, Version: r.ActiveVersion})
+	w.applyEntry(f, &Entry{Kind: KindActive, Car: r.Sidecar, Incarnation: r.Incarnation, Version: r.ActiveVersion})
+	if r.PreparedVersion > 0 {
+		w.applyEntry(f, &Entry{Kind: KindPrepared, Car: r.Sidecar, Incarnation: r.Incarnation, Version: r.PreparedVersion})
+	}
+	a := &Response{Seq: r.Seq, Index: w.index}
+	if c, ok := w.state.Sidecars[r.Sidecar]; ok && c.Incarnation == r.Incarnation && !c.Gone {
+		w.leases.RecordGrant(r.Sidecar, w.leaderNow())
+		a.LeaseGranted = true
+	}
+	force := w.state.InForce
+	a.InForce, a.Next = &force, w.state.Pending
+	return message{sidecar: m.sidecar, incarnation: m.incarnation, response: a}
 }
 
-// next are all worlds that one step may lead to.
-func (w *world) next(f fault, b bounds) (all []*world) {
-	add := func(do func(x *world)) {
+// successors returns all worlds that can be reached in one step.
+func (w *modelState) successors(f defect, b modelBounds) (successors []*modelState) {
+	add := func(do func(x *modelState)) {
 		x := w.clone()
 		do(x)
-		x.tidy()
-		all = append(all, x)
+		x.normalize()
+		successors = append(successors, x)
 	}
 	if w.now < b.ticks {
-		add(func(x *world) { x.now++ })
-	}
-	for n := range w.cars {
-		if w.left[n] > 0 {
-			add(func(x *world) {
-				x.left[n]--
-				r := x.cars[n].Ask(x.carNow(n))
-				x.flight = append(x.flight, inFlight{car: n, inc: r.Inc, req: &r})
+		add(func(x *modelState) { x.now++ })
+	}
+	for n := range w.sidecars {
+		if w.requestsLeft[n] > 0 {
+			add(func(x *modelState) {
+				x.requestsLeft[n]--
+				r := x.sidecars[n].NextRequest(x.sidecarNow(n))
+				x.messages = append(x.messages, message{sidecar: n, incarnation: r.Incarnation, request: &r})
 			})
 		}
-		if w.starts < b.starts {
-			add(func(x *world) {
-				x.starts++
-				c := x.cars[n]
-				k := c.Kept()
-				if f == keepsNothing {
-					k.Next = nil
+		if w.restarts < b.restarts {
+			add(func(x *modelState) {
+				x.restarts++
+				c := x.sidecars[n]
+				k := c.PersistentState()
+				if f == losesPrepared {
+					k.Prepared = nil
 				}
-				x.cars[n] = NewCar(c.name, c.inc+1, modelTimes, k)
+				x.sidecars[n] = NewParticipant(c.name, c.incarnation+1, modelTimes, k)
 			})
 		}
 	}
-	for i, m := range w.flight {
-		for _, stays := range []bool{false, true} { // it may come again
-			if stays && w.doubles >= b.doubles {
+	for i, m := range w.messages {
+		for _, isDuplicated := range []bool{false, true} { // the message may be delivered again
+			if isDuplicated && w.duplicates >= b.duplicates {
 				continue
 			}
-			add(func(x *world) {
-				if stays {
-					x.doubles++
+			add(func(x *modelState) {
+				if isDuplicated {
+					x.duplicates++
 				} else {
-					x.flight = slices.Delete(x.flight, i, i+1)
+					x.messages = slices.Delete(x.messages, i, i+1)
 				}
-				if m.req != nil {
-					x.flight = append(x.flight, x.answers(f, m))
+				if m.request != nil {
+					x.messages = append(x.messages, x.handleRequest(f, m))
 					return
 				}
-				x.told(f, m)
+				x.deliverResponse(f, m)
 			})
 		}
-		if m.req != nil && f == oldLeader && w.was != nil {
-			add(func(x *world) {
-				force := x.was.Force
-				x.flight[i] = inFlight{car: m.car, inc: m.inc, ans: &Answer{Seq: m.req.Seq, Index: x.index, Lease: true, Force: &force, Next: x.was.Next}}
+		if m.request != nil && f == deposedLeaderGrants && w.deposedState != nil {
+			add(func(x *modelState) {
+				force := x.deposedState.InForce
+				x.messages[i] = message{sidecar: m.sidecar, incarnation: m.incarnation, response: &Response{Seq: m.request.Seq, Index: x.index, LeaseGranted: true, InForce: &force, Next: x.deposedState.Pending}}
 			})
 		}
 	}
-	over := w.holder.Ended(w.leaderNow(), &w.state)
-	if f == noDrift {
-		h := *w.holder
-		h.times.Lease, h.times.Drift = h.times.Lease-2, 0 // what is rounded up does not hide it
-		over = h.Ended(time.Duration(w.now)*tick, &w.state)
+	expired := w.leases.Expired(w.leaderNow(), &w.state)
+	if f == ignoresDrift {
+		h := *w.leases
+		h.times.Lease, h.times.Drift = h.times.Lease-2, 0 // makes up for rounding up, which would hide the defect
+		expired = h.Expired(time.Duration(w.now)*modelTick, &w.state)
 	}
-	for _, name := range over {
-		add(func(x *world) {
-			x.apply(f, &Entry{Kind: Gone, Car: name, Inc: x.state.Cars[name].Inc})
-			x.holder.Forget(&x.state)
+	for _, name := range expired {
+		add(func(x *modelState) {
+			x.applyEntry(f, &Entry{Kind: KindLeaseExpired, Car: name, Incarnation: x.state.Sidecars[name].Incarnation})
+			x.leases.Prune(&x.state)
 		})
 	}
-	if w.turns < b.leaders {
-		add(func(x *world) {
-			x.turns++
+	if w.leaderChanges < b.leaderChanges {
+		add(func(x *modelState) {
+			x.leaderChanges++
 			was := x.state
-			x.was = &was
+			x.deposedState = &was
 			since := x.leaderNow()
-			if f == forgetsLeases {
-				since -= modelTimes.Over()
+			if f == newLeaderForgetsLeases {
+				since -= modelTimes.ExpiryDelay()
 			}
-			x.holder = NewHolder(modelTimes, since)
+			x.leases = NewLeaseTracker(modelTimes, since)
 		})
 	}
-	switch w.step {
+	switch w.proposedVersions {
 	case 1, 2:
-		add(func(x *world) {
-			if x.state.Settled() && x.state.Next == nil && x.state.Force.Version == uint64(x.step) {
-				x.apply(f, &Entry{Kind: Propose, Base: uint64(x.step), Doc: docOf(x.step+1, false)})
-				x.step++
+		add(func(x *modelState) {
+			if x.state.IsSettled() && x.state.Pending == nil && x.state.InForce.Version == uint64(x.proposedVersions) {
+				x.applyEntry(f, &Entry{Kind: Propose, Base: uint64(x.proposedVersions), Doc: modelDoc(x.proposedVersions+1, false)})
+				x.proposedVersions++
 			}
 		})
 	}
-	if w.state.Next != nil && w.step == 2 {
-		add(func(x *world) { x.apply(f, &Entry{Kind: Withdraw, Version: x.state.Next.Version}) })
+	if w.state.Pending != nil && w.proposedVersions == 2 {
+		add(func(x *modelState) { x.applyEntry(f, &Entry{Kind: Withdraw, Version: x.state.Pending.Version}) })
 	}
-	return all
+	return successors
 }
 
-func (w *world) told(f fault, m inFlight) {
-	c, a := w.cars[m.car], *m.ans
-	if f == fromTheAnswer {
-		for n := range c.sent {
-			c.sent[n].at = w.carNow(m.car)
+// deliverResponse delivers a response to its sidecar.
+func (w *modelState) deliverResponse(f defect, m message) {
+	c, a := w.sidecars[m.sidecar], *m.response
+	if f == leaseFromResponse {
+		for n := range c.outstanding {
+			c.outstanding[n].sentAt = w.sidecarNow(m.sidecar)
 		}
 	}
-	if f == oldAnswers && a.Index < c.index {
+	if f == acceptsOldResponses && a.Index < c.index {
 		a.Index = c.index
-		if a.Force.Version < c.acts.Version {
-			c.acts = *a.Force
+		if a.InForce.Version < c.active.Version {
+			c.active = *a.InForce
 		}
 	}
-	if wants := c.Told(w.carNow(m.car), a); wants.Check != nil {
-		c.Prepared(wants.Check, nil)
+	if wants := c.HandleResponse(w.sidecarNow(m.sidecar), a); wants.Prepare != nil {
+		c.RecordPrepareResult(wants.Prepare, nil)
 	}
 }
 
-// wrong says what the world breaks: somebody acts on less than each version that was in force
-// within T, or in force is what a live sidecar is not prepared for.
-func (w *world) wrong(f fault) string {
-	t := time.Duration(w.now) * tick
-	least := levels[len(w.forced)]
-	for v := len(w.forced); v > 0 && t-time.Duration(w.forced[v-1])*tick <= modelTimes.Bound()-modelTimes.Call; v-- {
-		least = min(least, levels[v-1])
-	}
-	for n, c := range w.cars {
-		level := c.Level(w.carNow(n), modelKey)
-		if f == laxWhenStale {
-			level = c.acts.Rules[modelKey]
+// violation describes the property that the world violates, or returns "": a sidecar applies a lower
+// level than every version that was in force within T, or a version is in force that a sidecar
+// with a lease has neither active nor prepared.
+func (w *modelState) violation(f defect) string {
+	now := time.Duration(w.now) * modelTick
+	least := versionLevels[len(w.inForceSince)]
+	for v := len(w.inForceSince); v > 0 && now-time.Duration(w.inForceSince[v-1])*modelTick <= modelTimes.MaxStaleness()-modelTimes.Call; v-- {
+		least = min(least, versionLevels[v-1])
+	}
+	for n, c := range w.sidecars {
+		level := c.Level(w.sidecarNow(n), modelKey)
+		if f == keepsLevelWithoutLease {
+			level = c.active.Rules[modelKey]
 		}
 		if level < least {
-			return fmt.Sprintf("sidecar %d acts on level %d of version %d, leased %v, %d is the least within T", n, level, c.acts.Version, c.Leased(w.carNow(n)), least)
+			return fmt.Sprintf("sidecar %d applies level %d with version %d active, has lease: %v, lowest level in force within T: %d", n, level, c.active.Version, c.HasLease(w.sidecarNow(n)), least)
 		}
-		if in := w.state.Force.Version; c.Leased(w.carNow(n)) && c.acts.Version < in && (c.next == nil || c.next.Version != in) {
-			return fmt.Sprintf("version %d is in force, and sidecar %d acts on %d by a lease that runs, and was not prepared", in, n, c.acts.Version)
+		if in := w.state.InForce.Version; c.HasLease(w.sidecarNow(n)) && c.active.Version < in && (c.prepared == nil || c.prepared.Version != in) {
+			return fmt.Sprintf("version %d is in force, but sidecar %d has a lease with version %d active and has not prepared it", in, n, c.active.Version)
 		}
 	}
 	return ""
 }
 
-// explore goes through all worlds within bounds and says how many there are, and what the first
-// breaks that breaks anything.
-func explore(f fault, b bounds) (seen int, wrong string) {
-	w := &world{holder: NewHolder(modelTimes, 0), step: 1}
-	w.state.Force, w.state.Last = *docOf(1, b.floor), 1
-	for n := range w.cars {
-		w.cars[n] = NewCar(string(rune('a'+n)), 1, modelTimes, Kept{Acts: *docOf(1, b.floor)})
-		w.left[n] = b.asks[n]
-		w.apply(sound, &Entry{Kind: Join, Car: w.cars[n].name, Inc: 1, Version: 1})
-	}
-	hello := func(n int) { // all have a lease as it begins
-		r := w.cars[n].Ask(0)
-		w.told(sound, w.answers(sound, inFlight{car: n, inc: 1, req: &r}))
+// exploreModel visits all worlds within the bounds, until one violates a property. It returns the
+// number of worlds found and a description of the violation.
+func exploreModel(f defect, b modelBounds) (seen int, violation string) {
+	w := &modelState{leases: NewLeaseTracker(modelTimes, 0), proposedVersions: 1}
+	w.state.InForce, w.state.LastVersion = *modelDoc(1, b.hasFloor), 1
+	for n := range w.sidecars {
+		w.sidecars[n] = NewParticipant(string(rune('a'+n)), 1, modelTimes, PersistentState{Active: *modelDoc(1, b.hasFloor)})
+		w.requestsLeft[n] = b.requests[n]
+		w.applyEntry(noDefect, &Entry{Kind: KindJoin, Car: w.sidecars[n].name, Incarnation: 1, Version: 1})
+	}
+	sendFirstRequest := func(n int) { // each sidecar starts with a lease
+		r := w.sidecars[n].NextRequest(0)
+		w.deliverResponse(noDefect, w.handleRequest(noDefect, message{sidecar: n, incarnation: 1, request: &r}))
 	}
 	for _, first := range []bool{true, false} {
-		for n := range w.cars {
-			if b.heard[n] != first {
-				hello(n)
+		for n := range w.sidecars {
+			if b.knowsProposal[n] != first {
+				sendFirstRequest(n)
 			}
 		}
 		if first {
-			w.apply(sound, &Entry{Kind: Propose, Base: 1, Doc: docOf(2, false)})
-			w.step = 2
+			w.applyEntry(noDefect, &Entry{Kind: Propose, Base: 1, Doc: modelDoc(2, false)})
+			w.proposedVersions = 2
 		}
 	}
-	known := map[uint64]bool{w.sum(): true}
-	todo := []*world{w}
+	known := map[uint64]bool{w.hash(): true}
+	todo := []*modelState{w}
 	for len(todo) > 0 {
 		w := todo[len(todo)-1]
 		todo = todo[:len(todo)-1]
-		if wrong := w.wrong(f); wrong != "" {
+		if violation := w.violation(f); violation != "" {
 			text, _ := json.Marshal(w.state)
-			return len(known), fmt.Sprintf("tick %d: %s; in force since %v; %s", w.now, wrong, w.forced, text)
+			return len(known), fmt.Sprintf("tick %d: %s; versions from 2 in force since ticks %v; state %s", w.now, violation, w.inForceSince, text)
 		}
-		for _, x := range w.next(f, b) {
-			if s := x.sum(); !known[s] {
+		for _, x := range w.successors(f, b) {
+			if s := x.hash(); !known[s] {
 				known[s] = true
 				todo = append(todo, x)
 			}
@@ -401,57 +406,60 @@
 	return len(known), ""
 }
 
-// roots are where the exploration begins: who has heard of the proposal, and what was promised.
-func roots(b bounds) (all []bounds) {
+// initialBounds returns the initial conditions to explore: which sidecars know of the proposal of version
+// 2, and whether version 1 has a floor.
+func initialBounds(b modelBounds) (variants []modelBounds) {
 	for _, heard := range [][2]bool{{true, true}, {true, false}, {false, true}, {false, false}} {
 		for _, floor := range []bool{false, true} {
-			b.heard, b.floor = heard, floor
-			all = append(all, b)
+			b.knowsProposal, b.hasFloor = heard, floor
+			variants = append(variants, b)
 		}
 	}
-	return all
+	return variants
 }
 
-// All that may come of a council's log, its leader, two sidecars whose clocks drift, and messages
-// that are late, lost or reordered, for as many ticks as the bounds say: nobody acts on less than
-// what was in force within T, and nobody by a lease on what is no more in force without having
-// been prepared. FAWN_EXPLORE=1 goes further, by hand: with starts anew, another leader, doubles.
-func TestExplore(t *testing.T) {
+// Explores all executions, within the bounds, of a log, its leader and two sidecars with drifting
+// clocks, where messages are late, lost or reordered. No sidecar may apply a lower level than every
+// version that was in force within T, and none with a lease may have a superseded version active
+// unless it has prepared the one in force. With FAWN_EXPLORE set, to be run by hand, the bounds are
+// wider and include restarts, changes of leader and duplicated messages.
+func TestModelHoldsBounds(t *testing.T) {
 	one := [2]int{1, 1}
-	further := []bounds{{ticks: 4, asks: one}}
+	further := []modelBounds{{ticks: 4, requests: one}}
 	if os.Getenv("FAWN_EXPLORE") != "" {
-		further = append(further, bounds{ticks: 5, asks: one}, bounds{ticks: 4, asks: one, doubles: 1}, bounds{ticks: 4, asks: one, starts: 1, leaders: 1})
+		further = append(further, modelBounds{ticks: 5, requests: one}, modelBounds{ticks: 4, requests: one, duplicates: 1}, modelBounds{ticks: 4, requests: one, restarts: 1, leaderChanges: 1})
 	}
 	for _, b := range further {
 		all, began := 0, time.Now()
-		for _, b := range roots(b) {
-			seen, wrong := explore(sound, b)
+		for _, b := range initialBounds(b) {
+			seen, wrong := exploreModel(noDefect, b)
 			if all += seen; wrong != "" {
-				t.Errorf("%+v: %s", b, wrong)
+				t.Errorf("bounds %+v: %s", b, wrong)
 			}
 		}
-		t.Logf("%+v: %d states in %v", b, all, time.Since(began))
+		t.Logf("bounds %+v: %d states in %v", b, all, time.Since(began))
 	}
 }
 
-// Each fault that is planted into the machines is found.
-func TestExploreFindsWhatIsPlanted(t *testing.T) {
+// The exploration must find each defect injected into the state machines; otherwise TestModelHoldsBounds
+// would not detect it either.
+func TestModelFindsInjectedDefects(t *testing.T) {
 	one := [2]int{1, 1}
-	for f, b := range map[fault]bounds{
-		fromTheAnswer:  {ticks: 4, asks: one, heard: [2]bool{true, true}},
-		noDrift:        {ticks: 3, asks: one, heard: [2]bool{true, true}},
-		forgetsLeases:  {ticks: 2, asks: one, heard: [2]bool{false, true}, leaders: 1},
-		oldAnswers:     {ticks: 4, asks: [2]int{2, 1}, heard: [2]bool{true, true}},
-		withoutAll:     {ticks: 2, asks: one, heard: [2]bool{false, true}},
-		laxWhenStale:   {ticks: 3, asks: one, heard: [2]bool{true, true}},
-		oldLeader:      {ticks: 4, asks: one, heard: [2]bool{false, true}, leaders: 1},
-		keepsNothing:   {ticks: 3, asks: one, heard: [2]bool{true, true}, starts: 1, floor: true},
-		forgetsPromise: {ticks: 6, asks: one, heard: [2]bool{false, true}, floor: true},
+	for f, b := range map[defect]modelBounds{
+		leaseFromResponse:      {ticks: 4, requests: one, knowsProposal: [2]bool{true, true}},
+		ignoresDrift:           {ticks: 3, requests: one, knowsProposal: [2]bool{true, true}},
+		newLeaderForgetsLeases: {ticks: 2, requests: one, knowsProposal: [2]bool{false, true}, leaderChanges: 1},
+		acceptsOldResponses:    {ticks: 4, requests: [2]int{2, 1}, knowsProposal: [2]bool{true, true}},
+		skipsPreparation:       {ticks: 2, requests: one, knowsProposal: [2]bool{false, true}},
+		keepsLevelWithoutLease: {ticks: 3, requests: one, knowsProposal: [2]bool{true, true}},
+		deposedLeaderGrants:    {ticks: 4, requests: one, knowsProposal: [2]bool{false, true}, leaderChanges: 1},
+		losesPrepared:          {ticks: 3, requests: one, knowsProposal: [2]bool{true, true}, restarts: 1, hasFloor: true},
+		skipsStaleCheck:        {ticks: 6, requests: one, knowsProposal: [2]bool{false, true}, hasFloor: true},
 	} {
-		seen, wrong := explore(f, b)
+		seen, wrong := exploreModel(f, b)
 		t.Logf("fault %d: %d states: %.120s", f, seen, wrong)
 		if wrong == "" {
-			t.Errorf("fault %d is not found in %d states", f, seen)
+			t.Errorf("fault %d was not found in %d states", f, seen)
 		}
 	}
 }
--- a/internal/agreed/rules.go
+++ b/internal/agreed/rules.go
@@ -1,8 +1,9 @@
-// Package agreed decides on which version of the settings a fleet of sidecars acts, and since
-// when: both halves of it. A State is what the council's log means, the same at each of its
-// members; a Holder is how its leader knows that a lease has ended; a Car is what one sidecar may
-// act on. The package has no I/O, clock or goroutines. How it goes, and why, is in
-// docs/design/agreement.md.
+// Package agreed contains the state machines by which a fleet of sidecars agrees on one version
+// of the settings: the replicated state that each member of the council (the raft cluster of the
+// fleet) builds from the log, the tracking of sidecar leases at the leader, and the sidecar's side
+// of the protocol. A new version is prepared by every live sidecar before it comes into force, as
+// in two-phase commit. The package does no I/O, reads no clock and starts no goroutines.
+// docs/design/agreement.md describes the protocol and its reasons.
 package agreed
 
 import (
@@ -15,68 +16,70 @@
 	"time"
 )
 
-// Bounds of what is held.
+// Limits on the size of the state.
 const (
-	RulesMost   = 512       // keys of one version's rules
-	KeyMost     = 96        // bytes of a key, a name, a reason
-	BodyMost    = 256 << 10 // bytes of a document
-	CarsMost    = 8192      // sidecars that the council knows of
-	EndingsMost = 256       // proposals whose outcome is remembered
-	oldMost     = 64        // versions that silent sidecars may still act on
+	MaxRules      = 512       // keys in the rules of one version
+	MaxKeyBytes   = 96        // bytes in a key, name or reason
+	MaxBodyBytes  = 256 << 10 // bytes in the body of a document
+	MaxSidecars   = 8192      // sidecars in the state
+	MaxResults    = 256       // finished proposals whose result is kept
+	maxSuperseded = 64        // superseded versions that expired sidecars may still have active
 )
 
-// Rules is what a version asks of who acts on it: levels by key. A key that is not there has
-// level 0; a higher level is stricter.
+// Rules maps keys to the levels that a version requires. A missing key has level 0; a higher
+// level is stricter.
 type Rules map[string]uint64
 
-// Stricter is the higher level of both, key by key.
-func (r Rules) Stricter(o Rules) Rules {
-	all := maps.Clone(r)
-	if all == nil {
-		all = make(Rules, len(o))
+// Strictest returns the rules with the higher of both levels for each key.
+func (r Rules) Strictest(other Rules) Rules {
+	merged := maps.Clone(r)
+	if merged == nil {
+		merged = make(Rules, len(other))
 	}
-	for k, level := range o {
-		all[k] = max(all[k], level)
+	for k, level := range other {
+		merged[k] = max(merged[k], level)
 	}
-	return all
+	return merged
 }
 
-// Lax is a key, the first by name, at which r is below o; empty: there is none.
-func (r Rules) Lax(o Rules) string {
-	for _, k := range slices.Sorted(maps.Keys(o)) {
-		if r[k] < o[k] {
+// FirstLaxerKey returns the first key, in sorted order, at which r has a lower level than other,
+// or "" if there is none.
+func (r Rules) FirstLaxerKey(other Rules) string {
+	for _, k := range slices.Sorted(maps.Keys(other)) {
+		if r[k] < other[k] {
 			return k
 		}
 	}
 	return ""
 }
 
-// Kinds of keys, as they begin.
+// Keys of rules, or their prefixes.
 const (
-	ClassKey  = "class/"  // a class of calls: 0 may run again, 1 keyed, 2 once
-	ServerKey = "server/" // 1: out by hand
-	ListKey   = "list"    // the least index of discovery's list that may be used
-	// Once is the strictest level of a class.
-	Once = 2
+	ClassPrefix  = "class/"  // a class of calls: level 0 may run again, 1 needs an idempotency key, 2 runs once
+	ServerPrefix = "server/" // level 1: an operator took the server out of use
+	ListKey      = "list"    // the lowest index of the discovery list that may be used
+	// LevelOnce is the strictest level of a class.
+	LevelOnce = 2
 )
 
-// Validate says what makes no sense, by the key.
+// Validate returns an error that names the first invalid key, or the number of keys if there are
+// too many.
 func (r Rules) Validate() error {
-	if len(r) > RulesMost {
-		return fmt.Errorf("rules: %d keys, %d at most", len(r), RulesMost)
+	if len(r) > MaxRules {
+		return fmt.Errorf("rules: %d keys, %d at most", len(r), MaxRules)
 	}
 	for _, k := range slices.Sorted(maps.Keys(r)) {
 		level := r[k]
-		most := uint64(0)
+		maxLevel := uint64(0)
 		switch name, kind := k, ""; {
 		case k == ListKey:
-			most = 1 << 62
-		case strings.HasPrefix(k, ClassKey):
-			kind, name, most = ClassKey, k[len(ClassKey):], Once
+			maxLevel = 1 << 62
+		case strings.HasPrefix(k, ClassPrefix):
+			kind, name, maxLevel = ClassPrefix, k[len(ClassPrefix):], LevelOnce
 			fallthrough
-		case strings.HasPrefix(k, ServerKey):
+		case strings.HasPrefix(k, ServerPrefix):
 			if kind == "" {
-				name, most = k[len(ServerKey):], 1
+				name, maxLevel = k[len(ServerPrefix):], 1
 			}
 			if name == "" {
 				return fmt.Errorf("rules: %q names nothing", k)
@@ -84,112 +87,119 @@
 		default:
 			return fmt.Errorf("rules: %q is no key: class/NAME, server/ID or list", k)
 		}
-		if len(k) > KeyMost {
-			return fmt.Errorf("rules: %.20q...: a key has %d bytes at most", k, KeyMost)
+		if len(k) > MaxKeyBytes {
+			return fmt.Errorf("rules: %.20q...: a key has %d bytes at most", k, MaxKeyBytes)
 		}
-		if level > most {
-			return fmt.Errorf("rules: %s: level %d, %d at most", k, level, most)
+		if level > maxLevel {
+			return fmt.Errorf("rules: %s: level %d, %d at most", k, level, maxLevel)
 		}
 	}
 	return nil
 }
 
-// Doc is a version.
+// Doc is one version of the settings, as proposed by an operator.
 type Doc struct {
-	Version uint64          `json:"version"`
-	Body    json.RawMessage `json:"body,omitempty"` // what sidecars take; this package does not look into it
+	Version uint64          `json:"version"`        // 0 until the proposal is accepted
+	Body    json.RawMessage `json:"body,omitempty"` // settings for the sidecars, opaque to this package
 	Rules   Rules           `json:"rules,omitempty"`
-	// Floor has classes that a sidecar which may be stale acts on at a level below Once: a
-	// promise that no version tightens them further while such a sidecar may be about.
+	// Floor lists classes that a sidecar without a lease applies at the given level instead of
+	// LevelOnce. No later version may make such a class stricter than its floor while a sidecar
+	// with an expired lease may still have this version active.
 	Floor  Rules  `json:"floor,omitempty"`
-	Key    string `json:"key"` // of its proposal: sent again it is the same one
-	Who    string `json:"who"`
+	Key    string `json:"key"` // identifies the proposal, so that a repeated one has no second effect
+	Who    string `json:"who"` // the operator
 	Reason string `json:"reason"`
 }
 
-// Stale is the level that a sidecar which may be stale acts on at the least by this version.
-func (d *Doc) Stale(key string) uint64 {
+// StaleLevel returns the minimum level of key that a sidecar with this version active applies once
+// it has no lease: for a class the floor, or LevelOnce without one; for other keys the level of the
+// rules.
+func (d *Doc) StaleLevel(key string) uint64 {
 	level := d.Rules[key]
-	if strings.HasPrefix(key, ClassKey) {
-		if floor, promised := d.Floor[key]; promised {
+	if strings.HasPrefix(key, ClassPrefix) {
+		if floor, hasFloor := d.Floor[key]; hasFloor {
 			return max(level, floor)
 		}
-		return Once
+		return LevelOnce
 	}
 	return level
 }
 
 // Errors of documents.
 var (
-	ErrDoc = errors.New("the document can't be used")
+	// ErrInvalidDoc is wrapped by the errors of Doc.Validate.
+	ErrInvalidDoc = errors.New("the document can't be used")
 )
 
-// Validate says why a document can't be proposed.
+// Validate returns an error that wraps ErrInvalidDoc and names the field if the document can't be
+// proposed.
 func (d *Doc) Validate() error {
-	bad := func(format string, args ...any) error {
-		return fmt.Errorf("%w: %s", ErrDoc, fmt.Sprintf(format, args...))
+	invalid := func(format string, args ...any) error {
+		return fmt.Errorf("%w: %s", ErrInvalidDoc, fmt.Sprintf(format, args...))
 	}
 	for field, text := range map[string]string{"key": d.Key, "who": d.Who, "reason": d.Reason} {
-		if text == "" || len(text) > KeyMost {
-			return bad("%s: must have 1 to %d bytes", field, KeyMost)
+		if text == "" || len(text) > MaxKeyBytes {
+			return invalid("%s: must have 1 to %d bytes", field, MaxKeyBytes)
 		}
 	}
-	if len(d.Body) > BodyMost {
-		return bad("body: %d bytes, %d at most", len(d.Body), BodyMost)
+	if len(d.Body) > MaxBodyBytes {
+		return invalid("body: %d bytes, %d at most", len(d.Body), MaxBodyBytes)
 	}
 	if err := d.Rules.Validate(); err != nil {
-		return bad("%v", err)
+		return invalid("%v", err)
 	}
 	if err := d.Floor.Validate(); err != nil {
-		return bad("floor: %v", err)
+		return invalid("floor: %v", err)
 	}
 	for _, k := range slices.Sorted(maps.Keys(d.Floor)) {
-		if !strings.HasPrefix(k, ClassKey) {
-			return bad("floor: %s: only classes have one", k)
+		if !strings.HasPrefix(k, ClassPrefix) {
+			return invalid("floor: %s: only classes have one", k)
 		}
 		if d.Floor[k] < d.Rules[k] {
-			return bad("floor: %s: level %d is below the rule's, %d", k, d.Floor[k], d.Rules[k])
+			return invalid("floor: %s: level %d is below the rule's, %d", k, d.Floor[k], d.Rules[k])
 		}
 	}
 	return nil
 }
 
-// Times are what leases go by.
-type Times struct {
-	Lease time.Duration // from when a sidecar asks
-	Drift float64       // by how much any clock may be fast or slow, as a share
-	// Margin is how long before its lease's end, by its own clock, a sidecar acts as if it had
-	// ended.
+// LeaseTimes holds the durations and the clock accuracy that leases depend on.
+type LeaseTimes struct {
+	Lease time.Duration // duration of a lease, from when the sidecar sends its request
+	Drift float64       // maximum rate error of any clock, fast or slow, as a fraction
+	// Margin is how long before the end of its lease, by its own clock, a sidecar already acts
+	// as if the lease had expired.
 	Margin time.Duration
-	// Call is the longest that a call may take: what was sent by a rule may run for so long after.
+	// Call is the maximum duration of a call. A call sent under a rule may run for this long
+	// after the sidecar has stopped applying the rule.
 	Call time.Duration
 }
 
-// Validate says what can't be used, by the name of the field as the operators' file has it.
-func (t Times) Validate() error {
+// Validate returns an error that names the invalid field as in the configuration file.
+func (t LeaseTimes) Validate() error {
 	switch {
 	case t.Lease < time.Second || t.Lease > time.Hour:
-		return errors.New("council.lease: must be within 1s and 1h")
+		return errors.New("council.lease: must be between 1s and 1h")
 	case t.Drift < 0.0001 || t.Drift > 0.1:
-		return errors.New("council.drift: must be within 0.0001 and 0.1")
+		return errors.New("council.drift: must be between 0.0001 and 0.1")
 	case t.Margin < 0 || t.Margin > t.Lease/4:
-		return errors.New("council.margin: must be 0 or more, a quarter of lease at most")
+		return errors.New("council.margin: must be between 0 and a quarter of council.lease")
 	case t.Call <= 0 || t.Call > time.Hour:
-		return errors.New("council.call: must be above 0, 1h at most")
+		return errors.New("council.call: must be greater than 0 and at most 1h")
 	}
 	return nil
 }
 
-// Bound is T: for how long after a version came into force a sidecar may act on laxer rules, by
-// a clock that is right, and what it sent by them may run.
-func (t Times) Bound() time.Duration { return t.longest(t.Lease-t.Margin) + t.Call }
+// MaxStaleness returns T, the maximum time by an exact clock, from when a version comes into force, for
+// which a sidecar may still apply less strict rules and calls sent under them may still run.
+func (t LeaseTimes) MaxStaleness() time.Duration { return t.maxRealTime(t.Lease-t.Margin) + t.Call }
 
-// longest is the most that a time takes by a clock that is slow.
-func (t Times) longest(d time.Duration) time.Duration {
+// maxRealTime returns the maximum real time that passes while a clock within the drift counts d.
+func (t LeaseTimes) maxRealTime(d time.Duration) time.Duration {
 	return time.Duration(float64(d)/(1-t.Drift)) + 1
 }
 
-// Over is how long a leader waits by its own clock until a lease has ended by any sidecar's.
-func (t Times) Over() time.Duration {
-	return time.Duration(float64(t.longest(t.Lease))*(1+t.Drift)) + 1
+// ExpiryDelay returns how long the leader waits, by its own clock, before it takes a lease as expired by
+// the clock of any sidecar.
+func (t LeaseTimes) ExpiryDelay() time.Duration {
+	return time.Duration(float64(t.maxRealTime(t.Lease))*(1+t.Drift)) + 1
 }
--- a/internal/council/bound_test.go
+++ b/internal/council/bound_test.go
@@ -66,7 +66,7 @@
 	rng := rand.New(rand.NewPCG(seed, 3))
 	g := convene(t, 3)
 	a := &acted{began: time.Now(), forced: []time.Duration{0}, levels: []uint64{0}} // nothing is in force, and leases are given for that
-	bound := g.times.Bound() - g.times.Call                                         // rules are looked at, no call is sent
+	bound := g.times.MaxStaleness() - g.times.Call                                  // rules are looked at, no call is sent
 	var cars []*car
 	for n := range 8 {
 		cars = append(cars, g.car(fmt.Sprintf("car%d", n), n))
@@ -79,7 +79,7 @@
 			for n, k := range cars {
 				before := time.Since(a.began)
 				k.mu.Lock()
-				level, version := k.car.Level(bootNow(), "class/a"), k.car.Acts().Version
+				level, version := k.car.Level(bootNow(), "class/a"), k.car.Active().Version
 				k.mu.Unlock()
 				a.saw(version)
 				a.check(n, before, level, bound)
--- a/internal/council/client.go
+++ b/internal/council/client.go
@@ -108,7 +108,7 @@
 }
 
 // Renew sends a sidecar's request; hold is how long the council may wait for news.
-func (c *Client) Renew(ctx context.Context, r agreed.Request, hold time.Duration) (a agreed.Answer, err error) {
+func (c *Client) Renew(ctx context.Context, r agreed.Request, hold time.Duration) (a agreed.Response, err error) {
 	err = c.do(ctx, "/v1/renew", hold+waitMost, r, &a)
 	return a, err
 }
--- a/internal/council/config.go
+++ b/internal/council/config.go
@@ -76,8 +76,8 @@
 }
 
 // Times are what leases go by.
-func (c *Config) Times() agreed.Times {
-	return agreed.Times{Lease: time.Duration(c.Lease), Drift: c.Drift, Margin: time.Duration(c.Margin), Call: time.Duration(c.Call)}
+func (c *Config) Times() agreed.LeaseTimes {
+	return agreed.LeaseTimes{Lease: time.Duration(c.Lease), Drift: c.Drift, Margin: time.Duration(c.Margin), Call: time.Duration(c.Call)}
 }
 
 // Validate says what can't be used, by the field's name.
@@ -86,10 +86,10 @@
 		return fmt.Errorf("council.%s: %s", field, fmt.Sprintf(format, args...))
 	}
 	switch {
-	case c.Fleet == "" || len(c.Fleet) > agreed.KeyMost:
-		return bad("fleet", "must have 1 to %d bytes", agreed.KeyMost)
-	case c.Name == "" || len(c.Name) > agreed.KeyMost:
-		return bad("name", "must have 1 to %d bytes", agreed.KeyMost)
+	case c.Fleet == "" || len(c.Fleet) > agreed.MaxKeyBytes:
+		return bad("fleet", "must have 1 to %d bytes", agreed.MaxKeyBytes)
+	case c.Name == "" || len(c.Name) > agreed.MaxKeyBytes:
+		return bad("name", "must have 1 to %d bytes", agreed.MaxKeyBytes)
 	case c.Folder == "":
 		return bad("folder", "is missing: a member without a disk forgets what it has promised")
 	case len(c.Key) < keyLeast:
--- a/internal/council/council_test.go
+++ b/internal/council/council_test.go
@@ -229,7 +229,7 @@
 		told := make(chan error, 1)
 		all = append(all, told)
 		if err := m.do(ctx, func() { // all at once: one write on the disk for many
-			if err := m.propose(&agreed.Entry{Kind: agreed.Join, Car: fmt.Sprint("car", n%7), Inc: uint64(n + 1), Version: 1}, told); err != nil {
+			if err := m.propose(&agreed.Entry{Kind: agreed.KindJoin, Car: fmt.Sprint("car", n%7), Incarnation: uint64(n + 1), Version: 1}, told); err != nil {
 				told <- err
 			}
 		}); err != nil {
--- a/internal/council/history_test.go
+++ b/internal/council/history_test.go
@@ -86,7 +86,7 @@
 				o := seen{version: st.InForce.Version}
 				var no *Refusal
 				switch {
-				case errors.As(err, &no) && strings.Contains(no.Text, agreed.ErrBase.Error()):
+				case errors.As(err, &no) && strings.Contains(no.Text, agreed.ErrBaseVersion.Error()):
 					o.version = 0
 					known++
 				case err != nil:
--- a/internal/council/links_test.go
+++ b/internal/council/links_test.go
@@ -101,11 +101,11 @@
 	for _, p := range g.procs {
 		g.links[[2]string{"old", p.name}].SetDelay(3 * time.Second)
 	}
-	until(t, "without a lease", func() bool { return slow.level() == agreed.Once })
+	until(t, "without a lease", func() bool { return slow.level() == agreed.LevelOnce })
 	g.agrees(&base, 1, 20*time.Second) // level 1
 	until(t, "the other acts on it", func() bool { return well.acts() == base })
 	for end := time.Now().Add(5 * time.Second); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
-		if now := slow.level(); now != agreed.Once {
+		if now := slow.level(); now != agreed.LevelOnce {
 			t.Fatalf("it acts on level %d by an answer that is older than its lease", now)
 		}
 	}
--- a/internal/council/member.go
+++ b/internal/council/member.go
@@ -80,8 +80,8 @@
 	conf     *raftpb.ConfState
 	applied  uint64
 	snapped  uint64
-	holder   *agreed.Holder  // nil: another one leads
-	going    map[string]bool // sidecars whose silence is on its way into the log: they get no lease
+	holder   *agreed.LeaseTracker // nil: another one leads
+	going    map[string]bool      // sidecars whose silence is on its way into the log: they get no lease
 	entries  map[uint64]chan error
 	confirms map[uint64]chan error // by their number, until raft has heard a majority
 	ripe     map[uint64]uint64     // confirmed, at which index, where that is not applied yet
@@ -254,7 +254,7 @@
 func (m *Member) leading(s *raft.SoftState) {
 	leads := s.RaftState == raft.StateLeader
 	if leads && m.holder == nil {
-		m.holder = agreed.NewHolder(m.cfg.Times(), bootNow())
+		m.holder = agreed.NewLeaseTracker(m.cfg.Times(), bootNow())
 		clear(m.going)
 		slog.Info("council: this member leads", "name", m.cfg.Name)
 	}
@@ -273,17 +273,17 @@
 	if m.holder == nil {
 		return
 	}
-	for _, name := range m.holder.Ended(bootNow(), &m.content.State) {
+	for _, name := range m.holder.Expired(bootNow(), &m.content.State) {
 		if m.going[name] {
 			continue
 		}
 		m.going[name] = true
-		e := agreed.Entry{Kind: agreed.Gone, Car: name, Inc: m.content.State.Cars[name].Inc}
+		e := agreed.Entry{Kind: agreed.KindLeaseExpired, Car: name, Incarnation: m.content.State.Sidecars[name].Incarnation}
 		if m.propose(&e, nil) != nil {
 			delete(m.going, name)
 		}
 	}
-	m.holder.Forget(&m.content.State)
+	m.holder.Prune(&m.content.State)
 }
 
 // propose brings an entry on its way; told hears what became of it. nil: nobody does.
@@ -340,15 +340,15 @@
 		return fmt.Errorf("entry %d: %w", m.applied, err)
 	}
 	s := &m.content.State
-	force, next := s.Force.Version, s.Next
+	force, next := s.InForce.Version, s.Pending
 	err := s.Apply(&w.Entry)
-	if w.Entry.Kind == agreed.Gone {
+	if w.Entry.Kind == agreed.KindLeaseExpired {
 		delete(m.going, w.Entry.Car)
 	}
-	if s.Force.Version != force || s.Next != next {
+	if s.InForce.Version != force || s.Pending != next {
 		close(m.changed)
 		m.changed = make(chan struct{})
-		slog.Info("council: agreed", "kind", w.Entry.Kind, "in_force", s.Force.Version, "next", s.Next != nil, "index", m.applied)
+		slog.Info("council: agreed", "kind", w.Entry.Kind, "in_force", s.InForce.Version, "next", s.Pending != nil, "index", m.applied)
 	}
 	if told := m.entries[w.N]; told != nil {
 		told <- err
@@ -463,7 +463,7 @@
 }
 
 // Renew answers a sidecar. It waits where there is nothing to tell, hold at the most.
-func (m *Member) Renew(ctx context.Context, r agreed.Request, hold time.Duration) (a agreed.Answer, err error) {
+func (m *Member) Renew(ctx context.Context, r agreed.Request, hold time.Duration) (a agreed.Response, err error) {
 	came := bootNow()
 	if err := m.Confirm(ctx); err != nil {
 		return a, err
@@ -476,10 +476,10 @@
 	}
 	granted := make(chan bool, 1)
 	err = m.do(ctx, func() {
-		c, ok := m.content.State.Cars[r.Car]
-		leased := m.holder != nil && ok && c.Inc == r.Inc && !c.Gone && !m.going[r.Car]
+		c, ok := m.content.State.Sidecars[r.Sidecar]
+		leased := m.holder != nil && ok && c.Incarnation == r.Incarnation && !c.Gone && !m.going[r.Sidecar]
 		if leased {
-			m.holder.Granted(r.Car, came)
+			m.holder.RecordGrant(r.Sidecar, came)
 		}
 		granted <- leased
 	})
@@ -487,7 +487,7 @@
 		return a, err
 	}
 	select {
-	case a.Lease = <-granted:
+	case a.LeaseGranted = <-granted:
 	case <-m.done:
 		return a, ErrEnding
 	}
@@ -496,14 +496,14 @@
 	for {
 		m.mu.Lock()
 		s, changed := &m.content.State, m.changed
-		told := s.Force.Version == r.Acts && (s.Next == nil || s.Next.Version == r.Ready || s.Next.Version == r.No) && (s.Next != nil || r.Ready <= s.Force.Version)
-		force := s.Force
-		a.Seq, a.Index, a.Next, a.Held = r.Seq, m.index, s.Next, force.Version == r.Acts
+		told := s.InForce.Version == r.ActiveVersion && (s.Pending == nil || s.Pending.Version == r.PreparedVersion || s.Pending.Version == r.RejectedVersion) && (s.Pending != nil || r.PreparedVersion <= s.InForce.Version)
+		force := s.InForce
+		a.Seq, a.Index, a.Next, a.InForceOmitted = r.Seq, m.index, s.Pending, force.Version == r.ActiveVersion
 		m.mu.Unlock()
-		if a.Force = nil; !a.Held {
-			a.Force = &force
+		if a.InForce = nil; !a.InForceOmitted {
+			a.InForce = &force
 		}
-		if !told || hold <= 0 || !a.Lease {
+		if !told || hold <= 0 || !a.LeaseGranted {
 			return a, nil
 		}
 		select {
@@ -523,20 +523,20 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	s := &m.content.State
-	c, ok := s.Cars[r.Car]
-	if !ok || c.Gone || c.Inc != r.Inc {
-		all = append(all, agreed.Entry{Kind: agreed.Join, Car: r.Car, Inc: r.Inc, Version: r.Acts})
-		c = agreed.Sidecar{Inc: r.Inc, Acts: r.Acts}
+	c, ok := s.Sidecars[r.Sidecar]
+	if !ok || c.Gone || c.Incarnation != r.Incarnation {
+		all = append(all, agreed.Entry{Kind: agreed.KindJoin, Car: r.Sidecar, Incarnation: r.Incarnation, Version: r.ActiveVersion})
+		c = agreed.Sidecar{Incarnation: r.Incarnation, Acts: r.ActiveVersion}
 	}
-	if r.Acts > c.Acts {
-		all = append(all, agreed.Entry{Kind: agreed.Acts, Car: r.Car, Inc: r.Inc, Version: r.Acts})
+	if r.ActiveVersion > c.Acts {
+		all = append(all, agreed.Entry{Kind: agreed.KindActive, Car: r.Sidecar, Incarnation: r.Incarnation, Version: r.ActiveVersion})
 	}
-	switch next := s.Next; {
+	switch next := s.Pending; {
 	case next == nil:
-	case r.Ready == next.Version && c.Ready < r.Ready:
-		all = append(all, agreed.Entry{Kind: agreed.Yes, Car: r.Car, Inc: r.Inc, Version: r.Ready})
-	case r.No == next.Version:
-		all = append(all, agreed.Entry{Kind: agreed.No, Car: r.Car, Inc: r.Inc, Version: r.No, Reason: r.Why})
+	case r.PreparedVersion == next.Version && c.PreparedVersion < r.PreparedVersion:
+		all = append(all, agreed.Entry{Kind: agreed.KindPrepared, Car: r.Sidecar, Incarnation: r.Incarnation, Version: r.PreparedVersion})
+	case r.RejectedVersion == next.Version:
+		all = append(all, agreed.Entry{Kind: agreed.KindRejected, Car: r.Sidecar, Incarnation: r.Incarnation, Version: r.RejectedVersion, Reason: r.RejectReason})
 	}
 	return all
 }
@@ -569,7 +569,7 @@
 		members[id] = x
 	}
 	return Status{Fleet: m.cfg.Fleet, Name: m.cfg.Name, Leader: members[m.lead], Leads: m.leads, Index: m.index, Members: members,
-		InForce: s.Force, Settled: s.Settled(), Next: s.Next, Waits: s.Waits(), Cars: maps.Clone(s.Cars), Endings: append([]agreed.Ending(nil), s.Endings...), Bound: m.cfg.Times().Bound()}
+		InForce: s.InForce, Settled: s.IsSettled(), Next: s.Pending, Waits: s.PendingSidecars(), Cars: maps.Clone(s.Sidecars), Endings: append([]agreed.Ending(nil), s.Results...), Bound: m.cfg.Times().MaxStaleness()}
 }
 
 // Close ends it, after another one has been asked to lead.
--- a/internal/council/process_test.go
+++ b/internal/council/process_test.go
@@ -67,7 +67,7 @@
 type group struct {
 	t     *testing.T
 	procs []*proc
-	times agreed.Times
+	times agreed.LeaseTimes
 	host  string                    // where its links listen
 	links map[[2]string]*fleet.Link // by who opens connections, and to whom
 	ways  map[[2]string][2]bool     // which of their directions are cut
@@ -121,7 +121,7 @@
 // convene starts a council of so many.
 func convene(t *testing.T, many int) *group {
 	t.Helper()
-	g := &group{t: t, host: host(), links: make(map[[2]string]*fleet.Link), ways: make(map[[2]string][2]bool), times: agreed.Times{Lease: 2 * time.Second, Margin: 200 * time.Millisecond, Drift: 0.01, Call: time.Second}}
+	g := &group{t: t, host: host(), links: make(map[[2]string]*fleet.Link), ways: make(map[[2]string][2]bool), times: agreed.LeaseTimes{Lease: 2 * time.Second, Margin: 200 * time.Millisecond, Drift: 0.01, Call: time.Second}}
 	dir := t.TempDir()
 	for n := range many {
 		p := &proc{name: fmt.Sprintf("m%d", n+1), addr: free(t)}
@@ -225,7 +225,7 @@
 	done chan struct{}
 
 	mu    sync.Mutex
-	car   *agreed.Car
+	car   *agreed.Participant
 	seen  []uint64 // versions that it came to act on
 	no    string   // why it can't take what comes next; empty: it can
 	quiet bool     // it asks nothing
@@ -234,7 +234,7 @@
 func (g *group) car(name string, n int) *car {
 	ctx, stop := context.WithCancel(context.Background())
 	inc := uint64(bootNow())
-	k := &car{c: g.client(n), inc: inc, stop: stop, done: make(chan struct{}), car: agreed.NewCar(name, inc, g.times, agreed.Kept{})}
+	k := &car{c: g.client(n), inc: inc, stop: stop, done: make(chan struct{}), car: agreed.NewParticipant(name, inc, g.times, agreed.PersistentState{})}
 	go func() {
 		defer close(k.done)
 		for ctx.Err() == nil {
@@ -242,7 +242,7 @@
 			quiet := k.quiet
 			var r agreed.Request
 			if !quiet {
-				r = k.car.Ask(bootNow())
+				r = k.car.NextRequest(bootNow())
 			}
 			k.mu.Unlock()
 			if quiet {
@@ -262,16 +262,16 @@
 				k.mu.Unlock()
 				continue
 			}
-			w := k.car.Told(bootNow(), a)
-			if w.Act != nil {
-				k.seen = append(k.seen, w.Act.Version)
+			w := k.car.HandleResponse(bootNow(), a)
+			if w.Activate != nil {
+				k.seen = append(k.seen, w.Activate.Version)
 			}
-			if w.Check != nil {
+			if w.Prepare != nil {
 				var err error
 				if k.no != "" {
 					err = fmt.Errorf("%s", k.no)
 				}
-				k.car.Prepared(w.Check, err)
+				k.car.RecordPrepareResult(w.Prepare, err)
 			}
 			k.mu.Unlock()
 		}
@@ -289,7 +289,7 @@
 func (k *car) acts() uint64 {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.car.Acts().Version
+	return k.car.Active().Version
 }
 
 // reach has it call the council by other ways.
@@ -315,7 +315,7 @@
 	defer cancel()
 	for { // until the version before is settled
 		st, err := g.client(0).Enter(ctx, agreed.Entry{Kind: agreed.Propose, Base: base, Doc: d})
-		if err == nil || !strings.Contains(err.Error(), agreed.ErrUnsettled.Error()) {
+		if err == nil || !strings.Contains(err.Error(), agreed.ErrNotSettled.Error()) {
 			return st, err
 		}
 		time.Sleep(10 * time.Millisecond)
@@ -408,7 +408,7 @@
 	for _, p := range g.procs {
 		g.kill(p)
 	}
-	until(t, "on the stricter", func() bool { return k.level() == agreed.Once })
+	until(t, "on the stricter", func() bool { return k.level() == agreed.LevelOnce })
 	for _, p := range g.procs {
 		g.start(p)
 	}
@@ -424,7 +424,7 @@
 	if _, err := g.client(0).Enter(ctx, agreed.Entry{Kind: agreed.Propose, Base: 1, Doc: level("k2", 1)}); err == nil {
 		t.Error("one of three has agreed on something")
 	}
-	until(t, "on the stricter again", func() bool { return k.level() == agreed.Once })
+	until(t, "on the stricter again", func() bool { return k.level() == agreed.LevelOnce })
 }
 
 // A member that is stopped while it leads, and goes on, leads no more and gives nobody a lease
@@ -447,9 +447,9 @@
 	// A request lies in its socket as it goes on, of a sidecar that it knows well, and of whose
 	// new version it knows nothing: it must not grant a lease by itself.
 	k.mu.Lock()
-	r := agreed.Request{Car: "car", Inc: k.inc, Seq: 1, Acts: 1}
+	r := agreed.Request{Sidecar: "car", Incarnation: k.inc, Seq: 1, ActiveVersion: 1}
 	k.mu.Unlock()
-	answers := make(chan agreed.Answer, 20)
+	answers := make(chan agreed.Response, 20)
 	var wait sync.WaitGroup
 	for range cap(answers) {
 		wait.Go(func() {
@@ -467,7 +467,7 @@
 	wait.Wait()
 	close(answers)
 	for a := range answers {
-		if a.Lease && a.Held {
+		if a.LeaseGranted && a.InForceOmitted {
 			t.Errorf("who led before grants a lease on version 1: %+v", a)
 		}
 	}
--- a/internal/council/serve.go
+++ b/internal/council/serve.go
@@ -25,7 +25,7 @@
 
 const (
 	// callMost bounds a call of a sidecar or operator, in bytes.
-	callMost = agreed.BodyMost + 64<<10
+	callMost = agreed.MaxBodyBytes + 64<<10
 	// holdShare of a lease is how long a call waits for news.
 	holdShare = 4
 	// foundEach is how often founders ask for each other.
