--- a/internal/agreed/council.go
+++ b/internal/agreed/council.go
@@ -98,8 +98,8 @@
 	return true
 }
 
-// PendingSidecars returns the names, sorted, of the live sidecars that have not prepared the pending
-// proposal or do not have the version in force active.
+// PendingSidecars returns the names, sorted, of the live sidecars that have not prepared the
+// pending proposal or do not have the version in force active.
 func (s *State) PendingSidecars() (names []string) {
 	for name, c := range s.Sidecars {
 		if !c.Gone && (s.Pending != nil && c.PreparedVersion < s.Pending.Version || c.Acts < s.InForce.Version) {
@@ -208,9 +208,9 @@
 	return nil
 }
 
-// checkStaleSidecars returns an error if d requires a stricter level of a class than a sidecar with an
-// expired lease applies that has not prepared d. Server keys are not checked: such a sidecar can't
-// learn which servers were taken out, and that does not hold up the version.
+// checkStaleSidecars returns an error if d requires a stricter level of a class than a sidecar with
+// an expired lease applies that has not prepared d. Server keys are not checked: such a sidecar
+// can't learn which servers were taken out, and that does not hold up the version.
 func (s *State) checkStaleSidecars(d *Doc) error {
 	for _, name := range slices.Sorted(maps.Keys(s.Sidecars)) {
 		c := s.Sidecars[name]
--- a/internal/agreed/explore_test.go
+++ b/internal/agreed/explore_test.go
@@ -48,8 +48,8 @@
 	response    *Response
 }
 
-// modelState is one state of the model: the replicated log, its leader, two sidecars and the messages
-// in flight between them.
+// modelState is one state of the model: the replicated log, its leader, two sidecars and the
+// messages in flight between them.
 type modelState struct {
 	now              int // in ticks
 	state            State
@@ -66,8 +66,8 @@
 	inForceSince     []int // the tick at which each version from 2 on came into force
 }
 
-// sidecarNow returns the time by the clock of a sidecar. The clock of the first sidecar is slow, and
-// that of the leader fast, by the maximum drift.
+// sidecarNow returns the time by the clock of a sidecar. The clock of the first sidecar is slow,
+// and that of the leader fast, by the maximum drift.
 func (w *modelState) sidecarNow(n int) time.Duration {
 	rate := []float64{1 - modelTimes.Drift, 1}[n]
 	return time.Duration(float64(w.now) * rate * float64(modelTick))
@@ -109,9 +109,9 @@
 	return &x
 }
 
-// normalize removes messages that can have no effect and sorts the others, so that states which differ
-// only in the order of their messages are the same. A late message is one not delivered yet, a
-// lost one is never delivered.
+// normalize removes messages that can have no effect and sorts the others, so that states which
+// differ only in the order of their messages are the same. A late message is one not delivered yet,
+// a lost one is never delivered.
 func (w *modelState) normalize() {
 	w.messages = slices.DeleteFunc(w.messages, func(m message) bool {
 		c := w.sidecars[m.sidecar]
@@ -338,9 +338,9 @@
 	}
 }
 
-// violation describes the property that the world violates, or returns "": a sidecar applies a lower
-// level than every version that was in force within T, or a version is in force that a sidecar
-// with a lease has neither active nor prepared.
+// violation describes the property that the world violates, or returns "": a sidecar applies a
+// lower level than every version that was in force within T, or a version is in force that a
+// sidecar with a lease has neither active nor prepared.
 func (w *modelState) violation(f defect) string {
 	now := time.Duration(w.now) * modelTick
 	least := versionLevels[len(w.inForceSince)]
@@ -406,8 +406,8 @@
 	return len(known), ""
 }
 
-// initialBounds returns the initial conditions to explore: which sidecars know of the proposal of version
-// 2, and whether version 1 has a floor.
+// initialBounds returns the initial conditions to explore: which sidecars know of the proposal of
+// version 2, and whether version 1 has a floor.
 func initialBounds(b modelBounds) (variants []modelBounds) {
 	for _, heard := range [][2]bool{{true, true}, {true, false}, {false, true}, {false, false}} {
 		for _, floor := range []bool{false, true} {
@@ -441,8 +441,8 @@
 	}
 }
 
-// The exploration must find each defect injected into the state machines; otherwise TestModelHoldsBounds
-// would not detect it either.
+// The exploration must find each defect injected into the state machines; otherwise
+// TestModelHoldsBounds would not detect it either.
 func TestModelFindsInjectedDefects(t *testing.T) {
 	one := [2]int{1, 1}
 	for f, b := range map[defect]modelBounds{
--- a/internal/agreed/participant.go
+++ b/internal/agreed/participant.go
@@ -28,12 +28,13 @@
 	LeaseGranted bool   `json:"lease"` // the lease was granted, counted from when the request was sent
 	InForce      *Doc   `json:"force,omitempty"`
 	Next         *Doc   `json:"next,omitempty"`
-	// InForceOmitted means that the version in force is the active version of the request, and is omitted.
+	// InForceOmitted means that the version in force is the active version of the request, and is
+	// omitted.
 	InForceOmitted bool `json:"held,omitempty"`
 }
 
-// PersistentState is the part of a sidecar's state that must survive a restart: what it has reported to the
-// council.
+// PersistentState is the part of a sidecar's state that must survive a restart: what it has
+// reported to the council.
 type PersistentState struct {
 	Active   Doc  `json:"acts"`
 	Prepared *Doc `json:"next,omitempty"` // prepared
@@ -133,8 +134,8 @@
 }
 
 // RecordPrepareResult records that a version was checked and can be applied, or with err why it
-// can't. A prepared version becomes part of the persistent state; either result is reported with the
-// next request.
+// can't. A prepared version becomes part of the persistent state; either result is reported with
+// the next request.
 func (p *Participant) RecordPrepareResult(d *Doc, err error) {
 	switch {
 	case d.Version <= p.active.Version:
--- a/internal/agreed/rules.go
+++ b/internal/agreed/rules.go
@@ -189,8 +189,8 @@
 	return nil
 }
 
-// MaxStaleness returns T, the maximum time by an exact clock, from when a version comes into force, for
-// which a sidecar may still apply less strict rules and calls sent under them may still run.
+// MaxStaleness returns T, the maximum time by an exact clock, from when a version comes into force,
+// for which a sidecar may still apply less strict rules and calls sent under them may still run.
 func (t LeaseTimes) MaxStaleness() time.Duration { return t.maxRealTime(t.Lease-t.Margin) + t.Call }
 
 // maxRealTime returns the maximum real time that passes while a clock within the drift counts d.
@@ -198,8 +198,8 @@
 	return time.Duration(float64(d)/(1-t.Drift)) + 1
 }
 
-// ExpiryDelay returns how long the leader waits, by its own clock, before it takes a lease as expired by
-// the clock of any sidecar.
+// ExpiryDelay returns how long the leader waits, by its own clock, before it takes a lease as
+// expired by the clock of any sidecar.
 func (t LeaseTimes) ExpiryDelay() time.Duration {
 	return time.Duration(float64(t.maxRealTime(t.Lease))*(1+t.Drift)) + 1
 }
--- a/internal/council/bound_test.go
+++ b/internal/council/bound_test.go
@@ -14,84 +14,86 @@
 	"chalkrack/internal/agreed"
 )
 
-// acted is what the sidecars of a run acted on, and when versions came into force at the latest.
-type acted struct {
-	mu     sync.Mutex
-	began  time.Time
-	forced []time.Duration // by version: when somebody first saw it in force
-	levels []uint64        // by version
-	wrong  []string
-	lax    time.Duration // the longest that somebody acted on less than a version in force
+// boundChecker checks the levels that the sidecars of a run apply against the versions in force.
+type boundChecker struct {
+	mu           sync.Mutex
+	began        time.Time
+	inForceSince []time.Duration // by version: when it was first seen in force
+	levels       []uint64        // by version
+	violations   []string        // violations of the bound
+	longestLax   time.Duration   // longest time that a sidecar applied a lower level than the newest version in force
 }
 
-// saw notes that a version is in force.
-func (a *acted) saw(version uint64) {
+// recordInForce records that a version, and each before it, is in force.
+func (a *boundChecker) recordInForce(version uint64) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	for uint64(len(a.forced)) <= version {
-		a.forced = append(a.forced, time.Since(a.began))
+	for uint64(len(a.inForceSince)) <= version {
+		a.inForceSince = append(a.inForceSince, time.Since(a.began))
 	}
 }
 
-// least is the level that nobody may be under: the least of what was in force within T.
-func (a *acted) least(now, bound time.Duration) uint64 {
-	v := len(a.forced) - 1
+// lowestLevel returns the lowest level of all versions in force within the bound before now. No
+// sidecar may apply a lower one.
+func (a *boundChecker) lowestLevel(now, bound time.Duration) uint64 {
+	v := len(a.inForceSince) - 1
 	least := a.levels[v]
-	for ; v > 0 && now-a.forced[v] <= bound; v-- {
+	for ; v > 0 && now-a.inForceSince[v] <= bound; v-- {
 		least = min(least, a.levels[v-1])
 	}
 	return least
 }
 
-// check holds what a sidecar acted on, at a time before it was looked at, against the bound.
-func (a *acted) check(who int, before time.Duration, level uint64, bound time.Duration) {
+// check checks the level that a sidecar applies, read after the time before, against the bound.
+func (a *boundChecker) check(who int, before time.Duration, level uint64, bound time.Duration) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if least := a.least(before, bound); level < least && len(a.wrong) < 5 {
-		a.wrong = append(a.wrong, fmt.Sprintf("sidecar %d acts on level %d at %v, %d is the least within %v (in force since %v, levels %v)", who, level, before, least, bound, a.forced, a.levels))
+	if least := a.lowestLevel(before, bound); level < least && len(a.violations) < 5 {
+		a.violations = append(a.violations, fmt.Sprintf("sidecar %d applies level %d at %v, want at least %d, the lowest level in force within %v (in force since %v, levels %v)", who, level, before, least, bound, a.inForceSince, a.levels))
 	}
-	for v := len(a.forced) - 1; v > 0; v-- { // since the newest that it is under
+	for v := len(a.inForceSince) - 1; v > 0; v-- { // the newest version with a higher level
 		if level < a.levels[v] {
-			if v == len(a.forced)-1 {
-				a.lax = max(a.lax, before-a.forced[v])
+			if v == len(a.inForceSince)-1 {
+				a.longestLax = max(a.longestLax, before-a.inForceSince[v])
 			}
 			return
 		}
 	}
 }
 
-// playBound has versions that tighten and loosen a class come into force while members are killed
-// and stopped, and sidecars fall silent, by a seed.
-func playBound(t *testing.T, seed uint64, length time.Duration) {
+// runBoundSchedule brings versions into force that make a class stricter and less strict, while
+// members are killed and suspended and sidecars stop sending requests. The seed determines the
+// schedule.
+func runBoundSchedule(t *testing.T, seed uint64, length time.Duration) {
 	rng := rand.New(rand.NewPCG(seed, 3))
-	g := convene(t, 3)
-	a := &acted{began: time.Now(), forced: []time.Duration{0}, levels: []uint64{0}} // nothing is in force, and leases are given for that
-	bound := g.times.MaxStaleness() - g.times.Call                                  // rules are looked at, no call is sent
-	var cars []*car
+	g := startCouncil(t, 3)
+	a := &boundChecker{began: time.Now(), inForceSince: []time.Duration{0}, levels: []uint64{0}} // version 0: none in force yet, and leases are granted for it
+	bound := g.times.MaxStaleness() - g.times.Call                                               // only levels are checked, no call is sent
+	var cars []*testSidecar
 	for n := range 8 {
-		cars = append(cars, g.car(fmt.Sprintf("car%d", n), n))
+		cars = append(cars, g.startSidecar(fmt.Sprintf("car%d", n), n))
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), length)
 	defer cancel()
 	var wait sync.WaitGroup
-	wait.Go(func() { // looks at all
+	wait.Go(func() { // checks all sidecars
 		for ctx.Err() == nil {
 			for n, k := range cars {
 				before := time.Since(a.began)
 				k.mu.Lock()
-				level, version := k.car.Level(bootNow(), "class/a"), k.car.Active().Version
+				level, version := k.participant.Level(bootTime(), "class/a"), k.participant.Active().Version
 				k.mu.Unlock()
-				a.saw(version)
+				a.recordInForce(version)
 				a.check(n, before, level, bound)
 			}
 			time.Sleep(2 * time.Millisecond)
 		}
 	})
-	wait.Go(func() { // operators
+	wait.Go(func() { // the operator
 		draw := rand.New(rand.NewPCG(seed, 4))
 		c := g.client(0)
 		for version := uint64(0); ctx.Err() == nil; {
-			// Tightened twice, then loosened; some stay for longer than T.
+			// The level rises twice, then falls to 0. Some versions stay in force for longer than T.
 			time.Sleep(time.Duration(draw.IntN(2500)) * time.Millisecond)
 			level := (version + 1) % 3
 			a.mu.Lock()
@@ -100,25 +102,25 @@
 			st, err := c.Enter(ctx, agreed.Entry{Kind: agreed.Propose, Base: version, Doc: &agreed.Doc{Key: fmt.Sprint("k", version), Who: "kim", Reason: "a test", Rules: agreed.Rules{"class/a": level}}})
 			for ctx.Err() == nil && (err != nil || !st.Settled || st.InForce.Version != version+1) {
 				time.Sleep(20 * time.Millisecond)
-				if err != nil { // unsettled, or lost: the same again
+				if err != nil { // not settled yet, or no response: repeat the proposal
 					st, err = c.Enter(ctx, agreed.Entry{Kind: agreed.Propose, Base: version, Doc: &agreed.Doc{Key: fmt.Sprint("k", version), Who: "kim", Reason: "a test", Rules: agreed.Rules{"class/a": level}}})
 				} else {
 					st, err = c.Sure(ctx)
 				}
 				if err == nil {
-					a.saw(min(st.InForce.Version, version+1))
+					a.recordInForce(min(st.InForce.Version, version+1))
 				}
 			}
 			version++
 		}
 	})
-	wait.Go(func() { // sidecars fall silent for less than a lease, or until long after one has ended
+	wait.Go(func() { // sidecars stop sending for less than a lease, or for long enough to lose it
 		draw := rand.New(rand.NewPCG(seed, 5))
 		for ctx.Err() == nil {
 			k := cars[draw.IntN(len(cars))]
-			k.hush(true)
+			k.setSilent(true)
 			time.Sleep([]time.Duration{time.Second, 6 * time.Second}[draw.IntN(2)])
-			k.hush(false)
+			k.setSilent(false)
 			time.Sleep(200 * time.Millisecond)
 		}
 	})
@@ -126,9 +128,9 @@
 		p := g.procs[rng.IntN(len(g.procs))]
 		pause := func(most int) { time.Sleep(time.Duration(50+rng.IntN(most)) * time.Millisecond) }
 		if rng.IntN(2) == 0 {
-			g.kill(p)
+			g.killProcess(p)
 			pause(800)
-			g.start(p)
+			g.startProcess(p)
 		} else {
 			p.cmd.Process.Signal(syscall.SIGSTOP)
 			pause(1000)
@@ -139,27 +141,27 @@
 	wait.Wait()
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	t.Logf("%d versions; the longest on less than the newest in force %v, T %v", len(a.forced)-1, a.lax.Round(time.Millisecond), bound)
-	for _, w := range a.wrong {
+	t.Logf("%d versions; longest time below the level of the newest version in force: %v, T: %v", len(a.inForceSince)-1, a.longestLax.Round(time.Millisecond), bound)
+	for _, w := range a.violations {
 		t.Error(w)
 	}
-	if len(a.forced) < 3 {
-		t.Errorf("%d versions came into force: the schedule proves little", len(a.forced)-1)
+	if len(a.inForceSince) < 3 {
+		t.Errorf("only %d versions came into force: too few for a meaningful run", len(a.inForceSince)-1)
 	}
 }
 
-// Nobody acts on less than what was in force within T, over random schedules. FAWN_BOUNDS says how
-// many, by hand.
+// No sidecar may apply a lower level than every version in force within T, in random schedules of
+// member and sidecar failures. FAWN_BOUNDS sets the number of schedules for a run by hand.
 func TestBoundHolds(t *testing.T) {
 	t.Parallel()
-	many, length := 2, 14*time.Second
+	schedules, length := 2, 14*time.Second
 	if n, err := strconv.Atoi(os.Getenv("FAWN_BOUNDS")); err == nil {
-		many, length = n, 30*time.Second
+		schedules, length = n, 30*time.Second
 	}
-	for seed := range uint64(many) {
+	for seed := range uint64(schedules) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			playBound(t, seed, length)
+			runBoundSchedule(t, seed, length)
 		})
 	}
 }
--- a/internal/council/change.go
+++ b/internal/council/change.go
@@ -9,30 +9,31 @@
 	"go.etcd.io/raft/v3/raftpb"
 )
 
-// ErrMember is of a change of members that can't be.
-var ErrMember = errors.New("this change of the members can't be made")
+// ErrMemberChange is wrapped by the errors of ProposeMemberChange for invalid membership changes.
+var ErrMemberChange = errors.New("this change of the members can't be made")
 
-// Change adds or removes a member, through the log. It returns once it is proposed to the
-// others: the status shows when it holds.
-func (m *Member) Change(ctx context.Context, id uint64, p Peer, remove bool) error {
-	return m.await(ctx, func(told chan error) error {
-		_, there := m.content.Members[id]
+// ProposeMemberChange proposes to add or remove a member. Only the leader can do so. It returns
+// once the change is proposed; Status shows when it has been applied. info is ignored if remove is
+// set.
+func (m *Member) ProposeMemberChange(ctx context.Context, id uint64, info Peer, remove bool) error {
+	return m.awaitAsLeader(ctx, func(result chan error) error {
+		_, isMember := m.content.Members[id]
 		switch {
 		case id == 0:
-			return fmt.Errorf("id 0: %w", ErrMember)
-		case remove != there:
-			return fmt.Errorf("id %d, there: %v: %w", id, there, ErrMember)
-		case !remove && len(m.content.Members) >= MembersMost:
-			return fmt.Errorf("%d members at most: %w", MembersMost, ErrMember)
+			return fmt.Errorf("id 0: %w", ErrMemberChange)
+		case remove != isMember:
+			return fmt.Errorf("id %d, there: %v: %w", id, isMember, ErrMemberChange)
+		case !remove && len(m.content.Members) >= MaxMembers:
+			return fmt.Errorf("%d members at most: %w", MaxMembers, ErrMemberChange)
 		}
 		if !remove {
 			for _, x := range m.content.Members {
-				if x.Name == p.Name || m.post.where(x) == p.Addr || p.Name == "" || p.Addr == "" {
-					return fmt.Errorf("%s at %s: the name or the address is another's or empty: %w", p.Name, p.Addr, ErrMember)
+				if x.Name == info.Name || m.transport.addrOf(x) == info.Addr || info.Name == "" || info.Addr == "" {
+					return fmt.Errorf("%s at %s: the name or the address is another's or empty: %w", info.Name, info.Addr, ErrMemberChange)
 				}
 			}
 		}
-		text, err := json.Marshal(p)
+		text, err := json.Marshal(info)
 		if err != nil {
 			return err
 		}
@@ -43,7 +44,7 @@
 		if err := m.node.ProposeConfChange(&raftpb.ConfChange{Type: &kind, NodeId: &id, Context: text}); err != nil {
 			return err
 		}
-		told <- nil
+		result <- nil
 		return nil
 	})
 }
--- a/internal/council/client.go
+++ b/internal/council/client.go
@@ -16,124 +16,129 @@
 	"chalkrack/internal/agreed"
 )
 
-// Client calls a council: whoever of its members leads. It may be used by several goroutines.
+// Client calls the leader of a council. It is safe for concurrent use.
 type Client struct {
-	key []byte
-	c   *http.Client
+	key        []byte
+	httpClient *http.Client
 
-	at    map[string]string // addresses by name
+	addrs map[string]string // addresses by member name
 	names []string
 
-	mu   sync.Mutex
-	next int    // of the names that is asked first
-	lead string // the address of who led last; empty: nobody known
+	mu         sync.Mutex
+	next       int    // index into names, modulo their number, of the member last tried without a known leader
+	leaderAddr string // address of the last known leader; empty: none
 }
 
-// retryEach is the least time between two tries of a call.
-const retryEach = 50 * time.Millisecond
+// minRetryInterval is the minimum time between the starts of two tries of one call.
+const minRetryInterval = 50 * time.Millisecond
 
-// NewClient is one of members at these addresses, by name, of which it asks the n-th first: clients
-// are spread over the members by it.
-func NewClient(key string, n int, at map[string]string) *Client {
-	t := &http.Transport{MaxIdleConnsPerHost: 2, IdleConnTimeout: time.Minute}
-	return &Client{key: []byte(key), c: &http.Client{Transport: t}, at: at, names: slices.Sorted(maps.Keys(at)), next: n}
+// NewClient returns a client of the members at the given addresses, by member name. Different
+// values of first spread the clients' first calls over the members.
+func NewClient(key string, first int, addrs map[string]string) *Client {
+	transport := &http.Transport{MaxIdleConnsPerHost: 2, IdleConnTimeout: time.Minute}
+	return &Client{key: []byte(key), httpClient: &http.Client{Transport: transport}, addrs: addrs, names: slices.Sorted(maps.Keys(addrs)), next: first}
 }
 
-// Close ends its idle connections.
-func (c *Client) Close() { c.c.CloseIdleConnections() }
+// Close closes the idle connections of the client.
+func (c *Client) Close() { c.httpClient.CloseIdleConnections() }
 
-// first is whom to ask.
-func (c *Client) first() string {
+// nextAddr returns the address to call next: the leader's if it is known, else the next member's.
+func (c *Client) nextAddr() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.lead != "" {
-		return c.lead
+	if c.leaderAddr != "" {
+		return c.leaderAddr
 	}
 	c.next++
-	return c.at[c.names[c.next%len(c.names)]]
+	return c.addrs[c.names[c.next%len(c.names)]]
 }
 
-func (c *Client) led(addr string) {
+// setLeader sets the leader's address; empty: not known.
+func (c *Client) setLeader(addr string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.lead = addr
+	c.leaderAddr = addr
 }
 
-// do calls whoever leads, again and again until ctx ends: where no leader is known, where it has
-// changed, where a member can't be reached. each is how long one try may take. A Refusal that
-// another member would give too is the answer.
-func (c *Client) do(ctx context.Context, path string, each time.Duration, with, v any) error {
-	body, err := json.Marshal(with)
+// callLeader posts request to the leader and decodes the response into response, unless that is
+// nil. While no leader is known, the leader has changed or a member can't be reached, it tries
+// again until ctx ends; tryTimeout is the timeout of one try. A Refusal that any member would give
+// is returned at once.
+func (c *Client) callLeader(ctx context.Context, path string, tryTimeout time.Duration, request, response any) error {
+	body, err := json.Marshal(request)
 	if err != nil {
 		return fmt.Errorf("council: %w", err)
 	}
-	var last error
+	var lastErr error
 	for {
 		began := time.Now()
-		addr := c.first()
-		tryCtx, cancel := context.WithTimeout(ctx, each)
-		text, err := call(tryCtx, c.c, c.key, addr, path, body)
+		addr := c.nextAddr()
+		tryCtx, cancel := context.WithTimeout(ctx, tryTimeout)
+		text, err := postRequest(tryCtx, c.httpClient, c.key, addr, path, body)
 		cancel()
-		var no *Refusal
+		var refusal *Refusal
 		switch {
 		case err == nil:
 			if path != "/v1/status" {
-				c.led(addr)
+				c.setLeader(addr)
 			}
-			if v == nil {
+			if response == nil {
 				return nil
 			}
-			if err := json.Unmarshal(text, v); err != nil {
-				return fmt.Errorf("council: the answer of %s: %w", addr, err)
+			if err := json.Unmarshal(text, response); err != nil {
+				return fmt.Errorf("council: decode the response of %s: %w", addr, err)
 			}
 			return nil
-		case errors.As(err, &no) && no.Code == http.StatusMisdirectedRequest:
-			name, addr, _ := strings.Cut(no.Leader, " ")
-			c.led(cmp.Or(c.at[name], addr)) // by the way that this client has to it
-			last = ErrNotLeader
-		case errors.As(err, &no) && no.Code != http.StatusServiceUnavailable:
-			return no
+		case errors.As(err, &refusal) && refusal.Code == http.StatusMisdirectedRequest:
+			name, addr, _ := strings.Cut(refusal.Leader, " ")
+			c.setLeader(cmp.Or(c.addrs[name], addr)) // this client's own address for the member takes precedence
+			lastErr = ErrNotLeader
+		case errors.As(err, &refusal) && refusal.Code != http.StatusServiceUnavailable:
+			return refusal
 		default:
-			c.led("")
-			if last == nil || ctx.Err() == nil {
-				last = err // a try that the call's own end has cut off hides nothing that was told before
+			c.setLeader("")
+			if lastErr == nil || ctx.Err() == nil {
+				lastErr = err // a try cut off by the end of ctx must not hide an earlier, more specific error
 			}
 		}
 		select {
 		case <-ctx.Done():
-			return fmt.Errorf("council: no member that leads has answered: %w", errors.Join(ctx.Err(), last))
-		case <-time.After(max(0, retryEach-time.Since(began))):
+			return fmt.Errorf("council: no response from a leader: %w", errors.Join(ctx.Err(), lastErr))
+		case <-time.After(max(0, minRetryInterval-time.Since(began))):
 		}
 	}
 }
 
-// Renew sends a sidecar's request; hold is how long the council may wait for news.
+// Renew sends a sidecar's request. The council may delay the response for up to hold while there
+// is nothing new to report.
 func (c *Client) Renew(ctx context.Context, r agreed.Request, hold time.Duration) (a agreed.Response, err error) {
-	err = c.do(ctx, "/v1/renew", hold+waitMost, r, &a)
+	err = c.callLeader(ctx, "/v1/renew", hold+commitTimeout, r, &a)
 	return a, err
 }
 
-// Enter has an operator's entry agreed on. It may be sent again: a proposal by its key, the others
-// by what they name.
+// Enter submits an operator's entry to the log and returns the status after it was applied. It may
+// be repeated safely: a proposal is identified by its key, other entries by the version or sidecar
+// that they name.
 func (c *Client) Enter(ctx context.Context, e agreed.Entry) (s Status, err error) {
-	err = c.do(ctx, "/v1/entry", waitMost+time.Second, e, &s)
+	err = c.callLeader(ctx, "/v1/entry", commitTimeout+time.Second, e, &s)
 	return s, err
 }
 
-// Status is what the first member knows that answers.
+// Status returns the status of the first member that responds, which may be out of date.
 func (c *Client) Status(ctx context.Context) (s Status, err error) {
-	err = c.do(ctx, "/v1/status", time.Second, reading{}, &s)
+	err = c.callLeader(ctx, "/v1/status", time.Second, statusRequest{}, &s)
 	return s, err
 }
 
-// Sure is what the council knows: nothing that was agreed on before the call is missing.
+// Sure returns the leader's status after a linearizable read: it includes everything that was
+// committed before the call.
 func (c *Client) Sure(ctx context.Context) (s Status, err error) {
-	err = c.do(ctx, "/v1/status", waitMost+time.Second, reading{Sure: true}, &s)
+	err = c.callLeader(ctx, "/v1/status", commitTimeout+time.Second, statusRequest{Confirmed: true}, &s)
 	return s, err
 }
 
-// Change adds or removes a member.
-func (c *Client) Change(ctx context.Context, id uint64, p Peer, remove bool) (s Status, err error) {
-	err = c.do(ctx, "/v1/members", waitMost+time.Second, change{Remove: remove, ID: id, Peer: p}, &s)
+// Change proposes to add or remove a member, as Member.ProposeMemberChange does.
+func (c *Client) Change(ctx context.Context, id uint64, info Peer, remove bool) (s Status, err error) {
+	err = c.callLeader(ctx, "/v1/members", commitTimeout+time.Second, memberChange{Remove: remove, ID: id, Peer: info}, &s)
 	return s, err
 }
--- a/internal/council/config.go
+++ b/internal/council/config.go
@@ -1,7 +1,8 @@
-// Package council is one member of a fleet's council: three or five processes that keep one log
-// of what the fleet acts on. What the log means is package agreed's; who leads and what is
-// committed is raft's, as a state machine in this package's one goroutine. The package does the
-// disk, the network and the clock for both. Why it is so: docs/design/agreement.md.
+// Package council implements a member of a fleet's council, a raft cluster of usually three or
+// five processes, and a client for it. The council replicates the log from which package agreed
+// derives the settings version that the sidecars apply. This package supplies storage, network and
+// clock to package agreed and to the raft state machine, both of which run in one goroutine.
+// docs/design/agreement.md describes the design and its reasons.
 package council
 
 import (
@@ -20,21 +21,21 @@
 	"chalkrack/internal/duration"
 )
 
-// Bounds of a council.
+// Limits of a council.
 const (
-	MembersMost = 7
-	keyLeast    = 16 // bytes of the fleet's key
+	MaxMembers  = 7
+	minKeyBytes = 16 // bytes of the fleet's key
 )
 
-// Config is what a member is told.
+// Config is the configuration of a member.
 type Config struct {
-	Fleet  string `toml:"fleet"`  // a name that no other fleet has
+	Fleet  string `toml:"fleet"`  // unique name of the fleet
 	Name   string `toml:"name"`   // of this member
-	Listen string `toml:"listen"` // where the others and sidecars come
-	Folder string `toml:"folder"` // its log; no other process may use it
-	Key    string `toml:"key"`    // the fleet's; the same as in [duty] of the sidecars
-	// Members are all that found the council, this one too: an address by each name. One that
-	// joins later has none: it waits until the others have added it.
+	Listen string `toml:"listen"` // address for members, sidecars and operators
+	Folder string `toml:"folder"` // holds the log; used by this process only
+	Key    string `toml:"key"`    // shared key of the fleet, the same as in [duty] of the sidecars
+	// Members maps the names of all founding members, this one included, to their addresses. It
+	// is empty for a member that joins later, which waits until the others add it.
 	Members map[string]string `toml:"members"`
 	Join    bool              `toml:"join"`
 
@@ -42,124 +43,126 @@
 	Drift  float64           `toml:"drift"`
 	Margin duration.Duration `toml:"margin"`
 	Call   duration.Duration `toml:"call"`
-	// Beat is how often the leader tells the others that it leads; ten of them without a word
-	// are an election.
+	// Beat is the interval of the leader's heartbeats. A member that receives none for ten
+	// intervals starts an election.
 	Beat duration.Duration `toml:"beat"`
 }
 
-// Default has the times of the operators' page.
+// Default returns a configuration with the default times and no other fields.
 func Default() Config {
 	return Config{Lease: duration.Duration(10 * time.Second), Drift: 0.01, Margin: duration.Duration(time.Second), Call: duration.Duration(5 * time.Second), Beat: duration.Duration(100 * time.Millisecond)}
 }
 
-// Read is a configuration from its text. Errors name the field.
+// Read parses and validates a configuration in TOML. Errors name the field.
 func Read(text []byte) (Config, error) {
-	c, err := decode(text)
+	c, err := decodeConfig(text)
 	if err != nil {
 		return c, err
 	}
 	return c, c.Validate()
 }
 
-func decode(text []byte) (Config, error) {
+// decodeConfig parses a configuration without validating it. Unknown fields are errors.
+func decodeConfig(text []byte) (Config, error) {
 	c := Default()
 	d := toml.NewDecoder(bytes.NewReader(text))
 	d.DisallowUnknownFields()
 	if err := d.Decode(&c); err != nil {
 		var strict *toml.StrictMissingError
 		if errors.As(err, &strict) {
-			return c, fmt.Errorf("council: %s: there is no such field", strict.Errors[0].Key())
+			return c, fmt.Errorf("council: %s: unknown field", strict.Errors[0].Key())
 		}
 		return c, fmt.Errorf("council: %w", err)
 	}
 	return c, nil
 }
 
-// Times are what leases go by.
-func (c *Config) Times() agreed.LeaseTimes {
+// LeaseTimes returns the parameters of the leases.
+func (c *Config) LeaseTimes() agreed.LeaseTimes {
 	return agreed.LeaseTimes{Lease: time.Duration(c.Lease), Drift: c.Drift, Margin: time.Duration(c.Margin), Call: time.Duration(c.Call)}
 }
 
-// Validate says what can't be used, by the field's name.
+// Validate returns an error that names the first invalid field.
 func (c *Config) Validate() error {
-	bad := func(field, format string, args ...any) error {
+	invalid := func(field, format string, args ...any) error {
 		return fmt.Errorf("council.%s: %s", field, fmt.Sprintf(format, args...))
 	}
 	switch {
 	case c.Fleet == "" || len(c.Fleet) > agreed.MaxKeyBytes:
-		return bad("fleet", "must have 1 to %d bytes", agreed.MaxKeyBytes)
+		return invalid("fleet", "must have 1 to %d bytes", agreed.MaxKeyBytes)
 	case c.Name == "" || len(c.Name) > agreed.MaxKeyBytes:
-		return bad("name", "must have 1 to %d bytes", agreed.MaxKeyBytes)
+		return invalid("name", "must have 1 to %d bytes", agreed.MaxKeyBytes)
 	case c.Folder == "":
-		return bad("folder", "is missing: a member without a disk forgets what it has promised")
-	case len(c.Key) < keyLeast:
-		return bad("key", "must have %d bytes at least", keyLeast)
+		return invalid("folder", "is missing: without a disk a member loses its votes and its log on a restart")
+	case len(c.Key) < minKeyBytes:
+		return invalid("key", "must have at least %d bytes", minKeyBytes)
 	case time.Duration(c.Beat) < 10*time.Millisecond || time.Duration(c.Beat) > 5*time.Second:
-		return bad("beat", "must be within 10ms and 5s")
+		return invalid("beat", "must be between 10ms and 5s")
 	}
 	if _, _, err := net.SplitHostPort(c.Listen); err != nil {
-		return bad("listen", "%v", err)
+		return invalid("listen", "%v", err)
 	}
-	if err := c.Times().Validate(); err != nil {
+	if err := c.LeaseTimes().Validate(); err != nil {
 		return err
 	}
 	if time.Duration(c.Lease) < 30*time.Duration(c.Beat) {
-		return bad("lease", "must be 30 beats at least: an election has to fit into it")
+		return invalid("lease", "must be at least 30 times council.beat, so that an election fits into a lease")
 	}
 	if c.Join {
 		if len(c.Members) > 0 {
-			return bad("members", "are the founders': one that joins has none")
+			return invalid("members", "must be empty with join = true: it lists the founding members")
 		}
 		return nil
 	}
-	if n := len(c.Members); n%2 == 0 || n > MembersMost {
-		return bad("members", "are %d: must be 1, 3, 5 or 7, for an even count bears no more losses than one less", n)
+	if n := len(c.Members); n%2 == 0 || n > MaxMembers {
+		return invalid("members", "has %d members, must be 1, 3, 5 or 7: an even number tolerates no more failures than one member less", n)
 	}
 	if c.Members[c.Name] == "" {
-		return bad("members", "%q, this one, is not among them", c.Name)
+		return invalid("members", "%q, the name of this member, is missing", c.Name)
 	}
 	var seen []string
 	for name, addr := range c.Members {
 		if _, _, err := net.SplitHostPort(addr); err != nil {
-			return bad("members."+name, "%v", err)
+			return invalid("members."+name, "%v", err)
 		}
 		if slices.Contains(seen, addr) {
-			return bad("members."+name, "%s stands twice", addr)
+			return invalid("members."+name, "address %s is used twice", addr)
 		}
 		seen = append(seen, addr)
 	}
 	return nil
 }
 
-// founderID is a founder's in the log's configuration.
+// founderID returns the raft id of a founding member. Each member derives it from the names, so
+// that the founders agree on the ids without communication.
 func founderID(fleet, name string) uint64 {
 	h := fnv.New64a()
 	fmt.Fprintf(h, "%s\x00%s", fleet, name)
 	return max(1, h.Sum64())
 }
 
-// Reach is how operators find a council: any member's file will do, or one with the key and the
-// members alone.
+// Reach holds what a client needs to call a council. It can be read from the configuration file of
+// any founding member, or from a file with just the key and the members.
 type Reach struct {
 	Key     string
 	Members map[string]string
 }
 
-// ReadReach is a Reach from a file's text. Errors name the field.
+// ReadReach parses a Reach from a configuration in TOML. Errors name the field.
 func ReadReach(text []byte) (r Reach, err error) {
-	c, err := decode(text)
+	c, err := decodeConfig(text)
 	switch {
 	case err != nil:
 		return r, err
-	case len(c.Key) < keyLeast:
-		return r, fmt.Errorf("council.key: must have %d bytes at least", keyLeast)
+	case len(c.Key) < minKeyBytes:
+		return r, fmt.Errorf("council.key: must have at least %d bytes", minKeyBytes)
 	case len(c.Members) == 0:
-		return r, errors.New("council.members: is missing: an address by each member's name")
+		return r, errors.New("council.members: is missing: must map the name of each member to its address")
 	}
 	return Reach{c.Key, c.Members}, nil
 }
 
-// Client calls the council of a Reach.
+// Client returns a client that starts with a random member.
 func (r *Reach) Client() *Client {
 	return NewClient(r.Key, rand.IntN(len(r.Members)), r.Members)
 }
--- a/internal/council/history_test.go
+++ b/internal/council/history_test.go
@@ -18,25 +18,26 @@
 	"chalkrack/internal/agreed"
 )
 
-// deed is what an operator does: a proposal against a version, or a look (key empty).
-type deed struct {
+// operation is an operation of an operator: a proposal against a base version, or a read if key is
+// empty.
+type operation struct {
 	base uint64
 	key  string
 }
 
-// seen is what came of it.
-type seen struct {
-	version uint64 // in force, or that of the proposal; 0 of a proposal: it was refused for its base
+// result is the result of an operation.
+type result struct {
+	version uint64 // the version read or proposed; 0 for a proposal refused because of its base
 	unknown bool
 }
 
-// versions is a council without sidecars, where a proposal is in force as it is agreed on: a
-// register that is written only against what it holds. Its state is the version in force. Each
-// deed is sent until its outcome is known.
-var versions = porcupine.Model{
+// versionModel models a council without sidecars, where a proposal comes into force as soon as it
+// is committed: a register with compare-and-set, whose state is the version in force. Each
+// operation is repeated until its result is known.
+var versionModel = porcupine.Model{
 	Init: func() any { return uint64(0) },
 	Step: func(state, in, out any) (bool, any) {
-		v, d, o := state.(uint64), in.(deed), out.(seen)
+		v, d, o := state.(uint64), in.(operation), out.(result)
 		switch {
 		case d.key == "":
 			return o.version == v, v
@@ -52,11 +53,12 @@
 	},
 }
 
-// play has three operators propose and look for some seconds, while members are killed, stopped,
-// started and cut from one another by a seed, and returns what they saw.
-func playHistory(t *testing.T, seed uint64, length time.Duration) (all []porcupine.Operation) {
+// runHistory has three operators propose and read for a time while members are killed, suspended,
+// restarted and partitioned, and returns the history of the operations. The seed determines the
+// schedule.
+func runHistory(t *testing.T, seed uint64, length time.Duration) (all []porcupine.Operation) {
 	rng := rand.New(rand.NewPCG(seed, 1))
-	g := convene(t, 3+2*int(seed%2))
+	g := startCouncil(t, 3+2*int(seed%2))
 	ctx, cancel := context.WithTimeout(context.Background(), length)
 	defer cancel()
 	began := time.Now()
@@ -68,22 +70,23 @@
 		wait.Go(func() {
 			known := uint64(0)
 			for i := 0; ctx.Err() == nil; i++ {
-				d := deed{}
+				d := operation{}
 				if draw.IntN(2) == 0 {
-					d = deed{known, fmt.Sprintf("%d-%d", n, i)}
+					d = operation{known, fmt.Sprintf("%d-%d", n, i)}
 				}
 				call := time.Since(began)
-				// Each is answered or not known when the run ends: it is sent until then.
-				mostly, stop := context.WithTimeout(context.Background(), 20*time.Second)
+				// The operation has a context of its own, so that the end of the run does not cut
+				// it off: its result must be known.
+				opCtx, stop := context.WithTimeout(context.Background(), 20*time.Second)
 				var st Status
 				var err error
 				if d.key == "" {
-					st, err = c.Sure(mostly)
+					st, err = c.Sure(opCtx)
 				} else {
-					st, err = c.Enter(mostly, agreed.Entry{Kind: agreed.Propose, Base: d.base, Doc: level(d.key, uint64(i)%3)})
+					st, err = c.Enter(opCtx, agreed.Entry{Kind: agreed.Propose, Base: d.base, Doc: level(d.key, uint64(i)%3)})
 				}
 				stop()
-				o := seen{version: st.InForce.Version}
+				o := result{version: st.InForce.Version}
 				var no *Refusal
 				switch {
 				case errors.As(err, &no) && strings.Contains(no.Text, agreed.ErrBaseVersion.Error()):
@@ -111,40 +114,40 @@
 	for ctx.Err() == nil {
 		p := g.procs[rng.IntN(len(g.procs))]
 		pause := func(most int) { time.Sleep(time.Duration(50+rng.IntN(most)) * time.Millisecond) }
-		q := g.others(p)[rng.IntN(len(g.procs)-1)]
+		q := g.otherMembers(p)[rng.IntN(len(g.procs)-1)]
 		switch rng.IntN(6) {
 		case 0:
-			g.kill(p)
+			g.killProcess(p)
 			pause(800)
-			g.start(p)
+			g.startProcess(p)
 		case 1:
 			p.cmd.Process.Signal(syscall.SIGSTOP)
 			pause(1200)
 			p.cmd.Process.Signal(syscall.SIGCONT)
-		case 2: // all at once
+		case 2: // all members are killed at once
 			for _, p := range g.procs {
-				g.kill(p)
+				g.killProcess(p)
 			}
 			pause(200)
 			for _, p := range g.procs {
-				g.start(p)
+				g.startProcess(p)
 			}
-		case 3: // it hands its lead over, if it has it
+		case 3: // a regular stop, with a transfer of leadership if it leads
 			p.cmd.Process.Signal(syscall.SIGTERM)
 			<-p.ended
-			g.start(p)
-		case 4: // one does not hear another
-			g.cut(p, q, true)
+			g.startProcess(p)
+		case 4: // messages from one member to another are lost
+			g.setCut(p, q, true)
 			pause(1500)
-			g.cut(p, q, false)
-		case 5: // one hears nobody, or nobody hears it
+			g.setCut(p, q, false)
+		case 5: // all messages to one member, or all from it, are lost
 			deaf := rng.IntN(2) == 0
 			all := func(is bool) {
-				for _, q := range g.others(p) {
+				for _, q := range g.otherMembers(p) {
 					if deaf {
-						g.cut(q, p, is)
+						g.setCut(q, p, is)
 					} else {
-						g.cut(p, q, is)
+						g.setCut(p, q, is)
 					}
 				}
 			}
@@ -158,23 +161,23 @@
 	return all
 }
 
-// What operators see over random schedules of kills, stops, starts and cuts is what one register that
-// nobody can lose would have shown. FAWN_HISTORIES says how many schedules, FAWN_HISTORIES_FROM
-// which is the first; by hand 200.
+// The operations of several operators must be linearizable in random schedules of kills,
+// suspensions, restarts and partitions. FAWN_HISTORIES sets the number of schedules and
+// FAWN_HISTORIES_FROM the first seed; a run by hand uses 200 schedules.
 func TestHistories(t *testing.T) {
 	t.Parallel()
-	many, length := 2, 4*time.Second
+	schedules, length := 2, 4*time.Second
 	if n, err := strconv.Atoi(os.Getenv("FAWN_HISTORIES")); err == nil {
-		many, length = n, 8*time.Second
+		schedules, length = n, 8*time.Second
 	}
 	from, _ := strconv.Atoi(os.Getenv("FAWN_HISTORIES_FROM"))
-	for seed := uint64(from); seed < uint64(from+many); seed++ {
+	for seed := uint64(from); seed < uint64(from+schedules); seed++ {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			all := playHistory(t, seed, length)
+			all := runHistory(t, seed, length)
 			proposed, last, unknown := 0, uint64(0), 0
 			for _, op := range all {
-				d, o := op.Input.(deed), op.Output.(seen)
+				d, o := op.Input.(operation), op.Output.(result)
 				if o.unknown {
 					unknown++
 				}
@@ -183,34 +186,35 @@
 					last = max(last, o.version)
 				}
 			}
-			t.Logf("%d deeds, %d versions, the last %d, %d not known", len(all), proposed, last, unknown)
+			t.Logf("%d operations, %d versions, the last %d, %d results unknown", len(all), proposed, last, unknown)
 			if proposed < 5 || unknown > 0 {
-				t.Fatalf("%d versions, %d not known: the schedule proves little", proposed, unknown)
+				t.Fatalf("%d versions, want at least 5; %d results unknown, want 0", proposed, unknown)
 			}
-			if r := porcupine.CheckOperationsTimeout(versions, all, time.Minute); r != porcupine.Ok {
-				t.Errorf("%s", r)
+			if r := porcupine.CheckOperationsTimeout(versionModel, all, time.Minute); r != porcupine.Ok {
+				t.Errorf("linearizability check: %s", r)
 			}
 		})
 	}
 }
 
-// A history in which somebody sees what was there before is found.
-func TestHistoriesThatCantBe(t *testing.T) {
-	op := func(call, ret int64, d deed, o seen) porcupine.Operation {
+// The model accepts a correct history and rejects stale reads and conflicting proposals; otherwise
+// TestHistories could not detect them.
+func TestHistoryModelRejectsInvalidHistories(t *testing.T) {
+	op := func(call, ret int64, d operation, o result) porcupine.Operation {
 		return porcupine.Operation{Input: d, Call: call, Output: o, Return: ret}
 	}
-	first := op(0, 1, deed{0, "a"}, seen{version: 1})
+	first := op(0, 1, operation{0, "a"}, result{version: 1})
 	for name, c := range map[string]struct {
 		all []porcupine.Operation
 		ok  bool
 	}{
-		"well":             {[]porcupine.Operation{first, op(2, 3, deed{}, seen{version: 1})}, true},
-		"an old look":      {[]porcupine.Operation{first, op(2, 3, deed{}, seen{version: 0})}, false},
-		"two by one base":  {[]porcupine.Operation{first, op(2, 3, deed{0, "b"}, seen{version: 2})}, false},
-		"one number twice": {[]porcupine.Operation{first, op(0, 9, deed{0, "b"}, seen{version: 1})}, false},
+		"well":             {[]porcupine.Operation{first, op(2, 3, operation{}, result{version: 1})}, true},
+		"an old look":      {[]porcupine.Operation{first, op(2, 3, operation{}, result{version: 0})}, false},
+		"two by one base":  {[]porcupine.Operation{first, op(2, 3, operation{0, "b"}, result{version: 2})}, false},
+		"one number twice": {[]porcupine.Operation{first, op(0, 9, operation{0, "b"}, result{version: 1})}, false},
 	} {
-		if got := porcupine.CheckOperations(versions, c.all); got != c.ok {
-			t.Errorf("%s: %v", name, got)
+		if got := porcupine.CheckOperations(versionModel, c.all); got != c.ok {
+			t.Errorf("%s: wrong verdict: linearizable %v", name, got)
 		}
 	}
 }
--- a/internal/council/member.go
+++ b/internal/council/member.go
@@ -20,113 +20,114 @@
 )
 
 const (
-	electionBeats = 10
-	// compactEach is after how many entries the log is cut; compactKeep of them stay for
-	// members that are a little behind.
-	compactEach = 2000
-	compactKeep = 500
-	// waitMost is how long a call waits for its entry to be agreed on, or for the leader's
-	// proof that it leads.
-	waitMost = 3 * time.Second
-	// handOver is how long a member that ends waits for another to lead.
-	handOver = time.Second
-	// workMost bounds the calls that wait for the member's goroutine.
-	workMost = 1024
+	electionTicks = 10
+	// compactInterval is the number of applied entries after which the log is compacted. The last
+	// compactKeepEntries entries stay for members that are slightly behind.
+	compactInterval    = 2000
+	compactKeepEntries = 500
+	// commitTimeout is how long a request waits for its entry to be applied, or for a majority to
+	// confirm the leader.
+	commitTimeout = 3 * time.Second
+	// transferTimeout is how long a stopping leader waits for another member to become leader.
+	transferTimeout = time.Second
+	// maxQueuedWork limits the functions queued for the member's goroutine.
+	maxQueuedWork = 1024
 )
 
-// Errors that callers are told.
+// Errors returned to callers.
 var (
 	ErrNotLeader = errors.New("another member leads")
-	ErrEnding    = errors.New("this member ends")
-	ErrSlow      = errors.New("no majority of the members has agreed in time; it may still come to be")
+	ErrStopping  = errors.New("this member ends")
+	ErrTimeout   = errors.New("no majority of the members has agreed in time; it may still come to be")
 )
 
-// Peer is a member, by its id in the log's configuration.
+// Peer holds the name and address of a member.
 type Peer struct {
 	Name string `json:"name"`
 	Addr string `json:"addr"`
 }
 
-// content is what the log has come to: what a snapshot holds.
-type content struct {
+// replicatedState is the replicated state that results from the log, as stored in a snapshot.
+type replicatedState struct {
 	Fleet   string          `json:"fleet"`
 	State   agreed.State    `json:"state"`
 	Members map[uint64]Peer `json:"members"`
 }
 
-// wrapped is an entry on its way, with a number by which its proposer knows it.
-type wrapped struct {
-	N     uint64       `json:"n"`
-	Entry agreed.Entry `json:"entry"`
+// logRecord is the data of a raft entry: an entry of package agreed, and a number by which the
+// member that proposed it finds the waiting caller.
+type logRecord struct {
+	Number uint64       `json:"n"`
+	Entry  agreed.Entry `json:"entry"`
 }
 
-// Member is one of the council. All that raft and the log's state need is done by one goroutine;
-// other methods bring it their work.
+// Member is a running member of the council. One goroutine owns raft and the replicated state;
+// the exported methods queue work for it and are safe for concurrent use.
 type Member struct {
-	cfg   Config
-	id    uint64
-	store *store
-	mem   *raft.MemoryStorage
-	node  *raft.RawNode
-	post  *post
+	cfg         Config
+	id          uint64
+	store       *store
+	raftStorage *raft.MemoryStorage
+	node        *raft.RawNode
+	transport   *transport
 
 	work    chan func()
 	stop    chan struct{} // closed by Close
 	done    chan struct{} // closed when the goroutine has ended
 	closing sync.Once
-	failed  error // why it ended by itself
-
-	// Of the goroutine:
-	conf     *raftpb.ConfState
-	applied  uint64
-	snapped  uint64
-	holder   *agreed.LeaseTracker // nil: another one leads
-	going    map[string]bool      // sidecars whose silence is on its way into the log: they get no lease
-	entries  map[uint64]chan error
-	confirms map[uint64]chan error // by their number, until raft has heard a majority
-	ripe     map[uint64]uint64     // confirmed, at which index, where that is not applied yet
-	numbers  uint64
-	// changedMembers says that the newest snapshot does not know who the members are.
-	changedMembers bool
-
-	mu      sync.Mutex // content and lead are written by the goroutine under it
-	content content
-	lead    uint64
-	leads   bool
-	index   uint64
-	changed chan struct{} // closed when what is in force, or on its way, is another
+	failed  error // the error that ended the goroutine, if any; valid once done is closed
+
+	// Owned by the goroutine:
+	confState     *raftpb.ConfState
+	appliedIndex  uint64
+	snapshotIndex uint64                // index of the newest snapshot
+	leases        *agreed.LeaseTracker  // nil: this member is not the leader
+	expiring      map[string]bool       // sidecars whose expiry has been proposed; they are granted no lease
+	entryWaiters  map[uint64]chan error // callers that wait for an entry, by its number
+	readWaiters   map[uint64]chan error // callers that wait for a linearizable read, by its number
+	readIndexes   map[uint64]uint64     // by number of a read that a majority has confirmed, the index that must be applied first
+	lastNumber    uint64                // the last number used for an entry or a read
+	// hasChangedMembers means that the members have changed since the newest snapshot.
+	hasChangedMembers bool
+
+	mu          sync.Mutex // the goroutine holds it to write the fields below, other goroutines to read them
+	content     replicatedState
+	leaderID    uint64 // raft id of the leader; 0: not known
+	isLeader    bool
+	statusIndex uint64
+	changed     chan struct{} // closed and replaced when the version in force or the pending proposal changes
 }
 
-// bootNow is the time by a clock that runs on while the machine sleeps.
-func bootNow() time.Duration {
+// bootTime returns the time of a monotonic clock that also counts while the machine is suspended.
+func bootTime() time.Duration {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &t); err != nil {
-		panic(err) // of a constant
+		panic(err) // can't fail with a valid clock id
 	}
 	return time.Duration(t.Nano())
 }
 
-// start has a member with a folder take part.
-func start(cfg Config, id uint64, s *store, p *post) (*Member, error) {
-	mem, err := s.load()
+// startMember starts the goroutine of a member from the state in its store.
+func startMember(cfg Config, id uint64, st *store, tr *transport) (*Member, error) {
+	raftStorage, err := st.loadRaftStorage()
 	if err != nil {
 		return nil, err
 	}
-	m := &Member{cfg: cfg, id: id, store: s, mem: mem, post: p, work: make(chan func(), workMost), stop: make(chan struct{}), done: make(chan struct{}),
-		going: make(map[string]bool), entries: make(map[uint64]chan error), confirms: make(map[uint64]chan error), ripe: make(map[uint64]uint64),
-		numbers: rand.Uint64(), changed: make(chan struct{})}
+	m := &Member{cfg: cfg, id: id, store: st, raftStorage: raftStorage, transport: tr, work: make(chan func(), maxQueuedWork), stop: make(chan struct{}), done: make(chan struct{}),
+		expiring: make(map[string]bool), entryWaiters: make(map[uint64]chan error), readWaiters: make(map[uint64]chan error), readIndexes: make(map[uint64]uint64),
+		lastNumber: rand.Uint64(), changed: make(chan struct{})}
 	m.content.Members = make(map[uint64]Peer)
-	snap, err := mem.Snapshot()
+	snap, err := raftStorage.Snapshot()
 	if err != nil {
 		return nil, err
 	}
 	if !raft.IsEmptySnap(snap) {
-		if err := m.restore(snap); err != nil {
+		if err := m.restoreSnapshot(snap); err != nil {
 			return nil, err
 		}
 	}
-	m.node, err = raft.NewRawNode(&raft.Config{ID: id, ElectionTick: electionBeats, HeartbeatTick: 1, Storage: mem, Applied: m.applied, MaxSizePerMsg: 1 << 20, MaxInflightMsgs: 64,
-		MaxUncommittedEntriesSize: 16 << 20, CheckQuorum: true, PreVote: true, ReadOnlyOption: raft.ReadOnlySafe, DisableProposalForwarding: true, Logger: quiet{}})
+	m.node, err = raft.NewRawNode(&raft.Config{ID: id, ElectionTick: electionTicks, HeartbeatTick: 1, Storage: raftStorage, Applied: m.appliedIndex, MaxSizePerMsg: 1 << 20, MaxInflightMsgs: 64,
+		MaxUncommittedEntriesSize: 16 << 20, CheckQuorum: true, PreVote: true, ReadOnlyOption: raft.ReadOnlySafe, DisableProposalForwarding: true, Logger: raftLogger{}})
 	if err != nil {
 		return nil, fmt.Errorf("council: %w", err)
 	}
@@ -134,7 +135,7 @@
 	return m, nil
 }
 
-// run owns raft.
+// run is the member's goroutine. It ends when stop is closed or on an error of storage or state.
 func (m *Member) run() {
 	defer close(m.done)
 	beat := time.NewTicker(time.Duration(m.cfg.Beat))
@@ -142,300 +143,307 @@
 	for {
 		select {
 		case <-m.stop:
-			m.end(ErrEnding)
+			m.failWaiters(ErrStopping)
 			return
 		case <-beat.C:
 			m.node.Tick()
-			m.silent()
+			m.proposeExpirations()
 		case do := <-m.work:
 			do()
-		case msg := <-m.post.in:
-			m.step(msg)
-		case id := <-m.post.lost:
+		case msg := <-m.transport.received:
+			m.stepRaft(msg)
+		case id := <-m.transport.unreachable:
 			m.node.ReportUnreachable(id)
 		}
-		m.drain()
+		m.drainQueues()
 		for m.node.HasReady() {
-			if err := m.ready(); err != nil {
-				slog.Error("council: this member ends", "err", err)
+			if err := m.handleReady(); err != nil {
+				slog.Error("council: member stops on an error", "err", err)
 				m.failed = err
-				m.end(err)
+				m.failWaiters(err)
 				return
 			}
 		}
 	}
 }
 
-// batchWork is how much of what waits is taken up before the disk is written.
-const batchWork = 256
+// maxBatchWork is the maximum number of queued functions and messages handled per write to disk.
+const maxBatchWork = 256
 
-// drain takes up what else waits: one write on the disk is for all of it.
-func (m *Member) drain() {
-	for range batchWork {
+// drainQueues handles what else is queued, so that one write to disk covers all of it.
+func (m *Member) drainQueues() {
+	for range maxBatchWork {
 		select {
 		case do := <-m.work:
 			do()
-		case msg := <-m.post.in:
-			m.step(msg)
+		case msg := <-m.transport.received:
+			m.stepRaft(msg)
 		default:
 			return
 		}
 	}
 }
 
-func (m *Member) step(msg *raftpb.Message) {
+// stepRaft passes a received message to raft.
+func (m *Member) stepRaft(msg *raftpb.Message) {
 	if err := m.node.Step(msg); err != nil && !errors.Is(err, raft.ErrProposalDropped) {
-		slog.Debug("council: a message is left out", "err", err)
+		slog.Debug("council: raft rejected a message", "err", err)
 	}
 }
 
-// end tells all who wait.
-func (m *Member) end(err error) {
-	for _, all := range []map[uint64]chan error{m.entries, m.confirms} {
-		for _, c := range all {
+// failWaiters returns err to all callers that wait for an entry or a read.
+func (m *Member) failWaiters(err error) {
+	for _, waiters := range []map[uint64]chan error{m.entryWaiters, m.readWaiters} {
+		for _, c := range waiters {
 			c <- err
 		}
-		clear(all)
+		clear(waiters)
 	}
 }
 
-// ready does what raft wants: first the disk, then the others, then what is agreed on.
-func (m *Member) ready() error {
+// handleReady processes raft's pending output: it writes to disk, then sends messages, then applies
+// the committed entries, and last answers the reads that were waiting for them.
+func (m *Member) handleReady() error {
 	rd := m.node.Ready()
 	if err := m.store.save(rd.HardState, rd.Entries, rd.Snapshot); err != nil {
 		return err
 	}
 	if !raft.IsEmptySnap(rd.Snapshot) {
-		if err := m.mem.ApplySnapshot(rd.Snapshot); err != nil {
+		if err := m.raftStorage.ApplySnapshot(rd.Snapshot); err != nil {
 			return err
 		}
-		if err := m.restore(rd.Snapshot); err != nil {
+		if err := m.restoreSnapshot(rd.Snapshot); err != nil {
 			return err
 		}
 	}
 	if !raft.IsEmptyHardState(rd.HardState) {
-		if err := m.mem.SetHardState(rd.HardState); err != nil {
+		if err := m.raftStorage.SetHardState(rd.HardState); err != nil {
 			return err
 		}
 	}
-	if err := m.mem.Append(rd.Entries); err != nil {
+	if err := m.raftStorage.Append(rd.Entries); err != nil {
 		return err
 	}
 	if rd.SoftState != nil {
-		m.leading(rd.SoftState)
+		m.updateLeadership(rd.SoftState)
 	}
-	m.post.send(rd.Messages)
+	m.transport.send(rd.Messages)
 	for _, e := range rd.CommittedEntries {
-		if err := m.apply(e); err != nil {
+		if err := m.applyEntry(e); err != nil {
 			return err
 		}
 	}
 	for _, r := range rd.ReadStates {
 		var n uint64
 		if err := json.Unmarshal(r.RequestCtx, &n); err == nil {
-			m.ripe[n] = r.Index
+			m.readIndexes[n] = r.Index
 		}
 	}
 	m.node.Advance(rd)
-	for n, at := range m.ripe {
-		if c, ok := m.confirms[n]; !ok || at <= m.applied {
+	for n, at := range m.readIndexes {
+		if c, ok := m.readWaiters[n]; !ok || at <= m.appliedIndex {
 			if ok {
 				c <- nil
-				delete(m.confirms, n)
+				delete(m.readWaiters, n)
 			}
-			delete(m.ripe, n)
+			delete(m.readIndexes, n)
 		}
 	}
-	return m.compact()
+	return m.compactLog()
 }
 
-// leading takes up a change of who leads. Who was told that a sidecar's lease runs is not handed
-// on: a new leader counts all of them from now.
-func (m *Member) leading(s *raft.SoftState) {
-	leads := s.RaftState == raft.StateLeader
-	if leads && m.holder == nil {
-		m.holder = agreed.NewLeaseTracker(m.cfg.Times(), bootNow())
-		clear(m.going)
-		slog.Info("council: this member leads", "name", m.cfg.Name)
+// updateLeadership processes a change of raft's role or leader. The leases that the previous leader
+// granted are not replicated, so a new leader counts all leases from now.
+func (m *Member) updateLeadership(s *raft.SoftState) {
+	isLeader := s.RaftState == raft.StateLeader
+	if isLeader && m.leases == nil {
+		m.leases = agreed.NewLeaseTracker(m.cfg.LeaseTimes(), bootTime())
+		clear(m.expiring)
+		slog.Info("council: this member is now the leader", "name", m.cfg.Name)
 	}
-	if !leads && m.holder != nil {
-		m.holder = nil
-		m.end(ErrNotLeader)
-		slog.Info("council: this member leads no more", "name", m.cfg.Name)
+	if !isLeader && m.leases != nil {
+		m.leases = nil
+		m.failWaiters(ErrNotLeader)
+		slog.Info("council: this member is no longer the leader", "name", m.cfg.Name)
 	}
 	m.mu.Lock()
-	m.lead, m.leads = s.Lead, leads
+	m.leaderID, m.isLeader = s.Lead, isLeader
 	m.mu.Unlock()
 }
 
-// silent has the log know of sidecars whose lease has ended.
-func (m *Member) silent() {
-	if m.holder == nil {
+// proposeExpirations proposes an entry for each sidecar whose lease has expired, if this member
+// leads.
+func (m *Member) proposeExpirations() {
+	if m.leases == nil {
 		return
 	}
-	for _, name := range m.holder.Expired(bootNow(), &m.content.State) {
-		if m.going[name] {
+	for _, name := range m.leases.Expired(bootTime(), &m.content.State) {
+		if m.expiring[name] {
 			continue
 		}
-		m.going[name] = true
+		m.expiring[name] = true
 		e := agreed.Entry{Kind: agreed.KindLeaseExpired, Car: name, Incarnation: m.content.State.Sidecars[name].Incarnation}
 		if m.propose(&e, nil) != nil {
-			delete(m.going, name)
+			delete(m.expiring, name)
 		}
 	}
-	m.holder.Prune(&m.content.State)
+	m.leases.Prune(&m.content.State)
 }
 
-// propose brings an entry on its way; told hears what became of it. nil: nobody does.
-func (m *Member) propose(e *agreed.Entry, told chan error) error {
-	m.numbers++
-	w := wrapped{m.numbers, *e}
-	b, err := json.Marshal(w)
+// propose proposes an entry to raft. Unless result is nil, it receives the result once the entry is
+// applied, or the error that ended the wait.
+func (m *Member) propose(e *agreed.Entry, result chan error) error {
+	m.lastNumber++
+	record := logRecord{m.lastNumber, *e}
+	data, err := json.Marshal(record)
 	if err != nil {
 		return err
 	}
-	if err := m.node.Propose(b); err != nil {
+	if err := m.node.Propose(data); err != nil {
 		return err
 	}
-	if told != nil {
-		m.entries[w.N] = told
+	if result != nil {
+		m.entryWaiters[record.Number] = result
 	}
 	return nil
 }
 
-// apply does what a committed entry says.
-func (m *Member) apply(e *raftpb.Entry) error {
+// applyEntry applies a committed raft entry and notifies the caller that proposed it here, if any.
+func (m *Member) applyEntry(e *raftpb.Entry) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.applied = e.GetIndex()
-	m.index = m.applied
+	m.appliedIndex = e.GetIndex()
+	m.statusIndex = m.appliedIndex
 	switch e.GetType() {
 	case raftpb.EntryConfChange:
 		cc := new(raftpb.ConfChange)
 		if err := proto.Unmarshal(e.GetData(), cc); err != nil {
-			return fmt.Errorf("entry %d: %w", m.applied, err)
+			return fmt.Errorf("entry %d: %w", m.appliedIndex, err)
 		}
-		m.conf = m.node.ApplyConfChange(cc)
+		m.confState = m.node.ApplyConfChange(cc)
 		if cc.GetType() == raftpb.ConfChangeRemoveNode {
 			delete(m.content.Members, cc.GetNodeId())
 		} else {
 			var p Peer
 			if err := json.Unmarshal(cc.GetContext(), &p); err != nil {
-				return fmt.Errorf("entry %d: %w", m.applied, err)
+				return fmt.Errorf("entry %d: %w", m.appliedIndex, err)
 			}
 			m.content.Members[cc.GetNodeId()] = p
 		}
-		m.post.know(m.id, m.content.Members)
-		m.changedMembers = true
+		m.transport.setMembers(m.id, m.content.Members)
+		m.hasChangedMembers = true
 		return nil
 	case raftpb.EntryNormal:
 	default:
-		return fmt.Errorf("entry %d: of a kind that this program does not know", m.applied)
+		return fmt.Errorf("entry %d: of a kind that this program does not know", m.appliedIndex)
 	}
-	if len(e.GetData()) == 0 { // of a new leader
+	if len(e.GetData()) == 0 { // appended by raft when a leader is elected
 		return nil
 	}
-	var w wrapped
-	if err := json.Unmarshal(e.GetData(), &w); err != nil {
-		return fmt.Errorf("entry %d: %w", m.applied, err)
+	var record logRecord
+	if err := json.Unmarshal(e.GetData(), &record); err != nil {
+		return fmt.Errorf("entry %d: %w", m.appliedIndex, err)
 	}
 	s := &m.content.State
-	force, next := s.InForce.Version, s.Pending
-	err := s.Apply(&w.Entry)
-	if w.Entry.Kind == agreed.KindLeaseExpired {
-		delete(m.going, w.Entry.Car)
+	inForce, pending := s.InForce.Version, s.Pending
+	err := s.Apply(&record.Entry)
+	if record.Entry.Kind == agreed.KindLeaseExpired {
+		delete(m.expiring, record.Entry.Car)
 	}
-	if s.InForce.Version != force || s.Pending != next {
+	if s.InForce.Version != inForce || s.Pending != pending {
 		close(m.changed)
 		m.changed = make(chan struct{})
-		slog.Info("council: agreed", "kind", w.Entry.Kind, "in_force", s.InForce.Version, "next", s.Pending != nil, "index", m.applied)
+		slog.Info("council: settings state changed", "kind", record.Entry.Kind, "in_force", s.InForce.Version, "next", s.Pending != nil, "index", m.appliedIndex)
 	}
-	if told := m.entries[w.N]; told != nil {
-		told <- err
-		delete(m.entries, w.N)
+	if result := m.entryWaiters[record.Number]; result != nil {
+		result <- err
+		delete(m.entryWaiters, record.Number)
 	}
 	return nil
 }
 
-// restore takes a snapshot up.
-func (m *Member) restore(snap *raftpb.Snapshot) error {
-	var c content
-	if err := json.Unmarshal(snap.GetData(), &c); err != nil {
+// restoreSnapshot replaces the replicated state by that of a snapshot.
+func (m *Member) restoreSnapshot(snap *raftpb.Snapshot) error {
+	var state replicatedState
+	if err := json.Unmarshal(snap.GetData(), &state); err != nil {
 		return fmt.Errorf("council: the snapshot: %w", err)
 	}
-	if c.Fleet != m.cfg.Fleet {
-		return fmt.Errorf("council: the snapshot is of fleet %q, not %q: %w", c.Fleet, m.cfg.Fleet, ErrOther)
+	if state.Fleet != m.cfg.Fleet {
+		return fmt.Errorf("council: the snapshot is of fleet %q, not %q: %w", state.Fleet, m.cfg.Fleet, ErrForeignFolder)
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.content, m.conf = c, snap.GetMetadata().GetConfState()
-	m.applied, m.snapped = snap.GetMetadata().GetIndex(), snap.GetMetadata().GetIndex()
-	m.index = m.applied
+	m.content, m.confState = state, snap.GetMetadata().GetConfState()
+	m.appliedIndex, m.snapshotIndex = snap.GetMetadata().GetIndex(), snap.GetMetadata().GetIndex()
+	m.statusIndex = m.appliedIndex
 	close(m.changed)
 	m.changed = make(chan struct{})
-	m.post.know(m.id, c.Members)
+	m.transport.setMembers(m.id, state.Members)
 	return nil
 }
 
-// compact cuts the log where it has grown by compactEach, and where the members have changed: one
-// that is added takes no snapshot that does not know it.
-func (m *Member) compact() error {
-	if m.applied < m.snapped+compactEach && !m.changedMembers {
+// compactLog takes a snapshot and compacts the log after compactInterval applied entries. It also
+// does so when the members have changed, as a new member rejects a snapshot that does not contain
+// it.
+func (m *Member) compactLog() error {
+	if m.appliedIndex < m.snapshotIndex+compactInterval && !m.hasChangedMembers {
 		return nil
 	}
-	m.changedMembers = false
+	m.hasChangedMembers = false
 	text, err := json.Marshal(&m.content)
 	if err != nil {
 		return err
 	}
-	snap, err := m.mem.CreateSnapshot(m.applied, m.conf, text)
+	snap, err := m.raftStorage.CreateSnapshot(m.appliedIndex, m.confState, text)
 	if err != nil {
 		return fmt.Errorf("council: snapshot: %w", err)
 	}
-	m.snapped = m.applied
+	m.snapshotIndex = m.appliedIndex
 	keep := uint64(0)
-	if m.applied > compactKeep {
-		keep = m.applied - compactKeep
-		if err := m.mem.Compact(keep); err != nil && !errors.Is(err, raft.ErrCompacted) {
+	if m.appliedIndex > compactKeepEntries {
+		keep = m.appliedIndex - compactKeepEntries
+		if err := m.raftStorage.Compact(keep); err != nil && !errors.Is(err, raft.ErrCompacted) {
 			return fmt.Errorf("council: %w", err)
 		}
 	}
 	return m.store.compact(snap, keep+1)
 }
 
-// do has the goroutine do something.
-func (m *Member) do(ctx context.Context, what func()) error {
+// enqueue queues a function for the goroutine and does not wait until it has run.
+func (m *Member) enqueue(ctx context.Context, work func()) error {
 	select {
-	case m.work <- what:
+	case m.work <- work:
 		return nil
 	case <-m.done:
-		return ErrEnding
+		return ErrStopping
 	case <-ctx.Done():
-		return ErrSlow
+		return ErrTimeout
 	}
 }
 
-// await is do for what is told later whether it came to be.
-func (m *Member) await(ctx context.Context, what func(told chan error) error) error {
-	ctx, cancel := context.WithTimeout(ctx, waitMost)
+// awaitAsLeader runs a function on the goroutine if this member leads, and waits for up to
+// commitTimeout until the outcome is sent to result. An error returned by the function is the
+// outcome as well.
+func (m *Member) awaitAsLeader(ctx context.Context, work func(result chan error) error) error {
+	ctx, cancel := context.WithTimeout(ctx, commitTimeout)
 	defer cancel()
-	told := make(chan error, 1)
-	err := m.do(ctx, func() {
-		if m.holder == nil {
-			told <- ErrNotLeader
-		} else if err := what(told); err != nil {
-			told <- err
+	result := make(chan error, 1)
+	err := m.enqueue(ctx, func() {
+		if m.leases == nil {
+			result <- ErrNotLeader
+		} else if err := work(result); err != nil {
+			result <- err
 		}
 	})
 	if err != nil {
 		return err
 	}
 	select {
-	case err = <-told:
+	case err = <-result:
 	case <-m.done:
-		err = ErrEnding
+		err = ErrStopping
 	case <-ctx.Done():
-		return ErrSlow
+		return ErrTimeout
 	}
 	if errors.Is(err, raft.ErrProposalDropped) {
 		return ErrNotLeader
@@ -443,18 +451,19 @@
 	return err
 }
 
-// Enter has an entry agreed on. An error of package agreed's says why it does nothing.
-func (m *Member) Enter(ctx context.Context, e agreed.Entry) error {
-	return m.await(ctx, func(told chan error) error { return m.propose(&e, told) })
+// ProposeEntry proposes an entry and waits until it is applied. An error of package agreed says why
+// the entry has no effect. After ErrTimeout or ErrStopping the entry may still be applied.
+func (m *Member) ProposeEntry(ctx context.Context, e agreed.Entry) error {
+	return m.awaitAsLeader(ctx, func(result chan error) error { return m.propose(&e, result) })
 }
 
-// Confirm waits until a majority has said, after now, that this member leads, and until all that
-// was agreed on before is applied here.
-func (m *Member) Confirm(ctx context.Context) error {
-	return m.await(ctx, func(told chan error) error {
-		m.numbers++
-		m.confirms[m.numbers] = told
-		b, err := json.Marshal(m.numbers)
+// ConfirmRead is the barrier of a linearizable read: it waits until a majority has confirmed, after
+// the call, that this member leads, and until all entries committed before are applied here.
+func (m *Member) ConfirmRead(ctx context.Context) error {
+	return m.awaitAsLeader(ctx, func(result chan error) error {
+		m.lastNumber++
+		m.readWaiters[m.lastNumber] = result
+		b, err := json.Marshal(m.lastNumber)
 		if err == nil {
 			m.node.ReadIndex(b)
 		}
@@ -462,90 +471,91 @@
 	})
 }
 
-// Renew answers a sidecar. It waits where there is nothing to tell, hold at the most.
-func (m *Member) Renew(ctx context.Context, r agreed.Request, hold time.Duration) (a agreed.Response, err error) {
-	came := bootNow()
-	if err := m.Confirm(ctx); err != nil {
-		return a, err
-	}
-	for _, e := range m.says(&r) {
-		// What does nothing, for the council is past it, is answered all the same.
-		if err := m.Enter(ctx, e); errors.Is(err, ErrNotLeader) || errors.Is(err, ErrSlow) || errors.Is(err, ErrEnding) {
-			return a, err
+// Renew records what a sidecar's request reports, renews its lease if possible, and returns the
+// response. While there is nothing new to report, it delays the response for up to hold.
+func (m *Member) Renew(ctx context.Context, r agreed.Request, hold time.Duration) (response agreed.Response, err error) {
+	arrived := bootTime()
+	if err := m.ConfirmRead(ctx); err != nil {
+		return response, err
+	}
+	for _, e := range m.reportedEntries(&r) {
+		// An entry without effect, such as an outdated report, does not prevent a response.
+		if err := m.ProposeEntry(ctx, e); errors.Is(err, ErrNotLeader) || errors.Is(err, ErrTimeout) || errors.Is(err, ErrStopping) {
+			return response, err
 		}
 	}
 	granted := make(chan bool, 1)
-	err = m.do(ctx, func() {
+	err = m.enqueue(ctx, func() {
 		c, ok := m.content.State.Sidecars[r.Sidecar]
-		leased := m.holder != nil && ok && c.Incarnation == r.Incarnation && !c.Gone && !m.going[r.Sidecar]
-		if leased {
-			m.holder.RecordGrant(r.Sidecar, came)
+		hasLease := m.leases != nil && ok && c.Incarnation == r.Incarnation && !c.Gone && !m.expiring[r.Sidecar]
+		if hasLease {
+			m.leases.RecordGrant(r.Sidecar, arrived)
 		}
-		granted <- leased
+		granted <- hasLease
 	})
 	if err != nil {
-		return a, err
+		return response, err
 	}
 	select {
-	case a.LeaseGranted = <-granted:
+	case response.LeaseGranted = <-granted:
 	case <-m.done:
-		return a, ErrEnding
+		return response, ErrStopping
 	}
 	timer := time.NewTimer(hold)
 	defer timer.Stop()
 	for {
 		m.mu.Lock()
 		s, changed := &m.content.State, m.changed
-		told := s.InForce.Version == r.ActiveVersion && (s.Pending == nil || s.Pending.Version == r.PreparedVersion || s.Pending.Version == r.RejectedVersion) && (s.Pending != nil || r.PreparedVersion <= s.InForce.Version)
-		force := s.InForce
-		a.Seq, a.Index, a.Next, a.InForceOmitted = r.Seq, m.index, s.Pending, force.Version == r.ActiveVersion
+		isUpToDate := s.InForce.Version == r.ActiveVersion && (s.Pending == nil || s.Pending.Version == r.PreparedVersion || s.Pending.Version == r.RejectedVersion) && (s.Pending != nil || r.PreparedVersion <= s.InForce.Version)
+		inForce := s.InForce
+		response.Seq, response.Index, response.Next, response.InForceOmitted = r.Seq, m.statusIndex, s.Pending, inForce.Version == r.ActiveVersion
 		m.mu.Unlock()
-		if a.InForce = nil; !a.InForceOmitted {
-			a.InForce = &force
+		if response.InForce = nil; !response.InForceOmitted {
+			response.InForce = &inForce
 		}
-		if !told || hold <= 0 || !a.LeaseGranted {
-			return a, nil
+		if !isUpToDate || hold <= 0 || !response.LeaseGranted {
+			return response, nil
 		}
 		select {
 		case <-changed:
 		case <-timer.C:
-			return a, nil
+			return response, nil
 		case <-ctx.Done():
-			return a, ctx.Err()
+			return response, ctx.Err()
 		case <-m.done:
-			return a, ErrEnding
+			return response, ErrStopping
 		}
 	}
 }
 
-// says are the entries by which the log learns what a request tells.
-func (m *Member) says(r *agreed.Request) (all []agreed.Entry) {
+// reportedEntries returns the entries that record in the log what a request reports.
+func (m *Member) reportedEntries(r *agreed.Request) (entries []agreed.Entry) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	s := &m.content.State
 	c, ok := s.Sidecars[r.Sidecar]
 	if !ok || c.Gone || c.Incarnation != r.Incarnation {
-		all = append(all, agreed.Entry{Kind: agreed.KindJoin, Car: r.Sidecar, Incarnation: r.Incarnation, Version: r.ActiveVersion})
+		entries = append(entries, agreed.Entry{Kind: agreed.KindJoin, Car: r.Sidecar, Incarnation: r.Incarnation, Version: r.ActiveVersion})
 		c = agreed.Sidecar{Incarnation: r.Incarnation, Acts: r.ActiveVersion}
 	}
 	if r.ActiveVersion > c.Acts {
-		all = append(all, agreed.Entry{Kind: agreed.KindActive, Car: r.Sidecar, Incarnation: r.Incarnation, Version: r.ActiveVersion})
+		entries = append(entries, agreed.Entry{Kind: agreed.KindActive, Car: r.Sidecar, Incarnation: r.Incarnation, Version: r.ActiveVersion})
 	}
 	switch next := s.Pending; {
 	case next == nil:
 	case r.PreparedVersion == next.Version && c.PreparedVersion < r.PreparedVersion:
-		all = append(all, agreed.Entry{Kind: agreed.KindPrepared, Car: r.Sidecar, Incarnation: r.Incarnation, Version: r.PreparedVersion})
+		entries = append(entries, agreed.Entry{Kind: agreed.KindPrepared, Car: r.Sidecar, Incarnation: r.Incarnation, Version: r.PreparedVersion})
 	case r.RejectedVersion == next.Version:
-		all = append(all, agreed.Entry{Kind: agreed.KindRejected, Car: r.Sidecar, Incarnation: r.Incarnation, Version: r.RejectedVersion, Reason: r.RejectReason})
+		entries = append(entries, agreed.Entry{Kind: agreed.KindRejected, Car: r.Sidecar, Incarnation: r.Incarnation, Version: r.RejectedVersion, Reason: r.RejectReason})
 	}
-	return all
+	return entries
 }
 
-// Status is what operators see.
+// Status is the state of the council as one member knows it.
 type Status struct {
 	Fleet   string                    `json:"fleet"`
 	Name    string                    `json:"name"`
-	Leader  Peer                      `json:"leader"` // empty: none is known
+	Leader  Peer                      `json:"leader"` // empty: not known
 	Leads   bool                      `json:"leads"`
 	Index   uint64                    `json:"index"`
 	Members map[uint64]Peer           `json:"members"`
@@ -555,33 +565,36 @@
 	Waits   []string                  `json:"waits,omitempty"`
 	Cars    map[string]agreed.Sidecar `json:"cars"`
 	Endings []agreed.Ending           `json:"endings,omitempty"`
-	Bound   time.Duration             `json:"bound_ns"` // T
+	Bound   time.Duration             `json:"bound_ns"` // T, as LeaseTimes.MaxStaleness returns it
 }
 
-// Status is what this member knows, which may be old where it does not lead.
+// Status returns the state that this member knows, which may be out of date. Call ConfirmRead
+// before it for a linearizable read.
 func (m *Member) Status() Status {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	s := &m.content.State
 	members := maps.Clone(m.content.Members)
 	for id, x := range members {
-		x.Addr = m.post.where(x)
+		x.Addr = m.transport.addrOf(x)
 		members[id] = x
 	}
-	return Status{Fleet: m.cfg.Fleet, Name: m.cfg.Name, Leader: members[m.lead], Leads: m.leads, Index: m.index, Members: members,
-		InForce: s.InForce, Settled: s.IsSettled(), Next: s.Pending, Waits: s.PendingSidecars(), Cars: maps.Clone(s.Sidecars), Endings: append([]agreed.Ending(nil), s.Results...), Bound: m.cfg.Times().MaxStaleness()}
+	return Status{Fleet: m.cfg.Fleet, Name: m.cfg.Name, Leader: members[m.leaderID], Leads: m.isLeader, Index: m.statusIndex, Members: members,
+		InForce: s.InForce, Settled: s.IsSettled(), Next: s.Pending, Waits: s.PendingSidecars(), Cars: maps.Clone(s.Sidecars), Endings: append([]agreed.Ending(nil), s.Results...), Bound: m.cfg.LeaseTimes().MaxStaleness()}
 }
 
-// Close ends it, after another one has been asked to lead.
+// Close stops the member. A leader first tries, for up to transferTimeout, to transfer the
+// leadership to the active member whose log is the most complete. Close returns the error that
+// stopped the member before, if any.
 func (m *Member) Close() error {
 	m.closing.Do(func() {
-		ctx, cancel := context.WithTimeout(context.Background(), handOver)
+		ctx, cancel := context.WithTimeout(context.Background(), transferTimeout)
 		defer cancel()
-		asked := make(chan bool, 1)
-		m.do(ctx, func() {
+		transferring := make(chan bool, 1)
+		m.enqueue(ctx, func() {
 			best, match := uint64(0), uint64(0)
-			defer func() { asked <- best != 0 }()
-			if m.holder == nil {
+			defer func() { transferring <- best != 0 }()
+			if m.leases == nil {
 				return
 			}
 			m.node.WithProgress(func(id uint64, _ raft.ProgressType, p trackerProgress) {
@@ -594,8 +607,8 @@
 			}
 		})
 		select {
-		case is := <-asked:
-			for is && ctx.Err() == nil && m.Status().Leads {
+		case isTransferring := <-transferring:
+			for isTransferring && ctx.Err() == nil && m.Status().Leads {
 				time.Sleep(time.Duration(m.cfg.Beat) / 4)
 			}
 		case <-ctx.Done():
--- a/internal/council/process_test.go
+++ b/internal/council/process_test.go
@@ -21,15 +21,15 @@
 
 const testKey = "the key of this fleet"
 
-var program string
+var programPath string
 
 func TestMain(m *testing.M) {
 	dir, err := os.MkdirTemp("", "council")
 	if err != nil {
 		panic(err)
 	}
-	program = filepath.Join(dir, "fawncouncil")
-	if out, err := exec.Command("go", "build", "-o", program, "chalkrack/cmd/fawncouncil").CombinedOutput(); err != nil {
+	programPath = filepath.Join(dir, "fawncouncil")
+	if out, err := exec.Command("go", "build", "-o", programPath, "chalkrack/cmd/fawncouncil").CombinedOutput(); err != nil {
 		panic(fmt.Sprintf("%v: %s", err, out))
 	}
 	code := m.Run()
@@ -41,40 +41,41 @@
 type proc struct {
 	name, addr, folder, config string
 	cmd                        *exec.Cmd
-	log                        *logged
+	log                        *logBuffer
 	ended                      chan error
 	dead                       *atomic.Bool
 }
 
-type logged struct {
+// logBuffer is a buffer for a process's log that is safe for concurrent use.
+type logBuffer struct {
 	mu sync.Mutex
 	b  bytes.Buffer
 }
 
-func (l *logged) Write(b []byte) (int, error) {
+func (l *logBuffer) Write(b []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.b.Write(b)
 }
 
-func (l *logged) String() string {
+func (l *logBuffer) String() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.b.String()
 }
 
-// group is a council of processes.
-type group struct {
-	t     *testing.T
-	procs []*proc
-	times agreed.LeaseTimes
-	host  string                    // where its links listen
-	links map[[2]string]*fleet.Link // by who opens connections, and to whom
-	ways  map[[2]string][2]bool     // which of their directions are cut
+// testCouncil is a council of member processes.
+type testCouncil struct {
+	t        *testing.T
+	procs    []*proc
+	times    agreed.LeaseTimes
+	host     string                    // address at which the links listen
+	links    map[[2]string]*fleet.Link // by the party that connects and the member it connects to
+	cutLinks map[[2]string][2]bool     // by the same, which directions are cut: requests, responses
 }
 
-// link is the way from one party to a member, with faults of its own.
-func (g *group) link(from string, to *proc) *fleet.Link {
+// addLink adds a proxied link from a party to a member, into which faults can be injected.
+func (g *testCouncil) addLink(from string, to *proc) *fleet.Link {
 	g.t.Helper()
 	l, err := fleet.NewLink(g.host, fleet.Party(from), fleet.Party(to.name), to.addr, uint64(len(g.links)))
 	if err != nil {
@@ -85,30 +86,29 @@
 	return l
 }
 
-// cut has nothing that one member says reach another, on connections of either, or has it come
-// again.
-func (g *group) cut(from, to *proc, is bool) {
+// setCut blocks or unblocks all data from one member to another, on connections opened by either.
+func (g *testCouncil) setCut(from, to *proc, isCut bool) {
 	there, back := [2]string{from.name, to.name}, [2]string{to.name, from.name}
-	a, b := g.ways[there], g.ways[back]
-	a[0], b[1] = is, is
-	g.ways[there], g.ways[back] = a, b
+	a, b := g.cutLinks[there], g.cutLinks[back]
+	a[0], b[1] = isCut, isCut
+	g.cutLinks[there], g.cutLinks[back] = a, b
 	g.links[there].SetCut(a[0], a[1])
 	g.links[back].SetCut(b[0], b[1])
 }
 
-var hosts atomic.Int64
+var hostCount atomic.Int64
 
-// host is one of loopback's that nothing else in this run listens at: whoever is started again
-// finds its port free.
-func host() string {
-	n := hosts.Add(1)
+// newHost returns a loopback address that nothing else in this run uses, so that the port of a
+// stopped process is still free when the process is restarted.
+func newHost() string {
+	n := hostCount.Add(1)
 	return fmt.Sprintf("127.%d.%d.%d", 2+n/250%100, 20+os.Getpid()%200, 1+n%250)
 }
 
-// free is an address that nobody listens at now.
-func free(t *testing.T) string {
+// freeAddr returns an address with a port that is currently free.
+func freeAddr(t *testing.T) string {
 	t.Helper()
-	ln, err := net.Listen("tcp", host()+":0")
+	ln, err := net.Listen("tcp", newHost()+":0")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -118,33 +118,34 @@
 
 const testTimes = "lease = \"2s\"\nmargin = \"200ms\"\ndrift = 0.01\ncall = \"1s\"\nbeat = \"60ms\"\n"
 
-// convene starts a council of so many.
-func convene(t *testing.T, many int) *group {
+// startCouncil starts a council and waits until a member leads.
+func startCouncil(t *testing.T, count int) *testCouncil {
 	t.Helper()
-	g := &group{t: t, host: host(), links: make(map[[2]string]*fleet.Link), ways: make(map[[2]string][2]bool), times: agreed.LeaseTimes{Lease: 2 * time.Second, Margin: 200 * time.Millisecond, Drift: 0.01, Call: time.Second}}
+	g := &testCouncil{t: t, host: newHost(), links: make(map[[2]string]*fleet.Link), cutLinks: make(map[[2]string][2]bool), times: agreed.LeaseTimes{Lease: 2 * time.Second, Margin: 200 * time.Millisecond, Drift: 0.01, Call: time.Second}}
 	dir := t.TempDir()
-	for n := range many {
-		p := &proc{name: fmt.Sprintf("m%d", n+1), addr: free(t)}
+	for n := range count {
+		p := &proc{name: fmt.Sprintf("m%d", n+1), addr: freeAddr(t)}
 		p.folder, p.config = filepath.Join(dir, p.name), filepath.Join(dir, p.name+".toml")
 		g.procs = append(g.procs, p)
 	}
-	for _, p := range g.procs { // each reaches each other by an address of its own
+	for _, p := range g.procs { // each member has its own link to each other member
 		members := "[members]\n"
 		for _, q := range g.procs {
 			addr := q.addr
 			if q != p {
-				addr = g.link(p.name, q).Addr()
+				addr = g.addLink(p.name, q).Addr()
 			}
 			members += fmt.Sprintf("%s = %q\n", q.name, addr)
 		}
-		g.write(p, members)
-		g.start(p)
+		g.writeConfig(p, members)
+		g.startProcess(p)
 	}
-	g.leader(20 * time.Second)
+	g.awaitLeader(20 * time.Second)
 	return g
 }
 
-func (g *group) write(p *proc, rest string) {
+// writeConfig writes the configuration file of a member, with rest at its end.
+func (g *testCouncil) writeConfig(p *proc, rest string) {
 	g.t.Helper()
 	text := fmt.Sprintf("fleet = \"f\"\nname = %q\nlisten = %q\nfolder = %q\nkey = %q\n%s%s", p.name, p.addr, p.folder, testKey, testTimes, rest)
 	if err := os.WriteFile(p.config, []byte(text), 0o600); err != nil {
@@ -152,10 +153,11 @@
 	}
 }
 
-func (g *group) start(p *proc) {
+// startProcess starts the process of a member.
+func (g *testCouncil) startProcess(p *proc) {
 	g.t.Helper()
-	p.log, p.ended = new(logged), make(chan error, 1)
-	p.cmd = exec.Command(program, p.config)
+	p.log, p.ended = new(logBuffer), make(chan error, 1)
+	p.cmd = exec.Command(programPath, p.config)
 	p.cmd.Stderr = p.log
 	p.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	if err := p.cmd.Start(); err != nil {
@@ -171,16 +173,17 @@
 	g.t.Cleanup(func() { cmd.Process.Kill() })
 }
 
-// kill ends a process as a crash does.
-func (g *group) kill(p *proc) {
+// killProcess kills a process, as in a crash, and waits until it has ended.
+func (g *testCouncil) killProcess(p *proc) {
 	p.cmd.Process.Kill()
 	<-p.ended
 }
 
-// one asks one member alone.
-func one(p *proc) *Client { return NewClient(testKey, 0, map[string]string{p.name: p.addr}) }
+// clientOf returns a client that knows a single member.
+func clientOf(p *proc) *Client { return NewClient(testKey, 0, map[string]string{p.name: p.addr}) }
 
-func (g *group) client(n int) *Client {
+// client returns a client that knows all members.
+func (g *testCouncil) client(n int) *Client {
 	all := make(map[string]string)
 	for _, p := range g.procs {
 		all[p.name] = p.addr
@@ -190,22 +193,22 @@
 	return c
 }
 
-// leads says that a member says that it leads.
-func leads(p *proc) bool {
+// isLeading reports whether a member responds that it is the leader.
+func isLeading(p *proc) bool {
 	ctx, cancel := context.WithTimeout(context.Background(), 500*time.Millisecond)
 	defer cancel()
-	c := one(p)
+	c := clientOf(p)
 	defer c.Close()
 	st, err := c.Status(ctx)
 	return err == nil && st.Leads
 }
 
-// leader waits until a member says that it leads.
-func (g *group) leader(most time.Duration) *proc {
+// awaitLeader waits until a member responds that it is the leader, and returns it.
+func (g *testCouncil) awaitLeader(timeout time.Duration) *proc {
 	g.t.Helper()
-	for end := time.Now().Add(most); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
+	for end := time.Now().Add(timeout); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
 		for _, p := range g.procs {
-			if !p.dead.Load() && leads(p) {
+			if !p.dead.Load() && isLeading(p) {
 				return p
 			}
 		}
@@ -213,36 +216,37 @@
 	for _, p := range g.procs {
 		g.t.Logf("%s:\n%s", p.name, p.log.String())
 	}
-	g.t.Fatal("nobody leads")
+	g.t.Fatal("no member became leader in time")
 	return nil
 }
 
-// car is a sidecar of the fleet: the pure half with its calls, and when it acted on what.
-type car struct {
-	c    *Client
-	inc  uint64
-	stop context.CancelFunc
-	done chan struct{}
-
-	mu    sync.Mutex
-	car   *agreed.Participant
-	seen  []uint64 // versions that it came to act on
-	no    string   // why it can't take what comes next; empty: it can
-	quiet bool     // it asks nothing
+// testSidecar is a simulated sidecar: an agreed.Participant and a goroutine that renews its lease.
+type testSidecar struct {
+	c           *Client
+	incarnation uint64
+	stop        context.CancelFunc
+	done        chan struct{}
+
+	mu           sync.Mutex
+	participant  *agreed.Participant
+	received     []uint64 // versions in force that it received
+	rejectReason string   // the reason for which it rejects the next version; empty: it accepts it
+	isSilent     bool     // it sends no requests and ignores responses
 }
 
-func (g *group) car(name string, n int) *car {
+// startSidecar starts a sidecar that renews its lease until the test ends.
+func (g *testCouncil) startSidecar(name string, n int) *testSidecar {
 	ctx, stop := context.WithCancel(context.Background())
-	inc := uint64(bootNow())
-	k := &car{c: g.client(n), inc: inc, stop: stop, done: make(chan struct{}), car: agreed.NewParticipant(name, inc, g.times, agreed.PersistentState{})}
+	inc := uint64(bootTime())
+	k := &testSidecar{c: g.client(n), incarnation: inc, stop: stop, done: make(chan struct{}), participant: agreed.NewParticipant(name, inc, g.times, agreed.PersistentState{})}
 	go func() {
 		defer close(k.done)
 		for ctx.Err() == nil {
 			k.mu.Lock()
-			quiet := k.quiet
+			quiet := k.isSilent
 			var r agreed.Request
 			if !quiet {
-				r = k.car.NextRequest(bootNow())
+				r = k.participant.NextRequest(bootTime())
 			}
 			k.mu.Unlock()
 			if quiet {
@@ -258,20 +262,20 @@
 				continue
 			}
 			k.mu.Lock()
-			if k.quiet { // what came meanwhile is lost
+			if k.isSilent { // the response is lost
 				k.mu.Unlock()
 				continue
 			}
-			w := k.car.HandleResponse(bootNow(), a)
+			w := k.participant.HandleResponse(bootTime(), a)
 			if w.Activate != nil {
-				k.seen = append(k.seen, w.Activate.Version)
+				k.received = append(k.received, w.Activate.Version)
 			}
 			if w.Prepare != nil {
 				var err error
-				if k.no != "" {
-					err = fmt.Errorf("%s", k.no)
+				if k.rejectReason != "" {
+					err = fmt.Errorf("%s", k.rejectReason)
 				}
-				k.car.RecordPrepareResult(w.Prepare, err)
+				k.participant.RecordPrepareResult(w.Prepare, err)
 			}
 			k.mu.Unlock()
 		}
@@ -280,40 +284,44 @@
 	return k
 }
 
-func (k *car) level() uint64 {
+// level returns the level of the test's class that the sidecar applies now.
+func (k *testSidecar) level() uint64 {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.car.Level(bootNow(), "class/a")
+	return k.participant.Level(bootTime(), "class/a")
 }
 
-func (k *car) acts() uint64 {
+// activeVersion returns the sidecar's active version.
+func (k *testSidecar) activeVersion() uint64 {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.car.Active().Version
+	return k.participant.Active().Version
 }
 
-// reach has it call the council by other ways.
-func (k *car) reach(c *Client) {
+// setClient replaces the client by which the sidecar calls the council.
+func (k *testSidecar) setClient(c *Client) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.c = c
 }
 
-func (k *car) hush(quiet bool) {
+// setSilent stops or resumes the sidecar's requests.
+func (k *testSidecar) setSilent(quiet bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.quiet = quiet
+	k.isSilent = quiet
 }
 
+// level returns a document that sets the level of the test's class.
 func level(key string, level uint64) *agreed.Doc {
 	return &agreed.Doc{Key: key, Who: "kim", Reason: "a test", Rules: agreed.Rules{"class/a": level}}
 }
 
-// propose has a version proposed, sent again until it is known that it was.
-func (g *group) propose(base uint64, d *agreed.Doc) (Status, error) {
+// propose proposes a version. It repeats the proposal while the version before is not settled.
+func (g *testCouncil) propose(base uint64, d *agreed.Doc) (Status, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 	defer cancel()
-	for { // until the version before is settled
+	for {
 		st, err := g.client(0).Enter(ctx, agreed.Entry{Kind: agreed.Propose, Base: base, Doc: d})
 		if err == nil || !strings.Contains(err.Error(), agreed.ErrNotSettled.Error()) {
 			return st, err
@@ -322,58 +330,60 @@
 	}
 }
 
-func until(t *testing.T, what string, is func() bool) {
+// waitUntil waits for a condition, and fails the test if it is not met within 30 seconds.
+func waitUntil(t *testing.T, what string, isMet func() bool) {
 	t.Helper()
-	for end := time.Now().Add(30 * time.Second); !is(); time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(30 * time.Second); !isMet(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("not %s within 30s", what)
+			t.Fatalf("condition not met within 30s: %s", what)
 		}
 	}
 }
 
-// Three members, eight sidecars: a version comes into force when all are prepared, a second one
-// though the leader dies as it is proposed, and a third though one sidecar has gone silent, which
-// acts on the stricter before its lease ends.
-func TestVersionsThroughAFaultyCouncil(t *testing.T) {
+// With three members and eight sidecars, one version comes into force once all sidecars have
+// prepared it, a second one although the leader is killed during its proposal, and a third although
+// one sidecar sends no requests. That sidecar must apply the strictest level before the third
+// version comes into force.
+func TestVersionsComeIntoForceDespiteFailures(t *testing.T) {
 	t.Parallel()
-	g := convene(t, 3)
+	g := startCouncil(t, 3)
 	if st, err := g.propose(0, level("k1", 0)); err != nil || st.InForce.Version != 1 {
-		t.Fatalf("%+v, %v", st.InForce, err)
+		t.Fatalf("in force: %+v, error %v, want version 1", st.InForce, err)
 	}
-	var cars []*car
+	var cars []*testSidecar
 	for n := range 8 {
-		cars = append(cars, g.car(fmt.Sprintf("car%d", n), n))
+		cars = append(cars, g.startSidecar(fmt.Sprintf("car%d", n), n))
 	}
 	all := func(version uint64) func() bool {
 		return func() bool {
 			for _, k := range cars {
-				if k.acts() != version {
+				if k.activeVersion() != version {
 					return false
 				}
 			}
 			return true
 		}
 	}
-	until(t, "all on version 1", all(1))
-	lead := g.leader(10 * time.Second)
+	waitUntil(t, "version 1 is active at all sidecars", all(1))
+	lead := g.awaitLeader(10 * time.Second)
 	proposed := make(chan error, 1)
 	go func() {
 		_, err := g.propose(1, level("k2", 1))
 		proposed <- err
 	}()
-	g.kill(lead)
+	g.killProcess(lead)
 	if err := <-proposed; err != nil {
 		t.Fatal(err)
 	}
-	until(t, "all on version 2", all(2))
-	g.start(lead)
-	cars[3].hush(true)
+	waitUntil(t, "version 2 is active at all sidecars", all(2))
+	g.startProcess(lead)
+	cars[3].setSilent(true)
 	began := time.Now()
 	if _, err := g.propose(2, level("k3", 2)); err != nil {
 		t.Fatal(err)
 	}
-	loose := func(k *car) bool { return k.level() < 2 }
-	until(t, "all but the silent one on version 3", func() bool {
+	loose := func(k *testSidecar) bool { return k.level() < 2 }
+	waitUntil(t, "all other sidecars apply level 2", func() bool {
 		for n, k := range cars {
 			if n != 3 && loose(k) {
 				return false
@@ -382,11 +392,11 @@
 		return true
 	})
 	if loose(cars[3]) || time.Since(began) < time.Second {
-		t.Errorf("after %v version 3 is in force, and the silent sidecar acts on level %d", time.Since(began), cars[3].level())
+		t.Errorf("version 3 came into force after %v, while the sidecar without contact applies level %d", time.Since(began), cars[3].level())
 	}
-	cars[3].hush(false)
-	until(t, "all on version 3", all(3))
-	until(t, "settled", func() bool {
+	cars[3].setSilent(false)
+	waitUntil(t, "version 3 is active at all sidecars", all(3))
+	waitUntil(t, "settled", func() bool {
 		ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 		defer cancel()
 		st, err := g.client(1).Status(ctx)
@@ -394,60 +404,61 @@
 	})
 }
 
-// Without a majority nothing is agreed on, and sidecars go to the stricter before their lease
-// ends and keep what they hold; when all members have been killed at once and are back, so is
-// what was in force.
-func TestMajorityLostAndBack(t *testing.T) {
+// Without a majority nothing is committed, and sidecars apply the strictest level before their
+// lease expires. After all members were killed at once and restarted, the version in force is the
+// same.
+func TestMajorityLossAndRecovery(t *testing.T) {
 	t.Parallel()
-	g := convene(t, 3)
+	g := startCouncil(t, 3)
 	if _, err := g.propose(0, level("k1", 0)); err != nil {
 		t.Fatal(err)
 	}
-	k := g.car("car", 0)
-	until(t, "leased", func() bool { return k.acts() == 1 && k.level() == 0 })
+	k := g.startSidecar("car", 0)
+	waitUntil(t, "leased", func() bool { return k.activeVersion() == 1 && k.level() == 0 })
 	for _, p := range g.procs {
-		g.kill(p)
+		g.killProcess(p)
 	}
-	until(t, "on the stricter", func() bool { return k.level() == agreed.LevelOnce })
+	waitUntil(t, "the sidecar applies the strictest level", func() bool { return k.level() == agreed.LevelOnce })
 	for _, p := range g.procs {
-		g.start(p)
+		g.startProcess(p)
 	}
-	until(t, "leased again", func() bool { return k.level() == 0 })
-	lead := g.leader(20 * time.Second)
+	waitUntil(t, "the sidecar has a lease again", func() bool { return k.level() == 0 })
+	lead := g.awaitLeader(20 * time.Second)
 	for _, p := range g.procs {
 		if p != lead {
-			g.kill(p)
+			g.killProcess(p)
 		}
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
 	if _, err := g.client(0).Enter(ctx, agreed.Entry{Kind: agreed.Propose, Base: 1, Doc: level("k2", 1)}); err == nil {
-		t.Error("one of three has agreed on something")
+		t.Error("one of three members accepted a proposal")
 	}
-	until(t, "on the stricter again", func() bool { return k.level() == agreed.LevelOnce })
+	waitUntil(t, "the sidecar applies the strictest level again", func() bool { return k.level() == agreed.LevelOnce })
 }
 
-// A member that is stopped while it leads, and goes on, leads no more and gives nobody a lease
-// by what it knew; a proposal that one sidecar refuses ends with its reason.
-func TestStoppedLeader(t *testing.T) {
+// A leader that is suspended and resumed after another member has become leader must grant no lease
+// from its old state. A proposal that a sidecar rejects ends with the sidecar's reason.
+func TestSuspendedLeaderGrantsNoLease(t *testing.T) {
 	t.Parallel()
-	g := convene(t, 3)
+	g := startCouncil(t, 3)
 	if _, err := g.propose(0, level("k1", 0)); err != nil {
 		t.Fatal(err)
 	}
-	k := g.car("car", 0)
-	until(t, "leased", func() bool { return k.acts() == 1 })
-	old := g.leader(10 * time.Second)
+	k := g.startSidecar("car", 0)
+	waitUntil(t, "leased", func() bool { return k.activeVersion() == 1 })
+	old := g.awaitLeader(10 * time.Second)
 	old.cmd.Process.Signal(syscall.SIGSTOP)
-	until(t, "another leads", func() bool { return leads(g.others(old)[0]) || leads(g.others(old)[1]) })
+	waitUntil(t, "another member leads", func() bool { return isLeading(g.otherMembers(old)[0]) || isLeading(g.otherMembers(old)[1]) })
 	if st, err := g.propose(1, level("k2", 2)); err != nil || st.Next == nil && st.InForce.Version != 2 {
-		t.Fatalf("%+v, %v", st, err)
+		t.Fatalf("status %+v, error %v, want version 2 in force or pending", st, err)
 	}
-	until(t, "version 2", func() bool { return k.acts() == 2 })
-	// A request lies in its socket as it goes on, of a sidecar that it knows well, and of whose
-	// new version it knows nothing: it must not grant a lease by itself.
+	waitUntil(t, "version 2 is active at the sidecar", func() bool { return k.activeVersion() == 2 })
+	// Requests wait in the old leader's socket when it resumes. They come from a sidecar that it
+	// knows, with the version active that was in force when it was suspended: it must not grant a
+	// lease without a majority.
 	k.mu.Lock()
-	r := agreed.Request{Sidecar: "car", Incarnation: k.inc, Seq: 1, ActiveVersion: 1}
+	r := agreed.Request{Sidecar: "car", Incarnation: k.incarnation, Seq: 1, ActiveVersion: 1}
 	k.mu.Unlock()
 	answers := make(chan agreed.Response, 20)
 	var wait sync.WaitGroup
@@ -455,24 +466,24 @@
 		wait.Go(func() {
 			ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 			defer cancel()
-			c := one(old)
+			c := clientOf(old)
 			defer c.Close()
 			if a, err := c.Renew(ctx, r, 0); err == nil {
 				answers <- a
 			}
 		})
 	}
-	time.Sleep(100 * time.Millisecond) // for the requests to lie there; fewer would prove less
+	time.Sleep(100 * time.Millisecond) // gives the requests time to arrive; with fewer of them waiting the test checks less
 	old.cmd.Process.Signal(syscall.SIGCONT)
 	wait.Wait()
 	close(answers)
 	for a := range answers {
 		if a.LeaseGranted && a.InForceOmitted {
-			t.Errorf("who led before grants a lease on version 1: %+v", a)
+			t.Errorf("the old leader granted a lease for version 1: %+v", a)
 		}
 	}
 	k.mu.Lock()
-	k.no = "class a can't be that"
+	k.rejectReason = "class a can't be that"
 	k.mu.Unlock()
 	if _, err := g.propose(2, level("k3", 1)); err != nil {
 		t.Fatal(err)
@@ -480,13 +491,13 @@
 	var seen any
 	defer func() {
 		if t.Failed() {
-			t.Logf("last seen: %+v", seen)
+			t.Logf("last status: %+v", seen)
 		}
 	}()
-	until(t, "refused", func() bool {
+	waitUntil(t, "refused", func() bool {
 		ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 		defer cancel()
-		st, err := g.client(0).Enter(ctx, agreed.Entry{Kind: agreed.Propose, Base: 2, Doc: level("k3", 1)}) // the same one
+		st, err := g.client(0).Enter(ctx, agreed.Entry{Kind: agreed.Propose, Base: 2, Doc: level("k3", 1)}) // repeats the proposal
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -500,37 +511,38 @@
 	})
 }
 
-// One that has lost its folder does not vote as who it was: it says so and ends; removed, and
-// started to join, it is added with another id and learns all.
-func TestForgetfulMember(t *testing.T) {
+// A member that has lost its folder must stop with an error rather than vote again under its old
+// id. After it is removed and started with join = true, it can be added under a new id and receives
+// the log.
+func TestMemberThatLostItsFolderMustRejoin(t *testing.T) {
 	t.Parallel()
-	g := convene(t, 3)
+	g := startCouncil(t, 3)
 	if _, err := g.propose(0, level("k1", 1)); err != nil {
 		t.Fatal(err)
 	}
 	lost := g.procs[0]
-	if lost == g.leader(10*time.Second) {
+	if lost == g.awaitLeader(10*time.Second) {
 		lost = g.procs[1]
 	}
-	g.kill(lost)
+	g.killProcess(lost)
 	if err := os.RemoveAll(lost.folder); err != nil {
 		t.Fatal(err)
 	}
-	g.start(lost)
+	g.startProcess(lost)
 	select {
 	case err := <-lost.ended:
 		if err == nil || !strings.Contains(lost.log.String(), "must not vote") {
-			t.Fatalf("%v: %s", err, lost.log.String())
+			t.Fatalf("the member ended with %v, want an error that it must not vote; log: %s", err, lost.log.String())
 		}
 		lost.ended <- err
 	case <-time.After(20 * time.Second):
-		t.Fatalf("it goes on: %s", lost.log.String())
+		t.Fatalf("the member still runs; log: %s", lost.log.String())
 	}
-	g.write(lost, "join = true\n")
+	g.writeConfig(lost, "join = true\n")
 	if err := os.RemoveAll(lost.folder); err != nil {
 		t.Fatal(err)
 	}
-	g.start(lost)
+	g.startProcess(lost)
 	ctx, cancel := context.WithTimeout(context.Background(), 30*time.Second)
 	defer cancel()
 	c := g.client(0)
@@ -538,22 +550,22 @@
 		t.Fatal(err)
 	}
 	id := uint64(0)
-	until(t, "waiting to be added", func() bool {
+	waitUntil(t, "the member waits to be added", func() bool {
 		_, rest, ok := strings.Cut(lost.log.String(), " id=")
 		fmt.Sscan(rest, &id)
 		return ok && id != 0
 	})
-	until(t, "the old one is gone", func() bool {
+	waitUntil(t, "the old member is removed", func() bool {
 		st, err := c.Status(ctx)
 		return err == nil && len(st.Members) == 2
 	})
 	if _, err := c.Change(ctx, id, Peer{lost.name, lost.addr}, false); err != nil {
 		t.Fatal(err)
 	}
-	it := one(lost)
-	defer it.Close()
-	until(t, "it has learnt all", func() bool {
-		st, err := it.Status(ctx)
+	rejoined := clientOf(lost)
+	defer rejoined.Close()
+	waitUntil(t, "the new member has received the log", func() bool {
+		st, err := rejoined.Status(ctx)
 		return err == nil && st.InForce.Version == 1 && len(st.Members) == 3
 	})
 }
--- a/internal/council/serve.go
+++ b/internal/council/serve.go
@@ -24,31 +24,33 @@
 )
 
 const (
-	// callMost bounds a call of a sidecar or operator, in bytes.
-	callMost = agreed.MaxBodyBytes + 64<<10
-	// holdShare of a lease is how long a call waits for news.
-	holdShare = 4
-	// foundEach is how often founders ask for each other.
-	foundEach = 200 * time.Millisecond
+	// maxRequestBytes is the maximum size in bytes of a request of a sidecar or operator.
+	maxRequestBytes = agreed.MaxBodyBytes + 64<<10
+	// holdDivisor is the part of a lease, as a divisor, for which the response to a renewal is
+	// delayed while there is nothing new to report.
+	holdDivisor = 4
+	// founderPollInterval is the interval at which a founding member calls the others until all
+	// respond.
+	founderPollInterval = 200 * time.Millisecond
 )
 
-// Server is a member's process: its address, its folder, and the member once the council has
-// been founded.
+// Server is the process of a member. It owns the listener and the folder, and runs the Member once
+// the council has been founded or the member has been started to join.
 type Server struct {
-	cfg   Config
-	store *store
-	post  *post
-	ln    net.Listener
-	http  *http.Server
-	stop  context.CancelFunc
-	wg    sync.WaitGroup
+	cfg       Config
+	store     *store
+	transport *transport
+	ln        net.Listener
+	http      *http.Server
+	stop      context.CancelFunc
+	wg        sync.WaitGroup
 
 	mu     sync.Mutex
-	member *Member // nil: not yet
+	member *Member // nil: not started yet
 }
 
-// Open listens and takes part: at once where the folder has a log, else once the founders have
-// found each other.
+// Open opens the folder and starts to listen. If the folder belongs to this member already, Open
+// also starts the member; otherwise Run does so, for a founder once all founders have responded.
 func Open(cfg Config) (*Server, error) {
 	if err := cfg.Validate(); err != nil {
 		return nil, err
@@ -57,55 +59,57 @@
 	if err != nil {
 		return nil, err
 	}
-	s := &Server{cfg: cfg, store: st, post: newPost(cfg.Key, cfg.Members)}
+	s := &Server{cfg: cfg, store: st, transport: newTransport(cfg.Key, cfg.Members)}
 	id, _, err := st.identity()
 	if err == nil && id != nil && (id.Fleet != cfg.Fleet || id.Name != cfg.Name) {
-		err = fmt.Errorf("council: folder %s is of %q in fleet %q: %w", cfg.Folder, id.Name, id.Fleet, ErrOther)
+		err = fmt.Errorf("council: folder %s is of %q in fleet %q: %w", cfg.Folder, id.Name, id.Fleet, ErrForeignFolder)
 	}
 	if err == nil {
 		s.ln, err = net.Listen("tcp", cfg.Listen)
 	}
 	if err == nil && id != nil {
-		s.post.self = s.sender(id.ID)
-		s.member, err = start(cfg, id.ID, st, s.post)
+		s.transport.self = s.sender(id.ID)
+		s.member, err = startMember(cfg, id.ID, st, s.transport)
 	}
 	if err != nil {
 		if s.ln != nil {
 			s.ln.Close()
 		}
-		s.post.close()
+		s.transport.close()
 		st.close()
 		return nil, err
 	}
 	mux := http.NewServeMux()
 	for path, serve := range map[string]func(context.Context, []byte) (any, error){
-		"/raft": s.raft, "/found": s.asked, "/v1/renew": s.renew, "/v1/entry": s.entry, "/v1/status": s.status, "/v1/members": s.members,
+		"/raft": s.handleRaft, "/found": s.handleFound, "/v1/renew": s.handleRenew, "/v1/entry": s.handleEntry, "/v1/status": s.handleStatus, "/v1/members": s.handleMembers,
 	} {
-		mux.HandleFunc("POST "+path, s.keyed(path, serve))
+		mux.HandleFunc("POST "+path, s.authenticated(path, serve))
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	s.stop = stop
-	s.http = &http.Server{Handler: mux, BaseContext: func(net.Listener) context.Context { return ctx }, ReadHeaderTimeout: postWait, ReadTimeout: 2 * postWait, IdleTimeout: time.Minute, MaxHeaderBytes: 8 << 10}
+	s.http = &http.Server{Handler: mux, BaseContext: func(net.Listener) context.Context { return ctx }, ReadHeaderTimeout: transportTimeout, ReadTimeout: 2 * transportTimeout, IdleTimeout: time.Minute, MaxHeaderBytes: 8 << 10}
 	s.wg.Go(func() {
 		if err := s.http.Serve(s.ln); !errors.Is(err, http.ErrServerClosed) {
-			slog.Error("council: no more calls", "err", err)
+			slog.Error("council: stopped serving requests", "err", err)
 		}
 	})
 	return s, nil
 }
 
-// sender is this member as others are told of it: where its file says, or where it listens.
+// sender returns the identification of this member for the others. Its address is that of the
+// configuration if there is one, else that of the listener.
 func (s *Server) sender(id uint64) sender {
 	return sender{id, Peer{s.cfg.Name, cmp.Or(s.cfg.Members[s.cfg.Name], s.Addr())}}
 }
 
-// Addr is where it listens.
+// Addr returns the address of the listener.
 func (s *Server) Addr() string { return s.ln.Addr().String() }
 
-// Run takes part until ctx ends, and hands over then. It returns why it could not go on.
+// Run starts the member if Open has not, and blocks until ctx ends or the member fails. It returns
+// the error of the failure. It does not stop the member; Close does.
 func (s *Server) Run(ctx context.Context) error {
-	if s.now() == nil {
-		m, err := s.begin(ctx)
+	if s.currentMember() == nil {
+		m, err := s.bootstrap(ctx)
 		if err != nil || m == nil {
 			return err
 		}
@@ -114,21 +118,22 @@
 	select {
 	case <-ctx.Done():
 		return nil
-	case <-s.now().done:
-		return s.now().failed
+	case <-s.currentMember().done:
+		return s.currentMember().failed
 	}
 }
 
-func (s *Server) now() *Member {
+// currentMember returns the member, nil if it has not started yet.
+func (s *Server) currentMember() *Member {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.member
 }
 
-// Close hands the lead over, if it has it, and ends.
+// Close transfers the leadership if this member leads, and releases the listener and the folder.
 func (s *Server) Close() error {
 	var err error
-	if m := s.now(); m != nil {
+	if m := s.currentMember(); m != nil {
 		err = m.Close()
 	}
 	s.stop()
@@ -138,41 +143,43 @@
 		s.http.Close()
 	}
 	s.wg.Wait()
-	s.post.close()
+	s.transport.close()
 	return errors.Join(err, s.store.close())
 }
 
-// found is what founders tell one another.
-type found struct {
-	Fleet string `json:"fleet"`
-	Begun bool   `json:"begun"` // it has a log
+// founderStatus is the request and the response between founding members.
+type founderStatus struct {
+	Fleet  string `json:"fleet"`
+	HasLog bool   `json:"begun"` // the member has a log
 }
 
-// ErrForgot is of a member that finds an empty folder where the others have a log.
-var ErrForgot = errors.New("this member's folder is empty and the council has begun: what it has promised is lost, and it must not vote as who it was. Remove it, and start it anew with join = true")
+// ErrFolderLost means that the folder of a founding member is empty although the council already
+// has a log, so the votes that the member gave are lost.
+var ErrFolderLost = errors.New("the folder of this member is empty although the council has a log: its earlier votes are lost, so it must not vote under its old id. Remove it from the council, then start it with join = true")
 
-// begin founds the council, or waits to be added.
-func (s *Server) begin(ctx context.Context) (*Member, error) {
-	id := identity{Fleet: s.cfg.Fleet, Name: s.cfg.Name}
+// bootstrap assigns the folder and starts the member. A founder first waits for the other founders;
+// a joining member gets a new id and receives its log once it has been added.
+func (s *Server) bootstrap(ctx context.Context) (*Member, error) {
+	id := folderIdentity{Fleet: s.cfg.Fleet, Name: s.cfg.Name}
 	var snap *raftpb.Snapshot
 	if s.cfg.Join {
 		id.ID = max(1, rand.Uint64())
-		slog.Info("council: waits to be added", "name", id.Name, "id", id.ID)
+		slog.Info("council: waiting to be added as a member", "name", id.Name, "id", id.ID)
 	} else {
 		id.ID = founderID(s.cfg.Fleet, s.cfg.Name)
-		ok, err := s.founders(ctx)
+		ok, err := s.awaitFounders(ctx)
 		if err != nil || !ok {
 			return nil, err
 		}
-		if snap, err = s.first(); err != nil {
+		if snap, err = s.initialSnapshot(); err != nil {
 			return nil, err
 		}
 	}
-	if err := s.store.found(id, snap); err != nil {
+	if err := s.store.assignFolder(id, snap); err != nil {
 		return nil, fmt.Errorf("council: %w", err)
 	}
-	s.post.self = s.sender(id.ID)
-	m, err := start(s.cfg, id.ID, s.store, s.post)
+	s.transport.self = s.sender(id.ID)
+	m, err := startMember(s.cfg, id.ID, s.store, s.transport)
 	if err != nil {
 		return nil, err
 	}
@@ -182,60 +189,62 @@
 	return m, nil
 }
 
-// founders waits until all others have been heard; false: it was told to end. One that nobody
-// has asked before, while another has begun, had a log once.
-func (s *Server) founders(ctx context.Context) (bool, error) {
-	c := &http.Client{Timeout: postWait}
+// awaitFounders waits until all other founders have responded; it returns false if ctx ended
+// before. If another founder has a log and none has ever asked this member for its state, this
+// member had a log itself and has lost it: the error wraps ErrFolderLost.
+func (s *Server) awaitFounders(ctx context.Context) (bool, error) {
+	c := &http.Client{Timeout: transportTimeout}
 	defer c.CloseIdleConnections()
 	for {
-		heard := 1
+		responded := 1
 		for name, addr := range s.cfg.Members {
 			if name == s.cfg.Name {
 				continue
 			}
-			body, err := json.Marshal(found{Fleet: s.cfg.Fleet})
+			body, err := json.Marshal(founderStatus{Fleet: s.cfg.Fleet})
 			if err != nil {
 				return false, err
 			}
-			text, err := call(ctx, c, []byte(s.cfg.Key), addr, "/found", body)
-			var f found
+			text, err := postRequest(ctx, c, []byte(s.cfg.Key), addr, "/found", body)
+			var f founderStatus
 			if err == nil {
 				err = json.Unmarshal(text, &f)
 			}
-			var no *Refusal
+			var refusal *Refusal
 			switch {
-			case errors.Is(err, ErrKey), errors.As(err, &no):
+			case errors.Is(err, ErrWrongKey), errors.As(err, &refusal):
 				return false, fmt.Errorf("council: member %s at %s: %w", name, addr, err)
 			case err != nil:
 				continue
 			}
-			heard++
-			if !f.Begun {
+			responded++
+			if !f.HasLog {
 				continue
 			}
-			// Before it began it has asked this one, if that was there.
+			// Before it started, the other founder must have called this member. A folder without
+			// a record of such a call was lost after the council was founded.
 			if _, asked, err := s.store.identity(); err != nil || !asked {
-				return false, fmt.Errorf("council: member %s at %s: %w", name, addr, errors.Join(err, ErrForgot))
+				return false, fmt.Errorf("council: member %s at %s: %w", name, addr, errors.Join(err, ErrFolderLost))
 			}
 		}
-		if heard == len(s.cfg.Members) {
+		if responded == len(s.cfg.Members) {
 			return true, nil
 		}
 		select {
 		case <-ctx.Done():
 			return false, nil
-		case <-time.After(foundEach):
+		case <-time.After(founderPollInterval):
 		}
 	}
 }
 
-// first is what the log begins with, the same at each founder.
-func (s *Server) first() (*raftpb.Snapshot, error) {
-	c := content{Fleet: s.cfg.Fleet, Members: make(map[uint64]Peer)}
+// initialSnapshot returns the snapshot that the log begins with. It is the same at each founder.
+func (s *Server) initialSnapshot() (*raftpb.Snapshot, error) {
+	c := replicatedState{Fleet: s.cfg.Fleet, Members: make(map[uint64]Peer)}
 	conf := new(raftpb.ConfState)
 	for name := range s.cfg.Members {
 		id := founderID(s.cfg.Fleet, name)
-		c.Members[id] = Peer{Name: name} // where it is says each member's file
+		c.Members[id] = Peer{Name: name} // addresses come from each member's own configuration
 		conf.Voters = append(conf.Voters, id)
 	}
 	slices.Sort(conf.Voters)
@@ -244,39 +253,41 @@
 	return &raftpb.Snapshot{Data: text, Metadata: &raftpb.SnapshotMetadata{ConfState: conf, Index: &one, Term: &one}}, err
 }
 
-// asked answers another founder. From then on this folder may be empty beside one that has begun.
-func (s *Server) asked(_ context.Context, body []byte) (any, error) {
-	var f found
-	if err := strict(body, &f); err != nil {
+// handleFound responds to another founder. It first records that the folder was empty, as the other
+// founder may then start: an empty folder is no longer a sign of lost data.
+func (s *Server) handleFound(_ context.Context, body []byte) (any, error) {
+	var f founderStatus
+	if err := decodeStrict(body, &f); err != nil {
 		return nil, err
 	}
 	if f.Fleet != s.cfg.Fleet {
 		return nil, &Refusal{Code: http.StatusConflict, Text: fmt.Sprintf("this member is of fleet %q", s.cfg.Fleet)}
 	}
-	begun := s.now() != nil
-	if !begun {
-		if err := s.store.asked(); err != nil {
+	hasLog := s.currentMember() != nil
+	if !hasLog {
+		if err := s.store.markAsked(); err != nil {
 			return nil, err
 		}
 	}
-	return found{s.cfg.Fleet, begun}, nil
+	return founderStatus{s.cfg.Fleet, hasLog}, nil
 }
 
-// keyed reads a call of somebody with the fleet's key, and answers with it.
-func (s *Server) keyed(path string, serve func(context.Context, []byte) (any, error)) http.HandlerFunc {
-	key, most := []byte(s.cfg.Key), int64(callMost)
+// authenticated returns the handler of a path. It verifies that the request was made with the
+// fleet's key, maps errors to status codes and authenticates the response.
+func (s *Server) authenticated(path string, serve func(context.Context, []byte) (any, error)) http.HandlerFunc {
+	key, maxBytes := []byte(s.cfg.Key), int64(maxRequestBytes)
 	if path == "/raft" {
-		most = batchMost
+		maxBytes = maxBatchBytes
 	}
 	return func(w http.ResponseWriter, r *http.Request) {
-		body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, most))
+		body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBytes))
 		if err != nil {
 			http.Error(w, "the call is too long, or did not come whole", http.StatusRequestEntityTooLarge)
 			return
 		}
-		asked := mac(key, []byte(path), body)
-		if got, err := hex.DecodeString(r.Header.Get(macHeader)); err != nil || !hmac.Equal(got, asked) {
-			http.Error(w, ErrKey.Error(), http.StatusForbidden)
+		requestMAC := computeMAC(key, []byte(path), body)
+		if got, err := hex.DecodeString(r.Header.Get(macHeader)); err != nil || !hmac.Equal(got, requestMAC) {
+			http.Error(w, ErrWrongKey.Error(), http.StatusForbidden)
 			return
 		}
 		v, err := serve(r.Context(), body)
@@ -285,30 +296,30 @@
 			text, err = json.Marshal(v)
 		}
 		if err != nil {
-			var no *Refusal
+			var refusal *Refusal
 			code, text = http.StatusConflict, []byte(err.Error())
 			switch {
-			case errors.As(err, &no):
-				code = no.Code
+			case errors.As(err, &refusal):
+				code = refusal.Code
 			case errors.Is(err, ErrNotLeader):
 				code = http.StatusMisdirectedRequest
-				if m := s.now(); m != nil {
+				if m := s.currentMember(); m != nil {
 					st := m.Status()
 					w.Header().Set("Fawn-Leader", st.Leader.Name+" "+st.Leader.Addr)
 				}
-			case errors.Is(err, ErrSlow), errors.Is(err, ErrEnding):
+			case errors.Is(err, ErrTimeout), errors.Is(err, ErrStopping):
 				code = http.StatusServiceUnavailable
 			}
 		}
-		w.Header().Set(macHeader, hex.EncodeToString(mac(key, asked, text)))
+		w.Header().Set(macHeader, hex.EncodeToString(computeMAC(key, requestMAC, text)))
 		w.WriteHeader(code)
 		w.Write(text)
 	}
 }
 
-// strict reads JSON of known fields only: what a newer caller asks beyond them must not be agreed
-// on without them.
-func strict(body []byte, v any) error {
+// decodeStrict decodes JSON and rejects unknown fields: an entry from a newer caller must not be
+// applied without the fields that this version does not know.
+func decodeStrict(body []byte, v any) error {
 	d := json.NewDecoder(bytes.NewReader(body))
 	d.DisallowUnknownFields()
 	if err := d.Decode(v); err != nil {
@@ -317,32 +328,33 @@
 	return nil
 }
 
-// here is the member, or why there is none yet.
-func (s *Server) here() (*Member, error) {
-	if m := s.now(); m != nil {
+// requireMember returns the member, or an error response if it has not started yet.
+func (s *Server) requireMember() (*Member, error) {
+	if m := s.currentMember(); m != nil {
 		return m, nil
 	}
 	return nil, &Refusal{Code: http.StatusServiceUnavailable, Text: "this member has not found all founders yet"}
 }
 
-func (s *Server) raft(ctx context.Context, body []byte) (any, error) {
-	m, err := s.here()
+// handleRaft handles a batch of raft messages.
+func (s *Server) handleRaft(ctx context.Context, body []byte) (any, error) {
+	m, err := s.requireMember()
 	if err != nil {
 		return nil, err
 	}
-	from, all, err := unpacked(body)
+	from, messages, err := decodeBatch(body)
 	if err != nil {
 		return nil, &Refusal{Code: http.StatusBadRequest, Text: err.Error()}
 	}
-	s.post.learn(from)
-	for _, msg := range all {
-		if msg.GetTo() != m.id { // of who had this address before
+	s.transport.addSender(from)
+	for _, msg := range messages {
+		if msg.GetTo() != m.id { // for a member that had this address before
 			continue
 		}
 		select {
-		case s.post.in <- msg:
+		case s.transport.received <- msg:
 		case <-m.done:
-			return nil, ErrEnding
+			return nil, ErrStopping
 		case <-ctx.Done():
 			return nil, ctx.Err()
 		}
@@ -350,76 +362,79 @@
 	return nil, nil
 }
 
-func (s *Server) renew(ctx context.Context, body []byte) (any, error) {
-	m, err := s.here()
+// handleRenew handles a sidecar's request.
+func (s *Server) handleRenew(ctx context.Context, body []byte) (any, error) {
+	m, err := s.requireMember()
 	if err != nil {
 		return nil, err
 	}
 	var r agreed.Request
-	if err := strict(body, &r); err != nil {
+	if err := decodeStrict(body, &r); err != nil {
 		return nil, err
 	}
-	return m.Renew(ctx, r, time.Duration(s.cfg.Lease)/holdShare)
+	return m.Renew(ctx, r, time.Duration(s.cfg.Lease)/holdDivisor)
 }
 
-// entry is an operator's: a proposal, its withdrawal, or a word that a sidecar is no more.
-func (s *Server) entry(ctx context.Context, body []byte) (any, error) {
-	m, err := s.here()
+// handleEntry handles an operator's entry: a proposal, its withdrawal, or the removal of a sidecar.
+func (s *Server) handleEntry(ctx context.Context, body []byte) (any, error) {
+	m, err := s.requireMember()
 	if err != nil {
 		return nil, err
 	}
 	var e agreed.Entry
-	if err := strict(body, &e); err != nil {
+	if err := decodeStrict(body, &e); err != nil {
 		return nil, err
 	}
 	if e.Kind != agreed.Propose && e.Kind != agreed.Withdraw && e.Kind != agreed.Forget {
 		return nil, &Refusal{Code: http.StatusBadRequest, Text: fmt.Sprintf("%q is nothing that an operator does", e.Kind)}
 	}
-	if err := m.Enter(ctx, e); err != nil {
+	if err := m.ProposeEntry(ctx, e); err != nil {
 		return nil, err
 	}
 	return m.Status(), nil
 }
 
-// reading is how a status is asked for.
-type reading struct {
-	Sure bool `json:"sure"` // by whoever leads, and nothing that was agreed on before the call is missing
+// statusRequest is a request for the status.
+type statusRequest struct {
+	Confirmed bool `json:"sure"` // a linearizable read, which only the leader can serve
 }
 
-func (s *Server) status(ctx context.Context, body []byte) (any, error) {
-	m, err := s.here()
+// handleStatus handles a request for the status.
+func (s *Server) handleStatus(ctx context.Context, body []byte) (any, error) {
+	m, err := s.requireMember()
 	if err != nil {
 		return nil, err
 	}
-	var r reading
-	if err := strict(body, &r); err != nil {
+	var r statusRequest
+	if err := decodeStrict(body, &r); err != nil {
 		return nil, err
 	}
-	if r.Sure {
-		if err := m.Confirm(ctx); err != nil {
+	if r.Confirmed {
+		if err := m.ConfirmRead(ctx); err != nil {
 			return nil, err
 		}
 	}
 	return m.Status(), nil
 }
 
-// change is one of the members.
-type change struct {
+// memberChange is a request to add or remove a member.
+type memberChange struct {
 	Remove bool   `json:"remove"`
 	ID     uint64 `json:"id"`
 	Peer
 }
 
-func (s *Server) members(ctx context.Context, body []byte) (any, error) {
-	m, err := s.here()
+// handleMembers handles a request to add or remove a member.
+func (s *Server) handleMembers(ctx context.Context, body []byte) (any, error) {
+	m, err := s.requireMember()
 	if err != nil {
 		return nil, err
 	}
-	var c change
-	if err := strict(body, &c); err != nil {
+	var c memberChange
+	if err := decodeStrict(body, &c); err != nil {
 		return nil, err
 	}
-	if err := m.Change(ctx, c.ID, c.Peer, c.Remove); err != nil {
+	if err := m.ProposeMemberChange(ctx, c.ID, c.Peer, c.Remove); err != nil {
 		return nil, err
 	}
 	return m.Status(), nil
