--- a/internal/agreed/council.go
+++ b/internal/agreed/council.go
@@ -12,7 +12,7 @@
 
 // Kinds of entries.
 const (
-	Propose          Kind = "propose"  // proposes Doc, written against version Base
+	Propose          Kind = "propose"  // proposes Doc, written against a base version
 	Withdraw         Kind = "withdraw" // withdraws the pending proposal Version
 	KindJoin         Kind = "join"     // adds a new or restarted sidecar that has Version active
 	KindPrepared     Kind = "yes"      // a sidecar has prepared Version
--- a/internal/council/config.go
+++ b/internal/council/config.go
@@ -141,14 +141,14 @@
 	return max(1, h.Sum64())
 }
 
-// Reach holds what a client needs to call a council. It can be read from the configuration file of
-// any founding member, or from a file with just the key and the members.
+// Reach holds what a client needs to call a council. It can be read from the configuration file
+// of any founding member, or from a file with just the key and the members.
 type Reach struct {
 	Key     string
 	Members map[string]string
 }
 
-// ReadReach parses a Reach from a configuration in TOML. Errors name the field.
+// ReadReach parses what a client needs from a configuration in TOML. Errors name the field.
 func ReadReach(text []byte) (r Reach, err error) {
 	c, err := decodeConfig(text)
 	switch {
--- a/internal/council/links_test.go
+++ b/internal/council/links_test.go
@@ -18,8 +18,8 @@
 	return all
 }
 
-// commitVersions has the council commit a number of versions from base on, and fails the test if that
-// takes too long.
+// commitVersions has the council commit a number of versions from base on, and fails the test if
+// that takes too long.
 func (g *testCouncil) commitVersions(base *uint64, count int, timeout time.Duration) {
 	g.t.Helper()
 	began := time.Now()
