--- a/internal/level/config.go
+++ b/internal/level/config.go
@@ -1,11 +1,12 @@
-// Package level says how much of its service a sidecar gives, in stated levels with
-// stated conditions for entering and leaving each. It has no I/O, clock or goroutines.
-// It refuses nothing itself: the decision module asks it at each arrival and refuses.
+// Package level implements brownout levels: how much of its service a sidecar offers under
+// overload, with configured conditions for entering and leaving each level. It has no I/O,
+// clock or goroutines, and refuses nothing itself: the balancer consults it for each arrival.
 //
-// Entering is fast and leaving slow: separate thresholds, a dwell time, and a proof time
-// behind it; a level that is entered again within the proof holds twice as long each time
-// (Schmitt's trigger with a backoff). On the way out what is let in grows by a bounded
-// factor a second from what was let in before, so that returning clients make a ramp.
+// A level is entered quickly and left slowly: its thresholds have hysteresis, the way out
+// has a dwell time, and a level that is entered again within the proof time after it was
+// left dwells twice as long each time (a Schmitt trigger with exponential backoff). While a
+// level is left, the admitted rate grows by a bounded factor per second from the previous
+// rate, so that returning clients form a ramp instead of a burst.
 package level
 
 import (
@@ -16,186 +17,189 @@
 	"time"
 )
 
-// Level is how reduced the service is.
+// Level is the degree to which the service is reduced.
 type Level int
 
 const (
 	Normal    Level = iota
-	Saving          // no copies, no probes, retries only for the dear
-	Trimmed         // a share of the cheapest class is turned away
-	Essential       // the cheapest class is off, others are trimmed
-	Emergency       // only what is worth most
-	levels
+	Saving          // no copies, no probes, retries only for the classes of most worth
+	Trimmed         // a share of the class of least worth is shed
+	Essential       // the class of least worth is shed entirely, others in part
+	Emergency       // only the classes of most worth are served
+	levelCount
 )
 
-var words = [...]string{"normal", "saving", "trimmed", "essential", "emergency"}
+var levelNames = [...]string{"normal", "saving", "trimmed", "essential", "emergency"}
 
-// String is the level's name.
-func (l Level) String() string { return words[l] }
+// String returns the name of the level as used in settings and views.
+func (l Level) String() string { return levelNames[l] }
 
-// Parse is the level of a name.
+// Parse returns the level of the given name; ok is false for an unknown name.
 func Parse(name string) (Level, bool) {
-	n := slices.Index(words[:], name)
-	return Level(max(n, 0)), n >= 0
+	i := slices.Index(levelNames[:], name)
+	return Level(max(i, 0)), i >= 0
 }
 
-// Sensor is one of the things that levels go by. All are shares, from 0 to 1 and above.
+// Sensor is one of the measurements that determine the level. Each is a ratio, which may
+// exceed 1.
 type Sensor int
 
 const (
-	Late    Sensor = iota // attempts whose answer came after the aim, or never
-	Full                  // attempts that servers turned away
-	Held                  // calls held, of the most that may be
-	Lost                  // servers that can't serve, of those listed
-	Memory                // in use, of the limit
-	Sockets               // in use, of the limit
-	Lag                   // by which a timer of a tick was late, of the tick
-	sensors
+	Late    Sensor = iota // attempts answered after the aim or never, of those that ended
+	Full                  // attempts that servers refused, of those that ended
+	Held                  // calls held, of the maximum
+	Lost                  // servers that cannot serve, of those listed
+	Memory                // memory in use, of the limit
+	Sockets               // sockets in use, of the limit
+	Lag                   // delay of the tick timer, in tick intervals
+	sensorCount
 )
 
-var sensorWords = [...]string{"late", "full", "held", "lost", "memory", "sockets", "lag"}
+var sensorNames = [...]string{"late", "full", "held", "lost", "memory", "sockets", "lag"}
 
-// String is the sensor's name.
-func (s Sensor) String() string { return sensorWords[s] }
+// String returns the name of the sensor as used in settings, views and metrics.
+func (s Sensor) String() string { return sensorNames[s] }
 
-// Sensors are all of them.
+// Sensors returns all sensors.
 func Sensors() (all []Sensor) {
-	for s := range sensors {
+	for s := range sensorCount {
 		all = append(all, s)
 	}
 	return all
 }
 
-// Class is a class of requests, by its place in the settings.
+// Class is a class of requests. Classes are identified by their index in the settings.
 type Class struct {
 	Name  string
 	Worth float64
 }
 
-// Act is what a level does.
+// Act holds the load reduction measures of one level.
 type Act struct {
 	NoCopies, NoProbes bool
-	RetryWorth         float64   // classes worth less get no retries
-	Cut                []float64 // share of each class that is turned away
+	RetryWorth         float64   // classes of less worth get no retries
+	Cut                []float64 // share of each class that is shed, 0 to 1
 }
 
-// Thresholds are those of one level, by sensor. It is entered where one reaches Enter, and
-// left where all are below Leave. 0: the sensor plays no part.
+// Thresholds holds the thresholds of one level by sensor. The level is entered when any
+// sensor reaches its Enter value, and left when all are below their Leave values. A sensor
+// whose values are 0 has no influence.
 type Thresholds struct {
-	Enter, Leave [sensors]float64
+	Enter, Leave [sensorCount]float64
 }
 
-// Config is what a Machine goes by.
+// Config holds the settings of a Machine.
 type Config struct {
 	Classes    []Class
-	Acts       [levels]Act        // of Normal: nothing
-	At         [levels]Thresholds // of Normal: none
-	EnterAfter time.Duration      // a condition must hold for so long
-	LeaveAfter time.Duration      // and the lack of all for so long
-	Proof      time.Duration      // a level entered again within it holds longer
-	Doublings  int                // at most
-	Slope      float64            // by which what is let in grows in a second on the way out
-	Evidence   float64            // outcomes that Late and Full need to say anything
-	MostWait   time.Duration      // that a client may be told to wait
+	Acts       [levelCount]Act        // the zero value for Normal
+	At         [levelCount]Thresholds // the zero value for Normal
+	EnterAfter time.Duration          // how long a condition must hold before its level is entered
+	LeaveAfter time.Duration          // how long all conditions must be absent before a level is left
+	Proof      time.Duration          // a level entered again within this time after it was left dwells longer
+	Doublings  int                    // maximum number of doublings of the dwell time
+	Slope      float64                // growth factor per second of the admitted rate while a level is left
+	Evidence   float64                // minimum number of outcomes for Late and Full to count
+	MostWait   time.Duration          // maximum wait suggested to a client
 }
 
-// Default is a configuration for some classes: the cheapest is cut first, the dearest
-// never.
+// Default returns the default configuration for the given classes: the class of least worth
+// is shed first, the class of most worth never.
 func Default(classes []Class) Config {
-	c := Config{Classes: classes, EnterAfter: 500 * time.Millisecond, LeaveAfter: 20 * time.Second, Proof: time.Minute, Doublings: 5, Slope: 1.15, Evidence: 20, MostWait: 2 * time.Second}
-	cheapest, dearest := math.Inf(1), 0.0
-	for _, k := range classes {
-		cheapest, dearest = min(cheapest, k.Worth), max(dearest, k.Worth)
+	cfg := Config{Classes: classes, EnterAfter: 500 * time.Millisecond, LeaveAfter: 20 * time.Second, Proof: time.Minute, Doublings: 5, Slope: 1.15, Evidence: 20, MostWait: 2 * time.Second}
+	minWorth, maxWorth := math.Inf(1), 0.0
+	for _, class := range classes {
+		minWorth, maxWorth = min(minWorth, class.Worth), max(maxWorth, class.Worth)
 	}
-	for l := Normal; l < levels; l++ {
-		a := &c.Acts[l]
-		a.Cut = make([]float64, len(classes))
+	for l := Normal; l < levelCount; l++ {
+		act := &cfg.Acts[l]
+		act.Cut = make([]float64, len(classes))
 		if l == Normal {
 			continue
 		}
-		a.NoCopies, a.NoProbes, a.RetryWorth = true, true, dearest
-		for n, k := range classes {
+		act.NoCopies, act.NoProbes, act.RetryWorth = true, true, maxWorth
+		for i, class := range classes {
 			switch {
-			case k.Worth == dearest: // also where all are worth the same
-			case k.Worth == cheapest:
-				a.Cut[n] = [levels]float64{0, 0, 0.5, 1, 1}[l]
+			case class.Worth == maxWorth: // also when all classes have equal worth
+			case class.Worth == minWorth:
+				act.Cut[i] = [levelCount]float64{0, 0, 0.5, 1, 1}[l]
 			default:
-				a.Cut[n] = [levels]float64{0, 0, 0, 0.5, 1}[l]
+				act.Cut[i] = [levelCount]float64{0, 0, 0, 0.5, 1}[l]
 			}
 		}
 	}
-	enter := [levels]map[Sensor]float64{
+	enterAt := [levelCount]map[Sensor]float64{
 		Saving:    {Late: 0.15, Full: 0.3, Held: 0.5, Lost: 0.3, Memory: 0.8, Sockets: 0.8, Lag: 0.5},
 		Trimmed:   {Late: 0.3, Full: 0.5, Held: 0.65, Lost: 0.5, Memory: 0.85, Sockets: 0.85, Lag: 1},
 		Essential: {Late: 0.5, Full: 0.7, Held: 0.8, Lost: 0.7, Memory: 0.92, Sockets: 0.92, Lag: 2},
 		Emergency: {Late: 0.75, Full: 0.9, Held: 0.92, Lost: 0.9, Memory: 0.97, Sockets: 0.97, Lag: 4},
 	}
-	for l, at := range enter {
-		for s, x := range at {
-			c.At[l].Enter[s], c.At[l].Leave[s] = x, x*0.6
+	for l, thresholds := range enterAt {
+		for s, threshold := range thresholds {
+			cfg.At[l].Enter[s], cfg.At[l].Leave[s] = threshold, threshold*0.6
 			if s == Memory || s == Sockets {
-				c.At[l].Leave[s] = x - 0.08
+				cfg.At[l].Leave[s] = threshold - 0.08
 			}
 		}
 	}
-	return c
+	return cfg
 }
 
-// Validate says all that can't be used, each by its field.
+// Validate returns the joined errors of all invalid fields, each with the name of its setting.
 func (c *Config) Validate() error {
-	var bad []error
-	need := func(ok bool, field, want string) {
-		if !ok {
-			bad = append(bad, fmt.Errorf("level: %s: %s", field, want))
+	var errs []error
+	require := func(valid bool, field, want string) {
+		if !valid {
+			errs = append(errs, fmt.Errorf("level: %s: %s", field, want))
 		}
 	}
-	need(len(c.Classes) > 0, "classes", "there must be one")
-	need(c.EnterAfter >= 0 && c.EnterAfter < c.LeaveAfter, "leave_after", "must be above enter_after: entering is faster than leaving")
-	need(c.Proof >= c.LeaveAfter, "proof", "must be leave_after or more")
-	need(c.Doublings >= 0 && c.Doublings <= 10, "doublings", "must be within 0 and 10")
-	need(c.Slope > 1 && c.Slope <= 4, "slope", "must be above 1, 4 at most")
-	need(c.Evidence >= 1, "evidence", "must be 1 or more")
-	need(c.MostWait > 0, "most_wait", "must be above 0")
-	dearest := 0
-	for n, k := range c.Classes {
-		if k.Worth > c.Classes[dearest].Worth {
-			dearest = n
+	require(len(c.Classes) > 0, "classes", "there must be one")
+	require(c.EnterAfter >= 0 && c.EnterAfter < c.LeaveAfter, "leave_after", "must be above enter_after: entering is faster than leaving")
+	require(c.Proof >= c.LeaveAfter, "proof", "must be leave_after or more")
+	require(c.Doublings >= 0 && c.Doublings <= 10, "doublings", "must be within 0 and 10")
+	require(c.Slope > 1 && c.Slope <= 4, "slope", "must be above 1, 4 at most")
+	require(c.Evidence >= 1, "evidence", "must be 1 or more")
+	require(c.MostWait > 0, "most_wait", "must be above 0")
+	mostWorth := 0
+	for i, class := range c.Classes {
+		if class.Worth > c.Classes[mostWorth].Worth {
+			mostWorth = i
 		}
 	}
-	for l := Saving; l < levels; l++ {
-		at := l.String() + "."
-		a, below := &c.Acts[l], &c.Acts[l-1]
-		need(len(a.Cut) == len(c.Classes), at+"cut", "must name the platform's classes")
-		if len(a.Cut) != len(c.Classes) || len(below.Cut) != len(c.Classes) {
+	for l := Saving; l < levelCount; l++ {
+		prefix := l.String() + "."
+		act, below := &c.Acts[l], &c.Acts[l-1]
+		require(len(act.Cut) == len(c.Classes), prefix+"cut", "must name the platform's classes")
+		if len(act.Cut) != len(c.Classes) || len(below.Cut) != len(c.Classes) {
 			continue
 		}
-		need((a.NoCopies || !below.NoCopies) && (a.NoProbes || !below.NoProbes) && a.RetryWorth >= below.RetryWorth, at+"no_copies", ", no_probes and retry_worth must do what "+below.name(l-1)+" does, or more")
-		for n, k := range c.Classes {
-			need(a.Cut[n] >= 0 && a.Cut[n] <= 1, at+"cut."+k.Name, "must be within 0 and 1")
-			need(a.Cut[n] >= below.Cut[n], at+"cut."+k.Name, "must be what "+below.name(l-1)+" cuts, or more")
-			need(a.Cut[n] >= a.Cut[dearest], at+"cut."+c.Classes[dearest].Name, "must not be above that of a cheaper class")
+		require((act.NoCopies || !below.NoCopies) && (act.NoProbes || !below.NoProbes) && act.RetryWorth >= below.RetryWorth, prefix+"no_copies", ", no_probes and retry_worth must do what "+below.levelName(l-1)+" does, or more")
+		for i, class := range c.Classes {
+			require(act.Cut[i] >= 0 && act.Cut[i] <= 1, prefix+"cut."+class.Name, "must be within 0 and 1")
+			require(act.Cut[i] >= below.Cut[i], prefix+"cut."+class.Name, "must be what "+below.levelName(l-1)+" cuts, or more")
+			require(act.Cut[i] >= act.Cut[mostWorth], prefix+"cut."+c.Classes[mostWorth].Name, "must not be above that of a cheaper class")
 		}
-		for s := range sensors {
-			e, v := c.At[l].Enter[s], c.At[l].Leave[s]
-			need(e >= 0 && v >= 0 && !math.IsInf(e, 0), at+"enter."+s.String(), "must be 0 or more")
-			need(e == 0 && v == 0 || v < e && v > 0, at+"leave."+s.String(), "must be above 0 and below enter: leaving is stricter")
-			if l > Saving && e > 0 && c.At[l-1].Enter[s] > 0 {
-				need(e >= c.At[l-1].Enter[s] && v >= c.At[l-1].Leave[s], at+"enter."+s.String(), "must be that of "+(l-1).String()+", or more")
+		for s := range sensorCount {
+			enter, leave := c.At[l].Enter[s], c.At[l].Leave[s]
+			require(enter >= 0 && leave >= 0 && !math.IsInf(enter, 0), prefix+"enter."+s.String(), "must be 0 or more")
+			require(enter == 0 && leave == 0 || leave < enter && leave > 0, prefix+"leave."+s.String(), "must be above 0 and below enter: leaving is stricter")
+			if l > Saving && enter > 0 && c.At[l-1].Enter[s] > 0 {
+				require(enter >= c.At[l-1].Enter[s] && leave >= c.At[l-1].Leave[s], prefix+"enter."+s.String(), "must be that of "+(l-1).String()+", or more")
 			}
 		}
 	}
-	return errors.Join(bad...)
+	return errors.Join(errs...)
 }
 
-func (*Act) name(l Level) string { return l.String() }
-
-// ChangesPerHour bounds how often the level changes in an hour, whatever the sensors say:
-// each way down takes LeaveAfter a step at the least, and each way back up that comes
-// within the proof doubles it.
-func (c *Config) ChangesPerHour() int {
-	// One step out and in again, the fastest that can go on: it holds for LeaveAfter, and
-	// outlives the proof so that it does not hold longer the next time; or it doubles.
-	steady := time.Hour / (c.LeaveAfter + c.Proof)
-	doubled := time.Duration(c.Doublings) + time.Hour/(c.LeaveAfter<<c.Doublings)
-	return 2 * int(levels-1) * int(max(steady, doubled)+1)
+func (*Act) levelName(l Level) string { return l.String() }
+
+// MaxChangesPerHour returns an upper bound on the level changes in an hour for any sensor
+// readings: each step down takes at least LeaveAfter, and each step back up within the proof
+// time doubles that.
+func (c *Config) MaxChangesPerHour() int {
+	// There are two fastest ways to leave a level and enter it again: wait until the proof
+	// time is over each time, so that the dwell time stays at LeaveAfter, or come back sooner
+	// and double the dwell time until the maximum number of doublings.
+	steadyCycles := time.Hour / (c.LeaveAfter + c.Proof)
+	doubledCycles := time.Duration(c.Doublings) + time.Hour/(c.LeaveAfter<<c.Doublings)
+	return 2 * int(levelCount-1) * int(max(steadyCycles, doubledCycles)+1)
 }
--- a/internal/level/lab_test.go
+++ b/internal/level/lab_test.go
@@ -16,22 +16,22 @@
 	"chalkrack/internal/racing"
 )
 
-// played is what a fleet served under a load, with levels or with the module's own
-// shedding alone.
-type played struct {
-	worth   float64
-	late    int
-	refused [3]int
-	changes int
-	lab     *lab.Lab
-	cars    []*Machine
-	levels  []float64 // in the mean, by second
+// simulation holds the results of a simulated fleet under load, with levels or with only the
+// balancer's own shedding.
+type simulation struct {
+	worth      float64
+	lateCalls  int
+	refused    [3]int
+	changes    int
+	lab        *lab.Lab
+	machines   []*Machine
+	meanLevels []float64 // mean level by second
 }
 
-const minutes = 2
+const simulatedMinutes = 2
 
-// play has 40 sidecars, 13 of them quiet, before 12 nodes of two kinds.
-func play(t testing.TB, seed uint64, reduced bool, load func(time.Duration) float64, change func(*lab.Config)) played {
+// simulate simulates 40 sidecars, 14 of them with little traffic, and 12 servers of two speeds.
+func simulate(t testing.TB, seed uint64, withLevels bool, load func(time.Duration) float64, change func(*lab.Config)) simulation {
 	t.Helper()
 	cfg := lab.Config{Seed: seed, Sidecars: 40, Wait: 2500 * time.Millisecond, Tries: 2, Honour: 0.8,
 		Rules: chalkrack.Config{MaxAttempts: 5, SecondCopies: true, MaxRetryAfter: 2 * time.Second, WasteCost: 0.002},
@@ -47,26 +47,26 @@
 		capacity += 2 * speed
 	}
 	cfg.Rate = func(at time.Duration) float64 { return load(at) * capacity / 0.13 }
-	cfg.Share = func(n int) float64 { // every third is quiet
+	cfg.Share = func(n int) float64 { // every third has little traffic
 		if n%3 == 0 {
 			return 0.1 / 14
 		}
 		return 0.9 / 26
 	}
-	var p played
-	if reduced {
+	var result simulation
+	if withLevels {
 		cfg.Begin = func(s *lab.Sidecar) {
-			m := made(t, nil)
-			p.cars = append(p.cars, m)
-			s.SetGate(m)
+			machine := newTestMachine(t, nil)
+			result.machines = append(result.machines, machine)
+			s.SetGate(machine)
 			var ended, late, full float64
 			s.Lab.Every(100*time.Millisecond, func() {
-				const fade = 0.98 // five seconds
+				const fade = 0.98 // a time constant of five seconds
 				ended, late, full = ended*fade+s.Ended, late*fade+s.Late, full*fade+s.Full
 				s.Ended, s.Late, s.Full = 0, 0, 0
 				r := Reading{Outcomes: ended}
 				r.Value[Late], r.Value[Full] = late/max(ended, 1), full/max(ended, 1)
-				m.Tick(s.Lab.Now, r)
+				machine.Tick(s.Lab.Now, r)
 			})
 		}
 	}
@@ -79,59 +79,59 @@
 	}
 	l.Every(time.Second, func() {
 		sum := 0.0
-		for _, m := range p.cars {
-			sum += float64(m.Level()) / float64(len(p.cars))
+		for _, machine := range result.machines {
+			sum += float64(machine.Level()) / float64(len(result.machines))
 		}
-		p.levels = append(p.levels, sum)
+		result.meanLevels = append(result.meanLevels, sum)
 	})
-	l.Run(minutes * time.Minute)
-	p.lab, p.worth = l, l.Worth(5, 60*minutes-5)
+	l.Run(simulatedMinutes * time.Minute)
+	result.lab, result.worth = l, l.Worth(5, 60*simulatedMinutes-5)
 	for _, s := range l.Seconds {
-		p.late += s.Late
+		result.lateCalls += s.Late
 		for c, n := range s.Refused {
-			p.refused[c] += n
+			result.refused[c] += n
 		}
 	}
-	for _, m := range p.cars {
-		p.changes += m.count
+	for _, machine := range result.machines {
+		result.changes += machine.changeCount
 	}
-	return p
+	return result
 }
 
-// Against the module's own shedding on the same load, from under to far over what the
-// fleet can do: worth served in time is no lower with levels, but for what the settings
-// lose since shedding alone does better (1.1 % at a load of 1.2: see docs/ROADMAP.md).
-func TestWorth(t *testing.T) {
+// At loads from below to far above the capacity of the fleet, the worth served in time is
+// not lower with levels than with only the balancer's own shedding, except for a small loss
+// where shedding alone does better (1.1 % at a load of 1.2: see docs/ROADMAP.md).
+func TestLevelsKeepWorthUnderOverload(t *testing.T) {
 	seeds := uint64(2)
 	loads := []float64{0.8, 1, 1.2, 1.5, 2, 3}
 	if testing.Short() || racing.On {
 		seeds, loads = 1, []float64{0.8, 1.5}
 	}
 	for _, x := range loads {
-		var sum [2]played
+		var sum [2]simulation
 		for seed := range seeds {
 			for n := range sum {
-				p := play(t, seed, n == 1, func(time.Duration) float64 { return x }, nil)
-				sum[n].worth += p.worth / float64(seeds)
-				sum[n].late += p.late
-				sum[n].changes += p.changes
-				for c := range p.refused {
-					sum[n].refused[c] += p.refused[c]
+				result := simulate(t, seed, n == 1, func(time.Duration) float64 { return x }, nil)
+				sum[n].worth += result.worth / float64(seeds)
+				sum[n].lateCalls += result.lateCalls
+				sum[n].changes += result.changes
+				for c := range result.refused {
+					sum[n].refused[c] += result.refused[c]
 				}
 			}
 		}
-		t.Logf("load %.1f: worth %.4f with shedding alone, %.4f with levels; late %d, %d; refused %v, %v; %.1f changes a sidecar",
-			x, sum[0].worth, sum[1].worth, sum[0].late, sum[1].late, sum[0].refused, sum[1].refused, float64(sum[1].changes)/40/float64(seeds))
+		t.Logf("load %.1f: worth %.4f with shedding alone, %.4f with levels; late %d, %d; refused %v, %v; %.1f level changes per sidecar",
+			x, sum[0].worth, sum[1].worth, sum[0].lateCalls, sum[1].lateCalls, sum[0].refused, sum[1].refused, float64(sum[1].changes)/40/float64(seeds))
 		if sum[1].worth < sum[0].worth-0.015 {
-			t.Errorf("load %v: worth %v with levels, %v without", x, sum[1].worth, sum[0].worth)
+			t.Errorf("load %v: worth %v with levels, %v without, want at most 0.015 less", x, sum[1].worth, sum[0].worth)
 		}
 	}
 }
 
-// Leaving releases no burst: whatever clients do that were turned away, what is sent to
-// servers in a second stays under a stated multiple of the second before.
-func TestLeaving(t *testing.T) {
-	const most = 1.6
+// Leaving a level causes no burst: however shed clients come back, the number of attempts
+// sent to servers in a second stays below a multiple of that in the second before.
+func TestLeavingLevelCausesNoBurst(t *testing.T) {
+	const maxGrowth = 1.6
 	surge := func(at time.Duration) float64 {
 		if at > 20*time.Second && at < 50*time.Second {
 			return 2.5
@@ -146,31 +146,31 @@
 		{"clients come when they like", func(c *lab.Config) { c.Honour = 0 }},
 		{"clients come all in step", func(c *lab.Config) { c.Honour, c.InStep = 0, true }},
 	} {
-		p := play(t, 5, true, surge, c.change)
+		result := simulate(t, 5, true, surge, c.change)
 		worst := 0.0
-		for s := 52; s < len(p.lab.Seconds)-1; s++ { // on the way out
-			now, was := float64(p.lab.Seconds[s].Sent), float64(p.lab.Seconds[s-1].Sent)
-			worst = max(worst, now/max(was, 1))
+		for s := 52; s < len(result.lab.Seconds)-1; s++ { // while levels are left
+			now, before := float64(result.lab.Seconds[s].Sent), float64(result.lab.Seconds[s-1].Sent)
+			worst = max(worst, now/max(before, 1))
 		}
-		left := 0
-		for _, m := range p.cars {
+		recovered := 0
+		for _, m := range result.machines {
 			if m.Level() == Normal {
-				left++
+				recovered++
 			}
 		}
-		t.Logf("%s: sent in a second at the most %.2f of the second before, on the way out; %d of 40 back at normal, %d changes", c.name, worst, left, p.changes)
-		if worst > most {
-			t.Errorf("%s: %.2f times what was sent in the second before, %v at the most", c.name, worst, most)
+		t.Logf("%s: while levels are left, a second has at most %.2f times the attempts of the second before; %d of 40 sidecars back at normal, %d level changes", c.name, worst, recovered, result.changes)
+		if worst > maxGrowth {
+			t.Errorf("%s: %.2f times the attempts of the second before, want at most %v", c.name, worst, maxGrowth)
 		}
-		if left < 35 {
-			t.Errorf("%s: %d of 40 back at normal", c.name, left)
+		if recovered < 35 {
+			t.Errorf("%s: %d of 40 sidecars back at normal, want 35 or more", c.name, recovered)
 		}
 	}
 }
 
-// Whatever befalls all servers at once, the levels come back to normal, and what is dear is
-// served before what is cheap meanwhile.
-func TestCommonCauses(t *testing.T) {
+// After a failure that affects all servers at once, the levels return to normal; during it,
+// classes of more worth are served before classes of less worth.
+func TestRecoveryAfterFleetWideFailure(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		begin func(*lab.Lab)
@@ -199,7 +199,7 @@
 			}
 		}},
 	} {
-		p := play(t, 3, true, func(time.Duration) float64 { return 0.7 }, func(cfg *lab.Config) {
+		result := simulate(t, 3, true, func(time.Duration) float64 { return 0.7 }, func(cfg *lab.Config) {
 			begin := cfg.Begin
 			cfg.Begin = func(s *lab.Sidecar) {
 				begin(s)
@@ -209,29 +209,30 @@
 				}
 			}
 		})
-		back := 0
-		for _, m := range p.cars {
+		recovered := 0
+		for _, m := range result.machines {
 			if m.Level() == Normal {
-				back++
+				recovered++
 			}
 		}
 		var asked, served [3]float64
 		for s := 15; s < 40; s++ {
 			for k := range asked {
-				asked[k] += p.lab.Seconds[s].Asked[k]
-				served[k] += p.lab.Seconds[s].Served[k]
+				asked[k] += result.lab.Seconds[s].Asked[k]
+				served[k] += result.lab.Seconds[s].Served[k]
 			}
 		}
-		t.Logf("%s: %.3f, %.3f, %.3f of the classes served meanwhile, %.3f of the worth afterwards; %d of 40 back at normal", c.name,
-			served[0]/asked[0], served[1]/asked[1], served[2]/asked[2], p.lab.Worth(80, 115), back)
-		if back < 38 || p.lab.Worth(80, 115) < 0.98 || served[2]/asked[2] < served[0]/asked[0] {
-			t.Errorf("%s: not as it should be", c.name)
+		t.Logf("%s: %.3f, %.3f, %.3f of the classes served during the failure, %.3f of the worth afterwards; %d of 40 sidecars back at normal", c.name,
+			served[0]/asked[0], served[1]/asked[1], served[2]/asked[2], result.lab.Worth(80, 115), recovered)
+		if recovered < 38 || result.lab.Worth(80, 115) < 0.98 || served[2]/asked[2] < served[0]/asked[0] {
+			t.Errorf("%s: want 38 of 40 sidecars back at normal, 0.98 of the worth afterwards, and the class of most worth served no less than that of least", c.name)
 		}
 	}
 }
 
-// FAWN_FIGURE=FILE.svg draws the load, the mean level and the worth served of a surge.
-func TestFigure(t *testing.T) {
+// TestPlotSurge plots the load, the mean level and the worth served during a surge to the file
+// named by FAWN_FIGURE, and is skipped when that is not set.
+func TestPlotSurge(t *testing.T) {
 	path := os.Getenv("FAWN_FIGURE")
 	if path == "" {
 		t.Skip("FAWN_FIGURE is not set")
@@ -239,25 +240,25 @@
 	surge := func(at time.Duration) float64 {
 		return 0.6 + 1.9*math.Pow(math.Sin(math.Pi*min(1, max(0, (at.Seconds()-15)/50))), 2)
 	}
-	p := play(t, 1, true, surge, nil)
-	alone := play(t, 1, false, surge, nil)
+	withLevels := simulate(t, 1, true, surge, nil)
+	withoutLevels := simulate(t, 1, false, surge, nil)
 	var load, levels, worth, without plotter.XYs
-	for s, l := range p.levels {
+	for s, l := range withLevels.meanLevels {
 		levels = append(levels, plotter.XY{X: float64(s), Y: l})
 	}
-	for s := 3; s < len(p.lab.Seconds)-3; s++ {
+	for s := 3; s < len(withLevels.lab.Seconds)-3; s++ {
 		load = append(load, plotter.XY{X: float64(s), Y: surge(time.Duration(s) * time.Second)})
-		worth = append(worth, plotter.XY{X: float64(s), Y: p.lab.Worth(s-2, s+3)})
-		without = append(without, plotter.XY{X: float64(s), Y: alone.lab.Worth(s-2, s+3)})
+		worth = append(worth, plotter.XY{X: float64(s), Y: withLevels.lab.Worth(s-2, s+3)})
+		without = append(without, plotter.XY{X: float64(s), Y: withoutLevels.lab.Worth(s-2, s+3)})
 	}
-	pl := plot.New()
-	pl.Title.Text = "a surge: load of the capacity, level in the mean (0 to 4), worth served in time"
-	pl.X.Label.Text = "seconds"
-	if err := plotutil.AddLines(pl, "load", load, "level", levels, "worth with levels", worth, "worth without", without); err != nil {
+	figure := plot.New()
+	figure.Title.Text = "a surge: load of the capacity, level in the mean (0 to 4), worth served in time"
+	figure.X.Label.Text = "seconds"
+	if err := plotutil.AddLines(figure, "load", load, "level", levels, "worth with levels", worth, "worth without", without); err != nil {
 		t.Fatal(err)
 	}
-	pl.Legend.Top = true
-	if err := pl.Save(700, 320, path); err != nil {
+	figure.Legend.Top = true
+	if err := figure.Save(700, 320, path); err != nil {
 		t.Fatal(err)
 	}
 }
--- a/internal/level/level_test.go
+++ b/internal/level/level_test.go
@@ -12,11 +12,11 @@
 	"chalkrack/internal/racing"
 )
 
-var three = []Class{{"status-check", 1}, {"id-register", 3}, {"activate", 10}}
+var threeClasses = []Class{{"status-check", 1}, {"id-register", 3}, {"activate", 10}}
 
-func made(t testing.TB, change func(*Config)) *Machine {
+func newTestMachine(t testing.TB, change func(*Config)) *Machine {
 	t.Helper()
-	c := Default(three)
+	c := Default(threeClasses)
 	if change != nil {
 		change(&c)
 	}
@@ -27,15 +27,15 @@
 	return m
 }
 
-func late(x float64) Reading {
+func lateReading(x float64) Reading {
 	r := Reading{Outcomes: 1000}
 	r.Value[Late] = x
 	return r
 }
 
-// Relations that would make levels swing, or cut what is dear before what is cheap, are
-// refused by their field.
-func TestValidate(t *testing.T) {
+// Settings that would make levels oscillate, or shed classes of more worth before classes of
+// less worth, are rejected with the name of the field.
+func TestValidateNamesInvalidField(t *testing.T) {
 	for _, c := range []struct {
 		field  string
 		change func(*Config)
@@ -59,18 +59,19 @@
 		{"classes", func(c *Config) { c.Classes = nil }},
 		{"most_wait", func(c *Config) { c.MostWait = 0 }},
 	} {
-		cfg := Default(three)
+		cfg := Default(threeClasses)
 		c.change(&cfg)
 		if err := cfg.Validate(); err == nil || !strings.Contains(err.Error(), "level: "+c.field+":") {
-			t.Errorf("%s: %v", c.field, err)
+			t.Errorf("setting %s: got error %v, want one that names it", c.field, err)
 		}
 	}
 }
 
-// Up at once to the highest, down a step at a time after the dwell; a level entered again
-// within the proof holds twice as long, and one that stays out forgets that.
-func TestUpAndDown(t *testing.T) {
-	m := made(t, func(c *Config) { c.LeaveAfter = 10 * time.Second })
+// Levels go up at once to the highest whose condition holds, and down one step at a time
+// after the dwell time. A level entered again within the proof time dwells twice as long; one
+// that stays left for the proof time returns to the shorter dwell time.
+func TestEntersAtOnceAndLeavesAfterDwellTime(t *testing.T) {
+	m := newTestMachine(t, func(c *Config) { c.LeaveAfter = 10 * time.Second })
 	now := time.Duration(0)
 	run := func(d time.Duration, r Reading) {
 		for end := now + d; now < end; {
@@ -78,57 +79,57 @@
 			m.Tick(now, r)
 		}
 	}
-	run(400*time.Millisecond, late(0.6))
+	run(400*time.Millisecond, lateReading(0.6))
 	if m.Level() != Normal {
-		t.Errorf("%v before the condition has held for long enough", m.Level())
+		t.Errorf("level %v before the condition held for EnterAfter, want normal", m.Level())
 	}
-	run(200*time.Millisecond, late(0.6))
+	run(200*time.Millisecond, lateReading(0.6))
 	if m.Level() != Essential {
-		t.Errorf("%v, want essential at once", m.Level())
+		t.Errorf("level %v after EnterAfter, want essential", m.Level())
 	}
-	run(time.Minute, late(0.4)) // under where it is entered, not under where it is left
+	run(time.Minute, lateReading(0.4)) // below the Enter threshold, above the Leave threshold
 	if m.Level() != Essential {
-		t.Errorf("%v between the thresholds", m.Level())
+		t.Errorf("level %v between the thresholds, want essential", m.Level())
 	}
-	run(9900*time.Millisecond, late(0))
+	run(9900*time.Millisecond, lateReading(0))
 	if m.Level() != Essential {
-		t.Errorf("%v before the dwell is over", m.Level())
+		t.Errorf("level %v before the end of the dwell time, want essential", m.Level())
 	}
-	run(200*time.Millisecond, late(0))
+	run(200*time.Millisecond, lateReading(0))
 	if m.Level() != Trimmed {
-		t.Errorf("%v, want one step down", m.Level())
+		t.Errorf("level %v after the dwell time, want trimmed, one step down", m.Level())
 	}
-	run(time.Second, late(0.6))
+	run(time.Second, lateReading(0.6))
 	if m.Level() != Essential {
-		t.Errorf("%v", m.Level())
+		t.Errorf("level %v, want essential again", m.Level())
 	}
-	run(19*time.Second, late(0))
+	run(19*time.Second, lateReading(0))
 	if m.Level() != Essential {
-		t.Errorf("%v: entered again within the proof, it holds twice as long", m.Level())
+		t.Errorf("level %v, want essential: entered again within the proof time, it must dwell twice as long", m.Level())
 	}
-	run(2*time.Second, late(0))
+	run(2*time.Second, lateReading(0))
 	if m.Level() != Trimmed {
-		t.Errorf("%v", m.Level())
+		t.Errorf("level %v after the doubled dwell time, want trimmed", m.Level())
 	}
-	run(10*time.Minute, late(0))
+	run(10*time.Minute, lateReading(0))
 	if m.Level() != Normal {
-		t.Errorf("%v", m.Level())
+		t.Errorf("level %v after ten calm minutes, want normal", m.Level())
 	}
-	run(time.Second, late(0.6))
-	run(10*time.Second, late(0))
+	run(time.Second, lateReading(0.6))
+	run(10*time.Second, lateReading(0))
 	if m.Level() != Trimmed {
-		t.Errorf("%v: what stayed out through its proof still holds longer", m.Level())
+		t.Errorf("level %v, want trimmed: after a whole proof time the dwell time must not be doubled", m.Level())
 	}
 }
 
-// Too few outcomes, sensors that say nothing and no number move nothing up, and hold
-// nobody down; a clock that jumps proves no calm.
-func TestThin(t *testing.T) {
-	m := made(t, func(c *Config) { c.LeaveAfter = 10 * time.Second })
-	thin := late(1)
+// Readings with too few outcomes, with unknown sensors or with NaN neither raise the level
+// nor keep it raised; a clock that jumps does not complete a dwell time.
+func TestUnusableReadingsDoNotChangeLevel(t *testing.T) {
+	m := newTestMachine(t, func(c *Config) { c.LeaveAfter = 10 * time.Second })
+	thin := lateReading(1)
 	thin.Outcomes = 19
-	bad := late(math.NaN())
-	away := late(1)
+	bad := lateReading(math.NaN())
+	away := lateReading(1)
 	away.Unknown[Late] = true
 	for n, r := range []Reading{thin, bad, away} {
 		for i := range 100 {
@@ -136,55 +137,56 @@
 		}
 	}
 	if m.Level() != Normal {
-		t.Errorf("%v by readings that say nothing", m.Level())
+		t.Errorf("level %v after unusable readings, want normal", m.Level())
 	}
 	now := 40 * time.Second
 	for range 10 {
 		now += 100 * time.Millisecond
-		m.Tick(now, late(0.35))
+		m.Tick(now, lateReading(0.35))
 	}
-	m.Tick(now+time.Hour, late(0))
+	m.Tick(now+time.Hour, lateReading(0))
 	if m.Level() != Trimmed {
-		t.Errorf("%v: a clock that jumped an hour ended the dwell", m.Level())
+		t.Errorf("level %v, want trimmed: a clock jump of an hour must not end the dwell time", m.Level())
 	}
-	m.Tick(now, late(0)) // and back
+	m.Tick(now, lateReading(0)) // the clock jumps back
 	for n := range 200 {
 		m.Tick(now+time.Hour+time.Duration(n)*100*time.Millisecond, thin)
 	}
 	if m.Level() > Saving {
-		t.Errorf("%v: a sidecar with no outcomes never leaves", m.Level())
+		t.Errorf("level %v: a sidecar with no outcomes must be able to leave its level", m.Level())
 	}
 }
 
-// A pin holds whatever the conditions say, which are told meanwhile, and ends by itself.
-func TestPin(t *testing.T) {
-	m := made(t, nil)
-	m.Tick(time.Second, late(0))
+// A pinned level holds regardless of the conditions, which View still reports, and expires
+// by itself.
+func TestPinOverridesConditionsUntilExpiry(t *testing.T) {
+	m := newTestMachine(t, nil)
+	m.Tick(time.Second, lateReading(0))
 	m.Pin(time.Second, Emergency, 11*time.Second)
 	for now := time.Second; now < 10*time.Second; now += 100 * time.Millisecond {
-		m.Tick(now, late(0.2))
+		m.Tick(now, lateReading(0.2))
 	}
 	if v := m.View(); v.Level != "emergency" || v.Free != "saving" || v.Pinned != "emergency" || v.PinLeft <= 0 {
-		t.Errorf("%+v", v)
+		t.Errorf("view with a pin: %+v, want emergency, and saving by the conditions", v)
 	}
 	if !m.Turn(10*time.Second, 0) || m.Turn(10*time.Second, 2) {
-		t.Error("a pinned level does not do what it says")
+		t.Error("a pinned emergency must shed class 0 and admit class 2")
 	}
-	m.Tick(11*time.Second, late(0.2))
+	m.Tick(11*time.Second, lateReading(0.2))
 	if v := m.View(); v.Level != "saving" || v.Pinned != "" {
-		t.Errorf("%+v", v)
+		t.Errorf("view after the pin expired: %+v, want saving, not pinned", v)
 	}
 	m.Pin(12*time.Second, Essential, time.Minute)
 	m.Pin(13*time.Second, Essential, 0)
 	if m.Level() != Saving {
-		t.Errorf("%v after the pin was ended", m.Level())
+		t.Errorf("level %v after the pin was removed, want saving", m.Level())
 	}
 }
 
-// Shares are exact, and what is dearest is never turned away.
-func TestShares(t *testing.T) {
+// Shed shares are exact, and the class of most worth is never shed.
+func TestShedSharesAreExact(t *testing.T) {
 	for l, want := range map[Level][3]int{Normal: {0, 0, 0}, Saving: {0, 0, 0}, Trimmed: {500, 0, 0}, Essential: {1000, 500, 0}, Emergency: {1000, 1000, 0}} {
-		m := made(t, nil)
+		m := newTestMachine(t, nil)
 		m.Pin(0, l, time.Hour)
 		var got [3]int
 		for n := range 3000 {
@@ -193,32 +195,32 @@
 			}
 		}
 		if got != want {
-			t.Errorf("%v turns away %v of 1000 each, want %v", l, got, want)
+			t.Errorf("level %v sheds %v of 1000 calls per class, want %v", l, got, want)
 		}
 		if m.Copies() != (l == Normal) || m.Probes() != (l == Normal) || !m.Retries(2) || m.Retries(0) != (l == Normal) {
-			t.Errorf("%v: %v %v %v %v", l, m.Copies(), m.Probes(), m.Retries(0), m.Retries(2))
+			t.Errorf("level %v: copies %v, probes %v, retries of class 0 %v, of class 2 %v", l, m.Copies(), m.Probes(), m.Retries(0), m.Retries(2))
 		}
 	}
 }
 
-// Whatever the load hovers at, by whatever period, and whatever noise is on it: the level
-// changes no more often than is stated.
-func TestHovers(t *testing.T) {
-	cfg := Default(three)
-	bound := cfg.ChangesPerHour()
+// A sensor that oscillates around a threshold, with any period, amplitude or noise, causes no
+// more level changes than MaxChangesPerHour states.
+func TestChangesPerHourBoundNearThreshold(t *testing.T) {
+	cfg := Default(threeClasses)
+	bound := cfg.MaxChangesPerHour()
 	worst := 0
 	for _, sensor := range []Sensor{Late, Held} {
-		for l := Saving; l < levels; l++ {
+		for l := Saving; l < levelCount; l++ {
 			for n, period := range []time.Duration{0, time.Second, 3 * time.Second, 10 * time.Second, 30 * time.Second, time.Minute, 3 * time.Minute, 10 * time.Minute} {
 				if racing.On && n%3 != 0 {
 					continue
 				}
 				for _, swing := range []float64{0.05, 0.3, 1} {
 					rng := rand.New(rand.NewPCG(uint64(period), uint64(l)))
-					m := made(t, nil)
+					m := newTestMachine(t, nil)
 					at := cfg.At[l].Enter[sensor]
 					for now := time.Duration(0); now < time.Hour; now += 100 * time.Millisecond {
-						x := at * (1 + swing*(rng.Float64()-0.5)) // noise alone
+						x := at * (1 + swing*(rng.Float64()-0.5)) // only noise
 						if period > 0 {
 							x = at * (1 + swing*math.Sin(2*math.Pi*float64(now)/float64(period)))
 						}
@@ -226,44 +228,44 @@
 						r.Value[sensor] = x
 						m.Tick(now, r)
 					}
-					worst = max(worst, m.count)
-					if m.count > bound {
-						t.Errorf("%v at %v, period %v, swing %v: %d changes in an hour, %d at the most", sensor, l, period, swing, m.count, bound)
+					worst = max(worst, m.changeCount)
+					if m.changeCount > bound {
+						t.Errorf("sensor %v around the threshold of %v, period %v, amplitude %v: %d changes in an hour, want at most %d", sensor, l, period, swing, m.changeCount, bound)
 					}
 				}
 			}
 		}
 	}
-	t.Logf("%d changes in an hour at the worst, %d stated", worst, bound)
+	t.Logf("at most %d changes in an hour, bound %d", worst, bound)
 }
 
-// Spikes that are single move nothing; a sensor that is stuck holds a level and does not
-// swing it.
-func TestSpikes(t *testing.T) {
-	m := made(t, nil)
+// Single spikes do not change the level; a sensor that is stuck holds one level without
+// oscillation.
+func TestSpikesAndStuckSensor(t *testing.T) {
+	m := newTestMachine(t, nil)
 	for n := range 36000 {
 		x := 0.0
 		if n%50 == 0 {
 			x = 1
 		}
-		m.Tick(time.Duration(n)*100*time.Millisecond, late(x))
+		m.Tick(time.Duration(n)*100*time.Millisecond, lateReading(x))
 	}
-	if m.count != 0 {
-		t.Errorf("single spikes made %d changes", m.count)
+	if m.changeCount != 0 {
+		t.Errorf("single spikes caused %d level changes, want none", m.changeCount)
 	}
 	for n := range 36000 {
-		m.Tick(time.Hour+time.Duration(n)*100*time.Millisecond, late(0.55))
+		m.Tick(time.Hour+time.Duration(n)*100*time.Millisecond, lateReading(0.55))
 	}
-	if m.count != 1 || m.Level() != Essential {
-		t.Errorf("a stuck sensor made %d changes, to %v", m.count, m.Level())
+	if m.changeCount != 1 || m.Level() != Essential {
+		t.Errorf("a stuck sensor caused %d level changes, to %v, want 1, to essential", m.changeCount, m.Level())
 	}
 }
 
-// For any readings at all: levels stay within their range, each step out is one step and
-// comes after its dwell, and an hour has no more changes than are stated.
-func TestAnyReadings(t *testing.T) {
+// For any readings, each move down is a single step no sooner than LeaveAfter, and an hour
+// has no more changes than MaxChangesPerHour states.
+func TestChangesPerHourBoundForAnyReadings(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		cfg := Default(three)
+		cfg := Default(threeClasses)
 		m, err := New(cfg)
 		if err != nil {
 			t.Fatal(err)
@@ -272,78 +274,78 @@
 		for now < time.Hour {
 			x, d := rapid.Float64Range(0, 1).Draw(t, "late"), time.Duration(rapid.IntRange(1, 900).Draw(t, "for"))*100*time.Millisecond
 			for end := now + d; now < end && now < time.Hour; now += 100 * time.Millisecond {
-				l := m.Tick(now, late(x))
+				l := m.Tick(now, lateReading(x))
 				if l < was && (l != was-1 || now-since < cfg.LeaveAfter) {
-					t.Fatalf("from %v to %v after %v", was, l, now-since)
+					t.Fatalf("level went from %v to %v after %v, want one step, no sooner than LeaveAfter", was, l, now-since)
 				}
 				if l != was {
 					was, since = l, now
 				}
 			}
 		}
-		if m.count > cfg.ChangesPerHour() {
-			t.Fatalf("%d changes in an hour, %d at the most", m.count, cfg.ChangesPerHour())
+		if m.changeCount > cfg.MaxChangesPerHour() {
+			t.Fatalf("%d level changes in an hour, want at most %d", m.changeCount, cfg.MaxChangesPerHour())
 		}
 	})
 }
 
-// On the way out what is let in grows by the slope at the most, however many come and
-// however they come together.
-func TestRamp(t *testing.T) {
+// After a level is left, the admitted arrivals grow by at most the slope per second, whether
+// the clients arrive evenly or all at once.
+func TestRampBoundsAdmittedArrivals(t *testing.T) {
 	for _, inStep := range []bool{false, true} {
-		m := made(t, nil)
+		m := newTestMachine(t, nil)
 		m.Pin(0, Emergency, 20*time.Second)
-		in := make([]int, 120)
-		away := make([]int, 120)
+		admitted := make([]int, 120)
+		shed := make([]int, 120)
 		for ms := range 120000 {
 			now := time.Duration(ms) * time.Millisecond
 			if ms%100 == 0 {
-				m.Tick(now, late(0))
+				m.Tick(now, lateReading(0))
 			}
 			n := 0
 			switch {
-			case !inStep && ms%5 == 0: // 200 a second
+			case !inStep && ms%5 == 0: // 200 per second
 				n = 1
-			case inStep && ms%1000 == 0: // the same at once
+			case inStep && ms%1000 == 0: // the same rate in bursts
 				n = 200
 			}
 			for range n {
 				if m.Turn(now, 0) {
-					away[ms/1000]++
+					shed[ms/1000]++
 				} else {
-					in[ms/1000]++
+					admitted[ms/1000]++
 				}
 			}
 		}
 		full := 0
 		for s := 21; s < 120; s++ {
-			before := max(float64(in[s-1]), 200*rampFrom)
-			if float64(in[s]) > 1.3*before+2 && !inStep {
-				t.Errorf("in step %v: second %d lets %d in after %d", inStep, s, in[s], in[s-1])
+			before := max(float64(admitted[s-1]), 200*minRampShare)
+			if float64(admitted[s]) > 1.3*before+2 && !inStep {
+				t.Errorf("in step %v: second %d admits %d after %d, want a factor of at most 1.3", inStep, s, admitted[s], admitted[s-1])
 			}
-			if in[s] >= 190 && full == 0 {
+			if admitted[s] >= 190 && full == 0 {
 				full = s
 			}
 		}
-		if in[19] != 0 || in[20] > 30 || !inStep && (full == 0 || full > 60) {
-			t.Errorf("in step %v: %v let in", inStep, in)
+		if admitted[19] != 0 || admitted[20] > 30 || !inStep && (full == 0 || full > 60) {
+			t.Errorf("in step %v: admitted by second: %v, want none in second 19, at most 30 in second 20, and all by second 60", inStep, admitted)
 		}
-		if inStep { // a bucket of a quarter second bounds what comes at once
+		if inStep { // a token bucket of a quarter second bounds a burst
 			for s := 20; s < 100; s++ {
-				if limit := 200 * rampFrom * math.Pow(1.15, float64(s-19)) * burst; float64(in[s]) > max(2, limit)+1 && limit < 50 {
-					t.Errorf("second %d lets %d in at once, %.0f at the most", s, in[s], limit)
+				if limit := 200 * minRampShare * math.Pow(1.15, float64(s-19)) * rampBurstSeconds; float64(admitted[s]) > max(2, limit)+1 && limit < 50 {
+					t.Errorf("second %d admits a burst of %d, want at most %.0f", s, admitted[s], limit)
 				}
 			}
 		}
 	}
 }
 
-// Clients that wait as they are told come back spread over the ramp, none later than the
-// most they may be told.
-func TestWait(t *testing.T) {
-	m := made(t, func(c *Config) { c.MostWait, c.LeaveAfter = time.Minute, 10*time.Second })
+// Clients that honour the wait return spread over the ramp, and none is told to wait longer
+// than the maximum.
+func TestWaitsAreSpreadOverRamp(t *testing.T) {
+	m := newTestMachine(t, func(c *Config) { c.MostWait, c.LeaveAfter = time.Minute, 10*time.Second })
 	if w := m.Wait(0, 0.5); w != 0 {
-		t.Errorf("%v at normal", w)
+		t.Errorf("wait %v at normal, want 0", w)
 	}
 	m.Pin(0, Emergency, time.Hour)
 	least, most := time.Hour, time.Duration(0)
@@ -352,21 +354,21 @@
 		least, most = min(least, w), max(most, w)
 	}
 	if least > 12*time.Second || most < 2*least || most > time.Minute {
-		t.Errorf("from %v to %v", least, most)
+		t.Errorf("waits from %v to %v, want at most 12s for the shortest, twice that or more and at most 1m for the longest", least, most)
 	}
 	if w := m.Wait(2, 0.5); w != 0 {
-		t.Errorf("%v for a class that is not cut", w)
+		t.Errorf("wait %v for a class that is not shed, want 0", w)
 	}
 }
 
-// Calm that is broken off begins anew: two halves of a dwell are none.
-func TestBrokenCalm(t *testing.T) {
-	m := made(t, func(c *Config) { c.LeaveAfter = 10 * time.Second })
+// An interrupted dwell time starts again: two halves do not add up to a whole one.
+func TestInterruptedDwellTimeRestarts(t *testing.T) {
+	m := newTestMachine(t, func(c *Config) { c.LeaveAfter = 10 * time.Second })
 	now := time.Duration(0)
 	run := func(d time.Duration, x float64) {
 		for end := now + d; now < end; {
 			now += 100 * time.Millisecond
-			m.Tick(now, late(x))
+			m.Tick(now, lateReading(x))
 		}
 	}
 	run(time.Second, 0.35)
@@ -375,6 +377,6 @@
 		run(200*time.Millisecond, 0.2)
 	}
 	if m.Level() != Trimmed {
-		t.Errorf("%v", m.Level())
+		t.Errorf("level %v after interrupted dwell times, want trimmed", m.Level())
 	}
 }
--- a/internal/level/machine.go
+++ b/internal/level/machine.go
@@ -7,320 +7,327 @@
 )
 
 const (
-	// changesKept are those that operators are shown.
-	changesKept = 16
-	// arrivalMemory is how fast a class's rate of arrivals fades.
-	arrivalMemory = 5 * time.Second
-	// rampFrom is the least that a ramp begins with, of what arrives.
-	rampFrom = 0.05
-	// burst is what a ramp may let in at once, in seconds of its rate.
-	burst = 0.25
-	// gapMost is the time that counts as passed between two events at the most: a clock
-	// that jumps proves nothing.
-	gapMost = 2 * time.Second
+	// maxRecentChanges is the number of latest changes that View returns.
+	maxRecentChanges = 16
+	// arrivalDecayTime is the time constant of the exponential decay of arrival counts.
+	arrivalDecayTime = 5 * time.Second
+	// minRampShare is the minimum share of the arrival rate that a ramp starts with.
+	minRampShare = 0.05
+	// rampBurstSeconds is the size of a ramp's token bucket, in seconds of the ramp's rate.
+	rampBurstSeconds = 0.25
+	// maxElapsed caps the time counted between two events, so that a clock that jumps does not
+	// complete a dwell time.
+	maxElapsed = 2 * time.Second
 )
 
-// Reading is what the sensors say.
+// Reading holds one sample of all sensors.
 type Reading struct {
-	Value [sensors]float64
-	// Outcomes is how many there were behind Late and Full; too few say nothing.
+	Value [sensorCount]float64
+	// Outcomes is the number of attempts behind Late and Full, which are ignored when it is
+	// below Config.Evidence.
 	Outcomes float64
-	// Unknown sensors say nothing.
-	Unknown [sensors]bool
+	// Unknown marks sensors without a value, which are ignored.
+	Unknown [sensorCount]bool
 }
 
-// Change is one change of level.
+// Change records one change of level.
 type Change struct {
-	At   time.Duration `json:"at_ns"` // by the Machine's clock
+	At   time.Duration `json:"at_ns"` // on the Machine's clock
 	From string        `json:"from"`
 	To   string        `json:"to"`
 	Why  string        `json:"why"`
 }
 
-// Pin holds a level by hand.
+// pin is a level that an operator has fixed for a limited time.
 type pin struct {
-	on    bool
-	level Level
-	until time.Duration
+	active bool
+	level  Level
+	until  time.Duration
 }
 
-// ramp is a class's way back: what may be let in, by a rate that grows.
+// ramp limits the arrivals of a class after its shed share went down: a token bucket whose
+// rate grows.
 type ramp struct {
-	on     bool
-	rate   float64 // a second
-	at     time.Duration
-	room   float64 // of a bucket, filled last when
-	filled time.Duration
+	active     bool
+	rate       float64 // calls per second at startedAt
+	startedAt  time.Duration
+	tokens     float64
+	refilledAt time.Duration // when tokens were last added
 }
 
-// Machine has the level of one sidecar. One owner calls its methods in turn. A time that
-// goes back counts as none passing.
+// Machine computes the level of one sidecar. It is not safe for concurrent use. A time
+// before that of an earlier call counts as no time passing.
 type Machine struct {
-	cfg   Config
-	now   time.Duration
-	began time.Duration // the first Tick
-	free  Level         // by the conditions
-	pin   pin
+	cfg            Config
+	now            time.Duration
+	firstTick      time.Duration // the time of the first Tick
+	conditionLevel Level         // the level by the conditions, regardless of a pin
+	pin            pin
 
-	ticked  time.Duration // the last Tick
-	highFor [levels]time.Duration
-	calmFor time.Duration
-	left    [levels]time.Duration // when each was left last; 0: never
-	doubled [levels]int
-	last    Reading
-	changes []Change
-	count   int
+	lastTick      time.Duration             // the time of the last Tick
+	highFor       [levelCount]time.Duration // how long the condition of each level has held
+	calmFor       time.Duration             // how long all conditions have been absent
+	leftAt        [levelCount]time.Duration // when each level was last left; 0: never
+	doublings     [levelCount]int           // of the dwell time of each level
+	lastReading   Reading
+	recentChanges []Change
+	changeCount   int
 
-	rates []float64 // of arrivals by class
-	seen  []time.Duration
-	acc   []float64 // what is left of cut shares
-	ramps []ramp
-	turns []uint64 // turned away by class
+	arrivals    []float64 // arrivals by class, decayed to arrivalsAt
+	arrivalsAt  []time.Duration
+	admitCredit []float64 // fraction of a call carried over when a share of a class is shed
+	ramps       []ramp
+	shedCounts  []uint64 // calls shed by class
 }
 
-// New returns a Machine at Normal.
+// New returns a Machine at Normal, or the error of Config.Validate.
 func New(cfg Config) (*Machine, error) {
 	if err := cfg.Validate(); err != nil {
 		return nil, err
 	}
-	n := len(cfg.Classes)
-	return &Machine{cfg: cfg, rates: make([]float64, n), seen: make([]time.Duration, n), acc: make([]float64, n), ramps: make([]ramp, n), turns: make([]uint64, n)}, nil
+	classCount := len(cfg.Classes)
+	return &Machine{cfg: cfg, arrivals: make([]float64, classCount), arrivalsAt: make([]time.Duration, classCount), admitCredit: make([]float64, classCount), ramps: make([]ramp, classCount), shedCounts: make([]uint64, classCount)}, nil
 }
 
-// Level is the one in force: the pinned one, or the conditions'.
+// Level returns the level in force: the pinned one, or else the one by the conditions.
 func (m *Machine) Level() Level {
-	if m.pin.on && m.now < m.pin.until {
+	if m.pin.active && m.now < m.pin.until {
 		return m.pin.level
 	}
-	return m.free
+	return m.conditionLevel
 }
 
-// step moves the Machine's clock.
-func (m *Machine) step(now time.Duration) { m.now = max(m.now, now) }
+// advance moves the Machine's clock to now, unless it is ahead.
+func (m *Machine) advance(now time.Duration) { m.now = max(m.now, now) }
 
-// since is how much passed on the Machine's clock since a time, which it moves on. Each
-// user of time has one of its own: arrivals between two Ticks take nothing from them.
-func (m *Machine) since(at *time.Duration) time.Duration {
-	d := min(m.now-*at, gapMost)
+// elapsed returns the time elapsed on the Machine's clock since *at, at most maxElapsed, and sets
+// *at to the current time. Each caller keeps its own *at, so that arrivals between two calls
+// of Tick do not shorten the time that Tick counts.
+func (m *Machine) elapsed(at *time.Duration) time.Duration {
+	d := min(m.now-*at, maxElapsed)
 	*at = m.now
 	return d
 }
 
-// Pin holds a level until a time, or ends that where until has passed.
+// Pin fixes the level at l until the given time. An until that is not in the future removes
+// the pin.
 func (m *Machine) Pin(now time.Duration, l Level, until time.Duration) {
-	was := m.Level()
-	m.step(now)
-	m.pin = pin{on: until > m.now, level: l, until: until}
-	m.moved(was, m.Level(), "pinned by hand")
+	previous := m.Level()
+	m.advance(now)
+	m.pin = pin{active: until > m.now, level: l, until: until}
+	m.recordChange(previous, m.Level(), "pinned by hand")
 }
 
-// usable says whether a sensor's reading counts.
-func (m *Machine) usable(r *Reading, s Sensor) bool {
+// isUsable reports whether the reading of a sensor counts.
+func (m *Machine) isUsable(r *Reading, s Sensor) bool {
 	if r.Unknown[s] || math.IsNaN(r.Value[s]) {
 		return false
 	}
 	return s != Late && s != Full || r.Outcomes >= m.cfg.Evidence
 }
 
-// reached is the first sensor at which a level is entered; ok is false for none.
-func (m *Machine) reached(l Level, r *Reading) (Sensor, bool) {
-	for s := range sensors {
-		if e := m.cfg.At[l].Enter[s]; e > 0 && m.usable(r, s) && r.Value[s] >= e {
+// reachedSensor returns the first sensor that has reached the Enter threshold of l, and whether
+// there is one.
+func (m *Machine) reachedSensor(l Level, r *Reading) (Sensor, bool) {
+	for s := range sensorCount {
+		if enter := m.cfg.At[l].Enter[s]; enter > 0 && m.isUsable(r, s) && r.Value[s] >= enter {
 			return s, true
 		}
 	}
 	return 0, false
 }
 
-// calm says whether all sensors are below where a level is left. One that says nothing
-// holds nobody: a sidecar that turns everything away has no outcomes.
-func (m *Machine) calm(l Level, r *Reading) bool {
-	for s := range sensors {
-		if v := m.cfg.At[l].Leave[s]; v > 0 && m.usable(r, s) && r.Value[s] >= v {
+// isCalm reports whether all usable sensors are below the Leave thresholds of l. Unusable ones
+// are ignored, since a sidecar that sheds everything has no outcomes and could never leave.
+func (m *Machine) isCalm(l Level, r *Reading) bool {
+	for s := range sensorCount {
+		if leave := m.cfg.At[l].Leave[s]; leave > 0 && m.isUsable(r, s) && r.Value[s] >= leave {
 			return false
 		}
 	}
 	return true
 }
 
-// hold is how long the lack of all conditions must last before a level is left.
-func (m *Machine) hold(l Level) time.Duration { return m.cfg.LeaveAfter << m.doubled[l] }
+// dwellTime returns how long all conditions must be absent before l is left.
+func (m *Machine) dwellTime(l Level) time.Duration { return m.cfg.LeaveAfter << m.doublings[l] }
 
-// Tick takes a reading and returns the level in force.
+// Tick processes a reading and returns the level in force.
 func (m *Machine) Tick(now time.Duration, r Reading) Level {
-	was := m.Level()
-	m.step(now)
-	if m.began == 0 {
-		m.began, m.ticked = m.now, m.now
+	previous := m.Level()
+	m.advance(now)
+	if m.firstTick == 0 {
+		m.firstTick, m.lastTick = m.now, m.now
 	}
-	passed := m.since(&m.ticked)
-	m.last = r
-	why := ""
-	// Up: the highest whose condition has held for long enough, at once.
-	up := m.free
-	for l := m.free + 1; l < levels; l++ {
-		s, on := m.reached(l, &r)
-		if !on {
+	passed := m.elapsed(&m.lastTick)
+	m.lastReading = r
+	reason := ""
+	// Move up at once to the highest level whose condition has held for EnterAfter.
+	highest := m.conditionLevel
+	for l := m.conditionLevel + 1; l < levelCount; l++ {
+		s, isReached := m.reachedSensor(l, &r)
+		if !isReached {
 			m.highFor[l] = 0
 			continue
 		}
 		m.highFor[l] += passed
 		if m.highFor[l] >= m.cfg.EnterAfter {
-			up, why = l, fmt.Sprintf("%v is %.2f, %.2f or more", s, r.Value[s], m.cfg.At[l].Enter[s])
+			highest, reason = l, fmt.Sprintf("%v is %.2f, %.2f or more", s, r.Value[s], m.cfg.At[l].Enter[s])
 		}
 	}
 	switch {
-	case up > m.free:
-		for l := m.free + 1; l <= up; l++ {
+	case highest > m.conditionLevel:
+		for l := m.conditionLevel + 1; l <= highest; l++ {
 			m.highFor[l] = 0
-			if at := m.left[l]; at > 0 && m.now-at < m.cfg.Proof<<m.doubled[l] {
-				m.doubled[l] = min(m.doubled[l]+1, m.cfg.Doublings)
+			if at := m.leftAt[l]; at > 0 && m.now-at < m.cfg.Proof<<m.doublings[l] {
+				m.doublings[l] = min(m.doublings[l]+1, m.cfg.Doublings)
 			}
 		}
-		m.free, m.calmFor = up, 0
-	case m.free > Normal && m.calm(m.free, &r):
-		if m.calmFor += passed; m.calmFor >= m.hold(m.free) {
-			m.left[m.free] = m.now
-			m.free--
+		m.conditionLevel, m.calmFor = highest, 0
+	case m.conditionLevel > Normal && m.isCalm(m.conditionLevel, &r):
+		if m.calmFor += passed; m.calmFor >= m.dwellTime(m.conditionLevel) {
+			m.leftAt[m.conditionLevel] = m.now
+			m.conditionLevel--
 			m.calmFor = 0
-			why = "all was below where it is left for long enough"
+			reason = "all was below where it is left for long enough"
 		}
 	default:
 		m.calmFor = 0
 	}
-	// What stayed out through its proof holds for half as long the next time.
-	for l := m.free + 1; l < levels; l++ {
-		if m.doubled[l] > 0 && m.left[l] > 0 && m.now-m.left[l] >= m.cfg.Proof<<m.doubled[l] {
-			m.doubled[l]--
-			m.left[l] = m.now
+	// A level that stayed left for its whole proof time has its dwell time halved.
+	for l := m.conditionLevel + 1; l < levelCount; l++ {
+		if m.doublings[l] > 0 && m.leftAt[l] > 0 && m.now-m.leftAt[l] >= m.cfg.Proof<<m.doublings[l] {
+			m.doublings[l]--
+			m.leftAt[l] = m.now
 		}
 	}
-	if m.pin.on && m.now >= m.pin.until {
-		m.pin.on = false
-		why = "the pin is over"
+	if m.pin.active && m.now >= m.pin.until {
+		m.pin.active = false
+		reason = "the pin is over"
 	}
-	m.moved(was, m.Level(), why)
+	m.recordChange(previous, m.Level(), reason)
 	return m.Level()
 }
 
-// moved notes a change, and begins the ramps of what is let in again.
-func (m *Machine) moved(from, to Level, why string) {
+// recordChange records a change of level, and starts a ramp for each class of which less is shed
+// than before.
+func (m *Machine) recordChange(from, to Level, reason string) {
 	if from == to {
 		return
 	}
-	m.count++
-	if len(m.changes) == changesKept {
-		m.changes = append(m.changes[:0], m.changes[1:]...)
+	m.changeCount++
+	if len(m.recentChanges) == maxRecentChanges {
+		m.recentChanges = append(m.recentChanges[:0], m.recentChanges[1:]...)
 	}
-	m.changes = append(m.changes, Change{m.now, from.String(), to.String(), why})
-	for c := range m.ramps {
-		was, next := m.cfg.Acts[from].Cut[c], m.cfg.Acts[to].Cut[c]
-		if next >= was {
-			m.ramps[c].on = false
+	m.recentChanges = append(m.recentChanges, Change{m.now, from.String(), to.String(), reason})
+	for class := range m.ramps {
+		shedBefore, shedNow := m.cfg.Acts[from].Cut[class], m.cfg.Acts[to].Cut[class]
+		if shedNow >= shedBefore {
+			m.ramps[class].active = false
 			continue
 		}
-		rate := m.rate(c)
-		begin := rate * max(1-was, rampFrom)
-		if r := &m.ramps[c]; r.on { // out by two levels: from where the ramp is
-			begin = min(m.grown(r), rate)
+		rate := m.arrivalRate(class)
+		initialRate := rate * max(1-shedBefore, minRampShare)
+		if r := &m.ramps[class]; r.active { // left two levels in a row: continue at the rate reached
+			initialRate = min(m.currentRate(r), rate)
 		}
-		m.ramps[c] = ramp{on: true, rate: max(begin, 1), at: m.now, filled: m.now}
+		m.ramps[class] = ramp{active: true, rate: max(initialRate, 1), startedAt: m.now, refilledAt: m.now}
 	}
 }
 
-func (m *Machine) rate(c int) float64 {
-	return m.rates[c] * math.Exp(-float64(m.now-m.seen[c])/float64(arrivalMemory)) / arrivalMemory.Seconds()
+// arrivalRate returns the current arrival rate of a class, in calls per second.
+func (m *Machine) arrivalRate(class int) float64 {
+	return m.arrivals[class] * math.Exp(-float64(m.now-m.arrivalsAt[class])/float64(arrivalDecayTime)) / arrivalDecayTime.Seconds()
 }
 
-// grown is a ramp's rate now.
-func (m *Machine) grown(r *ramp) float64 {
-	return r.rate * math.Pow(m.cfg.Slope, (m.now-r.at).Seconds())
+// currentRate returns the current rate of a ramp, in calls per second.
+func (m *Machine) currentRate(r *ramp) float64 {
+	return r.rate * math.Pow(m.cfg.Slope, (m.now-r.startedAt).Seconds())
 }
 
-// Turn counts an arrival and says whether it is turned away. Shares are exact: of a class
-// cut by half every second one goes, and what is let in on a ramp is bounded by a bucket,
-// so that callers in step make no burst.
-func (m *Machine) Turn(now time.Duration, class int) (away bool) {
-	if class < 0 || class >= len(m.rates) {
+// Turn counts an arrival of a class and reports whether it is to be shed. Shares are exact:
+// of a class that is shed by half every second arrival is shed. On a ramp a token bucket
+// bounds the admitted arrivals, so that synchronized clients cannot cause a burst.
+func (m *Machine) Turn(now time.Duration, class int) (shed bool) {
+	if class < 0 || class >= len(m.arrivals) {
 		return false
 	}
-	m.step(now)
-	m.rates[class] = m.rates[class]*math.Exp(-float64(m.now-m.seen[class])/float64(arrivalMemory)) + 1
-	m.seen[class] = m.now
+	m.advance(now)
+	m.arrivals[class] = m.arrivals[class]*math.Exp(-float64(m.now-m.arrivalsAt[class])/float64(arrivalDecayTime)) + 1
+	m.arrivalsAt[class] = m.now
 	l := m.Level()
 	defer func() {
-		if away {
-			m.turns[class]++
+		if shed {
+			m.shedCounts[class]++
 		}
 	}()
-	if r := &m.ramps[class]; r.on {
-		g := m.grown(r)
-		r.room = min(r.room+g*m.since(&r.filled).Seconds(), max(1, g*burst))
-		if g >= 2*m.rate(class)+1 { // all that comes has long been let in
-			r.on = false
-		} else if r.room < 1 {
+	if r := &m.ramps[class]; r.active {
+		rate := m.currentRate(r)
+		r.tokens = min(r.tokens+rate*m.elapsed(&r.refilledAt).Seconds(), max(1, rate*rampBurstSeconds))
+		if rate >= 2*m.arrivalRate(class)+1 { // the ramp has been above the arrival rate for some time
+			r.active = false
+		} else if r.tokens < 1 {
 			return true
 		} else {
-			r.room--
+			r.tokens--
 		}
 	}
-	cut := m.cfg.Acts[l].Cut[class]
-	if cut <= 0 {
+	shedShare := m.cfg.Acts[l].Cut[class]
+	if shedShare <= 0 {
 		return false
 	}
-	if m.acc[class] += 1 - cut; m.acc[class] >= 1-1e-9 {
-		m.acc[class]--
+	if m.admitCredit[class] += 1 - shedShare; m.admitCredit[class] >= 1-1e-9 {
+		m.admitCredit[class]--
 		return false
 	}
 	return true
 }
 
-// Copies says whether copies of slow requests may be sent.
+// Copies reports whether copies of slow requests may be sent.
 func (m *Machine) Copies() bool { return !m.cfg.Acts[m.Level()].NoCopies }
 
-// Probes says whether servers may be probed.
+// Probes reports whether servers may be probed.
 func (m *Machine) Probes() bool { return !m.cfg.Acts[m.Level()].NoProbes }
 
-// Retries says whether a class gets further attempts.
+// Retries reports whether calls of a class may have further attempts.
 func (m *Machine) Retries(class int) bool {
 	return class < 0 || class >= len(m.cfg.Classes) || m.cfg.Classes[class].Worth >= m.cfg.Acts[m.Level()].RetryWorth
 }
 
-// Wait is how long a client of the class is told to wait, for a number u from 0 to 1 that
-// is drawn anew each time: spread over the time that the level still holds at least and
-// the ramp takes, so that those who honour it come back as a ramp.
+// Wait returns how long a shed client of a class is told to wait, given a random number u
+// from 0 to 1. The waits are spread over the ramp that follows the rest of the dwell time, so
+// that clients which honour them return gradually.
 func (m *Machine) Wait(class int, u float64) time.Duration {
 	l := m.Level()
-	if class < 0 || class >= len(m.ramps) || m.cfg.Acts[l].Cut[class] == 0 && !m.ramps[class].on {
+	if class < 0 || class >= len(m.ramps) || m.cfg.Acts[l].Cut[class] == 0 && !m.ramps[class].active {
 		return 0
 	}
-	over := time.Duration(0)
+	dwellLeft := time.Duration(0)
 	if m.cfg.Acts[l].Cut[class] > 0 {
-		over = max(0, m.hold(m.free)-m.calmFor)
+		dwellLeft = max(0, m.dwellTime(m.conditionLevel)-m.calmFor)
 	}
-	// From r to the whole rate by the slope takes log(rate/r)/log(slope) seconds.
-	ramp := time.Duration(math.Log(1/rampFrom) / math.Log(m.cfg.Slope) * float64(time.Second))
-	return min(over+time.Duration(u*float64(ramp)), time.Duration((0.5+u/2)*float64(m.cfg.MostWait)))
+	// Growing from r to the whole rate takes log(rate/r)/log(slope) seconds.
+	rampTime := time.Duration(math.Log(1/minRampShare) / math.Log(m.cfg.Slope) * float64(time.Second))
+	return min(dwellLeft+time.Duration(u*float64(rampTime)), time.Duration((0.5+u/2)*float64(m.cfg.MostWait)))
 }
 
-// Condition is one sensor's value beside a level's thresholds.
+// Condition holds the value of one sensor beside the thresholds of the neighboring levels.
 type Condition struct {
 	Sensor string  `json:"sensor"`
 	Value  float64 `json:"value"`
-	Counts bool    `json:"counts"` // it says something now
-	Enter  float64 `json:"enter"`  // the next level
-	Leave  float64 `json:"leave"`  // this one
+	Counts bool    `json:"counts"` // whether the value is usable
+	Enter  float64 `json:"enter"`  // threshold of the next level up
+	Leave  float64 `json:"leave"`  // threshold of the current level
 }
 
-// View is the state for operators.
+// View is the state of a Machine as shown to operators.
 type View struct {
 	Level      string            `json:"level"`
-	Since      time.Duration     `json:"since_ns"` // how long ago
+	Since      time.Duration     `json:"since_ns"` // time since the last change, or since the first Tick
 	Free       string            `json:"by_conditions"`
 	Pinned     string            `json:"pinned,omitempty"`
 	PinLeft    time.Duration     `json:"pin_left_ns,omitempty"`
 	Calm       time.Duration     `json:"calm_ns"`
-	Holds      time.Duration     `json:"holds_ns"` // this long of calm leads out
+	Holds      time.Duration     `json:"holds_ns"` // how long Calm must last before the level is left
 	Conditions []Condition       `json:"conditions"`
 	Cut        map[string]string `json:"cut"`
 	Turned     map[string]uint64 `json:"turned"`
@@ -329,36 +336,36 @@
 	Now        time.Duration     `json:"now_ns"`
 }
 
-// View is the state now.
+// View returns the current state.
 func (m *Machine) View() View {
 	l := m.Level()
-	v := View{Level: l.String(), Free: m.free.String(), Since: m.now - m.began, Calm: m.calmFor, Count: m.count, Now: m.now, Cut: make(map[string]string), Turned: make(map[string]uint64)}
-	if m.pin.on {
+	v := View{Level: l.String(), Free: m.conditionLevel.String(), Since: m.now - m.firstTick, Calm: m.calmFor, Count: m.changeCount, Now: m.now, Cut: make(map[string]string), Turned: make(map[string]uint64)}
+	if m.pin.active {
 		v.Pinned, v.PinLeft = m.pin.level.String(), max(0, m.pin.until-m.now)
 	}
-	if n := len(m.changes); n > 0 {
-		v.Since = m.now - m.changes[n-1].At
+	if i := len(m.recentChanges); i > 0 {
+		v.Since = m.now - m.recentChanges[i-1].At
 	}
-	if m.free > Normal {
-		v.Holds = m.hold(m.free)
+	if m.conditionLevel > Normal {
+		v.Holds = m.dwellTime(m.conditionLevel)
 	}
-	for s := range sensors {
-		c := Condition{Sensor: s.String(), Value: m.last.Value[s], Counts: m.usable(&m.last, s)}
-		if m.free+1 < levels {
-			c.Enter = m.cfg.At[m.free+1].Enter[s]
+	for s := range sensorCount {
+		condition := Condition{Sensor: s.String(), Value: m.lastReading.Value[s], Counts: m.isUsable(&m.lastReading, s)}
+		if m.conditionLevel+1 < levelCount {
+			condition.Enter = m.cfg.At[m.conditionLevel+1].Enter[s]
 		}
-		if m.free > Normal {
-			c.Leave = m.cfg.At[m.free].Leave[s]
+		if m.conditionLevel > Normal {
+			condition.Leave = m.cfg.At[m.conditionLevel].Leave[s]
 		}
-		v.Conditions = append(v.Conditions, c)
+		v.Conditions = append(v.Conditions, condition)
 	}
-	for n, k := range m.cfg.Classes {
-		text := fmt.Sprintf("%.0f %%", 100*m.cfg.Acts[l].Cut[n])
-		if m.ramps[n].on {
-			text += fmt.Sprintf(", %.3g a second let in, rising", m.grown(&m.ramps[n]))
+	for i, class := range m.cfg.Classes {
+		text := fmt.Sprintf("%.0f %%", 100*m.cfg.Acts[l].Cut[i])
+		if m.ramps[i].active {
+			text += fmt.Sprintf(", %.3g a second let in, rising", m.currentRate(&m.ramps[i]))
 		}
-		v.Cut[k.Name], v.Turned[k.Name] = text, m.turns[n]
+		v.Cut[class.Name], v.Turned[class.Name] = text, m.shedCounts[i]
 	}
-	v.Changes = append(v.Changes, m.changes...)
+	v.Changes = append(v.Changes, m.recentChanges...)
 	return v
 }
--- a/internal/rooms/levels/levels.go
+++ b/internal/rooms/levels/levels.go
@@ -1,4 +1,5 @@
-// Package levels reads the sensors for a level.Machine and shows its levels to operators.
+// Package levels runs a level.Machine in a sidecar: it samples the sensors at a fixed
+// interval, logs changes of level, and adds a page and a pin command for operators.
 package levels
 
 import (
@@ -15,114 +16,115 @@
 )
 
 const (
-	// TickEach is how often the sensors are read.
+	// TickEach is the interval at which the sensors are sampled.
 	TickEach = 100 * time.Millisecond
-	// fade leaves of a tick's outcomes a third after five seconds.
-	fade = 0.98
-	// PinMost bounds a level held by hand: nobody may forget it for good.
-	PinMost = 24 * time.Hour
+	// outcomeDecay is the decay factor of outcome counts per tick: about a third (0.36) of a tick's
+	// outcomes is left after five seconds.
+	outcomeDecay = 0.98
+	// MaxPinDuration is the maximum duration of a pin, so that a forgotten one expires.
+	MaxPinDuration = 24 * time.Hour
 )
 
-// Config is what it is made of.
+// Config holds the settings and limits of a Levels.
 type Config struct {
 	Level   level.Config
-	Memory  int64      // that the process may have, in bytes
-	Conns   int        // that clients may have, each with one call
-	Sockets int        // connections that the process may have
-	Open    func() int // those that it has
+	Memory  int64      // memory limit of the process, in bytes
+	Conns   int        // maximum client connections, each with one call
+	Sockets int        // maximum connections of the process
+	Open    func() int // returns the number of open connections of the process
 }
 
-// Levels is the host of a level.Machine, which the core's lock guards.
+// Levels drives a level.Machine, which is guarded by the lock of the core.Host.
 type Levels struct {
-	c    Config
+	cfg  Config
 	host *core.Host
 
-	m                 *level.Machine
-	ended, late, full float64
-	at                time.Time // of the last tick
-	tallied           core.Tally
-	was               level.Level
-	memory            []metrics.Sample
+	machine           *level.Machine
+	ended, late, full float64   // decayed counts of outcomes
+	lastTick          time.Time // of the last Tick
+	lastTally         core.Tally
+	lastLevel         level.Level
+	memorySamples     []metrics.Sample
 }
 
-// New puts a machine at the core's gate.
-func New(c Config, host *core.Host) (*Levels, error) {
-	m, err := level.New(c.Level)
+// New creates a level.Machine and installs it as the gate of host.
+func New(cfg Config, host *core.Host) (*Levels, error) {
+	machine, err := level.New(cfg.Level)
 	if err != nil {
 		return nil, fmt.Errorf("features: %w", err)
 	}
-	r := &Levels{c: c, host: host, m: m, at: time.Now(),
-		memory: []metrics.Sample{{Name: "/memory/classes/total:bytes"}, {Name: "/memory/classes/heap/released:bytes"}}}
-	host.SetGate(m)
+	r := &Levels{cfg: cfg, host: host, machine: machine, lastTick: time.Now(),
+		memorySamples: []metrics.Sample{{Name: "/memory/classes/total:bytes"}, {Name: "/memory/classes/heap/released:bytes"}}}
+	host.SetGate(machine)
 	return r, nil
 }
 
-// Tick reads the sensors and lets the machine decide.
+// Tick samples the sensors and passes the reading to the Machine. It is called every TickEach.
 func (r *Levels) Tick(now time.Time) {
-	var s level.Reading
-	lag := now.Sub(r.at) - TickEach
-	r.at = now
-	metrics.Read(r.memory)
+	var reading level.Reading
+	lag := now.Sub(r.lastTick) - TickEach
+	r.lastTick = now
+	metrics.Read(r.memorySamples)
 	held := r.host.Held()
-	r.host.With(func(at time.Duration, seen core.Tally, members, ejected int) {
-		r.ended = r.ended*fade + float64(seen.Ended-r.tallied.Ended)
-		r.late = r.late*fade + float64(seen.Late-r.tallied.Late)
-		r.full = r.full*fade + float64(seen.Full-r.tallied.Full)
-		r.tallied = seen
-		s.Outcomes = r.ended
-		s.Value[level.Late], s.Value[level.Full] = r.late/max(r.ended, 1), r.full/max(r.ended, 1)
-		s.Value[level.Held] = float64(held) / float64(max(1, r.c.Conns))
-		s.Value[level.Lost] = 1 // a list that is empty
+	r.host.With(func(at time.Duration, tally core.Tally, members, ejected int) {
+		r.ended = r.ended*outcomeDecay + float64(tally.Ended-r.lastTally.Ended)
+		r.late = r.late*outcomeDecay + float64(tally.Late-r.lastTally.Late)
+		r.full = r.full*outcomeDecay + float64(tally.Full-r.lastTally.Full)
+		r.lastTally = tally
+		reading.Outcomes = r.ended
+		reading.Value[level.Late], reading.Value[level.Full] = r.late/max(r.ended, 1), r.full/max(r.ended, 1)
+		reading.Value[level.Held] = float64(held) / float64(max(1, r.cfg.Conns))
+		reading.Value[level.Lost] = 1 // the list of servers is empty
 		if members > 0 {
-			s.Value[level.Lost] = float64(ejected) / float64(members)
+			reading.Value[level.Lost] = float64(ejected) / float64(members)
 		}
-		s.Value[level.Memory] = float64(r.memory[0].Value.Uint64()-r.memory[1].Value.Uint64()) / float64(r.c.Memory)
-		s.Value[level.Sockets] = float64(r.c.Open()) / float64(max(1, r.c.Sockets))
-		s.Value[level.Lag] = math.Max(0, lag.Seconds()/TickEach.Seconds())
-		r.m.Tick(at, s)
+		reading.Value[level.Memory] = float64(r.memorySamples[0].Value.Uint64()-r.memorySamples[1].Value.Uint64()) / float64(r.cfg.Memory)
+		reading.Value[level.Sockets] = float64(r.cfg.Open()) / float64(max(1, r.cfg.Sockets))
+		reading.Value[level.Lag] = math.Max(0, lag.Seconds()/TickEach.Seconds())
+		r.machine.Tick(at, reading)
 	})
-	if l := r.level(); l != r.was {
-		v := r.view()
-		slog.Warn("service", "level", l.String(), "was", r.was.String(), "why", v.Changes[len(v.Changes)-1].Why)
-		r.was = l
+	if l := r.currentLevel(); l != r.lastLevel {
+		v := r.currentView()
+		slog.Warn("service", "level", l.String(), "was", r.lastLevel.String(), "why", v.Changes[len(v.Changes)-1].Why)
+		r.lastLevel = l
 	}
 }
 
-func (r *Levels) level() (l level.Level) {
-	r.host.With(func(time.Duration, core.Tally, int, int) { l = r.m.Level() })
+func (r *Levels) currentLevel() (l level.Level) {
+	r.host.With(func(time.Duration, core.Tally, int, int) { l = r.machine.Level() })
 	return l
 }
 
-func (r *Levels) view() (v level.View) {
-	r.host.With(func(time.Duration, core.Tally, int, int) { v = r.m.View() })
+func (r *Levels) currentView() (v level.View) {
+	r.host.With(func(time.Duration, core.Tally, int, int) { v = r.machine.View() })
 	return v
 }
 
-// PinAsk holds a level by hand; a For of 0 ends it.
+// PinAsk is an operator's request to pin a level for a time; a For of 0 removes the pin.
 type PinAsk struct {
 	Level string        `json:"level"`
 	For   time.Duration `json:"for_ns"`
 }
 
-// pin implements admin.Deed.
-func (r *Levels) pin(text []byte) (any, error) {
-	var a PinAsk
-	if err := json.Unmarshal(text, &a); err != nil {
+// handlePin handles a PinAsk in JSON. It implements admin.Deed.
+func (r *Levels) handlePin(body []byte) (any, error) {
+	var request PinAsk
+	if err := json.Unmarshal(body, &request); err != nil {
 		return nil, fmt.Errorf("level: %w", err)
 	}
-	l, ok := level.Parse(a.Level)
-	if !ok && a.For > 0 {
-		return nil, fmt.Errorf("level: there is no level %q", a.Level)
+	l, ok := level.Parse(request.Level)
+	if !ok && request.For > 0 {
+		return nil, fmt.Errorf("level: there is no level %q", request.Level)
 	}
-	if a.For < 0 || a.For > PinMost {
-		return nil, fmt.Errorf("level: a pin must have an end within %v", PinMost)
+	if request.For < 0 || request.For > MaxPinDuration {
+		return nil, fmt.Errorf("level: a pin must have an end within %v", MaxPinDuration)
 	}
-	r.host.With(func(now time.Duration, _ core.Tally, _, _ int) { r.m.Pin(now, l, now+a.For) })
-	return r.view(), nil
+	r.host.With(func(now time.Duration, _ core.Tally, _, _ int) { r.machine.Pin(now, l, now+request.For) })
+	return r.currentView(), nil
 }
 
-// Pages adds what operators may see and ask for.
+// Pages adds the level page to all and the pin command to deeds.
 func (r *Levels) Pages(all map[string]func() any, deeds map[string]admin.Deed) {
-	all["level"] = func() any { return r.view() }
-	deeds["level/pin"] = r.pin
+	all["level"] = func() any { return r.currentView() }
+	deeds["level/pin"] = r.handlePin
 }
