--- a/internal/duty/config.go
+++ b/internal/duty/config.go
@@ -8,110 +8,113 @@
 	"time"
 )
 
-// Bounds on what one sidecar knows.
+// Limits on the number of peers and servers that one sidecar tracks.
 const (
-	PeersMost = 4096
-	NodesMost = 4096
+	MaxPeers   = 4096 // including the sidecar itself
+	MaxServers = 4096
 )
 
-// Peer is a sidecar that may be there.
+// Peer is another sidecar, which may or may not be running.
 type Peer struct {
 	Name, Zone string
-	As         string // the name that all sidecars know it by; empty: Name
+	As         string // the name under which all sidecars know it; empty: Name
 }
 
 func (p *Peer) id() ID { return IDOf(cmp.Or(p.As, p.Name)) }
 
 func (c *Config) id() ID { return IDOf(cmp.Or(c.As, c.Self)) }
 
-// Node is a server that this sidecar's own list names.
-type Node struct {
+// Server is a server of this sidecar's list.
+type Server struct {
 	Name, Zone string
 }
 
-// Config is what a Duty goes by.
+// Config holds the settings of a Detector.
 type Config struct {
 	Self  string
-	As    string // the name that all sidecars know this one by; empty: Self
+	As    string // the name under which all sidecars know this one; empty: Self
 	Peers []Peer // without Self
 	Zone  string // of Self
-	Inc   uint64 // of this start: above those of earlier ones, as the time is
+	Inc   uint64 // incarnation of this start; must exceed those of earlier starts, for instance the time
 	Seed  uint64
 
-	Watchers int           // of each node
-	Every    time.Duration // from one probe of a node by a watcher to its next
-	// Step is what each place further down in a node's order waits longer before it takes
-	// over, beyond two Every without a finding.
+	Watchers int           // sidecars that regularly probe each server
+	Every    time.Duration // interval at which a watcher probes a server
+	// Step is the additional delay per rank in a server's order before a sidecar takes over
+	// probing, beyond two Every without a finding.
 	Step time.Duration
 
-	Period   time.Duration // from one sign asked of a peer to the next
-	AckWait  time.Duration // for a direct sign, before others are asked
-	Helpers  int           // who are asked
-	Suspect  time.Duration // from suspicion to death
-	Spread   int           // peers that are told findings in a Period
-	Probes   float64       // a second, of this sidecar, at the most
-	PerNode  float64       // a second, of all sidecars together at one node, at the most
-	Notes    float64       // a second, of this sidecar, at the most
-	Remember time.Duration // how long a dead peer is asked for a sign again, at the least
-	Keyed    bool          // notes carry a tag
+	Period   time.Duration // interval between pings; each goes to one peer
+	AckWait  time.Duration // timeout of a direct ping, after which others are asked to ping
+	Helpers  int           // number of peers asked to ping
+	Suspect  time.Duration // how long a peer is suspected before it is declared dead
+	Spread   int           // peers that get findings in each Period
+	Probes   float64       // maximum probes per second by this sidecar
+	PerNode  float64       // maximum probes per second of one server by all sidecars together
+	Notes    float64       // maximum notes per second from this sidecar
+	Remember time.Duration // minimum interval between pings of a dead peer
+	Keyed    bool          // notes carry an authentication tag
 }
 
-// Default is what holds where nothing is said.
+// Default returns the default settings, without Self, Peers, Zone, Inc and Seed.
 func Default() Config {
 	return Config{Watchers: 2, Every: 2 * time.Second, Step: 500 * time.Millisecond, Period: time.Second, AckWait: 200 * time.Millisecond, Helpers: 3,
 		Suspect: 4 * time.Second, Spread: 3, Probes: 20, PerNode: 4, Notes: 20, Remember: 10 * time.Second}
 }
 
-// Validate says all that can't be used, each by its field.
+// Validate returns the joined errors of all invalid fields, each with the name of its setting.
 func (c *Config) Validate() error {
-	var bad []error
-	need := func(ok bool, field, want string, args ...any) {
-		if !ok {
-			bad = append(bad, fmt.Errorf("duty: %s: %s", field, fmt.Sprintf(want, args...)))
+	var errs []error
+	require := func(valid bool, field, want string, args ...any) {
+		if !valid {
+			errs = append(errs, fmt.Errorf("duty: %s: %s", field, fmt.Sprintf(want, args...)))
 		}
 	}
-	need(c.Self != "", "self", "must be set")
-	need(len(c.Peers) < PeersMost, "peers", "must be below %d", PeersMost)
+	require(c.Self != "", "self", "must be set")
+	require(len(c.Peers) < MaxPeers, "peers", "must be below %d", MaxPeers)
 	seen := map[ID]string{c.id(): c.Self}
 	for _, p := range c.Peers {
 		id := p.id()
-		need(p.Name != "" && seen[id] == "", "peers", "%q is there twice, or has the hash of %q", p.Name, seen[id])
+		require(p.Name != "" && seen[id] == "", "peers", "%q is there twice, or has the hash of %q", p.Name, seen[id])
 		seen[id] = cmp.Or(p.Name, "?")
 	}
-	need(c.Watchers >= 1 && c.Watchers <= 16, "watchers", "must be within 1 and 16")
-	need(c.Every >= 50*time.Millisecond && c.Every <= time.Hour, "every", "must be within 50ms and 1h")
-	need(c.Step > 0, "step", "must be above 0")
-	need(c.Period >= 50*time.Millisecond, "period", "must be 50ms at least")
-	need(c.AckWait > 0 && 2*c.AckWait < c.Period, "ack_wait", "must be above 0, and twice of it below period")
-	need(c.Helpers >= 0 && c.Helpers <= 16, "helpers", "must be within 0 and 16")
-	need(c.Suspect >= c.Period, "suspect", "must be period at the least")
-	need(c.Spread >= 1 && c.Spread <= 16, "spread", "must be within 1 and 16")
-	need(c.Probes > 0, "probes", "must be above 0")
-	need(c.PerNode > 0 && c.PerNode >= 2*float64(c.Watchers)/c.Every.Seconds(), "per_node", "must be twice what %d watchers probe each %v, or more", c.Watchers, c.Every)
-	need(c.Notes >= float64(c.Spread+c.Helpers+2)/c.Period.Seconds(), "notes", "must be enough for spread, helpers and signs in a period")
-	need(c.Remember > 0, "remember", "must be above 0")
-	return errors.Join(bad...)
+	require(c.Watchers >= 1 && c.Watchers <= 16, "watchers", "must be within 1 and 16")
+	require(c.Every >= 50*time.Millisecond && c.Every <= time.Hour, "every", "must be within 50ms and 1h")
+	require(c.Step > 0, "step", "must be above 0")
+	require(c.Period >= 50*time.Millisecond, "period", "must be 50ms at least")
+	require(c.AckWait > 0 && 2*c.AckWait < c.Period, "ack_wait", "must be above 0, and twice of it below period")
+	require(c.Helpers >= 0 && c.Helpers <= 16, "helpers", "must be within 0 and 16")
+	require(c.Suspect >= c.Period, "suspect", "must be period at the least")
+	require(c.Spread >= 1 && c.Spread <= 16, "spread", "must be within 1 and 16")
+	require(c.Probes > 0, "probes", "must be above 0")
+	require(c.PerNode > 0 && c.PerNode >= 2*float64(c.Watchers)/c.Every.Seconds(), "per_node", "must be twice what %d watchers probe each %v, or more", c.Watchers, c.Every)
+	require(c.Notes >= float64(c.Spread+c.Helpers+2)/c.Period.Seconds(), "notes", "must be enough for spread, helpers and signs in a period")
+	require(c.Remember > 0, "remember", "must be above 0")
+	return errors.Join(errs...)
 }
 
-// WatchedGap bounds the time that a node goes unprobed of which a fixed watcher lives.
-func (c *Config) WatchedGap() time.Duration { return c.Every + tickMost }
+// MaxWatchedGap returns the maximum time between probes of a server while one of its watchers is
+// alive.
+func (c *Config) MaxWatchedGap() time.Duration { return c.Every + maxTickDelay }
 
-// share is the least time between two takeovers of one node by one of so many sidecars.
-// Were all of them alone, a node would get half of PerNode from them, in the mean.
-func (c *Config) share(all int) time.Duration {
-	return time.Duration(2 * float64(all) / c.PerNode * float64(time.Second))
+// minTakeoverInterval returns the minimum time between two takeovers of a server by the same
+// sidecar, for a total number of sidecars. If all of them were isolated, a server would get
+// half of PerNode on average.
+func (c *Config) minTakeoverInterval(sidecars int) time.Duration {
+	return time.Duration(2 * float64(sidecars) / c.PerNode * float64(time.Second))
 }
 
-// TakeoverGap bounds the time that a node goes unprobed all of whose fixed watchers are
-// dead, or can't be heard, while so many of all sidecars live and nobody knows yet who. Each
-// that lives may take over once in its share, and waits a Step for each place before it, of
-// which the dead hold theirs: at rest the gap g is 2 Every + Step (share/g + 1) all/alive.
-func (c *Config) TakeoverGap(all, alive int) time.Duration {
-	share := 1.25 * c.share(all).Seconds()
-	e, step := c.Every.Seconds(), c.Step.Seconds()*float64(all)/float64(max(1, alive))
-	g := e + step/2 + math.Sqrt((e+step/2)*(e+step/2)+step*share)
-	return time.Duration(max(g, share/float64(max(1, alive)))*float64(time.Second)) + 2*c.Step + tickMost
+// MaxTakeoverGap returns the maximum time between probes of a server whose watchers are all dead
+// or unreachable, while alive of all sidecars live and the dead ones are not yet known. Each
+// living sidecar may take over once per minTakeoverInterval, and waits a Step for each rank before its own;
+// dead sidecars still count in the ranks. In the steady state the gap is
+// g = 2 Every + Step (minTakeoverInterval/g + 1) all/alive.
+func (c *Config) MaxTakeoverGap(all, alive int) time.Duration {
+	interval := 1.25 * c.minTakeoverInterval(all).Seconds()
+	probeInterval, stepSeconds := c.Every.Seconds(), c.Step.Seconds()*float64(all)/float64(max(1, alive))
+	gap := probeInterval + stepSeconds/2 + math.Sqrt((probeInterval+stepSeconds/2)*(probeInterval+stepSeconds/2)+stepSeconds*interval)
+	return time.Duration(max(gap, interval/float64(max(1, alive)))*float64(time.Second)) + 2*c.Step + maxTickDelay
 }
 
-// tickMost is how late a Tick may come beyond what Next asked for.
-const tickMost = 200 * time.Millisecond
+// maxTickDelay is the maximum delay of a Tick after the time that Next returned.
+const maxTickDelay = 200 * time.Millisecond
--- a/internal/duty/duty.go
+++ b/internal/duty/duty.go
@@ -8,191 +8,198 @@
 )
 
 const (
-	// never is an age that all are older than.
-	never = 1 << 62
-	// newsFor is how often a piece of news is told, times the logarithm of the peers.
-	newsFor = 3
-	// rampFrom is the part of the budget that takeovers begin with, and rampBy what it
-	// grows by in a second: a partition makes no burst.
-	rampFrom = 0.1
-	rampBy   = 1.3
+	// infiniteAge is the time since an event that has not happened; longer than any other.
+	infiniteAge = 1 << 62
+	// repeatFactor times the logarithm of the number of peers is how often an update is sent.
+	repeatFactor = 3
+	// initialRampShare is the share of the probe budget that takeovers may use at first, and
+	// rampGrowth its growth factor per second, so that a partition causes no burst of probes.
+	initialRampShare = 0.1
+	rampGrowth       = 1.3
 )
 
+// peer is what is known about one peer.
 type peer struct {
 	Peer
-	id   ID
-	inc  uint64
-	life Life
-	at   time.Duration // when it became what it is
-	told int           // how often this news may still be told
-	sign time.Duration // when it last gave a sign by itself
-	// ahead is by how much this sidecar's clock is ahead of the peer's, and the least time
-	// that a note took, in milliseconds, as the quickest of its start's notes showed.
-	ahead uint32
-	heard bool
+	id          ID
+	incarnation uint64
+	state       PeerState
+	changedAt   time.Duration // when state last changed, or when a dead peer was last pinged
+	sendsLeft   int           // how often this state may still be sent
+	lastSign    time.Duration // when it last gave a sign of life
+	// clockOffsetMillis is the offset of this sidecar's clock from the peer's plus the shortest
+	// transit time of a note, in milliseconds, from the fastest note of the current incarnation.
+	clockOffsetMillis uint32
+	hasClockOffset    bool
 }
 
-type node struct {
-	Node
-	id     ID
-	state  State
-	seen   time.Duration // when; -1: never
-	own    bool          // by this sidecar
-	probed time.Duration // by this sidecar; -1: never
-	free   time.Duration // when it may take over again
-	from   time.Duration // when it was first listed
-	place  int           // of this sidecar in its order, of those that are not dead
-	fixed  int           // and of all
-	told   int
+// server is what is known about one server.
+type server struct {
+	Server
+	id           ID
+	state        State
+	foundAt      time.Duration // when state was found; -1: never
+	isOwn        bool          // whether this sidecar found it
+	probedAt     time.Duration // when this sidecar last probed it; -1: never
+	takeoverFrom time.Duration // when this sidecar may take over probing it again
+	listedAt     time.Duration // when it was first listed
+	rank         int           // rank of this sidecar among those that are not dead
+	fixedRank    int           // rank of this sidecar among all
+	sends        int           // how often the last own finding was sent
 }
 
-type bucket struct {
-	room float64
-	at   time.Duration
+// tokenBucket is a token bucket.
+type tokenBucket struct {
+	tokens     float64
+	refilledAt time.Duration
 }
 
-func (b *bucket) take(now time.Duration, rate, most float64) bool {
-	b.room = min(b.room+rate*(now-b.at).Seconds(), max(1, most))
-	b.at = now
-	if b.room < 1 {
+// take removes a token and reports whether there was one. Tokens are added at rate per second
+// up to capacity, or up to 1 if that is less.
+func (b *tokenBucket) take(now time.Duration, rate, capacity float64) bool {
+	b.tokens = min(b.tokens+rate*(now-b.refilledAt).Seconds(), max(1, capacity))
+	b.refilledAt = now
+	if b.tokens < 1 {
 		return false
 	}
-	b.room--
+	b.tokens--
 	return true
 }
 
-// Outgoing is a note to a peer.
-type Outgoing struct {
+// OutgoingNote is a note to be sent to the peer named To.
+type OutgoingNote struct {
 	To   string
 	Note Note
 }
 
-// Out is what a Duty wants done.
-type Out struct {
-	Probes []string // nodes
-	Notes  []Outgoing
+// Actions lists what a Detector requests from its owner.
+type Actions struct {
+	Probes []string // names of servers to probe
+	Notes  []OutgoingNote
 }
 
-// asked is a sign that is waited for.
-type asked struct {
-	seq    uint32
-	whom   *peer
-	at     time.Duration
-	helped bool
-	forID  ID // who asked for it; 0: this sidecar itself
-	forSeq uint32
+// pendingPing is a ping that has not been answered yet.
+type pendingPing struct {
+	seq          uint32
+	target       *peer
+	sentAt       time.Duration
+	askedOthers  bool
+	requester    ID // the peer on whose behalf it was sent; 0: this sidecar itself
+	requesterSeq uint32
 }
 
-// Duty is one sidecar's part. One owner calls its methods in turn, with a time that never
-// goes back. Peers are fixed at the start; nodes are those of the owner's list.
-type Duty struct {
-	cfg   Config
-	rng   *rand.Rand
-	now   time.Duration
-	self  ID
-	inc   uint64
-	peers []*peer
-	byID  map[ID]*peer
-	nodes []*node
-	byNod map[ID]*node
-	order []*peer // in which signs are asked, shuffled anew after each round
-	next  int
-	due   time.Duration // of the next period
-	seq   uint32
-	open  []asked
-	dirty bool                                     // places must be worked out anew
-	turn  int                                      // of findings that are told
-	part  func(now time.Duration, room int) []byte // what others add to notes; nil: nobody does
+// Detector is one sidecar's part in the shared probing: it detects failed peers and decides
+// which servers to probe. It is not safe for concurrent use, and the times passed to it must
+// not decrease. Peers are fixed at the start; servers are those of the owner's list.
+type Detector struct {
+	cfg           Config
+	rng           *rand.Rand
+	now           time.Duration
+	self          ID
+	incarnation   uint64
+	peers         []*peer
+	peersByID     map[ID]*peer
+	servers       []*server
+	serversByID   map[ID]*server
+	pingOrder     []*peer // in which peers are pinged, shuffled before each round
+	nextPing      int
+	nextPeriod    time.Duration // when the next period begins
+	seq           uint32
+	pendingPings  []pendingPing
+	ranksOutdated bool                                     // ranks must be recomputed
+	lastFinding   int                                      // index of the finding that was last sent in turn
+	payload       func(now time.Duration, room int) []byte // returns the payload of a note; nil: none
 
-	probes, notes bucket
-	ramp          float64 // of takeovers, a second
-	rampAt        time.Duration
-	counts        Counts
+	probeBudget, noteBudget tokenBucket
+	takeoverRate            float64 // maximum takeovers per second
+	takeoverRateAt          time.Duration
+	counts                  Counts
 }
 
-// Counts are what a Duty did.
+// Counts holds the totals of a Detector since its start.
 type Counts struct {
 	Probes    uint64 `json:"probes"`
-	Takeovers uint64 `json:"takeovers"` // of them, beyond the own watch
+	Takeovers uint64 `json:"takeovers"` // probes of servers that this sidecar does not watch
 	Notes     uint64 `json:"notes"`
 	Heard     uint64 `json:"heard"`
-	Strange   uint64 `json:"strange"`  // notes of who is no peer
-	Held      uint64 `json:"held"`     // probes that a budget put off
-	Unsent    uint64 `json:"unsent"`   // notes that it dropped
-	Refuted   uint64 `json:"refuted"`  // suspicions of this sidecar
-	Suspected uint64 `json:"suspects"` // and of others, by it
+	Strange   uint64 `json:"strange"`  // notes from unknown senders
+	Held      uint64 `json:"held"`     // probes deferred by a budget
+	Unsent    uint64 `json:"unsent"`   // notes dropped by a budget
+	Refuted   uint64 `json:"refuted"`  // suspicions of this sidecar that it refuted
+	Suspected uint64 `json:"suspects"` // suspicions of others by this sidecar
 }
 
-// New returns a Duty that takes all peers to be alive.
-func New(cfg Config) (*Duty, error) {
+// New returns a Detector that assumes all peers to be alive, or the error of Config.Validate.
+func New(cfg Config) (*Detector, error) {
 	if err := cfg.Validate(); err != nil {
 		return nil, err
 	}
-	d := &Duty{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, uint64(cfg.id()))), self: cfg.id(), inc: max(cfg.Inc, 1), byID: make(map[ID]*peer), byNod: make(map[ID]*node), dirty: true}
+	d := &Detector{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, uint64(cfg.id()))), self: cfg.id(), incarnation: max(cfg.Inc, 1), peersByID: make(map[ID]*peer), serversByID: make(map[ID]*server), ranksOutdated: true}
 	for _, p := range cfg.Peers {
-		q := &peer{Peer: p, id: p.id()}
-		d.peers = append(d.peers, q)
-		d.byID[q.id] = q
+		added := &peer{Peer: p, id: p.id()}
+		d.peers = append(d.peers, added)
+		d.peersByID[added.id] = added
 	}
 	slices.SortFunc(d.peers, func(a, b *peer) int { return cmp.Compare(a.id, b.id) })
-	d.order = slices.Clone(d.peers)
-	d.ramp = rampFrom * cfg.Probes
+	d.pingOrder = slices.Clone(d.peers)
+	d.takeoverRate = initialRampShare * cfg.Probes
 	return d, nil
 }
 
-// Carry has each note carry a part of somebody else's, who is told how many bytes there
-// are for it; nothing is added where the part is empty.
-func (d *Duty) Carry(part func(now time.Duration, room int) []byte) { d.part = part }
+// SetPayload sets the function that returns the payload of each note, given the number of bytes
+// available. An empty payload is not added.
+func (d *Detector) SetPayload(payload func(now time.Duration, room int) []byte) { d.payload = payload }
 
-// TellSome tells so many living peers, drawn, and those named, what there is to tell, as
-// far as the budget goes.
-func (d *Duty) TellSome(now time.Duration, n int, named ...string) (out Out) {
+// SendNotes returns notes with current updates and findings to n randomly chosen living peers and
+// to the named ones, within the budget for notes.
+func (d *Detector) SendNotes(now time.Duration, n int, named ...string) (out Actions) {
 	d.now = now
 	for _, name := range named {
 		for _, p := range d.peers {
 			if p.Name == name {
-				d.send(&out, p, Note{Kind: Tell})
+				d.send(&out, p, Note{Kind: Gossip})
 			}
 		}
 	}
 	if n > 0 {
-		for _, p := range d.some(n, nil) {
-			d.send(&out, p, Note{Kind: Tell})
+		for _, p := range d.randomPeers(n, nil) {
+			d.send(&out, p, Note{Kind: Gossip})
 		}
 	}
 	return out
 }
 
-// Nodes takes the owner's list: only these are probed and told of.
-func (d *Duty) Nodes(now time.Duration, list []Node) {
+// SetServers sets the list of servers. Only these are probed and included in notes.
+func (d *Detector) SetServers(now time.Duration, list []Server) {
 	d.now = now
 	listed := make(map[ID]bool, len(list))
-	for _, n := range list[:min(len(list), NodesMost)] {
-		id := IDOf(n.Name)
-		if old := d.byNod[id]; old != nil && old.Name != n.Name {
-			continue // the hash of another: it goes unwatched, which the module can bear
+	for _, entry := range list[:min(len(list), MaxServers)] {
+		id := IDOf(entry.Name)
+		if known := d.serversByID[id]; known != nil && known.Name != entry.Name {
+			continue // a hash collision: the server is not probed, which the balancer tolerates
 		}
 		listed[id] = true
-		if d.byNod[id] == nil {
-			// All may have started at once: their first turns are spread.
-			x := &node{Node: n, id: id, seen: -1, probed: -1, from: now, free: now + time.Duration(d.rng.Float64()*float64(d.cfg.share(len(d.peers)+1)))}
-			d.byNod[id] = x
-			d.nodes = append(d.nodes, x)
-			d.dirty = true
+		if d.serversByID[id] == nil {
+			// All sidecars may have started at the same time: spread their first takeovers.
+			srv := &server{Server: entry, id: id, foundAt: -1, probedAt: -1, listedAt: now, takeoverFrom: now + time.Duration(d.rng.Float64()*float64(d.cfg.minTakeoverInterval(len(d.peers)+1)))}
+			d.serversByID[id] = srv
+			d.servers = append(d.servers, srv)
+			d.ranksOutdated = true
 		}
 	}
-	d.nodes = slices.DeleteFunc(d.nodes, func(n *node) bool {
-		if !listed[n.id] {
-			delete(d.byNod, n.id)
+	d.servers = slices.DeleteFunc(d.servers, func(srv *server) bool {
+		if !listed[srv.id] {
+			delete(d.serversByID, srv.id)
 		}
-		return !listed[n.id]
+		return !listed[srv.id]
 	})
-	slices.SortFunc(d.nodes, func(a, b *node) int { return cmp.Compare(a.id, b.id) })
+	slices.SortFunc(d.servers, func(a, b *server) int { return cmp.Compare(a.id, b.id) })
 }
 
-// weight is a sidecar's in a node's order.
-func weight(n *node, id ID) uint64 {
-	x := uint64(n.id)<<32 | uint64(id)
+// rendezvousWeight returns the rendezvous hashing weight of the sidecar id for a server.
+// Sidecars are ranked by decreasing weight, from rank 0.
+func rendezvousWeight(srv *server, id ID) uint64 {
+	x := uint64(srv.id)<<32 | uint64(id)
 	x ^= x >> 33
 	x *= 0xff51afd7ed558ccd
 	x ^= x >> 33
@@ -200,166 +207,171 @@
 	return x ^ x>>33
 }
 
-// places works out where this sidecar stands in each node's order, among those that are
-// not dead and among all: by weight, but that a node's first is one of its own zone and its second one of
-// another, where there are such, so that neither zone's loss leaves it unwatched.
-func (d *Duty) places() {
-	if !d.dirty {
+// updateRanks recomputes the rank of this sidecar for each server, among the sidecars that are
+// not dead and among all. Ranks go by weight, but alternate between the server's own zone, which
+// comes first, and the other zones while both have sidecars left, so that the loss of one zone
+// does not leave a server without watchers.
+func (d *Detector) updateRanks() {
+	if !d.ranksOutdated {
 		return
 	}
-	d.dirty = false
-	for _, n := range d.nodes {
-		n.place = d.place(n, false)
-		n.fixed = d.place(n, true)
+	d.ranksOutdated = false
+	for _, srv := range d.servers {
+		srv.rank = d.rankFor(srv, false)
+		srv.fixedRank = d.rankFor(srv, true)
 	}
 }
 
-func (d *Duty) place(n *node, all bool) int {
-	mine := weight(n, d.self)
-	home := d.cfg.Zone == n.Zone
-	side := 0 // before me on my side of the zone's border
-	homes, aways := 0, 0
-	if home {
-		homes++
+// rankFor returns the rank of this sidecar for a server, with dead peers counted if
+// countDead is set.
+func (d *Detector) rankFor(srv *server, countDead bool) int {
+	ownWeight := rendezvousWeight(srv, d.self)
+	sameZone := d.cfg.Zone == srv.Zone
+	before := 0 // sidecars of higher weight on the same side of the zone boundary
+	sameZoneCount, otherZoneCount := 0, 0
+	if sameZone {
+		sameZoneCount++
 	} else {
-		aways++
+		otherZoneCount++
 	}
 	for _, p := range d.peers {
-		if p.life == Dead && !all {
+		if p.state == Dead && !countDead {
 			continue
 		}
-		if (p.Zone == n.Zone) == home && weight(n, p.id) > mine {
-			side++
+		if (p.Zone == srv.Zone) == sameZone && rendezvousWeight(srv, p.id) > ownWeight {
+			before++
 		}
-		if p.Zone == n.Zone {
-			homes++
+		if p.Zone == srv.Zone {
+			sameZoneCount++
 		} else {
-			aways++
+			otherZoneCount++
 		}
 	}
-	// The two sides take turns until one has no more.
-	other := aways
-	if !home {
-		other = homes
+	// The two sides alternate until one is exhausted.
+	otherSide := otherZoneCount
+	if !sameZone {
+		otherSide = sameZoneCount
 	}
-	if home {
-		return side + min(side, other)
+	if sameZone {
+		return before + min(before, otherSide)
 	}
-	return side + min(side+1, other)
+	return before + min(before+1, otherSide)
 }
 
-// age is how long ago a node was seen by anybody, as far as is known here.
-func (d *Duty) age(n *node) time.Duration {
-	if n.seen < 0 {
-		return d.now - n.from
+// age returns the time since the latest known finding of a server by any sidecar, or since
+// its listing if there is none.
+func (d *Detector) age(srv *server) time.Duration {
+	if srv.foundAt < 0 {
+		return d.now - srv.listedAt
 	}
-	return d.now - n.seen
+	return d.now - srv.foundAt
 }
 
-// wants says whether this sidecar should probe a node now, and whether that is a takeover.
-func (d *Duty) wants(n *node) (probe, takeover bool) {
-	since := time.Duration(never)
-	if n.probed >= 0 {
-		since = d.now - n.probed
+// shouldProbe reports whether this sidecar should probe a server now, and whether that is a
+// takeover.
+func (d *Detector) shouldProbe(srv *server) (probe, takeover bool) {
+	since := time.Duration(infiniteAge)
+	if srv.probedAt >= 0 {
+		since = d.now - srv.probedAt
 	}
-	if n.fixed < d.cfg.Watchers {
+	if srv.fixedRank < d.cfg.Watchers {
 		return since >= d.cfg.Every, false
 	}
-	// Of all the others any number may be alone and take the rest for dead: none probes a
-	// node more often than an equal part of what it is to bear, whatever it believes.
-	if d.now < n.free {
+	// Any number of the other sidecars may be isolated and consider the rest dead. Whatever a
+	// sidecar believes, it therefore takes over no more than an equal share of PerNode.
+	if d.now < srv.takeoverFrom {
 		return false, false
 	}
-	return d.age(n) >= 2*d.cfg.Every+time.Duration(max(0, n.place-d.cfg.Watchers+1))*d.cfg.Step, true
+	return d.age(srv) >= 2*d.cfg.Every+time.Duration(max(0, srv.rank-d.cfg.Watchers+1))*d.cfg.Step, true
 }
 
-// Tick says what is due.
-func (d *Duty) Tick(now time.Duration) (out Out) {
+// Tick returns the probes and notes that are due. It must be called no later than NextTick.
+func (d *Detector) Tick(now time.Duration) (out Actions) {
 	d.now = now
-	d.places()
-	d.signs(&out)
-	// Takeovers have a budget that rises while there are some, and falls back.
-	var due []*node
+	d.updateRanks()
+	d.tickMembership(&out)
+	// The budget for takeovers grows while there are any, and shrinks otherwise.
+	var due []*server
 	takeovers := 0
-	for _, n := range d.nodes {
-		if probe, over := d.wants(n); probe {
-			if over {
+	for _, srv := range d.servers {
+		if probe, isTakeover := d.shouldProbe(srv); probe {
+			if isTakeover {
 				takeovers++
 			}
-			due = append(due, n)
+			due = append(due, srv)
 		}
 	}
-	passed := (now - d.rampAt).Seconds()
-	d.rampAt = now
-	least := rampFrom * d.cfg.Probes
+	elapsed := (now - d.takeoverRateAt).Seconds()
+	d.takeoverRateAt = now
+	minRate := initialRampShare * d.cfg.Probes
 	if takeovers == 0 {
-		d.ramp = max(least, d.ramp-passed*least)
+		d.takeoverRate = max(minRate, d.takeoverRate-elapsed*minRate)
 	} else {
-		for ; passed > 0; passed-- {
-			d.ramp = min(d.ramp*(1+(rampBy-1)*min(passed, 1)), d.cfg.Probes)
+		for ; elapsed > 0; elapsed-- {
+			d.takeoverRate = min(d.takeoverRate*(1+(rampGrowth-1)*min(elapsed, 1)), d.cfg.Probes)
 		}
 	}
-	// Its own watch first, then what has gone unseen for longest.
-	slices.SortStableFunc(due, func(a, b *node) int {
-		return cmp.Or(cmp.Compare(min(a.fixed, d.cfg.Watchers), min(b.fixed, d.cfg.Watchers)), cmp.Compare(d.age(b), d.age(a)))
+	// Watched servers first by rank, then the others by the age of their finding.
+	slices.SortStableFunc(due, func(a, b *server) int {
+		return cmp.Or(cmp.Compare(min(a.fixedRank, d.cfg.Watchers), min(b.fixedRank, d.cfg.Watchers)), cmp.Compare(d.age(b), d.age(a)))
 	})
-	for _, n := range due {
+	for _, srv := range due {
 		rate := d.cfg.Probes
-		if n.fixed >= d.cfg.Watchers {
-			rate = d.ramp
+		if srv.fixedRank >= d.cfg.Watchers {
+			rate = d.takeoverRate
 		}
-		if !d.probes.take(now, rate, rate/4) {
+		if !d.probeBudget.take(now, rate, rate/4) {
 			d.counts.Held++
 			continue
 		}
-		n.probed = now
-		n.free = now + time.Duration((0.75+d.rng.Float64()/2)*float64(d.cfg.share(len(d.peers)+1)))
+		srv.probedAt = now
+		srv.takeoverFrom = now + time.Duration((0.75+d.rng.Float64()/2)*float64(d.cfg.minTakeoverInterval(len(d.peers)+1)))
 		d.counts.Probes++
-		if n.fixed >= d.cfg.Watchers {
+		if srv.fixedRank >= d.cfg.Watchers {
 			d.counts.Takeovers++
 		}
-		out.Probes = append(out.Probes, n.Name)
+		out.Probes = append(out.Probes, srv.Name)
 	}
 	return out
 }
 
-// Next is when Tick should be called again, at the latest.
-func (d *Duty) Next() time.Duration { return d.now + tickMost/2 }
+// NextTick returns the latest time at which Tick should be called again.
+func (d *Detector) NextTick() time.Duration { return d.now + maxTickDelay/2 }
 
-// Probed takes what a probe of this sidecar's found.
-func (d *Duty) Probed(now time.Duration, name string, s State) {
+// RecordProbe records the result of a probe by this sidecar.
+func (d *Detector) RecordProbe(now time.Duration, name string, s State) {
 	d.now = now
-	if n := d.byNod[IDOf(name)]; n != nil && n.Name == name {
-		n.state, n.seen, n.own, n.told = s, now, true, 0
+	if srv := d.serversByID[IDOf(name)]; srv != nil && srv.Name == name {
+		srv.state, srv.foundAt, srv.isOwn, srv.sends = s, now, true, 0
 	}
 }
 
-// View is one node or sidecar for operators.
+// View is the state of a Detector as shown to operators.
 type View struct {
-	Self     string     `json:"self"`
-	Alive    int        `json:"alive"` // this one too
-	Suspects []string   `json:"suspects,omitempty"`
-	Dead     []string   `json:"dead,omitempty"`
-	Nodes    []NodeView `json:"nodes"`
-	Counts   Counts     `json:"counts"`
+	Self     string       `json:"self"`
+	Alive    int          `json:"alive"` // including this one
+	Suspects []string     `json:"suspects,omitempty"`
+	Dead     []string     `json:"dead,omitempty"`
+	Nodes    []ServerView `json:"nodes"`
+	Counts   Counts       `json:"counts"`
 }
 
-// NodeView is what is known of a node.
-type NodeView struct {
+// ServerView is the state of one server.
+type ServerView struct {
 	Name  string        `json:"name"`
 	State string        `json:"state"`
-	Age   time.Duration `json:"age_ns"` // of what is known; of the listing where nothing is
-	Own   bool          `json:"own"`    // seen by this sidecar
-	Place int           `json:"place"`  // of this sidecar in the node's order
-	Watch bool          `json:"watch"`  // it is its duty
+	Age   time.Duration `json:"age_ns"` // of the finding, or of the listing if there is none
+	Own   bool          `json:"own"`    // found by this sidecar
+	Place int           `json:"place"`  // rank of this sidecar for the server
+	Watch bool          `json:"watch"`  // whether the rank makes this sidecar a watcher
 }
 
-// View is all that is known.
-func (d *Duty) View() View {
+// View returns the current state.
+func (d *Detector) View() View {
 	v := View{Self: d.cfg.Self, Alive: 1, Counts: d.counts}
-	d.places()
+	d.updateRanks()
 	for _, p := range d.peers {
-		switch p.life {
+		switch p.state {
 		case Alive:
 			v.Alive++
 		case Suspect:
@@ -369,21 +381,22 @@
 			v.Dead = append(v.Dead, p.Name)
 		}
 	}
-	for _, n := range d.nodes {
+	for _, srv := range d.servers {
 		state := "unknown"
-		if n.seen >= 0 {
-			state = n.state.String()
+		if srv.foundAt >= 0 {
+			state = srv.state.String()
 		}
-		v.Nodes = append(v.Nodes, NodeView{n.Name, state, d.age(n), n.own, n.place, n.place < d.cfg.Watchers})
+		v.Nodes = append(v.Nodes, ServerView{srv.Name, state, d.age(srv), srv.isOwn, srv.rank, srv.rank < d.cfg.Watchers})
 	}
 	return v
 }
 
-// Known is what is known of a node by anybody, with its age; false for nothing.
-func (d *Duty) Known(name string) (s State, age time.Duration, own, ok bool) {
-	n := d.byNod[IDOf(name)]
-	if n == nil || n.Name != name || n.seen < 0 {
+// Lookup returns the latest known finding of a server with its age, and whether it is this
+// sidecar's own. ok is false if there is none.
+func (d *Detector) Lookup(name string) (s State, age time.Duration, own, ok bool) {
+	srv := d.serversByID[IDOf(name)]
+	if srv == nil || srv.Name != name || srv.foundAt < 0 {
 		return 0, 0, false, false
 	}
-	return n.state, d.now - n.seen, n.own, true
+	return srv.state, d.now - srv.foundAt, srv.isOwn, true
 }
--- a/internal/duty/note.go
+++ b/internal/duty/note.go
@@ -1,11 +1,11 @@
-// Package duty divides the probing of nodes among sidecars that tell one another by short
-// notes what they found. It has no I/O, clock or goroutines.
+// Package duty divides the probing of servers among sidecars, which exchange findings in
+// short notes. It has no I/O, clock or goroutines.
 //
-// Who is there is judged as in SWIM (Das, Gupta, Motivala, DSN 2002): direct and indirect
-// signs, suspicion before death, incarnation numbers against old news. Who watches a node
-// is told by rendezvous hashing (Thaler and Ravishankar 1998). Nothing about a node's
-// watching depends on all having the same view: who stands further down in a node's order
-// takes over when what is known of the node has grown old for its place.
+// Membership follows SWIM (Das, Gupta, Motivala, DSN 2002): direct and indirect pings,
+// suspicion before death, and incarnation numbers against outdated updates. The sidecars that
+// watch a server are chosen by rendezvous hashing (Thaler and Ravishankar 1998). Probing does
+// not depend on a consistent view: a sidecar further down in a server's order takes over when
+// the latest finding of the server is older than its rank allows.
 package duty
 
 import (
@@ -17,39 +17,38 @@
 	"time"
 )
 
-// NoteMost is the length of a note, in bytes.
-const NoteMost = 256
+// MaxNoteBytes is the maximum length of an encoded note, in bytes.
+const MaxNoteBytes = 256
 
 const (
 	noteVersion = 1
-	// partVersion is of notes that carry a part of somebody else's: behind the findings its
-	// length, and the part.
-	partVersion = 2
-	headLen     = 1 + 1 + 4 + 8 + 4 + 4 + 4 + 1 + 1
-	newsLen     = 4 + 8 + 1
-	foundLen    = 4 + 2
-	tagLen      = 12
-	newsMost    = 6
-	ageUnit     = 100 * time.Millisecond
-	ageMost     = 1<<13 - 1
+	// payloadVersion marks notes with a payload: its length and bytes follow the findings.
+	payloadVersion = 2
+	headerBytes    = 1 + 1 + 4 + 8 + 4 + 4 + 4 + 1 + 1
+	updateBytes    = 4 + 8 + 1
+	findingBytes   = 4 + 2
+	tagBytes       = 12
+	maxUpdates     = 6
+	ageUnit        = 100 * time.Millisecond
+	maxAgeUnits    = 1<<13 - 1
 )
 
-// Kind is what a note is for.
+// Kind is the purpose of a note.
 type Kind uint8
 
 const (
-	Tell Kind = iota // findings and news, no more
-	Ping             // answer me
-	Ack              // of a Ping with this number, about its sender or Whom
-	Ask              // ping Whom for me
-	kinds
+	Gossip      Kind = iota // only carries updates and findings
+	Ping                    // requests an Ack
+	Ack                     // answers the Ping of the same Seq, for its sender or for Target
+	PingRequest             // requests that the receiver ping Target
+	kindCount
 )
 
-// ID names a sidecar or a node: a hash of its name. Names whose hashes are the same are
-// found at the start, where all names are known.
+// ID identifies a sidecar or a server by a hash of its name. Collisions among sidecars are
+// detected by Config.Validate, which knows all their names.
 type ID uint32
 
-// IDOf is a name's.
+// IDOf returns the ID of a name.
 func IDOf(name string) ID {
 	h := fnv.New64a()
 	h.Write([]byte(name))
@@ -57,7 +56,7 @@
 	return ID(x ^ x>>32)
 }
 
-// State is what a probe found.
+// State is the result of a probe.
 type State uint8
 
 const (
@@ -65,168 +64,172 @@
 	Slow
 	Refusing
 	Silent
-	states
+	stateCount
 )
 
-var stateWords = [...]string{"answering", "slow", "refusing", "silent"}
+var stateNames = [...]string{"answering", "slow", "refusing", "silent"}
 
-// String is the state's name.
-func (s State) String() string { return stateWords[s] }
+// String returns the name of the state.
+func (s State) String() string { return stateNames[s] }
 
-// Life is what is said of a sidecar.
-type Life uint8
+// PeerState is the state of a sidecar as known to others. Higher values override lower ones of the
+// same incarnation.
+type PeerState uint8
 
 const (
-	Alive Life = iota
+	Alive PeerState = iota
 	Suspect
 	Dead
-	lives
+	peerStateCount
 )
 
-// String is the word for it.
-func (l Life) String() string { return [...]string{"alive", "suspected", "dead"}[l] }
+// String returns the name of the state.
+func (s PeerState) String() string { return [...]string{"alive", "suspected", "dead"}[s] }
 
-// News is what is said of one sidecar, at one of its incarnations.
-type News struct {
-	Who  ID
-	Inc  uint64
-	Life Life
+// Update is a membership update: the state of one incarnation of a sidecar.
+type Update struct {
+	ID          ID
+	Incarnation uint64
+	State       PeerState
 }
 
-// Found is what is known of a node, and how long ago it was seen.
-type Found struct {
-	Node  ID
-	State State
-	Age   time.Duration
+// Finding is the last known state of a server, and the time since the probe that found it.
+type Finding struct {
+	Server ID
+	State  State
+	Age    time.Duration
 }
 
-// Note is what one sidecar sends another.
+// Note is a message from one sidecar to another.
 type Note struct {
-	Kind  Kind
-	From  ID
-	Inc   uint64 // of its sender: grows with each start, and to refute suspicion
-	Seq   uint32 // of a Ping, and of its Ack
-	Whom  ID     // of Ask, and of an Ack for somebody else; 0: nobody
-	Sent  uint32 // when, in milliseconds of its sender's own clock, which wraps
-	News  []News
-	Found []Found
-	Part  []byte // of somebody else's; empty: none
+	Kind     Kind
+	From     ID
+	Inc      uint64 // incarnation of the sender: grows with each start and to refute a suspicion
+	Seq      uint32 // number of a Ping, and of its Ack
+	Target   ID     // target of a PingRequest, or of an Ack on behalf of another sidecar; 0: none
+	Sent     uint32 // time of sending, in milliseconds of the sender's clock, modulo 2^32
+	Updates  []Update
+	Findings []Finding
+	Part     []byte // payload of another package; empty: none
 }
 
-// PartMost is the longest part, in bytes: findings need room too.
+// PartMost is the maximum length of a payload, in bytes; it leaves space for findings.
 const PartMost = 150
 
-// Errors of a note that can't be read. They are not told to its sender.
+// Errors of Parse. They are not reported to the sender of the note.
 var (
-	ErrNote = errors.New("duty: not a note")
-	ErrTag  = errors.New("duty: a note with a wrong tag")
+	ErrMalformed = errors.New("duty: malformed note")
+	ErrTag       = errors.New("duty: note with an invalid authentication tag")
 )
 
-// Room is how many findings fit beside so many news.
-func Room(news int, tagged bool) int { return room(news, tagged) / foundLen }
+// MaxFindings returns the number of findings that fit into a note beside the given number of
+// updates.
+func MaxFindings(updates int, tagged bool) int { return freeBytes(updates, tagged) / findingBytes }
 
-// room is how many bytes are left beside so many news.
-func room(news int, tagged bool) int {
-	left := NoteMost - headLen - news*newsLen
+// freeBytes returns the number of bytes left in a note beside the given number of updates.
+func freeBytes(updates int, tagged bool) int {
+	free := MaxNoteBytes - headerBytes - updates*updateBytes
 	if tagged {
-		left -= tagLen
+		free -= tagBytes
 	}
-	return left
+	return free
 }
 
-// room is how many findings a note has room for.
-func (n *Note) room(tagged bool) int {
-	left := room(min(len(n.News), newsMost), tagged)
+// maxFindings returns the number of findings that fit into the note.
+func (n *Note) maxFindings(tagged bool) int {
+	free := freeBytes(min(len(n.Updates), maxUpdates), tagged)
 	if len(n.Part) > 0 {
-		left -= 1 + len(n.Part)
+		free -= 1 + len(n.Part)
 	}
-	return max(0, left/foundLen)
+	return max(0, free/findingBytes)
 }
 
-// Append writes a note behind b, with a tag where there is a key. What does not fit is a
-// mistake of the caller's: it is cut off.
+// Append appends the encoded note to b, with an authentication tag if key is not empty. Updates
+// and findings that do not fit are omitted; callers must not pass so many.
 func (n *Note) Append(b []byte, key []byte) []byte {
-	begin := len(b)
-	news := n.News[:min(len(n.News), newsMost)]
-	found := n.Found[:min(len(n.Found), n.room(len(key) > 0))]
+	start := len(b)
+	updates := n.Updates[:min(len(n.Updates), maxUpdates)]
+	findings := n.Findings[:min(len(n.Findings), n.maxFindings(len(key) > 0))]
 	version := byte(noteVersion)
 	if len(n.Part) > 0 {
-		version = partVersion
+		version = payloadVersion
 	}
 	b = append(b, version, byte(n.Kind))
 	b = binary.BigEndian.AppendUint32(b, uint32(n.From))
 	b = binary.BigEndian.AppendUint64(b, n.Inc)
 	b = binary.BigEndian.AppendUint32(b, n.Seq)
-	b = binary.BigEndian.AppendUint32(b, uint32(n.Whom))
+	b = binary.BigEndian.AppendUint32(b, uint32(n.Target))
 	b = binary.BigEndian.AppendUint32(b, n.Sent)
-	b = append(b, byte(len(news)), byte(len(found)))
-	for _, w := range news {
-		b = binary.BigEndian.AppendUint32(b, uint32(w.Who))
-		b = binary.BigEndian.AppendUint64(b, w.Inc)
-		b = append(b, byte(w.Life))
+	b = append(b, byte(len(updates)), byte(len(findings)))
+	for _, update := range updates {
+		b = binary.BigEndian.AppendUint32(b, uint32(update.ID))
+		b = binary.BigEndian.AppendUint64(b, update.Incarnation)
+		b = append(b, byte(update.State))
 	}
-	for _, f := range found {
-		b = binary.BigEndian.AppendUint32(b, uint32(f.Node))
-		age := min(max((f.Age+ageUnit-1)/ageUnit, 0), ageMost) // never younger than it is
-		b = binary.BigEndian.AppendUint16(b, uint16(f.State)<<13|uint16(age))
+	for _, finding := range findings {
+		b = binary.BigEndian.AppendUint32(b, uint32(finding.Server))
+		age := min(max((finding.Age+ageUnit-1)/ageUnit, 0), maxAgeUnits) // rounded up, so that a finding never appears newer
+		b = binary.BigEndian.AppendUint16(b, uint16(finding.State)<<13|uint16(age))
 	}
 	if len(n.Part) > 0 {
 		b = append(append(b, byte(len(n.Part))), n.Part...)
 	}
 	if len(key) > 0 {
-		b = append(b, tag(b[begin:], key)...)
+		b = append(b, computeTag(b[start:], key)...)
 	}
 	return b
 }
 
-func tag(b, key []byte) []byte {
-	m := hmac.New(sha256.New, key)
-	m.Write(b)
-	return m.Sum(nil)[:tagLen]
+// computeTag returns the truncated HMAC-SHA256 of b.
+func computeTag(b, key []byte) []byte {
+	mac := hmac.New(sha256.New, key)
+	mac.Write(b)
+	return mac.Sum(nil)[:tagBytes]
 }
 
-// Parse reads a note. With a key nothing of a note without its tag is looked at.
+// Parse decodes a note. With a key, the tag is verified before anything else is read. It
+// returns ErrMalformed or ErrTag.
 func Parse(b, key []byte) (*Note, error) {
-	if len(b) > NoteMost || len(b) < headLen {
-		return nil, ErrNote
+	if len(b) > MaxNoteBytes || len(b) < headerBytes {
+		return nil, ErrMalformed
 	}
 	if len(key) > 0 {
-		cut := len(b) - tagLen
-		if cut < headLen || !hmac.Equal(tag(b[:cut], key), b[cut:]) {
+		tagStart := len(b) - tagBytes
+		if tagStart < headerBytes || !hmac.Equal(computeTag(b[:tagStart], key), b[tagStart:]) {
 			return nil, ErrTag
 		}
-		b = b[:cut]
+		b = b[:tagStart]
 	}
-	if b[0] != noteVersion && b[0] != partVersion || b[1] >= byte(kinds) {
-		return nil, ErrNote
+	if b[0] != noteVersion && b[0] != payloadVersion || b[1] >= byte(kindCount) {
+		return nil, ErrMalformed
 	}
-	n := &Note{Kind: Kind(b[1]), From: ID(binary.BigEndian.Uint32(b[2:])), Inc: binary.BigEndian.Uint64(b[6:]), Seq: binary.BigEndian.Uint32(b[14:]), Whom: ID(binary.BigEndian.Uint32(b[18:])), Sent: binary.BigEndian.Uint32(b[22:])}
-	news, found := int(b[26]), int(b[27])
-	size := headLen + news*newsLen + found*foundLen
-	if news > newsMost || len(b) < size {
-		return nil, ErrNote
+	note := &Note{Kind: Kind(b[1]), From: ID(binary.BigEndian.Uint32(b[2:])), Inc: binary.BigEndian.Uint64(b[6:]), Seq: binary.BigEndian.Uint32(b[14:]), Target: ID(binary.BigEndian.Uint32(b[18:])), Sent: binary.BigEndian.Uint32(b[22:])}
+	updateCount, findingCount := int(b[26]), int(b[27])
+	size := headerBytes + updateCount*updateBytes + findingCount*findingBytes
+	if updateCount > maxUpdates || len(b) < size {
+		return nil, ErrMalformed
 	}
-	switch part := b[size:]; {
-	case b[0] == noteVersion && len(part) > 0, b[0] == partVersion && (len(part) < 2 || len(part) > PartMost+1 || int(part[0]) != len(part)-1):
-		return nil, ErrNote
-	case b[0] == partVersion:
-		n.Part = part[1:]
+	switch payload := b[size:]; {
+	case b[0] == noteVersion && len(payload) > 0, b[0] == payloadVersion && (len(payload) < 2 || len(payload) > PartMost+1 || int(payload[0]) != len(payload)-1):
+		return nil, ErrMalformed
+	case b[0] == payloadVersion:
+		note.Part = payload[1:]
 	}
-	b = b[headLen:]
-	for range news {
-		w := News{ID(binary.BigEndian.Uint32(b)), binary.BigEndian.Uint64(b[4:]), Life(b[12])}
-		if w.Life >= lives {
-			return nil, ErrNote
+	b = b[headerBytes:]
+	for range updateCount {
+		update := Update{ID(binary.BigEndian.Uint32(b)), binary.BigEndian.Uint64(b[4:]), PeerState(b[12])}
+		if update.State >= peerStateCount {
+			return nil, ErrMalformed
 		}
-		n.News, b = append(n.News, w), b[newsLen:]
+		note.Updates, b = append(note.Updates, update), b[updateBytes:]
 	}
-	for range found {
+	for range findingCount {
 		x := binary.BigEndian.Uint16(b[4:])
-		f := Found{ID(binary.BigEndian.Uint32(b)), State(x >> 13), time.Duration(x&ageMost) * ageUnit}
-		if f.State >= states {
-			return nil, ErrNote
+		finding := Finding{ID(binary.BigEndian.Uint32(b)), State(x >> 13), time.Duration(x&maxAgeUnits) * ageUnit}
+		if finding.State >= stateCount {
+			return nil, ErrMalformed
 		}
-		n.Found, b = append(n.Found, f), b[foundLen:]
+		note.Findings, b = append(note.Findings, finding), b[findingBytes:]
 	}
-	return n, nil
+	return note, nil
 }
--- a/internal/rooms/duties/duties.go
+++ b/internal/rooms/duties/duties.go
@@ -1,4 +1,5 @@
-// Package duties hosts a duty.Duty: its socket for notes, its probes and its clock.
+// Package duties runs a duty.Detector in a sidecar: it exchanges notes with peers over UDP,
+// probes servers over HTTP, and reports findings to the balancer.
 package duties
 
 import (
@@ -20,283 +21,287 @@
 )
 
 const (
-	tick = 100 * time.Millisecond
-	// probesOut bounds the probes on their way, each of which holds a connection.
-	probesOut = 16
-	// Conns are the descriptors that it may hold: probes, their idle connections, and the
-	// socket for notes.
-	Conns = 2*probesOut + 1
-	// fresh is how old a finding may be that the decision module is told of.
-	fresh = 4 * time.Second
+	tickInterval = 100 * time.Millisecond
+	// maxProbesInFlight bounds the probes in flight, each of which holds a connection.
+	maxProbesInFlight = 16
+	// Conns is the maximum number of file descriptors used: for probes, their idle connections
+	// and the UDP socket.
+	Conns = 2*maxProbesInFlight + 1
+	// maxFindingAge is the maximum age of a finding that is reported to the balancer.
+	maxFindingAge = 4 * time.Second
 )
 
-// What a finding counts as to the module, in requests held: it knows no other signs of a
-// node's state than answers and loads.
-var loads = map[duty.State]float64{duty.Answering: 0, duty.Slow: 3, duty.Refusing: 8, duty.Silent: 8}
+// loadByState is the load reported to the balancer for each state, in requests in flight. The
+// balancer has no other input for a server's state than responses and loads.
+var loadByState = map[duty.State]float64{duty.Answering: 0, duty.Slow: 3, duty.Refusing: 8, duty.Silent: 8}
 
-// Core is told what was found.
-type Core interface {
+// Reporter receives findings as load reports.
+type Reporter interface {
 	Reported(name string, age time.Duration, r chalkrack.Report)
 }
 
-// Config is what it is made of.
+// Config holds the settings of a Duties.
 type Config struct {
-	Duty      duty.Config   // peers are named by their addresses, and As is As of their numbers
-	Listen    string        // where notes come
-	Inherited bool          // the process before may still have that port
-	Key       []byte        // of notes; empty: they have no tag
-	Path      string        // that is asked of a node
-	Slow      time.Duration // an answer that takes longer is slow
+	Duty      duty.Config   // the Name of a peer is its address, its As is As of its number
+	Listen    string        // UDP address for notes
+	Inherited bool          // the previous process of this sidecar may still hold the port
+	Key       []byte        // authenticates notes; empty: notes carry no tag
+	Path      string        // URL path of a probe
+	Slow      time.Duration // a server that takes longer to answer a probe is slow
 	Timeout   time.Duration // of a probe
-	Probing   bool          // nodes are probed, else notes are sent only
+	Probing   bool          // whether servers are probed; notes are exchanged in any case
 }
 
-// As is the name that all sidecars know the one with a number by: a peer's address may
-// differ from one sidecar to the next.
+// As returns the name under which all sidecars know sidecar n. It is not the address, since
+// sidecars may reach a peer at different addresses.
 func As(n int) string { return fmt.Sprint("sidecar ", n) }
 
-// Duties is the host. What is called of a nil one does nothing.
+// Duties drives a duty.Detector. Begin and Close of a nil Duties do nothing.
 type Duties struct {
-	host  Core
-	start time.Time
-	at    *net.UDPAddr
-	conn  atomic.Pointer[net.UDPConn] // nil: another process of this sidecar still has the port
-	key   []byte
-	path  string
-	slow  time.Duration
-	wait  time.Duration
-	http  *http.Transport
-	room  chan struct{}
-	addrs map[string]*net.UDPAddr                   // of peers, by name, which is their address
-	ids   map[duty.ID]int                           // the numbers of peers
-	named []string                                  // and their names, by number
-	quiet bool                                      // nobody is probed
-	heard func(number int, inc uint64, part []byte) // takes others' parts of notes; nil: nobody does
-	stop  context.CancelFunc
-	ctx   context.Context
-	wg    sync.WaitGroup
+	host            Reporter
+	start           time.Time
+	listenAddr      *net.UDPAddr
+	conn            atomic.Pointer[net.UDPConn] // nil: the previous process of this sidecar still holds the port
+	key             []byte
+	path            string
+	slowAfter       time.Duration
+	timeout         time.Duration
+	transport       *http.Transport
+	probeSlots      chan struct{}
+	peerAddrs       map[string]*net.UDPAddr                   // of peers by name
+	peerNumbers     map[duty.ID]int                           // numbers of peers
+	peerNames       []string                                  // names of peers by number
+	probingDisabled bool                                      // no server is probed
+	onPayload       func(number int, inc uint64, part []byte) // receives payloads of notes; nil: none
+	cancel          context.CancelFunc
+	ctx             context.Context
+	wg              sync.WaitGroup
 
-	mu    sync.Mutex
-	d     *duty.Duty
-	nodes map[string]membership.Entry // that serve
-	told  map[string]time.Duration    // when what was last told of a node was seen
-	bad   uint64                      // notes that could not be read
+	mu         sync.Mutex
+	duty       *duty.Detector
+	servers    map[string]membership.Entry // servers in the Serving state
+	reportedAt map[string]time.Duration    // time of the finding last reported, by server
+	unreadable uint64                      // notes that could not be parsed
 }
 
-// New binds the port for notes, unless the process before still has it.
-func New(c Config, host Core) (*Duties, error) {
-	d, err := duty.New(c.Duty)
+// New binds the UDP port for notes, unless the previous process of this sidecar still holds it.
+func New(cfg Config, host Reporter) (*Duties, error) {
+	d, err := duty.New(cfg.Duty)
 	if err != nil {
 		return nil, fmt.Errorf("features: %w", err)
 	}
-	at, err := net.ResolveUDPAddr("udp", c.Listen)
+	listenAddr, err := net.ResolveUDPAddr("udp", cfg.Listen)
 	if err != nil {
 		return nil, fmt.Errorf("config: peer_listen: %w", err)
 	}
-	s := &Duties{host: host, start: time.Now(), d: d, key: c.Key, path: c.Path, slow: c.Slow, wait: c.Timeout,
-		room: make(chan struct{}, probesOut), addrs: make(map[string]*net.UDPAddr), nodes: make(map[string]membership.Entry), told: make(map[string]time.Duration),
-		http: &http.Transport{MaxConnsPerHost: 1, MaxIdleConns: probesOut, IdleConnTimeout: 3 * c.Duty.Every, DisableCompression: true}}
-	s.ids, s.named, s.quiet = make(map[duty.ID]int), make([]string, len(c.Duty.Peers)+1), !c.Probing
-	for _, p := range c.Duty.Peers {
-		var n int
-		fmt.Sscanf(p.As, "sidecar %d", &n)
-		s.ids[duty.IDOf(p.As)], s.named[n] = n, p.Name
-		if s.addrs[p.Name], err = net.ResolveUDPAddr("udp", p.Name); err != nil {
+	s := &Duties{host: host, start: time.Now(), duty: d, key: cfg.Key, path: cfg.Path, slowAfter: cfg.Slow, timeout: cfg.Timeout,
+		probeSlots: make(chan struct{}, maxProbesInFlight), peerAddrs: make(map[string]*net.UDPAddr), servers: make(map[string]membership.Entry), reportedAt: make(map[string]time.Duration),
+		transport: &http.Transport{MaxConnsPerHost: 1, MaxIdleConns: maxProbesInFlight, IdleConnTimeout: 3 * cfg.Duty.Every, DisableCompression: true}}
+	s.peerNumbers, s.peerNames, s.probingDisabled = make(map[duty.ID]int), make([]string, len(cfg.Duty.Peers)+1), !cfg.Probing
+	for _, p := range cfg.Duty.Peers {
+		var number int
+		fmt.Sscanf(p.As, "sidecar %d", &number)
+		s.peerNumbers[duty.IDOf(p.As)], s.peerNames[number] = number, p.Name
+		if s.peerAddrs[p.Name], err = net.ResolveUDPAddr("udp", p.Name); err != nil {
 			return nil, fmt.Errorf("config: peers: %w", err)
 		}
 	}
-	s.at = at
-	conn, err := net.ListenUDP("udp", at)
+	s.listenAddr = listenAddr
+	conn, err := net.ListenUDP("udp", listenAddr)
 	switch {
 	case err == nil:
 		s.conn.Store(conn)
-	case !c.Inherited || !errors.Is(err, syscall.EADDRINUSE): // else the process before has it, till it ends
+	case !cfg.Inherited || !errors.Is(err, syscall.EADDRINUSE): // otherwise the previous process holds it until it ends
 		return nil, fmt.Errorf("config: peer_listen: %w", err)
 	}
-	s.ctx, s.stop = context.WithCancel(context.Background())
+	s.ctx, s.cancel = context.WithCancel(context.Background())
 	return s, nil
 }
 
-// Begin has it tell and hear. What its notes carry of others' is set before.
+// Begin starts sending and receiving notes. Carries must be called before it.
 func (s *Duties) Begin() {
 	if s != nil {
 		s.wg.Go(func() {
-			if s.bind() {
-				s.read()
+			if s.waitForPort() {
+				s.receiveNotes()
 			}
 		})
 		s.wg.Go(s.run)
 	}
 }
 
-// bindEach is how often a process tries to have the port that the one before it has.
-const bindEach = 50 * time.Millisecond
+// bindInterval is the interval of attempts to bind the port held by the previous process.
+const bindInterval = 50 * time.Millisecond
 
-// bind waits until the port is this process's; false: it ends.
-func (s *Duties) bind() bool {
+// waitForPort waits until the port is bound. It returns false if s is closed first.
+func (s *Duties) waitForPort() bool {
 	for s.conn.Load() == nil {
 		select {
 		case <-s.ctx.Done():
 			return false
-		case <-time.After(bindEach):
+		case <-time.After(bindInterval):
 		}
-		if conn, err := net.ListenUDP("udp", s.at); err == nil {
+		if conn, err := net.ListenUDP("udp", s.listenAddr); err == nil {
 			s.conn.Store(conn)
-			slog.Info("duty: the port for notes is free", "listen", s.at)
+			slog.Info("duty: bound the port for notes after the previous process released it", "listen", s.listenAddr)
 		}
 	}
-	if s.ctx.Err() != nil { // Close did not see it
+	if s.ctx.Err() != nil { // Close did not see the connection
 		s.conn.Load().Close()
 		return false
 	}
 	return true
 }
 
-// Bound says that the port for notes is this process's.
+// Bound reports whether this process has bound the port for notes.
 func (s *Duties) Bound() bool { return s.conn.Load() != nil }
 
-// Carries has notes carry a part of others', and hands what comes to them. It is called
-// before Begin.
-func (s *Duties) Carries(part func(room int) []byte, heard func(number int, inc uint64, part []byte)) {
-	s.d.Carry(func(_ time.Duration, room int) []byte { return part(room) })
-	s.heard = heard
+// Carries sets the function that returns the payload of each note, given the number of bytes
+// available, and the function that receives payloads with the number and incarnation of their
+// sender. It must be called before Begin.
+func (s *Duties) Carries(payload func(room int) []byte, onPayload func(number int, inc uint64, payload []byte)) {
+	s.duty.SetPayload(func(_ time.Duration, room int) []byte { return payload(room) })
+	s.onPayload = onPayload
 }
 
-// TellSome has peers told what there is to tell now: so many drawn, and those of a number.
+// TellSome sends a note at once to n random living peers and to those with the given numbers.
 func (s *Duties) TellSome(n int, numbers []int) {
 	var names []string
 	for _, i := range numbers {
-		if i >= 0 && i < len(s.named) && s.named[i] != "" {
-			names = append(names, s.named[i])
+		if i >= 0 && i < len(s.peerNames) && s.peerNames[i] != "" {
+			names = append(names, s.peerNames[i])
 		}
 	}
 	s.mu.Lock()
-	out := s.d.TellSome(s.now(), n, names...)
+	out := s.duty.SendNotes(s.now(), n, names...)
 	s.mu.Unlock()
-	s.carry(out)
+	s.execute(out)
 }
 
 func (s *Duties) now() time.Duration { return time.Since(s.start) }
 
-// Listed takes what discovery says: only what it names is probed and told of.
-func (s *Duties) Listed(l *membership.List) {
-	if s.quiet {
+// Listed updates the servers from discovery. Only listed servers in the Serving state are
+// probed and included in notes.
+func (s *Duties) Listed(list *membership.List) {
+	if s.probingDisabled {
 		return
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if l.Whole {
-		clear(s.nodes)
+	if list.Whole {
+		clear(s.servers)
 	}
-	for _, e := range l.Entries {
-		if e.State == chalkrack.Serving {
-			s.nodes[e.Name] = e
+	for _, entry := range list.Entries {
+		if entry.State == chalkrack.Serving {
+			s.servers[entry.Name] = entry
 		} else {
-			delete(s.nodes, e.Name)
+			delete(s.servers, entry.Name)
 		}
 	}
-	all := make([]duty.Node, 0, len(s.nodes))
-	for name, e := range s.nodes {
-		all = append(all, duty.Node{Name: name, Zone: e.Zone})
+	servers := make([]duty.Server, 0, len(s.servers))
+	for name, entry := range s.servers {
+		servers = append(servers, duty.Server{Name: name, Zone: entry.Zone})
 	}
-	for name := range s.told {
-		if _, ok := s.nodes[name]; !ok {
-			delete(s.told, name)
+	for name := range s.reportedAt {
+		if _, ok := s.servers[name]; !ok {
+			delete(s.reportedAt, name)
 		}
 	}
-	s.d.Nodes(s.now(), all)
+	s.duty.SetServers(s.now(), servers)
 }
 
-// run ticks until the end.
+// run calls Tick at a fixed interval until s is closed.
 func (s *Duties) run() {
-	t := time.NewTicker(tick)
-	defer t.Stop()
+	ticker := time.NewTicker(tickInterval)
+	defer ticker.Stop()
 	for {
 		select {
 		case <-s.ctx.Done():
 			return
-		case <-t.C:
+		case <-ticker.C:
 		}
 		s.mu.Lock()
-		out := s.d.Tick(s.now())
+		out := s.duty.Tick(s.now())
 		s.mu.Unlock()
-		s.carry(out)
-		s.tell()
+		s.execute(out)
+		s.reportFindings()
 	}
 }
 
-// read takes notes until the end. Who sent one is told by its sender's id, as peers may be
-// reached by other addresses than they send from; a key is what keeps others out.
-func (s *Duties) read() {
-	b := make([]byte, 2*duty.NoteMost)
+// receiveNotes receives notes until the connection is closed. The sender is identified by the
+// ID in the note, since a peer may send from another address than it is reached at; only a
+// key keeps out notes of others.
+func (s *Duties) receiveNotes() {
+	buf := make([]byte, 2*duty.MaxNoteBytes)
 	for {
-		n, _, err := s.conn.Load().ReadFromUDP(b)
+		n, _, err := s.conn.Load().ReadFromUDP(buf)
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
 		if err != nil {
-			continue // of a peer whose port is closed
+			continue // for instance, the port of a peer is closed
 		}
-		note, err := duty.Parse(b[:n], s.key)
+		note, err := duty.Parse(buf[:n], s.key)
 		s.mu.Lock()
 		if err != nil {
-			s.bad++
+			s.unreadable++
 			s.mu.Unlock()
 			continue
 		}
-		out := s.d.Receive(s.now(), note)
+		out := s.duty.Receive(s.now(), note)
 		s.mu.Unlock()
-		s.carry(out)
-		if n, known := s.ids[note.From]; known && s.heard != nil && len(note.Part) > 0 {
-			s.heard(n, note.Inc, note.Part)
+		s.execute(out)
+		if n, known := s.peerNumbers[note.From]; known && s.onPayload != nil && len(note.Part) > 0 {
+			s.onPayload(n, note.Inc, note.Part)
 		}
 	}
 }
 
-func (s *Duties) carry(out duty.Out) {
-	var b [duty.NoteMost]byte
+// execute sends the notes of out and starts its probes.
+func (s *Duties) execute(out duty.Actions) {
+	var buf [duty.MaxNoteBytes]byte
 	conn := s.conn.Load()
-	for _, o := range out.Notes {
+	for _, outgoing := range out.Notes {
 		if conn == nil {
 			break
 		}
-		conn.WriteToUDP(o.Note.Append(b[:0], s.key), s.addrs[o.To])
+		conn.WriteToUDP(outgoing.Note.Append(buf[:0], s.key), s.peerAddrs[outgoing.To])
 	}
 	for _, name := range out.Probes {
 		s.mu.Lock()
-		e, ok := s.nodes[name]
+		entry, ok := s.servers[name]
 		s.mu.Unlock()
 		if !ok {
 			continue
 		}
 		select {
-		case s.room <- struct{}{}:
-		default: // as many are out as may be: it stays due by its age
+		case s.probeSlots <- struct{}{}:
+		default: // the maximum number of probes is in flight: it stays due by its age
 			continue
 		}
 		s.wg.Go(func() {
-			defer func() { <-s.room }()
-			state := s.probe(e.Address)
+			defer func() { <-s.probeSlots }()
+			state := s.probe(entry.Address)
 			if s.ctx.Err() != nil {
 				return
 			}
 			s.mu.Lock()
-			s.d.Probed(s.now(), e.Name, state)
+			s.duty.RecordProbe(s.now(), entry.Name, state)
 			s.mu.Unlock()
 		})
 	}
 }
 
-// probe asks a node.
+// probe sends a probe to addr, and returns the resulting state of the server.
 func (s *Duties) probe(addr string) duty.State {
-	ctx, cancel := context.WithTimeout(s.ctx, s.wait)
+	ctx, cancel := context.WithTimeout(s.ctx, s.timeout)
 	defer cancel()
-	r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+s.path, nil)
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+s.path, nil)
 	if err != nil {
 		return duty.Silent
 	}
 	began := time.Now()
-	resp, err := s.http.RoundTrip(r)
+	resp, err := s.transport.RoundTrip(req)
 	if err != nil {
 		if ctx.Err() != nil {
 			return duty.Silent
@@ -308,58 +313,57 @@
 	switch {
 	case resp.StatusCode < 200 || resp.StatusCode > 299:
 		return duty.Refusing
-	case time.Since(began) > s.slow:
+	case time.Since(began) > s.slowAfter:
 		return duty.Slow
 	}
 	return duty.Answering
 }
 
-// tell hands the module what was found since it was last told, as a report of the time
-// when it was seen.
-func (s *Duties) tell() {
+// reportFindings reports the findings since the last call to the balancer, each with its age.
+func (s *Duties) reportFindings() {
 	type found struct {
 		name string
 		age  time.Duration
 		load float64
 	}
-	var all []found
+	var findings []found
 	s.mu.Lock()
 	now := s.now()
-	for name := range s.nodes {
-		state, age, _, ok := s.d.Known(name)
-		if seen := now - age; ok && age < fresh && seen > s.told[name] {
-			s.told[name] = seen
-			all = append(all, found{name, age, loads[state]})
+	for name := range s.servers {
+		state, age, _, ok := s.duty.Lookup(name)
+		if seen := now - age; ok && age < maxFindingAge && seen > s.reportedAt[name] {
+			s.reportedAt[name] = seen
+			findings = append(findings, found{name, age, loadByState[state]})
 		}
 	}
 	s.mu.Unlock()
-	for _, f := range all {
-		s.host.Reported(f.name, f.age, chalkrack.Report{HasInFlight: true, InFlight: f.load})
+	for _, finding := range findings {
+		s.host.Reported(finding.name, finding.age, chalkrack.Report{HasInFlight: true, InFlight: finding.load})
 	}
 }
 
-// View is what operators see.
+// View is the state as shown to operators.
 type View struct {
 	duty.View
 	Unread uint64 `json:"unread_notes"`
 }
 
-// View is what is held.
+// View returns the current state.
 func (s *Duties) View() View {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return View{s.d.View(), s.bad}
+	return View{s.duty.View(), s.unreadable}
 }
 
-// Close ends it and waits for its probes.
+// Close stops sending and receiving notes, and waits for the probes in flight.
 func (s *Duties) Close() {
 	if s == nil {
 		return
 	}
-	s.stop()
+	s.cancel()
 	if conn := s.conn.Load(); conn != nil {
 		conn.Close()
 	}
 	s.wg.Wait()
-	s.http.CloseIdleConnections()
+	s.transport.CloseIdleConnections()
 }
