--- a/internal/body/body.go
+++ b/internal/body/body.go
@@ -152,7 +152,7 @@
 // become a body that is not kept.
 func (b *Body) elsewhere(n int64) error {
 	b.store.mu.Lock()
-	place := b.store.keeper.Unwritten(b.kept, n, false)
+	place := b.store.keeper.RecordFileFailure(b.kept, n, false)
 	b.store.mu.Unlock()
 	switch place {
 	case keep.Refused:
@@ -167,7 +167,7 @@
 func (b *Body) trim(n int64) {
 	b.store.mu.Lock()
 	defer b.store.mu.Unlock()
-	b.store.keeper.Trim(b.kept, n)
+	b.store.keeper.ReleaseUnreceived(b.kept, n)
 }
 
 // pieceSize is how long the next piece is, 0 if the announced length has come.
@@ -210,9 +210,9 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	b.whole, b.buf = true, nil
-	s.keeper.Whole(b.kept)
+	s.keeper.Complete(b.kept)
 	b.moved.Broadcast()
-	if s.keeper.Tight() {
+	if s.keeper.IsTight() {
 		s.nudge()
 	}
 }
@@ -240,12 +240,12 @@
 			for _, seg := range old[n:] {
 				left += int64(seg.n)
 			}
-			s.keeper.Unwritten(b.kept, left, true)
+			s.keeper.RecordFileFailure(b.kept, left, true)
 			b.segs = append(segs, old[n:]...)
 			s.mu.Unlock()
 			return false
 		}
-		s.keeper.Written(b.kept, int64(seg.n))
+		s.keeper.RecordWritten(b.kept, int64(seg.n))
 		s.mu.Unlock()
 		segs = filed
 	}
@@ -257,7 +257,7 @@
 // it asks for another place, and the piece goes there: nothing of it is lost.
 func (b *Body) append(p []byte) error {
 	s := b.store
-	if !b.kept.Holds() {
+	if !b.kept.FileFailed() {
 		segs, err := s.write(b.file, b.segs, p)
 		if err == nil {
 			b.segs = segs
@@ -369,14 +369,14 @@
 func (b *Body) Retried() {
 	b.store.mu.Lock()
 	defer b.store.mu.Unlock()
-	b.store.keeper.Again(b.kept)
+	b.store.keeper.CountRetry(b.kept)
 }
 
 // Ended says that its call ended without an answer: refused, or failed.
 func (b *Body) Ended(refused bool) {
 	b.store.mu.Lock()
 	defer b.store.mu.Unlock()
-	b.store.keeper.Ended(b.kept, refused)
+	b.store.keeper.RecordEnd(b.kept, refused)
 }
 
 // Open implements message.Source.
@@ -390,7 +390,7 @@
 	case b.coming && b.opened > 0:
 		return nil, ErrOnce
 	}
-	s.keeper.Read(b.kept, b.opened > 0)
+	s.keeper.BeginRead(b.kept, b.opened > 0)
 	b.opened++
 	b.reading++
 	return &reading{b: b, segs: b.segs, file: b.file, live: b.coming}, nil
@@ -482,9 +482,9 @@
 	switch {
 	case seg.n == 0:
 	case seg.filed:
-		r.b.store.keeper.Passed(r.b.kept, 0, int64(seg.n))
+		r.b.store.keeper.RecordForwarded(r.b.kept, 0, int64(seg.n))
 	case seg.booked:
-		r.b.store.keeper.Passed(r.b.kept, int64(seg.n), 0)
+		r.b.store.keeper.RecordForwarded(r.b.kept, int64(seg.n), 0)
 	default:
 		r.b.wait -= int64(seg.n)
 		r.b.moved.Broadcast()
@@ -502,7 +502,7 @@
 	r.closed = true
 	r.pass()
 	r.b.reading--
-	s.keeper.Unread(r.b.kept)
+	s.keeper.EndRead(r.b.kept)
 	r.b.settle()
 	r.b.moved.Broadcast()
 }
--- a/internal/body/body_test.go
+++ b/internal/body/body_test.go
@@ -176,7 +176,7 @@
 		eventually(t, "nothing moves", func() bool { return disk.Hanging() > 0 })
 		b := first // both may be next; the one that moves is read below, by both
 		s.mu.Lock()
-		if !first.kept.Moving() {
+		if !first.kept.IsMoving() {
 			b, p = second, random(2, 1<<20)
 		}
 		s.mu.Unlock()
--- a/internal/body/store.go
+++ b/internal/body/store.go
@@ -114,9 +114,9 @@
 	}
 	old, _ := s.disk.State()
 	if trial {
-		s.disk.Tried(f, took, s.now())
+		s.disk.RecordTrial(f, took, s.now())
 	} else {
-		s.disk.Call(f, took, s.now())
+		s.disk.RecordCall(f, took, s.now())
 	}
 	if state, _ := s.disk.State(); state != old {
 		s.since = time.Now()
@@ -135,7 +135,7 @@
 // put books n bytes. It is called with the lock held.
 func (s *Store) put(b *Body, n int64) keep.Place {
 	p := s.keeper.Put(b.kept, n, s.usable())
-	if s.keeper.Tight() {
+	if s.keeper.IsTight() {
 		s.nudge()
 	}
 	return p
@@ -153,7 +153,7 @@
 		case <-s.wake:
 		case <-trial.C:
 			s.mu.Lock()
-			due := s.disk.Trial(s.now())
+			due := s.disk.TrialDue(s.now())
 			s.mu.Unlock()
 			if due {
 				began := time.Now()
@@ -170,7 +170,7 @@
 
 func (s *Store) moveOne() bool {
 	s.mu.Lock()
-	kept := s.keeper.Move(s.usable())
+	kept := s.keeper.SelectForMove(s.usable())
 	if kept == nil {
 		s.mu.Unlock()
 		return false
@@ -198,7 +198,7 @@
 	} else {
 		f.Close()
 	}
-	s.keeper.Moved(kept, err == nil)
+	s.keeper.RecordMove(kept, err == nil)
 	return true
 }
 
--- a/internal/body/view.go
+++ b/internal/body/view.go
@@ -48,7 +48,7 @@
 	defer s.mu.Unlock()
 	u := s.keeper.Usage()
 	v := View{Memory: Amount(u.Memory), Disk: Amount(u.Disk), Files: Amount(u.Files), Streams: Amount(u.Streams),
-		Tight: s.keeper.Tight(), DiskState: "off", DiskSince: s.since, DiskMoves: s.disk.Moves()}
+		Tight: s.keeper.IsTight(), DiskState: "off", DiskSince: s.since, DiskMoves: s.disk.Changes()}
 	if s.cfg.Spool != nil {
 		state, _ := s.disk.State()
 		v.DiskState = state.String()
--- a/internal/keep/account.go
+++ b/internal/keep/account.go
@@ -1,88 +1,94 @@
 package keep
 
-// account divides an amount (bytes, files, streams) among classes and tenants. Each
-// class has a guaranteed share. Of an unused share others may borrow a part; the rest
-// of it, the firm part, stays free for its class at every moment: what is taken and
-// what is firm and free never exceed the limit together. While the account is tight,
-// from its high mark until it is back at the low one, nobody borrows.
+// account divides a limited amount (bytes, files or streams) among classes and tenants. Each
+// class has a guaranteed share. Other classes may borrow a part of a share while it is unused;
+// the rest, the firm part, is reserved for its class: the amount in use plus the unused firm
+// parts never exceed the limit. From the time the amount in use reaches the high mark until it
+// is back at the low one, the account is tight and no class may borrow.
 type account struct {
 	limit, high, low int64
-	share, firm      []int64 // by class; the firm part is never lent
+	share, firm      []int64 // by class; the firm part is reserved
 	used             []int64 // by class
-	total, most      int64
-	owed             int64   // firm parts that are free
-	tenants          []int64 // taken, by tenant, unknown ones last; nil: there are none
-	tight            bool
+	total, maxUsed   int64
+	reserved         int64   // sum of the unused firm parts
+	tenants          []int64 // in use by tenant, the last for unknown ones; nil: no tenants
+	isTight          bool
 }
 
-func newAccount(limit int64, l *Limits) account {
-	a := account{limit: limit, high: int64(float64(limit) * l.High), low: int64(float64(limit) * l.Low)}
-	for _, s := range l.Shares {
+// newAccount returns an account of limit with the given shares, marks and
+// tenants.
+func newAccount(limit int64, limits *Limits) account {
+	a := account{limit: limit, high: int64(float64(limit) * limits.High), low: int64(float64(limit) * limits.Low)}
+	for _, s := range limits.Shares {
 		share := int64(float64(limit) * s)
-		firm := int64(float64(share) * (1 - l.Lend))
+		firm := int64(float64(share) * (1 - limits.Lend))
 		a.share, a.firm = append(a.share, share), append(a.firm, firm)
-		a.owed += firm
+		a.reserved += firm
 	}
-	a.used = make([]int64, len(l.Shares))
-	if l.Tenants > 0 {
-		a.tenants = make([]int64, l.Tenants+1)
+	a.used = make([]int64, len(limits.Shares))
+	if limits.Tenants > 0 {
+		a.tenants = make([]int64, limits.Tenants+1)
 	}
 	return a
 }
 
-// free is what of a class's firm part is free.
-func (a *account) free(class int) int64 { return max(0, a.firm[class]-a.used[class]) }
+// unusedFirm returns the unused firm part of a class.
+func (a *account) unusedFirm(class int) int64 { return max(0, a.firm[class]-a.used[class]) }
 
-func (a *account) tenant(t int) int {
+// tenantIndex returns the index of t in tenants; unknown tenants share the last one.
+func (a *account) tenantIndex(t int) int {
 	if t < 0 || t >= len(a.tenants) {
 		return len(a.tenants) - 1
 	}
 	return t
 }
 
-// fits says whether a class and a tenant may have n more. A tenant may always have an
-// equal part of the limit, and beyond it no more than what is free: the more others
-// hold, the less (Choudhury and Hahne, Dynamic Queue Length Thresholds for
-// Shared-Memory Packet Switches, IEEE/ACM ToN 6(2), 1998, with alpha = 1).
+// fits reports whether a class and a tenant may use n more. A tenant may always use an equal
+// part of the limit, and beyond that no more than what is free, so that its bound falls as the
+// use by others grows (Choudhury and Hahne, Dynamic Queue Length Thresholds for Shared-Memory
+// Packet Switches, IEEE/ACM ToN 6(2), 1998, with alpha = 1).
 func (a *account) fits(class, tenant int, n int64) bool {
-	if a.total+n+a.owed-a.free(class) > a.limit {
+	if a.total+n+a.reserved-a.unusedFirm(class) > a.limit {
 		return false
 	}
-	if a.tight && a.used[class]+n > a.share[class] {
+	if a.isTight && a.used[class]+n > a.share[class] {
 		return false
 	}
 	if a.tenants == nil {
 		return true
 	}
-	return a.tenants[a.tenant(tenant)]+n <= max(a.limit/int64(len(a.tenants)), a.limit-a.total-n)
+	return a.tenants[a.tenantIndex(tenant)]+n <= max(a.limit/int64(len(a.tenants)), a.limit-a.total-n)
 }
 
-func (a *account) take(class, tenant int, n int64) bool {
+// book books n for a class and a tenant and reports whether it fits.
+func (a *account) book(class, tenant int, n int64) bool {
 	if !a.fits(class, tenant, n) {
 		return false
 	}
-	a.change(class, tenant, n)
+	a.add(class, tenant, n)
 	return true
 }
 
-func (a *account) give(class, tenant int, n int64) { a.change(class, tenant, -n) }
+// release releases n of a class and a tenant.
+func (a *account) release(class, tenant int, n int64) { a.add(class, tenant, -n) }
 
-func (a *account) change(class, tenant int, n int64) {
-	a.owed -= a.free(class)
+// add adds n, which may be negative, to what a class and a tenant use.
+func (a *account) add(class, tenant int, n int64) {
+	a.reserved -= a.unusedFirm(class)
 	a.used[class] += n
-	a.owed += a.free(class)
+	a.reserved += a.unusedFirm(class)
 	a.total += n
-	a.most = max(a.most, a.total)
+	a.maxUsed = max(a.maxUsed, a.total)
 	if a.tenants != nil {
-		a.tenants[a.tenant(tenant)] += n
+		a.tenants[a.tenantIndex(tenant)] += n
 	}
 	switch {
 	case a.total >= a.high:
-		a.tight = true
+		a.isTight = true
 	case a.total <= a.low:
-		a.tight = false
+		a.isTight = false
 	}
 }
 
-// borrows says whether a class holds more than its share.
-func (a *account) borrows(class int) bool { return a.used[class] > a.share[class] }
+// isBorrowing reports whether a class uses more than its share.
+func (a *account) isBorrowing(class int) bool { return a.used[class] > a.share[class] }
--- a/internal/keep/disk.go
+++ b/internal/keep/disk.go
@@ -2,129 +2,131 @@
 
 import "time"
 
-// State is what is known of the disk.
+// State is the health of the disk.
 type State uint8
 
 const (
 	Good    State = iota
-	Slow          // it answers late, or not at all
-	Full          // it has no room, or there are no descriptors
-	Failing       // it says that it can't read or write
+	Slow          // calls are slow or do not return
+	Full          // no space, or no file descriptors
+	Failing       // reads or writes return errors
 )
 
-var states = [...]string{"good", "slow", "full", "failing"}
+var stateNames = [...]string{"good", "slow", "full", "failing"}
 
-// String is the state's name.
-func (s State) String() string { return states[s] }
+// String returns the name of the state as used in views.
+func (s State) String() string { return stateNames[s] }
 
-// Fault is how a call to the disk ended.
+// Fault is the outcome of a call to the disk.
 type Fault uint8
 
 const (
 	None   Fault = iota
-	Late         // it had not ended when nobody waited any longer
+	Late         // timed out
 	NoRoom       // ENOSPC, EDQUOT, EMFILE, ENFILE
-	Broken       // anything else, and what was read and is not what was written
+	Broken       // any other error, including data that was read back altered
 )
 
-// DiskLimits bound what is taken for a good disk.
+// DiskLimits holds the settings of a Disk.
 type DiskLimits struct {
-	SlowAfter time.Duration // the mean of calls above which it is slow
-	RestLeast time.Duration // between its fault and the first trial, and between trials
-	RestMost  time.Duration // the rest doubles up to this with each failed trial
-	Proof     int           // trials in a row that must be good before it is good again
+	SlowAfter time.Duration // mean call duration above which the disk is slow
+	RestLeast time.Duration // initial delay before a trial
+	RestMost  time.Duration // maximum of the delay, which doubles with each failed trial
+	Proof     int           // consecutive trials that must succeed before the disk is good again
 }
 
 const (
-	meanGain = 0.125 // of the mean of calls: about the last eight count
-	// The mean says nothing before so many calls: the first write after a start waits
-	// for the folder's metadata.
-	meanLeast = 8
+	meanWeight = 0.125 // weight of a call in the moving mean: about the last eight calls count
+	// minMeanCalls is the number of calls before the mean is used: the first write after a start
+	// is slow because it waits for the folder's metadata.
+	minMeanCalls = 8
 )
 
-// Disk is the state machine of the disk. Good: files are made. Otherwise none is made
-// until as many trial writes as the proof asks for were good in a row; one trial is
-// under way at a time, and the rest between them grows while they fail. Reads of files
-// that there are go on in every state.
+// Disk is a circuit breaker for the disk. New files are created only while the state is Good.
+// In any other state, Proof consecutive trial writes must succeed first; one trial runs at a
+// time, with a delay between them that doubles while they fail. Existing files are read in
+// every state.
 type Disk struct {
-	lim   DiskLimits
-	state State
-	since time.Duration
-	mean  float64 // of calls, seconds
-	calls int     // that the mean has seen, up to meanLeast
-	rest  time.Duration
-	next  time.Duration // no trial before
-	tried bool          // one is under way
-	proof int           // good trials in a row
-	moves int           // changes of state
+	limits      DiskLimits
+	state       State
+	since       time.Duration
+	meanSeconds float64 // moving mean of call durations, in seconds
+	meanCalls   int     // calls in the mean, counted up to minMeanCalls
+	trialDelay  time.Duration
+	nextTrial   time.Duration // earliest time of the next trial
+	isTrying    bool          // a trial is in progress
+	goodTrials  int           // consecutive successful trials
+	changes     int           // number of state changes
 }
 
-// NewDisk returns a good disk.
+// NewDisk returns a Disk in the state Good.
 func NewDisk(l DiskLimits, now time.Duration) Disk {
-	return Disk{lim: l, since: now, rest: l.RestLeast}
+	return Disk{limits: l, since: now, trialDelay: l.RestLeast}
 }
 
-// State is the state and since when.
+// State returns the state and the time since when it holds.
 func (d *Disk) State() (s State, since time.Duration) { return d.state, d.since }
 
-// Moves is how often the state has changed.
-func (d *Disk) Moves() int { return d.moves }
+// Changes returns the number of state changes.
+func (d *Disk) Changes() int { return d.changes }
 
-func (d *Disk) enter(s State, now time.Duration) {
+// setState sets the state, starts the delay before the next trial and resets the mean.
+func (d *Disk) setState(s State, now time.Duration) {
 	if s != d.state {
 		d.state, d.since = s, now
-		d.moves++
+		d.changes++
 	}
-	d.proof, d.next = 0, now+d.rest
-	d.mean, d.calls = 0, 0
+	d.goodTrials, d.nextTrial = 0, now+d.trialDelay
+	d.meanSeconds, d.meanCalls = 0, 0
 }
 
-// Call takes how a call ended that was no trial.
-func (d *Disk) Call(f Fault, took, now time.Duration) {
+// RecordCall records the outcome and duration of a call that was not a trial.
+func (d *Disk) RecordCall(f Fault, took, now time.Duration) {
 	switch f {
 	case NoRoom:
-		d.enter(Full, now)
+		d.setState(Full, now)
 	case Broken:
-		d.enter(Failing, now)
+		d.setState(Failing, now)
 	case Late:
-		d.enter(Slow, now)
+		d.setState(Slow, now)
 	default:
-		if d.calls < meanLeast {
-			d.calls++
+		if d.meanCalls < minMeanCalls {
+			d.meanCalls++
 		}
-		d.mean += max(meanGain, 1/float64(d.calls)) * (took.Seconds() - d.mean)
-		if d.state == Good && d.calls == meanLeast && d.mean > d.lim.SlowAfter.Seconds() {
-			d.enter(Slow, now)
+		d.meanSeconds += max(meanWeight, 1/float64(d.meanCalls)) * (took.Seconds() - d.meanSeconds)
+		if d.state == Good && d.meanCalls == minMeanCalls && d.meanSeconds > d.limits.SlowAfter.Seconds() {
+			d.setState(Slow, now)
 		}
 	}
 }
 
-// Trial says whether a trial write is due. The caller makes it and tells Tried.
-func (d *Disk) Trial(now time.Duration) bool {
-	if d.state == Good || d.tried || now < d.next {
+// TrialDue reports whether a trial write is due. If so, the caller must perform it and pass the
+// outcome to RecordTrial.
+func (d *Disk) TrialDue(now time.Duration) bool {
+	if d.state == Good || d.isTrying || now < d.nextTrial {
 		return false
 	}
-	d.tried = true
+	d.isTrying = true
 	return true
 }
 
-// Tried takes how a trial ended.
-func (d *Disk) Tried(f Fault, took, now time.Duration) {
-	d.tried = false
-	if f == None && took <= d.lim.SlowAfter {
-		d.rest, d.next = d.lim.RestLeast, now+d.lim.RestLeast
-		if d.proof++; d.proof >= d.lim.Proof {
-			d.enter(Good, now)
+// RecordTrial records the outcome and duration of a trial.
+func (d *Disk) RecordTrial(f Fault, took, now time.Duration) {
+	d.isTrying = false
+	if f == None && took <= d.limits.SlowAfter {
+		d.trialDelay, d.nextTrial = d.limits.RestLeast, now+d.limits.RestLeast
+		if d.goodTrials++; d.goodTrials >= d.limits.Proof {
+			d.setState(Good, now)
 		}
 		return
 	}
-	d.rest = min(2*d.rest, d.lim.RestMost)
+	d.trialDelay = min(2*d.trialDelay, d.limits.RestMost)
 	switch f {
 	case NoRoom:
-		d.enter(Full, now)
+		d.setState(Full, now)
 	case Broken:
-		d.enter(Failing, now)
+		d.setState(Failing, now)
 	default:
-		d.enter(Slow, now)
+		d.setState(Slow, now)
 	}
 }
--- a/internal/keep/keep.go
+++ b/internal/keep/keep.go
@@ -1,80 +1,81 @@
 package keep
 
-// Place is where a body is kept.
+// Place is where a body is kept. A body only moves to higher places.
 type Place uint8
 
 const (
 	Memory  Place = iota
-	File          // what has come lies in a file, what comes goes there
-	Nowhere       // it goes straight on to one server
-	Refused       // there is no room for it, not even on its way
+	File          // in a file, or on the way there from memory
+	Nowhere       // not kept: streamed to one server
+	Refused       // no capacity even for streaming it
 )
 
-var places = [...]string{"memory", "file", "not kept", "refused"}
+var placeNames = [...]string{"memory", "file", "not kept", "refused"}
 
-// String is the place's name.
-func (p Place) String() string { return places[p] }
+// String returns the name of the place.
+func (p Place) String() string { return placeNames[p] }
 
-// Body is what the Keeper knows of one body.
+// Body is the Keeper's record of one body.
 type Body struct {
-	Owner any // whoever hosts it; not looked at here
-
-	class, tenant int
-	place         Place
-	size          int64 // that has come
-	mem, disk     int64 // booked
-	file, stream  bool  // booked
-	noFile        bool  // its file can't be written
-	once          bool  // another tier keeps it
-	whole, gone   bool
-	moving        bool
-	readers       int
-	leaving       int64 // bytes that readers still hold in memory after a move
-	at            int   // in Keeper.movable; -1: not there
-	counted       bool
+	Owner any // set and used only by the caller
+
+	class, tenant         int
+	place                 Place
+	size                  int64 // bytes received or booked for the next read
+	memBytes, diskBytes   int64 // bytes booked
+	hasFile, hasStream    bool  // whether a file and a stream are booked
+	fileFailed            bool  // its file cannot be written
+	keptElsewhere         bool  // the previous tier keeps it
+	isComplete, isDropped bool
+	isMoving              bool
+	readers               int
+	heldAfterMove         int64 // bytes that readers still hold in memory after a move to a file
+	movableIndex          int   // index in Keeper.movable; -1: not in it
+	isCounted             bool
 }
 
-// Place is where it is kept now.
+// Place returns where the body is kept now.
 func (b *Body) Place() Place { return b.place }
 
-// Size is how many bytes have come.
+// Size returns the number of bytes received.
 func (b *Body) Size() int64 { return b.size }
 
-// Count is what became of the bodies of a class.
+// Count holds the totals of the bodies of a class.
 type Count struct {
-	Memory, File, Nowhere, Refused int64 // bodies, by the last place that they had
-	Moved                          int64 // from memory to a file while whole
-	RetriedMemory, RetriedFile     int64 // further readings, by what they read from
-	UnkeptRefused, UnkeptFailed    int64 // calls that had one attempt for lack of a body
-	Bytes                          int64 // in memory now
-	DiskBytes                      int64
+	Memory, File, Nowhere, Refused int64 // bodies by their final place
+	Moved                          int64 // bodies moved from memory to a file after they were complete
+	RetriedMemory, RetriedFile     int64 // further attempts by where the body was read from
+	UnkeptRefused, UnkeptFailed    int64 // calls limited to one attempt because the body was not kept, that got no answer
+	Bytes                          int64 // bytes in memory now
+	DiskBytes                      int64 // bytes in files now
 }
 
-// Use is one amount: now, the most it was, and its limit.
+// Use describes one amount: the current use, its maximum so far, and the limit.
 type Use struct{ Now, Most, Limit int64 }
 
-// Usage is all amounts.
+// Usage holds the use of all amounts.
 type Usage struct{ Memory, Disk, Files, Streams Use }
 
-// Keeper decides for all bodies of one process. It holds what Limits say at most.
+// Keeper decides where the bodies of one process are kept, within Limits. It is not safe for
+// concurrent use.
 type Keeper struct {
-	lim     Limits
-	mem     account
-	disk    account
-	files   account
-	streams account
-	counts  []Count
-	movable []*Body // whole, in memory and long enough: one entry each
-	pending int64   // bytes of those that are moving
+	limits      Limits
+	mem         account
+	disk        account
+	files       account
+	streams     account
+	counts      []Count
+	movable     []*Body // complete bodies in memory of MoveLeast bytes or more, each once
+	movingBytes int64   // bytes in memory of bodies that are moving to files
 }
 
-// New returns a Keeper. Errors name the limit.
+// New returns a Keeper, or the error of Limits.Check, which names the invalid limit.
 func New(l Limits) (*Keeper, error) {
 	if err := l.Check(); err != nil {
 		return nil, err
 	}
 	return &Keeper{
-		lim:     l,
+		limits:  l,
 		mem:     newAccount(l.Memory, &l),
 		disk:    newAccount(l.Disk, &l),
 		files:   newAccount(l.Files, &l),
@@ -83,47 +84,49 @@
 	}, nil
 }
 
-// Begin takes a body that begins. announced is its stated length, -1 if none is. once
-// says that the tier before keeps it: here only a short one is kept. usable says
-// whether files may be made now. It books nothing.
-func (k *Keeper) Begin(class, tenant int, announced int64, once, usable bool) *Body {
-	b := &Body{class: class, tenant: tenant, at: -1, once: once}
+// Begin registers a new body. announced is its stated length, or -1 if there is none.
+// keptElsewhere states that the previous tier keeps the body, so that only a short one is kept
+// here. canCreate states whether files may be created now. Begin books nothing.
+func (k *Keeper) Begin(class, tenant int, announced int64, keptElsewhere, canCreate bool) *Body {
+	b := &Body{class: class, tenant: tenant, movableIndex: -1, keptElsewhere: keptElsewhere}
 	switch {
-	case once && announced > k.lim.MoveLeast:
+	case keptElsewhere && announced > k.limits.MoveLeast:
 		b.place = Nowhere
-	case announced > k.lim.FileMost || announced > k.lim.MemoryMost && !k.hasFiles(usable):
+	case announced > k.limits.FileMost || announced > k.limits.MemoryMost && !k.canCreateFile(canCreate):
 		b.place = Nowhere
-	case announced > k.lim.MemoryMost:
+	case announced > k.limits.MemoryMost:
 		b.place = File
 	}
 	return b
 }
 
-func (k *Keeper) hasFiles(usable bool) bool { return usable && k.lim.Disk > 0 }
+// canCreateFile reports whether files are configured and may be created now.
+func (k *Keeper) canCreateFile(canCreate bool) bool { return canCreate && k.limits.Disk > 0 }
 
-// Put books n more bytes of a body, which have come or will be read next, and says
-// where they go. A place is never better than the one before, but for a body whose
-// file can't be written (see Unwritten). At Refused nothing is booked.
-func (k *Keeper) Put(b *Body, n int64, usable bool) Place {
-	if b.once && b.size+n > k.lim.MoveLeast {
+// Put books n more bytes of a body, which have been received or will be read next, and returns
+// where they go. The place never moves back toward Memory; only the bytes of a body whose file
+// cannot be written go to memory again (see RecordFileFailure). If the place is Refused, nothing is
+// booked.
+func (k *Keeper) Put(b *Body, n int64, canCreate bool) Place {
+	if b.keptElsewhere && b.size+n > k.limits.MoveLeast {
 		b.place = Nowhere
 	}
-	if b.place == Memory && (b.size+n > k.lim.MemoryMost || !k.mem.take(b.class, b.tenant, n)) {
+	if b.place == Memory && (b.size+n > k.limits.MemoryMost || !k.mem.book(b.class, b.tenant, n)) {
 		b.place = File
 	} else if b.place == Memory {
-		b.mem += n
+		b.memBytes += n
 	}
-	if b.place == File && !k.toFile(b, n, usable) {
+	if b.place == File && !k.bookInFile(b, n, canCreate) {
 		b.place = Nowhere
-		// Its file can't take more. Guards a body that is all but whole against losing
-		// its retries while there is room in memory.
-		if b.noFile && b.size+n <= k.lim.FileMost && k.mem.take(b.class, b.tenant, n) {
+		// The file cannot take more. Continue in memory if possible, so that a body that is
+		// nearly complete does not lose its retries.
+		if b.fileFailed && b.size+n <= k.limits.FileMost && k.mem.book(b.class, b.tenant, n) {
 			b.place = File
-			b.mem += n
+			b.memBytes += n
 		}
 	}
-	if b.place == Nowhere && !b.stream {
-		if b.stream = k.streams.take(b.class, b.tenant, 1); !b.stream {
+	if b.place == Nowhere && !b.hasStream {
+		if b.hasStream = k.streams.book(b.class, b.tenant, 1); !b.hasStream {
 			b.place = Refused
 			return Refused
 		}
@@ -132,93 +135,94 @@
 	return b.place
 }
 
-// Trim takes back n bytes of the last Put, which did not come.
-func (k *Keeper) Trim(b *Body, n int64) {
+// ReleaseUnreceived releases n bytes of the last Put that were not received.
+func (k *Keeper) ReleaseUnreceived(b *Body, n int64) {
 	b.size -= n
 	switch {
-	case b.place == Memory || b.place == File && b.noFile:
-		k.Written(b, n)
+	case b.place == Memory || b.place == File && b.fileFailed:
+		k.RecordWritten(b, n)
 	case b.place == File:
-		k.disk.give(b.class, b.tenant, n)
-		b.disk -= n
+		k.disk.release(b.class, b.tenant, n)
+		b.diskBytes -= n
 	}
 }
 
-// toFile books n bytes in a file. The first time it books the file itself, and room
-// for what lies in memory, which moves there.
-func (k *Keeper) toFile(b *Body, n int64, usable bool) bool {
-	if b.noFile || b.size+n > k.lim.FileMost {
+// bookInFile books n bytes in the body's file. The first call also books the file itself, and
+// space for the bytes in memory, which move there.
+func (k *Keeper) bookInFile(b *Body, n int64, canCreate bool) bool {
+	if b.fileFailed || b.size+n > k.limits.FileMost {
 		return false
 	}
-	if !b.file {
-		if !k.hasFiles(usable) || !k.files.take(b.class, b.tenant, 1) {
+	if !b.hasFile {
+		if !k.canCreateFile(canCreate) || !k.files.book(b.class, b.tenant, 1) {
 			return false
 		}
-		if !k.disk.take(b.class, b.tenant, n+b.mem) {
-			k.files.give(b.class, b.tenant, 1)
+		if !k.disk.book(b.class, b.tenant, n+b.memBytes) {
+			k.files.release(b.class, b.tenant, 1)
 			return false
 		}
-		b.file = true
-		b.disk += n + b.mem
+		b.hasFile = true
+		b.diskBytes += n + b.memBytes
 		return true
 	}
-	if !k.disk.take(b.class, b.tenant, n) {
+	if !k.disk.book(b.class, b.tenant, n) {
 		return false
 	}
-	b.disk += n
+	b.diskBytes += n
 	return true
 }
 
-// Written says that n bytes which lay in memory lie in the file now, and are held in
-// memory by nobody.
-func (k *Keeper) Written(b *Body, n int64) {
-	k.mem.give(b.class, b.tenant, n)
-	b.mem -= n
+// RecordWritten records that n bytes were moved from memory to the file and are no longer held in
+// memory.
+func (k *Keeper) RecordWritten(b *Body, n int64) {
+	k.mem.release(b.class, b.tenant, n)
+	b.memBytes -= n
 }
 
-// Unwritten says that n bytes booked in the file can't be written there, nor can any
-// that come later, and asks where these go: on in memory, nowhere, or refused. With
-// held they lie in memory already, booked there.
-func (k *Keeper) Unwritten(b *Body, n int64, held bool) Place {
-	k.disk.give(b.class, b.tenant, n)
-	b.disk -= n
-	b.noFile = true
-	if held {
+// RecordFileFailure records that n bytes booked in the file, and all later ones, cannot be written
+// there, and returns the new place of these bytes. If inMemory is set, they are already in
+// memory and booked there.
+func (k *Keeper) RecordFileFailure(b *Body, n int64, inMemory bool) Place {
+	k.disk.release(b.class, b.tenant, n)
+	b.diskBytes -= n
+	b.fileFailed = true
+	if inMemory {
 		return b.place
 	}
 	b.size -= n
 	return k.Put(b, n, false)
 }
 
-// Holds says whether the last bytes of a body whose place is File went to memory.
-func (b *Body) Holds() bool { return b.noFile }
+// FileFailed reports whether the latest bytes of a body whose place is File went to memory.
+func (b *Body) FileFailed() bool { return b.fileFailed }
 
-// Passed says that bytes of a body that is not kept have gone on to its server.
-func (k *Keeper) Passed(b *Body, mem, disk int64) {
-	if b.gone {
+// RecordForwarded records that bytes of a body that is not kept have been sent to its server.
+func (k *Keeper) RecordForwarded(b *Body, mem, disk int64) {
+	if b.isDropped {
 		return
 	}
-	k.mem.give(b.class, b.tenant, mem)
-	k.disk.give(b.class, b.tenant, disk)
-	b.mem -= mem
-	b.disk -= disk
+	k.mem.release(b.class, b.tenant, mem)
+	k.disk.release(b.class, b.tenant, disk)
+	b.memBytes -= mem
+	b.diskBytes -= disk
 }
 
-// Whole says that all of a body has come.
-func (k *Keeper) Whole(b *Body) {
-	b.whole = true
-	k.count(b)
-	if b.place == Memory && b.size >= k.lim.MoveLeast {
-		b.at = len(k.movable)
+// Complete records that a body has been received completely.
+func (k *Keeper) Complete(b *Body) {
+	b.isComplete = true
+	k.countOnce(b)
+	if b.place == Memory && b.size >= k.limits.MoveLeast {
+		b.movableIndex = len(k.movable)
 		k.movable = append(k.movable, b)
 	}
 }
 
-func (k *Keeper) count(b *Body) {
-	if b.counted {
+// countOnce adds a body to the totals of its class, once.
+func (k *Keeper) countOnce(b *Body) {
+	if b.isCounted {
 		return
 	}
-	b.counted = true
+	b.isCounted = true
 	c := &k.counts[b.class]
 	switch b.place {
 	case Memory:
@@ -232,123 +236,127 @@
 	}
 }
 
-// Read says that an attempt begins to read a body; again, that it is a further one.
-func (k *Keeper) Read(b *Body, again bool) {
+// BeginRead records that an attempt starts to read a body; again marks a further attempt.
+func (k *Keeper) BeginRead(b *Body, again bool) {
 	b.readers++
 	if again {
-		k.Again(b)
+		k.CountRetry(b)
 	}
 }
 
-// Again counts a further attempt.
-func (k *Keeper) Again(b *Body) {
-	if b.disk > 0 {
+// CountRetry counts a further attempt by where its body is read from.
+func (k *Keeper) CountRetry(b *Body) {
+	if b.diskBytes > 0 {
 		k.counts[b.class].RetriedFile++
 	} else {
 		k.counts[b.class].RetriedMemory++
 	}
 }
 
-// Unread says that a reading has ended.
-func (k *Keeper) Unread(b *Body) {
+// EndRead records that an attempt has stopped reading a body.
+func (k *Keeper) EndRead(b *Body) {
 	b.readers--
-	k.settle(b)
+	k.releaseUnheld(b)
 }
 
-// settle gives back what nobody holds any more.
-func (k *Keeper) settle(b *Body) {
+// releaseUnheld releases the bookings that no reader, move or call needs any more.
+func (k *Keeper) releaseUnheld(b *Body) {
 	if b.readers > 0 {
 		return
 	}
-	if b.leaving > 0 {
-		k.Written(b, b.leaving)
-		b.leaving = 0
+	if b.heldAfterMove > 0 {
+		k.RecordWritten(b, b.heldAfterMove)
+		b.heldAfterMove = 0
 	}
-	if !b.gone || b.moving {
+	if !b.isDropped || b.isMoving {
 		return
 	}
-	k.mem.give(b.class, b.tenant, b.mem)
-	k.disk.give(b.class, b.tenant, b.disk)
-	b.mem, b.disk = 0, 0
-	if b.file {
-		k.files.give(b.class, b.tenant, 1)
+	k.mem.release(b.class, b.tenant, b.memBytes)
+	k.disk.release(b.class, b.tenant, b.diskBytes)
+	b.memBytes, b.diskBytes = 0, 0
+	if b.hasFile {
+		k.files.release(b.class, b.tenant, 1)
 	}
-	if b.stream {
-		k.streams.give(b.class, b.tenant, 1)
+	if b.hasStream {
+		k.streams.release(b.class, b.tenant, 1)
 	}
-	b.file, b.stream = false, false
+	b.hasFile, b.hasStream = false, false
 }
 
-// Drop ends a body. What it holds is given back when no reading and no move holds it.
+// Drop ends the life of a body. Its bookings are released once no reader and no move needs
+// them.
 func (k *Keeper) Drop(b *Body) {
-	if b.gone {
+	if b.isDropped {
 		return
 	}
-	b.gone = true
-	k.count(b)
-	k.unlist(b)
-	k.settle(b)
+	b.isDropped = true
+	k.countOnce(b)
+	k.removeMovable(b)
+	k.releaseUnheld(b)
 }
 
-func (k *Keeper) unlist(b *Body) {
-	if b.at < 0 {
+// removeMovable removes a body from movable.
+func (k *Keeper) removeMovable(b *Body) {
+	if b.movableIndex < 0 {
 		return
 	}
 	last := k.movable[len(k.movable)-1]
-	k.movable[b.at], last.at = last, b.at
+	k.movable[b.movableIndex], last.movableIndex = last, b.movableIndex
 	k.movable[len(k.movable)-1] = nil
 	k.movable = k.movable[:len(k.movable)-1]
-	b.at = -1
+	b.movableIndex = -1
 }
 
-// Move names the body that should move from memory to a file now, nil if none should:
-// memory is above its high mark, or was and is not back at the low one. It is of a
-// class that borrows, if there is one, and then the longest; not one that is being
-// read. Its file and its room there are booked. The caller tells Moved.
-func (k *Keeper) Move(usable bool) *Body {
-	if !k.mem.tight || k.mem.total-k.pending <= k.mem.low || !k.hasFiles(usable) {
+// SelectForMove selects a body to be moved from memory to a file, and books the file and its space. It
+// returns nil unless memory has reached its high mark and is not yet back at the low one.
+// Bodies of classes that borrow come first, then longer ones; those being read are left out.
+// The caller must report the outcome with RecordMove.
+func (k *Keeper) SelectForMove(canCreate bool) *Body {
+	if !k.mem.isTight || k.mem.total-k.movingBytes <= k.mem.low || !k.canCreateFile(canCreate) {
 		return nil
 	}
 	var best *Body
 	for _, b := range k.movable {
-		if b.readers == 0 && (best == nil || k.before(b, best)) && k.files.fits(b.class, b.tenant, 1) && k.disk.fits(b.class, b.tenant, b.mem) {
+		if b.readers == 0 && (best == nil || k.movesBefore(b, best)) && k.files.fits(b.class, b.tenant, 1) && k.disk.fits(b.class, b.tenant, b.memBytes) {
 			best = b
 		}
 	}
-	if best == nil || !k.toFile(best, 0, usable) {
+	if best == nil || !k.bookInFile(best, 0, canCreate) {
 		return nil
 	}
-	best.moving = true
-	k.pending += best.mem
-	k.unlist(best)
+	best.isMoving = true
+	k.movingBytes += best.memBytes
+	k.removeMovable(best)
 	return best
 }
 
-func (k *Keeper) before(a, b *Body) bool {
-	if x, y := k.mem.borrows(a.class), k.mem.borrows(b.class); x != y {
-		return x
+// movesBefore reports whether a should be moved to a file before b.
+func (k *Keeper) movesBefore(a, b *Body) bool {
+	if aBorrows, bBorrows := k.mem.isBorrowing(a.class), k.mem.isBorrowing(b.class); aBorrows != bBorrows {
+		return aBorrows
 	}
 	return a.size > b.size
 }
 
-// Moved says that a body lies in its file now, or with ok false that it can't and lies
-// in memory as before. What readings hold that began before is given back with them.
-func (k *Keeper) Moved(b *Body, ok bool) {
-	b.moving = false
-	k.pending -= b.mem
+// RecordMove records whether a body was moved to its file; if ok is false, it stays in memory.
+// Memory held by readers that started before the move is released when they end.
+func (k *Keeper) RecordMove(b *Body, ok bool) {
+	b.isMoving = false
+	k.movingBytes -= b.memBytes
 	if ok {
-		b.place, b.leaving = File, b.mem
+		b.place, b.heldAfterMove = File, b.memBytes
 		k.counts[b.class].Moved++
 	} else {
-		k.disk.give(b.class, b.tenant, b.disk)
-		k.files.give(b.class, b.tenant, 1)
-		b.disk, b.file = 0, false // it is not chosen again: it has left the list
+		k.disk.release(b.class, b.tenant, b.diskBytes)
+		k.files.release(b.class, b.tenant, 1)
+		b.diskBytes, b.hasFile = 0, false // not selected again, since it is no longer in movable
 	}
-	k.settle(b)
+	k.releaseUnheld(b)
 }
 
-// Ended says how a call with a body that was not kept ended without an answer.
-func (k *Keeper) Ended(b *Body, refused bool) {
+// RecordEnd records that a call ended without an answer, refused or failed, if its body was not
+// kept.
+func (k *Keeper) RecordEnd(b *Body, refused bool) {
 	if b.place != Nowhere && b.place != Refused {
 		return
 	}
@@ -359,21 +367,21 @@
 	}
 }
 
-// Count is what became of the bodies of a class.
+// Count returns the totals of the bodies of a class.
 func (k *Keeper) Count(class int) Count {
 	c := k.counts[class]
 	c.Bytes, c.DiskBytes = k.mem.used[class], k.disk.used[class]
 	return c
 }
 
-// Usage is all amounts as they are now.
+// Usage returns the current use of all amounts.
 func (k *Keeper) Usage() Usage {
-	use := func(a *account) Use { return Use{a.total, a.most, a.limit} }
-	return Usage{use(&k.mem), use(&k.disk), use(&k.files), use(&k.streams)}
+	usageOf := func(a *account) Use { return Use{a.total, a.maxUsed, a.limit} }
+	return Usage{usageOf(&k.mem), usageOf(&k.disk), usageOf(&k.files), usageOf(&k.streams)}
 }
 
-// Tight says that memory is above its high mark, or was and is not back at the low one.
-func (k *Keeper) Tight() bool { return k.mem.tight }
+// IsTight reports whether memory has reached its high mark and is not yet back at the low one.
+func (k *Keeper) IsTight() bool { return k.mem.isTight }
 
-// Moving says that a body is on its way from memory to a file.
-func (b *Body) Moving() bool { return b.moving }
+// IsMoving reports whether a body is being moved from memory to a file.
+func (b *Body) IsMoving() bool { return b.isMoving }
--- a/internal/keep/keep_test.go
+++ b/internal/keep/keep_test.go
@@ -9,37 +9,37 @@
 	"pgregory.net/rapid"
 )
 
-func limits() Limits {
+func testLimits() Limits {
 	return Limits{Memory: 1000, MemoryMost: 300, MoveLeast: 50, Disk: 3000, FileMost: 800, Files: 6, Streams: 3,
 		Shares: []float64{0.2, 0.3, 0.1}, Lend: 0.5, High: 0.8, Low: 0.5}
 }
 
-// life is a body as the model knows it: what it holds by what the Keeper said.
-type life struct {
-	b               *Body
-	class, tenant   int
-	mem, disk       int64
-	stream, dropped bool
-	whole, moving   bool
-	readers         int
-	left            int64
-	everFile        bool
-	last            Place
-	broken          bool
+// record is the model's record of a body: what it holds according to the results of the Keeper.
+type record struct {
+	body               *Body
+	class, tenant      int
+	mem, disk          int64
+	hasStream, dropped bool
+	whole, isMoving    bool
+	readers            int
+	heldAfterMove      int64
+	hasFile            bool
+	place              Place
+	broken             bool
 }
 
-// model follows random lives of bodies beside a Keeper, and knows by itself what each
+// model runs random operations on bodies of a Keeper, and tracks independently what each body
 // holds. It is a rapid.StateMachine.
 type model struct {
-	k     *Keeper
-	lim   Limits
-	lives []*life
-	files bool // may be made now
+	keeper    *Keeper
+	limits    Limits
+	bodies    []*record
+	canCreate bool // whether files may be created now
 }
 
-func (m *model) pick(t *rapid.T, ok func(*life) bool) *life {
-	var some []*life
-	for _, l := range m.lives {
+func (m *model) pick(t *rapid.T, ok func(*record) bool) *record {
+	var some []*record
+	for _, l := range m.bodies {
 		if ok(l) {
 			some = append(some, l)
 		}
@@ -51,207 +51,207 @@
 }
 
 func (m *model) Begin(t *rapid.T) {
-	l := &life{class: rapid.IntRange(0, 2).Draw(t, "class"), tenant: rapid.IntRange(-1, 3).Draw(t, "tenant")}
+	l := &record{class: rapid.IntRange(0, 2).Draw(t, "class"), tenant: rapid.IntRange(-1, 3).Draw(t, "tenant")}
 	announced := rapid.OneOf(rapid.Just(int64(-1)), rapid.Int64Range(1, 1000)).Draw(t, "announced")
-	l.b = m.k.Begin(l.class, l.tenant, announced, rapid.IntRange(0, 4).Draw(t, "once") == 0, m.files)
-	l.last = l.b.Place()
-	m.lives = append(m.lives, l)
+	l.body = m.keeper.Begin(l.class, l.tenant, announced, rapid.IntRange(0, 4).Draw(t, "once") == 0, m.canCreate)
+	l.place = l.body.Place()
+	m.bodies = append(m.bodies, l)
 }
 
-func (m *model) placed(t *rapid.T, l *life, p Place, n int64, hadDisk int64) {
-	if p < l.last {
-		t.Fatalf("from %v back to %v", l.last, p)
+func (m *model) recordPlace(t *rapid.T, l *record, p Place, n int64, hadDisk int64) {
+	if p < l.place {
+		t.Fatalf("body moved back from %v to %v", l.place, p)
 	}
 	switch p {
 	case Memory:
 		l.mem += n
 	case File:
-		if l.b.Holds() {
+		if l.body.FileFailed() {
 			l.mem += n
 		} else {
 			l.disk += n
-			if l.last == Memory || !l.everFile { // room for what lies in memory comes with it
+			if l.place == Memory || !l.hasFile { // space for the bytes in memory is booked with it
 				l.disk += l.mem
 			}
-			l.everFile = true
+			l.hasFile = true
 		}
 	case Nowhere:
-		l.stream = true
+		l.hasStream = true
 	}
-	l.last = p
+	l.place = p
 }
 
 func (m *model) Put(t *rapid.T) {
-	l := m.pick(t, func(l *life) bool { return !l.dropped && !l.whole && l.last != Refused })
+	l := m.pick(t, func(l *record) bool { return !l.dropped && !l.whole && l.place != Refused })
 	n := rapid.Int64Range(1, 120).Draw(t, "n")
-	firm, own := m.k.mem.free(l.class) >= n, l.last == Memory && l.b.size+n <= m.lim.MemoryMost && !(l.b.once && l.b.size+n > m.lim.MoveLeast)
-	p := m.k.Put(l.b, n, m.files)
-	if firm && own && m.lim.Tenants == 0 && p != Memory {
-		t.Fatalf("class %d has %d of its firm part free and %d went to %v", l.class, m.k.mem.free(l.class), n, p)
+	firm, own := m.keeper.mem.unusedFirm(l.class) >= n, l.place == Memory && l.body.size+n <= m.limits.MemoryMost && !(l.body.keptElsewhere && l.body.size+n > m.limits.MoveLeast)
+	p := m.keeper.Put(l.body, n, m.canCreate)
+	if firm && own && m.limits.Tenants == 0 && p != Memory {
+		t.Fatalf("class %d has %d of its firm part free, but %d bytes went to %v", l.class, m.keeper.mem.unusedFirm(l.class), n, p)
 	}
-	m.placed(t, l, p, n, 0)
+	m.recordPlace(t, l, p, n, 0)
 }
 
 func (m *model) Trim(t *rapid.T) {
-	l := m.pick(t, func(l *life) bool {
-		return !l.dropped && !l.whole && l.last == Memory && l.mem > 0 && l.b.size == l.mem
+	l := m.pick(t, func(l *record) bool {
+		return !l.dropped && !l.whole && l.place == Memory && l.mem > 0 && l.body.size == l.mem
 	})
 	n := rapid.Int64Range(0, l.mem).Draw(t, "n")
-	m.k.Trim(l.b, n)
+	m.keeper.ReleaseUnreceived(l.body, n)
 	l.mem -= n
 }
 
-// Written brings what lies in memory to a body's file, as a listener does at once.
+// Written moves the bytes in memory to the body's file, as a Store does at once.
 func (m *model) Written(t *rapid.T) {
-	l := m.pick(t, func(l *life) bool { return !l.dropped && !l.whole && l.last == File && l.mem > 0 && !l.broken })
-	m.k.Written(l.b, l.mem)
+	l := m.pick(t, func(l *record) bool { return !l.dropped && !l.whole && l.place == File && l.mem > 0 && !l.broken })
+	m.keeper.RecordWritten(l.body, l.mem)
 	l.mem = 0
 }
 
 func (m *model) FileBreaks(t *rapid.T) {
-	l := m.pick(t, func(l *life) bool {
-		return !l.dropped && !l.whole && l.last == File && l.disk > 0 && l.mem == 0 && !l.broken
+	l := m.pick(t, func(l *record) bool {
+		return !l.dropped && !l.whole && l.place == File && l.disk > 0 && l.mem == 0 && !l.broken
 	})
-	n := rapid.Int64Range(1, min(l.disk, l.b.size)).Draw(t, "n")
+	n := rapid.Int64Range(1, min(l.disk, l.body.size)).Draw(t, "n")
 	l.disk, l.broken = l.disk-n, true
-	p := m.k.Unwritten(l.b, n, false)
-	m.placed(t, l, p, n, 0)
+	p := m.keeper.RecordFileFailure(l.body, n, false)
+	m.recordPlace(t, l, p, n, 0)
 }
 
 func (m *model) Whole(t *rapid.T) {
-	l := m.pick(t, func(l *life) bool { return !l.dropped && !l.whole && l.last != Refused })
-	m.k.Whole(l.b)
+	l := m.pick(t, func(l *record) bool { return !l.dropped && !l.whole && l.place != Refused })
+	m.keeper.Complete(l.body)
 	l.whole = true
 }
 
 func (m *model) Read(t *rapid.T) {
-	l := m.pick(t, func(l *life) bool { return l.whole && !l.dropped })
-	m.k.Read(l.b, l.readers > 0)
+	l := m.pick(t, func(l *record) bool { return l.whole && !l.dropped })
+	m.keeper.BeginRead(l.body, l.readers > 0)
 	l.readers++
 }
 
 func (m *model) Unread(t *rapid.T) {
-	l := m.pick(t, func(l *life) bool { return l.readers > 0 })
-	m.k.Unread(l.b)
+	l := m.pick(t, func(l *record) bool { return l.readers > 0 })
+	m.keeper.EndRead(l.body)
 	l.readers--
-	m.settle(l)
+	m.releaseUnheld(l)
 }
 
-func (m *model) settle(l *life) {
+func (m *model) releaseUnheld(l *record) {
 	if l.readers > 0 {
 		return
 	}
-	l.mem -= l.left
-	l.left = 0
-	if l.dropped && !l.moving {
-		l.mem, l.disk, l.stream, l.everFile = 0, 0, false, false
+	l.mem -= l.heldAfterMove
+	l.heldAfterMove = 0
+	if l.dropped && !l.isMoving {
+		l.mem, l.disk, l.hasStream, l.hasFile = 0, 0, false, false
 	}
 }
 
 func (m *model) Drop(t *rapid.T) {
-	l := m.pick(t, func(l *life) bool { return !l.dropped })
-	m.k.Drop(l.b)
+	l := m.pick(t, func(l *record) bool { return !l.dropped })
+	m.keeper.Drop(l.body)
 	l.dropped = true
-	m.settle(l)
+	m.releaseUnheld(l)
 }
 
 func (m *model) Move(t *rapid.T) {
-	b := m.k.Move(m.files)
+	b := m.keeper.SelectForMove(m.canCreate)
 	if b == nil {
 		t.Skip("none")
 	}
-	l := m.lives[slices.IndexFunc(m.lives, func(l *life) bool { return l.b == b })]
-	if l.readers > 0 || !l.whole || l.dropped || l.moving || l.last != Memory {
-		t.Fatalf("moves %+v", l)
+	l := m.bodies[slices.IndexFunc(m.bodies, func(l *record) bool { return l.body == b })]
+	if l.readers > 0 || !l.whole || l.dropped || l.isMoving || l.place != Memory {
+		t.Fatalf("Move selected %+v, want a complete body in memory without readers", l)
 	}
-	l.moving, l.everFile = true, true
+	l.isMoving, l.hasFile = true, true
 	l.disk += l.mem
 }
 
 func (m *model) Moved(t *rapid.T) {
-	l := m.pick(t, func(l *life) bool { return l.moving })
+	l := m.pick(t, func(l *record) bool { return l.isMoving })
 	ok := rapid.Bool().Draw(t, "ok")
-	m.k.Moved(l.b, ok)
-	l.moving = false
+	m.keeper.RecordMove(l.body, ok)
+	l.isMoving = false
 	if ok {
-		l.last, l.left = File, l.mem
+		l.place, l.heldAfterMove = File, l.mem
 	} else {
-		l.disk, l.everFile = 0, false
+		l.disk, l.hasFile = 0, false
 	}
-	m.settle(l)
+	m.releaseUnheld(l)
 }
 
-func (m *model) Files(t *rapid.T) { m.files = !m.files }
+func (m *model) Files(t *rapid.T) { m.canCreate = !m.canCreate }
 
-// Check compares all that is booked with what the model says is held.
+// Check compares the bookings of the Keeper with what the model holds.
 func (m *model) Check(t *rapid.T) {
 	var mem, disk, files, streams int64
 	byClass := make([]int64, 3)
-	for _, l := range m.lives {
+	for _, l := range m.bodies {
 		mem, disk = mem+l.mem, disk+l.disk
 		byClass[l.class] += l.mem
-		if l.everFile {
+		if l.hasFile {
 			files++
 		}
-		if l.stream {
+		if l.hasStream {
 			streams++
 		}
 	}
-	u := m.k.Usage()
+	u := m.keeper.Usage()
 	if u.Memory.Now != mem || u.Disk.Now != disk || u.Files.Now != files || u.Streams.Now != streams {
-		t.Fatalf("booked %+v, held: memory %d, disk %d, files %d, streams %d", u, mem, disk, files, streams)
+		t.Fatalf("booked %+v, want memory %d, disk %d, files %d, streams %d", u, mem, disk, files, streams)
 	}
-	for _, a := range []*account{&m.k.mem, &m.k.disk, &m.k.files, &m.k.streams} {
+	for _, a := range []*account{&m.keeper.mem, &m.keeper.disk, &m.keeper.files, &m.keeper.streams} {
 		var owed, total int64
 		for c := range a.used {
 			if a.used[c] < 0 {
-				t.Fatalf("class %d has %d", c, a.used[c])
+				t.Fatalf("class %d uses %d, want 0 or more", c, a.used[c])
 			}
-			owed += a.free(c)
+			owed += a.unusedFirm(c)
 			total += a.used[c]
 		}
-		if total != a.total || owed != a.owed || total+owed > a.limit {
-			t.Fatalf("total %d (%d), firm and free %d (%d), limit %d", total, a.total, owed, a.owed, a.limit)
+		if total != a.total || owed != a.reserved || total+owed > a.limit {
+			t.Fatalf("total %d (account: %d), unused firm parts %d (account: %d), limit %d", total, a.total, owed, a.reserved, a.limit)
 		}
 	}
 	for c, n := range byClass {
-		if m.k.mem.used[c] != n {
-			t.Fatalf("class %d has %d, booked %d", c, n, m.k.mem.used[c])
+		if m.keeper.mem.used[c] != n {
+			t.Fatalf("class %d holds %d bytes in memory, booked %d", c, n, m.keeper.mem.used[c])
 		}
 	}
 }
 
-// Over random lives of bodies no byte, file or stream is counted twice or lost, the
-// firm part of each class's share is free for it at every step, and a body goes one way.
-func TestKeeperBooksWhatIsHeld(t *testing.T) {
+// For random operations, no byte, file or stream is counted twice or leaked, the firm part of
+// each class's share is available to it at every step, and a body never moves back.
+func TestKeeperBookingsMatchModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		lim := limits()
+		lim := testLimits()
 		lim.Tenants = rapid.SampledFrom([]int{0, 3}).Draw(t, "tenants")
 		k, err := New(lim)
 		if err != nil {
 			t.Fatal(err)
 		}
-		m := &model{k: k, lim: lim, files: true}
+		m := &model{keeper: k, limits: lim, canCreate: true}
 		t.Repeat(rapid.StateMachineActions(m))
-		for _, l := range m.lives { // at the end of all lives nothing is held
+		for _, l := range m.bodies { // after all bodies have ended, nothing may be booked
 			for ; l.readers > 0; l.readers-- {
-				k.Unread(l.b)
+				k.EndRead(l.body)
 			}
-			k.Drop(l.b)
-			if l.moving {
-				k.Moved(l.b, true)
+			k.Drop(l.body)
+			if l.isMoving {
+				k.RecordMove(l.body, true)
 			}
 		}
 		if u := k.Usage(); u.Memory.Now+u.Disk.Now+u.Files.Now+u.Streams.Now != 0 {
-			t.Fatalf("left over: %+v", u)
+			t.Fatalf("still booked after all bodies ended: %+v", u)
 		}
 	})
 }
 
-// A flood of one class, or of one tenant, takes no other's share; what a class lends
-// comes back by moves.
+// A flood of bodies of one class or tenant does not take the share of another; what a class
+// lends is returned by moving bodies to files.
 func TestFloodLeavesOthersTheirShare(t *testing.T) {
-	lim := limits()
+	lim := testLimits()
 	lim.Tenants = 2
 	k, err := New(lim)
 	if err != nil {
@@ -261,53 +261,53 @@
 	for range 100 {
 		b := k.Begin(1, 0, 100, false, false)
 		if k.Put(b, 100, false) == Memory {
-			k.Whole(b)
+			k.Complete(b)
 			flood = append(flood, b)
 		}
 	}
-	if len(flood) != 5 { // one tenant: no more than is left free
-		t.Fatalf("%d bodies of the flood are in memory", len(flood))
+	if len(flood) != 5 { // one tenant may use no more than what is left free
+		t.Fatalf("%d bodies of the flood are in memory, want 5", len(flood))
 	}
-	for n := range 10 { // the firm half of class 0's share, of another tenant
+	for n := range 10 { // the firm half of class 0's share, by another tenant
 		if p := k.Put(k.Begin(0, 1, 10, false, false), 10, false); p != Memory {
-			t.Fatalf("body %d of the quiet class: %v", n, p)
+			t.Fatalf("body %d of the other class went to %v, want memory", n, p)
 		}
 	}
-	if b := k.Move(false); b != nil {
-		t.Fatal("moves to a disk that is not usable")
+	if b := k.SelectForMove(false); b != nil {
+		t.Fatal("Move selected a body while files may not be created")
 	}
-	// Memory is not tight: this tenant alone got no more than was left to others.
+	// Memory is not tight yet, since this tenant used no more than it left free for others.
 	for range 20 {
 		b := k.Begin(1, 1, 100, false, false)
 		if k.Put(b, 100, false) != Memory {
 			break
 		}
-		k.Whole(b)
+		k.Complete(b)
 		flood = append(flood, b)
 	}
-	if u := k.Usage().Memory; !k.Tight() || u.Now > 800 {
-		t.Fatalf("not tight, or borrowed above the high mark: %+v", u)
+	if u := k.Usage().Memory; !k.IsTight() || u.Now > 800 {
+		t.Fatalf("memory %+v, want it tight with at most 800 in use", u)
 	}
-	k.Read(flood[0], false)
+	k.BeginRead(flood[0], false)
 	moved := 0
-	for b := k.Move(true); b != nil; b = k.Move(true) {
+	for b := k.SelectForMove(true); b != nil; b = k.SelectForMove(true) {
 		if b == flood[0] {
-			t.Fatal("moves what is being read")
+			t.Fatal("Move selected a body that is being read")
 		}
-		k.Moved(b, true)
+		k.RecordMove(b, true)
 		moved++
 	}
 	if u := k.Usage().Memory; moved == 0 || u.Now > int64(float64(u.Limit)*lim.Low) {
-		t.Fatalf("%d moved, memory %+v", moved, u)
+		t.Fatalf("%d bodies moved, memory %+v, want it down to the low mark", moved, u)
 	}
 }
 
-// Whatever the marks and tenants, a class that has nothing finds the firm part of its
-// share, of each amount, behind a flood of all the others.
-func TestFirmPartBehindAFlood(t *testing.T) {
+// After a flood of bodies of all other classes, a class that uses nothing can still book the
+// firm part of its share of each amount, for different high marks.
+func TestFirmPartIsAvailableAfterFlood(t *testing.T) {
 	for _, high := range []float64{0.8, 1} {
-		for class, share := range limits().Shares {
-			lim := limits()
+		for class, share := range testLimits().Shares {
+			lim := testLimits()
 			lim.High = high
 			k, err := New(lim)
 			if err != nil {
@@ -319,14 +319,15 @@
 			}
 			for name, a := range map[string]*account{"memory": &k.mem, "disk": &k.disk, "files": &k.files, "streams": &k.streams} {
 				firm := int64(float64(int64(float64(a.limit)*share)) * (1 - lim.Lend))
-				if firm > 0 && !a.take(class, -1, firm) {
-					t.Errorf("high %v, class %d: its firm %d of %s is not there: %+v", high, class, firm, name, *a)
+				if firm > 0 && !a.book(class, -1, firm) {
+					t.Errorf("high mark %v, class %d: its firm part %d of %s is not available: %+v", high, class, firm, name, *a)
 				}
 			}
 		}
 	}
 }
 
+// Each invalid limit is rejected.
 func TestLimitsAreChecked(t *testing.T) {
 	for name, spoil := range map[string]func(*Limits){
 		"Memory":     func(l *Limits) { l.Memory = 0 },
@@ -342,77 +343,78 @@
 		"Low":        func(l *Limits) { l.Low = 0.9 },
 		"Tenants":    func(l *Limits) { l.Tenants = -1 },
 	} {
-		l := limits()
+		l := testLimits()
 		spoil(&l)
 		if _, err := New(l); err == nil {
-			t.Errorf("%s: taken", name)
+			t.Errorf("invalid %s was accepted", name)
 		}
 	}
 }
 
-// The disk's states: what leads to each, and that only a proof of trials leads back.
-func TestDiskStates(t *testing.T) {
+// Each kind of fault leads to its state, and only the required number of consecutive successful
+// trials leads back to good.
+func TestDiskFaultsAndRecovery(t *testing.T) {
 	const ms = time.Millisecond
 	lim := DiskLimits{SlowAfter: 100 * ms, RestLeast: time.Second, RestMost: 4 * time.Second, Proof: 2}
 	for name, fault := range map[State]Fault{Slow: Late, Full: NoRoom, Failing: Broken} {
 		d := NewDisk(lim, 0)
-		d.Call(None, ms, 0)
-		d.Call(fault, 0, 10*ms)
+		d.RecordCall(None, ms, 0)
+		d.RecordCall(fault, 0, 10*ms)
 		if s, since := d.State(); s != name || since != 10*ms {
 			t.Fatalf("%v since %v, want %v", s, since, name)
 		}
-		if d.Trial(500 * ms) {
-			t.Fatalf("%v: a trial before its rest", name)
+		if d.TrialDue(500 * ms) {
+			t.Fatalf("%v: a trial is due before the delay is over", name)
 		}
 		now := 2 * time.Second
-		if !d.Trial(now) || d.Trial(now) {
-			t.Fatalf("%v: not one trial at a time", name)
+		if !d.TrialDue(now) || d.TrialDue(now) {
+			t.Fatalf("%v: want exactly one trial at a time", name)
 		}
-		d.Tried(fault, 0, now) // the rest doubles
-		if d.Trial(now+1500*ms) || !d.Trial(now+2500*ms) {
-			t.Fatalf("%v: the rest does not double", name)
+		d.RecordTrial(fault, 0, now) // the delay doubles
+		if d.TrialDue(now+1500*ms) || !d.TrialDue(now+2500*ms) {
+			t.Fatalf("%v: the delay did not double after a failed trial", name)
 		}
 		now += 2500 * ms
-		d.Tried(None, ms, now)
+		d.RecordTrial(None, ms, now)
 		if s, _ := d.State(); s != name {
-			t.Fatalf("%v: good after one trial", name)
+			t.Fatalf("%v: state changed after one of two trials", name)
 		}
-		d.Call(None, ms, now) // a read that went well proves nothing
+		d.RecordCall(None, ms, now) // a successful read does not count as a trial
 		if s, _ := d.State(); s != name {
-			t.Fatalf("%v: good without its proof", name)
+			t.Fatalf("%v: state changed after a read, want no change", name)
 		}
-		if now += 2 * time.Second; !d.Trial(now) {
-			t.Fatalf("%v: no second trial", name)
+		if now += 2 * time.Second; !d.TrialDue(now) {
+			t.Fatalf("%v: the second trial is not due", name)
 		}
-		d.Tried(None, ms, now)
+		d.RecordTrial(None, ms, now)
 		if s, since := d.State(); s != Good || since != now {
-			t.Fatalf("%v: %v after the proof", name, s)
+			t.Fatalf("%v: state %v after two successful trials, want good", name, s)
 		}
 	}
 	d := NewDisk(lim, 0)
 	for range 30 {
-		d.Call(None, 90*ms, 0)
+		d.RecordCall(None, 90*ms, 0)
 	}
-	d.Call(None, 400*ms, 0) // one alone is no trend
+	d.RecordCall(None, 400*ms, 0) // a single slow call is not enough
 	if s, _ := d.State(); s != Slow {
 		for range 10 {
-			d.Call(None, 200*ms, time.Second)
+			d.RecordCall(None, 200*ms, time.Second)
 		}
 	}
 	if s, _ := d.State(); s != Slow {
-		t.Fatalf("%v after ten slow calls", s)
+		t.Fatalf("state %v after ten slow calls, want slow", s)
 	}
-	if d.Trial(5 * time.Second) {
-		d.Tried(None, 200*ms, 5*time.Second) // as slow as before: no proof
+	if d.TrialDue(5 * time.Second) {
+		d.RecordTrial(None, 200*ms, 5*time.Second) // still slow, so not successful
 	}
 	if s, _ := d.State(); s != Slow {
-		t.Fatal("good by slow trials")
+		t.Fatal("not slow after a slow trial")
 	}
 }
 
-// Above the high mark nobody borrows, and what is a class's own is still given.
-func TestNobodyBorrowsWhileTight(t *testing.T) {
-	k, err := New(limits())
+// While memory is tight, a class cannot borrow, but can still use its own share.
+func TestNoBorrowingWhileTight(t *testing.T) {
+	k, err := New(testLimits())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -420,14 +422,14 @@
 	for range 3 {
 		put(1, 200) // its share is 300
 	}
-	put(0, 200) // its own, up to the mark of 800
-	if !k.Tight() {
-		t.Fatalf("%+v", k.Usage().Memory)
+	put(0, 200) // its own share, up to the high mark of 800
+	if !k.IsTight() {
+		t.Fatalf("memory is not tight: %+v", k.Usage().Memory)
 	}
 	if p := put(1, 100); p != Nowhere {
-		t.Errorf("borrowed above the mark: %v", p)
+		t.Errorf("a class above its share while memory is tight: body went to %v, want not kept", p)
 	}
 	if p := put(2, 100); p != Memory {
-		t.Errorf("a class's own above the mark: %v", p)
+		t.Errorf("a class within its share while memory is tight: body went to %v, want memory", p)
 	}
 }
--- a/internal/keep/limits.go
+++ b/internal/keep/limits.go
@@ -1,9 +1,9 @@
-// Package keep decides where the body of each call is kept, so that it is at hand for
-// another attempt: in memory, in a file, or nowhere, and then the call has one attempt.
-// It has no I/O, clock or goroutines; whoever hosts it calls it under one lock.
+// Package keep decides where the body of each call is kept for further attempts: in memory,
+// in a file, or not at all, in which case the call has only one attempt. It has no I/O, clock
+// or goroutines; callers serialize all calls with one lock.
 //
-// A body goes one way: from memory to a file to nowhere. Only one whose file can't be
-// written goes on in memory, where there is room for it.
+// A body only moves from memory to a file, and from there to not kept. The exception is a body
+// whose file cannot be written: its remaining bytes are kept in memory if they fit.
 package keep
 
 import (
@@ -11,46 +11,46 @@
 	"math"
 )
 
-// Limits bound all that is kept.
+// Limits holds the bounds on kept bodies.
 type Limits struct {
-	Memory     int64 // bytes of kept bodies in memory
-	MemoryMost int64 // bytes: the longest body that is kept in memory
-	MoveLeast  int64 // bytes: the shortest body that moves from memory to a file
-	Disk       int64 // bytes in files; 0: there are none
-	FileMost   int64 // bytes: the longest body that is kept at all
-	Files      int64 // open at once
-	Streams    int64 // bodies at once that are not kept
-	Shares     []float64
-	Lend       float64 // the part of an unused share that others may borrow
-	High, Low  float64 // marks, as parts of an amount
-	Tenants    int     // 0: the site has none
+	Memory     int64     // bytes of kept bodies in memory
+	MemoryMost int64     // bytes: maximum length of a body kept in memory
+	MoveLeast  int64     // bytes: minimum length of a body that is moved from memory to a file
+	Disk       int64     // bytes in files; 0: files are not used
+	FileMost   int64     // bytes: maximum length of a body that is kept at all
+	Files      int64     // open files
+	Streams    int64     // concurrent bodies that are not kept
+	Shares     []float64 // guaranteed part of each amount, by class
+	Lend       float64   // part of an unused share that other classes may borrow
+	High, Low  float64   // marks between which an amount is tight, as parts of its limit
+	Tenants    int       // number of tenants; 0: none
 }
 
-// Check says which limit can't be used, by its name here.
+// Check returns an error that names the first invalid limit.
 func (l *Limits) Check() error {
 	var err error
-	need := func(ok bool, field, want string) {
-		if !ok && err == nil {
+	require := func(valid bool, field, want string) {
+		if !valid && err == nil {
 			err = fmt.Errorf("keep: %s must be %s", field, want)
 		}
 	}
-	need(l.Memory > 0, "Memory", "above 0")
-	need(l.MemoryMost > 0 && l.MemoryMost <= l.Memory, "MemoryMost", "above 0 and no more than Memory")
-	need(l.MoveLeast > 0, "MoveLeast", "above 0")
-	need(l.Disk >= 0, "Disk", "0 or more")
-	need(l.Disk == 0 || l.Files > 0, "Files", "above 0 where there is a disk")
-	need(l.FileMost >= l.MemoryMost, "FileMost", "no less than MemoryMost")
-	need(l.Disk == 0 || l.FileMost <= l.Disk, "FileMost", "no more than Disk")
-	need(l.Streams >= 0, "Streams", "0 or more")
-	need(len(l.Shares) > 0, "Shares", "one for each class")
+	require(l.Memory > 0, "Memory", "above 0")
+	require(l.MemoryMost > 0 && l.MemoryMost <= l.Memory, "MemoryMost", "above 0 and no more than Memory")
+	require(l.MoveLeast > 0, "MoveLeast", "above 0")
+	require(l.Disk >= 0, "Disk", "0 or more")
+	require(l.Disk == 0 || l.Files > 0, "Files", "above 0 where there is a disk")
+	require(l.FileMost >= l.MemoryMost, "FileMost", "no less than MemoryMost")
+	require(l.Disk == 0 || l.FileMost <= l.Disk, "FileMost", "no more than Disk")
+	require(l.Streams >= 0, "Streams", "0 or more")
+	require(len(l.Shares) > 0, "Shares", "one for each class")
 	sum := 0.0
 	for _, s := range l.Shares {
-		need(s >= 0 && s <= 1, "Shares", "within 0 and 1")
+		require(s >= 0 && s <= 1, "Shares", "within 0 and 1")
 		sum += s
 	}
-	need(sum <= 1+1e-9 && !math.IsNaN(sum), "Shares", "1 in all at most")
-	need(l.Lend >= 0 && l.Lend <= 1, "Lend", "within 0 and 1")
-	need(l.Low > 0 && l.Low < l.High && l.High <= 1, "Low", "above 0 and under High, which is 1 at most")
-	need(l.Tenants >= 0, "Tenants", "0 or more")
+	require(sum <= 1+1e-9 && !math.IsNaN(sum), "Shares", "1 in all at most")
+	require(l.Lend >= 0 && l.Lend <= 1, "Lend", "within 0 and 1")
+	require(l.Low > 0 && l.Low < l.High && l.High <= 1, "Low", "above 0 and under High, which is 1 at most")
+	require(l.Tenants >= 0, "Tenants", "0 or more")
 	return err
 }
