--- a/internal/body/body.go
+++ b/internal/body/body.go
@@ -10,320 +10,326 @@
 	"chalkrack/internal/spool"
 )
 
-// Body is one body. It is a message.Source: attempts read it at once or one after
-// another, each from its beginning, unless it is not kept; then one reads it, once.
+// Body is the body of one call. It implements message.Source: any number of attempts read it,
+// concurrently or one after another, each from the beginning. A body that is not kept can be
+// read only once.
 type Body struct {
-	store  *Store
-	in     Incoming
-	class  int
-	length int64 // announced; -1: not
-	kept   *keep.Body
-	buf    []byte // for pieces that go to the file; the receiver's own
-	last   int    // size of the piece before
+	store         *Store
+	incoming      Incoming
+	class         int
+	length        int64 // announced length; -1: none
+	record        *keep.Body
+	buf           []byte // for pieces that go to the file; used only by the receiving goroutine
+	lastPieceSize int    // size of the previous piece
 
 	// Guarded by the store's lock.
-	segs    []segment // a whole kept body's is replaced and never changed
-	file    *spool.File
-	whole   bool
-	coming  bool // not kept
-	err     error
-	gone    bool
-	opened  int // readings, ended ones included
-	reading int
-	wait    int64     // bytes that have come and not passed, of such a one
-	moved   sync.Cond // something of that changed
+	segments     []segment // of a complete kept body, replaced as a whole and never modified
+	file         *spool.File
+	isComplete   bool
+	isStreamed   bool // not kept: streamed to one server
+	err          error
+	isDropped    bool
+	openCount    int       // readings so far, including closed ones
+	openReadings int       // open readings
+	unsentBytes  int64     // of a body that is not kept: bytes received and not yet sent to the server
+	changed      sync.Cond // signaled when one of the fields above changes
 }
 
-// segment is a part of a body, in memory or as a piece of its file.
+// segment is a part of a body, in memory or in a piece of its file.
 type segment struct {
-	mem    []byte
-	piece  int
-	n      int
-	filed  bool
-	booked bool // of one in memory: the keeper has booked it
+	data     []byte
+	piece    int
+	size     int
+	inFile   bool
+	isBooked bool // of a segment in memory: whether the Keeper has booked it
 }
 
 var _ message.Source = (*Body)(nil)
 
-// Coming says that a body is not kept: it goes on to one server as it comes.
+// Coming reports whether the body is not kept but streamed to one server.
 func (b *Body) Coming() bool {
 	b.store.mu.Lock()
 	defer b.store.mu.Unlock()
-	return b.coming
+	return b.isStreamed
 }
 
-// Whole says that all of it has come.
+// Whole reports whether the body has been received completely.
 func (b *Body) Whole() bool {
 	b.store.mu.Lock()
 	defer b.store.mu.Unlock()
-	return b.whole
+	return b.isComplete
 }
 
-// Place is where it is kept.
+// Place returns where the body is kept.
 func (b *Body) Place() keep.Place {
 	b.store.mu.Lock()
 	defer b.store.mu.Unlock()
-	return b.kept.Place()
+	return b.record.Place()
 }
 
-// Length implements message.Source: the length that was announced, or that has come of
-// a whole body; -1 if neither is known.
+// Length implements message.Source. It returns the announced length, or the received length of
+// a complete body, or -1 if neither is known.
 func (b *Body) Length() int64 {
 	b.store.mu.Lock()
 	defer b.store.mu.Unlock()
-	if b.whole {
-		return b.kept.Size()
+	if b.isComplete {
+		return b.record.Size()
 	}
 	return b.length
 }
 
-// Pieces is a whole body that stays in memory for its life, nil if it is of another
-// kind: attempts need no reading of such a one.
+// Pieces returns the content of a complete body that is never moved to a file, so that
+// attempts can use it without Open. It returns nil for other bodies.
 func (b *Body) Pieces() [][]byte {
 	b.store.mu.Lock()
 	defer b.store.mu.Unlock()
-	if !b.whole || b.coming || b.kept.Place() != keep.Memory || b.kept.Size() >= b.store.cfg.Limits.MoveLeast {
+	if !b.isComplete || b.isStreamed || b.record.Place() != keep.Memory || b.record.Size() >= b.store.cfg.Limits.MoveLeast {
 		return nil
 	}
-	all := make([][]byte, len(b.segs))
-	for n, seg := range b.segs {
-		all[n] = seg.mem
+	all := make([][]byte, len(b.segments))
+	for n, seg := range b.segments {
+		all[n] = seg.data
 	}
 	return all
 }
 
-// receive takes one more piece, or finds out that the body is not kept.
-func (b *Body) receive() error {
+// receivePiece reads the next piece, or determines that the body is not kept.
+func (b *Body) receivePiece() error {
 	s := b.store
 	size := b.pieceSize()
 	if size == 0 {
-		b.end()
+		b.markComplete()
 		return nil
 	}
 	s.mu.Lock()
-	place := s.put(b, size)
+	place := s.book(b, size)
 	s.mu.Unlock()
 	switch place {
 	case keep.Refused:
 		return ErrNoRoom
 	case keep.Nowhere:
-		b.goOn()
-		if len(b.segs) == 0 {
-			_, err := b.take(size)
+		b.startStreaming()
+		if len(b.segments) == 0 {
+			_, err := b.receiveStreamed(size)
 			return err
 		}
-		b.trim(size) // something is at hand: the call need not wait for more
+		b.releaseUnreceived(size) // the call can start with what has been received
 		return nil
 	case keep.Memory:
 		p := make([]byte, size)
-		n, err := b.read(p)
-		b.trim(size - int64(n))
-		if int64(n) < size/2 { // the room that was not needed is not held
+		n, err := b.readFull(p)
+		b.releaseUnreceived(size - int64(n))
+		if int64(n) < size/2 { // do not hold a mostly unused buffer
 			p = append(make([]byte, 0, n), p[:n]...)
 		}
 		if n > 0 {
-			b.segs = append(b.segs, segment{mem: p[:n:n], n: n, booked: true})
+			b.segments = append(b.segments, segment{data: p[:n:n], size: n, isBooked: true})
 		}
-		return b.ended(err)
+		return b.handleReadError(err)
 	}
-	if b.file == nil && !b.spill() {
-		if err := b.elsewhere(size); err != nil {
+	if b.file == nil && !b.spillToFile() {
+		if err := b.moveElsewhere(size); err != nil {
 			return err
 		}
-		if b.coming {
-			b.trim(size)
+		if b.isStreamed {
+			b.releaseUnreceived(size)
 			return nil
 		}
 	}
 	if b.buf == nil {
-		b.buf = make([]byte, pieceMost)
+		b.buf = make([]byte, maxPieceBytes)
 	}
-	n, err := b.read(b.buf[:size])
-	b.trim(size - int64(n))
+	n, err := b.readFull(b.buf[:size])
+	b.releaseUnreceived(size - int64(n))
 	if n > 0 {
-		if err := b.append(b.buf[:n]); err != nil {
+		if err := b.appendPiece(b.buf[:n]); err != nil {
 			return err
 		}
 	}
-	return b.ended(err)
+	return b.handleReadError(err)
 }
 
-// elsewhere asks for another place for n bytes whose file can't be written. It may
-// become a body that is not kept.
-func (b *Body) elsewhere(n int64) error {
+// moveElsewhere requests another place for n bytes whose file cannot be written. The body may
+// become one that is not kept.
+func (b *Body) moveElsewhere(n int64) error {
 	b.store.mu.Lock()
-	place := b.store.keeper.RecordFileFailure(b.kept, n, false)
+	place := b.store.keeper.RecordFileFailure(b.record, n, false)
 	b.store.mu.Unlock()
 	switch place {
 	case keep.Refused:
 		return ErrNoRoom
 	case keep.Nowhere:
-		b.goOn()
+		b.startStreaming()
 	}
 	return nil
 }
 
-// trim gives back what was booked and did not come.
-func (b *Body) trim(n int64) {
+// releaseUnreceived releases n booked bytes that were not received.
+func (b *Body) releaseUnreceived(n int64) {
 	b.store.mu.Lock()
 	defer b.store.mu.Unlock()
-	b.store.keeper.ReleaseUnreceived(b.kept, n)
+	b.store.keeper.ReleaseUnreceived(b.record, n)
 }
 
-// pieceSize is how long the next piece is, 0 if the announced length has come.
+// pieceSize returns the size of the next piece, or 0 if the announced length has been
+// received.
 func (b *Body) pieceSize() int64 {
-	size := int64(pieceMost)
-	if b.last == 0 {
-		size = firstPiece
+	size := int64(maxPieceBytes)
+	if b.lastPieceSize == 0 {
+		size = firstPieceBytes
 	}
 	if b.length >= 0 {
-		size = min(pieceMost, b.length-b.kept.Size())
+		size = min(maxPieceBytes, b.length-b.record.Size())
 	}
-	b.last = int(size)
+	b.lastPieceSize = int(size)
 	return size
 }
 
-// read fills p, or ends with io.EOF or another error before.
-func (b *Body) read(p []byte) (n int, err error) {
+// readFull fills p, or stops at io.EOF or another error.
+func (b *Body) readFull(p []byte) (n int, err error) {
 	for n < len(p) && err == nil {
 		var k int
-		k, err = b.in.Body.Read(p[n:])
+		k, err = b.incoming.Body.Read(p[n:])
 		n += k
 	}
 	return n, err
 }
 
-// ended takes the error of a read: io.EOF ends the body.
-func (b *Body) ended(err error) error {
+// handleReadError handles the error of a read: io.EOF completes the body, unless it is shorter
+// than announced.
+func (b *Body) handleReadError(err error) error {
 	switch {
-	case err == io.EOF && b.length >= 0 && b.kept.Size() < b.length:
+	case err == io.EOF && b.length >= 0 && b.record.Size() < b.length:
 		return io.ErrUnexpectedEOF
-	case err == io.EOF, err == nil && b.length >= 0 && b.kept.Size() == b.length:
-		b.end()
+	case err == io.EOF, err == nil && b.length >= 0 && b.record.Size() == b.length:
+		b.markComplete()
 		return nil
 	}
 	return err
 }
 
-func (b *Body) end() {
+// markComplete marks the body as complete.
+func (b *Body) markComplete() {
 	s := b.store
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	b.whole, b.buf = true, nil
-	s.keeper.Complete(b.kept)
-	b.moved.Broadcast()
+	b.isComplete, b.buf = true, nil
+	s.keeper.Complete(b.record)
+	b.changed.Broadcast()
 	if s.keeper.IsTight() {
-		s.nudge()
+		s.wakeBackground()
 	}
 }
 
-// goOn makes it a body that is not kept.
-func (b *Body) goOn() {
+// startStreaming turns the body into one that is not kept.
+func (b *Body) startStreaming() {
 	b.store.mu.Lock()
 	defer b.store.mu.Unlock()
-	b.coming = true
-	b.moved.Broadcast()
+	b.isStreamed = true
+	b.changed.Broadcast()
 }
 
-// spill brings what lies in memory to the file, where all that comes goes. What can't
-// be brought there stays in memory.
-func (b *Body) spill() (ok bool) {
+// spillToFile creates the file and moves the segments in memory to it; later pieces go there
+// too. Segments that cannot be written stay in memory, and spillToFile returns
+// false.
+func (b *Body) spillToFile() (ok bool) {
 	s := b.store
 	b.file = s.cfg.Spool.File(b.class)
-	old := b.segs
+	old := b.segments
 	var segs []segment
 	for n, seg := range old {
-		filed, err := s.write(b.file, segs, seg.mem)
+		filed, err := s.write(b.file, segs, seg.data)
 		s.mu.Lock()
 		if err != nil {
 			left := int64(0)
 			for _, seg := range old[n:] {
-				left += int64(seg.n)
+				left += int64(seg.size)
 			}
-			s.keeper.RecordFileFailure(b.kept, left, true)
-			b.segs = append(segs, old[n:]...)
+			s.keeper.RecordFileFailure(b.record, left, true)
+			b.segments = append(segs, old[n:]...)
 			s.mu.Unlock()
 			return false
 		}
-		s.keeper.RecordWritten(b.kept, int64(seg.n))
+		s.keeper.RecordWritten(b.record, int64(seg.size))
 		s.mu.Unlock()
 		segs = filed
 	}
-	b.segs = segs
+	b.segments = segs
 	return true
 }
 
-// append puts a piece that has come where its place is. If its file can't be written
-// it asks for another place, and the piece goes there: nothing of it is lost.
-func (b *Body) append(p []byte) error {
+// appendPiece stores a received piece in the body's place. If the file cannot be written, the
+// piece goes to another place, so that it is not lost.
+func (b *Body) appendPiece(p []byte) error {
 	s := b.store
-	if !b.kept.FileFailed() {
-		segs, err := s.write(b.file, b.segs, p)
+	if !b.record.FileFailed() {
+		segs, err := s.write(b.file, b.segments, p)
 		if err == nil {
-			b.segs = segs
+			b.segments = segs
 			return nil
 		}
-		if err := b.elsewhere(int64(len(p))); err != nil {
+		if err := b.moveElsewhere(int64(len(p))); err != nil {
 			return err
 		}
-		if b.coming {
-			b.push(p)
+		if b.isStreamed {
+			b.queueForServer(p)
 			return nil
 		}
 	}
-	b.segs = append(b.segs, segment{mem: append([]byte(nil), p...), n: len(p), booked: true})
+	b.segments = append(b.segments, segment{data: append([]byte(nil), p...), size: len(p), isBooked: true})
 	return nil
 }
 
-// push adds a piece of a body that is not kept to what waits for its server.
-func (b *Body) push(p []byte) {
+// queueForServer queues a piece of a body that is not kept for its server.
+func (b *Body) queueForServer(p []byte) {
 	s := b.store
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	b.segs = append(b.segs, segment{mem: append([]byte(nil), p...), n: len(p)})
-	b.wait += int64(len(p))
-	b.moved.Broadcast()
+	b.segments = append(b.segments, segment{data: append([]byte(nil), p...), size: len(p)})
+	b.unsentBytes += int64(len(p))
+	b.changed.Broadcast()
 }
 
-// take reads a piece of a body that is not kept, whose bytes the keeper has counted.
-func (b *Body) take(size int64) (more bool, err error) {
+// receiveStreamed reads a piece of a body that is not kept, for which size bytes are booked.
+// more is false when the body is complete.
+func (b *Body) receiveStreamed(size int64) (more bool, err error) {
 	if b.buf == nil {
 		b.buf = make([]byte, StreamPiece)
 	}
-	n, err := io.ReadAtLeast(b.in.Body, b.buf[:min(size, int64(len(b.buf)))], 1) // as it comes, not filled
-	b.trim(size - int64(n))
+	n, err := io.ReadAtLeast(b.incoming.Body, b.buf[:min(size, int64(len(b.buf)))], 1) // return what is available instead of filling the buffer
+	b.releaseUnreceived(size - int64(n))
 	if n > 0 {
-		b.push(b.buf[:n])
+		b.queueForServer(b.buf[:n])
 	}
-	if err = b.ended(err); err != nil {
+	if err = b.handleReadError(err); err != nil {
 		return false, err
 	}
 	return !b.Whole(), nil
 }
 
-// Forward takes the rest of a body that is not kept, no faster than its server does.
-// It ends with nil when the body is whole or nobody wants more of it, else with what
-// reading said; then the call is to be ended, and Break called.
+// Forward receives the rest of a body that is not kept, no faster than its server reads it. It
+// blocks until the body is complete or dropped, and returns nil then. After any other error of
+// the read, the caller must end the call and then call Break.
 func (b *Body) Forward() error {
 	s := b.store
 	for {
 		s.mu.Lock()
-		for b.wait >= s.cfg.Window && !b.gone {
-			b.moved.Wait()
+		for b.unsentBytes >= s.cfg.Window && !b.isDropped {
+			b.changed.Wait()
 		}
-		if b.gone || b.whole {
+		if b.isDropped || b.isComplete {
 			s.mu.Unlock()
 			return nil
 		}
 		size := b.pieceSize()
-		s.put(b, size)
+		s.book(b, size)
 		s.mu.Unlock()
 		more, err := true, error(nil)
 		if size == 0 {
-			b.end()
+			b.markComplete()
 			more = false
 		} else {
-			more, err = b.take(size)
+			more, err = b.receiveStreamed(size)
 		}
 		if err != nil {
 			return err
@@ -334,49 +340,49 @@
 	}
 }
 
-// Break says that no more comes: a reading ends with ErrBroken where it is. It is for
-// after the call's end, so that this end is not taken for the attempt's.
+// Break aborts the body: a reading gets ErrBroken after the bytes received so far. It must be
+// called after the end of the call, so that the error is not attributed to the attempt.
 func (b *Body) Break() {
 	b.store.mu.Lock()
 	defer b.store.mu.Unlock()
 	b.err = ErrBroken
-	b.moved.Broadcast()
+	b.changed.Broadcast()
 }
 
-// Drop ends the body. Readings that go on may end.
+// Drop ends the life of the body. Open readings may continue until they are closed.
 func (b *Body) Drop() {
 	s := b.store
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if b.gone {
+	if b.isDropped {
 		return
 	}
-	b.gone = true
-	s.keeper.Drop(b.kept)
-	b.settle()
-	b.moved.Broadcast()
+	b.isDropped = true
+	s.keeper.Drop(b.record)
+	b.closeUnusedFile()
+	b.changed.Broadcast()
 }
 
-// settle lets the file go once nobody needs it. It is called with the lock held.
-func (b *Body) settle() {
-	if b.gone && b.reading == 0 && b.file != nil {
+// closeUnusedFile closes the file once no reading needs it. The lock must be held.
+func (b *Body) closeUnusedFile() {
+	if b.isDropped && b.openReadings == 0 && b.file != nil {
 		b.file.Close()
 		b.file = nil
 	}
 }
 
-// Retried says that a further attempt is made with the Pieces.
+// Retried records a further attempt that uses the result of Pieces.
 func (b *Body) Retried() {
 	b.store.mu.Lock()
 	defer b.store.mu.Unlock()
-	b.store.keeper.CountRetry(b.kept)
+	b.store.keeper.CountRetry(b.record)
 }
 
-// Ended says that its call ended without an answer: refused, or failed.
+// Ended records that the call ended without an answer, refused or failed.
 func (b *Body) Ended(refused bool) {
 	b.store.mu.Lock()
 	defer b.store.mu.Unlock()
-	b.store.keeper.RecordEnd(b.kept, refused)
+	b.store.keeper.RecordEnd(b.record, refused)
 }
 
 // Open implements message.Source.
@@ -385,29 +391,30 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch {
-	case b.gone:
-		return nil, errClosed
-	case b.coming && b.opened > 0:
+	case b.isDropped:
+		return nil, errReadingClosed
+	case b.isStreamed && b.openCount > 0:
 		return nil, ErrOnce
 	}
-	s.keeper.BeginRead(b.kept, b.opened > 0)
-	b.opened++
-	b.reading++
-	return &reading{b: b, segs: b.segs, file: b.file, live: b.coming}, nil
+	s.keeper.BeginRead(b.record, b.openCount > 0)
+	b.openCount++
+	b.openReadings++
+	return &reading{body: b, segments: b.segments, file: b.file, isStreamed: b.isStreamed}, nil
 }
 
-// reading is one attempt's. Next and Close may be called from two goroutines.
+// reading is the message.Reading of one attempt. Next and Close may be called from different
+// goroutines.
 type reading struct {
-	b    *Body
-	segs []segment // those at its beginning: a move changes nothing for it
-	file *spool.File
-	live bool // of a body that is not kept
-
-	n      int   // the next segment
-	at     int64 // in the file
-	buf    []byte
-	closed bool // guarded by the store's lock
-	passed segment
+	body       *Body
+	segments   []segment // as of Open; not affected by a later move to a file
+	file       *spool.File
+	isStreamed bool // whether the body is not kept
+
+	nextSegment int   // index of the next segment
+	offset      int64 // offset in the file
+	buf         []byte
+	isClosed    bool    // guarded by the store's lock
+	lastSegment segment // the last segment returned, of a body that is not kept
 }
 
 // Next implements message.Reading.
@@ -416,93 +423,93 @@
 	if err != nil {
 		return nil, err
 	}
-	if !seg.filed {
-		return seg.mem, nil
+	if !seg.inFile {
+		return seg.data, nil
 	}
 	if r.buf == nil {
-		r.buf = make([]byte, pieceMost)
+		r.buf = make([]byte, maxPieceBytes)
 	}
 	began := time.Now()
-	p, err := r.file.ReadAt(r.buf, seg.piece, r.at)
-	s := r.b.store
+	p, err := r.file.ReadAt(r.buf, seg.piece, r.offset)
+	s := r.body.store
 	s.mu.Lock()
-	s.called(err, time.Since(began), false)
+	s.recordFileCall(err, time.Since(began), false)
 	s.mu.Unlock()
-	if err != nil || len(p) != seg.n {
-		s.cfg.Log.Warn("kept body can't be read", "class", s.cfg.Classes[r.b.class], "piece", seg.piece, "err", err)
+	if err != nil || len(p) != seg.size {
+		s.cfg.Log.Warn("kept body cannot be read", "class", s.cfg.Classes[r.body.class], "piece", seg.piece, "err", err)
 		return nil, ErrLost
 	}
-	r.at = r.file.Next(seg.piece, r.at)
+	r.offset = r.file.Next(seg.piece, r.offset)
 	return p, nil
 }
 
+// next returns the next segment. Of a body that is not kept, it blocks until one is received.
 func (r *reading) next() (segment, error) {
-	b, s := r.b, r.b.store
+	b, s := r.body, r.body.store
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !r.live {
-		if r.closed {
-			return segment{}, errClosed
+	if !r.isStreamed {
+		if r.isClosed {
+			return segment{}, errReadingClosed
 		}
-		if r.n == len(r.segs) {
+		if r.nextSegment == len(r.segments) {
 			return segment{}, io.EOF
 		}
-		r.n++
-		return r.segs[r.n-1], nil
+		r.nextSegment++
+		return r.segments[r.nextSegment-1], nil
 	}
-	r.pass()
+	r.releaseLast()
 	for {
 		switch {
-		case r.closed || b.gone:
-			return segment{}, errClosed
-		case r.n < len(b.segs):
-			seg := b.segs[r.n]
-			b.segs[r.n] = segment{}
-			r.passed = seg
-			r.n++
-			if r.n > 64 { // those that have passed are let go
-				b.segs, r.n = append([]segment(nil), b.segs[r.n:]...), 0
+		case r.isClosed || b.isDropped:
+			return segment{}, errReadingClosed
+		case r.nextSegment < len(b.segments):
+			seg := b.segments[r.nextSegment]
+			b.segments[r.nextSegment] = segment{}
+			r.lastSegment = seg
+			r.nextSegment++
+			if r.nextSegment > 64 { // release the consumed segments
+				b.segments, r.nextSegment = append([]segment(nil), b.segments[r.nextSegment:]...), 0
 			}
 			r.file = b.file
 			return seg, nil
-		case b.whole:
+		case b.isComplete:
 			return segment{}, io.EOF
 		case b.err != nil:
 			return segment{}, b.err
 		}
-		b.moved.Wait()
+		b.changed.Wait()
 	}
 }
 
-// pass gives back the segment that Next returned before. It is called with the lock
-// held.
-func (r *reading) pass() {
-	seg := r.passed
-	r.passed = segment{}
+// releaseLast releases the segment that Next returned last. The lock must be held.
+func (r *reading) releaseLast() {
+	seg := r.lastSegment
+	r.lastSegment = segment{}
 	switch {
-	case seg.n == 0:
-	case seg.filed:
-		r.b.store.keeper.RecordForwarded(r.b.kept, 0, int64(seg.n))
-	case seg.booked:
-		r.b.store.keeper.RecordForwarded(r.b.kept, int64(seg.n), 0)
+	case seg.size == 0:
+	case seg.inFile:
+		r.body.store.keeper.RecordForwarded(r.body.record, 0, int64(seg.size))
+	case seg.isBooked:
+		r.body.store.keeper.RecordForwarded(r.body.record, int64(seg.size), 0)
 	default:
-		r.b.wait -= int64(seg.n)
-		r.b.moved.Broadcast()
+		r.body.unsentBytes -= int64(seg.size)
+		r.body.changed.Broadcast()
 	}
 }
 
 // Close implements message.Reading.
 func (r *reading) Close() {
-	s := r.b.store
+	s := r.body.store
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if r.closed {
+	if r.isClosed {
 		return
 	}
-	r.closed = true
-	r.pass()
-	r.b.reading--
-	s.keeper.EndRead(r.b.kept)
-	r.b.settle()
-	r.b.moved.Broadcast()
+	r.isClosed = true
+	r.releaseLast()
+	r.body.openReadings--
+	s.keeper.EndRead(r.body.record)
+	r.body.closeUnusedFile()
+	r.body.changed.Broadcast()
 }
--- a/internal/body/body_test.go
+++ b/internal/body/body_test.go
@@ -19,18 +19,18 @@
 	"chalkrack/internal/standin"
 )
 
-const patience = 20 * time.Second
+const testTimeout = 20 * time.Second
 
-func limits() keep.Limits {
-	return keep.Limits{Memory: 4 << 20, MemoryMost: 1 << 20, MoveLeast: pieceMost, Disk: 64 << 20, FileMost: 8 << 20, Files: 8, Streams: 4,
+func testLimits() keep.Limits {
+	return keep.Limits{Memory: 4 << 20, MemoryMost: 1 << 20, MoveLeast: maxPieceBytes, Disk: 64 << 20, FileMost: 8 << 20, Files: 8, Streams: 4,
 		Shares: []float64{0.3, 0.3}, Lend: 0.5, High: 0.8, Low: 0.5}
 }
 
-// store starts one over a disk; nil: without files.
-func store(tb testing.TB, disk *standin.Disk, lim keep.Limits, wait time.Duration) *Store {
+// newTestStore creates a Store on a simulated disk, or without files if disk is nil.
+func newTestStore(tb testing.TB, disk *standin.Disk, lim keep.Limits, wait time.Duration) *Store {
 	tb.Helper()
-	cfg := Config{Limits: lim, Classes: []string{"a", "b"}, Window: pieceMost,
-		Disk: keep.DiskLimits{SlowAfter: patience, RestLeast: 5 * time.Millisecond, RestMost: 20 * time.Millisecond, Proof: 1}}
+	cfg := Config{Limits: lim, Classes: []string{"a", "b"}, Window: maxPieceBytes,
+		Disk: keep.DiskLimits{SlowAfter: testTimeout, RestLeast: 5 * time.Millisecond, RestMost: 20 * time.Millisecond, Proof: 1}}
 	if disk != nil {
 		s, err := spool.New(spool.Config{Folder: tb.TempDir(), Workers: 2, Queue: 16, Classes: 2, Wait: wait, FS: disk})
 		if err != nil {
@@ -46,7 +46,7 @@
 	return s
 }
 
-func random(seed uint64, n int) []byte {
+func randomBytes(seed uint64, n int) []byte {
 	p := make([]byte, n)
 	rng := rand.New(rand.NewPCG(seed, 2))
 	for i := 0; i+8 <= n; i += 8 {
@@ -58,16 +58,16 @@
 	return p
 }
 
-// slices reads in pieces of odd sizes.
-type slices struct {
+// randomSizeReader is a reader that returns pieces of random sizes.
+type randomSizeReader struct {
 	r   io.Reader
 	rng *rand.Rand
 }
 
-func (s *slices) Read(p []byte) (int, error) { return s.r.Read(p[:1+s.rng.IntN(len(p))]) }
+func (s *randomSizeReader) Read(p []byte) (int, error) { return s.r.Read(p[:1+s.rng.IntN(len(p))]) }
 
 func incoming(class int, p []byte, announced bool) Incoming {
-	in := Incoming{Class: class, Length: -1, Body: &slices{bytes.NewReader(p), rand.New(rand.NewPCG(uint64(len(p)), 3))}}
+	in := Incoming{Class: class, Length: -1, Body: &randomSizeReader{bytes.NewReader(p), rand.New(rand.NewPCG(uint64(len(p)), 3))}}
 	if announced {
 		in.Length = int64(len(p))
 	}
@@ -95,29 +95,29 @@
 
 func eventually(tb testing.TB, what string, ok func() bool) {
 	tb.Helper()
-	for end := time.Now().Add(patience); !ok(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); !ok(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			tb.Fatal(what)
 		}
 	}
 }
 
-func empty(s *Store) bool {
+func hasNoBookings(s *Store) bool {
 	v := s.View()
 	return v.Memory.Now+v.Disk.Now+v.Files.Now+v.Streams.Now == 0
 }
 
-// Each size finds its place, by its announced or its growing length, and comes back as
-// it came, more than once where it is kept.
-func TestPlaces(t *testing.T) {
+// A body of each size is kept in the expected place, whether its length is announced or not,
+// and can be read unchanged, more than once if it is kept.
+func TestBodyPlacesBySize(t *testing.T) {
 	defer goleak.VerifyNone(t, goleak.IgnoreCurrent())
 	disk := standin.NewDisk()
 	t.Run("all", func(t *testing.T) {
-		s := store(t, disk, limits(), patience)
+		s := newTestStore(t, disk, testLimits(), testTimeout)
 		for _, announced := range []bool{true, false} {
 			for size, want := range map[int]keep.Place{0: keep.Memory, 1: keep.Memory, 300: keep.Memory, 70 << 10: keep.Memory, 1 << 20: keep.Memory,
 				1<<20 + 1: keep.File, 5 << 20: keep.File, 8 << 20: keep.File, 8<<20 + 1: keep.Nowhere, 20 << 20: keep.Nowhere} {
-				p := random(uint64(size), size)
+				p := randomBytes(uint64(size), size)
 				b, err := s.Receive(incoming(0, p, announced))
 				if err != nil {
 					t.Fatal(err)
@@ -127,18 +127,18 @@
 					go func() { forwarded <- b.Forward() }()
 				}
 				if !announced && (size == 1<<20 || size == 8<<20) {
-					want++ // it learns of the end after asking for room once more
+					want++ // without a length, more is booked before the end is seen
 				}
 				if got := b.Place(); got != want {
-					t.Errorf("%d bytes, announced %v: %v, want %v", size, announced, got, want)
+					t.Errorf("%d bytes, announced %v: kept in %v, want %v", size, announced, got, want)
 				}
 				if got, err := readAll(b); err != nil || sha256.Sum256(got) != sha256.Sum256(p) {
-					t.Errorf("%d bytes: read %d, %v", size, len(got), err)
+					t.Errorf("%d bytes: first reading got %d, error %v", size, len(got), err)
 				}
 				if got, err := readAll(b); want != keep.Nowhere && (err != nil || !bytes.Equal(got, p)) {
-					t.Errorf("%d bytes, again: read %d, %v", size, len(got), err)
+					t.Errorf("%d bytes: second reading got %d, error %v", size, len(got), err)
 				} else if want == keep.Nowhere && !errors.Is(err, ErrOnce) {
-					t.Errorf("%d bytes that are not kept were read again: %v", size, err)
+					t.Errorf("%d bytes, not kept: second reading got error %v, want ErrOnce", size, err)
 				}
 				if want == keep.Nowhere {
 					if err := <-forwarded; err != nil {
@@ -146,8 +146,8 @@
 					}
 				}
 				b.Drop()
-				if !empty(s) {
-					t.Fatalf("%d bytes, announced %v: held after the end: %+v", size, announced, s.View())
+				if !hasNoBookings(s) {
+					t.Fatalf("%d bytes, announced %v: still booked after Drop: %+v", size, announced, s.View())
 				}
 			}
 		}
@@ -155,29 +155,30 @@
 	})
 }
 
-// Two attempts read one body at different speeds while it moves to a file; the fast one
-// wins and the body ends: the slow one ends, the file goes once, nothing is left.
-func TestMovedWhileTwoRead(t *testing.T) {
+// Two attempts read one body at different speeds while it is moved to a file. The fast one
+// finishes and the body is dropped: the slow one ends, the file is closed once, and nothing
+// stays booked.
+func TestMoveToFileWhileTwoAttemptsRead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		disk := standin.NewDisk()
-		lim := limits()
+		lim := testLimits()
 		lim.High, lim.Low = 0.4, 0.1
-		s := store(t, disk, lim, patience)
-		p := random(1, 1<<20)
-		disk.Hang() // the move begins and waits
+		s := newTestStore(t, disk, lim, testTimeout)
+		p := randomBytes(1, 1<<20)
+		disk.Hang() // the move starts and blocks
 		first, err := s.Receive(incoming(0, p, true))
 		if err != nil {
 			t.Fatal(err)
 		}
-		second, err := s.Receive(incoming(1, random(2, 1<<20), true))
+		second, err := s.Receive(incoming(1, randomBytes(2, 1<<20), true))
 		if err != nil {
 			t.Fatal(err)
 		}
-		eventually(t, "nothing moves", func() bool { return disk.Hanging() > 0 })
-		b := first // both may be next; the one that moves is read below, by both
+		eventually(t, "no body is moved", func() bool { return disk.Hanging() > 0 })
+		b := first // either may be selected; both attempts below read the one that is moved
 		s.mu.Lock()
-		if !first.kept.IsMoving() {
-			b, p = second, random(2, 1<<20)
+		if !first.record.IsMoving() {
+			b, p = second, randomBytes(2, 1<<20)
 		}
 		s.mu.Unlock()
 		slow, err := b.Open()
@@ -186,46 +187,46 @@
 		}
 		begin, err := slow.Next()
 		if err != nil || !bytes.Equal(begin, p[:len(begin)]) {
-			t.Fatal("the slow reading's first piece", err)
+			t.Fatal("first piece of the slow reading: wrong content or error", err)
 		}
 		disk.Resume()
-		eventually(t, "it does not move", func() bool { return b.Place() == keep.File })
+		eventually(t, "the body is not moved to its file", func() bool { return b.Place() == keep.File })
 		if v := s.View(); v.Memory.Now < 1<<20 {
-			t.Errorf("memory that a reading holds counts as free: %+v", v.Memory)
+			t.Errorf("memory %+v: want the memory of an open reading still booked", v.Memory)
 		}
-		got, err := readAll(b) // the fast one, from the file
+		got, err := readAll(b) // the fast attempt reads the file
 		if err != nil || !bytes.Equal(got, p) {
-			t.Fatalf("the fast reading: %d bytes, %v", len(got), err)
+			t.Fatalf("fast reading: %d bytes, error %v", len(got), err)
 		}
 		n := len(got)
-		for at := len(begin); at < n; { // the slow one goes on from memory
+		for at := len(begin); at < n; { // the slow attempt continues from memory
 			q, err := slow.Next()
 			if err != nil || !bytes.Equal(q, p[at:at+len(q)]) {
-				t.Fatalf("the slow reading at %d: %v", at, err)
+				t.Fatalf("slow reading at %d: wrong content or error %v", at, err)
 			}
 			if at += len(q); at > n/2 {
 				break
 			}
 		}
-		b.Drop() // the winner's answer
+		b.Drop() // the fast attempt was answered
 		if _, err := readAll(b); err == nil {
-			t.Error("a body that has ended can be read")
+			t.Error("a dropped body can be read")
 		}
 		slow.Close()
 		slow.Close()
 		if _, err := slow.Next(); err == nil {
-			t.Error("the loser's reading goes on")
+			t.Error("a closed reading returns data")
 		}
 		first.Drop()
 		second.Drop()
 		eventually(t, "a descriptor is left", func() bool { return disk.Open() == 0 })
-		eventually(t, "something is held", func() bool { return empty(s) })
+		eventually(t, "something is held", func() bool { return hasNoBookings(s) })
 	})
 }
 
-// A disk that fills up, breaks or hangs under a body: it goes on in memory where there
-// is room, else not kept and nothing of it lost, else it ends with a clear error.
-func TestDiskFailsUnderABody(t *testing.T) {
+// When the disk fills up, fails or hangs while a body is received, the body continues in memory
+// if it fits, or else becomes not kept without losing data, or else ends with ErrNoRoom.
+func TestDiskFailsWhileReceiving(t *testing.T) {
 	for name, fail := range map[string]func(*standin.Disk){
 		"full at once":   func(d *standin.Disk) { d.Room(0) },
 		"full at byte N": func(d *standin.Disk) { d.Room(1<<20 + 12345) },
@@ -234,27 +235,27 @@
 		"short writes":   func(d *standin.Disk) { d.ShortWrites(true) },
 	} {
 		for where, c := range map[string]struct {
-			memory  int64 // left for it
+			memory  int64 // memory limit
 			streams int64
 			place   keep.Place
 		}{
-			"memory":  {4 << 20, 1, keep.File}, // its place in name: the rest is held in memory
+			"memory":  {4 << 20, 1, keep.File}, // the place stays File, though the rest is held in memory
 			"nowhere": {2<<20 + 100, 1, keep.Nowhere},
 			"no room": {2<<20 + 100, 0, keep.Refused},
 		} {
 			t.Run(name+"/"+where, func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
 					disk := standin.NewDisk()
-					lim := limits()
+					lim := testLimits()
 					lim.Memory, lim.Streams, lim.Shares = c.memory, c.streams, []float64{0, 0}
 					lim.High, lim.Low = 1, 0.9
-					s := store(t, disk, lim, 50*time.Millisecond)
+					s := newTestStore(t, disk, lim, 50*time.Millisecond)
 					fail(disk)
-					p := random(9, 3<<20+777)
+					p := randomBytes(9, 3<<20+777)
 					b, err := s.Receive(incoming(0, p, true))
 					if c.place == keep.Refused {
 						if !errors.Is(err, ErrNoRoom) {
-							t.Fatalf("%v, want no room", err)
+							t.Fatalf("error %v, want ErrNoRoom", err)
 						}
 					} else {
 						if err != nil {
@@ -264,42 +265,42 @@
 							go b.Forward()
 						}
 						if got, err := readAll(b); err != nil || !bytes.Equal(got, p) {
-							t.Fatalf("%v: read %d of %d, %v", b.Place(), len(got), len(p), err)
+							t.Fatalf("place %v: read %d of %d, error %v", b.Place(), len(got), len(p), err)
 						}
 						if got := b.Place(); got != c.place {
-							t.Errorf("%v, want %v", got, c.place)
+							t.Errorf("place %v, want %v", got, c.place)
 						}
 						b.Drop()
 					}
 					if v := s.View(); v.DiskState == "good" {
-						t.Error("the disk counts as good")
+						t.Error("the disk is good after a failed write")
 					}
 					disk.Resume()
 					disk.Room(-1)
 					disk.NoFiles(nil)
 					disk.ShortWrites(false)
 					eventually(t, "a descriptor is left", func() bool { return disk.Open() == 0 })
-					eventually(t, "something is held", func() bool { return empty(s) })
-					eventually(t, "the disk is not tried again", func() bool { return s.View().DiskState == "good" })
+					eventually(t, "something is held", func() bool { return hasNoBookings(s) })
+					eventually(t, "the disk does not become good again", func() bool { return s.View().DiskState == "good" })
 				})
 			})
 		}
 	}
 }
 
-// A kept piece that can't be read, or is not what was written, is never sent.
-func TestUnreadablePieceIsLost(t *testing.T) {
+// A kept piece that cannot be read, or that was altered, is never returned.
+func TestUnreadablePieceIsNotReturned(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		disk := standin.NewDisk()
-		s := store(t, disk, limits(), patience)
-		p := random(4, 2<<20)
+		s := newTestStore(t, disk, testLimits(), testTimeout)
+		p := randomBytes(4, 2<<20)
 		b, err := s.Receive(incoming(0, p, true))
 		if err != nil {
 			t.Fatal(err)
 		}
 		disk.NoReads(syscall.EIO)
 		if got, err := readAll(b); !errors.Is(err, ErrLost) || len(got) != 0 {
-			t.Errorf("EIO: %d bytes, %v", len(got), err)
+			t.Errorf("EIO: %d bytes, error %v, want none and ErrLost", len(got), err)
 		}
 		disk.NoReads(nil)
 		disk.Spoil(func(at int64, q []byte) {
@@ -308,28 +309,28 @@
 			}
 		})
 		if got, err := readAll(b); !errors.Is(err, ErrLost) || !bytes.Equal(got, p[:len(got)]) {
-			t.Errorf("altered: %d bytes, %v", len(got), err)
+			t.Errorf("altered: %d bytes, error %v, want ErrLost after unaltered bytes", len(got), err)
 		}
 		b.Drop()
 	})
 }
 
-// The client breaks off at many points, kept or not: its error comes through, a reading
-// under way ends with an error and without the last byte, and nothing is held.
-func TestSenderBreaksOff(t *testing.T) {
+// When the client aborts at any point, whether the body is kept or not, its error is returned,
+// an open reading ends with ErrBroken before the last byte, and nothing stays booked.
+func TestClientAbortsWhileReceiving(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		disk := standin.NewDisk()
-		s := store(t, disk, limits(), patience)
+		s := newTestStore(t, disk, testLimits(), testTimeout)
 		cut := errors.New("cut")
 		for _, size := range []int{1 << 10, 900 << 10, 3 << 20, 12 << 20} {
-			p := random(5, size)
-			for _, at := range []int{0, 1, firstPiece - 1, firstPiece, size / 2, size - 1} {
+			p := randomBytes(5, size)
+			for _, at := range []int{0, 1, firstPieceBytes - 1, firstPieceBytes, size / 2, size - 1} {
 				for _, announced := range []bool{true, false} {
 					if at >= size {
 						continue
 					}
 					in := incoming(0, p[:at], announced)
-					in.Body = io.MultiReader(in.Body, broken{cut})
+					in.Body = io.MultiReader(in.Body, failingReader{cut})
 					if announced {
 						in.Length = int64(size)
 					}
@@ -342,33 +343,34 @@
 						b.Break()
 						wg.Wait()
 						if !errors.Is(err, ErrBroken) || len(got) > at {
-							t.Errorf("%d of %d: a reading got %d, %v", at, size, len(got), err)
+							t.Errorf("aborted at %d of %d: reading got %d bytes, error %v, want ErrBroken", at, size, len(got), err)
 						}
 						b.Drop()
 						err = ferr
 					}
 					if !errors.Is(err, cut) {
-						t.Errorf("%d of %d, announced %v: %v", at, size, announced, err)
+						t.Errorf("aborted at %d of %d, announced %v: error %v, want that of the client", at, size, announced, err)
 					}
 				}
 			}
 		}
-		if !empty(s) {
+		if !hasNoBookings(s) {
 			t.Errorf("held: %+v", s.View())
 		}
 		eventually(t, "files stay open", func() bool { return disk.Open() == 0 })
 	})
 }
 
-type broken struct{ err error }
+// failingReader is a reader that returns an error.
+type failingReader struct{ err error }
 
-func (b broken) Read([]byte) (int, error) { return 0, b.err }
+func (b failingReader) Read([]byte) (int, error) { return 0, b.err }
 
-// Back-pressure: a sender whose server does not read is stopped at the window, and a
-// reading that waits for a sender ends with its Close.
-func TestUnkeptBodyWaits(t *testing.T) {
+// Backpressure: when the server does not read, receiving stops at the window; a reading that
+// waits for the client ends when it is closed.
+func TestStreamedBodyBackpressure(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := store(t, nil, limits(), patience)
+		s := newTestStore(t, nil, testLimits(), testTimeout)
 		sent := make(chan int, 1000)
 		in := incoming(0, nil, false)
 		in.Length = 100 << 20
@@ -384,14 +386,14 @@
 		for len(sent) > 0 {
 			total += <-sent
 		}
-		if total > 3*pieceMost {
-			t.Errorf("%d bytes were taken for a server that reads nothing", total)
+		if total > 3*maxPieceBytes {
+			t.Errorf("%d bytes were received for a server that reads nothing, want at most three pieces", total)
 		}
 		b.Drop()
 		if err := <-done; err != nil {
-			t.Errorf("Forward of a body that nobody wants: %v", err)
+			t.Errorf("Forward of a dropped body: %v, want nil", err)
 		}
-		quiet, err := s.Receive(Incoming{Length: 100 << 20, Body: io.MultiReader(bytes.NewReader([]byte("abc")), silence{})})
+		quiet, err := s.Receive(Incoming{Length: 100 << 20, Body: io.MultiReader(bytes.NewReader([]byte("abc")), blockingReader{})})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -400,17 +402,17 @@
 			t.Fatal(err)
 		}
 		if p, err := r.Next(); err != nil || string(p) != "abc" {
-			t.Fatalf("%q, %v", p, err)
+			t.Fatalf("got %q, error %v, want \"abc\"", p, err)
 		}
 		ended := make(chan error, 1)
 		go func() { _, err := r.Next(); ended <- err }()
 		synctest.Wait()
 		r.Close()
 		if err := <-ended; err == nil {
-			t.Error("a closed reading goes on")
+			t.Error("Next of a closed reading returned no error")
 		}
 		quiet.Drop()
-		if !empty(s) {
+		if !hasNoBookings(s) {
 			t.Errorf("held: %+v", s.View())
 		}
 	})
@@ -420,16 +422,17 @@
 
 func (f readFunc) Read(p []byte) (int, error) { return f(p) }
 
-type silence struct{}
+// blockingReader is a reader that blocks forever.
+type blockingReader struct{}
 
-func (silence) Read([]byte) (int, error) { select {} }
+func (blockingReader) Read([]byte) (int, error) { select {} }
 
-// Many bodies at once, over a disk that fails now and then: what is read whole is what
-// was sent, and in the end nothing is held.
-func TestManyBodiesOverABadDisk(t *testing.T) {
+// With many concurrent bodies and a disk with intermittent faults, every complete reading returns
+// what was sent, and nothing stays booked at the end.
+func TestConcurrentBodiesWithDiskFaults(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		disk := standin.NewDisk()
-		s := store(t, disk, limits(), 100*time.Millisecond)
+		s := newTestStore(t, disk, testLimits(), 100*time.Millisecond)
 		trouble := func(rng *rand.Rand) {
 			switch rng.IntN(6) {
 			case 0:
@@ -450,7 +453,7 @@
 				rng := rand.New(rand.NewPCG(uint64(g), 8))
 				for n := range 12 {
 					trouble(rng)
-					p := random(uint64(100*g+n), rng.IntN(3<<20)+rng.IntN(1<<10))
+					p := randomBytes(uint64(100*g+n), rng.IntN(3<<20)+rng.IntN(1<<10))
 					b, err := s.Receive(incoming(g%2, p, rng.IntN(2) == 0))
 					if errors.Is(err, ErrNoRoom) {
 						continue
@@ -467,7 +470,7 @@
 						t.Error(err)
 					}
 					if err == nil && !bytes.Equal(got, p) {
-						t.Errorf("%d bytes (%v) came back as %d others", len(p), b.Place(), len(got))
+						t.Errorf("body of %d bytes (place %v): read %d bytes that differ", len(p), b.Place(), len(got))
 					}
 					b.Drop()
 				}
@@ -477,7 +480,7 @@
 		disk.Room(-1)
 		disk.NoFiles(nil)
 		disk.Resume()
-		eventually(t, "something is held", func() bool { return empty(s) })
+		eventually(t, "something is held", func() bool { return hasNoBookings(s) })
 		eventually(t, "a descriptor is left", func() bool { return disk.Open() == 0 })
 	})
 }
--- a/internal/body/store.go
+++ b/internal/body/store.go
@@ -1,6 +1,6 @@
-// Package body holds the bodies of calls where internal/keep says: in memory, in a file
-// of internal/spool, or only on their way to one server. Listeners bring them, and
-// attempts read them, each from the beginning.
+// Package body stores the bodies of calls where package keep decides: in memory, in a file of
+// package spool, or not at all while they are streamed to one server. Listeners pass them to a
+// Store, and each attempt reads them from the beginning.
 package body
 
 import (
@@ -15,50 +15,50 @@
 	"chalkrack/internal/spool"
 )
 
-// StreamPiece is the most that is read at once of a body that is not kept.
+// StreamPiece is the maximum number of bytes per read of a body that is not kept.
 const StreamPiece = 32 << 10
 
 const (
-	firstPiece = 4 << 10
-	pieceMost  = spool.PieceMost
+	firstPieceBytes = 4 << 10
+	maxPieceBytes   = spool.PieceMost
 )
 
-// Errors of a body that can't be taken, read or read again.
+// Errors of receiving and reading bodies.
 var (
-	ErrNoRoom = errors.New("body: no room to keep it or to pass it on")
-	ErrLost   = errors.New("body: a kept piece can't be read")
-	ErrOnce   = errors.New("body: not kept, and read already")
-	ErrBroken = errors.New("body: its sender broke it off")
-	errClosed = errors.New("body: reading closed")
+	ErrNoRoom        = errors.New("body: no room to keep it or to pass it on")
+	ErrLost          = errors.New("body: a kept piece can't be read")
+	ErrOnce          = errors.New("body: not kept, and read already")
+	ErrBroken        = errors.New("body: its sender broke it off")
+	errReadingClosed = errors.New("body: reading closed")
 )
 
-// Config is what a Store is told.
+// Config holds the settings of a Store.
 type Config struct {
-	Limits  keep.Limits // a share for each class
+	Limits  keep.Limits // Shares must have one element per class
 	Disk    keep.DiskLimits
-	Spool   *spool.Spool // nil: no files; the Store closes it
+	Spool   *spool.Spool // nil: no files are used; closed by Store.Close
 	Classes []string     // names of the classes
-	Window  int64        // bytes of a body that is not kept which wait for its server
-	Log     *slog.Logger // nil: the default one
+	Window  int64        // maximum bytes of a body that is not kept waiting for its server
+	Log     *slog.Logger // nil: slog.Default
 }
 
-// Store holds the bodies of one process. Beyond what the limits say it holds, for each
-// file, a piece of 64 KiB that is being written and one for each reading, and for each
-// body that is not kept its window and a piece.
+// Store holds the bodies of one process. In addition to what the limits allow, it uses a piece
+// of 64 KiB for each file that is being written and for each reading, and for each body that is
+// not kept its window and one piece.
 type Store struct {
 	cfg   Config
 	start time.Time
 
-	mu     sync.Mutex
-	keeper *keep.Keeper
-	disk   keep.Disk
-	since  time.Time // of the disk's state
-	wake   chan struct{}
-	quit   chan struct{}
-	wg     sync.WaitGroup
+	mu        sync.Mutex
+	keeper    *keep.Keeper
+	disk      keep.Disk
+	diskSince time.Time // when the state of the disk last changed
+	wake      chan struct{}
+	quit      chan struct{}
+	wg        sync.WaitGroup
 }
 
-// New returns a Store. Errors name the limit.
+// New returns a Store. An error names the invalid limit.
 func New(cfg Config) (*Store, error) {
 	if len(cfg.Limits.Shares) != len(cfg.Classes) {
 		return nil, fmt.Errorf("body: Shares must be %d, one for each class", len(cfg.Classes))
@@ -73,16 +73,16 @@
 	if cfg.Log == nil {
 		cfg.Log = slog.Default()
 	}
-	cfg.Window = max(cfg.Window, pieceMost)
-	s := &Store{cfg: cfg, start: time.Now(), since: time.Now(), keeper: k, disk: keep.NewDisk(cfg.Disk, 0), wake: make(chan struct{}, 1), quit: make(chan struct{})}
+	cfg.Window = max(cfg.Window, maxPieceBytes)
+	s := &Store{cfg: cfg, start: time.Now(), diskSince: time.Now(), keeper: k, disk: keep.NewDisk(cfg.Disk, 0), wake: make(chan struct{}, 1), quit: make(chan struct{})}
 	if cfg.Spool != nil {
-		s.wg.Go(s.tend)
+		s.wg.Go(s.runBackground)
 	}
 	return s, nil
 }
 
-// Close ends the Store's own goroutine and its files. Bodies that are still read can't
-// be read on.
+// Close stops the background goroutine and closes the Spool. Open readings of files fail
+// afterwards.
 func (s *Store) Close() {
 	close(s.quit)
 	s.wg.Wait()
@@ -93,57 +93,60 @@
 
 func (s *Store) now() time.Duration { return time.Since(s.start) }
 
-// usable says whether files may be made now. It is called with the lock held.
-func (s *Store) usable() bool {
+// canCreateFile reports whether files may be created now. The lock must be held.
+func (s *Store) canCreateFile() bool {
 	state, _ := s.disk.State()
 	return s.cfg.Spool != nil && state == keep.Good
 }
 
-// called books how a file call ended. It is called with the lock held.
-func (s *Store) called(err error, took time.Duration, trial bool) {
-	f := keep.Broken
+// recordFileCall records the outcome of a file call for the state of the disk. The lock must be
+// held.
+func (s *Store) recordFileCall(err error, took time.Duration, trial bool) {
+	fault := keep.Broken
 	switch {
 	case err == nil:
-		f = keep.None
+		fault = keep.None
 	case errors.Is(err, spool.ErrClosed):
 		return
 	case errors.Is(err, spool.ErrLate), errors.Is(err, spool.ErrBusy):
-		f = keep.Late
+		fault = keep.Late
 	case spool.NoRoom(err):
-		f = keep.NoRoom
+		fault = keep.NoRoom
 	}
 	old, _ := s.disk.State()
 	if trial {
-		s.disk.RecordTrial(f, took, s.now())
+		s.disk.RecordTrial(fault, took, s.now())
 	} else {
-		s.disk.RecordCall(f, took, s.now())
+		s.disk.RecordCall(fault, took, s.now())
 	}
 	if state, _ := s.disk.State(); state != old {
-		s.since = time.Now()
+		s.diskSince = time.Now()
 		s.cfg.Log.Warn("disk for bodies", "was", old.String(), "is", state.String(), "err", err)
-		s.nudge()
+		s.wakeBackground()
 	}
 }
 
-func (s *Store) nudge() {
+// wakeBackground wakes the background goroutine.
+func (s *Store) wakeBackground() {
 	select {
 	case s.wake <- struct{}{}:
 	default:
 	}
 }
 
-// put books n bytes. It is called with the lock held.
-func (s *Store) put(b *Body, n int64) keep.Place {
-	p := s.keeper.Put(b.kept, n, s.usable())
+// book books n more bytes of a body. The lock must be held.
+func (s *Store) book(b *Body, n int64) keep.Place {
+	p := s.keeper.Put(b.record, n, s.canCreateFile())
 	if s.keeper.IsTight() {
-		s.nudge()
+		s.wakeBackground()
 	}
 	return p
 }
 
-// tend moves bodies to files while memory is short, and makes the trials of a disk that
-// is not good. Both run here, one at a time: moving is for the time after the calls.
-func (s *Store) tend() {
+// runBackground moves bodies to files while memory is tight, and runs the trials of a disk that
+// is not good. Both run in this one goroutine, one at a time, since moving is less urgent than
+// the file calls made for attempts.
+func (s *Store) runBackground() {
 	trial := time.NewTicker(s.cfg.Disk.RestLeast)
 	defer trial.Stop()
 	for {
@@ -159,7 +162,7 @@
 				began := time.Now()
 				err := s.cfg.Spool.Try()
 				s.mu.Lock()
-				s.called(err, time.Since(began), true)
+				s.recordFileCall(err, time.Since(began), true)
 				s.mu.Unlock()
 			}
 		}
@@ -168,21 +171,22 @@
 	}
 }
 
+// moveOne moves one body to a file, and reports whether there was one to move.
 func (s *Store) moveOne() bool {
 	s.mu.Lock()
-	kept := s.keeper.SelectForMove(s.usable())
-	if kept == nil {
+	record := s.keeper.SelectForMove(s.canCreateFile())
+	if record == nil {
 		s.mu.Unlock()
 		return false
 	}
-	b := kept.Owner.(*Body)
-	segs := b.segs
+	b := record.Owner.(*Body)
+	segs := b.segments
 	f := s.cfg.Spool.File(b.class)
 	s.mu.Unlock()
 	moved := make([]segment, 0, len(segs))
 	var err error
 	for _, seg := range segs {
-		if moved, err = s.write(f, moved, seg.mem); err != nil {
+		if moved, err = s.write(f, moved, seg.data); err != nil {
 			break
 		}
 		select {
@@ -193,57 +197,58 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if err == nil && !b.gone {
-		b.segs, b.file = moved, f
+	if err == nil && !b.isDropped {
+		b.segments, b.file = moved, f
 	} else {
 		f.Close()
 	}
-	s.keeper.RecordMove(kept, err == nil)
+	s.keeper.RecordMove(record, err == nil)
 	return true
 }
 
-// write appends p to a file, in pieces, and the segments to those that it returns.
+// write appends p to a file in pieces, and returns segs with a segment added for each piece
+// written.
 func (s *Store) write(f *spool.File, segs []segment, p []byte) ([]segment, error) {
 	for len(p) > 0 {
-		n := min(len(p), pieceMost)
+		n := min(len(p), maxPieceBytes)
 		began := time.Now()
 		err := f.Append(p[:n])
 		s.mu.Lock()
-		s.called(err, time.Since(began), false)
+		s.recordFileCall(err, time.Since(began), false)
 		s.mu.Unlock()
 		if err != nil {
 			return segs, err
 		}
-		segs = append(segs, segment{piece: f.Pieces() - 1, n: n, filed: true})
+		segs = append(segs, segment{piece: f.Pieces() - 1, size: n, inFile: true})
 		p = p[n:]
 	}
 	return segs, nil
 }
 
-// Incoming is a body as its listener has it.
+// Incoming is a body to be received from a listener.
 type Incoming struct {
 	Class, Tenant int
-	Length        int64 // as announced; -1: not
-	Once          bool  // the tier before keeps it
+	Length        int64 // announced length; -1: none
+	Once          bool  // the previous tier keeps it
 	Body          io.Reader
 }
 
-// Receive takes a body until it is whole, or until it is known that it is not kept:
-// then Coming says true, some of it is at hand, and Forward takes the rest. The error
-// is ErrNoRoom, or what reading said; the body is dropped then.
+// Receive reads a body until it is complete, or until it is known that it is not kept. In that
+// case Coming returns true, a first part has been received, and Forward receives the rest. The
+// error is ErrNoRoom or that of the read; the body is dropped then.
 func (s *Store) Receive(in Incoming) (*Body, error) {
-	b := &Body{store: s, class: in.Class, length: in.Length, in: in}
-	b.moved.L = &s.mu
+	b := &Body{store: s, class: in.Class, length: in.Length, incoming: in}
+	b.changed.L = &s.mu
 	s.mu.Lock()
-	b.kept = s.keeper.Begin(in.Class, in.Tenant, in.Length, in.Once, s.usable())
+	b.record = s.keeper.Begin(in.Class, in.Tenant, in.Length, in.Once, s.canCreateFile())
 	s.mu.Unlock()
-	b.kept.Owner = b
+	b.record.Owner = b
 	for {
-		if err := b.receive(); err != nil {
+		if err := b.receivePiece(); err != nil {
 			b.Drop()
 			return nil, err
 		}
-		if b.whole || b.coming {
+		if b.isComplete || b.isStreamed {
 			return b, nil
 		}
 	}
--- a/internal/body/view.go
+++ b/internal/body/view.go
@@ -6,7 +6,7 @@
 	"chalkrack/internal/keep"
 )
 
-// ClassView is what became of the bodies of a class, as operators see it.
+// ClassView holds the totals of the bodies of a class as shown to operators.
 type ClassView struct {
 	Class         string `json:"class"`
 	Memory        int64  `json:"kept_in_memory"`
@@ -22,14 +22,15 @@
 	DiskBytes     int64  `json:"bytes_on_disk"`
 }
 
-// Amount is what is taken of something, in bytes or pieces.
+// Amount describes the use of a limited amount, in bytes or items: now, the maximum so far, and
+// the limit.
 type Amount struct {
 	Now   int64 `json:"now"`
 	Most  int64 `json:"most"`
 	Limit int64 `json:"limit"`
 }
 
-// View is the state of a Store.
+// View is the state of a Store as shown to operators.
 type View struct {
 	Classes   []ClassView `json:"classes"`
 	Memory    Amount      `json:"memory_bytes"`
@@ -37,18 +38,18 @@
 	Files     Amount      `json:"files"`
 	Streams   Amount      `json:"streams"`
 	Tight     bool        `json:"memory_tight"`
-	DiskState string      `json:"disk_state"` // off: no files are set
+	DiskState string      `json:"disk_state"` // off: files are not used
 	DiskSince time.Time   `json:"disk_since"`
 	DiskMoves int         `json:"disk_changes"`
 }
 
-// View is the state now.
+// View returns the current state.
 func (s *Store) View() View {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	u := s.keeper.Usage()
 	v := View{Memory: Amount(u.Memory), Disk: Amount(u.Disk), Files: Amount(u.Files), Streams: Amount(u.Streams),
-		Tight: s.keeper.IsTight(), DiskState: "off", DiskSince: s.since, DiskMoves: s.disk.Changes()}
+		Tight: s.keeper.IsTight(), DiskState: "off", DiskSince: s.diskSince, DiskMoves: s.disk.Changes()}
 	if s.cfg.Spool != nil {
 		state, _ := s.disk.State()
 		v.DiskState = state.String()
