--- a/internal/spool/file.go
+++ b/internal/spool/file.go
@@ -7,50 +7,53 @@
 	"sync"
 )
 
-// File is one body's file. One goroutine appends; any number read what has been
-// appended. It holds 4 bytes a piece.
+// File is the file of one body. One goroutine may append while any number of others read what
+// has been appended. It uses 4 bytes of memory per piece.
 type File struct {
 	spool  *Spool
 	class  int
 	number uint64
 
-	mu     sync.Mutex
-	h      Handle // nil: not made yet
-	sizes  []uint32
-	end    int64
-	calls  int  // under way
-	closed bool // no more calls; the handle goes with the last one
-	broken bool // a call has left it in a state that is not known: no more is appended
-	pack   packing
+	mu          sync.Mutex
+	handle      Handle // nil: not created yet
+	sizes       []uint32
+	endOffset   int64
+	activeCalls int  // in progress
+	isClosed    bool // no more calls are accepted; the last one closes the handle
+	isBroken    bool // a timed-out call left the file in an unknown state: no more is appended
+	packing     compression
 }
 
-type packing uint8
+// compression is whether the pieces of a file are compressed.
+type compression uint8
 
 const (
-	unsure packing = iota
-	packed
-	loose
+	undecided    compression = iota // no piece has been long enough to decide
+	compressed                      // each piece that gets shorter is compressed
+	uncompressed                    // no piece is compressed
 )
 
-// sampleLeast is what a sample must have to tell anything.
-const sampleLeast = 512
+// minSampleBytes is the minimum length of a piece, in bytes, to decide about compression.
+const minSampleBytes = 512
 
-// worth is the part of its length that a sample must shrink to for compression.
-const worth = 0.85
+// maxCompressedRatio is the maximum ratio of compressed to original size at which a body is
+// compressed.
+const maxCompressedRatio = 0.85
 
-// File returns a new file of a class. Nothing is done before the first Append.
+// File returns a new File for a body of a class. It is created on disk by the first Append.
 func (s *Spool) File(class int) *File {
-	return &File{spool: s, class: class, number: s.files.Add(1)}
+	return &File{spool: s, class: class, number: s.fileCount.Add(1)}
 }
 
-// Pieces is how many there are.
+// Pieces returns the number of pieces.
 func (f *File) Pieces() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return len(f.sizes)
 }
 
-// nonce is that of a piece: each pair of file and piece is sealed once under the key.
+// nonce returns the nonce of a piece. It is unique under the key, since each piece of a file is
+// sealed once.
 func (f *File) nonce(piece int) []byte {
 	n := make([]byte, 12)
 	binary.BigEndian.PutUint64(n, f.number)
@@ -58,23 +61,23 @@
 	return n
 }
 
-var buffers = sync.Pool{New: func() any { b := make([]byte, 0, PieceMost+2*sealMost); return &b }}
+var buffers = sync.Pool{New: func() any { b := make([]byte, 0, PieceMost+2*sealOverhead); return &b }}
 
-// seal returns what lies in the file of a piece: a byte that says whether it is
-// compressed, and the text with its tag. The byte is sealed with it.
+// seal returns the stored form of a piece: a flag byte, 1 if the text is compressed, then the
+// encrypted text with its tag. The flag is authenticated with the text.
 func (f *File) seal(buf, p []byte, piece int) []byte {
 	s := f.spool
 	text, flag := p, byte(0)
-	if s.enc != nil && f.pack != loose {
-		small := s.enc.EncodeAll(p, make([]byte, 0, len(p)+64))
-		// The first piece that is long enough is the sample of its body.
-		if f.pack == unsure && len(p) >= sampleLeast {
-			f.pack = loose
-			if float64(len(small)) <= worth*float64(len(p)) {
-				f.pack = packed
+	if s.encoder != nil && f.packing != uncompressed {
+		small := s.encoder.EncodeAll(p, make([]byte, 0, len(p)+64))
+		// The first piece that is long enough decides for the whole body.
+		if f.packing == undecided && len(p) >= minSampleBytes {
+			f.packing = uncompressed
+			if float64(len(small)) <= maxCompressedRatio*float64(len(p)) {
+				f.packing = compressed
 			}
 		}
-		if f.pack == packed && len(small) < len(p) {
+		if f.packing == compressed && len(small) < len(p) {
 			text, flag = small, 1
 		}
 	}
@@ -85,16 +88,17 @@
 	return s.aead.Seal(buf, f.nonce(piece), text, []byte{flag})
 }
 
-// Append writes a piece of PieceMost bytes at most behind the others. It keeps nothing
-// of p. After an error the pieces before are still good, and no more may be appended.
+// Append writes a piece of up to PieceMost bytes after the others, and does not retain p. It
+// blocks for at most Config.Wait. After an error, earlier pieces can still be read, and no more
+// may be appended.
 func (f *File) Append(p []byte) error {
 	f.mu.Lock()
-	if f.closed || f.broken {
+	if f.isClosed || f.isBroken {
 		f.mu.Unlock()
 		return ErrClosed
 	}
-	piece, at := len(f.sizes), f.end
-	f.calls++
+	piece, at := len(f.sizes), f.endOffset
+	f.activeCalls++
 	f.mu.Unlock()
 	buf := buffers.Get().(*[]byte)
 	sealed := f.seal(*buf, p, piece)
@@ -102,18 +106,18 @@
 		err := f.write(sealed, at)
 		f.mu.Lock()
 		if err == nil {
-			f.sizes, f.end = append(f.sizes, uint32(len(sealed))), at+int64(len(sealed))
+			f.sizes, f.endOffset = append(f.sizes, uint32(len(sealed))), at+int64(len(sealed))
 		}
 		f.mu.Unlock()
-		f.leave()
+		f.endCall()
 		return err
 	})
 	switch err {
 	case ErrBusy, ErrClosed:
-		f.leave()
-	case ErrLate: // the worker still has the buffer
+		f.endCall()
+	case ErrLate: // the worker may still use the buffer
 		f.mu.Lock()
-		f.broken = true
+		f.isBroken = true
 		f.mu.Unlock()
 		return err
 	}
@@ -122,11 +126,12 @@
 	return err
 }
 
+// write writes a sealed piece, and creates the file on the first call. It runs in a worker.
 func (f *File) write(sealed []byte, at int64) error {
 	f.mu.Lock()
-	h, broken := f.h, f.broken || f.closed
+	h, broken := f.handle, f.isBroken || f.isClosed
 	f.mu.Unlock()
-	if broken { // given up while it waited
+	if broken { // the caller timed out while the call was queued
 		return ErrClosed
 	}
 	if h == nil {
@@ -134,9 +139,9 @@
 		if h, err = f.spool.cfg.FS.Create(f.spool.folder); err != nil {
 			return fmt.Errorf("spool: %w", err)
 		}
-		f.spool.open.Add(1)
+		f.spool.openFiles.Add(1)
 		f.mu.Lock()
-		f.h = h
+		f.handle = h
 		f.mu.Unlock()
 	}
 	n, err := h.WriteAt(sealed, at)
@@ -149,36 +154,37 @@
 	return nil
 }
 
-// ReadAt reads a piece that begins at an offset into p, which has PieceMost bytes. It
-// returns the text, and the offset of the next piece with it by Next.
+// ReadAt reads the piece that starts at offset at into p, which must have PieceMost bytes, and
+// returns its text. Next returns the offset of the following piece. It blocks for at most
+// Config.Wait, and returns ErrSpoilt if the piece is not what was written.
 func (f *File) ReadAt(p []byte, piece int, at int64) ([]byte, error) {
 	f.mu.Lock()
-	if f.closed || piece >= len(f.sizes) {
+	if f.isClosed || piece >= len(f.sizes) {
 		f.mu.Unlock()
 		return nil, ErrClosed
 	}
-	size, h := int(f.sizes[piece]), f.h
-	f.calls++
+	size, h := int(f.sizes[piece]), f.handle
+	f.activeCalls++
 	f.mu.Unlock()
 	buf := buffers.Get().(*[]byte)
 	sealed := (*buf)[:size]
 	err := f.spool.call(f.class, func() error {
-		defer f.leave()
+		defer f.endCall()
 		n, err := h.ReadAt(sealed, at)
 		if n == size {
 			return nil
 		}
 		if err == nil || err == io.EOF {
-			return ErrSpoilt // cut
+			return ErrSpoilt // truncated
 		}
 		return fmt.Errorf("spool: %w", err)
 	})
 	switch err {
 	case nil:
-	case ErrLate: // the worker still has the buffer
+	case ErrLate: // the worker may still use the buffer
 		return nil, err
 	case ErrBusy, ErrClosed:
-		f.leave()
+		f.endCall()
 		return nil, err
 	default:
 		return nil, err
@@ -187,13 +193,14 @@
 	return f.unseal(p, sealed, piece)
 }
 
-// Next is the offset of the piece behind one.
+// Next returns the offset of the piece after the given one, which starts at offset at.
 func (f *File) Next(piece int, at int64) int64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return at + int64(f.sizes[piece])
 }
 
+// unseal verifies, decrypts and decompresses a piece into p.
 func (f *File) unseal(p, sealed []byte, piece int) ([]byte, error) {
 	s := f.spool
 	if len(sealed) == 0 {
@@ -209,46 +216,46 @@
 	if flag == 0 {
 		return p[:copy(p, text)], nil
 	}
-	if s.dec == nil {
+	if s.decoder == nil {
 		return nil, ErrSpoilt
 	}
-	out, err := s.dec.DecodeAll(text, p[:0])
+	out, err := s.decoder.DecodeAll(text, p[:0])
 	if err != nil || len(out) > PieceMost {
 		return nil, ErrSpoilt
 	}
 	return out, nil
 }
 
-// leave ends a call. The handle goes with the last one of a closed file.
-func (f *File) leave() {
+// endCall ends a call. The last call of a closed file closes the handle.
+func (f *File) endCall() {
 	f.mu.Lock()
-	f.calls--
-	h := f.h
-	last := f.closed && f.calls == 0 && h != nil
+	f.activeCalls--
+	h := f.handle
+	last := f.isClosed && f.activeCalls == 0 && h != nil
 	if last {
-		f.h = nil
+		f.handle = nil
 	}
 	f.mu.Unlock()
 	if last {
 		h.Close()
-		f.spool.open.Add(-1)
+		f.spool.openFiles.Add(-1)
 	}
 }
 
-// Close lets the file go, once. Its descriptor goes with the last call under way, in a
-// worker: closing may hang like any other call.
+// Close closes the file; further calls do nothing. The descriptor is closed after the last call
+// in progress, by a worker, since closing may hang like any other file call.
 func (f *File) Close() {
 	f.mu.Lock()
-	if f.closed {
+	if f.isClosed {
 		f.mu.Unlock()
 		return
 	}
-	f.closed = true
-	f.calls++
-	made := f.h != nil || f.calls > 1
+	f.isClosed = true
+	f.activeCalls++
+	made := f.handle != nil || f.activeCalls > 1
 	f.mu.Unlock()
 	if !made {
 		return
 	}
-	f.spool.later(f.class, func() error { f.leave(); return nil })
+	f.spool.callAsync(f.class, func() error { f.endCall(); return nil })
 }
--- a/internal/spool/folder.go
+++ b/internal/spool/folder.go
@@ -12,18 +12,18 @@
 )
 
 const (
-	prefix   = "instance-"
-	lockName = "lock"
-	// oTmpfile is Linux's O_TMPFILE: a file without a name (open(2)).
+	instancePrefix = "instance-"
+	lockName       = "lock"
+	// oTmpfile is O_TMPFILE of Linux, which creates a file without a name (open(2)).
 	oTmpfile = 0x400000 | syscall.O_DIRECTORY
 )
 
-// system makes files of the system's. Where it has files without a name these have
-// none; else the name is taken away at once, and a process killed in between leaves an
-// empty file to the sweep.
-type system struct{}
+// osFS creates files with the operating system: without a name where that is supported.
+// Otherwise it removes the name right after creation; a process killed in between leaves an
+// empty file, which the next start in the folder removes.
+type osFS struct{}
 
-func (system) Create(folder string) (Handle, error) {
+func (osFS) Create(folder string) (Handle, error) {
 	f, err := os.OpenFile(folder, os.O_RDWR|oTmpfile, 0o600)
 	if err == nil {
 		return f, nil
@@ -38,59 +38,61 @@
 	return f, nil
 }
 
-// claimWait is how long a start waits for others' starts in the same folder.
-const claimWait = 5 * time.Second
+// claimTimeout is how long a starting instance waits for others that are starting in the same
+// folder.
+const claimTimeout = 5 * time.Second
 
-// claim makes an instance's folder within one that several share, and removes those
-// whose instances have ended. Both are done under the lock of the whole, so that no
-// sweep meets a folder whose instance has not locked it yet.
-func claim(folder string) (own string, held *os.File, err error) {
-	all, err := durable.Lock(filepath.Join(folder, lockName), claimWait)
+// claimFolder creates an instance's own folder in one that several instances share, and removes
+// those of instances that have ended. It holds the lock of the shared folder meanwhile, so that
+// no other instance finds a folder that its own instance has not locked yet.
+func claimFolder(folder string) (own string, ownLock *os.File, err error) {
+	sharedLock, err := durable.Lock(filepath.Join(folder, lockName), claimTimeout)
 	if err != nil {
 		return "", nil, fmt.Errorf("spool: %w", err)
 	}
-	defer all.Close()
+	defer sharedLock.Close()
 	entries, err := os.ReadDir(folder)
 	if err != nil {
 		return "", nil, fmt.Errorf("spool: %w", err)
 	}
 	for _, e := range entries {
-		if e.IsDir() && strings.HasPrefix(e.Name(), prefix) {
-			sweep(filepath.Join(folder, e.Name()))
+		if e.IsDir() && strings.HasPrefix(e.Name(), instancePrefix) {
+			removeIfDead(filepath.Join(folder, e.Name()))
 		}
 	}
-	if own, err = os.MkdirTemp(folder, prefix); err != nil { // of mode 0700
+	if own, err = os.MkdirTemp(folder, instancePrefix); err != nil { // of mode 0700
 		return "", nil, fmt.Errorf("spool: %w", err)
 	}
-	if held, err = durable.Lock(filepath.Join(own, lockName), 0); err != nil {
+	if ownLock, err = durable.Lock(filepath.Join(own, lockName), 0); err != nil {
 		os.RemoveAll(own)
 		return "", nil, fmt.Errorf("spool: %w", err)
 	}
-	return own, held, nil
+	return own, ownLock, nil
 }
 
-// sweep removes a folder unless its instance lives.
-func sweep(path string) {
-	held, err := durable.Lock(filepath.Join(path, lockName), 0)
+// removeIfDead removes the folder of an instance unless the instance is running.
+func removeIfDead(path string) {
+	lock, err := durable.Lock(filepath.Join(path, lockName), 0)
 	if err != nil {
 		return
 	}
-	release(path, held)
+	removeLocked(path, lock)
 }
 
-// release removes a folder whose lock is held.
-func release(path string, held *os.File) {
+// removeLocked removes a folder whose lock is held.
+func removeLocked(path string, lock *os.File) {
 	os.RemoveAll(path)
-	held.Close()
+	lock.Close()
 }
 
-// Magic numbers of statfs(2) for file systems that are memory.
+// Magic numbers of statfs(2) for file systems in memory.
 const (
 	tmpfsMagic = 0x01021994
 	ramfsMagic = 0x858458f6
 )
 
-// InMemory says whether a folder lies in memory, so that its files count as such.
+// InMemory reports whether a folder is on a file system in memory, so that its files use
+// memory.
 func InMemory(folder string) (bool, error) {
 	var st syscall.Statfs_t
 	if err := syscall.Statfs(folder, &st); err != nil {
--- a/internal/spool/spool.go
+++ b/internal/spool/spool.go
@@ -1,8 +1,7 @@
-// Package spool keeps bodies in files. The bodies hold people's identities, so a file
-// is sealed in pieces with a key of this process that never leaves its memory: a piece
-// that is cut, swapped, altered or left by a crash is never read as good. File calls
-// are made by a bounded set of workers, so that a disk that hangs holds these and
-// nobody else.
+// Package spool stores bodies in files. Bodies contain personal identities, so files are
+// encrypted and authenticated in pieces with a key that never leaves the memory of the process:
+// a piece that is truncated, swapped, altered or left by a crash is never accepted. File calls
+// are made by a bounded number of workers, so that a disk that hangs blocks only these.
 package spool
 
 import (
@@ -21,12 +20,11 @@
 	"github.com/klauspost/compress/zstd"
 )
 
-// PieceMost is how many bytes a piece holds at most.
+// PieceMost is the maximum length of a piece, in bytes.
 const PieceMost = 64 << 10
 
-// sealMost is what a sealed piece has beyond its text: a byte that says whether it is
-// compressed, and the tag.
-const sealMost = 1 + 16
+// sealOverhead is the overhead of a sealed piece, in bytes: the compression flag and the tag.
+const sealOverhead = 1 + 16
 
 // Handle is an open file.
 type Handle = interface {
@@ -35,26 +33,26 @@
 	io.Closer
 }
 
-// FS makes files.
+// FS creates files.
 type FS interface {
-	// Create opens a new file, which nobody else can open and whose room is free again
+	// Create creates and opens a file that no other process can open, and whose space is freed
 	// when it is closed.
 	Create(folder string) (Handle, error)
 }
 
-// Config is what a Spool is told.
+// Config holds the settings of a Spool.
 type Config struct {
-	Folder   string // an existing one; the instance makes a folder of its own in it
-	Workers  int    // file calls at once
-	Queue    int    // calls of a class that wait for a worker
-	Classes  int
-	Wait     time.Duration // how long a call may take, its wait included
+	Folder   string        // an existing folder, in which the instance creates its own
+	Workers  int           // maximum concurrent file calls
+	Queue    int           // maximum calls per class that wait for a worker
+	Classes  int           // number of classes
+	Wait     time.Duration // timeout of a call, including its time in the queue
 	Compress bool
-	Plain    bool // not sealed: for measurements only
-	FS       FS   // nil: the system's
+	Plain    bool // pieces are not sealed; for measurements only
+	FS       FS   // nil: files of the operating system
 }
 
-// Errors of calls. Others are the system's.
+// Errors of calls. Other errors wrap those of the operating system.
 var (
 	ErrLate   = errors.New("spool: file call took too long")
 	ErrBusy   = errors.New("spool: all workers busy and the queue full")
@@ -62,30 +60,30 @@
 	ErrClosed = errors.New("spool: closed")
 )
 
-// Spool keeps files. It holds Workers goroutines, and for each call under way or in a
-// queue one sealed piece.
+// Spool creates files and makes their calls. It runs Workers goroutines, and holds one sealed
+// piece for each call in progress or queued.
 type Spool struct {
-	cfg    Config
-	folder string
-	lock   *os.File
-	aead   cipher.AEAD // nil: plain
-	enc    *zstd.Encoder
-	dec    *zstd.Decoder
-	files  atomic.Uint64 // how many there were: the number of the next
-	open   atomic.Int64
-
-	mu     sync.Mutex
-	queues [][]*op
-	turn   int // the queue that is looked at first
-	closed bool
-	work   sync.Cond
-	wg     sync.WaitGroup
+	cfg       Config
+	folder    string
+	lock      *os.File
+	aead      cipher.AEAD // nil: plain
+	encoder   *zstd.Encoder
+	decoder   *zstd.Decoder
+	fileCount atomic.Uint64 // number of files so far, which numbers them
+	openFiles atomic.Int64
+
+	mu        sync.Mutex
+	queues    [][]*fileCall
+	lastQueue int // index of the queue served last
+	isClosed  bool
+	work      sync.Cond
+	wg        sync.WaitGroup
 }
 
-// New sweeps the folder of what dead instances left, and returns a Spool with a folder
-// of its own there.
+// New removes what dead instances left in the folder, and returns a Spool with its own folder
+// there.
 func New(cfg Config) (*Spool, error) {
-	s := &Spool{cfg: cfg, queues: make([][]*op, max(1, cfg.Classes))}
+	s := &Spool{cfg: cfg, queues: make([][]*fileCall, max(1, cfg.Classes))}
 	s.work.L = &s.mu
 	if !cfg.Plain {
 		key := make([]byte, 32)
@@ -101,20 +99,20 @@
 	}
 	var err error
 	if cfg.Compress {
-		// One coder at a time and small windows: 0.7 MB in all (BenchmarkCoders), for
-		// the process may have 32 MB.
-		s.enc, err = zstd.NewWriter(nil, zstd.WithEncoderConcurrency(1), zstd.WithEncoderLevel(zstd.SpeedFastest), zstd.WithWindowSize(PieceMost), zstd.WithLowerEncoderMem(true), zstd.WithEncoderCRC(false))
+		// One coder with a small window uses 0.7 MB in all (BenchmarkCoders). More would be
+		// too much, since the process may be limited to 32 MB.
+		s.encoder, err = zstd.NewWriter(nil, zstd.WithEncoderConcurrency(1), zstd.WithEncoderLevel(zstd.SpeedFastest), zstd.WithWindowSize(PieceMost), zstd.WithLowerEncoderMem(true), zstd.WithEncoderCRC(false))
 		if err == nil {
-			s.dec, err = zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderLowmem(true), zstd.WithDecoderMaxMemory(PieceMost))
+			s.decoder, err = zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderLowmem(true), zstd.WithDecoderMaxMemory(PieceMost))
 		}
 		if err != nil {
 			return nil, fmt.Errorf("spool: %w", err)
 		}
 	}
 	if cfg.FS == nil {
-		s.cfg.FS = system{}
+		s.cfg.FS = osFS{}
 	}
-	if s.folder, s.lock, err = claim(cfg.Folder); err != nil {
+	if s.folder, s.lock, err = claimFolder(cfg.Folder); err != nil {
 		return nil, err
 	}
 	for range max(1, cfg.Workers) {
@@ -123,17 +121,17 @@
 	return s, nil
 }
 
-// Folder is the instance's own.
+// Folder returns the path of the instance's own folder.
 func (s *Spool) Folder() string { return s.folder }
 
-// Open is how many files are open.
-func (s *Spool) Open() int64 { return s.open.Load() }
+// Open returns the number of open files.
+func (s *Spool) Open() int64 { return s.openFiles.Load() }
 
-// Close ends the workers once their queues are empty, and removes the folder. A call
-// that hangs is waited for no longer than a call may take.
+// Close stops the workers after they have emptied their queues, and removes the folder. It waits
+// for calls that hang for at most Config.Wait.
 func (s *Spool) Close() {
 	s.mu.Lock()
-	s.closed = true
+	s.isClosed = true
 	s.work.Broadcast()
 	s.mu.Unlock()
 	done := make(chan struct{})
@@ -142,93 +140,95 @@
 	case <-done:
 	case <-time.After(s.cfg.Wait):
 	}
-	release(s.folder, s.lock)
-	if s.dec != nil {
-		s.dec.Close()
+	removeLocked(s.folder, s.lock)
+	if s.decoder != nil {
+		s.decoder.Close()
 	}
 }
 
-// op is one file call.
-type op struct {
-	do   func() error
-	done chan error // holds its end
-	left atomic.Bool
+// fileCall is a queued file call.
+type fileCall struct {
+	run       func() error
+	done      chan error // receives the result; buffered
+	abandoned atomic.Bool
 }
 
-// call has a worker do something and waits, no longer than a call may take. After
-// ErrLate it may still be done at some time; after ErrBusy it will not be.
+// call runs do in a worker and waits for it for at most Config.Wait. After ErrLate, do may still
+// run later; after ErrBusy or ErrClosed it will not.
 func (s *Spool) call(class int, do func() error) error {
-	o := &op{do: do, done: make(chan error, 1)}
-	if err := s.enqueue(class, o, false); err != nil {
+	queued := &fileCall{run: do, done: make(chan error, 1)}
+	if err := s.enqueue(class, queued, false); err != nil {
 		return err
 	}
-	late := time.NewTimer(s.cfg.Wait)
-	defer late.Stop()
+	timeout := time.NewTimer(s.cfg.Wait)
+	defer timeout.Stop()
 	select {
-	case err := <-o.done:
+	case err := <-queued.done:
 		return err
-	case <-late.C:
-		o.left.Store(true)
+	case <-timeout.C:
+		queued.abandoned.Store(true)
 		return ErrLate
 	}
 }
 
-// later has a worker do something whose end nobody waits for, however long the queue.
-func (s *Spool) later(class int, do func() error) {
-	if s.enqueue(class, &op{do: do, done: make(chan error, 1)}, true) != nil {
+// callAsync runs do in a worker without waiting for it, however long the queue is.
+func (s *Spool) callAsync(class int, do func() error) {
+	if s.enqueue(class, &fileCall{run: do, done: make(chan error, 1)}, true) != nil {
 		do() // the workers have ended
 	}
 }
 
-func (s *Spool) enqueue(class int, o *op, must bool) error {
+// enqueue adds a call to the queue of its class. With ignoreBound the call is added even
+// if the queue is full.
+func (s *Spool) enqueue(class int, call *fileCall, ignoreBound bool) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	class = min(max(class, 0), len(s.queues)-1)
 	switch {
-	case s.closed:
+	case s.isClosed:
 		return ErrClosed
-	case !must && len(s.queues[class]) >= s.cfg.Queue:
+	case !ignoreBound && len(s.queues[class]) >= s.cfg.Queue:
 		return ErrBusy
 	}
-	s.queues[class] = append(s.queues[class], o)
+	s.queues[class] = append(s.queues[class], call)
 	s.work.Signal()
 	return nil
 }
 
-// worker takes calls, of each class in turn: guards one class's calls against a queue
-// of another's.
+// worker runs queued calls until the Spool is closed. It serves the classes in turn, so that the
+// queue of one class does not delay the calls of another.
 func (s *Spool) worker() {
 	for {
-		o := s.next()
-		if o == nil {
+		call := s.nextCall()
+		if call == nil {
 			return
 		}
-		o.done <- o.do()
+		call.done <- call.run()
 	}
 }
 
-func (s *Spool) next() *op {
+// nextCall returns the next call, and blocks until there is one; nil if the Spool is closed.
+func (s *Spool) nextCall() *fileCall {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for {
 		for range s.queues {
-			s.turn = (s.turn + 1) % len(s.queues)
-			if q := s.queues[s.turn]; len(q) > 0 {
-				o := q[0]
+			s.lastQueue = (s.lastQueue + 1) % len(s.queues)
+			if q := s.queues[s.lastQueue]; len(q) > 0 {
+				call := q[0]
 				q[0] = nil
-				s.queues[s.turn] = q[1:]
-				return o
+				s.queues[s.lastQueue] = q[1:]
+				return call
 			}
 		}
-		if s.closed {
+		if s.isClosed {
 			return nil
 		}
 		s.work.Wait()
 	}
 }
 
-// Try makes a file, writes a piece to it, reads it back and lets it go: a trial of the
-// disk.
+// Try tests the disk: it creates a file, writes a piece, reads it back and closes the file.
 func (s *Spool) Try() error {
 	f := s.File(0)
 	defer f.Close()
@@ -240,8 +240,8 @@
 	return err
 }
 
-// NoRoom says whether an error tells of a disk without room, or of a process or system
-// without descriptors.
+// NoRoom reports whether an error means that the disk has no space, or that the process or the
+// system has no file descriptors left.
 func NoRoom(err error) bool {
 	for _, e := range []syscall.Errno{syscall.ENOSPC, syscall.EDQUOT, syscall.EMFILE, syscall.ENFILE, syscall.EFBIG} {
 		if errors.Is(err, e) {
--- a/internal/spool/spool_test.go
+++ b/internal/spool/spool_test.go
@@ -20,15 +20,15 @@
 	"chalkrack/internal/standin"
 )
 
-const patience = 20 * time.Second
+const testTimeout = 20 * time.Second
 
-func start(tb testing.TB, cfg Config) *Spool {
+func newTestSpool(tb testing.TB, cfg Config) *Spool {
 	tb.Helper()
 	if cfg.Folder == "" {
 		cfg.Folder = tb.TempDir()
 	}
 	if cfg.Wait == 0 {
-		cfg.Wait = patience
+		cfg.Wait = testTimeout
 	}
 	cfg.Workers, cfg.Queue, cfg.Classes = max(2, cfg.Workers), max(8, cfg.Queue), 2
 	s, err := New(cfg)
@@ -53,7 +53,7 @@
 	return all
 }
 
-func fill(t *testing.T, f *File, all [][]byte) {
+func appendAll(t *testing.T, f *File, all [][]byte) {
 	t.Helper()
 	for _, p := range all {
 		if err := f.Append(p); err != nil {
@@ -70,7 +70,7 @@
 			return err
 		}
 		if !bytes.Equal(got, want) {
-			return errors.New("another text")
+			return errors.New("piece differs from what was written")
 		}
 		at = f.Next(n, at)
 	}
@@ -79,117 +79,118 @@
 
 func eventually(t *testing.T, what string, ok func() bool) {
 	t.Helper()
-	for end := time.Now().Add(patience); !ok(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); !ok(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal(what)
 		}
 	}
 }
 
-// What is written is read again, by any number of readers, in all forms; the descriptor
-// goes with the file.
-func TestPiecesComeBack(t *testing.T) {
+// Pieces are read back as written, repeatedly, whether sealed, compressed or plain, and the
+// descriptor is closed with the file.
+func TestPiecesAreReadBackUnchanged(t *testing.T) {
 	defer goleak.VerifyNone(t, goleak.IgnoreCurrent())
 	for name, cfg := range map[string]Config{"sealed": {}, "compressed": {Compress: true}, "plain": {Plain: true}} {
 		for _, compressible := range []bool{true, false} {
 			func() {
 				cfg.Folder = t.TempDir()
-				s, err := New(Config{Folder: cfg.Folder, Compress: cfg.Compress, Plain: cfg.Plain, Workers: 2, Queue: 4, Classes: 1, Wait: patience})
+				s, err := New(Config{Folder: cfg.Folder, Compress: cfg.Compress, Plain: cfg.Plain, Workers: 2, Queue: 4, Classes: 1, Wait: testTimeout})
 				if err != nil {
 					t.Fatal(err)
 				}
 				defer s.Close()
 				f := s.File(0)
 				all := pieces(7, compressible, 1, PieceMost, 5000, PieceMost, 17)
-				fill(t, f, all)
+				appendAll(t, f, all)
 				for range 2 {
 					if err := readAll(f, all); err != nil {
 						t.Errorf("%s: %v", name, err)
 					}
 				}
 				if n := s.Open(); n != 1 {
-					t.Errorf("%s: %d files open", name, n)
+					t.Errorf("%s: %d files open, want 1", name, n)
 				}
-				if small := f.end < 2*PieceMost; small != (cfg.Compress && compressible) {
-					t.Errorf("%s, compressible %v: %d bytes", name, compressible, f.end)
+				if small := f.endOffset < 2*PieceMost; small != (cfg.Compress && compressible) {
+					t.Errorf("%s, compressible %v: file of %d bytes, want it compressed only if configured and compressible", name, compressible, f.endOffset)
 				}
 				f.Close()
 				f.Close()
 				eventually(t, "the file stays open", func() bool { return s.Open() == 0 })
 				if err := f.Append(all[0]); !errors.Is(err, ErrClosed) {
-					t.Errorf("%s: append after Close: %v", name, err)
+					t.Errorf("%s: append after Close: %v, want ErrClosed", name, err)
 				}
 			}()
 		}
 	}
 }
 
-// A piece that was cut, swapped with another, altered at any place, or written by
-// another process's key is not read as good, and the text does not lie in the file.
-func TestSpoiltPiecesAreNotRead(t *testing.T) {
+// A piece that was truncated, swapped with another one or altered at any place is rejected, and
+// the file does not contain the plain text.
+func TestAlteredPiecesAreRejected(t *testing.T) {
 	disk := standin.NewDisk()
 	for name, cfg := range map[string]Config{"sealed": {FS: disk}, "compressed": {FS: disk, Compress: true}} {
-		s := start(t, cfg)
+		s := newTestSpool(t, cfg)
 		all := pieces(3, true, 4000, 4000)
 		a, b := s.File(0), s.File(0)
-		fill(t, a, all)
-		fill(t, b, all)
+		appendAll(t, a, all)
+		appendAll(t, b, all)
 		rng := rand.New(rand.NewPCG(11, 1))
 		for range 200 {
 			where, bit := rng.IntN(1<<20), byte(1)<<rng.IntN(8)
 			disk.Spoil(func(_ int64, p []byte) { p[where%len(p)] ^= bit })
 			if err := readAll(a, all); !errors.Is(err, ErrSpoilt) {
-				t.Fatalf("%s: altered: %v", name, err)
+				t.Fatalf("%s: altered piece: error %v, want ErrSpoilt", name, err)
 			}
 		}
-		raw, other := a.h.(interface {
+		raw, other := a.handle.(interface {
 			ReadAt([]byte, int64) (int, error)
-		}), b.h
+		}), b.handle
 		disk.Spoil(func(at int64, p []byte) {
 			if bytes.Contains(p, all[0][:32]) {
-				t.Error("the text lies open in the file")
+				t.Error("the file contains the plain text")
 			}
 		})
 		if err := readAll(a, all); err != nil {
 			t.Fatal(err)
 		}
 		disk.Spoil(nil)
-		// The piece of another file, and another piece of its own, in its place.
+		// Replace the piece by one of another file, then by another one of the same file.
 		buf := make([]byte, a.sizes[0])
-		a.h, _ = other, raw
+		a.handle, _ = other, raw
 		if err := readAll(a, all); !errors.Is(err, ErrSpoilt) {
-			t.Errorf("%s: swapped with another file's: %v", name, err)
+			t.Errorf("%s: piece of another file: error %v, want ErrSpoilt", name, err)
 		}
-		a.h = raw.(Handle)
+		a.handle = raw.(Handle)
 		if a.sizes[0] == a.sizes[1] {
 			raw.ReadAt(buf, int64(a.sizes[0]))
-			a.h.WriteAt(buf, 0)
+			a.handle.WriteAt(buf, 0)
 			if _, err := a.ReadAt(make([]byte, PieceMost), 0, 0); !errors.Is(err, ErrSpoilt) {
-				t.Errorf("%s: swapped with its neighbour: %v", name, err)
+				t.Errorf("%s: other piece of the same file: error %v, want ErrSpoilt", name, err)
 			}
 		}
-		b.h.(interface{ Close() error }).Close() // and one that has gone
+		b.handle.(interface{ Close() error }).Close() // a file that was closed by others
 		if err := readAll(b, all); err == nil {
-			t.Errorf("%s: read from a closed file", name)
+			t.Errorf("%s: reading from a closed file returned no error", name)
 		}
-		b.h = nil
+		b.handle = nil
 		a.Close()
 		b.Close()
 	}
-	s := start(t, Config{FS: disk})
+	s := newTestSpool(t, Config{FS: disk})
 	f := s.File(0)
-	fill(t, f, pieces(1, true, 100))
-	f.end = 0
-	f.sizes[0] += 50 // more than there is: it was cut
+	appendAll(t, f, pieces(1, true, 100))
+	f.endOffset = 0
+	f.sizes[0] += 50 // more than the file has, as if it was truncated
 	if _, err := f.ReadAt(make([]byte, PieceMost), 0, 0); !errors.Is(err, ErrSpoilt) {
-		t.Errorf("cut: %v", err)
+		t.Errorf("truncated piece: error %v, want ErrSpoilt", err)
 	}
 	f.sizes[0] -= 50
 	f.Close()
 }
 
-// What the disk says comes through by its kind, and what was written before is good.
-func TestFaultsOfTheDisk(t *testing.T) {
+// Errors of the disk are returned and classified by NoRoom, and pieces written before can still
+// be read.
+func TestDiskErrorsAreClassified(t *testing.T) {
 	for name, c := range map[string]struct {
 		set    func(*standin.Disk)
 		noRoom bool
@@ -202,31 +203,31 @@
 		"input or output": {func(d *standin.Disk) { d.NoFiles(syscall.EIO) }, false},
 	} {
 		disk := standin.NewDisk()
-		s := start(t, Config{FS: disk})
+		s := newTestSpool(t, Config{FS: disk})
 		good := s.File(0)
 		all := pieces(5, false, 3000)
-		fill(t, good, all)
+		appendAll(t, good, all)
 		c.set(disk)
 		bad := s.File(0)
 		err := bad.Append(all[0])
 		if err == nil || NoRoom(err) != c.noRoom {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("%s: error %v, want one that NoRoom classifies correctly", name, err)
 		}
 		if err := readAll(good, all); err != nil {
-			t.Errorf("%s: what was there before: %v", name, err)
+			t.Errorf("%s: reading a file written before: %v", name, err)
 		}
 		if err := s.Try(); err == nil {
-			t.Errorf("%s: a trial was good", name)
+			t.Errorf("%s: Try succeeded, want an error", name)
 		}
 		bad.Close()
 		good.Close()
 		eventually(t, name+": a file stays open", func() bool { return disk.Open() == 0 })
 	}
 	if _, err := os.Stat("/dev/full"); err == nil {
-		s := start(t, Config{FS: devFull{}})
+		s := newTestSpool(t, Config{FS: devFull{}})
 		f := s.File(0)
 		if err := f.Append(make([]byte, 10)); !errors.Is(err, syscall.ENOSPC) || !NoRoom(err) {
-			t.Errorf("/dev/full: %v", err)
+			t.Errorf("/dev/full: error %v, want ENOSPC", err)
 		}
 		f.Close()
 	}
@@ -236,24 +237,24 @@
 
 func (devFull) Create(string) (Handle, error) { return os.OpenFile("/dev/full", os.O_RDWR, 0) }
 
-// A call that hangs holds one worker: others' go on. A file whose call was given up
-// takes no more, and its descriptor goes when the call ends.
-func TestHungCallHoldsOneWorker(t *testing.T) {
+// A call that hangs blocks one worker while others continue. A file with a timed-out call accepts
+// no more pieces, and its descriptor is closed when the call ends.
+func TestHungCallBlocksOneWorker(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		hung, well := standin.NewDisk(), standin.NewDisk()
-		s := start(t, Config{FS: &twoDisks{first: hung, then: well}, Wait: 200 * time.Millisecond, Workers: 2})
+		s := newTestSpool(t, Config{FS: &twoDisks{first: hung, then: well}, Wait: 200 * time.Millisecond, Workers: 2})
 		hung.Hang()
 		a := s.File(0)
 		if err := a.Append(make([]byte, 10)); !errors.Is(err, ErrLate) {
-			t.Fatalf("hung: %v", err)
+			t.Fatalf("append on a hung disk: %v, want ErrLate", err)
 		}
 		if err := a.Append(make([]byte, 10)); !errors.Is(err, ErrClosed) {
-			t.Errorf("append behind a call that was given up: %v", err)
+			t.Errorf("append after a timed-out call: %v, want ErrClosed", err)
 		}
 		all := pieces(1, false, 100)
 		for range 20 {
 			f := s.File(1)
-			fill(t, f, all)
+			appendAll(t, f, all)
 			if err := readAll(f, all); err != nil {
 				t.Fatal(err)
 			}
@@ -274,11 +275,12 @@
 	return d.then.Create(folder)
 }
 
-// With all workers hung the queue of a class is bounded, and full for that class only.
+// While all workers hang, the queue of a class is bounded, and a full queue does not affect other
+// classes.
 func TestQueueIsBoundedByClass(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		disk := standin.NewDisk()
-		s := start(t, Config{FS: disk, Wait: 50 * time.Millisecond, Workers: 2, Queue: 8})
+		s := newTestSpool(t, Config{FS: disk, Wait: 50 * time.Millisecond, Workers: 2, Queue: 8})
 		disk.Hang()
 		defer disk.Resume()
 		var files []*File
@@ -292,10 +294,10 @@
 			busy = errors.Is(append1(0), ErrBusy)
 		}
 		if !busy {
-			t.Error("the queue has no bound")
+			t.Error("the call after a full queue did not return ErrBusy")
 		}
 		if err := append1(1); !errors.Is(err, ErrLate) {
-			t.Errorf("the other class: %v, want it queued", err)
+			t.Errorf("call of another class: %v, want ErrLate, as it must be queued", err)
 		}
 		disk.Resume()
 		for _, f := range files {
@@ -305,28 +307,28 @@
 	})
 }
 
-// A start sweeps what dead instances left and touches no living one's, whatever their
-// process ids; files have no names, or lose them at once.
-func TestSweepKeepsLivingNeighbours(t *testing.T) {
+// A starting instance removes the folders of dead instances and keeps those of running ones, and
+// files have no names in the folder. A child process is killed to leave a folder behind.
+func TestStartRemovesFoldersOfDeadInstances(t *testing.T) {
 	if dir := os.Getenv("SPOOL_CHILD"); dir != "" { // see below
-		s, err := New(Config{Folder: dir, Workers: 1, Queue: 1, Classes: 1, Wait: patience})
+		s, err := New(Config{Folder: dir, Workers: 1, Queue: 1, Classes: 1, Wait: testTimeout})
 		if err != nil {
 			t.Fatal(err)
 		}
 		s.File(0).Append([]byte("x"))
 		os.WriteFile(filepath.Join(s.Folder(), "body-left"), []byte("x"), 0o600)
 		os.Stdout.WriteString("at " + s.Folder() + "\n")
-		time.Sleep(patience)
+		time.Sleep(testTimeout)
 		return
 	}
 	dir := t.TempDir()
-	neighbour := start(t, Config{Folder: dir})
+	neighbour := newTestSpool(t, Config{Folder: dir})
 	f := neighbour.File(0)
 	all := pieces(1, false, 1000)
-	fill(t, f, all)
+	appendAll(t, f, all)
 	defer f.Close()
 
-	cmd := exec.Command(os.Args[0], "-test.run=^TestSweepKeepsLivingNeighbours$")
+	cmd := exec.Command(os.Args[0], "-test.run=^TestStartRemovesFoldersOfDeadInstances$")
 	cmd.Env = append(os.Environ(), "SPOOL_CHILD="+dir)
 	out, err := cmd.StdoutPipe()
 	if err != nil {
@@ -341,32 +343,34 @@
 	cmd.Wait()
 	left, ok := strings.CutPrefix(strings.TrimSpace(string(line[:n])), "at ")
 	if err != nil || !ok {
-		t.Fatalf("the child says %q, %v", line[:n], err)
+		t.Fatalf("child process printed %q, error %v, want its folder", line[:n], err)
 	}
 	if _, err := os.Stat(filepath.Join(left, "body-left")); err != nil {
-		t.Fatalf("the child's folder: %v", err)
+		t.Fatalf("file left by the child process: %v", err)
 	}
-	start(t, Config{Folder: dir})
+	newTestSpool(t, Config{Folder: dir})
 	if _, err := os.Stat(left); !os.IsNotExist(err) {
-		t.Errorf("the dead instance's folder is still there: %v", err)
+		t.Errorf("folder of the dead instance still exists: %v", err)
 	}
 	entries, err := os.ReadDir(neighbour.Folder())
 	if err != nil || len(entries) != 1 || entries[0].Name() != lockName {
-		t.Errorf("the living neighbour's folder has %v, %v; want its lock only", entries, err)
+		t.Errorf("folder of the running instance has %v, error %v; want only the lock", entries, err)
 	}
 	if err := readAll(f, all); err != nil {
-		t.Errorf("the living neighbour's file: %v", err)
+		t.Errorf("reading a file of the running instance: %v", err)
 	}
 }
 
-// BenchmarkFile is a body of 64 MiB written and read once, in all forms, of noise and of
-// text: 'go test ./internal/spool -run ^$ -bench File'.
+// BenchmarkFile writes and reads a body of 64 MiB, plain, sealed and compressed, of random bytes
+// and of compressible text:
+//
+//	go test ./internal/spool -run '^$' -bench File
 func BenchmarkFile(b *testing.B) {
 	for _, text := range []bool{false, true} {
 		piece := pieces(1, text, PieceMost)[0]
 		for name, cfg := range map[string]Config{"plain": {Plain: true}, "sealed": {}, "compressed": {Compress: true}} {
 			b.Run(fmt.Sprintf("%s/text=%v", name, text), func(b *testing.B) {
-				s := start(b, cfg)
+				s := newTestSpool(b, cfg)
 				b.SetBytes(64 << 20)
 				p := make([]byte, PieceMost)
 				for b.Loop() {
@@ -390,7 +394,7 @@
 	}
 }
 
-// BenchmarkCoders is the memory that the coders of compression hold once used.
+// BenchmarkCoders measures the memory held by the compression coders after their first use.
 func BenchmarkCoders(b *testing.B) {
 	heap := func() uint64 {
 		runtime.GC()
@@ -401,7 +405,7 @@
 	}
 	for b.Loop() {
 		before := heap()
-		s := start(b, Config{Compress: true, FS: standin.NewDisk()})
+		s := newTestSpool(b, Config{Compress: true, FS: standin.NewDisk()})
 		f := s.File(0)
 		if err := f.Append(pieces(1, true, PieceMost)[0]); err != nil {
 			b.Fatal(err)
