--- a/internal/body/body.go
+++ b/internal/body/body.go
@@ -309,7 +309,7 @@
 
 // Forward receives the rest of a body that is not kept, no faster than its server reads it. It
 // blocks until the body is complete or dropped, and returns nil then. After any other error of
-// the read, the caller must end the call and then call Break.
+// the read, the caller must end the call and then abort the body.
 func (b *Body) Forward() error {
 	s := b.store
 	for {
--- a/internal/body/store.go
+++ b/internal/body/store.go
@@ -234,7 +234,7 @@
 }
 
 // Receive reads a body until it is complete, or until it is known that it is not kept. In that
-// case Coming returns true, a first part has been received, and Forward receives the rest. The
+// case a first part has been received, and Forward receives the rest. The
 // error is ErrNoRoom or that of the read; the body is dropped then.
 func (s *Store) Receive(in Incoming) (*Body, error) {
 	b := &Body{store: s, class: in.Class, length: in.Length, incoming: in}
--- a/internal/duty/config.go
+++ b/internal/duty/config.go
@@ -41,14 +41,14 @@
 	Watchers int           // sidecars that regularly probe each server
 	Every    time.Duration // interval at which a watcher probes a server
 	// Step is the additional delay per rank in a server's order before a sidecar takes over
-	// probing, beyond two Every without a finding.
+	// probing, beyond two probe intervals without a finding.
 	Step time.Duration
 
 	Period   time.Duration // interval between pings; each goes to one peer
 	AckWait  time.Duration // timeout of a direct ping, after which others are asked to ping
 	Helpers  int           // number of peers asked to ping
 	Suspect  time.Duration // how long a peer is suspected before it is declared dead
-	Spread   int           // peers that get findings in each Period
+	Spread   int           // peers that get findings in each ping interval
 	Probes   float64       // maximum probes per second by this sidecar
 	PerNode  float64       // maximum probes per second of one server by all sidecars together
 	Notes    float64       // maximum notes per second from this sidecar
@@ -56,7 +56,8 @@
 	Keyed    bool          // notes carry an authentication tag
 }
 
-// Default returns the default settings, without Self, Peers, Zone, Inc and Seed.
+// Default returns the default settings. The caller sets those of the individual sidecar: its
+// name, zone, peers, incarnation and seed.
 func Default() Config {
 	return Config{Watchers: 2, Every: 2 * time.Second, Step: 500 * time.Millisecond, Period: time.Second, AckWait: 200 * time.Millisecond, Helpers: 3,
 		Suspect: 4 * time.Second, Spread: 3, Probes: 20, PerNode: 4, Notes: 20, Remember: 10 * time.Second}
@@ -99,16 +100,16 @@
 
 // minTakeoverInterval returns the minimum time between two takeovers of a server by the same
 // sidecar, for a total number of sidecars. If all of them were isolated, a server would get
-// half of PerNode on average.
+// half of its maximum probe rate on average.
 func (c *Config) minTakeoverInterval(sidecars int) time.Duration {
 	return time.Duration(2 * float64(sidecars) / c.PerNode * float64(time.Second))
 }
 
 // MaxTakeoverGap returns the maximum time between probes of a server whose watchers are all dead
 // or unreachable, while alive of all sidecars live and the dead ones are not yet known. Each
-// living sidecar may take over once per minTakeoverInterval, and waits a Step for each rank before its own;
-// dead sidecars still count in the ranks. In the steady state the gap is
-// g = 2 Every + Step (minTakeoverInterval/g + 1) all/alive.
+// living sidecar may take over once per minTakeoverInterval, and waits one step for each rank
+// before its own; dead sidecars still count in the ranks. In the steady state the gap is
+// g = 2 probe interval + step (minTakeoverInterval/g + 1) all/alive.
 func (c *Config) MaxTakeoverGap(all, alive int) time.Duration {
 	interval := 1.25 * c.minTakeoverInterval(all).Seconds()
 	probeInterval, stepSeconds := c.Every.Seconds(), c.Step.Seconds()*float64(all)/float64(max(1, alive))
@@ -116,5 +117,5 @@
 	return time.Duration(max(gap, interval/float64(max(1, alive)))*float64(time.Second)) + 2*c.Step + maxTickDelay
 }
 
-// maxTickDelay is the maximum delay of a Tick after the time that Next returned.
+// maxTickDelay is the maximum delay of a Tick after the time that NextTick returned.
 const maxTickDelay = 200 * time.Millisecond
--- a/internal/duty/duty_test.go
+++ b/internal/duty/duty_test.go
@@ -694,7 +694,7 @@
 }
 
 // Sidecars that are all isolated eventually consider all others dead; the probes of a server by
-// all of them together still stay within PerNode.
+// all of them together still stay within the maximum rate per server.
 func TestIsolatedSidecarsStayWithinServerBudget(t *testing.T) {
 	w := newSim(7, 40, 20, nil)
 	w.loss = 1
--- a/internal/duty/membership.go
+++ b/internal/duty/membership.go
@@ -53,7 +53,7 @@
 }
 
 // nextPingTarget returns the next peer to ping: each once per round, in random order. Dead peers are
-// included no more often than every Remember, so that one that was only unreachable is found
+// included at a longer interval, so that one that was only unreachable is found
 // again.
 func (d *Detector) nextPingTarget() *peer {
 	for range d.pingOrder {
--- a/internal/keep/disk.go
+++ b/internal/keep/disk.go
@@ -43,7 +43,7 @@
 )
 
 // Disk is a circuit breaker for the disk. New files are created only while the state is Good.
-// In any other state, Proof consecutive trial writes must succeed first; one trial runs at a
+// In any other state, several consecutive trial writes must succeed first; one trial runs at a
 // time, with a delay between them that doubles while they fail. Existing files are read in
 // every state.
 type Disk struct {
--- a/internal/keep/keep.go
+++ b/internal/keep/keep.go
@@ -69,7 +69,7 @@
 	movingBytes int64   // bytes in memory of bodies that are moving to files
 }
 
-// New returns a Keeper, or the error of Limits.Check, which names the invalid limit.
+// New returns a Keeper, or an error that names the invalid limit.
 func New(l Limits) (*Keeper, error) {
 	if err := l.Check(); err != nil {
 		return nil, err
--- a/internal/rooms/duties/duties.go
+++ b/internal/rooms/duties/duties.go
@@ -40,9 +40,9 @@
 	Reported(name string, age time.Duration, r chalkrack.Report)
 }
 
-// Config holds the settings of a Duties.
+// Config holds the settings of the notes and probes of a sidecar.
 type Config struct {
-	Duty      duty.Config   // the Name of a peer is its address, its As is As of its number
+	Duty      duty.Config   // a peer's Name is its address, its alias is derived from its number
 	Listen    string        // UDP address for notes
 	Inherited bool          // the previous process of this sidecar may still hold the port
 	Key       []byte        // authenticates notes; empty: notes carry no tag
@@ -56,7 +56,8 @@
 // sidecars may reach a peer at different addresses.
 func As(n int) string { return fmt.Sprint("sidecar ", n) }
 
-// Duties drives a duty.Detector. Begin and Close of a nil Duties do nothing.
+// Duties drives a duty.Detector with sockets and a clock. Starting and closing a nil pointer do
+// nothing.
 type Duties struct {
 	host            Reporter
 	start           time.Time
@@ -118,7 +119,7 @@
 	return s, nil
 }
 
-// Begin starts sending and receiving notes. Carries must be called before it.
+// Begin starts sending and receiving notes. The payload functions must be set before.
 func (s *Duties) Begin() {
 	if s != nil {
 		s.wg.Go(func() {
@@ -158,7 +159,7 @@
 
 // Carries sets the function that returns the payload of each note, given the number of bytes
 // available, and the function that receives payloads with the number and incarnation of their
-// sender. It must be called before Begin.
+// sender. It must be called before notes are sent and received.
 func (s *Duties) Carries(payload func(room int) []byte, onPayload func(number int, inc uint64, payload []byte)) {
 	s.duty.SetPayload(func(_ time.Duration, room int) []byte { return payload(room) })
 	s.onPayload = onPayload
--- a/internal/rooms/levels/levels.go
+++ b/internal/rooms/levels/levels.go
@@ -18,14 +18,14 @@
 const (
 	// TickEach is the interval at which the sensors are sampled.
 	TickEach = 100 * time.Millisecond
-	// outcomeDecay is the decay factor of outcome counts per tick: about a third (0.36) of a tick's
-	// outcomes is left after five seconds.
+	// outcomeDecay is the decay factor of outcome counts per tick: about a third (0.36) of a
+	// tick's outcomes is left after five seconds.
 	outcomeDecay = 0.98
 	// MaxPinDuration is the maximum duration of a pin, so that a forgotten one expires.
 	MaxPinDuration = 24 * time.Hour
 )
 
-// Config holds the settings and limits of a Levels.
+// Config holds the settings of a level.Machine and the limits that its sensors refer to.
 type Config struct {
 	Level   level.Config
 	Memory  int64      // memory limit of the process, in bytes
@@ -59,7 +59,8 @@
 	return r, nil
 }
 
-// Tick samples the sensors and passes the reading to the Machine. It is called every TickEach.
+// Tick samples the sensors and passes the reading to the Machine. It must be called at
+// intervals of TickEach.
 func (r *Levels) Tick(now time.Time) {
 	var reading level.Reading
 	lag := now.Sub(r.lastTick) - TickEach
@@ -106,7 +107,7 @@
 	For   time.Duration `json:"for_ns"`
 }
 
-// handlePin handles a PinAsk in JSON. It implements admin.Deed.
+// handlePin handles a request in JSON to pin a level. It implements admin.Deed.
 func (r *Levels) handlePin(body []byte) (any, error) {
 	var request PinAsk
 	if err := json.Unmarshal(body, &request); err != nil {
--- a/internal/spool/file.go
+++ b/internal/spool/file.go
@@ -88,7 +88,7 @@
 	return s.aead.Seal(buf, f.nonce(piece), text, []byte{flag})
 }
 
-// Append writes a piece of up to PieceMost bytes after the others, and does not retain p. It
+// Append writes a piece of at most 64 KiB after the others, and does not retain p. It
 // blocks for at most Config.Wait. After an error, earlier pieces can still be read, and no more
 // may be appended.
 func (f *File) Append(p []byte) error {
@@ -154,8 +154,8 @@
 	return nil
 }
 
-// ReadAt reads the piece that starts at offset at into p, which must have PieceMost bytes, and
-// returns its text. Next returns the offset of the following piece. It blocks for at most
+// ReadAt reads the piece that starts at offset at into p, which must have room for the
+// longest piece, and returns its text. Next returns the offset of the following piece. It blocks for at most
 // Config.Wait, and returns ErrSpoilt if the piece is not what was written.
 func (f *File) ReadAt(p []byte, piece int, at int64) ([]byte, error) {
 	f.mu.Lock()
