--- a/internal/duty/duty.go
+++ b/internal/duty/duty.go
@@ -278,8 +278,8 @@
 		return since >= d.cfg.Every, false
 	}
 	// Any number of the other sidecars may be isolated and consider the rest dead. Whatever a
-	// sidecar believes, it therefore takes over no more than an equal share of the
-	// server's maximum probe rate.
+	// sidecar believes, it therefore takes over no more than an equal share of the server's
+	// maximum probe rate.
 	if d.now < srv.takeoverFrom {
 		return false, false
 	}
--- a/internal/duty/duty_test.go
+++ b/internal/duty/duty_test.go
@@ -196,7 +196,7 @@
 		sidecars, servers int
 		during            func(*sim)
 		gap               time.Duration
-		most              int
+		maxPerSecond      int
 	}{
 		{"nothing happens", 40, 40, nil, watched, 4},
 		{"two sidecars", 2, 40, nil, watched, 4},
@@ -256,19 +256,19 @@
 			}
 			w := newSim(1, c.sidecars, c.servers, nil)
 			w.Run(15 * time.Second)
-			begun := w.probeCount
+			probesBefore := w.probeCount
 			if c.during != nil {
 				c.during(w)
 			}
 			w.Run(60 * time.Second)
-			mean, most, gap := w.probeStats(12*time.Second, 60*time.Second)
+			mean, maxPerSecond, gap := w.probeStats(12*time.Second, 60*time.Second)
 			t.Logf("%-32s probes per server and second: mean %.2f, maximum %d; longest gap: %v (bound %v); per sidecar and second: %.2f probes, %.1f notes",
-				c.name, mean, most, gap.Round(10*time.Millisecond), c.gap, float64(w.probeCount-begun)/45/float64(c.sidecars), float64(w.noteCount)/60/float64(c.sidecars))
+				c.name, mean, maxPerSecond, gap.Round(10*time.Millisecond), c.gap, float64(w.probeCount-probesBefore)/45/float64(c.sidecars), float64(w.noteCount)/60/float64(c.sidecars))
 			if gap > c.gap {
 				t.Errorf("a server was not probed for %v, want at most %v", gap, c.gap)
 			}
-			if most > c.most {
-				t.Errorf("a server was probed %d times in a second, want at most %d", most, c.most)
+			if maxPerSecond > c.maxPerSecond {
+				t.Errorf("a server was probed %d times in a second, want at most %d", maxPerSecond, c.maxPerSecond)
 			}
 		})
 	}
@@ -292,11 +292,11 @@
 				w.Run(settle)
 				from, notes, bytes := w.Now, w.noteCount, w.byteCount
 				w.Run(settle + 2*size.every)
-				mean, most, gap := w.probeStats(from, w.Now)
+				mean, maxPerSecond, gap := w.probeStats(from, w.Now)
 				took := (w.Now - from).Seconds() * float64(size.sidecars)
 				b.ReportMetric(mean, "probes/node/s")
 				b.ReportMetric(float64(size.sidecars)/size.every.Seconds(), "each-probes-all/node/s")
-				b.ReportMetric(float64(most), "most/node/s")
+				b.ReportMetric(float64(maxPerSecond), "most/node/s")
 				b.ReportMetric(gap.Seconds(), "longest-gap-s")
 				b.ReportMetric(float64(w.noteCount-notes)/took, "notes/sidecar/s")
 				b.ReportMetric(float64(w.byteCount-bytes)/took, "bytes/sidecar/s")
@@ -416,19 +416,19 @@
 func TestNoteRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		key := rapid.SliceOfN(rapid.Byte(), 0, 32).Draw(t, "key")
-		n := &Note{Kind: Kind(rapid.IntRange(0, int(kindCount)-1).Draw(t, "kind")), From: ID(rapid.Uint32().Draw(t, "from")), Inc: rapid.Uint64().Draw(t, "inc"), Seq: rapid.Uint32().Draw(t, "seq"), Target: ID(rapid.Uint32().Draw(t, "whom"))}
+		note := &Note{Kind: Kind(rapid.IntRange(0, int(kindCount)-1).Draw(t, "kind")), From: ID(rapid.Uint32().Draw(t, "from")), Inc: rapid.Uint64().Draw(t, "inc"), Seq: rapid.Uint32().Draw(t, "seq"), Target: ID(rapid.Uint32().Draw(t, "whom"))}
 		for range rapid.IntRange(0, maxUpdates).Draw(t, "news") {
-			n.Updates = append(n.Updates, Update{ID(rapid.Uint32().Draw(t, "who")), rapid.Uint64().Draw(t, "inc"), PeerState(rapid.IntRange(0, 2).Draw(t, "life"))})
+			note.Updates = append(note.Updates, Update{ID(rapid.Uint32().Draw(t, "who")), rapid.Uint64().Draw(t, "inc"), PeerState(rapid.IntRange(0, 2).Draw(t, "life"))})
 		}
-		if most := min(PartMost, freeBytes(len(n.Updates), len(key) > 0)-1); rapid.Bool().Draw(t, "part") {
-			n.Part = rapid.SliceOfN(rapid.Byte(), 1, most).Draw(t, "bytes")
+		if maxPayload := min(PartMost, freeBytes(len(note.Updates), len(key) > 0)-1); rapid.Bool().Draw(t, "part") {
+			note.Part = rapid.SliceOfN(rapid.Byte(), 1, maxPayload).Draw(t, "bytes")
 		}
-		for range rapid.IntRange(0, n.maxFindings(len(key) > 0)).Draw(t, "found") {
-			n.Findings = append(n.Findings, Finding{ID(rapid.Uint32().Draw(t, "node")), State(rapid.IntRange(0, 3).Draw(t, "state")), time.Duration(rapid.IntRange(0, maxAgeUnits).Draw(t, "age")) * ageUnit})
+		for range rapid.IntRange(0, note.maxFindings(len(key) > 0)).Draw(t, "found") {
+			note.Findings = append(note.Findings, Finding{ID(rapid.Uint32().Draw(t, "node")), State(rapid.IntRange(0, 3).Draw(t, "state")), time.Duration(rapid.IntRange(0, maxAgeUnits).Draw(t, "age")) * ageUnit})
 		}
-		b := n.Append(nil, key)
-		if got, err := Parse(b, key); err != nil || len(b) > MaxNoteBytes || !reflect.DeepEqual(got, n) {
-			t.Fatalf("parsed %+v with error %v, want %+v", got, err, n)
+		b := note.Append(nil, key)
+		if got, err := Parse(b, key); err != nil || len(b) > MaxNoteBytes || !reflect.DeepEqual(got, note) {
+			t.Fatalf("parsed %+v with error %v, want %+v", got, err, note)
 		}
 		if len(key) > 0 {
 			b[rapid.IntRange(0, len(b)-1).Draw(t, "at")] ^= 1 << rapid.IntRange(0, 7).Draw(t, "bit")
@@ -599,7 +599,7 @@
 		const sidecars, servers = 12, 8
 		w := newSim(rapid.Uint64Range(1, 1000).Draw(t, "seed"), sidecars, servers, nil)
 		w.Run(10 * time.Second)
-		least := sidecars
+		minAlive := sidecars
 		for range 8 {
 			switch rapid.IntRange(0, 5).Draw(t, "trouble") {
 			case 0:
@@ -615,7 +615,7 @@
 						alive--
 					}
 				}
-				least = min(least, alive)
+				minAlive = min(minAlive, alive)
 			case 1:
 				for _, c := range w.peers {
 					if c.isDead {
@@ -639,12 +639,12 @@
 			}
 			w.Run(w.Now + time.Duration(rapid.IntRange(1, 10).Draw(t, "s"))*time.Second)
 		}
-		_, most, gap := w.probeStats(8*time.Second, w.Now)
-		if bound := w.cfg.MaxTakeoverGap(sidecars, least); gap > bound {
-			t.Fatalf("a server was not probed for %v, want at most %v with %d of %d sidecars alive", gap, bound, least, sidecars)
+		_, maxPerSecond, gap := w.probeStats(8*time.Second, w.Now)
+		if bound := w.cfg.MaxTakeoverGap(sidecars, minAlive); gap > bound {
+			t.Fatalf("a server was not probed for %v, want at most %v with %d of %d sidecars alive", gap, bound, minAlive, sidecars)
 		}
-		if most > sidecars {
-			t.Fatalf("%d probes of one server in a second, want at most one per sidecar", most)
+		if maxPerSecond > sidecars {
+			t.Fatalf("%d probes of one server in a second, want at most one per sidecar", maxPerSecond)
 		}
 	})
 }
@@ -704,8 +704,8 @@
 			t.Fatalf("%s considers %d sidecars alive, want at most 5: the test case was not reached", c.name, v.Alive)
 		}
 	}
-	mean, most, gap := w.probeStats(time.Minute, 2*time.Minute)
-	t.Logf("probes per server and second: mean %.2f, maximum %d; longest gap: %v", mean, most, gap)
+	mean, maxPerSecond, gap := w.probeStats(time.Minute, 2*time.Minute)
+	t.Logf("probes per server and second: mean %.2f, maximum %d; longest gap: %v", mean, maxPerSecond, gap)
 	if mean > w.cfg.PerNode || gap > w.cfg.MaxWatchedGap() {
 		t.Errorf("%v probes per server and second, want at most %v; longest gap %v, want at most MaxWatchedGap", mean, w.cfg.PerNode, gap)
 	}
--- a/internal/duty/membership.go
+++ b/internal/duty/membership.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// tickMembership pings the next peer, asks others to ping a peer that has not answered, updates the
-// states of peers, and sends findings to random peers.
+// tickMembership pings the next peer, asks others to ping a peer that has not answered, updates
+// the states of peers, and sends findings to random peers.
 func (d *Detector) tickMembership(out *Actions) {
 	if len(d.peers) == 0 {
 		return
@@ -52,9 +52,8 @@
 	}
 }
 
-// nextPingTarget returns the next peer to ping: each once per round, in random order. Dead peers are
-// included at a longer interval, so that one that was only unreachable is found
-// again.
+// nextPingTarget returns the next peer to ping: each once per round, in random order. Dead peers
+// are included at a longer interval, so that one that was only unreachable is found again.
 func (d *Detector) nextPingTarget() *peer {
 	for range d.pingOrder {
 		if d.nextPing == 0 {
--- a/internal/level/level_test.go
+++ b/internal/level/level_test.go
@@ -215,14 +215,14 @@
 				if racing.On && n%3 != 0 {
 					continue
 				}
-				for _, swing := range []float64{0.05, 0.3, 1} {
+				for _, amplitude := range []float64{0.05, 0.3, 1} {
 					rng := rand.New(rand.NewPCG(uint64(period), uint64(l)))
 					m := newTestMachine(t, nil)
-					at := cfg.At[l].Enter[sensor]
+					threshold := cfg.At[l].Enter[sensor]
 					for now := time.Duration(0); now < time.Hour; now += 100 * time.Millisecond {
-						x := at * (1 + swing*(rng.Float64()-0.5)) // only noise
+						x := threshold * (1 + amplitude*(rng.Float64()-0.5)) // only noise
 						if period > 0 {
-							x = at * (1 + swing*math.Sin(2*math.Pi*float64(now)/float64(period)))
+							x = threshold * (1 + amplitude*math.Sin(2*math.Pi*float64(now)/float64(period)))
 						}
 						r := Reading{Outcomes: 1000}
 						r.Value[sensor] = x
@@ -230,7 +230,7 @@
 					}
 					worst = max(worst, m.changeCount)
 					if m.changeCount > bound {
-						t.Errorf("sensor %v around the threshold of %v, period %v, amplitude %v: %d changes in an hour, want at most %d", sensor, l, period, swing, m.changeCount, bound)
+						t.Errorf("sensor %v around the threshold of %v, period %v, amplitude %v: %d changes in an hour, want at most %d", sensor, l, period, amplitude, m.changeCount, bound)
 					}
 				}
 			}
@@ -270,16 +270,16 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		now, was, since := time.Duration(0), Normal, time.Duration(0)
+		now, previous, since := time.Duration(0), Normal, time.Duration(0)
 		for now < time.Hour {
 			x, d := rapid.Float64Range(0, 1).Draw(t, "late"), time.Duration(rapid.IntRange(1, 900).Draw(t, "for"))*100*time.Millisecond
 			for end := now + d; now < end && now < time.Hour; now += 100 * time.Millisecond {
 				l := m.Tick(now, lateReading(x))
-				if l < was && (l != was-1 || now-since < cfg.LeaveAfter) {
-					t.Fatalf("level went from %v to %v after %v, want one step, no sooner than LeaveAfter", was, l, now-since)
+				if l < previous && (l != previous-1 || now-since < cfg.LeaveAfter) {
+					t.Fatalf("level went from %v to %v after %v, want one step, no sooner than LeaveAfter", previous, l, now-since)
 				}
-				if l != was {
-					was, since = l, now
+				if l != previous {
+					previous, since = l, now
 				}
 			}
 		}
@@ -348,13 +348,13 @@
 		t.Errorf("wait %v at normal, want 0", w)
 	}
 	m.Pin(0, Emergency, time.Hour)
-	least, most := time.Hour, time.Duration(0)
+	shortest, longest := time.Hour, time.Duration(0)
 	for n := range 100 {
 		w := m.Wait(0, float64(n)/100)
-		least, most = min(least, w), max(most, w)
+		shortest, longest = min(shortest, w), max(longest, w)
 	}
-	if least > 12*time.Second || most < 2*least || most > time.Minute {
-		t.Errorf("waits from %v to %v, want at most 12s for the shortest, twice that or more and at most 1m for the longest", least, most)
+	if shortest > 12*time.Second || longest < 2*shortest || longest > time.Minute {
+		t.Errorf("waits from %v to %v, want at most 12s for the shortest, twice that or more and at most 1m for the longest", shortest, longest)
 	}
 	if w := m.Wait(2, 0.5); w != 0 {
 		t.Errorf("wait %v for a class that is not shed, want 0", w)
--- a/internal/spool/file.go
+++ b/internal/spool/file.go
@@ -154,9 +154,9 @@
 	return nil
 }
 
-// ReadAt reads the piece that starts at offset at into p, which must have room for the
-// longest piece, and returns its text. Next returns the offset of the following piece. It blocks for at most
-// Config.Wait, and returns ErrSpoilt if the piece is not what was written.
+// ReadAt reads the piece that starts at offset at into p, which must have room for the longest
+// piece, and returns its text. Next returns the offset of the following piece. It blocks for at
+// most Config.Wait, and returns ErrSpoilt if the piece is not what was written.
 func (f *File) ReadAt(p []byte, piece int, at int64) ([]byte, error) {
 	f.mu.Lock()
 	if f.isClosed || piece >= len(f.sizes) {
