--- a/internal/agreed/explore_test.go
+++ b/internal/agreed/explore_test.go
@@ -175,7 +175,7 @@
 		} else {
 			put(int(m.response.Seq), int(m.response.Index), map[bool]int{true: 1}[m.response.LeaseGranted])
 			doc(m.response.InForce)
-			doc(m.response.Next)
+			doc(m.response.Pending)
 		}
 	}
 	return h.Sum64()
@@ -220,7 +220,7 @@
 		a.LeaseGranted = true
 	}
 	force := w.state.InForce
-	a.InForce, a.Next = &force, w.state.Pending
+	a.InForce, a.Pending = &force, w.state.Pending
 	return message{sidecar: m.sidecar, incarnation: m.incarnation, response: a}
 }
 
@@ -276,7 +276,7 @@
 		if m.request != nil && f == deposedLeaderGrants && w.deposedState != nil {
 			add(func(x *modelState) {
 				force := x.deposedState.InForce
-				x.messages[i] = message{sidecar: m.sidecar, incarnation: m.incarnation, response: &Response{Seq: m.request.Seq, Index: x.index, LeaseGranted: true, InForce: &force, Next: x.deposedState.Pending}}
+				x.messages[i] = message{sidecar: m.sidecar, incarnation: m.incarnation, response: &Response{Seq: m.request.Seq, Index: x.index, LeaseGranted: true, InForce: &force, Pending: x.deposedState.Pending}}
 			})
 		}
 	}
--- a/internal/agreed/participant.go
+++ b/internal/agreed/participant.go
@@ -27,7 +27,7 @@
 	Index        uint64 `json:"index"` // the log index that the content reflects
 	LeaseGranted bool   `json:"lease"` // the lease was granted, counted from when the request was sent
 	InForce      *Doc   `json:"force,omitempty"`
-	Next         *Doc   `json:"next,omitempty"`
+	Pending      *Doc   `json:"next,omitempty"`
 	// InForceOmitted means that the version in force is the active version of the request, and is
 	// omitted.
 	InForceOmitted bool `json:"held,omitempty"`
@@ -120,15 +120,15 @@
 		}
 	}
 	switch {
-	case response.Next == nil || response.Next.Version <= p.active.Version:
+	case response.Pending == nil || response.Pending.Version <= p.active.Version:
 		actions.DiscardPrepared = p.prepared != nil
 		p.prepared, p.rejectedVersion, p.rejectReason = nil, 0, ""
-	case p.prepared != nil && p.prepared.Version != response.Next.Version:
+	case p.prepared != nil && p.prepared.Version != response.Pending.Version:
 		actions.DiscardPrepared = true
 		p.prepared, p.rejectedVersion, p.rejectReason = nil, 0, ""
-		actions.Prepare = response.Next
-	case p.prepared == nil && p.rejectedVersion != response.Next.Version:
-		actions.Prepare = response.Next
+		actions.Prepare = response.Pending
+	case p.prepared == nil && p.rejectedVersion != response.Pending.Version:
+		actions.Prepare = response.Pending
 	}
 	return actions
 }
--- a/internal/council/member.go
+++ b/internal/council/member.go
@@ -508,7 +508,7 @@
 		s, changed := &m.content.State, m.changed
 		isUpToDate := s.InForce.Version == r.ActiveVersion && (s.Pending == nil || s.Pending.Version == r.PreparedVersion || s.Pending.Version == r.RejectedVersion) && (s.Pending != nil || r.PreparedVersion <= s.InForce.Version)
 		inForce := s.InForce
-		response.Seq, response.Index, response.Next, response.InForceOmitted = r.Seq, m.statusIndex, s.Pending, inForce.Version == r.ActiveVersion
+		response.Seq, response.Index, response.Pending, response.InForceOmitted = r.Seq, m.statusIndex, s.Pending, inForce.Version == r.ActiveVersion
 		m.mu.Unlock()
 		if response.InForce = nil; !response.InForceOmitted {
 			response.InForce = &inForce
