--- a/internal/upstream/answer.go
+++ b/internal/upstream/answer.go
@@ -17,38 +17,39 @@
 	"chalkrack/internal/message"
 )
 
-// read is a connection's reader: answers while an attempt owns it, its end while it idles.
+// read is the connection's reader loop. It reads answers while an attempt owns the connection
+// and detects the connection's end while it is idle.
 func (c *conn) read(p *Pool) {
 	defer p.discard(c)
 	for {
-		c.in.left = maxHeadBytes
-		// Nothing is read before it is clear whose it is: an attempt that takes the
-		// connection just now must find there what nobody asked for.
-		err := c.raw.Read(func(fd uintptr) bool { return !silent(fd) })
+		c.limited.remaining = maxHeadBytes
+		// Waits for input without consuming any before the owner is known: an attempt that
+		// acquires the connection at this moment must still see unsolicited bytes.
+		err := c.raw.Read(func(fd uintptr) bool { return !nothingToRead(fd) })
 		p.mu.Lock()
 		a := c.owner
-		if a == nil { // ended while idle, or something came that nobody asked for
-			p.drop(c)
+		if a == nil { // closed while idle, or unsolicited bytes arrived
+			p.remove(c)
 		}
 		p.mu.Unlock()
 		if a == nil {
-			if c.speaks() {
-				p.heardUnasked(c.to.name)
+			if c.hasUnreadData() {
+				p.recordUnsolicited(c.server.name)
 			}
 			return
 		}
 		if err == nil {
-			_, err = c.br.Peek(1)
+			_, err = c.reader.Peek(1)
 		}
 		if err != nil || !a.hasBegun() {
-			a.broken()
+			a.handleBreak()
 			return
 		}
-		c.in.pausing = p.stall
+		c.limited.pauseTimeout = p.stallTimeout
 		if !a.receive(c) {
 			return
 		}
-		c.in.calm()
+		c.limited.clearDeadline()
 		if !p.release(c) {
 			return
 		}
@@ -61,169 +62,171 @@
 	return a.began
 }
 
-// broken takes a connection's end before any byte of an answer.
-func (a *Attempt) broken() {
+// handleBreak handles the end of a connection before any byte of an answer.
+func (a *Attempt) handleBreak() {
 	a.mu.Lock()
-	wrote, held, failed := a.wrote, a.held, a.sendFailed
+	written, heldBack, sendFailed := a.written, a.heldBack, a.sendFailed
 	a.readFailed = true
-	if !wrote {
+	if !written {
 		defer a.stopReading()
 	}
-	early := (a.began || held) && !a.ended && time.Since(a.sentAt) < a.pool.early
+	early := (a.began || heldBack) && !a.ended && time.Since(a.sentAt) < a.pool.earlyBreakWindow
 	a.mu.Unlock()
 	if early {
-		a.pool.broke(a.idle, a.uses)
+		a.pool.recordEarlyBreak(a.connIdle, a.connUses)
 	}
 	switch {
-	case wrote:
-		a.done(chalkrack.Reset)
-	case held, failed:
-		a.done(chalkrack.ConnectFailed)
+	case written:
+		a.finish(chalkrack.Reset)
+	case heldBack, sendFailed:
+		a.finish(chalkrack.ConnectFailed)
 	}
 }
 
 var (
-	errLongHead   = errors.New("upstream: head of the answer too long")
-	errLongAnswer = errors.New("upstream: answer too long")
+	errLongHead   = errors.New("upstream: answer head is too long")
+	errLongAnswer = errors.New("upstream: answer body is too long")
 )
 
-// An answer that has begun and pauses for longer has stopped. One that is not yet
-// passed on gets less where the configuration says so, but minStall at least: so
-// long a sidecar with a part of a core may itself have to wait.
+// An answer that has begun and pauses for longer than the stall timeout counts as stopped. The
+// configuration may lower the timeout for answers that are not yet passed on, but not below
+// minStallTimeout: a sidecar that has only part of a core may itself be paused for that long.
 const (
-	stallTimeout = 400 * time.Millisecond
-	minStall     = 60 * time.Millisecond
-	// One that is being passed on can't be made again: a server that is slow is waited
-	// for, one that hangs is told from it by this.
-	lullTimeout = 2 * time.Second
+	defaultStallTimeout = 400 * time.Millisecond
+	minStallTimeout     = 60 * time.Millisecond
+	// An answer that is being passed on cannot be repeated by another attempt, so the timeout is
+	// longer: it has to distinguish a slow server from a hung one.
+	defaultStreamStallTimeout = 2 * time.Second
 )
 
-type capped struct {
+type limitedConn struct {
 	net.Conn
-	left    int64
-	pausing time.Duration // how long a read may take; 0: any time
-	timed   bool          // the connection has a deadline
+	remaining    int64
+	pauseTimeout time.Duration // longest time that one read may take; 0 means no limit
+	hasDeadline  bool          // the connection has a read deadline
 }
 
-func (r *capped) calm() {
-	if r.pausing = 0; r.timed {
-		r.timed = false
+func (r *limitedConn) clearDeadline() {
+	if r.pauseTimeout = 0; r.hasDeadline {
+		r.hasDeadline = false
 		r.Conn.SetReadDeadline(time.Time{})
 	}
 }
 
-func (r *capped) Read(p []byte) (int, error) {
-	if r.left <= 0 {
+func (r *limitedConn) Read(p []byte) (int, error) {
+	if r.remaining <= 0 {
 		return 0, errLongHead
 	}
-	if r.pausing > 0 {
-		r.timed = true
-		r.Conn.SetReadDeadline(time.Now().Add(r.pausing))
+	if r.pauseTimeout > 0 {
+		r.hasDeadline = true
+		r.Conn.SetReadDeadline(time.Now().Add(r.pauseTimeout))
 	}
-	n, err := r.Conn.Read(p[:min(int64(len(p)), r.left)])
-	r.left -= int64(n)
+	n, err := r.Conn.Read(p[:min(int64(len(p)), r.remaining)])
+	r.remaining -= int64(n)
 	return n, err
 }
 
-// receive reads one answer and reports it; true if the connection can go on.
-func (a *Attempt) receive(c *conn) (goesOn bool) {
+// receive reads one answer and reports it. It returns true if the connection can be reused.
+func (a *Attempt) receive(c *conn) (reusable bool) {
 	defer func() {
 		if p := recover(); p != nil {
-			slog.Error("panic in an answer", "panic", p, "stack", string(debug.Stack()))
-			a.done(chalkrack.Reset)
-			goesOn = false
+			slog.Error("panic while receiving an answer", "panic", p, "stack", string(debug.Stack()))
+			a.finish(chalkrack.Reset)
+			reusable = false
 		}
 	}()
 	a.mu.Lock()
 	a.answering = true
-	early := a.Request.Source != nil && !a.lastOut
+	beforeLastByte := a.Request.Source != nil && !a.lastByteSent
 	a.mu.Unlock()
-	if early { // the answer holds, and the rest is not sent
+	if beforeLastByte { // the answer is final, and the rest of the request is not sent
 		defer a.stopReading()
 	}
 	resp, err := c.readHead(a.Request.Method)
 	if err != nil {
-		slog.Warn("bad answer", "server", a.Server, "err", err)
-		a.done(chalkrack.Reset)
+		slog.Warn("invalid answer from server", "server", a.Server, "err", err)
+		a.finish(chalkrack.Reset)
 		return false
 	}
-	rep := ParseLoad(resp.Header.Get("Srv-Load"))
-	ans := &message.Answer{Status: resp.StatusCode, Header: resp.Header, Length: resp.ContentLength}
-	// Of a long one too some comes first: guards against taking the client's only answer
-	// for a head that nothing follows.
+	report := ParseLoad(resp.Header.Get("Srv-Load"))
+	answer := &message.Answer{Status: resp.StatusCode, Header: resp.Header, Length: resp.ContentLength}
+	// The first part of a long answer is also read before the answer is passed on: otherwise the
+	// client could get a head without a body as its only answer.
 	var long bool
-	if ans.Body, long, err = readBuffered(resp.Body, ans.Length); err != nil {
-		a.done(chalkrack.Reset)
+	if answer.Body, long, err = readBuffered(resp.Body, answer.Length); err != nil {
+		a.finish(chalkrack.Reset)
 		return false
 	}
-	good := resp.StatusCode == http.StatusOK || (a.pool.cfg.PassClientErrors || a.Pass || early) && clientError(resp.StatusCode)
+	good := resp.StatusCode == http.StatusOK || (a.pool.cfg.PassClientErrors || a.PassClientErrors || beforeLastByte) && clientError(resp.StatusCode)
 	if long && good {
-		return a.stream(c, resp, ans, rep)
+		return a.stream(c, resp, answer, report)
 	}
-	// The next request must find nothing of this answer on the connection.
-	goesOn = !long && !resp.Close && c.br.Buffered() == 0 && a.isWritten()
-	if c.br.Buffered() > 0 && !long {
-		a.pool.heardUnasked(a.Server)
+	// The connection is reused only if nothing of this answer is left on it.
+	reusable = !long && !resp.Close && c.reader.Buffered() == 0 && a.isWritten()
+	if c.reader.Buffered() > 0 && !long {
+		a.pool.recordUnsolicited(a.Server)
 	}
 	if good {
-		a.Sink.Done(chalkrack.OK, ans, rep)
-		return goesOn
+		a.Sink.Done(chalkrack.OK, answer, report)
+		return reusable
 	}
-	o := chalkrack.ServerError
-	if s := resp.StatusCode; (s == http.StatusServiceUnavailable || s == http.StatusGatewayTimeout) && (early || resp.Header.Get("Srv-Declined") == "1") {
-		o = chalkrack.Full // before its last byte no server begins a request
+	outcome := chalkrack.ServerError
+	if s := resp.StatusCode; (s == http.StatusServiceUnavailable || s == http.StatusGatewayTimeout) && (beforeLastByte || resp.Header.Get("Srv-Declined") == "1") {
+		outcome = chalkrack.Full // no server begins a request before its last byte
 	}
-	a.Sink.Done(o, ans, rep)
-	return goesOn
+	a.Sink.Done(outcome, answer, report)
+	return reusable
 }
 
-// clientError says that a status blames the request: another server would say the
-// same, so it is an answer and no failed attempt. 408 and 429 speak of the server.
+// clientError reports whether a status blames the request. Another server would answer the same,
+// so this is an answer and not a failed attempt. 408 and 429 describe the state of the server
+// and are excluded.
 func clientError(status int) bool {
 	return status/100 == 4 && status != http.StatusRequestTimeout && status != http.StatusTooManyRequests
 }
 
 func (a *Attempt) isWritten() bool {
 	if a.Request.Source != nil {
-		a.waitOut()
+		a.waitForWriter()
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.wrote && !a.ended
+	return a.written && !a.ended
 }
 
-// readHead reads an answer's head, past interim ones. Behind these the server may
-// work for as long as before its first byte: the limit on pauses waits for the next.
+// readHead reads the head of the final answer and skips interim ones. After an interim answer
+// the server may work for as long as before its first byte, so the stall timeout is suspended
+// until the next byte.
 func (c *conn) readHead(method string) (*http.Response, error) {
-	stall := c.in.pausing
-	for ; ; c.in.pausing = stall {
-		resp, err := http.ReadResponse(c.br, &http.Request{Method: method})
+	stall := c.limited.pauseTimeout
+	for ; ; c.limited.pauseTimeout = stall {
+		resp, err := http.ReadResponse(c.reader, &http.Request{Method: method})
 		switch {
 		case err != nil:
 			return nil, err
 		case resp.StatusCode == http.StatusSwitchingProtocols:
-			return nil, errors.New("upstream: protocol switched")
+			return nil, errors.New("upstream: server switched protocols")
 		case resp.ContentLength > maxAnswerBytes:
-			return nil, errLongAnswer // spoilt; begun, it could not be made for a second time
+			return nil, errLongAnswer // refused here because an answer that has begun cannot be repeated
 		case resp.StatusCode >= 200:
-			// Also for one that tells no length and never ends. Small chunks need as much
-			// again for what they say of themselves.
-			c.in.left = 2*maxAnswerBytes + maxHeadBytes
+			// The limit also covers answers without a length that never end. It is doubled
+			// because the framing of small chunks takes as many bytes as their content.
+			c.limited.remaining = 2*maxAnswerBytes + maxHeadBytes
 			return resp, nil
 		}
-		c.in.calm()
-		if _, err := c.br.Peek(1); err != nil {
+		c.limited.clearDeadline()
+		if _, err := c.reader.Peek(1); err != nil {
 			return nil, err
 		}
 	}
 }
 
-const trickle = 25 * time.Millisecond
+const slowBodyDelay = 25 * time.Millisecond
 
-// readBuffered reads what comes of a body before it is passed on: the whole of one that is
-// told to be short, of others MaxBuffered, or what has come when bytes still come after
-// trickle; more says that it goes on. One that has stopped does not: another attempt can
-// still be made for it.
+// readBuffered reads the part of a body that is buffered before the answer is passed on: a body
+// of known length up to MaxBuffered completely, others up to MaxBuffered, or what has arrived if
+// bytes still arrive after slowBodyDelay. more reports that the body goes on. A body that stops
+// is an error, so that another attempt can still be made.
 func readBuffered(body io.Reader, length int64) (b []byte, more bool, err error) {
 	if length >= 0 && length <= MaxBuffered {
 		b = make([]byte, length)
@@ -241,50 +244,51 @@
 		switch {
 		case err != nil && err != io.EOF:
 			return nil, false, err
-		case len(b) > MaxBuffered: // its end, if that has come, comes once more
+		case len(b) > MaxBuffered: // an EOF read together with these bytes is returned again by the next read
 			return b, true, nil
 		case err == io.EOF:
 			return b, false, nil
-		case n > 0 && time.Since(began) > trickle: // it comes slowly: what is there goes on
+		case n > 0 && time.Since(began) > slowBodyDelay: // a slow body: pass on what has arrived
 			return b, true, nil
 		}
 	}
 }
 
-// stream passes a long answer on as it comes.
-func (a *Attempt) stream(c *conn, resp *http.Response, ans *message.Answer, rep chalkrack.Report) bool {
-	w := a.Sink.Stream(ans, rep)
-	if w == nil { // the request is over: reading the rest on would only cost
-		a.Sink.Done(chalkrack.OK, nil, rep)
+// stream passes a long answer on while it arrives. It returns true if the connection can be
+// reused.
+func (a *Attempt) stream(c *conn, resp *http.Response, answer *message.Answer, report chalkrack.Report) bool {
+	w := a.Sink.Stream(answer, report)
+	if w == nil { // the request is over; the rest of the answer is not needed
+		a.Sink.Done(chalkrack.OK, nil, report)
 		return false
 	}
-	if _, err := w.Write(ans.Body); err != nil {
-		a.done(chalkrack.Cancelled) // the client has left
+	if _, err := w.Write(answer.Body); err != nil {
+		a.finish(chalkrack.Cancelled) // the client has disconnected
 		return false
 	}
-	c.in.pausing = a.pool.lull // no other attempt can be made any more
+	c.limited.pauseTimeout = a.pool.streamStallTimeout // no other attempt is possible after this point
 	buf := streamBuffers.Get().(*[]byte)
 	defer streamBuffers.Put(buf)
-	for total := len(ans.Body); ; {
+	for total := len(answer.Body); ; {
 		n, err := resp.Body.Read(*buf)
 		if total += n; total > maxAnswerBytes {
-			a.done(chalkrack.Reset)
+			a.finish(chalkrack.Reset)
 			return false
 		}
 		if n > 0 {
 			if _, werr := w.Write((*buf)[:n]); werr != nil {
-				a.done(chalkrack.Cancelled)
+				a.finish(chalkrack.Cancelled)
 				return false
 			}
 		}
 		switch err {
 		case nil:
 		case io.EOF:
-			goesOn := !resp.Close && c.br.Buffered() == 0 && a.isWritten()
-			a.Sink.Done(chalkrack.OK, nil, rep)
-			return goesOn
+			reusable := !resp.Close && c.reader.Buffered() == 0 && a.isWritten()
+			a.Sink.Done(chalkrack.OK, nil, report)
+			return reusable
 		default:
-			a.done(chalkrack.Reset)
+			a.finish(chalkrack.Reset)
 			return false
 		}
 	}
@@ -292,26 +296,26 @@
 
 var streamBuffers = sync.Pool{New: func() any { b := make([]byte, 16<<10); return &b }}
 
-// maxLoad is beyond any load that a server can have.
-const maxLoad = 1e6
+// maxLoadValue is larger than any load that a server can have.
+const maxLoadValue = 1e6
 
-// ParseLoad reads a load report: name=value, with commas between. What makes no
-// sense is passed over.
-func ParseLoad(text string) (rep chalkrack.Report) {
+// ParseLoad parses a load report, a list of name=value fields separated by commas. Unknown and
+// invalid fields are ignored.
+func ParseLoad(text string) (report chalkrack.Report) {
 	for text != "" {
 		var field string
 		field, text, _ = strings.Cut(text, ",")
 		name, value, _ := strings.Cut(strings.TrimSpace(field), "=")
 		v, err := strconv.ParseFloat(value, 64)
-		if err != nil || !(v >= 0 && v <= maxLoad) {
-			continue // "NaN" parses too, and no server compares as less loaded than that
+		if err != nil || !(v >= 0 && v <= maxLoadValue) {
+			continue // this also excludes "NaN", which ParseFloat accepts: no server compares as less loaded than one with NaN
 		}
 		switch name {
 		case "inflight", "busy_reqs":
-			rep.InFlight, rep.HasInFlight = v, true
+			report.InFlight, report.HasInFlight = v, true
 		case "util", "cpu_share":
-			rep.Util, rep.HasUtil = v, true
+			report.Util, report.HasUtil = v, true
 		}
 	}
-	return rep
+	return report
 }
--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -17,84 +17,84 @@
 )
 
 const (
-	// MaxBuffered is the longest answer that is read whole before it is passed on:
-	// if its server breaks first, another attempt can still be made.
+	// MaxBuffered is the size in bytes of the longest answer that is read completely before it
+	// is passed on. If the server breaks off such an answer, another attempt can still be made.
 	MaxBuffered  = 64 << 10
 	maxHeadBytes = 64 << 10 // of a server's answer
-	// maxAnswerBytes is the longest answer that is meant.
+	// maxAnswerBytes is the longest body that is accepted from a server.
 	maxAnswerBytes = 32 << 20
-	// smallSend is what a connection's empty buffer surely takes at once. More
-	// is written by a goroutine of its own.
-	smallSend = 8 << 10
+	// maxInlineSendBytes fits the empty send buffer of any connection, so that writing it does
+	// not block. Longer requests are written by a separate goroutine.
+	maxInlineSendBytes = 8 << 10
 )
 
-// Attempt is one send of a request to one server.
+// Attempt sends a request to one server, once.
 type Attempt struct {
-	Request  *message.Request
-	Server   string
-	N        int       // which attempt of its call, from 0
-	Deadline time.Time // when the sidecar stops waiting
-	NotAfter time.Time // when it is too late to begin; zero: never
-	Once     bool      // must not run twice
-	Pass     bool      // a 4xx is the answer
-	Sink     core.Sink
-
-	pool *Pool
-	to   *server
-
-	mu         sync.Mutex
-	conn       *conn
-	held       bool // all but the last byte is written, to see whether the connection breaks
-	ended      bool // abandoned, or its connection is of no more use
-	began      bool // the first byte may have been written
-	wrote      bool
-	readFailed bool            // the connection broke before that was known
-	out        chan struct{}   // closed when the writer of a Source is done
-	sendFailed bool            // the request can't be written any more; its reader tells how it ends
-	reading    message.Reading // of the request's Source, while it is sent
-	lastOut    bool            // the last byte of a Source may have been written
-	lastHeld   bool            // the last byte of a long body is not written
+	Request          *message.Request
+	Server           string
+	Index            int       // number of the attempt within its call, from 0
+	Deadline         time.Time // when the sidecar stops waiting for the answer
+	NotAfter         time.Time // the request must not begin after this time; zero means no limit
+	AtMostOnce       bool      // the request must not run twice
+	PassClientErrors bool      // a 4xx answer (other than 408 and 429) is no failure
+	Sink             core.Sink
+
+	pool   *Pool
+	target *server
+
+	mu              sync.Mutex
+	conn            *conn
+	heldBack        bool // all bytes but the last are written; the last waits to see whether the connection breaks
+	ended           bool // abandoned, or its connection is unusable
+	began           bool // the first byte may have been written
+	written         bool
+	readFailed      bool            // the connection broke before the write was complete
+	writerDone      chan struct{}   // closed when the goroutine that writes a Source has finished
+	sendFailed      bool            // the request can no longer be written; the reader reports the outcome
+	reading         message.Reading // open reader of the request's Source while it is sent
+	lastByteSent    bool            // the last byte of a Source may have been written
+	lastBytePending bool            // the last byte of a long body is not yet written
 
 	sentAt time.Time
 
-	// What the connection had behind it.
-	idle time.Duration
-	uses int
+	// Use of the connection before this attempt.
+	connIdle time.Duration
+	connUses int
 
-	answering bool // an answer has begun; for the log
+	answering bool // an answer has begun; only for Phase
 }
 
-// Attempt implements core.Transport. The payload is a *message.Request.
+// Attempt implements core.Transport. The payload must be a *message.Request.
 func (p *Pool) Attempt(o core.Order) core.Attempt {
 	r := o.Payload.(*message.Request)
 	if o.N > 0 && r.Again != nil {
 		r.Again()
 	}
 	return &Attempt{
-		Request:  r,
-		Server:   o.Server,
-		N:        o.N,
-		Deadline: o.Deadline,
-		NotAfter: o.NotAfter,
-		Once:     o.Once,
-		Pass:     o.Pass,
-		Sink:     o.Sink,
-		pool:     p,
+		Request:          r,
+		Server:           o.Server,
+		Index:            o.N,
+		Deadline:         o.Deadline,
+		NotAfter:         o.NotAfter,
+		AtMostOnce:       o.Once,
+		PassClientErrors: o.Pass,
+		Sink:             o.Sink,
+		pool:             p,
 	}
 }
 
 // Start implements core.Attempt.
 func (a *Attempt) Start() { a.pool.Start(a) }
 
-// Start makes the attempt. It does not wait for the server.
+// Start starts the attempt and does not wait for the server.
 func (p *Pool) Start(a *Attempt) {
 	a.pool = p
-	c, addr, err := p.take(a)
+	c, addr, err := p.acquire(a)
 	switch {
-	case errors.Is(err, errNoPlace):
-		a.done(chalkrack.NotSent)
+	case errors.Is(err, errPoolFull):
+		a.finish(chalkrack.NotSent)
 	case err != nil:
-		a.done(chalkrack.ConnectFailed)
+		a.finish(chalkrack.ConnectFailed)
 	case c != nil:
 		a.send(c)
 	default:
@@ -102,28 +102,29 @@
 	}
 }
 
-// Abandon stops an attempt and says whether it may have begun. Close closes its
-// connection afterwards, which is how a server learns of it.
+// Abandon stops an attempt and reports whether the server may have begun it. Close must be
+// called afterwards: closing the connection tells the server that the attempt is over.
 func (a *Attempt) Abandon() (began bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.ended = true
-	return a.began && (a.Request.Source == nil || a.lastOut)
+	return a.began && (a.Request.Source == nil || a.lastByteSent)
 }
 
-// Forgo implements core.Attempt. A server begins with the last byte: until that is written
-// nothing has begun.
+// Forgo implements core.Attempt. It stops the attempt unless the server may have begun it. A
+// server begins a request when it has the last byte, so an attempt whose last byte is unwritten
+// has not begun.
 func (a *Attempt) Forgo() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.began && a.Request.Source == nil && !a.lastHeld || a.lastOut {
+	if a.began && a.Request.Source == nil && !a.lastBytePending || a.lastByteSent {
 		return false
 	}
 	a.ended = true
 	return true
 }
 
-// Phase tells for the log how far an attempt came.
+// Phase describes the progress of an attempt for the log.
 func (a *Attempt) Phase() string {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -131,15 +132,15 @@
 	switch {
 	case a.conn == nil:
 		return "connecting"
-	case !a.wrote:
+	case !a.written:
 		phase = "writing"
 	case a.answering:
 		phase = "reading"
 	}
-	if a.uses == 0 {
+	if a.connUses == 0 {
 		return phase + " on a new connection"
 	}
-	return fmt.Sprintf("%s on a connection idle for %v after %d requests", phase, a.idle.Round(time.Millisecond), a.uses)
+	return fmt.Sprintf("%s on a connection idle for %v after %d requests", phase, a.connIdle.Round(time.Millisecond), a.connUses)
 }
 
 // Close closes the connection of an abandoned attempt.
@@ -152,36 +153,37 @@
 		return
 	}
 	a.pool.mu.Lock()
-	mine := c.owner == a // else it has gone on to another attempt
-	if mine {
-		a.pool.drop(c)
+	isOwner := c.owner == a // otherwise another attempt has acquired it
+	if isOwner {
+		a.pool.remove(c)
 	}
 	a.pool.mu.Unlock()
-	if mine {
+	if isOwner {
 		c.Close()
 	}
 }
 
-func (a *Attempt) done(o chalkrack.Outcome) { a.Sink.Done(o, nil, chalkrack.Report{}) }
+func (a *Attempt) finish(outcome chalkrack.Outcome) { a.Sink.Done(outcome, nil, chalkrack.Report{}) }
 
-// guard keeps a panic to the attempt that it came from.
-func (a *Attempt) guard() {
-	if p := recover(); p != nil {
-		slog.Error("panic in an attempt", "panic", p, "stack", string(debug.Stack()))
-		a.done(chalkrack.Reset)
+// recoverPanic contains a panic in the attempt's own goroutine and ends the attempt.
+func (a *Attempt) recoverPanic() {
+	if cause := recover(); cause != nil {
+		slog.Error("panic while sending an attempt", "panic", cause, "stack", string(debug.Stack()))
+		a.finish(chalkrack.Reset)
 	}
 }
 
-// dial opens a connection, sends on it and stays as its reader.
+// dial opens a connection, starts sending on it and runs the connection's reader until it
+// closes.
 func (a *Attempt) dial(addr string) {
 	c, err := a.connect(addr)
 	switch {
 	case errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE):
-		slog.Warn("no descriptor left for a connection to a server", "err", err)
-		a.done(chalkrack.NotSent)
+		slog.Warn("cannot connect to server: no file descriptor left", "err", err)
+		a.finish(chalkrack.NotSent)
 		return
 	case err != nil:
-		a.done(chalkrack.ConnectFailed)
+		a.finish(chalkrack.ConnectFailed)
 		return
 	}
 	go a.sendGuarded(c)
@@ -192,37 +194,37 @@
 	d := net.Dialer{Timeout: a.pool.Times().DialTimeout, KeepAlive: -1}
 	nc, err := d.Dial("tcp", addr)
 	if err != nil {
-		a.pool.unbook()
+		a.pool.releaseReservation()
 		return nil, err
 	}
 	raw, err := nc.(*net.TCPConn).SyscallConn()
 	if err != nil {
 		nc.Close()
-		a.pool.unbook()
+		a.pool.releaseReservation()
 		return nil, err
 	}
-	c := &conn{Conn: nc, raw: raw, to: a.to, addr: addr, owner: a, in: capped{Conn: nc}}
-	c.br = bufio.NewReaderSize(&c.in, 4<<10)
-	c.look = func(fd uintptr) { c.still = silent(fd) }
+	c := &conn{Conn: nc, raw: raw, server: a.target, addr: addr, owner: a, limited: limitedConn{Conn: nc}}
+	c.reader = bufio.NewReaderSize(&c.limited, 4<<10)
+	c.checkQuiet = func(fd uintptr) { c.quiet = nothingToRead(fd) }
 	return c, nil
 }
 
 var buffers = sync.Pool{New: func() any { b := make([]byte, 0, 4<<10); return &b }}
 
-func (a *Attempt) sent(whole bool) (readFailed bool) {
-	if a.wrote = whole; whole && a.pool.cfg.Forwarded != nil {
+func (a *Attempt) recordWritten(complete bool) (readFailed bool) {
+	if a.written = complete; complete && a.pool.cfg.Forwarded != nil {
 		a.pool.cfg.Forwarded()
 	}
 	return a.readFailed
 }
 
-func (a *Attempt) afterSend(c *conn, whole, readFailed bool, err error) {
+func (a *Attempt) reportSendResult(c *conn, complete, readFailed bool, err error) {
 	switch {
-	case !whole:
+	case !complete:
 		slog.Debug("request not written", "server", a.Server, "err", err)
 		a.pool.discard(c)
-		a.done(chalkrack.ConnectFailed)
+		a.finish(chalkrack.ConnectFailed)
 	case readFailed:
-		a.done(chalkrack.Reset)
+		a.finish(chalkrack.Reset)
 	}
 }
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -1,6 +1,6 @@
-// Package upstream is the sidecar's side towards the servers: the connections
-// it keeps to them and single attempts on these, with their outcomes. It sends
-// nothing twice and chooses no server.
+// Package upstream manages the sidecar's connections to servers. A Pool keeps the connections,
+// and an Attempt sends one request once over one of them and reports the outcome. The package
+// neither retries requests nor selects servers.
 package upstream
 
 import (
@@ -14,152 +14,156 @@
 	"time"
 )
 
-// Config is what a Pool is told.
+// Config configures a Pool.
 type Config struct {
 	ConnIdle    time.Duration
 	DialTimeout time.Duration
 	DrainGrace  time.Duration
-	MaxConns    int           // connections at once, those being dialled included
-	Stall       time.Duration // what an answer may pause before it is passed on; 0: stallTimeout
-	Lull        time.Duration // what one may pause that is being passed on; 0: lullTimeout
-	// PassClientErrors takes an answer of 4xx (but for 408 and 429) as the server's
-	// answer to the request, not as a failed attempt.
+	MaxConns    int           // maximum number of connections, including those being dialled
+	Stall       time.Duration // longest pause in an answer before it is passed on; 0 means defaultStallTimeout
+	Lull        time.Duration // longest pause in an answer being passed on; 0 means defaultStreamStallTimeout
+	// PassClientErrors treats a 4xx answer (other than 408 and 429) as the server's answer to
+	// the request and not as a failed attempt.
 	PassClientErrors bool
-	// Forwarded is told of each attempt whose last byte was written; nil: nobody is.
+	// Forwarded is called for each attempt after its last byte is written; it may be nil.
 	Forwarded func()
 }
 
-// Pool keeps the connections to all servers.
+// Pool keeps the connections to all servers. Its methods may be called concurrently.
 type Pool struct {
 	cfg     Config
 	mu      sync.Mutex
 	servers map[string]*server
 	conns   int
 
-	idleTimeout time.Duration
-	learned     time.Time     // when idleTimeout last changed
-	lasted      time.Duration // the longest idling that a connection came through lately
-	lastedAt    time.Time
-	brokeAt     time.Time     // when a connection last broke under a request just sent
-	unasked     time.Time     // when bytes that nobody asked for last came
-	early       time.Duration // earlyBreak; tests have more patience, as with stall and hold
-	stall       time.Duration
-	lull        time.Duration // lullTimeout; what an answer may pause that is being passed on
-	hold        time.Duration // commitAfter
-	send        time.Duration // sendTimeout
+	idleTimeout          time.Duration
+	idleTimeoutChangedAt time.Time
+	longestSurvivedIdle  time.Duration // longest idle time that a connection recently survived
+	longestSurvivedAt    time.Time
+	lastBreakAt          time.Time     // when a connection last broke right after a request was sent
+	unsolicitedAt        time.Time     // when a server last sent unsolicited bytes
+	earlyBreakWindow     time.Duration // tests change this and the times below
+	stallTimeout         time.Duration
+	streamStallTimeout   time.Duration // longest pause in an answer being passed on
+	holdBackDelay        time.Duration
+	sendTimeout          time.Duration
 }
 
 const (
-	// A used connection that breaks so soon after a request was probably closed
-	// by its server before: the two crossed.
-	earlyBreak = 20 * time.Millisecond
-	// minIdle is what idleTimeout never falls below: connections in steady use are kept.
-	minIdle = 50 * time.Millisecond
-	// After a connection broke under a request just sent, others are mistrusted for so long.
-	brittleFor = 5 * time.Second
-	// After so long without an early break idleTimeout doubles.
-	idleRelearn = 30 * time.Second
-	// After bytes that nobody asked for connections rest for minRest between two requests,
-	// for unaskedFor: a second answer comes some milliseconds late, and on a connection that
-	// has gone on it would be taken for the answer to the next request.
-	minRest    = 25 * time.Millisecond
-	unaskedFor = 30 * time.Second
+	// A reused connection that breaks this soon after a request was probably closed by the
+	// server before the request arrived.
+	defaultEarlyBreakWindow = 20 * time.Millisecond
+	// minIdleTimeout is the lower bound of the learned idle timeout, so that connections in
+	// steady use are kept.
+	minIdleTimeout = 50 * time.Millisecond
+	// After a connection breaks right after a request was sent, other connections are considered
+	// unreliable for breakMemoryPeriod.
+	breakMemoryPeriod = 5 * time.Second
+	// The learned idle timeout doubles after idleRelearnInterval without an early break.
+	idleRelearnInterval = 30 * time.Second
+	// For reuseDelayPeriod after a server sent unsolicited bytes, a connection must be idle for
+	// minReuseDelay before it is reused: a duplicate answer arrives some milliseconds late, and
+	// on a connection already reused it would be taken for the answer to the next request.
+	minReuseDelay    = 25 * time.Millisecond
+	reuseDelayPeriod = 30 * time.Second
 )
 
-// server is where a server is, and the idle connections to it, oldest first.
+// server holds a server's address and the idle connections to it, oldest first.
 type server struct {
 	name, addr string
 	started    time.Duration
-	left       time.Time
+	leftAt     time.Time
 	idle       []*conn
 }
 
 type conn struct {
 	net.Conn
-	raw   syscall.RawConn
-	in    capped
-	br    *bufio.Reader
-	to    *server
-	addr  string
-	used  time.Time // when it went idle last
-	uses  int
-	look  func(fd uintptr) // sets still; made once, for it is called twice a request
-	still bool             // of whoever takes the connection, and its owner then
-	owner *Attempt         // nil while idle; guarded by the pool's lock
-	dead  bool             // taken out of the pool; guarded by the pool's lock
-}
-
-// New returns an empty Pool.
+	raw        syscall.RawConn
+	limited    limitedConn
+	reader     *bufio.Reader
+	server     *server
+	addr       string
+	idleSince  time.Time // when it last became idle
+	uses       int
+	checkQuiet func(fd uintptr) // sets quiet; allocated once because it runs twice per request
+	quiet      bool             // belongs to the goroutine that acquires the connection, then to the owner
+	owner      *Attempt         // nil while idle; guarded by the pool's lock
+	removed    bool             // removed from the pool; guarded by the pool's lock
+}
+
+// New returns a Pool without servers or connections.
 func New(cfg Config) *Pool {
-	p := &Pool{cfg: cfg, servers: make(map[string]*server), early: earlyBreak, stall: stallTimeout, lull: lullTimeout, hold: commitAfter, send: sendTimeout}
-	p.idleTimeout = p.idleCap()
+	p := &Pool{cfg: cfg, servers: make(map[string]*server), earlyBreakWindow: defaultEarlyBreakWindow, stallTimeout: defaultStallTimeout, streamStallTimeout: defaultStreamStallTimeout, holdBackDelay: defaultHoldBackDelay, sendTimeout: defaultSendTimeout}
+	p.idleTimeout = p.maxIdleTimeout()
 	if cfg.Lull > 0 {
-		p.lull = cfg.Lull
+		p.streamStallTimeout = cfg.Lull
 	}
 	if cfg.Stall > 0 {
-		p.stall = max(minStall, min(cfg.Stall, stallTimeout))
+		p.stallTimeout = max(minStallTimeout, min(cfg.Stall, defaultStallTimeout))
 	}
 	return p
 }
 
-// idleCap is how long a connection is kept idle at most, well under the time after
-// which servers say that they close it.
-func (p *Pool) idleCap() time.Duration { return p.cfg.ConnIdle * 6 / 10 }
+// maxIdleTimeout returns the longest time that a connection is kept idle. It is well below the
+// idle timeout that servers announce.
+func (p *Pool) maxIdleTimeout() time.Duration { return p.cfg.ConnIdle * 6 / 10 }
 
-// Times are what a change of the configuration may change of a Pool's Config.
+// Times holds the fields of a Pool's Config that can change at run time.
 type Times struct{ ConnIdle, DialTimeout, DrainGrace time.Duration }
 
-// Adopt goes on with other times. What idles for too long by them goes with the next
-// Sweep or the next use.
-func (p *Pool) Adopt(t Times) {
+// Adopt replaces the pool's times. Connections that have been idle for too long under the new
+// times are closed by the next Sweep or when they are next considered for use.
+func (p *Pool) Adopt(times Times) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.cfg.ConnIdle, p.cfg.DialTimeout, p.cfg.DrainGrace = t.ConnIdle, t.DialTimeout, t.DrainGrace
-	p.idleTimeout = min(p.idleTimeout, p.idleCap())
+	p.cfg.ConnIdle, p.cfg.DialTimeout, p.cfg.DrainGrace = times.ConnIdle, times.DialTimeout, times.DrainGrace
+	p.idleTimeout = min(p.idleTimeout, p.maxIdleTimeout())
 }
 
-// Times are those that the Pool goes by now.
+// Times returns the times currently in use.
 func (p *Pool) Times() Times {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return Times{p.cfg.ConnIdle, p.cfg.DialTimeout, p.cfg.DrainGrace}
 }
 
-// broke takes a connection that broke as soon as a request was written.
-func (p *Pool) broke(idle time.Duration, uses int) {
+// recordEarlyBreak records that a connection broke as soon as a request was written to it. idle
+// and uses are the connection's idle time and number of earlier requests.
+func (p *Pool) recordEarlyBreak(idle time.Duration, uses int) {
 	p.mu.Lock()
-	p.brokeAt = time.Now()
+	p.lastBreakAt = time.Now()
 	p.mu.Unlock()
 	if uses > 0 {
-		p.crossed(idle)
+		p.learnIdleTimeout(idle)
 	}
 }
 
-// brittle says that connections have broken of late.
-func (p *Pool) brittle() bool {
+// hasRecentBreak reports whether a connection broke early within breakMemoryPeriod.
+func (p *Pool) hasRecentBreak() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return !p.brokeAt.IsZero() && time.Since(p.brokeAt) < brittleFor
+	return !p.lastBreakAt.IsZero() && time.Since(p.lastBreakAt) < breakMemoryPeriod
 }
 
-// crossed learns from a connection that broke as soon as it was used after idling.
-// Guards against learning from a server that dies or breaks off: what idled for a
-// moment, or for less than others that are well, did not break of that.
-func (p *Pool) crossed(idle time.Duration) {
+// learnIdleTimeout shortens the idle timeout after a connection broke on its first use after
+// idling. It ignores connections that were idle for less than minIdleTimeout, or for less than
+// other connections recently survived: these broke because the server died or aborted, not
+// because they were idle.
+func (p *Pool) learnIdleTimeout(idle time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if idle < minIdle || idle <= p.lasted && time.Since(p.lastedAt) < idleRelearn {
+	if idle < minIdleTimeout || idle <= p.longestSurvivedIdle && time.Since(p.longestSurvivedAt) < idleRelearnInterval {
 		return
 	}
-	p.learned = time.Now()
-	if most := max(idle/2, minIdle); most < p.idleTimeout {
-		p.idleTimeout = most
-		slog.Info("connections break after idling: kept for less", "idle", idle, "kept", most)
+	p.idleTimeoutChangedAt = time.Now()
+	if shortened := max(idle/2, minIdleTimeout); shortened < p.idleTimeout {
+		p.idleTimeout = shortened
+		slog.Info("connection broke after idling: idle timeout shortened", "idle", idle, "kept", shortened)
 	}
 }
 
-// Serve says where a server is and when it last started. Idle connections to
-// another address or an earlier process are closed: they would end as resets.
+// Serve adds a server, or updates its address and start time. Idle connections to another
+// address or to an earlier process are closed, because requests on them would end in resets.
 func (p *Pool) Serve(name, addr string, started time.Duration) {
 	p.mu.Lock()
 	s := p.servers[name]
@@ -167,43 +171,44 @@
 		s = &server{name: name}
 		p.servers[name] = s
 	}
-	var old []*conn
+	var toClose []*conn
 	if s.addr != addr || s.started != started {
-		old = p.takeIdle(s)
+		toClose = p.detachIdle(s)
 	}
-	s.addr, s.started, s.left = addr, started, time.Time{}
+	s.addr, s.started, s.leftAt = addr, started, time.Time{}
 	p.mu.Unlock()
-	closeAll(old)
+	closeAll(toClose)
 }
 
-// Leave says that a server drains or has gone.
+// Leave records that a server is draining, or that it is gone, and closes the idle connections
+// to it.
 func (p *Pool) Leave(name string, gone bool) {
 	p.mu.Lock()
-	var old []*conn
+	var toClose []*conn
 	if s := p.servers[name]; s != nil {
-		old = p.takeIdle(s)
-		if s.left.IsZero() {
-			s.left = time.Now()
+		toClose = p.detachIdle(s)
+		if s.leftAt.IsZero() {
+			s.leftAt = time.Now()
 		}
 		if gone {
 			delete(p.servers, name)
 		}
 	}
 	p.mu.Unlock()
-	closeAll(old)
+	closeAll(toClose)
 }
 
-// Keep lets go of all servers but those listed.
+// Keep removes all servers that are not listed.
 func (p *Pool) Keep(listed map[string]bool) {
-	var gone []string
+	var unlisted []string
 	p.mu.Lock()
 	for name := range p.servers {
 		if !listed[name] {
-			gone = append(gone, name)
+			unlisted = append(unlisted, name)
 		}
 	}
 	p.mu.Unlock()
-	for _, name := range gone {
+	for _, name := range unlisted {
 		p.Leave(name, true)
 	}
 }
@@ -211,87 +216,89 @@
 // CloseIdle closes the idle connections to a server.
 func (p *Pool) CloseIdle(name string) {
 	p.mu.Lock()
-	var old []*conn
+	var toClose []*conn
 	if s := p.servers[name]; s != nil {
-		old = p.takeIdle(s)
+		toClose = p.detachIdle(s)
 	}
 	p.mu.Unlock()
-	closeAll(old)
+	closeAll(toClose)
 }
 
-// Limit goes on with another number of connections at most. Past it idle ones are
-// closed, those that idle for the longest first; others as they end.
-func (p *Pool) Limit(most int) {
+// Limit sets the maximum number of connections. Idle connections above it are closed, those idle
+// for the longest first; connections in use are closed when their attempts end.
+func (p *Pool) Limit(maxConns int) {
 	p.mu.Lock()
-	p.cfg.MaxConns = most
-	var old []*conn
-	for p.conns > most {
-		c := p.longestIdle()
+	p.cfg.MaxConns = maxConns
+	var toClose []*conn
+	for p.conns > maxConns {
+		c := p.oldestIdle()
 		if c == nil {
 			break
 		}
-		old = append(old, c)
-		p.drop(c)
+		toClose = append(toClose, c)
+		p.remove(c)
 	}
 	p.mu.Unlock()
-	closeAll(old)
+	closeAll(toClose)
 }
 
-// Sweep closes connections that have been idle for too long.
+// Sweep closes connections that have been idle for too long, and raises a shortened idle timeout
+// when no connection has broken early for idleRelearnInterval.
 func (p *Pool) Sweep(now time.Time) {
 	p.mu.Lock()
-	if most := p.idleCap(); p.idleTimeout < most && now.Sub(p.learned) > idleRelearn {
-		p.idleTimeout, p.learned = min(2*p.idleTimeout, most), now
+	if maxIdle := p.maxIdleTimeout(); p.idleTimeout < maxIdle && now.Sub(p.idleTimeoutChangedAt) > idleRelearnInterval {
+		p.idleTimeout, p.idleTimeoutChangedAt = min(2*p.idleTimeout, maxIdle), now
 	}
-	var old []*conn
+	var toClose []*conn
 	for _, s := range p.servers {
-		for len(s.idle) > 0 && now.Sub(s.idle[0].used) > p.idleTimeout {
-			old = append(old, s.idle[0])
-			p.drop(s.idle[0])
+		for len(s.idle) > 0 && now.Sub(s.idle[0].idleSince) > p.idleTimeout {
+			toClose = append(toClose, s.idle[0])
+			p.remove(s.idle[0])
 		}
 	}
 	p.mu.Unlock()
-	closeAll(old)
+	closeAll(toClose)
 }
 
-// Close closes all idle connections, and others when their attempts end: each server
-// counts as one that has left, so nothing new is sent.
+// Close closes all idle connections. Connections in use are closed when their attempts end. All
+// servers are removed, so nothing new is sent.
 func (p *Pool) Close() { p.Keep(nil) }
 
-// Limits is the number of connections at most, as Limit said last.
+// Limits returns the maximum number of connections.
 func (p *Pool) Limits() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.cfg.MaxConns
 }
 
-// Conns is the number of connections.
+// Conns returns the number of connections, including those being dialled.
 func (p *Pool) Conns() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.conns
 }
 
-func (p *Pool) takeIdle(s *server) []*conn {
-	old := s.idle
-	for _, c := range old {
-		c.dead = true
+func (p *Pool) detachIdle(s *server) []*conn {
+	detached := s.idle
+	for _, c := range detached {
+		c.removed = true
 	}
-	p.conns -= len(old)
+	p.conns -= len(detached)
 	s.idle = nil
-	return old
+	return detached
 }
 
-// drop takes an open connection out of the pool. The caller closes it.
-func (p *Pool) drop(c *conn) {
-	if c.dead {
+// remove takes an open connection out of the pool. The caller closes it and holds the pool's
+// lock.
+func (p *Pool) remove(c *conn) {
+	if c.removed {
 		return
 	}
-	c.dead = true
+	c.removed = true
 	p.conns--
-	for i, o := range c.to.idle {
-		if o == c {
-			c.to.idle = append(c.to.idle[:i], c.to.idle[i+1:]...)
+	for i, other := range c.server.idle {
+		if other == c {
+			c.server.idle = append(c.server.idle[:i], c.server.idle[i+1:]...)
 			break
 		}
 	}
@@ -304,86 +311,87 @@
 }
 
 var (
-	errUnlisted = errors.New("upstream: server not listed")
-	// errNoPlace is this sidecar's own trouble: guards against blaming a server for it.
-	errNoPlace = errors.New("upstream: all connections in use")
+	errUnknownServer = errors.New("upstream: server is not listed")
+	// errPoolFull is a local resource limit and must not be counted as the server's failure.
+	errPoolFull = errors.New("upstream: all connections in use")
 )
 
-// take gives a the newest idle connection to its server that is still good. With
-// none it books a place for a new one.
-func (p *Pool) take(a *Attempt) (c *conn, addr string, err error) {
+// acquire returns the newest usable idle connection to the server of a. If there is none, it
+// reserves room for a new connection and returns the server's address.
+func (p *Pool) acquire(a *Attempt) (c *conn, addr string, err error) {
 	now := time.Now()
 	p.mu.Lock()
-	var old []*conn
+	var toClose []*conn
 	defer func() {
 		p.mu.Unlock()
-		closeAll(old)
+		closeAll(toClose)
 	}()
 	s := p.servers[a.Server]
 	if s == nil {
-		return nil, "", errUnlisted // gone between the decision and now
+		return nil, "", errUnknownServer // removed after the server was selected
 	}
-	a.to = s
-	for last := p.rested(s, now); last >= 0; last = p.rested(s, now) {
-		c := s.idle[last]
-		if now.Sub(c.used) <= p.idleTimeout && c.quiet() {
-			s.idle = slices.Delete(s.idle, last, last+1)
+	a.target = s
+	for index := p.newestReusable(s, now); index >= 0; index = p.newestReusable(s, now) {
+		c := s.idle[index]
+		if now.Sub(c.idleSince) <= p.idleTimeout && c.isQuiet() {
+			s.idle = slices.Delete(s.idle, index, index+1)
 			c.owner = a
-			a.idle, a.uses = now.Sub(c.used), c.uses
+			a.connIdle, a.connUses = now.Sub(c.idleSince), c.uses
 			return c, "", nil
 		}
-		old = append(old, c)
-		p.drop(c)
+		toClose = append(toClose, c)
+		p.remove(c)
 	}
 	if p.conns >= p.cfg.MaxConns {
-		c := p.longestIdle()
+		c := p.oldestIdle()
 		if c == nil {
-			slog.Warn("no descriptor left for a connection to a server", "conns", p.conns)
-			return nil, "", errNoPlace
+			slog.Warn("no connection available: limit reached and none idle", "conns", p.conns)
+			return nil, "", errPoolFull
 		}
-		old = append(old, c)
-		p.drop(c)
+		toClose = append(toClose, c)
+		p.remove(c)
 	}
 	p.conns++
 	return nil, s.addr, nil
 }
 
-// rested is the place of the newest idle connection to a server that may be used now, -1 for
-// none.
-func (p *Pool) rested(s *server, now time.Time) int {
-	last := len(s.idle) - 1
-	if p.unasked.IsZero() || now.Sub(p.unasked) >= unaskedFor {
-		return last
+// newestReusable returns the index of the newest idle connection to a server that may be used
+// now, or -1. The caller holds the pool's lock.
+func (p *Pool) newestReusable(s *server, now time.Time) int {
+	index := len(s.idle) - 1
+	if p.unsolicitedAt.IsZero() || now.Sub(p.unsolicitedAt) >= reuseDelayPeriod {
+		return index
 	}
-	for last >= 0 && now.Sub(s.idle[last].used) < minRest {
-		last--
+	for index >= 0 && now.Sub(s.idle[index].idleSince) < minReuseDelay {
+		index--
 	}
-	return last
+	return index
 }
 
-// heardUnasked takes it that a server sent what nobody asked for.
-func (p *Pool) heardUnasked(server string) {
+// recordUnsolicited records that a server sent bytes that belong to no request.
+func (p *Pool) recordUnsolicited(server string) {
 	p.mu.Lock()
-	first := time.Since(p.unasked) >= unaskedFor
-	p.unasked = time.Now()
+	first := time.Since(p.unsolicitedAt) >= reuseDelayPeriod
+	p.unsolicitedAt = time.Now()
 	p.mu.Unlock()
 	if first {
-		slog.Info("a server sends what nobody asked for: connections rest between requests", "server", server, "for", minRest)
+		slog.Info("server sent unsolicited bytes: reuse of connections is delayed", "server", server, "for", minReuseDelay)
 	}
 }
 
-// longestIdle is the connection that has been idle for the longest, nil if none is.
-func (p *Pool) longestIdle() (oldest *conn) {
+// oldestIdle returns the connection that has been idle for the longest, or nil. The caller holds
+// the pool's lock.
+func (p *Pool) oldestIdle() (oldest *conn) {
 	for _, s := range p.servers {
-		if len(s.idle) > 0 && (oldest == nil || s.idle[0].used.Before(oldest.used)) {
+		if len(s.idle) > 0 && (oldest == nil || s.idle[0].idleSince.Before(oldest.idleSince)) {
 			oldest = s.idle[0]
 		}
 	}
 	return oldest
 }
 
-// speaks says whether there are bytes to read, and not only an end.
-func (c *conn) speaks() bool {
+// hasUnreadData reports whether there are bytes to read; the end of the stream does not count.
+func (c *conn) hasUnreadData() bool {
 	n := 0
 	c.raw.Control(func(fd uintptr) {
 		var one [1]byte
@@ -392,13 +400,13 @@
 	return n > 0
 }
 
-func (c *conn) quiet() bool {
-	c.still = false
-	return c.raw.Control(c.look) == nil && c.still
+func (c *conn) isQuiet() bool {
+	c.quiet = false
+	return c.raw.Control(c.checkQuiet) == nil && c.quiet
 }
 
-// silent says that there is nothing to read now.
-func silent(fd uintptr) bool {
+// nothingToRead reports whether a read would block: neither bytes nor an end have arrived.
+func nothingToRead(fd uintptr) bool {
 	var one [1]byte
 	_, _, err := syscall.Recvfrom(int(fd), one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 	return err == syscall.EAGAIN || err == syscall.EINTR
@@ -407,39 +415,39 @@
 func (p *Pool) release(c *conn) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if c.dead || c.addr != c.to.addr || !c.to.left.IsZero() {
+	if c.removed || c.addr != c.server.addr || !c.server.leftAt.IsZero() {
 		return false
 	}
-	if p.conns > p.cfg.MaxConns { // the limit has come down
+	if p.conns > p.cfg.MaxConns { // Limit has lowered the maximum
 		return false
 	}
 	now := time.Now()
-	if idle := c.owner.idle; idle >= p.lasted || now.Sub(p.lastedAt) >= idleRelearn {
-		p.lasted, p.lastedAt = idle, now
+	if idle := c.owner.connIdle; idle >= p.longestSurvivedIdle || now.Sub(p.longestSurvivedAt) >= idleRelearnInterval {
+		p.longestSurvivedIdle, p.longestSurvivedAt = idle, now
 	}
-	c.owner, c.used = nil, now
+	c.owner, c.idleSince = nil, now
 	c.uses++
-	c.to.idle = append(c.to.idle, c)
+	c.server.idle = append(c.server.idle, c)
 	return true
 }
 
 func (p *Pool) discard(c *conn) {
 	p.mu.Lock()
-	p.drop(c)
+	p.remove(c)
 	p.mu.Unlock()
 	c.Close()
 }
 
-// unbook gives back the place of a connection that never came up.
-func (p *Pool) unbook() {
+// releaseReservation releases the room reserved for a connection that was not established.
+func (p *Pool) releaseReservation() {
 	p.mu.Lock()
 	p.conns--
 	p.mu.Unlock()
 }
 
-// late says that the grace of a server that left is over.
-func (p *Pool) late(s *server) bool {
+// isPastDrainGrace reports whether a server left longer ago than the drain grace.
+func (p *Pool) isPastDrainGrace(s *server) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return !s.left.IsZero() && time.Since(s.left) > p.cfg.DrainGrace
+	return !s.leftAt.IsZero() && time.Since(s.leftAt) > p.cfg.DrainGrace
 }
--- a/internal/upstream/probe.go
+++ b/internal/upstream/probe.go
@@ -8,34 +8,35 @@
 	"chalkrack/internal/message"
 )
 
-// probe is the Sink of a probe.
-type probe struct {
-	told func(chalkrack.Report)
+// probeSink receives the result of a probe.
+type probeSink struct {
+	onReport func(chalkrack.Report)
 }
 
 var probeRequest = &message.Request{Method: "GET", Head: []byte("GET /_load HTTP/1.1\r\nHost: server\r\n")}
 
-// Probe implements core.Transport: it asks for the load report.
-func (p *Pool) Probe(server string, wait time.Duration, told func(chalkrack.Report)) {
-	a := &Attempt{Request: probeRequest, Server: server, Deadline: time.Now().Add(wait), Sink: &probe{told}}
-	time.AfterFunc(wait, func() {
+// Probe implements core.Transport. It requests the server's load report and calls onReport with
+// it if it arrives within timeout; otherwise onReport is not called.
+func (p *Pool) Probe(server string, timeout time.Duration, onReport func(chalkrack.Report)) {
+	a := &Attempt{Request: probeRequest, Server: server, Deadline: time.Now().Add(timeout), Sink: &probeSink{onReport}}
+	time.AfterFunc(timeout, func() {
 		a.Abandon()
 		a.Close()
 	})
 	p.Start(a)
 }
 
-// Stream implements core.Sink: no report is that long.
-func (*probe) Stream(any, chalkrack.Report) io.Writer { return nil }
+// Stream implements core.Sink. Load reports are too short to be streamed.
+func (*probeSink) Stream(any, chalkrack.Report) io.Writer { return nil }
 
 // Done implements core.Sink.
-func (p *probe) Done(o chalkrack.Outcome, answer any, rep chalkrack.Report) {
-	ans, _ := answer.(*message.Answer)
-	if o != chalkrack.OK || ans == nil {
+func (p *probeSink) Done(outcome chalkrack.Outcome, answer any, report chalkrack.Report) {
+	loadAnswer, _ := answer.(*message.Answer)
+	if outcome != chalkrack.OK || loadAnswer == nil {
 		return
 	}
-	if !rep.HasInFlight && !rep.HasUtil {
-		rep = ParseLoad(string(ans.Body))
+	if !report.HasInFlight && !report.HasUtil {
+		report = ParseLoad(string(loadAnswer.Body))
 	}
-	p.told(rep)
+	p.onReport(report)
 }
--- a/internal/upstream/send.go
+++ b/internal/upstream/send.go
@@ -11,7 +11,7 @@
 )
 
 func (a *Attempt) sendGuarded(c *conn) {
-	defer a.guard()
+	defer a.recoverPanic()
 	a.send(c)
 }
 
@@ -19,11 +19,11 @@
 	a.mu.Lock()
 	a.conn = c
 	if a.Request.Source != nil {
-		if o, no := a.mustNotGo(); no {
-			a.callOff(c, o)
+		if outcome, blocked := a.checkSendBlocked(); blocked {
+			a.abortUnsent(c, outcome)
 			return
 		}
-		a.sendSource(c, a.Once && a.pool.brittle())
+		a.sendSource(c, a.AtMostOnce && a.pool.hasRecentBreak())
 		return
 	}
 	buf := buffers.Get().(*[]byte)
@@ -32,15 +32,15 @@
 	for _, piece := range a.Request.Body {
 		size += len(piece)
 	}
-	small := size <= smallSend
+	small := size <= maxInlineSendBytes
 	if small {
 		for _, piece := range a.Request.Body {
 			head = append(head, piece...)
 		}
 	}
-	hold := small && a.Once && a.pool.brittle()
-	if o, no := a.mustNotGo(); no {
-		a.callOff(c, o)
+	hold := small && a.AtMostOnce && a.pool.hasRecentBreak()
+	if outcome, blocked := a.checkSendBlocked(); blocked {
+		a.abortUnsent(c, outcome)
 		*buf = head
 		buffers.Put(buf)
 		return
@@ -53,103 +53,107 @@
 		*buf = head
 		buffers.Put(buf)
 	case small:
-		// The lock stays: an answer may come before the write returns.
+		// The lock is held during the write: the answer may arrive before the write returns.
 		n, err := c.Write(head)
-		failed := a.sent(n == size)
+		readFailed := a.recordWritten(n == size)
 		a.mu.Unlock()
 		*buf = head
 		buffers.Put(buf)
-		a.afterSend(c, n == size, failed, err)
+		a.reportSendResult(c, n == size, readFailed, err)
 	default:
-		a.lastHeld = true
+		a.lastBytePending = true
 		a.mu.Unlock()
 		go func() {
-			defer a.guard()
+			defer a.recoverPanic()
 			a.sendLong(c, head, size)
 		}()
 	}
 }
 
-// A look at whether an attempt may begin that took longer than lookFor is made again, lookMost
-// times at the most: the process was stopped, or starved of its core, in it.
+// A check of whether an attempt may begin is repeated if it took longer than maxCheckDuration,
+// since the process was then suspended or starved of CPU during the check. maxChecks bounds the
+// number of checks.
 const (
-	lookFor  = 5 * time.Millisecond
-	lookMost = 4
+	maxCheckDuration = 5 * time.Millisecond
+	maxChecks        = 4
 )
 
-// mustNotGo says whether an attempt must not begin now, and how it ends then. It is asked with
-// the lock held, in the instant before each write with which a server may begin, and nothing is
-// done between. Guards against a slow dial that carries work past a drain's grace, or a repeat
-// past the time for which servers drop it; and against a process that was stopped, or starved of
-// its core, anywhere on the way to the write: what it goes on with is of then.
-func (a *Attempt) mustNotGo() (o chalkrack.Outcome, no bool) {
-	for range lookMost {
+// checkSendBlocked reports whether an attempt must not begin now, and the outcome with which it
+// then ends. It is called with the lock held immediately before each write with which a server
+// may begin, and nothing may be done between the check and the write. It prevents work from
+// reaching a server past its drain grace after a slow dial, and a repeat from reaching it past
+// the time for which servers drop repeats. It also covers a process that was suspended or starved
+// of CPU on the way to the write, whose earlier checks are out of date.
+func (a *Attempt) checkSendBlocked() (outcome chalkrack.Outcome, blocked bool) {
+	for range maxChecks {
 		now := time.Now()
 		switch {
-		case a.ended, a.readFailed, a.pool.late(a.to), !a.NotAfter.IsZero() && now.After(a.NotAfter), a.spokenTo():
+		case a.ended, a.readFailed, a.pool.isPastDrainGrace(a.target), !a.NotAfter.IsZero() && now.After(a.NotAfter), a.hasUnsolicitedData():
 			return chalkrack.ConnectFailed, true
-		case a.unwanted(now):
+		case a.isUnwanted(now):
 			return chalkrack.NotSent, true
-		case time.Since(now) < lookFor:
+		case time.Since(now) < maxCheckDuration:
 			return 0, false
 		}
 	}
 	return 0, false
 }
 
-// spokenTo says that a connection that was quiet when it was taken is no more, before a byte of
-// the request. Guards against a second answer that comes in between, where the connection's
-// reader has not run yet: it would be taken for this request's.
-func (a *Attempt) spokenTo() bool {
-	if a.began || a.held || a.uses == 0 || a.conn.quiet() {
+// hasUnsolicitedData reports whether bytes or an end have arrived on a reused connection since
+// it was acquired, before any byte of the request was written. A duplicate answer can arrive
+// then, before the connection's reader runs, and would be taken for the answer to this request.
+func (a *Attempt) hasUnsolicitedData() bool {
+	if a.began || a.heldBack || a.connUses == 0 || a.conn.isQuiet() {
 		return false
 	}
-	if a.conn.speaks() {
-		a.pool.heardUnasked(a.Server)
+	if a.conn.hasUnreadData() {
+		a.pool.recordUnsolicited(a.Server)
 	}
 	return true
 }
 
-// callOff ends an attempt before its server can have begun. It is called with the lock held,
-// and frees it.
-func (a *Attempt) callOff(c *conn, o chalkrack.Outcome) {
-	a.ended, a.held = true, false // its connection breaks by this, and proves nothing
+// abortUnsent ends an attempt that its server cannot have begun. It is called with the lock held
+// and releases it.
+func (a *Attempt) abortUnsent(c *conn, outcome chalkrack.Outcome) {
+	a.ended, a.heldBack = true, false // so that closing the connection does not count as a break by the server
 	a.mu.Unlock()
 	a.pool.discard(c)
-	a.done(o)
+	a.finish(outcome)
 }
 
-// sendLong writes a long request. Its last byte goes out under the lock, unless the attempt was
-// given up meanwhile: guards against one that is whole, and begins, after the final answer.
+// sendLong writes a long request. The last byte is written with the lock held and only if the
+// attempt was not abandoned meanwhile, so that no server begins the request after the call's
+// final answer.
 func (a *Attempt) sendLong(c *conn, head []byte, size int) {
 	body := slices.Clone(a.Request.Body)
-	end := len(body) - 1
-	for len(body[end]) == 0 {
-		end--
+	lastPiece := len(body) - 1
+	for len(body[lastPiece]) == 0 {
+		lastPiece--
 	}
-	last := body[end][len(body[end])-1:]
-	body[end] = body[end][:len(body[end])-1]
+	last := body[lastPiece][len(body[lastPiece])-1:]
+	body[lastPiece] = body[lastPiece][:len(body[lastPiece])-1]
 	pieces := append(net.Buffers{head}, body...)
 	n, err := pieces.WriteTo(c.Conn)
 	a.mu.Lock()
-	whole := n == int64(size-1)
-	if whole {
-		if o, no := a.mustNotGo(); no {
-			a.callOff(c, o)
+	complete := n == int64(size-1)
+	if complete {
+		if outcome, blocked := a.checkSendBlocked(); blocked {
+			a.abortUnsent(c, outcome)
 			return
 		}
-		a.lastHeld = false
+		a.lastBytePending = false
 		var k int
 		k, err = c.Write(last)
-		whole = k == 1
+		complete = k == 1
 	}
-	failed := a.sent(whole)
+	readFailed := a.recordWritten(complete)
 	a.mu.Unlock()
-	a.afterSend(c, whole, failed, err)
+	a.reportSendResult(c, complete, readFailed, err)
 }
 
-// unwanted says that nobody waits for the answer any more, also where nobody has been told yet.
-func (a *Attempt) unwanted(now time.Time) bool {
+// isUnwanted reports whether nobody waits for the answer any more, including cases that have not
+// been reported to the attempt yet.
+func (a *Attempt) isUnwanted(now time.Time) bool {
 	return a.Request.Source == nil && !a.Deadline.IsZero() && now.After(a.Deadline) || a.Request.Client != nil && a.Request.Client.Left()
 }
 
@@ -162,40 +166,40 @@
 	head = strconv.AppendInt(head, max(1, time.Until(a.Deadline).Milliseconds()), 10)
 	if a.Request.Marked {
 		head = append(head, "\r\n"+message.AttemptsField+": 1; nth="...)
-		head = strconv.AppendInt(head, int64(a.N+1), 10)
+		head = strconv.AppendInt(head, int64(a.Index+1), 10)
 	}
 	return append(head, "\r\n\r\n"...)
 }
 
-// commitAfter is how long the last byte of a request is held back: the word of a
-// broken connection has come by then from any zone.
-const commitAfter = 3 * time.Millisecond
+// defaultHoldBackDelay is how long the last byte of a request is held back. It is long enough
+// for the news of a broken connection to arrive from any zone.
+const defaultHoldBackDelay = 3 * time.Millisecond
 
-// holdBack writes a request but for its last byte, and that a little later if the
-// connection still stands. Guards a request that must not run twice against brittle
-// connections: servers begin with the last byte, so one that breaks before it proves
-// that nothing ran, and another attempt can be made. It is called with the lock held.
+// holdBack writes a request except for its last byte, and schedules the last byte for a little
+// later, if the connection still stands. It protects a request that must not run twice from
+// unreliable connections: servers begin with the last byte, so a break before it proves that the
+// request did not run and another attempt can be made. It is called with the lock held.
 func (a *Attempt) holdBack(c *conn, request []byte) {
-	most, last := request[:len(request)-1], request[len(request)-1]
-	a.held = true
-	if _, err := c.Write(most); err != nil {
-		a.readFailed = true // the commit tells of it
+	prefix, last := request[:len(request)-1], request[len(request)-1]
+	a.heldBack = true
+	if _, err := c.Write(prefix); err != nil {
+		a.readFailed = true // sendLastByte reports it
 	}
-	time.AfterFunc(a.pool.hold, func() {
-		defer a.guard()
-		a.commit(c, last)
+	time.AfterFunc(a.pool.holdBackDelay, func() {
+		defer a.recoverPanic()
+		a.sendLastByte(c, last)
 	})
 }
 
-func (a *Attempt) commit(c *conn, last byte) {
+func (a *Attempt) sendLastByte(c *conn, last byte) {
 	a.mu.Lock()
-	if o, no := a.mustNotGo(); no {
-		a.callOff(c, o)
+	if outcome, blocked := a.checkSendBlocked(); blocked {
+		a.abortUnsent(c, outcome)
 		return
 	}
-	a.held, a.began = false, true
+	a.heldBack, a.began = false, true
 	n, err := c.Write([]byte{last})
-	failed := a.sent(n == 1)
+	readFailed := a.recordWritten(n == 1)
 	a.mu.Unlock()
-	a.afterSend(c, n == 1, failed, err)
+	a.reportSendResult(c, n == 1, readFailed, err)
 }
--- a/internal/upstream/source.go
+++ b/internal/upstream/source.go
@@ -12,91 +12,92 @@
 	"chalkrack/internal/message"
 )
 
-// A server begins a request with its last byte: the last one of a body whose length is
-// told, else the end of the chunk that says so. An attempt that ends before it has
-// proved that nothing ran, however much was sent.
+// A server begins a request with its last byte: the last byte of a body of known length, or the
+// end of lastChunk. An attempt that ends before that byte is written has provably not run,
+// however much was sent.
 const lastChunk = "0\r\n\r\n"
 
 var (
-	errLate  = errors.New("upstream: too late to go on")
-	errEnded = errors.New("upstream: attempt ended")
-	// errUnwanted is no fault of the server's.
-	errUnwanted = errors.New("upstream: nobody waits for the answer")
+	errTooLate      = errors.New("upstream: too late to send more of the request")
+	errAttemptEnded = errors.New("upstream: attempt ended")
+	// errNoReceiver is not the server's fault.
+	errNoReceiver = errors.New("upstream: client no longer waits for the answer")
 )
 
-// sendSource sends a request whose body is read piece by piece. It is called with the
-// lock held, and frees it.
+// sendSource sends a request whose body is read piece by piece, in a goroutine of its own. It is
+// called with the lock held and releases it.
 func (a *Attempt) sendSource(c *conn, hold bool) {
-	r, err := a.Request.Source.Open()
+	reading, err := a.Request.Source.Open()
 	if err != nil {
 		a.ended = true
 		a.mu.Unlock()
-		slog.Warn("attempt without its body", "server", a.Server, "err", err)
+		slog.Warn("cannot read the request body", "server", a.Server, "err", err)
 		a.pool.discard(c)
-		a.done(chalkrack.NotSent)
+		a.finish(chalkrack.NotSent)
 		return
 	}
-	a.began, a.sentAt, a.reading, a.out = true, time.Now(), r, make(chan struct{})
+	a.began, a.sentAt, a.reading, a.writerDone = true, time.Now(), reading, make(chan struct{})
 	a.mu.Unlock()
 	go func() {
-		defer a.guard()
+		defer a.recoverPanic()
 		defer a.stopReading()
-		err := a.copySource(c, r, hold)
-		var ne net.Error
-		broke := errors.As(err, &ne)
+		err := a.copySource(c, reading, hold)
+		var netErr net.Error
+		broke := errors.As(err, &netErr)
 		a.mu.Lock()
-		failed := a.sent(err == nil)
+		readFailed := a.recordWritten(err == nil)
 		a.sendFailed = broke
 		a.mu.Unlock()
-		close(a.out)
+		close(a.writerDone)
 		switch {
-		case err == nil && !failed:
+		case err == nil && !readFailed:
 		case err == nil:
-			a.done(chalkrack.Reset)
-		case broke && ne.Timeout():
-			slog.Info("request not written: its server takes nothing", "server", a.Server)
+			a.finish(chalkrack.Reset)
+		case broke && netErr.Timeout():
+			slog.Info("request not written: server accepts no data", "server", a.Server)
 			a.pool.discard(c)
-			a.done(chalkrack.ConnectFailed)
-		case broke && !failed:
-			// Its server broke it off, perhaps behind an answer that holds: the reader
-			// finds that, or the end.
+			a.finish(chalkrack.ConnectFailed)
+		case broke && !readFailed:
+			// The server closed the connection, perhaps after a final answer. The reader finds
+			// that answer or the end of the connection and reports it.
 			slog.Debug("request not written", "server", a.Server, "err", err)
-		case broke, errors.Is(err, errLate), failed:
+		case broke, errors.Is(err, errTooLate), readFailed:
 			a.pool.discard(c)
-			a.done(chalkrack.ConnectFailed)
+			a.finish(chalkrack.ConnectFailed)
 		default:
 			a.pool.discard(c)
-			a.done(chalkrack.NotSent) // no fault of the server's
+			a.finish(chalkrack.NotSent) // not the server's fault
 		}
 	}()
 }
 
-// sendTimeout is how long a server may take nothing of a body. Guards against one that
-// hangs: the client's time begins with its last byte, which it could not send.
-const sendTimeout = time.Second
+// defaultSendTimeout is how long a server may accept no bytes of a body. It detects a hung
+// server: the client's own timeout begins with its last byte, which it cannot send while the
+// server accepts nothing.
+const defaultSendTimeout = time.Second
 
-// outMost is how long an answer waits for its request's writer to say that it is done:
-// the server has all of it, so it is about to.
-const outMost = 10 * time.Millisecond
+// maxWriterWait is how long an answer waits for the request's writer to finish. The server
+// already has the whole request, so the writer is about to return.
+const maxWriterWait = 10 * time.Millisecond
 
-// waitOut waits for the writer of a request whose last byte is out. Guards a connection
-// that is good against being dropped because its answer was faster than the writer.
-func (a *Attempt) waitOut() {
+// waitForWriter waits for the writer of a request whose last byte has been sent. Without it a
+// good connection would be closed when the answer arrives before the writer returns.
+func (a *Attempt) waitForWriter() {
 	a.mu.Lock()
-	out, wait := a.out, a.lastOut && !a.wrote
+	writerDone, pending := a.writerDone, a.lastByteSent && !a.written
 	a.mu.Unlock()
-	if !wait {
+	if !pending {
 		return
 	}
-	t := time.NewTimer(outMost)
+	t := time.NewTimer(maxWriterWait)
 	defer t.Stop()
 	select {
-	case <-out:
+	case <-writerDone:
 	case <-t.C:
 	}
 }
 
-// stopReading ends the reading of the body, also one that waits for the client.
+// stopReading closes the reader of the body, which also ends a read that waits for the client.
 func (a *Attempt) stopReading() {
 	a.mu.Lock()
 	r := a.reading
@@ -107,24 +108,24 @@
 	}
 }
 
-func (a *Attempt) copySource(c *conn, r message.Reading, hold bool) error {
-	left := a.Request.Source.Length()
+func (a *Attempt) copySource(c *conn, reading message.Reading, hold bool) error {
+	remaining := a.Request.Source.Length()
 	chunked := a.Request.Chunked
 	buf := buffers.Get().(*[]byte)
 	b := a.appendHead((*buf)[:0])
 	defer func() { *buf = b[:0]; buffers.Put(buf) }()
-	if !chunked && left == 0 {
+	if !chunked && remaining == 0 {
 		return a.writeLast(c, b, hold)
 	}
-	send := func() { c.SetWriteDeadline(time.Now().Add(a.pool.send)) }
+	extendDeadline := func() { c.SetWriteDeadline(time.Now().Add(a.pool.sendTimeout)) }
 	defer c.SetWriteDeadline(time.Time{})
-	send()
+	extendDeadline()
 	if _, err := c.Write(b); err != nil {
 		return err
 	}
 	for {
-		p, err := r.Next()
-		send()
+		piece, err := reading.Next()
+		extendDeadline()
 		switch {
 		case err == io.EOF && chunked:
 			return a.writeLast(c, []byte(lastChunk), hold)
@@ -133,21 +134,21 @@
 		case err != nil:
 			return err
 		}
-		if left -= int64(len(p)); !chunked && left == 0 {
-			return a.writeLast(c, p, hold)
+		if remaining -= int64(len(piece)); !chunked && remaining == 0 {
+			return a.writeLast(c, piece, hold)
 		}
-		if err := a.goesOn(); err != nil {
+		if err := a.checkMaySend(); err != nil {
 			return err
 		}
 		if !chunked {
-			if left < 0 {
+			if remaining < 0 {
 				return io.ErrShortBuffer
 			}
-			_, err = c.Write(p)
+			_, err = c.Write(piece)
 		} else {
-			b = strconv.AppendInt(b[:0], int64(len(p)), 16)
+			b = strconv.AppendInt(b[:0], int64(len(piece)), 16)
 			b = append(b, "\r\n"...)
-			pieces := net.Buffers{b, p, []byte("\r\n")}
+			pieces := net.Buffers{b, piece, []byte("\r\n")}
 			_, err = pieces.WriteTo(c.Conn)
 		}
 		if err != nil {
@@ -156,47 +157,47 @@
 	}
 }
 
-// goesOn says whether more may be sent: not of an attempt that has ended, nor to a
-// server that left longer ago than the grace.
-func (a *Attempt) goesOn() error {
-	late := a.pool.late(a.to) || !a.NotAfter.IsZero() && time.Now().After(a.NotAfter)
+// checkMaySend returns an error if no more bytes may be sent: the attempt has ended, it is past
+// NotAfter, or the server left longer ago than the drain grace.
+func (a *Attempt) checkMaySend() error {
+	tooLate := a.pool.isPastDrainGrace(a.target) || !a.NotAfter.IsZero() && time.Now().After(a.NotAfter)
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	switch {
 	case a.ended || a.readFailed:
-		return errEnded
-	case late:
+		return errAttemptEnded
+	case tooLate:
 		a.ended = true
-		return errLate
+		return errTooLate
 	}
 	return nil
 }
 
-// writeLast writes what ends the request. From here on it may run. With hold the last
-// byte is held back a little, as holdBack does.
-func (a *Attempt) writeLast(c *conn, p []byte, hold bool) error {
+// writeLast writes the end of the request. Once it does, the request may run. With hold, the
+// last byte is delayed as in holdBack.
+func (a *Attempt) writeLast(c *conn, piece []byte, hold bool) error {
 	if hold {
-		if _, err := c.Write(p[:len(p)-1]); err != nil {
+		if _, err := c.Write(piece[:len(piece)-1]); err != nil {
 			return err
 		}
-		p = p[len(p)-1:]
-		time.Sleep(a.pool.hold)
+		piece = piece[len(piece)-1:]
+		time.Sleep(a.pool.holdBackDelay)
 	}
 	a.mu.Lock()
-	if o, no := a.mustNotGo(); no {
+	if outcome, blocked := a.checkSendBlocked(); blocked {
 		ended := a.ended || a.readFailed
 		a.ended = true
 		a.mu.Unlock()
 		switch {
 		case ended:
-			return errEnded
-		case o == chalkrack.NotSent:
-			return errUnwanted
+			return errAttemptEnded
+		case outcome == chalkrack.NotSent:
+			return errNoReceiver
 		}
-		return errLate
+		return errTooLate
 	}
-	a.lastOut = true
+	a.lastByteSent = true
 	a.mu.Unlock()
-	_, err := c.Write(p)
+	_, err := c.Write(piece)
 	return err
 }
--- a/internal/upstream/source_test.go
+++ b/internal/upstream/source_test.go
@@ -15,42 +15,42 @@
 	"chalkrack/internal/message"
 )
 
-// source is a body that a test hands out piece by piece.
-type source struct {
+// pieceSource is a request body that a test supplies piece by piece.
+type pieceSource struct {
 	length int64
-	pieces chan string // closed: its end
-	err    error       // of Open
+	pieces chan string // closed at the end of the body
+	err    error       // returned by Open
 
 	mu     sync.Mutex
 	opened int
 	closed chan struct{}
 }
 
-func newSource(length int64, pieces ...string) *source {
-	s := &source{length: length, pieces: make(chan string, 100), closed: make(chan struct{})}
+func newPieceSource(length int64, pieces ...string) *pieceSource {
+	s := &pieceSource{length: length, pieces: make(chan string, 100), closed: make(chan struct{})}
 	for _, p := range pieces {
 		s.pieces <- p
 	}
 	return s
 }
 
-func (s *source) Length() int64 { return s.length }
+func (s *pieceSource) Length() int64 { return s.length }
 
-func (s *source) Open() (message.Reading, error) {
+func (s *pieceSource) Open() (message.Reading, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.opened++
-	return &sourceReading{s: s}, s.err
+	return &pieceReading{source: s}, s.err
 }
 
-type sourceReading struct {
-	s    *source
-	once sync.Once
+type pieceReading struct {
+	source *pieceSource
+	once   sync.Once
 }
 
-func (r *sourceReading) Next() ([]byte, error) {
+func (r *pieceReading) Next() ([]byte, error) {
 	select {
-	case p, ok := <-r.s.pieces:
+	case p, ok := <-r.source.pieces:
 		if !ok {
 			return nil, io.EOF
 		}
@@ -58,24 +58,24 @@
 			return nil, errors.New("broken")
 		}
 		return []byte(p), nil
-	case <-r.s.closed:
+	case <-r.source.closed:
 		return nil, errors.New("closed")
 	}
 }
 
-func (r *sourceReading) Close() { r.once.Do(func() { close(r.s.closed) }) }
+func (r *pieceReading) Close() { r.once.Do(func() { close(r.source.closed) }) }
 
-func post(s *source, sink *sink, chunked bool) *Attempt {
+func newPostAttempt(s *pieceSource, sink *sink, chunked bool) *Attempt {
 	head := "POST /x HTTP/1.1\r\nHost: h\r\n"
 	if !chunked {
 		head += "Content-Length: " + string(rune('0'+s.length)) + "\r\n"
 	}
 	return &Attempt{Request: &message.Request{Method: "POST", Head: []byte(head), Source: s, Chunked: chunked},
-		Server: "s", Deadline: time.Now().Add(patience), Sink: sink}
+		Server: "s", Deadline: time.Now().Add(testTimeout), Sink: sink}
 }
 
-// bodies answers each request with its body, and tells what it has read.
-func bodies(got chan<- string) func(net.Conn, *bufio.Reader) {
+// echoBodies answers each request with its body and reports each byte that it reads.
+func echoBodies(got chan<- string) func(net.Conn, *bufio.Reader) {
 	return func(c net.Conn, br *bufio.Reader) {
 		for {
 			r, err := http.ReadRequest(br)
@@ -100,37 +100,36 @@
 	}
 }
 
-// A body goes out as it comes, with its length or in chunks, and the connection is used
-// again.
-func TestSourceGoesOutAsItComes(t *testing.T) {
+// A body of known length or in chunks is sent while it arrives, and the connection is reused.
+func TestSourceIsSentAsItArrives(t *testing.T) {
 	got := make(chan string, 100)
-	addr, conns := fake(t, bodies(got))
+	addr, conns := startFakeServer(t, echoBodies(got))
 	for _, hold := range []bool{false, true} {
 		p := newPool(10)
 		p.Serve("s", addr, 0)
 		for _, chunked := range []bool{false, true} {
-			s, k := newSource(3, "a"), newSink()
-			a := post(s, k, chunked)
-			a.Once = hold
-			if hold { // the last byte is held back
-				p.brokeAt = time.Now()
+			s, k := newPieceSource(3, "a"), newSink()
+			a := newPostAttempt(s, k, chunked)
+			a.AtMostOnce = hold
+			if hold { // so that the last byte is held back
+				p.lastBreakAt = time.Now()
 			}
 			p.Start(a)
 			if first := <-got; first != "a" {
-				t.Fatalf("%q", first)
+				t.Fatalf("server read %q first, want \"a\"", first)
 			}
-			if a.Abandoned() {
-				t.Fatal("it may have begun before its last byte")
+			if a.mayHaveBegun() {
+				t.Fatal("attempt may have begun before its last byte was sent")
 			}
 			s.pieces <- "bc"
 			close(s.pieces)
-			if r := k.wait(t); r.o != chalkrack.OK || r.body != "abc" {
-				t.Errorf("chunked %v, held %v: %+v", chunked, hold, r)
+			if r := k.wait(t); r.outcome != chalkrack.OK || r.body != "abc" {
+				t.Errorf("chunked %v, held back %v: %+v", chunked, hold, r)
 			}
 			<-got
 			<-got
-			<-s.closed                                               // its reading has ended
-			for idle := 0; idle == 0; time.Sleep(time.Millisecond) { // it is told before the connection goes back
+			<-s.closed                                               // the reader of the body is closed
+			for idle := 0; idle == 0; time.Sleep(time.Millisecond) { // the answer is reported before the connection is idle
 				p.mu.Lock()
 				idle = len(p.servers["s"].idle) + len(conns) - 1
 				p.mu.Unlock()
@@ -143,26 +142,27 @@
 	}
 }
 
-// Abandoned says whether it may have begun, and stops nothing.
-func (a *Attempt) Abandoned() (began bool) {
+// mayHaveBegun reports whether the server may have begun the attempt. Unlike Abandon, it stops
+// nothing.
+func (a *Attempt) mayHaveBegun() (began bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.began && (a.Request.Source == nil || a.lastOut)
+	return a.began && (a.Request.Source == nil || a.lastByteSent)
 }
 
-// Whatever ends a body before its last byte proves that nothing ran, and blames the
-// server only where it was its doing.
-func TestSourceThatDoesNotEnd(t *testing.T) {
+// An attempt whose body ends before its last byte never ran, and the server is blamed only if it
+// caused the end.
+func TestIncompleteSourceNeverRan(t *testing.T) {
 	for name, c := range map[string]struct {
 		server func(net.Conn, *bufio.Reader)
-		act    func(p *Pool, a *Attempt, s *source, got chan string)
+		act    func(p *Pool, a *Attempt, s *pieceSource, got chan string)
 		grace  time.Duration
 		want   chalkrack.Outcome
 	}{
-		"its sender breaks off": {nil, func(_ *Pool, _ *Attempt, s *source, _ chan string) { s.pieces <- "broken" }, time.Minute, chalkrack.NotSent},
-		"it ends too early":     {nil, func(_ *Pool, _ *Attempt, s *source, _ chan string) { close(s.pieces) }, time.Minute, chalkrack.NotSent},
-		"it is too long":        {nil, func(_ *Pool, _ *Attempt, s *source, _ chan string) { s.pieces <- "123456789" }, time.Minute, chalkrack.NotSent},
-		"the server's grace ends": {nil, func(p *Pool, _ *Attempt, s *source, _ chan string) {
+		"its sender breaks off": {nil, func(_ *Pool, _ *Attempt, s *pieceSource, _ chan string) { s.pieces <- "broken" }, time.Minute, chalkrack.NotSent},
+		"it ends too early":     {nil, func(_ *Pool, _ *Attempt, s *pieceSource, _ chan string) { close(s.pieces) }, time.Minute, chalkrack.NotSent},
+		"it is too long":        {nil, func(_ *Pool, _ *Attempt, s *pieceSource, _ chan string) { s.pieces <- "123456789" }, time.Minute, chalkrack.NotSent},
+		"the server's grace ends": {nil, func(p *Pool, _ *Attempt, s *pieceSource, _ chan string) {
 			p.Leave("s", false)
 			time.Sleep(20 * time.Millisecond)
 			s.pieces <- "bc"
@@ -171,71 +171,71 @@
 			http.ReadRequest(br)
 			c.(*net.TCPConn).SetLinger(0)
 			c.Close()
-		}, func(*Pool, *Attempt, *source, chan string) {}, time.Minute, chalkrack.ConnectFailed},
+		}, func(*Pool, *Attempt, *pieceSource, chan string) {}, time.Minute, chalkrack.ConnectFailed},
 		"the server declines early": {func(c net.Conn, br *bufio.Reader) {
 			http.ReadRequest(br)
 			io.WriteString(c, "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n")
 			io.Copy(io.Discard, br)
-		}, func(*Pool, *Attempt, *source, chan string) {}, time.Minute, chalkrack.Full},
+		}, func(*Pool, *Attempt, *pieceSource, chan string) {}, time.Minute, chalkrack.Full},
 		"the server answers early": {func(c net.Conn, br *bufio.Reader) {
 			http.ReadRequest(br)
 			io.WriteString(c, "HTTP/1.1 413 Too long\r\nContent-Length: 0\r\n\r\n")
 			io.Copy(io.Discard, br)
-		}, func(*Pool, *Attempt, *source, chan string) {}, time.Minute, chalkrack.OK},
+		}, func(*Pool, *Attempt, *pieceSource, chan string) {}, time.Minute, chalkrack.OK},
 		"it can't be read at all": {nil, nil, time.Minute, chalkrack.NotSent},
 	} {
 		t.Run(name, func(t *testing.T) {
 			got := make(chan string, 100)
 			server := c.server
 			if server == nil {
-				server = bodies(got)
+				server = echoBodies(got)
 			}
-			addr, _ := fake(t, server)
+			addr, _ := startFakeServer(t, server)
 			p := New(Config{ConnIdle: time.Minute, DialTimeout: 5 * time.Second, DrainGrace: c.grace, MaxConns: 10})
 			p.Serve("s", addr, 0)
-			s, k := newSource(3, "a"), newSink()
+			s, k := newPieceSource(3, "a"), newSink()
 			if c.act == nil {
 				s.err = errors.New("lost")
 			}
-			a := post(s, k, false)
+			a := newPostAttempt(s, k, false)
 			p.Start(a)
 			if c.act != nil {
 				if c.server == nil {
-					<-got // its first byte is there
+					<-got // the first byte has arrived
 				}
 				c.act(p, a, s, got)
 			}
-			if r := k.wait(t); r.o != c.want {
-				t.Errorf("%v, want %v", r.o, c.want)
+			if r := k.wait(t); r.outcome != c.want {
+				t.Errorf("outcome %v, want %v", r.outcome, c.want)
 			}
 			if c.act != nil {
-				<-s.closed // the reading does not wait on for its client
+				<-s.closed // the reader no longer waits for the client
 			}
 			if c.act != nil && c.server == nil {
 				if end := <-got; end != "cut" {
-					t.Errorf("the server read on: %q", end)
+					t.Errorf("server read %q, want the request to be cut", end)
 				}
 			}
-			for end := time.Now().Add(patience); p.Conns() > 0; time.Sleep(time.Millisecond) {
+			for end := time.Now().Add(testTimeout); p.Conns() > 0; time.Sleep(time.Millisecond) {
 				if time.Now().After(end) {
-					t.Fatal("its connection is kept")
+					t.Fatal("connection of the failed attempt is kept")
 				}
 			}
 		})
 	}
 }
 
-// An attempt whose last byte went out may have run, whatever the server says since; one
-// whose last byte did not, can't have.
-func TestAbandonKnowsTheLastByte(t *testing.T) {
+// An attempt whose last byte was sent may have run, whatever the server does afterwards; one
+// whose last byte was not sent cannot have run.
+func TestAbandonReportsLastByteSent(t *testing.T) {
 	got := make(chan string, 100)
-	addr, _ := fake(t, func(_ net.Conn, br *bufio.Reader) {
+	addr, _ := startFakeServer(t, func(_ net.Conn, br *bufio.Reader) {
 		p := make([]byte, 1)
 		r, err := http.ReadRequest(br)
 		if err != nil {
 			return
 		}
-		for { // and no answer
+		for { // reads without answering
 			if n, err := r.Body.Read(p); n > 0 {
 				got <- string(p)
 			} else if err != nil {
@@ -246,8 +246,8 @@
 	for _, whole := range []bool{false, true} {
 		p := newPool(10)
 		p.Serve("s", addr, 0)
-		s := newSource(3, "ab")
-		a := post(s, newSink(), false)
+		s := newPieceSource(3, "ab")
+		a := newPostAttempt(s, newSink(), false)
 		p.Start(a)
 		<-got
 		<-got
@@ -256,24 +256,24 @@
 			<-got
 		}
 		if began := a.Abandon(); began != whole {
-			t.Errorf("last byte out %v: may have run %v", whole, began)
+			t.Errorf("last byte sent %v: may have run %v", whole, began)
 		}
 		a.Close()
 		<-s.closed
 	}
 }
 
-// A server that takes nothing of a long body is given up before its last byte: nothing
-// ran there, and the client hears of it.
-func TestServerTakesNothing(t *testing.T) {
-	addr, _ := fake(t, func(c net.Conn, _ *bufio.Reader) {
+// A server that accepts no bytes of a long body is given up before the last byte is sent. The
+// request did not run, and the client gets a failure.
+func TestServerThatReadsNothingTimesOut(t *testing.T) {
+	addr, _ := startFakeServer(t, func(c net.Conn, _ *bufio.Reader) {
 		c.(*net.TCPConn).SetReadBuffer(4 << 10)
-		time.Sleep(patience)
+		time.Sleep(testTimeout)
 	})
 	p := newPool(9)
-	p.send = 50 * time.Millisecond
+	p.sendTimeout = 50 * time.Millisecond
 	p.Serve("s", addr, 0)
-	src := newSource(64 << 20)
+	src := newPieceSource(64 << 20)
 	go func() {
 		part := strings.Repeat("x", 1<<20)
 		for range 63 {
@@ -285,8 +285,8 @@
 		}
 	}()
 	s := newSink()
-	p.Start(post(src, s, false))
-	if r := s.wait(t); r.o != chalkrack.ConnectFailed {
-		t.Errorf("outcome %d", r.o)
+	p.Start(newPostAttempt(src, s, false))
+	if r := s.wait(t); r.outcome != chalkrack.ConnectFailed {
+		t.Errorf("outcome %d", r.outcome)
 	}
 }
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -16,10 +16,11 @@
 	"chalkrack/internal/message"
 )
 
-const patience = 20 * time.Second // far beyond what any step takes
+const testTimeout = 20 * time.Second // far longer than any step takes
 
-// fake is a server of a few lines: script handles each connection.
-func fake(t *testing.T, script func(c net.Conn, br *bufio.Reader)) (addr string, conns chan net.Conn) {
+// startFakeServer starts a server that handles each connection with script. It returns its
+// address and the accepted connections.
+func startFakeServer(t *testing.T, script func(c net.Conn, br *bufio.Reader)) (addr string, conns chan net.Conn) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -41,9 +42,9 @@
 	return ln.Addr().String(), conns
 }
 
-// each answers every request of a connection with the same text, and closes
-// the connection if the text says so.
-func each(answer string) func(net.Conn, *bufio.Reader) {
+// answerEach answers every request of a connection with the same text, and closes the connection
+// if the text is empty or contains "cut".
+func answerEach(answer string) func(net.Conn, *bufio.Reader) {
 	return func(c net.Conn, br *bufio.Reader) {
 		for readRequest(br) == nil {
 			io.WriteString(c, answer)
@@ -63,29 +64,29 @@
 }
 
 type result struct {
-	o    chalkrack.Outcome
-	body string
-	rep  chalkrack.Report
+	outcome chalkrack.Outcome
+	body    string
+	report  chalkrack.Report
 }
 
-// sink records an attempt's outcomes and its streamed bytes.
+// sink records an attempt's outcomes and the bytes that it streams.
 type sink struct {
 	done     chan result
 	streamed bytes.Buffer
-	began    func() // nil: nobody asks
+	onStream func() // called when an answer is streamed; may be nil
 }
 
 func newSink() *sink { return &sink{done: make(chan result, 10)} }
 
 func (s *sink) Stream(any, chalkrack.Report) io.Writer {
-	if s.began != nil {
-		s.began()
+	if s.onStream != nil {
+		s.onStream()
 	}
 	return &s.streamed
 }
-func (s *sink) Done(o chalkrack.Outcome, answer any, rep chalkrack.Report) {
-	r := result{o: o, rep: rep}
-	if ans, _ := answer.(*message.Answer); ans != nil && o == chalkrack.OK {
+func (s *sink) Done(outcome chalkrack.Outcome, answer any, report chalkrack.Report) {
+	r := result{outcome: outcome, report: report}
+	if ans, _ := answer.(*message.Answer); ans != nil && outcome == chalkrack.OK {
 		r.body = string(ans.Body)
 	}
 	s.done <- r
@@ -96,33 +97,33 @@
 	select {
 	case r := <-s.done:
 		return r
-	case <-time.After(patience):
-		t.Fatal("no outcome")
+	case <-time.After(testTimeout):
+		t.Fatal("no outcome within testTimeout")
 		panic("unreachable")
 	}
 }
 
-func newPool(most int) *Pool {
-	return New(Config{ConnIdle: time.Minute, DialTimeout: 5 * time.Second, DrainGrace: time.Minute, MaxConns: most})
+func newPool(maxConns int) *Pool {
+	return New(Config{ConnIdle: time.Minute, DialTimeout: 5 * time.Second, DrainGrace: time.Minute, MaxConns: maxConns})
 }
 
-func get(s *sink) *Attempt {
+func newGetAttempt(s *sink) *Attempt {
 	return &Attempt{
 		Request:  &message.Request{Method: "GET", Head: []byte("GET /x HTTP/1.1\r\nHost: h\r\n")},
 		Server:   "s",
-		Deadline: time.Now().Add(patience),
+		Deadline: time.Now().Add(testTimeout),
 		Sink:     s,
 	}
 }
 
-func try(t *testing.T, p *Pool) result {
+func runAttempt(t *testing.T, p *Pool) result {
 	t.Helper()
 	s := newSink()
-	p.Start(get(s))
+	p.Start(newGetAttempt(s))
 	return s.wait(t)
 }
 
-func TestOutcomes(t *testing.T) {
+func TestAttemptOutcomes(t *testing.T) {
 	long := strings.Repeat("x", MaxBuffered+1000)
 	for _, c := range []struct {
 		name, answer string
@@ -153,67 +154,67 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			addr, _ := fake(t, each(c.answer))
+			addr, _ := startFakeServer(t, answerEach(c.answer))
 			p := newPool(9)
 			p.Serve("s", addr, 0)
 			s := newSink()
-			p.Start(get(s))
+			p.Start(newGetAttempt(s))
 			r := s.wait(t)
-			if r.o != c.want || r.body != c.body || s.streamed.Len() != c.streamed {
-				t.Errorf("outcome %d, body %q, %d streamed", r.o, r.body, s.streamed.Len())
+			if r.outcome != c.want || r.body != c.body || s.streamed.Len() != c.streamed {
+				t.Errorf("outcome %d, body %q, %d streamed", r.outcome, r.body, s.streamed.Len())
 			}
 		})
 	}
 }
 
-// A server may send an interim answer early and work on for long.
-func TestInterimThenWork(t *testing.T) {
+// A server may send interim answers early and then work for longer than the stall timeout.
+func TestInterimAnswerSuspendsStallTimeout(t *testing.T) {
 	const stall = 50 * time.Millisecond
-	addr, _ := fake(t, func(c net.Conn, br *bufio.Reader) {
+	addr, _ := startFakeServer(t, func(c net.Conn, br *bufio.Reader) {
 		readRequest(br)
 		for range 2 {
 			io.WriteString(c, "HTTP/1.1 102 Processing\r\n\r\n")
 			time.Sleep(4 * stall)
 		}
-		io.WriteString(c, hi)
+		io.WriteString(c, okResponse)
 	})
 	p := newPool(9)
-	p.stall = stall
+	p.stallTimeout = stall
 	p.Serve("s", addr, 0)
-	if r := try(t, p); r.o != chalkrack.OK || r.body != "hi" {
-		t.Errorf("outcome %d, %q", r.o, r.body)
+	if r := runAttempt(t, p); r.outcome != chalkrack.OK || r.body != "hi" {
+		t.Errorf("outcome %d, body %q", r.outcome, r.body)
 	}
 }
 
-// An answer that stops is given up in time for another attempt, as the configuration
-// says; one that is being passed on may pause for longer.
-func TestStallByConfig(t *testing.T) {
-	for _, c := range []struct{ stall, want time.Duration }{{0, stallTimeout}, {time.Hour, stallTimeout}, {100 * time.Millisecond, 100 * time.Millisecond}, {1, minStall}} {
-		if got := New(Config{Stall: c.stall}).stall; got != c.want {
-			t.Errorf("with %v: %v, want %v", c.stall, got, c.want)
+// An answer that stops is given up after the configured stall timeout, in time for another
+// attempt. An answer that is being passed on may pause for longer.
+func TestConfiguredStallTimeout(t *testing.T) {
+	for _, c := range []struct{ stall, want time.Duration }{{0, defaultStallTimeout}, {time.Hour, defaultStallTimeout}, {100 * time.Millisecond, 100 * time.Millisecond}, {1, minStallTimeout}} {
+		if got := New(Config{Stall: c.stall}).stallTimeout; got != c.want {
+			t.Errorf("Config.Stall %v: stall timeout %v, want %v", c.stall, got, c.want)
 		}
 	}
 	long := strings.Repeat("x", MaxBuffered+1)
-	addr, _ := fake(t, func(c net.Conn, br *bufio.Reader) {
+	addr, _ := startFakeServer(t, func(c net.Conn, br *bufio.Reader) {
 		readRequest(br)
 		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(long)+2, long)
-		time.Sleep(stallTimeout * 3)
+		time.Sleep(defaultStallTimeout * 3)
 		io.WriteString(c, "yz")
 		br.ReadByte()
 	})
-	p := New(Config{ConnIdle: time.Minute, DialTimeout: 5 * time.Second, DrainGrace: time.Minute, MaxConns: 9, Stall: stallTimeout})
-	p.lull = patience
+	p := New(Config{ConnIdle: time.Minute, DialTimeout: 5 * time.Second, DrainGrace: time.Minute, MaxConns: 9, Stall: defaultStallTimeout})
+	p.streamStallTimeout = testTimeout
 	p.Serve("s", addr, 0)
 	s := newSink()
-	p.Start(get(s))
-	if r := s.wait(t); r.o != chalkrack.OK || s.streamed.String() != long+"yz" {
-		t.Errorf("outcome %d, %d streamed", r.o, s.streamed.Len())
+	p.Start(newGetAttempt(s))
+	if r := s.wait(t); r.outcome != chalkrack.OK || s.streamed.String() != long+"yz" {
+		t.Errorf("outcome %d, %d streamed", r.outcome, s.streamed.Len())
 	}
 }
 
-// An answer that tells no length and never ends is broken off.
-func TestEndlessAnswer(t *testing.T) {
-	addr, _ := fake(t, func(c net.Conn, br *bufio.Reader) {
+// An answer without a length that never ends is cut off at maxAnswerBytes.
+func TestEndlessAnswerIsCutOff(t *testing.T) {
+	addr, _ := startFakeServer(t, func(c net.Conn, br *bufio.Reader) {
 		readRequest(br)
 		io.WriteString(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
 		chunk := "10000\r\n" + strings.Repeat("x", 64<<10) + "\r\n"
@@ -227,45 +228,45 @@
 	p := newPool(9)
 	p.Serve("s", addr, 0)
 	s := newSink()
-	p.Start(get(s))
-	if r := s.wait(t); r.o != chalkrack.Reset || s.streamed.Len() > maxAnswerBytes+maxHeadBytes {
-		t.Errorf("outcome %d, %d streamed", r.o, s.streamed.Len())
+	p.Start(newGetAttempt(s))
+	if r := s.wait(t); r.outcome != chalkrack.Reset || s.streamed.Len() > maxAnswerBytes+maxHeadBytes {
+		t.Errorf("outcome %d, %d streamed", r.outcome, s.streamed.Len())
 	}
 }
 
-// An answer of no stated length that comes in small pieces is passed on while it
-// comes; one that stops after its first piece is not begun.
-func TestTrickle(t *testing.T) {
+// An answer without a length that arrives in small pieces is passed on while it arrives. An
+// answer that stops after its first piece is not passed on.
+func TestTricklingAnswerIsStreamed(t *testing.T) {
 	for _, stops := range []bool{false, true} {
-		addr, _ := fake(t, func(c net.Conn, br *bufio.Reader) {
+		addr, _ := startFakeServer(t, func(c net.Conn, br *bufio.Reader) {
 			readRequest(br)
 			io.WriteString(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nx\r\n")
 			if !stops {
-				time.Sleep(2 * trickle)
+				time.Sleep(2 * slowBodyDelay)
 				io.WriteString(c, "1\r\ny\r\n")
-				time.Sleep(2 * trickle)
+				time.Sleep(2 * slowBodyDelay)
 				io.WriteString(c, "1\r\nz\r\n0\r\n\r\n")
 			}
 			br.ReadByte()
 		})
 		p := newPool(9)
 		if !stops {
-			p.stall, p.lull = patience, patience
+			p.stallTimeout, p.streamStallTimeout = testTimeout, testTimeout
 		}
 		p.Serve("s", addr, 0)
 		s := newSink()
-		p.Start(get(s))
+		p.Start(newGetAttempt(s))
 		r := s.wait(t)
-		if stops && (r.o != chalkrack.Reset || s.streamed.Len() != 0) {
-			t.Errorf("stops: outcome %d, %d streamed", r.o, s.streamed.Len())
+		if stops && (r.outcome != chalkrack.Reset || s.streamed.Len() != 0) {
+			t.Errorf("answer that stops: outcome %d, %d streamed", r.outcome, s.streamed.Len())
 		}
-		if !stops && (r.o != chalkrack.OK || s.streamed.String() != "xyz") {
-			t.Errorf("outcome %d, streamed %q", r.o, s.streamed.String())
+		if !stops && (r.outcome != chalkrack.OK || s.streamed.String() != "xyz") {
+			t.Errorf("outcome %d, streamed %q", r.outcome, s.streamed.String())
 		}
 	}
 }
 
-func TestConnectFailed(t *testing.T) {
+func TestConnectFailedReleasesReservation(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -273,49 +274,49 @@
 	ln.Close()
 	p := newPool(9)
 	p.Serve("s", ln.Addr().String(), 0)
-	if r := try(t, p); r.o != chalkrack.ConnectFailed {
-		t.Errorf("outcome %d", r.o)
+	if r := runAttempt(t, p); r.outcome != chalkrack.ConnectFailed {
+		t.Errorf("outcome %d", r.outcome)
 	}
 	if p.Conns() != 0 {
-		t.Error("its place is not given back")
+		t.Error("connection is still counted")
 	}
 	s := newSink()
-	a := get(s)
+	a := newGetAttempt(s)
 	a.Server = "unheard of"
-	if p.Start(a); s.wait(t).o != chalkrack.ConnectFailed {
-		t.Error("a server that is not listed")
+	if p.Start(a); s.wait(t).outcome != chalkrack.ConnectFailed {
+		t.Error("unlisted server: outcome is not ConnectFailed")
 	}
 }
 
-// With all connections in use an attempt was never made: its server is not to blame.
-// An idle one to another server gives way.
-func TestNoPlaceLeft(t *testing.T) {
-	silent, _ := fake(t, func(_ net.Conn, br *bufio.Reader) { readRequest(br); br.ReadByte() })
-	quick, _ := fake(t, each(hi))
+// With all connections in use an attempt is not made, and its server is not blamed. An idle
+// connection to another server is closed to make room.
+func TestFullPool(t *testing.T) {
+	silent, _ := startFakeServer(t, func(_ net.Conn, br *bufio.Reader) { readRequest(br); br.ReadByte() })
+	quick, _ := startFakeServer(t, answerEach(okResponse))
 	p := newPool(2)
 	p.Serve("s", quick, 0)
-	if r := try(t, p); r.o != chalkrack.OK {
-		t.Fatalf("outcome %d", r.o)
+	if r := runAttempt(t, p); r.outcome != chalkrack.OK {
+		t.Fatalf("outcome %d", r.outcome)
 	}
-	settle(t, "not idle", func() bool { return p.idle("s") == 1 })
+	waitUntil(t, "connection is not idle", func() bool { return p.idleCount("s") == 1 })
 	p.Serve("silent", silent, 0)
 	for range 2 {
-		a := get(newSink())
+		a := newGetAttempt(newSink())
 		a.Server = "silent"
 		p.Start(a)
-		settle(t, "never began", func() bool { a.mu.Lock(); defer a.mu.Unlock(); return a.wrote })
+		waitUntil(t, "request is not written", func() bool { a.mu.Lock(); defer a.mu.Unlock(); return a.written })
 	}
-	if r := try(t, p); r.o != chalkrack.NotSent {
-		t.Errorf("outcome %d without a place", r.o)
+	if r := runAttempt(t, p); r.outcome != chalkrack.NotSent {
+		t.Errorf("outcome %d with a full pool, want NotSent", r.outcome)
 	}
-	if p.Conns() != 2 || p.idle("s") != 0 {
-		t.Errorf("%d connections, %d idle", p.Conns(), p.idle("s"))
+	if p.Conns() != 2 || p.idleCount("s") != 0 {
+		t.Errorf("%d connections, %d idle, want 2 and 0", p.Conns(), p.idleCount("s"))
 	}
 }
 
-// A break before the last byte is written proves that nothing ran.
-func TestBreakWhileWriting(t *testing.T) {
-	addr, _ := fake(t, func(c net.Conn, br *bufio.Reader) {
+// If the connection breaks before the last byte is written, the request did not run.
+func TestBreakWhileWritingNeverRan(t *testing.T) {
+	addr, _ := startFakeServer(t, func(c net.Conn, br *bufio.Reader) {
 		br.ReadByte()
 		c.(*net.TCPConn).SetLinger(0)
 		c.Close()
@@ -323,58 +324,59 @@
 	p := newPool(9)
 	p.Serve("s", addr, 0)
 	s := newSink()
-	a := get(s)
-	a.Request.Body = [][]byte{make([]byte, 16<<20)} // more than all buffers on the way
+	a := newGetAttempt(s)
+	a.Request.Body = [][]byte{make([]byte, 16<<20)} // more than all socket buffers hold
 	p.Start(a)
-	if r := s.wait(t); r.o != chalkrack.ConnectFailed {
-		t.Errorf("outcome %d", r.o)
+	if r := s.wait(t); r.outcome != chalkrack.ConnectFailed {
+		t.Errorf("outcome %d", r.outcome)
 	}
 }
 
-const hi = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi"
+const okResponse = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi"
 
-// settle waits until ok holds: what the pool's goroutines do takes a moment.
-func settle(t *testing.T, what string, ok func() bool) {
+// waitUntil waits until ok returns true, which takes a moment because the pool works in
+// goroutines. On timeout it fails the test with the message failure.
+func waitUntil(t *testing.T, failure string, ok func() bool) {
 	t.Helper()
-	for end := time.Now().Add(patience); !ok(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); !ok(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal(what)
+			t.Fatal(failure)
 		}
 	}
 }
 
-func (p *Pool) idle(name string) int {
+func (p *Pool) idleCount(name string) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return len(p.servers[name].idle)
 }
 
-func TestReuse(t *testing.T) {
+func TestConnectionReuse(t *testing.T) {
 	for _, c := range []struct {
 		name   string
-		before func(p *Pool, c net.Conn, addr string) // of the second attempt
+		before func(p *Pool, c net.Conn, addr string) // runs before the second attempt
 		conns  int
 	}{
 		{"kept", func(*Pool, net.Conn, string) {}, 1},
 		{"closed by the server", func(_ *Pool, c net.Conn, _ string) { c.Close() }, 2},
 		{"half-closed by the server", func(_ *Pool, c net.Conn, _ string) { c.(*net.TCPConn).CloseWrite() }, 2},
-		{"bytes that nobody asked for", func(_ *Pool, c net.Conn, _ string) { io.WriteString(c, hi) }, 2},
+		{"bytes that nobody asked for", func(_ *Pool, c net.Conn, _ string) { io.WriteString(c, okResponse) }, 2},
 		{"a restarted server", func(p *Pool, _ net.Conn, addr string) { p.Serve("s", addr, 5) }, 2},
 		{"idle for long", func(p *Pool, _ net.Conn, _ string) { p.Sweep(time.Now().Add(time.Minute)) }, 2},
 		{"told to close", func(p *Pool, _ net.Conn, _ string) { p.CloseIdle("s") }, 2},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			addr, conns := fake(t, each(hi))
+			addr, conns := startFakeServer(t, answerEach(okResponse))
 			p := newPool(9)
 			p.Serve("s", addr, 0)
-			if r := try(t, p); r.o != chalkrack.OK {
-				t.Fatalf("first: outcome %d", r.o)
+			if r := runAttempt(t, p); r.outcome != chalkrack.OK {
+				t.Fatalf("first attempt: outcome %d", r.outcome)
 			}
-			settle(t, "not idle", func() bool { return p.idle("s") == 1 })
+			waitUntil(t, "connection is not idle", func() bool { return p.idleCount("s") == 1 })
 			first := <-conns
 			c.before(p, first, addr)
-			if r := try(t, p); r.o != chalkrack.OK || r.body != "hi" {
-				t.Errorf("second: outcome %d, %q", r.o, r.body)
+			if r := runAttempt(t, p); r.outcome != chalkrack.OK || r.body != "hi" {
+				t.Errorf("second attempt: outcome %d, %q", r.outcome, r.body)
 			}
 			if n := 1 + len(conns); n != c.conns {
 				t.Errorf("%d connections, want %d", n, c.conns)
@@ -383,81 +385,82 @@
 	}
 }
 
-// Connections that break as soon as they are used after a time of idling: the pool
-// learns to drop them in time, and forgets it when nothing breaks any more.
-func TestEarlyIdleClose(t *testing.T) {
-	const idle = 4 * minIdle
-	addr, _ := fake(t, func(c net.Conn, br *bufio.Reader) {
+// When connections break on their first use after idling, the pool shortens its idle timeout so
+// that it closes them in time, and raises it again when nothing breaks any more.
+func TestEarlyIdleCloseShortensIdleTimeout(t *testing.T) {
+	const idle = 4 * minIdleTimeout
+	addr, _ := startFakeServer(t, func(c net.Conn, br *bufio.Reader) {
 		for first := true; readRequest(br) == nil; first = false {
-			if !first { // closed for long, had the request not crossed the word of it
+			if !first { // as if the server had closed the idle connection before the request arrived
 				c.(*net.TCPConn).SetLinger(0)
 				c.Close()
 				return
 			}
-			io.WriteString(c, hi)
+			io.WriteString(c, okResponse)
 		}
 	})
 	p := newPool(9)
-	p.early = patience
+	p.earlyBreakWindow = testTimeout
 	p.Serve("s", addr, 0)
 	resets := 0
 	for range 3 {
-		if r := try(t, p); r.o == chalkrack.Reset {
+		if r := runAttempt(t, p); r.outcome == chalkrack.Reset {
 			resets++
-			continue // its connection has gone
+			continue // the connection is closed
 		}
-		settle(t, "not idle", func() bool { return p.idle("s") == 1 })
+		waitUntil(t, "connection is not idle", func() bool { return p.idleCount("s") == 1 })
 		time.Sleep(idle)
 	}
-	if r := try(t, p); r.o != chalkrack.OK || resets != 1 {
-		t.Errorf("outcome %d after %d resets", r.o, resets)
+	if r := runAttempt(t, p); r.outcome != chalkrack.OK || resets != 1 {
+		t.Errorf("outcome %d after %d resets", r.outcome, resets)
 	}
 	low := p.idleTimeout
 	for range 20 {
-		p.Sweep(p.learned.Add(2 * idleRelearn))
+		p.Sweep(p.idleTimeoutChangedAt.Add(2 * idleRelearnInterval))
 	}
-	if low > idle || p.idleTimeout != p.idleCap() {
-		t.Errorf("idle for at most %v, later %v", low, p.idleTimeout)
+	if low > idle || p.idleTimeout != p.maxIdleTimeout() {
+		t.Errorf("idle timeout %v after the break, %v later", low, p.idleTimeout)
 	}
 }
 
-// A break that idling does not explain teaches nothing: a connection used again at
-// once, and one that idled for less than another that was well.
-func TestBreakOfOtherCause(t *testing.T) {
-	const idle = 20 * minIdle
+// A break that was not caused by idling leaves the idle timeout unchanged: on a connection
+// reused at once, and on one that was idle for less than another that survived.
+func TestUnrelatedBreakKeepsIdleTimeout(t *testing.T) {
+	const idle = 20 * minIdleTimeout
 	for _, idled := range []time.Duration{0, idle / 10} {
 		answers := make(chan bool, 3)
-		addr, _ := fake(t, func(c net.Conn, br *bufio.Reader) {
+		addr, _ := startFakeServer(t, func(c net.Conn, br *bufio.Reader) {
 			for readRequest(br) == nil && <-answers {
-				io.WriteString(c, hi)
+				io.WriteString(c, okResponse)
 			}
 			c.(*net.TCPConn).SetLinger(0)
 			c.Close()
 		})
 		p := newPool(9)
-		p.early = patience
+		p.earlyBreakWindow = testTimeout
 		p.Serve("s", addr, 0)
 		for n, wait := range []time.Duration{idle, idled, 0} {
 			answers <- n < 2
-			if r := try(t, p); (r.o == chalkrack.OK) != (n < 2) {
-				t.Fatalf("send %d: outcome %d", n, r.o)
+			if r := runAttempt(t, p); (r.outcome == chalkrack.OK) != (n < 2) {
+				t.Fatalf("attempt %d: outcome %d", n, r.outcome)
 			}
 			if n < 2 {
-				settle(t, "not idle", func() bool { return p.idle("s") == 1 })
+				waitUntil(t, "connection is not idle", func() bool { return p.idleCount("s") == 1 })
 			}
 			time.Sleep(wait)
 		}
-		if p.mu.Lock(); p.idleTimeout != p.idleCap() {
-			t.Errorf("broken after %v, %v being well: kept idle for %v only", idled, idle, p.idleTimeout)
+		if p.mu.Lock(); p.idleTimeout != p.maxIdleTimeout() {
+			t.Errorf("break after %v of idling, %v survived: idle timeout shortened to %v", idled, idle, p.idleTimeout)
 		}
 		p.mu.Unlock()
 	}
 }
 
-// Where connections break under requests, one that must not run twice is committed
-// with its last byte only once its connection has stood for a moment: a break before
-// proves that nothing ran. Elsewhere, and for others, nothing is held back.
-func TestHeldBack(t *testing.T) {
+// When connections have broken under requests, the last byte of a request that must not run
+// twice is sent only after the connection has stood for a moment: a break before that proves
+// that the request did not run. Other requests, and requests without recent breaks, are sent at
+// once.
+func TestLastByteHeldBackAfterBreaks(t *testing.T) {
 	breaks := func(c net.Conn, br *bufio.Reader) {
 		br.ReadByte()
 		c.(*net.TCPConn).SetLinger(0)
@@ -472,52 +475,52 @@
 		{"breaks", breaks, true, true, chalkrack.ConnectFailed},
 		{"breaks under one that may repeat", breaks, true, false, chalkrack.Reset},
 		{"breaks for the first time", breaks, false, true, chalkrack.Reset},
-		{"stands", each(hi), true, true, chalkrack.OK},
-		{"declines", each("HTTP/1.1 503 No\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n"), true, true, chalkrack.Full},
+		{"stands", answerEach(okResponse), true, true, chalkrack.OK},
+		{"declines", answerEach("HTTP/1.1 503 No\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n"), true, true, chalkrack.Full},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			addr, _ := fake(t, c.script)
+			addr, _ := startFakeServer(t, c.script)
 			p := newPool(9)
-			p.early = patience
+			p.earlyBreakWindow = testTimeout
 			if c.want == chalkrack.ConnectFailed {
-				p.hold = patience // the word of the break may come late
+				p.holdBackDelay = testTimeout // the news of the break may arrive late
 			}
 			p.Serve("s", addr, 0)
 			for range 5 {
 				if p.mu.Lock(); c.brittle {
-					p.brokeAt = time.Now()
+					p.lastBreakAt = time.Now()
 				} else {
-					p.brokeAt = time.Time{}
+					p.lastBreakAt = time.Time{}
 				}
 				p.mu.Unlock()
 				s := newSink()
-				a := get(s)
-				a.Once = c.once
+				a := newGetAttempt(s)
+				a.AtMostOnce = c.once
 				a.Request = &message.Request{Method: "POST", Head: []byte("POST /x HTTP/1.1\r\nHost: h\r\nContent-Length: 5\r\n"), Body: [][]byte{[]byte("hello")}}
 				p.Start(a)
-				if r := s.wait(t); r.o != c.want {
-					t.Errorf("outcome %d, want %d", r.o, c.want)
+				if r := s.wait(t); r.outcome != c.want {
+					t.Errorf("outcome %d, want %d", r.outcome, c.want)
 				}
 			}
-			if c.want == chalkrack.Reset && !p.brittle() {
-				t.Error("a break under a request is not remembered")
+			if c.want == chalkrack.Reset && !p.hasRecentBreak() {
+				t.Error("break under a request is not recorded")
 			}
-			settle(t, "connections are counted for ever", func() bool { return p.Conns() == p.idle("s") })
+			waitUntil(t, "closed connections are still counted", func() bool { return p.Conns() == p.idleCount("s") })
 		})
 	}
 }
 
-// An attempt given up while its last byte is held back never began.
-func TestAbandonWhileHeldBack(t *testing.T) {
+// An attempt abandoned while its last byte is held back has not begun.
+func TestAbandonWhileHeldBackNeverBegan(t *testing.T) {
 	heard := make(chan error, 1)
-	addr, _ := fake(t, func(c net.Conn, br *bufio.Reader) { heard <- readRequest(br) })
+	addr, _ := startFakeServer(t, func(c net.Conn, br *bufio.Reader) { heard <- readRequest(br) })
 	p := newPool(9)
-	p.brokeAt = time.Now().Add(time.Hour) // still to come, as far as it matters
+	p.lastBreakAt = time.Now().Add(time.Hour) // in the future, so that it counts as recent for the whole test
 	p.Serve("s", addr, 0)
 	s := newSink()
-	a := get(s)
-	a.Once, a.pool = true, p
-	_, to, err := p.take(a)
+	a := newGetAttempt(s)
+	a.AtMostOnce, a.pool = true, p
+	_, to, err := p.acquire(a)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -531,108 +534,110 @@
 	a.ended = true
 	a.mu.Unlock()
 	if a.Abandon() {
-		t.Error("it says that it began")
+		t.Error("Abandon reports that the attempt began")
 	}
 	a.Close()
 	if err := <-heard; err == nil {
-		t.Error("the server heard a whole request")
+		t.Error("server received the whole request")
 	}
-	if r := s.wait(t); r.o != chalkrack.ConnectFailed || p.Conns() != 0 {
-		t.Errorf("outcome %d, %d connections", r.o, p.Conns())
+	if r := s.wait(t); r.outcome != chalkrack.ConnectFailed || p.Conns() != 0 {
+		t.Errorf("outcome %d, %d connections", r.outcome, p.Conns())
 	}
 }
 
-// An idle connection must not take a request to an address that a server has left.
-func TestAddressChanges(t *testing.T) {
-	old, _ := fake(t, each(hi))
-	next, _ := fake(t, each("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nnew"))
+// After a server's address changes, idle connections to the old address are not used.
+func TestAddressChangeClosesIdleConnections(t *testing.T) {
+	old, _ := startFakeServer(t, answerEach(okResponse))
+	next, _ := startFakeServer(t, answerEach("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nnew"))
 	p := newPool(9)
 	p.Serve("s", old, 0)
-	try(t, p)
-	settle(t, "not idle", func() bool { return p.idle("s") == 1 })
+	runAttempt(t, p)
+	waitUntil(t, "connection is not idle", func() bool { return p.idleCount("s") == 1 })
 	p.Serve("s", next, 0)
-	if r := try(t, p); r.body != "new" {
-		t.Errorf("answered %q", r.body)
+	if r := runAttempt(t, p); r.body != "new" {
+		t.Errorf("answer %q", r.body)
 	}
 }
 
-// hearing is a server that tells the first line of its one connection; empty: nothing came.
-func hearing(t *testing.T) (addr string, heard chan string) {
+// startRecordingServer starts a server that reports the first line of its one connection; the
+// line is empty if nothing was received.
+func startRecordingServer(t *testing.T) (addr string, heard chan string) {
 	t.Helper()
 	heard = make(chan string, 1)
-	addr, _ = fake(t, func(c net.Conn, br *bufio.Reader) {
+	addr, _ = startFakeServer(t, func(c net.Conn, br *bufio.Reader) {
 		line, _ := br.ReadString('\n')
 		heard <- line
 	})
 	return addr, heard
 }
 
-// Nothing may go to a server once the grace after its drain is over, not even
-// what was on its way when it came.
-func TestLateAfterDrain(t *testing.T) {
-	addr, heard := hearing(t)
-	p := New(Config{ConnIdle: time.Minute, DialTimeout: 5 * time.Second, MaxConns: 9}) // no grace
+// Nothing is sent to a server after its drain grace, not even an attempt that was already being
+// dialled when the server left.
+func TestNothingIsSentAfterDrainGrace(t *testing.T) {
+	addr, heard := startRecordingServer(t)
+	p := New(Config{ConnIdle: time.Minute, DialTimeout: 5 * time.Second, MaxConns: 9}) // no drain grace
 	p.Serve("s", addr, 0)
 	s := newSink()
-	a := get(s)
+	a := newGetAttempt(s)
 	a.pool = p
-	_, to, err := p.take(a)
+	_, to, err := p.acquire(a)
 	if err != nil {
 		t.Fatal(err)
 	}
 	p.Leave("s", false)
 	time.Sleep(time.Millisecond)
-	a.dial(to) // returns as its connection is closed
-	if r := s.wait(t); r.o != chalkrack.ConnectFailed {
-		t.Errorf("outcome %d", r.o)
+	a.dial(to) // returns when the connection is closed
+	if r := s.wait(t); r.outcome != chalkrack.ConnectFailed {
+		t.Errorf("outcome %d", r.outcome)
 	}
 	if line := <-heard; line != "" {
-		t.Errorf("the server heard %q", line)
+		t.Errorf("server received %q, want nothing", line)
 	}
 }
 
-// Nor may a repeat that its connection came up too late for.
-func TestNotAfter(t *testing.T) {
-	addr, heard := hearing(t)
+// An attempt whose connection is established after NotAfter is not sent.
+func TestNothingIsSentPastNotAfter(t *testing.T) {
+	addr, heard := startRecordingServer(t)
 	p := newPool(9)
 	p.Serve("s", addr, 0)
 	s := newSink()
-	a := get(s)
+	a := newGetAttempt(s)
 	a.NotAfter = time.Now()
 	p.Start(a)
-	if r := s.wait(t); r.o != chalkrack.ConnectFailed {
-		t.Errorf("outcome %d", r.o)
+	if r := s.wait(t); r.outcome != chalkrack.ConnectFailed {
+		t.Errorf("outcome %d", r.outcome)
 	}
 	if line := <-heard; line != "" {
-		t.Errorf("the server heard %q", line)
+		t.Errorf("server received %q, want nothing", line)
 	}
 }
 
-// An attempt that is given up while its connection comes up never begins.
-func TestAbandonBeforeConnected(t *testing.T) {
-	addr, heard := hearing(t)
+// An attempt abandoned while its connection is being dialled never begins.
+func TestAbandonBeforeConnectNeverBegins(t *testing.T) {
+	addr, heard := startRecordingServer(t)
 	p := newPool(9)
 	p.Serve("s", addr, 0)
 	s := newSink()
-	a := get(s)
+	a := newGetAttempt(s)
 	a.pool = p
-	_, to, _ := p.take(a)
+	_, to, _ := p.acquire(a)
 	if a.Abandon() {
-		t.Error("it says that it began")
+		t.Error("Abandon reports that the attempt began")
 	}
 	a.dial(to)
 	if line := <-heard; line != "" {
-		t.Errorf("the server heard %q", line)
+		t.Errorf("server received %q, want nothing", line)
 	}
 	if p.Conns() != 0 {
-		t.Error("its place is not given back")
+		t.Error("connection is still counted")
 	}
 }
 
-// Giving up an attempt closes its connection, and only that.
-func TestClose(t *testing.T) {
+// Closing an abandoned attempt closes its connection, and no connection that has gone to another
+// attempt.
+func TestCloseClosesOnlyOwnConnection(t *testing.T) {
 	ended := make(chan error, 1)
-	addr, _ := fake(t, func(c net.Conn, br *bufio.Reader) {
+	addr, _ := startFakeServer(t, func(c net.Conn, br *bufio.Reader) {
 		readRequest(br)
 		_, err := br.ReadByte()
 		ended <- err
@@ -640,26 +645,26 @@
 	p := newPool(9)
 	p.Serve("s", addr, 0)
 	s := newSink()
-	a := get(s)
+	a := newGetAttempt(s)
 	p.Start(a)
-	settle(t, "never began", func() bool { a.mu.Lock(); defer a.mu.Unlock(); return a.wrote })
+	waitUntil(t, "request is not written", func() bool { a.mu.Lock(); defer a.mu.Unlock(); return a.written })
 	if !a.Abandon() {
-		t.Error("it says that it never began")
+		t.Error("Abandon reports that the attempt did not begin")
 	}
 	a.Close()
 	if err := <-ended; err != io.EOF {
-		t.Errorf("the server read %v", err)
+		t.Errorf("server read %v, want EOF", err)
 	}
 
-	addr, conns := fake(t, each(hi))
+	addr, conns := startFakeServer(t, answerEach(okResponse))
 	p.Serve("s", addr, 0)
 	s = newSink()
-	a = get(s)
+	a = newGetAttempt(s)
 	p.Start(a)
 	s.wait(t)
-	settle(t, "not idle", func() bool { return p.idle("s") == 1 })
-	a.Close() // too late: its connection is not its own any more
-	if try(t, p); len(conns) != 1 {
+	waitUntil(t, "connection is not idle", func() bool { return p.idleCount("s") == 1 })
+	a.Close() // too late: the attempt no longer owns the connection
+	if runAttempt(t, p); len(conns) != 1 {
 		t.Errorf("%d connections", len(conns))
 	}
 }
@@ -667,67 +672,68 @@
 func TestParseLoad(t *testing.T) {
 	r := ParseLoad("inflight=7, queue=2,util=0.61,odd,x=y")
 	if !r.HasInFlight || r.InFlight != 7 || !r.HasUtil || r.Util != 0.61 {
-		t.Errorf("%+v", r)
+		t.Errorf("ParseLoad = %+v", r)
 	}
 	for _, bad := range []string{"", "inflight", "inflight=NaN,util=nan", "inflight=Inf,util=-Inf", "inflight=-3,util=-0.1", "inflight=1e300"} {
 		if r := ParseLoad(bad); r.HasInFlight || r.HasUtil {
-			t.Errorf("of %q: %+v", bad, r)
+			t.Errorf("ParseLoad(%q) = %+v, want no values", bad, r)
 		}
 	}
 }
 
-// Shorter times hold for connections that idle already; longer ones are learned again.
-func TestAdopt(t *testing.T) {
+// A shorter idle timeout applies at once; a longer one takes effect only as the pool relearns
+// it.
+func TestAdoptShortensIdleTimeout(t *testing.T) {
 	p := New(Config{ConnIdle: 10 * time.Second, DialTimeout: time.Second, DrainGrace: time.Second})
 	p.Adopt(Times{ConnIdle: time.Second, DialTimeout: 2 * time.Second, DrainGrace: time.Minute})
 	if got := p.Times(); got != (Times{time.Second, 2 * time.Second, time.Minute}) || p.idleTimeout != 600*time.Millisecond {
-		t.Errorf("%+v, idle for %v", got, p.idleTimeout)
+		t.Errorf("times %+v, idle timeout %v", got, p.idleTimeout)
 	}
 	if p.Adopt(Times{ConnIdle: 10 * time.Second}); p.idleTimeout != 600*time.Millisecond {
-		t.Errorf("idle for %v at once", p.idleTimeout)
+		t.Errorf("idle timeout raised to %v at once", p.idleTimeout)
 	}
 }
 
-// A long answer of a told length that comes slowly goes on as it comes: its reader is not
-// kept waiting for the first MaxBuffered. One that stops after its first piece, spoilt or
-// not, is not begun: another attempt can still be made.
-func TestSlowLongAnswer(t *testing.T) {
+// A long answer of known length that arrives slowly is passed on while it arrives, without
+// waiting for the first MaxBuffered bytes. An answer that stops after its first piece is not
+// passed on, so that another attempt can be made.
+func TestSlowLongAnswerIsStreamed(t *testing.T) {
 	const length = 2 * MaxBuffered
 	for _, stops := range []bool{false, true} {
 		begun := make(chan struct{})
-		addr, _ := fake(t, func(c net.Conn, br *bufio.Reader) {
+		addr, _ := startFakeServer(t, func(c net.Conn, br *bufio.Reader) {
 			readRequest(br)
 			fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\nx", length)
 			if !stops {
-				time.Sleep(2 * trickle)
+				time.Sleep(2 * slowBodyDelay)
 				io.WriteString(c, "y")
-				<-begun // nothing more comes before these have gone on
+				<-begun // the rest is sent only after the first bytes were passed on
 				io.WriteString(c, strings.Repeat("z", length-2))
 			}
 			br.ReadByte()
 		})
 		p := newPool(9)
 		if !stops {
-			p.stall, p.lull = patience, patience
+			p.stallTimeout, p.streamStallTimeout = testTimeout, testTimeout
 		}
 		p.Serve("s", addr, 0)
 		s := newSink()
-		s.began = sync.OnceFunc(func() { close(begun) })
-		p.Start(get(s))
+		s.onStream = sync.OnceFunc(func() { close(begun) })
+		p.Start(newGetAttempt(s))
 		r := s.wait(t)
-		if stops && (r.o != chalkrack.Reset || s.streamed.Len() != 0) {
-			t.Errorf("stops: outcome %d, %d streamed", r.o, s.streamed.Len())
+		if stops && (r.outcome != chalkrack.Reset || s.streamed.Len() != 0) {
+			t.Errorf("answer that stops: outcome %d, %d streamed", r.outcome, s.streamed.Len())
 		}
-		if !stops && (r.o != chalkrack.OK || s.streamed.Len() != length) {
-			t.Errorf("outcome %d, %d streamed", r.o, s.streamed.Len())
+		if !stops && (r.outcome != chalkrack.OK || s.streamed.Len() != length) {
+			t.Errorf("outcome %d, %d streamed", r.outcome, s.streamed.Len())
 		}
 	}
 }
 
-// Small chunks say as much of themselves as they hold: an answer of the longest size
-// passes in them all the same.
-func TestLongestAnswerInSmallChunks(t *testing.T) {
-	addr, _ := fake(t, func(c net.Conn, br *bufio.Reader) {
+// The framing of small chunks takes as many bytes as their content. An answer of maxAnswerBytes
+// in small chunks still passes.
+func TestLongestAnswerInSmallChunksPasses(t *testing.T) {
+	addr, _ := startFakeServer(t, func(c net.Conn, br *bufio.Reader) {
 		readRequest(br)
 		io.WriteString(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
 		part := strings.Repeat("8\r\nxxxxxxxx\r\n", 8<<10)
@@ -738,11 +744,11 @@
 		br.ReadByte()
 	})
 	p := newPool(9)
-	p.lull = patience
+	p.streamStallTimeout = testTimeout
 	p.Serve("s", addr, 0)
 	s := newSink()
-	p.Start(get(s))
-	if r := s.wait(t); r.o != chalkrack.OK || s.streamed.Len() != maxAnswerBytes {
-		t.Errorf("outcome %d, %d streamed", r.o, s.streamed.Len())
+	p.Start(newGetAttempt(s))
+	if r := s.wait(t); r.outcome != chalkrack.OK || s.streamed.Len() != maxAnswerBytes {
+		t.Errorf("outcome %d, %d streamed", r.outcome, s.streamed.Len())
 	}
 }
