--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -1,4 +1,6 @@
-// Package discovery follows the list of servers.
+// Package discovery follows the list of servers that a discovery service publishes. A Watcher
+// keeps one long-running request (a watch) open to the service and hands on each list that it
+// sends. Parse reads a single list.
 package discovery
 
 import (
@@ -14,7 +16,8 @@
 	"chalkrack/internal/membership"
 )
 
-// Parse reads a list in discovery's form. An entry that is of no use is left out.
+// Parse parses a server list in the JSON format of the discovery service. It logs and skips
+// invalid entries, and returns an error if the list itself is invalid or has no index.
 func Parse(data []byte) (*membership.List, error) {
 	var raw struct {
 		Index     *int64
@@ -25,13 +28,13 @@
 		return nil, fmt.Errorf("discovery: %w", err)
 	}
 	if raw.Index == nil {
-		return nil, errors.New("discovery: a list without index")
+		return nil, errors.New("discovery: list has no index")
 	}
 	l := &membership.List{Index: *raw.Index, Whole: raw.Snapshot, Entries: make([]membership.Entry, 0, len(raw.Endpoints))}
 	for _, r := range raw.Endpoints {
 		e, err := parseEntry(r)
 		if err != nil {
-			slog.Warn("entry of the server list skipped", "entry", string(r[:min(len(r), 200)]), "err", err)
+			slog.Warn("invalid entry in server list skipped", "entry", string(r[:min(len(r), 200)]), "err", err)
 			continue
 		}
 		l.Entries = append(l.Entries, e)
@@ -54,7 +57,7 @@
 	state, ok := states[raw.Status]
 	switch {
 	case raw.Name == "":
-		return membership.Entry{}, errors.New("no name")
+		return membership.Entry{}, errors.New("entry has no name")
 	case !ok:
 		return membership.Entry{}, fmt.Errorf("unknown status %q", raw.Status)
 	case raw.SinceMs < 0 || raw.SinceMs > math.MaxInt64/1e6:
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -14,10 +14,10 @@
 	"chalkrack/internal/membership"
 )
 
-const patience = 20 * time.Second
+const testTimeout = 20 * time.Second
 
-// patient is for tests that fail by nothing but what they are about.
-var patient = Timing{Call: patience, Silence: Pushed.Silence, BackoffMin: Pushed.BackoffMin, BackoffMax: Pushed.BackoffMax}
+// patientTiming has a long call timeout, so that slow machines do not fail unrelated tests.
+var patientTiming = Timing{Call: testTimeout, Silence: Pushed.Silence, BackoffMin: Pushed.BackoffMin, BackoffMax: Pushed.BackoffMax}
 
 func entry(name string) string {
 	return fmt.Sprintf(`{"name":%q,"address":"127.0.0.1:1","zone":"a","group":3,"status":"up","weight":1.5,"since_ms":2}`, name)
@@ -30,14 +30,14 @@
 func TestParse(t *testing.T) {
 	l, err := Parse([]byte(list(7, true, entry("s"), `{"name":"t","status":"removed"}`)))
 	if err != nil || l.Index != 7 || !l.Whole || len(l.Entries) != 2 {
-		t.Fatalf("%+v, %v", l, err)
+		t.Fatalf("Parse = %+v, %v", l, err)
 	}
 	want := chalkrack.Endpoint{Name: "s", Zone: "a", Group: 3, Hint: 1.5, Started: 2 * time.Millisecond}
 	if e := l.Entries[0]; e.Endpoint != want || e.Address != "127.0.0.1:1" {
-		t.Errorf("%+v", e)
+		t.Errorf("first entry %+v", e)
 	}
 	if l.Entries[1].State != chalkrack.Gone {
-		t.Errorf("%+v", l.Entries[1])
+		t.Errorf("second entry %+v, want state Gone", l.Entries[1])
 	}
 	for _, bad := range []string{`{"status":"up","address":"a:1"}`, `{"name":"x","status":"odd","address":"a:1"}`,
 		`{"name":"x","status":"up","address":"nowhere"}`, `{"name":"x","status":"up","address":"a:1","since_ms":-1}`, `7`} {
@@ -48,14 +48,14 @@
 	}
 	for _, bad := range []string{"", "{", `{"snapshot":true,"endpoints":[]}`, `[]`} {
 		if _, err := Parse([]byte(bad)); err == nil {
-			t.Errorf("%q passed", bad)
+			t.Errorf("Parse(%q) returned no error", bad)
 		}
 	}
 }
 
-// play serves watches from scripts, one a connection, and returns what a
-// Watcher makes of them: each query, and the names that each list brings.
-func play(t *testing.T, want int, scripts ...func(net.Conn)) (queries, lists []string) {
+// runScripts serves watches from scripts, one per connection. It returns each query that a
+// Watcher makes and the server names in each list that it hands on.
+func runScripts(t *testing.T, want int, scripts ...func(net.Conn)) (queries, lists []string) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -81,7 +81,7 @@
 			}()
 		}
 	}()
-	w := &Watcher{Addr: ln.Addr().String(), Timing: patient, Failed: func(error) {}}
+	w := &Watcher{Addr: ln.Addr().String(), Timing: patientTiming, Failed: func(error) {}}
 	w.Listed = func(l *membership.List) {
 		var names []string
 		for _, e := range l.Entries {
@@ -95,8 +95,8 @@
 		select {
 		case s := <-got:
 			lists = append(lists, s)
-		case <-time.After(patience):
-			t.Fatalf("only %q came", lists)
+		case <-time.After(testTimeout):
+			t.Fatalf("received only the lists %q", lists)
 		}
 	}
 	w.Close()
@@ -107,8 +107,9 @@
 	return queries, lists
 }
 
-// say answers a watch with lines and then stays silent until the other end closes.
-func say(end bool, lines ...string) func(net.Conn) {
+// answerWith answers a watch with the given lines. It then closes the connection if end is set,
+// and otherwise waits until the other side closes.
+func answerWith(end bool, lines ...string) func(net.Conn) {
 	return func(c net.Conn) {
 		fmt.Fprint(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
 		for _, l := range lines {
@@ -120,7 +121,7 @@
 	}
 }
 
-func TestWatch(t *testing.T) {
+func TestWatchScripts(t *testing.T) {
 	whole := list(5, true, entry("a"))
 	for _, c := range []struct {
 		name    string
@@ -128,41 +129,41 @@
 		queries []string
 		lists   []string
 	}{
-		{"goes on after its end", []func(net.Conn){say(true, whole, "\n"), say(false, list(6, false, entry("b")))},
+		{"goes on after its end", []func(net.Conn){answerWith(true, whole, "\n"), answerWith(false, list(6, false, entry("b")))},
 			[]string{"watch=1", "watch=1&after=5"}, []string{"a", "b"}},
-		{"a line that does not parse", []func(net.Conn){say(false, whole, "nonsense\n"), say(false, list(6, true, entry("b")))},
+		{"a line that does not parse", []func(net.Conn){answerWith(false, whole, "nonsense\n"), answerWith(false, list(6, true, entry("b")))},
 			[]string{"watch=1", "watch=1"}, []string{"a", "b"}},
-		{"a line cut short", []func(net.Conn){say(true, whole, list(6, false, entry("x"))[:20]), say(false, list(6, false, entry("b")))},
+		{"a line cut short", []func(net.Conn){answerWith(true, whole, list(6, false, entry("x"))[:20]), answerWith(false, list(6, false, entry("b")))},
 			[]string{"watch=1", "watch=1&after=5"}, []string{"a", "b"}},
-		{"a version that goes back", []func(net.Conn){say(false, whole, list(2, false, entry("x"))), say(false, list(2, true, entry("b")))},
+		{"a version that goes back", []func(net.Conn){answerWith(false, whole, list(2, false, entry("x"))), answerWith(false, list(2, true, entry("b")))},
 			[]string{"watch=1", "watch=1"}, []string{"a", "b"}},
-		{"a whole list of a version that goes back", []func(net.Conn){say(true, whole, list(2, true, entry("b"))), say(false, list(3, false, entry("c")))},
+		{"a whole list of a version that goes back", []func(net.Conn){answerWith(true, whole, list(2, true, entry("b"))), answerWith(false, list(3, false, entry("c")))},
 			[]string{"watch=1", "watch=1&after=2"}, []string{"a", "b", "c"}},
-		{"a whole list without a server", []func(net.Conn){say(false, whole, list(9, true)), say(false, list(9, true, entry("b")))},
+		{"a whole list without a server", []func(net.Conn){answerWith(false, whole, list(9, true)), answerWith(false, list(9, true, entry("b")))},
 			[]string{"watch=1", "watch=1"}, []string{"a", "b"}},
-		{"a whole list of which no entry can be read", []func(net.Conn){say(false, whole, list(9, true, "7")), say(false, list(9, true, entry("b")))},
+		{"a whole list of which no entry can be read", []func(net.Conn){answerWith(false, whole, list(9, true, "7")), answerWith(false, list(9, true, entry("b")))},
 			[]string{"watch=1", "watch=1"}, []string{"a", "b"}},
-		{"all servers removed one by one", []func(net.Conn){say(true, whole, list(9, false, `{"name":"a","status":"removed"}`)), say(false, list(9, false, entry("b")))},
+		{"all servers removed one by one", []func(net.Conn){answerWith(true, whole, list(9, false, `{"name":"a","status":"removed"}`)), answerWith(false, list(9, false, entry("b")))},
 			[]string{"watch=1", "watch=1&after=9"}, []string{"a", "a", "b"}},
-		{"an error", []func(net.Conn){func(c net.Conn) { fmt.Fprint(c, "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n") }, say(false, whole)},
+		{"an error", []func(net.Conn){func(c net.Conn) { fmt.Fprint(c, "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n") }, answerWith(false, whole)},
 			[]string{"watch=1", "watch=1"}, []string{"a"}},
-		// Guards against a watch whose other end has vanished without a word.
-		{"silence", []func(net.Conn){say(false, whole), say(false, list(6, false, entry("b")))},
+		// The other end of the watch disappears without closing the connection.
+		{"silence", []func(net.Conn){answerWith(false, whole), answerWith(false, list(6, false, entry("b")))},
 			[]string{"watch=1", "watch=1&after=5"}, []string{"a", "b"}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			queries, lists := play(t, len(c.lists), c.scripts...)
+			queries, lists := runScripts(t, len(c.lists), c.scripts...)
 			if !slices.Equal(queries, c.queries) || !slices.Equal(lists, c.lists) {
-				t.Errorf("asked %q, got %q", queries, lists)
+				t.Errorf("queries %q, lists %q", queries, lists)
 			}
 		})
 	}
 }
 
-// agent is a discovery that tells each query, after its address, and answers all of
-// them with the same line.
-func agent(t *testing.T, name, line string, asked chan<- string) (addr string) {
+// startAgent starts a discovery service that reports each query, prefixed with name, and answers
+// all queries with the same line.
+func startAgent(t *testing.T, name, line string, queries chan<- string) (addr string) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -178,8 +179,8 @@
 			go func() {
 				defer c.Close()
 				if r, err := http.ReadRequest(bufio.NewReader(c)); err == nil {
-					asked <- name + " " + r.URL.RawQuery
-					say(false, line)(c)
+					queries <- name + " " + r.URL.RawQuery
+					answerWith(false, line)(c)
 				}
 			}()
 		}
@@ -187,13 +188,13 @@
 	return ln.Addr().String()
 }
 
-// A move leaves the old address at once, though it goes on talking, and asks the new
-// one for the whole list: its versions are its own. It ends a wait as well.
-func TestMove(t *testing.T) {
+// Move leaves the old address at once, although it still sends, and requests the whole list from
+// the new address, which has versions of its own. Move also ends a delay between two calls.
+func TestMoveRequestsWholeListFromNewAddress(t *testing.T) {
 	asked := make(chan string, 100)
-	old, next := agent(t, "old", list(50, true, entry("a")), asked), agent(t, "next", list(3, true, entry("b")), asked)
+	old, next := startAgent(t, "old", list(50, true, entry("a")), asked), startAgent(t, "next", list(3, true, entry("b")), asked)
 	got := make(chan string, 100)
-	w := &Watcher{Addr: old, Timing: patient, Failed: func(error) {}, Listed: func(l *membership.List) { got <- l.Entries[0].Name }}
+	w := &Watcher{Addr: old, Timing: patientTiming, Failed: func(error) {}, Listed: func(l *membership.List) { got <- l.Entries[0].Name }}
 	over := make(chan struct{})
 	go func() { w.Follow(); close(over) }()
 	expect := func(ch <-chan string, want string) {
@@ -201,10 +202,10 @@
 		select {
 		case s := <-ch:
 			if s != want {
-				t.Fatalf("%q, want %q", s, want)
+				t.Fatalf("got %q, want %q", s, want)
 			}
-		case <-time.After(patience):
-			t.Fatalf("no %q", want)
+		case <-time.After(testTimeout):
+			t.Fatalf("%q did not arrive", want)
 		}
 	}
 	expect(asked, "old watch=1")
@@ -212,7 +213,7 @@
 	w.Move(next)
 	expect(asked, "next watch=1")
 	expect(got, "b")
-	w.Move("127.0.0.1:1") // nobody there
+	w.Move("127.0.0.1:1") // no service listens here
 	w.Move(old)
 	expect(asked, "old watch=1")
 	expect(got, "a")
@@ -220,16 +221,16 @@
 	<-over
 }
 
-// A discovery that answers nothing but what can't be used is asked in steps that grow, to
-// three times a second and a half at the most, however long it goes on. The bound is on
-// calls in a time that was at least as long, so that a slow machine only makes fewer.
-func TestBadListsAreAskedForAgainInBounds(t *testing.T) {
+// A service that sends only unusable lists is called with a growing backoff, on average at most
+// three times in 1.5 s, however long this goes on. The test checks a minimum duration for a
+// number of calls, so that a slow machine, which makes fewer calls, cannot fail it.
+func TestUnusableListsAreRequestedWithBackoff(t *testing.T) {
 	for _, bad := range []string{"nonsense\n", list(3, true)} {
 		asked := make(chan string, 1000)
-		w := &Watcher{Addr: agent(t, "", bad, asked), Timing: patient, Track: membership.Track{Index: 5, Held: true}}
+		w := &Watcher{Addr: startAgent(t, "", bad, asked), Timing: patientTiming, Track: membership.Track{Index: 5, Held: true}}
 		failed := make(chan error, 1000)
 		w.Failed = func(err error) { failed <- err }
-		w.Listed = func(l *membership.List) { t.Errorf("%q was used: %+v", bad, l) }
+		w.Listed = func(l *membership.List) { t.Errorf("unusable list %q was handed on: %+v", bad, l) }
 		over := make(chan struct{})
 		began := time.Now()
 		go func() { w.Follow(); close(over) }()
@@ -239,16 +240,16 @@
 		took := time.Since(began)
 		w.Close()
 		<-over
-		// Waits of at least a half of 20, 40, 80, 160, 320, 500 and 500 ms lie between.
+		// The seven delays are at least half of 20, 40, 80, 160, 320, 500 and 500 ms.
 		if least := 810 * time.Millisecond; took < least {
-			t.Errorf("%q: eight calls within %v, not %v", bad, took, least)
+			t.Errorf("%q: eight calls took %v, want at least %v", bad, took, least)
 		}
 		if q := <-asked; q != " watch=1&after=5" {
-			t.Errorf("first asked %q", q)
+			t.Errorf("first query %q, want \" watch=1&after=5\"", q)
 		}
 		for len(asked) > 0 {
 			if q := <-asked; q != " watch=1" {
-				t.Errorf("%q: then asked %q", bad, q)
+				t.Errorf("%q: later query %q, want \" watch=1\"", bad, q)
 			}
 		}
 	}
--- a/internal/discovery/crossings_test.go
+++ b/internal/discovery/races_test.go
@@ -19,20 +19,20 @@
 	"chalkrack/internal/membership"
 )
 
-// world is a discovery in memory and virtual time. Each connection is served by serve, told
-// which one it is, behind the head of its request.
-type world struct {
+// fakeDiscovery is a discovery service in memory and virtual time. serve handles each connection
+// after the head of its request was read; n is the number of the connection.
+type fakeDiscovery struct {
 	t     *testing.T
 	serve func(n int, c net.Conn, query string)
 
-	mu      sync.Mutex
-	dials   int
-	queries []string
-	heard   map[int64]time.Time // when each version was first handed on
-	fails   []error
+	mu         sync.Mutex
+	dials      int
+	queries    []string
+	receivedAt map[int64]time.Time // when each list version was first handed on
+	failures   []error
 }
 
-func (d *world) dial(ctx context.Context, addr string) (net.Conn, error) {
+func (d *fakeDiscovery) dial(ctx context.Context, addr string) (net.Conn, error) {
 	d.mu.Lock()
 	n := d.dials
 	d.dials++
@@ -52,96 +52,95 @@
 	return near, nil
 }
 
-// follow runs a watcher of this world until the returned function ends it.
-func (d *world) follow(w *Watcher) (stop func()) {
+// start runs w against this service until the returned function stops it.
+func (d *fakeDiscovery) start(w *Watcher) (stop func()) {
 	if w.Dial == nil {
 		w.Dial = d.dial
 	}
-	d.heard = make(map[int64]time.Time)
+	d.receivedAt = make(map[int64]time.Time)
 	w.Listed = func(l *membership.List) {
 		d.mu.Lock()
 		defer d.mu.Unlock()
-		if _, ok := d.heard[l.Index]; !ok {
-			d.heard[l.Index] = time.Now()
+		if _, ok := d.receivedAt[l.Index]; !ok {
+			d.receivedAt[l.Index] = time.Now()
 		}
 	}
 	w.Failed = func(err error) {
 		d.mu.Lock()
 		defer d.mu.Unlock()
-		d.fails = append(d.fails, err)
+		d.failures = append(d.failures, err)
 	}
 	over := make(chan struct{})
 	go func() { w.Follow(); close(over) }()
 	return func() { w.Close(); <-over }
 }
 
-// rest lets what the other sides still sleep for pass, in virtual time.
-func rest() { time.Sleep(time.Hour) }
+// drainSleepers advances virtual time until all sleeping goroutines of the service are done.
+func drainSleepers() { time.Sleep(time.Hour) }
 
-func (d *world) heardAt(index int64) (time.Time, bool) {
+func (d *fakeDiscovery) receiptTime(index int64) (time.Time, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	at, ok := d.heard[index]
+	at, ok := d.receivedAt[index]
 	return at, ok
 }
 
 const head200 = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
-func chunk(c net.Conn, text string) { fmt.Fprintf(c, "%x\r\n%s\r\n", len(text), text) }
+func writeChunk(c net.Conn, text string) { fmt.Fprintf(c, "%x\r\n%s\r\n", len(text), text) }
 
-// hang says nothing more until the other side closes.
-func hang(c net.Conn) { io.Copy(io.Discard, c) }
+// waitForClose sends nothing more and waits until the other side closes.
+func waitForClose(c net.Conn) { io.Copy(io.Discard, c) }
 
 var timings = map[string]Timing{"pushed": Pushed, "asked": Asked}
 
-// The constants sum up to less than the time after which a change counts as told, with
-// what a busy machine may add.
-func TestWorstCaseIsBelowTold(t *testing.T) {
+// The timeouts and delays add up to less than Told, with 300 ms to spare for a busy machine.
+func TestWorstCaseDelayIsBelowTold(t *testing.T) {
 	for name, timing := range timings {
 		if worst := timing.Worst(); worst > Told-300*time.Millisecond {
-			t.Errorf("%s: a change may stay unheard for %v of %v", name, worst, Told)
+			t.Errorf("%s: worst-case delay is %v, too close to Told (%v)", name, worst, Told)
 		}
 	}
 }
 
-// The watch falls silent in the moment in which something changes. The next call connects at
-// once and is answered as late as a call is waited for.
-func TestSilenceCrossesAChange(t *testing.T) {
+// The watch becomes silent at the moment of a change. The next call connects at once and is
+// answered just before its timeout. The change must still arrive within Worst.
+func TestChangeDuringSilenceArrivesInTime(t *testing.T) {
 	for name, timing := range timings {
 		for range 40 {
 			synctest.Test(t, func(t *testing.T) {
 				var changed atomic.Int64
-				d := &world{t: t}
+				d := &fakeDiscovery{t: t}
 				d.serve = func(n int, c net.Conn, query string) {
 					if n > 0 {
 						time.Sleep(timing.Call - time.Millisecond)
 						fmt.Fprint(c, head200)
-						chunk(c, list(6, false, entry("b")))
-						hang(c)
+						writeChunk(c, list(6, false, entry("b")))
+						waitForClose(c)
 						return
 					}
 					fmt.Fprint(c, head200)
-					chunk(c, list(5, true, entry("a")))
+					writeChunk(c, list(5, true, entry("a")))
 					changed.Store(time.Now().UnixNano())
-					hang(c)
+					waitForClose(c)
 				}
-				stop := d.follow(&Watcher{Timing: timing})
-				defer rest()
+				stop := d.start(&Watcher{Timing: timing})
+				defer drainSleepers()
 				defer stop()
 				time.Sleep(timing.Spread + 2*Told)
-				at, ok := d.heardAt(6)
+				at, ok := d.receiptTime(6)
 				if took := at.Sub(time.Unix(0, changed.Load())); !ok || took > timing.Worst() || took >= Told {
-					t.Errorf("%s: heard %v after the change (%v), at most %v", name, took, ok, timing.Worst())
+					t.Errorf("%s: list received %v after the change (received: %v), want at most %v", name, took, ok, timing.Worst())
 				}
 			})
 		}
 	}
 }
 
-// Discovery is down before the first list: it takes connections and says nothing, or refuses
-// them, or turns calls away. What it has at its return, whenever that is in the middle of a
-// call or a wait, is heard in time, though calls that hang stay hung.
-func TestReturnCrossesACall(t *testing.T) {
+// Before the first list the service is down: it accepts connections without answering, refuses
+// them, or rejects calls. It returns at various points of a call or a delay between calls, and
+// calls that hang stay hung. The list must still arrive within Worst of the return.
+func TestChangeAfterOutageArrivesInTime(t *testing.T) {
 	refused := func(context.Context, string) (net.Conn, error) { return nil, syscall.ECONNREFUSED }
 	noPlace := func(context.Context, string) (net.Conn, error) {
 		return nil, &net.OpError{Op: "socket", Err: syscall.EMFILE}
@@ -154,20 +153,20 @@
 			for n := range 12 {
 				synctest.Test(t, func(t *testing.T) {
 					back := time.Now().Add(5*time.Second + time.Duration(n)*311*time.Millisecond)
-					d := &world{t: t}
+					d := &fakeDiscovery{t: t}
 					d.serve = func(_ int, c net.Conn, _ string) {
 						if time.Now().Before(back) {
 							if down == "turned away" {
 								fmt.Fprint(c, "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n")
 								return
 							}
-							hang(c)
+							waitForClose(c)
 							return
 						}
 						time.Sleep(timing.Call - time.Millisecond)
 						fmt.Fprint(c, head200)
-						chunk(c, list(6, true, entry("b")))
-						hang(c)
+						writeChunk(c, list(6, true, entry("b")))
+						waitForClose(c)
 					}
 					w := &Watcher{Timing: timing}
 					w.Dial = func(ctx context.Context, addr string) (net.Conn, error) {
@@ -176,13 +175,13 @@
 						}
 						return d.dial(ctx, addr)
 					}
-					stop := d.follow(w)
-					defer rest()
+					stop := d.start(w)
+					defer drainSleepers()
 					defer stop()
 					time.Sleep(time.Until(back) + 2*Told)
-					at, ok := d.heardAt(6)
+					at, ok := d.receiptTime(6)
 					if took := at.Sub(back); !ok || took > timing.Worst() || took >= Told {
-						t.Errorf("%s, %s: heard %v after the return (%v), at most %v", name, down, took, ok, timing.Worst())
+						t.Errorf("%s, %s: list received %v after the return (received: %v), want at most %v", name, down, took, ok, timing.Worst())
 					}
 				})
 			}
@@ -190,9 +189,9 @@
 	}
 }
 
-// A list that trickles byte by byte is no sign of life, nor is one that stops in the middle:
-// the watch is opened anew as after silence. Empty lines are, for as long as they come.
-func TestTrickleIsSilence(t *testing.T) {
+// A list that trickles in byte by byte, or stops in the middle, does not count as a sign of
+// life: the watch is reopened as after silence. Empty lines between lists keep the watch open.
+func TestIncompleteListCountsAsSilence(t *testing.T) {
 	whole, change := list(5, true, entry("a")), list(6, false, entry("b"))
 	for name, c := range map[string]struct {
 		goOn  func(c net.Conn)
@@ -201,89 +200,90 @@
 		"byte by byte": {func(c net.Conn) {
 			for n := range change {
 				time.Sleep(100 * time.Millisecond)
-				chunk(c, change[n:n+1])
+				writeChunk(c, change[n:n+1])
 			}
-			hang(c)
+			waitForClose(c)
 		}, 2},
 		"half of one, then empty lines": {func(c net.Conn) {
-			chunk(c, change[:strings.Index(change, "[")+1]) // where blanks say nothing
+			writeChunk(c, change[:strings.Index(change, "[")+1]) // within a list, where whitespace does not count
 			for range 10 {
 				time.Sleep(2 * time.Second)
-				chunk(c, "\n")
+				writeChunk(c, "\n")
 			}
 		}, 2},
 		"blanks without an end of line": {func(c net.Conn) {
 			for range 100 {
 				time.Sleep(100 * time.Millisecond)
-				chunk(c, " ")
+				writeChunk(c, " ")
 			}
 		}, 2},
 		"empty lines": {func(c net.Conn) {
 			for range 10 {
 				time.Sleep(2 * time.Second)
-				chunk(c, "\n")
+				writeChunk(c, "\n")
 			}
 		}, 1},
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			var began atomic.Int64
-			d := &world{t: t}
+			d := &fakeDiscovery{t: t}
 			d.serve = func(n int, conn net.Conn, _ string) {
 				fmt.Fprint(conn, head200)
 				if n == 0 {
-					chunk(conn, whole)
+					writeChunk(conn, whole)
 					began.Store(time.Now().UnixNano())
 					c.goOn(conn)
 				}
-				chunk(conn, change)
-				hang(conn)
+				writeChunk(conn, change)
+				waitForClose(conn)
 			}
-			stop := d.follow(&Watcher{Timing: Pushed})
+			stop := d.start(&Watcher{Timing: Pushed})
 			time.Sleep(4500 * time.Millisecond)
 			d.mu.Lock()
 			dials := d.dials
 			d.mu.Unlock()
 			stop()
-			rest()
+			drainSleepers()
 			if dials != c.dials {
 				t.Errorf("%s: %d calls, want %d", name, dials, c.dials)
 			}
-			if at, ok := d.heard[6]; c.dials == 2 && (!ok || at.Sub(time.Unix(0, began.Load())) > Pushed.Worst()) {
-				t.Errorf("%s: heard after %v (%v)", name, at.Sub(time.Unix(0, began.Load())), ok)
+			if at, ok := d.receivedAt[6]; c.dials == 2 && (!ok || at.Sub(time.Unix(0, began.Load())) > Pushed.Worst()) {
+				t.Errorf("%s: list received after %v (received: %v)", name, at.Sub(time.Unix(0, began.Load())), ok)
 			}
 		})
 	}
 }
 
-// A call that has no list held and brings empty lines only is given up: the whole list is owed.
-func TestEmptyLinesAreNoList(t *testing.T) {
+// A call that holds no list and receives only empty lines is given up, because it has to bring
+// the whole list.
+func TestEmptyLinesBeforeFirstListTimeOut(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := &world{t: t}
+		d := &fakeDiscovery{t: t}
 		d.serve = func(n int, c net.Conn, _ string) {
 			fmt.Fprint(c, head200)
 			if n > 0 {
-				chunk(c, list(5, true, entry("a")))
-				hang(c)
+				writeChunk(c, list(5, true, entry("a")))
+				waitForClose(c)
 			}
 			for range 1000 {
 				time.Sleep(time.Second)
-				chunk(c, "\n")
+				writeChunk(c, "\n")
 			}
 		}
 		began := time.Now()
-		stop := d.follow(&Watcher{Timing: Pushed})
-		defer rest()
+		stop := d.start(&Watcher{Timing: Pushed})
+		defer drainSleepers()
 		defer stop()
 		time.Sleep(time.Minute)
-		if at, ok := d.heardAt(5); !ok || at.Sub(began) > Told {
-			t.Errorf("a list after %v (%v)", at.Sub(began), ok)
+		if at, ok := d.receiptTime(5); !ok || at.Sub(began) > Told {
+			t.Errorf("list received after %v (received: %v)", at.Sub(began), ok)
 		}
 	})
 }
 
-// Lists come on one line, indented over many, with no end of line, two in one piece, in
-// pieces that end anywhere.
-func TestFormsOfLists(t *testing.T) {
+// Lists are read on one line, indented over many, without a newline at the end, two at once, and
+// split at any byte.
+func TestListFormatting(t *testing.T) {
 	first, second := list(5, true, entry("a")), list(6, false, entry("b"))
 	indented := strings.NewReplacer("{", "{\n  ", ",", ",\n\t", "}", "\r\n}").Replace(first)
 	for name, text := range map[string]string{
@@ -296,30 +296,30 @@
 	} {
 		for _, size := range []int{1, 7, len(text)} {
 			synctest.Test(t, func(t *testing.T) {
-				d := &world{t: t}
+				d := &fakeDiscovery{t: t}
 				d.serve = func(_ int, c net.Conn, _ string) {
 					fmt.Fprint(c, head200)
 					for rest := text; rest != ""; {
 						n := min(size, len(rest))
-						chunk(c, rest[:n])
+						writeChunk(c, rest[:n])
 						rest = rest[n:]
 					}
-					hang(c)
+					waitForClose(c)
 				}
-				stop := d.follow(&Watcher{Timing: Pushed})
+				stop := d.start(&Watcher{Timing: Pushed})
 				synctest.Wait()
 				stop()
-				rest()
-				if len(d.heard) != 2 || len(d.fails) != 0 || d.dials != 1 {
-					t.Errorf("%s in pieces of %d: %d lists, %v, %d calls", name, size, len(d.heard), d.fails, d.dials)
+				drainSleepers()
+				if len(d.receivedAt) != 2 || len(d.failures) != 0 || d.dials != 1 {
+					t.Errorf("%s in pieces of %d: %d lists, errors %v, %d calls", name, size, len(d.receivedAt), d.failures, d.dials)
 				}
 			})
 		}
 	}
 }
 
-// What has no end is ended by its length, and the list held stays in use.
-func TestLengthsAreBounded(t *testing.T) {
+// A head or list without end is cut off at its maximum length, and is not handed on.
+func TestHeadAndListLengthsAreBounded(t *testing.T) {
 	for name, c := range map[string]struct {
 		say  func(net.Conn)
 		want error
@@ -331,48 +331,48 @@
 					return
 				}
 			}
-		}, errLongHead},
+		}, errHeadTooLong},
 		"a list": {func(c net.Conn) {
 			fmt.Fprint(c, head200)
-			chunk(c, `{"index":5,"snapshot":true,"endpoints":["`)
+			writeChunk(c, `{"index":5,"snapshot":true,"endpoints":["`)
 			for long := strings.Repeat("x", 1<<20); ; {
 				if _, err := fmt.Fprintf(c, "%x\r\n%s\r\n", len(long), long); err != nil {
 					return
 				}
 			}
-		}, errLongList},
+		}, errListTooLong},
 	} {
 		synctest.Test(t, func(t *testing.T) {
-			d := &world{t: t}
+			d := &fakeDiscovery{t: t}
 			d.serve = func(n int, conn net.Conn, _ string) {
 				if n == 0 {
 					c.say(conn)
 				}
-				hang(conn)
+				waitForClose(conn)
 			}
-			stop := d.follow(&Watcher{Timing: Pushed})
+			stop := d.start(&Watcher{Timing: Pushed})
 			time.Sleep(time.Second)
 			stop()
-			rest()
-			if len(d.fails) == 0 || !errors.Is(d.fails[0], c.want) || len(d.heard) != 0 {
-				t.Errorf("%s: %v, %d lists", name, d.fails, len(d.heard))
+			drainSleepers()
+			if len(d.failures) == 0 || !errors.Is(d.failures[0], c.want) || len(d.receivedAt) != 0 {
+				t.Errorf("%s: errors %v, %d lists", name, d.failures, len(d.receivedAt))
 			}
 		})
 	}
 }
 
-// A move while a call connects to the address before, which never answers, and while the
-// watch waits between two calls: the next is asked at once, for the whole list. What the old
-// address still says is heard by nobody.
-func TestMoveWhileDialling(t *testing.T) {
+// Move is called while a call hangs in connecting to the old address, or while the watch waits
+// between two calls. The new address is asked at once, for the whole list, and nothing more is
+// read from the old address.
+func TestMoveDuringDialAndWait(t *testing.T) {
 	for name, timing := range timings {
 		for _, refuses := range []bool{false, true} {
 			synctest.Test(t, func(t *testing.T) {
-				d := &world{t: t}
+				d := &fakeDiscovery{t: t}
 				d.serve = func(_ int, c net.Conn, _ string) {
 					fmt.Fprint(c, head200)
-					chunk(c, list(3, true, entry("b")))
-					hang(c)
+					writeChunk(c, list(3, true, entry("b")))
+					waitForClose(c)
 				}
 				w := &Watcher{Addr: "old", Timing: timing, Track: membership.Track{Index: 50, Held: true}}
 				w.Dial = func(ctx context.Context, addr string) (net.Conn, error) {
@@ -385,26 +385,27 @@
 					<-ctx.Done()
 					return nil, ctx.Err()
 				}
-				stop := d.follow(w)
-				defer rest()
+				stop := d.start(w)
+				defer drainSleepers()
 				defer stop()
 				time.Sleep(timing.Spread + 10*time.Second)
 				moved := time.Now()
 				w.Move("next")
 				synctest.Wait()
-				if at, ok := d.heardAt(3); !ok || at != moved {
-					t.Errorf("%s, refused %v: heard %v after the move (%v)", name, refuses, at.Sub(moved), ok)
+				if at, ok := d.receiptTime(3); !ok || at != moved {
+					t.Errorf("%s, refused %v: list received %v after the move (received: %v)", name, refuses, at.Sub(moved), ok)
 				}
 				if len(d.queries) == 0 || d.queries[0] != "watch=1" {
-					t.Errorf("asked %q", d.queries)
+					t.Errorf("queries %q, want \"watch=1\" first", d.queries)
 				}
 			})
 		}
 	}
 }
 
-// Many that lose an asked discovery at once do not come back all at once.
-func TestAskedCallsAreSpread(t *testing.T) {
+// A fleet of sidecars that loses a shared service at the same moment spreads its next calls over
+// time.
+func TestAskedCallsAreSpreadOverTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const fleet = 200
 		var mu sync.Mutex
@@ -413,7 +414,7 @@
 		var lost time.Time
 		var stops []func()
 		for range fleet {
-			d := &world{t: t}
+			d := &fakeDiscovery{t: t}
 			d.serve = func(n int, c net.Conn, _ string) {
 				mu.Lock()
 				if at := time.Since(began); n == 0 {
@@ -423,7 +424,7 @@
 				}
 				mu.Unlock()
 				fmt.Fprint(c, head200)
-				chunk(c, list(5, true, entry("a")))
+				writeChunk(c, list(5, true, entry("a")))
 				if n == 0 {
 					time.Sleep(time.Until(began.Add(2500 * time.Millisecond)))
 					mu.Lock()
@@ -431,21 +432,21 @@
 					mu.Unlock()
 					return
 				}
-				hang(c)
+				waitForClose(c)
 			}
-			stops = append(stops, d.follow(&Watcher{Timing: Asked}))
+			stops = append(stops, d.start(&Watcher{Timing: Asked}))
 		}
 		time.Sleep(10 * time.Second)
 		for _, stop := range stops {
 			stop()
 		}
-		rest()
+		drainSleepers()
 		most, slots := 0, 0
 		for _, n := range calls {
 			most, slots = max(most, n), slots+1
 		}
 		if most > fleet/3 || slots < 15 {
-			t.Errorf("%d of %d calls within one step, %d steps", most, fleet, slots)
+			t.Errorf("up to %d calls of a fleet of %d in one time slot, %d slots used", most, fleet, slots)
 		}
 	})
 }
--- a/internal/discovery/stream.go
+++ b/internal/discovery/stream.go
@@ -9,62 +9,63 @@
 )
 
 const (
-	listMax = 8 << 20  // bytes of one list
-	headMax = 64 << 10 // bytes of a watch's head
+	maxListBytes = 8 << 20  // maximum size of one list
+	maxHeadBytes = 64 << 10 // maximum size of the head of a watch's answer
 )
 
 var (
-	errLongHead = errors.New("discovery: head too long")
-	errLongList = errors.New("discovery: list too long")
+	errHeadTooLong = errors.New("discovery: answer head is too long")
+	errListTooLong = errors.New("discovery: list is too long")
 )
 
-// stream takes a watch's body apart into lists. A list ends with its JSON object, whatever
-// lines that stands on: it may come indented, or with no end of line behind it.
-type stream struct {
+// listReader splits the body of a watch into lists. A list ends with the end of its JSON object,
+// independent of line breaks: it may be indented, and no newline has to follow it.
+type listReader struct {
 	body io.Reader
-	// beat is told of each empty line between two lists. Guards against a list that trickles
-	// byte by byte: no byte of it is a sign of life, only its end.
-	beat func()
+	// onEmptyLine is called for empty lines between two lists. Bytes within a list do not count
+	// as a sign of life, only its end does, so that a list that trickles in byte by byte cannot
+	// keep the watch alive.
+	onEmptyLine func()
 
-	dec    *json.Decoder
-	within bool  // a list has begun and is not whole
-	left   int64 // bytes that it may still have
+	dec       *json.Decoder
+	inList    bool  // a list has begun and is incomplete
+	remaining int64 // bytes that the current list may still take
 }
 
-func newStream(body io.Reader, beat func()) *stream {
-	s := &stream{body: body, beat: beat, left: listMax}
+func newListReader(body io.Reader, onEmptyLine func()) *listReader {
+	s := &listReader{body: body, onEmptyLine: onEmptyLine, remaining: maxListBytes}
 	s.dec = json.NewDecoder(s)
 	return s
 }
 
-// Read implements io.Reader for the decoder.
-func (s *stream) Read(b []byte) (int, error) {
-	if s.left <= 0 {
-		return 0, errLongList
+// Read implements io.Reader for the JSON decoder.
+func (s *listReader) Read(b []byte) (int, error) {
+	if s.remaining <= 0 {
+		return 0, errListTooLong
 	}
-	n, err := s.body.Read(b[:min(int64(len(b)), s.left)])
-	s.left -= int64(n)
-	if !s.within {
+	n, err := s.body.Read(b[:min(int64(len(b)), s.remaining)])
+	s.remaining -= int64(n)
+	if !s.inList {
 		switch text := b[:n]; {
-		case !blank(text):
-			s.within = true
+		case !isBlank(text):
+			s.inList = true
 		case bytes.IndexByte(text, '\n') >= 0:
-			s.left = listMax
-			s.beat()
+			s.remaining = maxListBytes
+			s.onEmptyLine()
 		}
 	}
 	return n, err
 }
 
-// next is the text of the next list. It holds until next is called again.
-func (s *stream) next() ([]byte, error) {
+// next returns the text of the next list. It is valid until the next call.
+func (s *listReader) next() ([]byte, error) {
 	var text json.RawMessage
 	if err := s.dec.Decode(&text); err != nil {
 		return nil, fmt.Errorf("discovery: watch ended: %w", err)
 	}
 	rest, _ := io.ReadAll(s.dec.Buffered())
-	s.within, s.left = !blank(rest), listMax
+	s.inList, s.remaining = !isBlank(rest), maxListBytes
 	return text, nil
 }
 
-func blank(text []byte) bool { return len(bytes.TrimLeft(text, " \t\r\n")) == 0 }
+func isBlank(text []byte) bool { return len(bytes.TrimLeft(text, " \t\r\n")) == 0 }
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -16,63 +16,65 @@
 	"chalkrack/internal/membership"
 )
 
-// Timing bounds what a watch waits for. What discovery has and could tell counts as told
-// after Told, so that Worst has to stay under that.
+// Timing holds the timeouts and delays of a watch. A change has to reach the sidecar within
+// Told, so Worst must be smaller than Told.
 type Timing struct {
-	Call    time.Duration // for a call: to connect, the head of the answer, the first list
-	Silence time.Duration // for the next list or empty line; an empty one comes every 2 s
-	// The wait between two calls is drawn from half of a backoff to one and a half; the
-	// backoff doubles from BackoffMin to BackoffMax, until a call brings a list.
+	Call    time.Duration // limit for one call: connect, head of the answer and first list
+	Silence time.Duration // limit for the next list or empty line; the service sends an empty line every 2 s
+	// The delay between two calls is drawn at random from half of a backoff to one and a half.
+	// The backoff doubles from BackoffMin to BackoffMax until a call brings a list.
 	BackoffMin, BackoffMax time.Duration
-	Spread                 time.Duration // the first call is drawn from so long
+	Spread                 time.Duration // the delay of the first call is drawn from 0 to Spread
 }
 
-// Told is when a change counts as told to a sidecar, counted from when discovery had it and
-// could be reached.
+// Told is the time within which a change has to reach a sidecar, counted from when the discovery
+// service had the change and could be reached.
 const Told = 6 * time.Second
 
 var (
-	// Pushed is for an agent on the sidecar's own machine, which answers at once.
+	// Pushed is the timing for an agent on the sidecar's own machine, which answers at once.
 	Pushed = Timing{Call: 1600 * time.Millisecond, Silence: 2700 * time.Millisecond, BackoffMin: 20 * time.Millisecond, BackoffMax: 500 * time.Millisecond}
-	// Asked is for one service of all sidecars, which takes calls in turn and turns those
-	// away that have waited for 2 s. Its backoff and spread keep a fleet that has lost it
-	// from coming all at once.
+	// Asked is the timing for one service that all sidecars share. It serves calls in turn and
+	// rejects calls that have waited for 2 s. The longer backoff and the spread keep a fleet
+	// that has lost the service from calling it all at once.
 	Asked = Timing{Call: 2400 * time.Millisecond, Silence: 2700 * time.Millisecond, BackoffMin: 260 * time.Millisecond, BackoffMax: 500 * time.Millisecond, Spread: 2 * time.Second}
 )
 
-// Worst is the longest that a change stays unheard which discovery has and could tell.
+// Worst returns the longest time that a change can take to reach the sidecar while the discovery
+// service has it and can be reached.
 func (t Timing) Worst() time.Duration {
-	silent := t.Silence + t.BackoffMin*3/2 + t.Call // the watch that stood has died without a word
-	back := t.Call + t.BackoffMax*3/2 + t.Call      // it is back while a call hangs that began before
-	return max(silent, back, t.Spread+t.Call)
+	afterSilence := t.Silence + t.BackoffMin*3/2 + t.Call // an open watch dies without closing its connection
+	afterReturn := t.Call + t.BackoffMax*3/2 + t.Call     // the service returns while an earlier call hangs
+	return max(afterSilence, afterReturn, t.Spread+t.Call)
 }
 
-// Watcher follows the list at an address. It owns the watch, its deadlines and the wait
-// before the next one; each ends at once by Move or Close.
+// Watcher follows the list at an address. It owns the watch, its deadlines and the delay before
+// the next watch. Move and Close interrupt each of them at once and may be called concurrently
+// with Follow. The exported fields must be set before Follow is called.
 type Watcher struct {
-	Addr   string // of the first watch; Move names others
+	Addr   string // address of the first watch; Move changes it
 	Timing Timing
-	Track  membership.Track // what is held at the start
+	Track  membership.Track // state of the list already held at the start
 	Listed func(*membership.List)
 	Failed func(error)
-	// Dial is how a connection is made; nil: by TCP.
+	// Dial opens a connection; nil means TCP.
 	Dial func(ctx context.Context, addr string) (net.Conn, error)
 
 	mu     sync.Mutex
-	moved  bool               // since the last watch began
-	closed bool               // for good
-	cancel context.CancelFunc // of the watch, or the wait; nil before the first
+	moved  bool               // Move was called since the last watch began
+	closed bool               // Close was called
+	cancel context.CancelFunc // cancels the current watch or the delay before it; nil before the first
 }
 
-// Move sends the watch to another address, at once: the old one may say no more
-// while its connection still stands. Versions of the one mean nothing at the other,
-// so the whole list is asked for.
-func (w *Watcher) Move(addr string) { w.interrupt(func() { w.Addr, w.moved = addr, true }) }
+// Move interrupts the current watch and opens the next one at another address at once, because
+// the old address may stay silent while its connection still stands. List versions of one
+// address are meaningless at another, so the next watch requests the whole list.
+func (w *Watcher) Move(addr string) { w.cancelCurrent(func() { w.Addr, w.moved = addr, true }) }
 
-// Close ends the watch, and Follow.
-func (w *Watcher) Close() { w.interrupt(func() { w.closed = true }) }
+// Close ends the current watch and makes Follow return.
+func (w *Watcher) Close() { w.cancelCurrent(func() { w.closed = true }) }
 
-func (w *Watcher) interrupt(change func()) {
+func (w *Watcher) cancelCurrent(change func()) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	change()
@@ -81,8 +83,9 @@
 	}
 }
 
-// begin is what the next watch, with the wait before it, lives under; ok is false after Close.
-func (w *Watcher) begin() (ctx context.Context, addr string, moved, ok bool) {
+// beginWatch returns the context of the next watch, including the delay before it, and the
+// address to use. moved reports that Move was called; ok is false after Close.
+func (w *Watcher) beginWatch() (ctx context.Context, addr string, moved, ok bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.cancel != nil {
@@ -95,42 +98,43 @@
 	return ctx, w.Addr, moved, !w.closed
 }
 
-// Follow keeps a watch open until Close, and calls Failed at each break.
+// Follow keeps a watch open until Close is called, and blocks until then. It calls Listed with
+// each list and Failed with each error that ends a watch.
 func (w *Watcher) Follow() {
-	backoff, wait := w.Timing.BackoffMin, rand.N(w.Timing.Spread+1)
+	backoff, delay := w.Timing.BackoffMin, rand.N(w.Timing.Spread+1)
 	for {
-		ctx, addr, moved, ok := w.begin()
+		ctx, addr, moved, ok := w.beginWatch()
 		if !ok {
 			return
 		}
 		if moved {
-			backoff, wait = w.Timing.BackoffMin, 0
+			backoff, delay = w.Timing.BackoffMin, 0
 		}
-		if !pause(ctx, wait) {
+		if !sleep(ctx, delay) {
 			continue
 		}
 		listed, err := w.watch(ctx, addr)
-		if ctx.Err() != nil { // a move or the end, and no failure
+		if ctx.Err() != nil { // interrupted by Move or Close, which is no failure
 			continue
 		}
 		w.Failed(err)
 		if listed {
 			backoff = w.Timing.BackoffMin
 		}
-		wait = backoff/2 + rand.N(backoff+1)
+		delay = backoff/2 + rand.N(backoff+1)
 		backoff = min(2*backoff, w.Timing.BackoffMax)
 	}
 }
 
-// pause waits; false: ctx ended it.
-func pause(ctx context.Context, wait time.Duration) bool {
-	if wait <= 0 {
+// sleep waits for delay. It returns false if ctx ended the wait.
+func sleep(ctx context.Context, delay time.Duration) bool {
+	if delay <= 0 {
 		return ctx.Err() == nil
 	}
-	t := time.NewTimer(wait)
-	defer t.Stop()
+	timer := time.NewTimer(delay)
+	defer timer.Stop()
 	select {
-	case <-t.C:
+	case <-timer.C:
 		return ctx.Err() == nil
 	case <-ctx.Done():
 		return false
@@ -145,13 +149,13 @@
 	return d.DialContext(ctx, "tcp", addr)
 }
 
-// watch opens one watch and hands on what it brings until it ends; listed says that it
-// brought a list that was used.
+// watch opens one watch and hands on its lists until it ends. listed reports whether it brought
+// a list that was used.
 func (w *Watcher) watch(ctx context.Context, addr string) (listed bool, err error) {
 	deadline := time.Now().Add(w.Timing.Call)
-	dialing, done := context.WithDeadline(ctx, deadline)
-	conn, err := w.dial(dialing, addr)
-	done()
+	dialCtx, cancelDial := context.WithDeadline(ctx, deadline)
+	conn, err := w.dial(dialCtx, addr)
+	cancelDial()
 	if err != nil {
 		return false, fmt.Errorf("discovery: %w", err)
 	}
@@ -165,66 +169,66 @@
 	if _, err := fmt.Fprintf(conn, "GET %s HTTP/1.1\r\nHost: discovery\r\n\r\n", path); err != nil {
 		return false, fmt.Errorf("discovery: %w", err)
 	}
-	in := &capped{r: conn, left: headMax}
-	resp, err := http.ReadResponse(bufio.NewReader(in), nil)
+	limited := &limitedReader{r: conn, remaining: maxHeadBytes}
+	resp, err := http.ReadResponse(bufio.NewReader(limited), nil)
 	if err != nil {
 		return false, fmt.Errorf("discovery: %w", err)
 	}
 	if resp.StatusCode != http.StatusOK {
-		return false, fmt.Errorf("discovery: answered %s", resp.Status)
+		return false, fmt.Errorf("discovery: unexpected status %s", resp.Status)
 	}
-	in.left = -1
-	alive := func() {
-		if w.Track.Index > 0 { // else empty lines are no answer: the whole list is owed
+	limited.remaining = -1
+	extendDeadline := func() {
+		if w.Track.Index > 0 { // without a held list, empty lines do not extend the deadline for the first one
 			conn.SetDeadline(time.Now().Add(w.Timing.Silence))
 		}
 	}
-	lists := newStream(resp.Body, alive)
+	lists := newListReader(resp.Body, extendDeadline)
 	for {
 		text, err := lists.next()
 		if err == nil {
-			err = w.take(text)
+			err = w.handleList(text)
 		} else if errors.As(err, new(*json.SyntaxError)) {
-			w.Track.Index = 0 // what came cannot be relied on to go on from
+			w.Track.Index = 0 // the text after the last list is invalid, so the next watch cannot continue from it
 		}
 		if err != nil {
 			return listed, err
 		}
 		listed = true
-		alive()
+		extendDeadline()
 	}
 }
 
-// capped is a reader that ends after left bytes; below 0 it does not. Guards against a head
-// without end, which the parser would keep whole.
-type capped struct {
-	r    io.Reader
-	left int64
+// limitedReader returns an error after remaining bytes; a negative value disables the limit. It
+// bounds the head of the answer, which the HTTP parser holds in memory completely.
+type limitedReader struct {
+	r         io.Reader
+	remaining int64
 }
 
-func (c *capped) Read(b []byte) (int, error) {
+func (c *limitedReader) Read(b []byte) (int, error) {
 	switch {
-	case c.left < 0:
+	case c.remaining < 0:
 		return c.r.Read(b)
-	case c.left == 0:
-		return 0, errLongHead
+	case c.remaining == 0:
+		return 0, errHeadTooLong
 	}
-	n, err := c.r.Read(b[:min(int64(len(b)), c.left)])
-	c.left -= int64(n)
+	n, err := c.r.Read(b[:min(int64(len(b)), c.remaining)])
+	c.remaining -= int64(n)
 	return n, err
 }
 
-// take hands a list on. After one that can't be read or used the next watch asks for the
-// whole list, and the one held stays in use.
-func (w *Watcher) take(text []byte) error {
-	l, err := Parse(text)
+// handleList parses a list and hands it on. If the list is invalid or cannot be used, the list
+// held stays in use and the next watch requests the whole list.
+func (w *Watcher) handleList(text []byte) error {
+	list, err := Parse(text)
 	if err != nil {
 		w.Track.Index = 0
 		return err
 	}
-	if err := w.Track.Take(l); err != nil {
+	if err := w.Track.Take(list); err != nil {
 		return fmt.Errorf("discovery: %w", err)
 	}
-	w.Listed(l)
+	w.Listed(list)
 	return nil
 }
