--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -17,7 +17,7 @@
 const testTimeout = 20 * time.Second
 
 // patientTiming has a long call timeout, so that slow machines do not fail unrelated tests.
-var patientTiming = Timing{Call: testTimeout, Silence: Pushed.Silence, BackoffMin: Pushed.BackoffMin, BackoffMax: Pushed.BackoffMax}
+var patientTiming = Timing{CallTimeout: testTimeout, SilenceTimeout: Pushed.SilenceTimeout, MinBackoff: Pushed.MinBackoff, MaxBackoff: Pushed.MaxBackoff}
 
 func entry(name string) string {
 	return fmt.Sprintf(`{"name":%q,"address":"127.0.0.1:1","zone":"a","group":3,"status":"up","weight":1.5,"since_ms":2}`, name)
--- a/internal/discovery/races_test.go
+++ b/internal/discovery/races_test.go
@@ -97,7 +97,7 @@
 // The timeouts and delays add up to less than Told, with 300 ms to spare for a busy machine.
 func TestWorstCaseDelayIsBelowTold(t *testing.T) {
 	for name, timing := range timings {
-		if worst := timing.Worst(); worst > Told-300*time.Millisecond {
+		if worst := timing.WorstCaseDelay(); worst > Told-300*time.Millisecond {
 			t.Errorf("%s: worst-case delay is %v, too close to Told (%v)", name, worst, Told)
 		}
 	}
@@ -113,7 +113,7 @@
 				d := &fakeDiscovery{t: t}
 				d.serve = func(n int, c net.Conn, query string) {
 					if n > 0 {
-						time.Sleep(timing.Call - time.Millisecond)
+						time.Sleep(timing.CallTimeout - time.Millisecond)
 						fmt.Fprint(c, head200)
 						writeChunk(c, list(6, false, entry("b")))
 						waitForClose(c)
@@ -127,10 +127,10 @@
 				stop := d.start(&Watcher{Timing: timing})
 				defer drainSleepers()
 				defer stop()
-				time.Sleep(timing.Spread + 2*Told)
+				time.Sleep(timing.MaxInitialDelay + 2*Told)
 				at, ok := d.receiptTime(6)
-				if took := at.Sub(time.Unix(0, changed.Load())); !ok || took > timing.Worst() || took >= Told {
-					t.Errorf("%s: list received %v after the change (received: %v), want at most %v", name, took, ok, timing.Worst())
+				if took := at.Sub(time.Unix(0, changed.Load())); !ok || took > timing.WorstCaseDelay() || took >= Told {
+					t.Errorf("%s: list received %v after the change (received: %v), want at most %v", name, took, ok, timing.WorstCaseDelay())
 				}
 			})
 		}
@@ -163,7 +163,7 @@
 							waitForClose(c)
 							return
 						}
-						time.Sleep(timing.Call - time.Millisecond)
+						time.Sleep(timing.CallTimeout - time.Millisecond)
 						fmt.Fprint(c, head200)
 						writeChunk(c, list(6, true, entry("b")))
 						waitForClose(c)
@@ -180,8 +180,8 @@
 					defer stop()
 					time.Sleep(time.Until(back) + 2*Told)
 					at, ok := d.receiptTime(6)
-					if took := at.Sub(back); !ok || took > timing.Worst() || took >= Told {
-						t.Errorf("%s, %s: list received %v after the return (received: %v), want at most %v", name, down, took, ok, timing.Worst())
+					if took := at.Sub(back); !ok || took > timing.WorstCaseDelay() || took >= Told {
+						t.Errorf("%s, %s: list received %v after the return (received: %v), want at most %v", name, down, took, ok, timing.WorstCaseDelay())
 					}
 				})
 			}
@@ -247,7 +247,7 @@
 			if dials != c.dials {
 				t.Errorf("%s: %d calls, want %d", name, dials, c.dials)
 			}
-			if at, ok := d.receivedAt[6]; c.dials == 2 && (!ok || at.Sub(time.Unix(0, began.Load())) > Pushed.Worst()) {
+			if at, ok := d.receivedAt[6]; c.dials == 2 && (!ok || at.Sub(time.Unix(0, began.Load())) > Pushed.WorstCaseDelay()) {
 				t.Errorf("%s: list received after %v (received: %v)", name, at.Sub(time.Unix(0, began.Load())), ok)
 			}
 		})
@@ -388,7 +388,7 @@
 				stop := d.start(w)
 				defer drainSleepers()
 				defer stop()
-				time.Sleep(timing.Spread + 10*time.Second)
+				time.Sleep(timing.MaxInitialDelay + 10*time.Second)
 				moved := time.Now()
 				w.Move("next")
 				synctest.Wait()
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -19,12 +19,12 @@
 // Timing holds the timeouts and delays of a watch. A change has to reach the sidecar within
 // Told, so Worst must be smaller than Told.
 type Timing struct {
-	Call    time.Duration // limit for one call: connect, head of the answer and first list
-	Silence time.Duration // limit for the next list or empty line; the service sends an empty line every 2 s
+	CallTimeout    time.Duration // limit for one call: connect, head of the answer and first list
+	SilenceTimeout time.Duration // limit for the next list or empty line; the service sends an empty line every 2 s
 	// The delay between two calls is drawn at random from half of a backoff to one and a half.
-	// The backoff doubles from BackoffMin to BackoffMax until a call brings a list.
-	BackoffMin, BackoffMax time.Duration
-	Spread                 time.Duration // the delay of the first call is drawn from 0 to Spread
+	// The backoff doubles from MinBackoff to MaxBackoff until a call brings a list.
+	MinBackoff, MaxBackoff time.Duration
+	MaxInitialDelay        time.Duration // the delay of the first call is drawn from 0 to MaxInitialDelay
 }
 
 // Told is the time within which a change has to reach a sidecar, counted from when the discovery
@@ -33,19 +33,19 @@
 
 var (
 	// Pushed is the timing for an agent on the sidecar's own machine, which answers at once.
-	Pushed = Timing{Call: 1600 * time.Millisecond, Silence: 2700 * time.Millisecond, BackoffMin: 20 * time.Millisecond, BackoffMax: 500 * time.Millisecond}
+	Pushed = Timing{CallTimeout: 1600 * time.Millisecond, SilenceTimeout: 2700 * time.Millisecond, MinBackoff: 20 * time.Millisecond, MaxBackoff: 500 * time.Millisecond}
 	// Asked is the timing for one service that all sidecars share. It serves calls in turn and
 	// rejects calls that have waited for 2 s. The longer backoff and the spread keep a fleet
 	// that has lost the service from calling it all at once.
-	Asked = Timing{Call: 2400 * time.Millisecond, Silence: 2700 * time.Millisecond, BackoffMin: 260 * time.Millisecond, BackoffMax: 500 * time.Millisecond, Spread: 2 * time.Second}
+	Asked = Timing{CallTimeout: 2400 * time.Millisecond, SilenceTimeout: 2700 * time.Millisecond, MinBackoff: 260 * time.Millisecond, MaxBackoff: 500 * time.Millisecond, MaxInitialDelay: 2 * time.Second}
 )
 
-// Worst returns the longest time that a change can take to reach the sidecar while the discovery
+// WorstCaseDelay returns the longest time that a change can take to reach the sidecar while the discovery
 // service has it and can be reached.
-func (t Timing) Worst() time.Duration {
-	afterSilence := t.Silence + t.BackoffMin*3/2 + t.Call // an open watch dies without closing its connection
-	afterReturn := t.Call + t.BackoffMax*3/2 + t.Call     // the service returns while an earlier call hangs
-	return max(afterSilence, afterReturn, t.Spread+t.Call)
+func (t Timing) WorstCaseDelay() time.Duration {
+	afterSilence := t.SilenceTimeout + t.MinBackoff*3/2 + t.CallTimeout // an open watch dies without closing its connection
+	afterReturn := t.CallTimeout + t.MaxBackoff*3/2 + t.CallTimeout     // the service returns while an earlier call hangs
+	return max(afterSilence, afterReturn, t.MaxInitialDelay+t.CallTimeout)
 }
 
 // Watcher follows the list at an address. It owns the watch, its deadlines and the delay before
@@ -101,14 +101,14 @@
 // Follow keeps a watch open until Close is called, and blocks until then. It calls Listed with
 // each list and Failed with each error that ends a watch.
 func (w *Watcher) Follow() {
-	backoff, delay := w.Timing.BackoffMin, rand.N(w.Timing.Spread+1)
+	backoff, delay := w.Timing.MinBackoff, rand.N(w.Timing.MaxInitialDelay+1)
 	for {
 		ctx, addr, moved, ok := w.beginWatch()
 		if !ok {
 			return
 		}
 		if moved {
-			backoff, delay = w.Timing.BackoffMin, 0
+			backoff, delay = w.Timing.MinBackoff, 0
 		}
 		if !sleep(ctx, delay) {
 			continue
@@ -119,10 +119,10 @@
 		}
 		w.Failed(err)
 		if listed {
-			backoff = w.Timing.BackoffMin
+			backoff = w.Timing.MinBackoff
 		}
 		delay = backoff/2 + rand.N(backoff+1)
-		backoff = min(2*backoff, w.Timing.BackoffMax)
+		backoff = min(2*backoff, w.Timing.MaxBackoff)
 	}
 }
 
@@ -152,7 +152,7 @@
 // watch opens one watch and hands on its lists until it ends. listed reports whether it brought
 // a list that was used.
 func (w *Watcher) watch(ctx context.Context, addr string) (listed bool, err error) {
-	deadline := time.Now().Add(w.Timing.Call)
+	deadline := time.Now().Add(w.Timing.CallTimeout)
 	dialCtx, cancelDial := context.WithDeadline(ctx, deadline)
 	conn, err := w.dial(dialCtx, addr)
 	cancelDial()
@@ -180,7 +180,7 @@
 	limited.remaining = -1
 	extendDeadline := func() {
 		if w.Track.Index > 0 { // without a held list, empty lines do not extend the deadline for the first one
-			conn.SetDeadline(time.Now().Add(w.Timing.Silence))
+			conn.SetDeadline(time.Now().Add(w.Timing.SilenceTimeout))
 		}
 	}
 	lists := newListReader(resp.Body, extendDeadline)
