--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -188,9 +188,10 @@
 	return ln.Addr().String()
 }
 
-// Move leaves the old address at once, although it still sends, and requests the whole list from
-// the new address, which has versions of its own. Move also ends a delay between two calls.
-func TestMoveRequestsWholeListFromNewAddress(t *testing.T) {
+// A change of address leaves the old address at once, although it still sends, and requests the
+// whole list from the new address, which has versions of its own. It also ends a delay between
+// two calls.
+func TestNewAddressIsAskedForWholeList(t *testing.T) {
 	asked := make(chan string, 100)
 	old, next := startAgent(t, "old", list(50, true, entry("a")), asked), startAgent(t, "next", list(3, true, entry("b")), asked)
 	got := make(chan string, 100)
--- a/internal/discovery/races_test.go
+++ b/internal/discovery/races_test.go
@@ -94,17 +94,18 @@
 
 var timings = map[string]Timing{"pushed": Pushed, "asked": Asked}
 
-// The timeouts and delays add up to less than Told, with 300 ms to spare for a busy machine.
-func TestWorstCaseDelayIsBelowTold(t *testing.T) {
+// The timeouts and delays add up to less than the time allowed for a change, with 300 ms to
+// spare for a busy machine.
+func TestWorstCaseDelayIsBelowLimit(t *testing.T) {
 	for name, timing := range timings {
 		if worst := timing.WorstCaseDelay(); worst > Told-300*time.Millisecond {
-			t.Errorf("%s: worst-case delay is %v, too close to Told (%v)", name, worst, Told)
+			t.Errorf("%s: worst-case delay is %v, too close to the limit of %v", name, worst, Told)
 		}
 	}
 }
 
 // The watch becomes silent at the moment of a change. The next call connects at once and is
-// answered just before its timeout. The change must still arrive within Worst.
+// answered just before its timeout. The change must still arrive within WorstCaseDelay.
 func TestChangeDuringSilenceArrivesInTime(t *testing.T) {
 	for name, timing := range timings {
 		for range 40 {
@@ -139,7 +140,8 @@
 
 // Before the first list the service is down: it accepts connections without answering, refuses
 // them, or rejects calls. It returns at various points of a call or a delay between calls, and
-// calls that hang stay hung. The list must still arrive within Worst of the return.
+// calls that hang stay hung. The list must still arrive within WorstCaseDelay of the
+// return.
 func TestChangeAfterOutageArrivesInTime(t *testing.T) {
 	refused := func(context.Context, string) (net.Conn, error) { return nil, syscall.ECONNREFUSED }
 	noPlace := func(context.Context, string) (net.Conn, error) {
@@ -361,10 +363,10 @@
 	}
 }
 
-// Move is called while a call hangs in connecting to the old address, or while the watch waits
+// The address changes while a call hangs in connecting to the old one, or while the watch waits
 // between two calls. The new address is asked at once, for the whole list, and nothing more is
 // read from the old address.
-func TestMoveDuringDialAndWait(t *testing.T) {
+func TestAddressChangeDuringDialAndDelay(t *testing.T) {
 	for name, timing := range timings {
 		for _, refuses := range []bool{false, true} {
 			synctest.Test(t, func(t *testing.T) {
@@ -405,7 +407,7 @@
 
 // A fleet of sidecars that loses a shared service at the same moment spreads its next calls over
 // time.
-func TestAskedCallsAreSpreadOverTime(t *testing.T) {
+func TestSharedServiceCallsAreSpreadOverTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const fleet = 200
 		var mu sync.Mutex
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -16,8 +16,8 @@
 	"chalkrack/internal/membership"
 )
 
-// Timing holds the timeouts and delays of a watch. A change has to reach the sidecar within
-// Told, so Worst must be smaller than Told.
+// Timing holds the timeouts and delays of a watch. WorstCaseDelay must stay below the time
+// within which a change has to reach a sidecar.
 type Timing struct {
 	CallTimeout    time.Duration // limit for one call: connect, head of the answer and first list
 	SilenceTimeout time.Duration // limit for the next list or empty line; the service sends an empty line every 2 s
@@ -49,10 +49,10 @@
 }
 
 // Watcher follows the list at an address. It owns the watch, its deadlines and the delay before
-// the next watch. Move and Close interrupt each of them at once and may be called concurrently
-// with Follow. The exported fields must be set before Follow is called.
+// the next watch. A change of address and Close interrupt each of them at once. The exported
+// fields must be set before the watcher is started.
 type Watcher struct {
-	Addr   string // address of the first watch; Move changes it
+	Addr   string // address of the next watch
 	Timing Timing
 	Track  membership.Track // state of the list already held at the start
 	Listed func(*membership.List)
@@ -61,7 +61,7 @@
 	Dial func(ctx context.Context, addr string) (net.Conn, error)
 
 	mu     sync.Mutex
-	moved  bool               // Move was called since the last watch began
+	moved  bool               // the address has changed since the last watch began
 	closed bool               // Close was called
 	cancel context.CancelFunc // cancels the current watch or the delay before it; nil before the first
 }
@@ -71,7 +71,7 @@
 // address are meaningless at another, so the next watch requests the whole list.
 func (w *Watcher) Move(addr string) { w.cancelCurrent(func() { w.Addr, w.moved = addr, true }) }
 
-// Close ends the current watch and makes Follow return.
+// Close ends the current watch and stops the watcher.
 func (w *Watcher) Close() { w.cancelCurrent(func() { w.closed = true }) }
 
 func (w *Watcher) cancelCurrent(change func()) {
@@ -84,7 +84,7 @@
 }
 
 // beginWatch returns the context of the next watch, including the delay before it, and the
-// address to use. moved reports that Move was called; ok is false after Close.
+// address to use. moved reports that the address has changed; ok is false after Close.
 func (w *Watcher) beginWatch() (ctx context.Context, addr string, moved, ok bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -98,8 +98,8 @@
 	return ctx, w.Addr, moved, !w.closed
 }
 
-// Follow keeps a watch open until Close is called, and blocks until then. It calls Listed with
-// each list and Failed with each error that ends a watch.
+// Follow keeps a watch open until Close is called, and blocks until then. It hands on each list
+// and reports each error that ends a watch.
 func (w *Watcher) Follow() {
 	backoff, delay := w.Timing.MinBackoff, rand.N(w.Timing.MaxInitialDelay+1)
 	for {
@@ -114,7 +114,7 @@
 			continue
 		}
 		listed, err := w.watch(ctx, addr)
-		if ctx.Err() != nil { // interrupted by Move or Close, which is no failure
+		if ctx.Err() != nil { // interrupted by a new address or by Close, which is no failure
 			continue
 		}
 		w.Failed(err)
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -418,7 +418,7 @@
 	if c.removed || c.addr != c.server.addr || !c.server.leftAt.IsZero() {
 		return false
 	}
-	if p.conns > p.cfg.MaxConns { // Limit has lowered the maximum
+	if p.conns > p.cfg.MaxConns { // the maximum was lowered
 		return false
 	}
 	now := time.Now()
--- a/internal/upstream/races_test.go
+++ b/internal/upstream/races_test.go
@@ -276,7 +276,7 @@
 
 // The call ends while a long request is being written. The last byte is not written, so that no
 // server begins the request, and the connection is closed.
-func TestForgoDuringLongWriteHoldsLastByte(t *testing.T) {
+func TestLastByteOfCancelledLongWriteIsNotSent(t *testing.T) {
 	read := make(chan struct{})
 	got := make(chan int64, 1)
 	addr, _ := startFakeServer(t, func(c net.Conn, br *bufio.Reader) {
@@ -299,7 +299,7 @@
 	p.Start(a)
 	waitUntil(t, "request is not being written", func() bool { a.mu.Lock(); defer a.mu.Unlock(); return a.lastBytePending })
 	if !a.Forgo() {
-		t.Fatal("Forgo reports a begun attempt before the last byte is written")
+		t.Fatal("attempt counts as begun before its last byte is written")
 	}
 	close(read) // everything but the last byte is written now
 	if r := s.wait(t); !r.outcome.NeverRan() {
@@ -311,21 +311,21 @@
 	waitUntil(t, "connection is still counted after the attempt", func() bool { return p.Conns() == 0 })
 }
 
-// Forgo refuses to stop an attempt that has begun. It stops one that is not started or whose
-// last byte is held back.
-func TestForgoOnlyBeforeLastByte(t *testing.T) {
+// An attempt that has begun is not stopped as unsent. One that is not started or whose last byte
+// is held back is stopped.
+func TestOnlyUnsentAttemptsAreCancelled(t *testing.T) {
 	addr, _ := startFakeServer(t, func(c net.Conn, br *bufio.Reader) { readRequest(br); io.Copy(io.Discard, br) })
 	p := newPool(9)
 	p.Serve("s", addr, 0)
 	a := newGetAttempt(newSink())
 	if !a.Forgo() {
-		t.Error("Forgo reports that an attempt that was not started has begun")
+		t.Error("attempt that was not started counts as begun")
 	}
 	b := newGetAttempt(newSink())
 	p.Start(b)
 	waitUntil(t, "attempt does not begin", b.hasBegun)
 	if b.Forgo() {
-		t.Error("Forgo stops an attempt that has begun")
+		t.Error("attempt that has begun was stopped as unsent")
 	}
 	b.Close()
 	p.recordEarlyBreak(0, 0)
@@ -335,7 +335,7 @@
 	p.Start(c)
 	waitUntil(t, "last byte is not held back", func() bool { c.mu.Lock(); defer c.mu.Unlock(); return c.heldBack })
 	if !c.Forgo() {
-		t.Error("Forgo reports that an attempt whose last byte is held back has begun")
+		t.Error("attempt whose last byte is held back counts as begun")
 	}
 	c.Close()
 }
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -191,7 +191,7 @@
 func TestConfiguredStallTimeout(t *testing.T) {
 	for _, c := range []struct{ stall, want time.Duration }{{0, defaultStallTimeout}, {time.Hour, defaultStallTimeout}, {100 * time.Millisecond, 100 * time.Millisecond}, {1, minStallTimeout}} {
 		if got := New(Config{Stall: c.stall}).stallTimeout; got != c.want {
-			t.Errorf("Config.Stall %v: stall timeout %v, want %v", c.stall, got, c.want)
+			t.Errorf("configured %v: stall timeout %v, want %v", c.stall, got, c.want)
 		}
 	}
 	long := strings.Repeat("x", MaxBuffered+1)
@@ -683,7 +683,7 @@
 
 // A shorter idle timeout applies at once; a longer one takes effect only as the pool relearns
 // it.
-func TestAdoptShortensIdleTimeout(t *testing.T) {
+func TestChangedTimeoutsApplyToIdleConnections(t *testing.T) {
 	p := New(Config{ConnIdle: 10 * time.Second, DialTimeout: time.Second, DrainGrace: time.Second})
 	p.Adopt(Times{ConnIdle: time.Second, DialTimeout: 2 * time.Second, DrainGrace: time.Minute})
 	if got := p.Times(); got != (Times{time.Second, 2 * time.Second, time.Minute}) || p.idleTimeout != 600*time.Millisecond {
