--- a/internal/upstream/answer.go
+++ b/internal/upstream/answer.go
@@ -84,8 +84,8 @@
 }
 
 var (
-	errLongHead   = errors.New("upstream: answer head is too long")
-	errLongAnswer = errors.New("upstream: answer body is too long")
+	errHeadTooLong   = errors.New("upstream: answer head is too long")
+	errAnswerTooLong = errors.New("upstream: answer body is too long")
 )
 
 // An answer that has begun and pauses for longer than the stall timeout counts as stopped. The
@@ -115,7 +115,7 @@
 
 func (r *limitedConn) Read(p []byte) (int, error) {
 	if r.remaining <= 0 {
-		return 0, errLongHead
+		return 0, errHeadTooLong
 	}
 	if r.pauseTimeout > 0 {
 		r.hasDeadline = true
@@ -207,7 +207,7 @@
 		case resp.StatusCode == http.StatusSwitchingProtocols:
 			return nil, errors.New("upstream: server switched protocols")
 		case resp.ContentLength > maxAnswerBytes:
-			return nil, errLongAnswer // refused here because an answer that has begun cannot be repeated
+			return nil, errAnswerTooLong // refused here because an answer that has begun cannot be repeated
 		case resp.StatusCode >= 200:
 			// The limit also covers answers without a length that never end. It is doubled
 			// because the framing of small chunks takes as many bytes as their content.
--- a/internal/upstream/departed_client_test.go
+++ b/internal/upstream/departed_client_test.go
@@ -17,8 +17,8 @@
 // leaver is a client that counts as present for a number of calls of Left and has left after
 // them.
 type leaver struct {
-	polls   atomic.Int32
-	onCheck func() // called after each call of Left; may be nil
+	polls   atomic.Int32 // further calls of Left that report the client as present
+	onCheck func()       // called after each call of Left; may be nil
 }
 
 func (g *leaver) Left() bool {
