--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -1,8 +1,9 @@
-// Package pool says which members of a pool of servers may get calls: by the checks that
-// they pass or fail, backups only while no other is up, and with a slow start. It has no
-// I/O, clock or goroutines. Which member gets a call is the decision module's to say.
+// Package pool tracks which members of a server pool are eligible for calls. Members go
+// up and down by health check results, backups serve only while no other member does,
+// and members that come up are marked for slow start. The package has no I/O, clock or
+// goroutines; the decision module selects the member for each call.
 //
-// The terms and defaults of checks are HAProxy's (Configuration Manual, "server": check,
+// The terms and defaults of checks follow HAProxy (Configuration Manual, "server": check,
 // inter, rise, fall, backup, slowstart).
 package pool
 
@@ -14,101 +15,104 @@
 	"chalkrack/internal/membership"
 )
 
-// MembersMost bounds a pool.
-const MembersMost = 1024
+// MaxMembers is the maximum number of members of a pool.
+const MaxMembers = 1024
 
-// Member is one server.
+// Member is the configuration of one server of a pool.
 type Member struct {
 	Name, Address, Zone string
-	Weight              float64 // beside the other members; 0: 1
-	Backup              bool    // gets calls only while no other member is up
+	Weight              float64 // relative to the other members, up to 256; 0 means 1
+	Backup              bool    // serves only while no other member does
 }
 
-// Checks say when a member is up. Without Every all are up always.
+// Checks holds the health check thresholds. With an Interval of 0 there are no checks
+// and all members stay up.
 type Checks struct {
-	Every time.Duration // from one check's beginning to the next
-	Rise  int           // passed in a row that bring it up
-	Fall  int           // failed in a row that take it down
+	Interval time.Duration // between the starts of two checks of a member
+	Rise     int           // consecutive passes that bring a member up
+	Fall     int           // consecutive failures that take a member down
 }
 
-type state struct {
+type memberState struct {
 	Member
-	up       bool
-	row      int           // results in a row that speak against up
-	upAt     time.Duration // when it came up; 0: from the beginning
-	tried    bool
-	draining bool
+	up        bool
+	streak    int           // consecutive results that contradict up
+	upSince   time.Duration // time of the last change to up; 0: up since the start
+	hasResult bool
+	draining  bool
 }
 
-// Pool is the members and their states. One owner calls its methods in turn.
+// Pool holds the members and their states. It is not safe for concurrent use.
 type Pool struct {
 	checks  Checks
-	members []*state
-	byName  map[string]*state
+	members []*memberState
+	byName  map[string]*memberState
 }
 
-// New returns a Pool whose members count as up until their checks say otherwise, as
-// HAProxy has it. Errors name the field.
+// New returns a Pool whose members count as up until a check fails, as in HAProxy. It
+// returns an error that names the setting if a member or checks are invalid.
 func New(members []Member, checks Checks) (*Pool, error) {
-	p := &Pool{checks: checks, byName: make(map[string]*state)}
+	p := &Pool{checks: checks, byName: make(map[string]*memberState)}
 	switch {
-	case len(members) == 0 || len(members) > MembersMost:
-		return nil, fmt.Errorf("pool: servers must be 1 to %d", MembersMost)
-	case checks.Every < 0:
+	case len(members) == 0 || len(members) > MaxMembers:
+		return nil, fmt.Errorf("pool: servers must be 1 to %d", MaxMembers)
+	case checks.Interval < 0:
 		return nil, fmt.Errorf("pool: checks.every must be 0 or more")
-	case checks.Every > 0 && (checks.Rise < 1 || checks.Fall < 1):
+	case checks.Interval > 0 && (checks.Rise < 1 || checks.Fall < 1):
 		return nil, fmt.Errorf("pool: checks.rise and fall must be 1 or more")
 	}
 	for n, m := range members {
-		at := fmt.Sprintf("pool: servers[%d].", n)
+		prefix := fmt.Sprintf("pool: servers[%d].", n)
 		switch {
 		case m.Name == "" || p.byName[m.Name] != nil:
-			return nil, fmt.Errorf("%sname must be set and the only one of its kind, not %q", at, m.Name)
+			return nil, fmt.Errorf("%sname must be set and unique, not %q", prefix, m.Name)
 		case m.Address == "":
-			return nil, fmt.Errorf("%saddress must be set", at)
+			return nil, fmt.Errorf("%saddress must be set", prefix)
 		case !(m.Weight >= 0 && m.Weight <= 256):
-			return nil, fmt.Errorf("%sweight must be within 0 and 256", at)
+			return nil, fmt.Errorf("%sweight must be within 0 and 256", prefix)
 		}
 		if m.Weight == 0 {
 			m.Weight = 1
 		}
-		s := &state{Member: m, up: true}
+		s := &memberState{Member: m, up: true}
 		p.members = append(p.members, s)
 		p.byName[m.Name] = s
 	}
 	return p, nil
 }
 
-// Result takes a check's result, and says whether the list is another one now. A first
-// result counts at once: a member that is down at the start gets no Fall calls on trust.
-func (p *Pool) Result(now time.Duration, name string, ok bool) (changed bool) {
+// RecordResult records the check result of a member at time now and reports whether the
+// member went up or down. The first result takes effect at once, so that a member that is
+// down at the start does not get calls until Fall checks have failed. Unknown names are
+// ignored.
+func (p *Pool) RecordResult(now time.Duration, name string, ok bool) (changed bool) {
 	s := p.byName[name]
 	if s == nil {
 		return false
 	}
-	first := !s.tried
-	s.tried = true
+	first := !s.hasResult
+	s.hasResult = true
 	if ok == s.up {
-		s.row = 0
+		s.streak = 0
 		return false
 	}
-	need := p.checks.Fall
+	threshold := p.checks.Fall
 	if ok {
-		need = p.checks.Rise
+		threshold = p.checks.Rise
 	}
-	if s.row++; s.row < need && !first {
+	if s.streak++; s.streak < threshold && !first {
 		return false
 	}
-	s.up, s.row = ok, 0
+	s.up, s.streak = ok, 0
 	if ok {
-		s.upAt = max(now, 1)
+		s.upSince = max(now, 1)
 	}
 	return true
 }
 
-// Drain has a member finish what it has and get nothing new, or ends that; false if there
-// is no such member.
-func (p *Pool) Drain(name string, on bool) (known bool) {
+// SetDraining starts or ends draining a member: it finishes its calls and gets no new ones.
+// It reports whether the pool has a member of that name.
+func (p *Pool) SetDraining(name string, on bool) (known bool) {
 	s := p.byName[name]
 	if s == nil {
 		return false
@@ -117,9 +121,10 @@
 	return true
 }
 
-// List is who may get calls now: the members that are up, without backups; if there are
-// none, the backups that are up. Members are told as draining otherwise, so that calls
-// under way end in peace. A member that came up by its checks counts as just started.
+// List returns all members with their current state. Those that are up and not draining
+// are serving; backups serve only if no other member does. The rest are listed as draining, so
+// that their calls in progress can finish. A member that came up by its checks counts as
+// just started.
 func (p *Pool) List() *membership.List {
 	l := &membership.List{Whole: true}
 	serving := 0
@@ -128,7 +133,7 @@
 			if s.Backup != backup {
 				continue
 			}
-			e := membership.Entry{Endpoint: chalkrack.Endpoint{Name: s.Name, Zone: s.Zone, Hint: s.Weight, Started: s.upAt, State: chalkrack.Draining}, Address: s.Address}
+			e := membership.Entry{Endpoint: chalkrack.Endpoint{Name: s.Name, Zone: s.Zone, Hint: s.Weight, Started: s.upSince, State: chalkrack.Draining}, Address: s.Address}
 			if s.up && !s.draining && (!backup || serving == 0) {
 				e.State = chalkrack.Serving
 			}
@@ -145,7 +150,7 @@
 	return l
 }
 
-// View is a member's state for operators.
+// View is the state of one member as shown to operators.
 type View struct {
 	Name     string `json:"name"`
 	Address  string `json:"address"`
@@ -155,7 +160,7 @@
 	Serving  bool   `json:"serving"`
 }
 
-// View is all members' states.
+// View returns the states of all members, in the configured order.
 func (p *Pool) View() []View {
 	serving := make(map[string]bool)
 	for _, e := range p.List().Entries {
--- a/internal/pool/pool_test.go
+++ b/internal/pool/pool_test.go
@@ -11,7 +11,7 @@
 	"chalkrack"
 )
 
-func serving(p *Pool) string {
+func servingNames(p *Pool) string {
 	var all []string
 	for _, e := range p.List().Entries {
 		if e.State == chalkrack.Serving {
@@ -21,10 +21,10 @@
 	return strings.Join(all, " ")
 }
 
-// Checks take members down and bring them up by their rows, backups step in only for all
-// the others, and one that comes up counts as just started.
-func TestChecks(t *testing.T) {
-	p, err := New([]Member{{Name: "a", Address: "x"}, {Name: "b", Address: "x", Weight: 3}, {Name: "s", Address: "x", Backup: true}}, Checks{Every: time.Second, Rise: 2, Fall: 3})
+// Rise and Fall consecutive results change a member's state, a backup serves only while no
+// other member does, and a member that comes up counts as just started.
+func TestResultsChangeServingMembers(t *testing.T) {
+	p, err := New([]Member{{Name: "a", Address: "x"}, {Name: "b", Address: "x", Weight: 3}, {Name: "s", Address: "x", Backup: true}}, Checks{Interval: time.Second, Rise: 2, Fall: 3})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -33,29 +33,30 @@
 		changed bool
 		want    string
 	}{
-		{"a+", false, "a b"}, {"b-", true, "a"}, // the first result counts at once
-		{"a-", false, "a"}, {"a-", false, "a"}, {"a+", false, "a"}, // a row that breaks
+		{"a+", false, "a b"}, {"b-", true, "a"}, // the first result takes effect at once
+		{"a-", false, "a"}, {"a-", false, "a"}, {"a+", false, "a"}, // a pass resets the streak
 		{"a-", false, "a"}, {"a-", false, "a"}, {"a-", true, "s"},
 		{"s-", true, ""}, {"b+", false, ""}, {"b-", false, ""}, {"b+", false, ""}, {"b+", true, "b"},
 		{"s+", false, "b"}, {"s+", true, "b"}, {"x+", false, "b"},
 	} {
 		now := time.Duration(n+1) * time.Second
-		if got := p.Result(now, c.result[:1], c.result[1] == '+'); got != c.changed || serving(p) != c.want {
-			t.Errorf("step %d, %s: changed %v, serving %q, want %q", n, c.result, got, serving(p), c.want)
+		if got := p.RecordResult(now, c.result[:1], c.result[1] == '+'); got != c.changed || servingNames(p) != c.want {
+			t.Errorf("step %d, %s: changed %v, serving %q, want %q", n, c.result, got, servingNames(p), c.want)
 		}
 	}
 	if e := p.List().Entries[1]; e.Started != 13*time.Second || e.Hint != 3 {
-		t.Errorf("%+v", e)
+		t.Errorf("entry of b: %+v, want started at 13s with hint 3", e)
 	}
-	if !p.Drain("b", true) || serving(p) != "s" || p.Drain("none", true) {
-		t.Errorf("drained: %q", serving(p))
+	if !p.SetDraining("b", true) || servingNames(p) != "s" || p.SetDraining("none", true) {
+		t.Errorf("serving %q after draining b, want s; or an unknown member was drained", servingNames(p))
 	}
 	if v := p.View(); !v[1].Up || v[1].Serving || !v[2].Serving {
-		t.Errorf("%+v", v)
+		t.Errorf("views %+v, want b up and not serving, s serving", v)
 	}
 }
 
-func TestBadPools(t *testing.T) {
+// Each invalid setting is rejected with an error that names it.
+func TestNewRejectsInvalidPools(t *testing.T) {
 	m := Member{Name: "a", Address: "x"}
 	for _, c := range []struct {
 		members []Member
@@ -63,42 +64,43 @@
 		want    string
 	}{
 		{nil, Checks{}, "servers"}, {[]Member{m, m}, Checks{}, "servers[1].name"}, {[]Member{{Name: "a"}}, Checks{}, "servers[0].address"},
-		{[]Member{{Name: "a", Address: "x", Weight: -1}}, Checks{}, "weight"}, {[]Member{m}, Checks{Every: 1}, "rise"}, {[]Member{m}, Checks{Every: -1}, "every"},
+		{[]Member{{Name: "a", Address: "x", Weight: -1}}, Checks{}, "weight"}, {[]Member{m}, Checks{Interval: 1}, "rise"}, {[]Member{m}, Checks{Interval: -1}, "every"},
 	} {
 		if _, err := New(c.members, c.checks); err == nil || !strings.Contains(err.Error(), c.want) {
-			t.Errorf("%+v: %v", c, err)
+			t.Errorf("%+v: got error %v", c, err)
 		}
 	}
 }
 
-// Whatever checks say: a backup serves only while no other does, nobody serves who is
-// down, and every member is on the list.
-func TestAnyResults(t *testing.T) {
+// For random check results, a backup serves only while no other member does, no member
+// that is down serves, some member serves if any is up, every member is listed, and the
+// serving members change only when RecordResult reports a change.
+func TestRandomResultsKeepInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var members []Member
 		n := rapid.IntRange(1, 6).Draw(t, "members")
 		for i := range n {
 			members = append(members, Member{Name: fmt.Sprint(i), Address: "x", Backup: rapid.Bool().Draw(t, "backup")})
 		}
-		p, err := New(members, Checks{Every: 1, Rise: rapid.IntRange(1, 3).Draw(t, "rise"), Fall: rapid.IntRange(1, 3).Draw(t, "fall")})
+		p, err := New(members, Checks{Interval: 1, Rise: rapid.IntRange(1, 3).Draw(t, "rise"), Fall: rapid.IntRange(1, 3).Draw(t, "fall")})
 		if err != nil {
 			t.Fatal(err)
 		}
 		for step := range rapid.IntRange(1, 40).Draw(t, "steps") {
-			before := serving(p)
-			changed := p.Result(time.Duration(step), fmt.Sprint(rapid.IntRange(0, n-1).Draw(t, "who")), rapid.Bool().Draw(t, "ok"))
-			if !changed && serving(p) != before {
-				t.Fatal("another list, untold")
+			before := servingNames(p)
+			changed := p.RecordResult(time.Duration(step), fmt.Sprint(rapid.IntRange(0, n-1).Draw(t, "who")), rapid.Bool().Draw(t, "ok"))
+			if !changed && servingNames(p) != before {
+				t.Fatal("the serving members changed although RecordResult reported no change")
 			}
 			l := p.List()
 			if len(l.Entries) != n || !l.Whole {
-				t.Fatalf("%d of %d", len(l.Entries), n)
+				t.Fatalf("the list has %d entries of %d members, or is not whole", len(l.Entries), n)
 			}
 			first, backups, up := 0, 0, 0
 			for _, v := range p.View() {
 				switch {
 				case v.Serving && !v.Up:
-					t.Fatalf("%s is down and serves", v.Name)
+					t.Fatalf("member %s is down and serving", v.Name)
 				case v.Serving && v.Backup:
 					backups++
 				case v.Serving:
@@ -109,7 +111,7 @@
 				}
 			}
 			if first > 0 && backups > 0 || up > 0 && first+backups == 0 {
-				t.Fatalf("%d and %d backups serve, %d are up", first, backups, up)
+				t.Fatalf("%d regular members and %d backups serve, %d members are up", first, backups, up)
 			}
 		}
 	})
--- a/internal/rooms/pools/pools.go
+++ b/internal/rooms/pools/pools.go
@@ -114,7 +114,7 @@
 	for _, m := range p.Servers {
 		members = append(members, pool.Member{Name: m.Name, Address: m.Address, Zone: m.Zone, Weight: m.Weight, Backup: m.Backup})
 	}
-	s.members, err = pool.New(members, pool.Checks{Every: time.Duration(p.Checks.Every), Rise: p.Checks.Rise, Fall: p.Checks.Fall})
+	s.members, err = pool.New(members, pool.Checks{Interval: time.Duration(p.Checks.Every), Rise: p.Checks.Rise, Fall: p.Checks.Fall})
 	if err != nil {
 		s.close()
 		return nil, fmt.Errorf("pool %q: %w", p.Name, err)
@@ -147,7 +147,7 @@
 		}
 		s.mu.Lock()
 		var l *membership.List
-		if s.members.Result(s.unix+time.Since(s.start), m.Name, err == nil) {
+		if s.members.RecordResult(s.unix+time.Since(s.start), m.Name, err == nil) {
 			l = s.members.List()
 			slog.Info("checks", "pool", s.name, "server", m.Name, "up", err == nil, "err", err)
 			s.host.Listed(l) // under the lock: lists must not overtake each other
