--- a/internal/queue/queue.go
+++ b/internal/queue/queue.go
@@ -1,12 +1,12 @@
-// Package queue bounds how many calls are at a pool's servers at once, and says which of
-// those beyond wait, for how long, and which are told at once to come back later. It has
-// no I/O, clock or goroutines. Which server takes a call is the decision module's to say,
-// after the call has left the queue.
+// Package queue limits the calls in progress at a pool's servers and decides which of the
+// other calls wait, for how long, and which are refused with a delay before a retry. It
+// has no I/O, clock or goroutines. The decision module selects a server for a call after
+// the call has left the queue.
 //
-// The terms are HAProxy's (Configuration Manual: "maxconn", "maxqueue", "timeout queue").
-// Unlike there, a call does not wait for what it can't get: by Little's law one that finds
-// n before it waits about n times the mean service time over the places, and where that is
-// longer than it may wait it is refused as it comes.
+// The concepts follow HAProxy (Configuration Manual: "maxconn", "maxqueue", "timeout
+// queue"). Unlike HAProxy, a call that can't be admitted in time is refused on arrival: by
+// Little's law, a call behind n others waits about n times the mean service time divided
+// by the number of places, and it is refused if that exceeds the time that it may wait.
 package queue
 
 import (
@@ -17,85 +17,88 @@
 )
 
 const (
-	// PlacesMost and WaitingMost bound a queue's memory: about 100 bytes a call.
-	PlacesMost  = 1 << 16
-	WaitingMost = 1 << 16
-	// serviceStep is the weight of one call in the mean service time.
-	serviceStep = 1.0 / 16
+	// MaxActiveCalls and MaxWaitingCalls are the largest limits that a queue accepts. They
+	// bound its memory, at about 100 bytes per call.
+	MaxActiveCalls  = 1 << 16
+	MaxWaitingCalls = 1 << 16
+	// serviceTimeWeight is the weight of one call in the moving average of service times.
+	serviceTimeWeight = 1.0 / 16
 )
 
-// Limits are a queue's settings.
+// Limits holds the limits of a queue.
 type Limits struct {
-	Active  int           // calls at the servers at once
-	Waiting int           // calls that wait at most; 0: what finds no place is refused
-	Longest time.Duration // that one waits
+	MaxActive  int           // calls in progress at the servers
+	MaxWaiting int           // waiting calls; 0: a call that finds no free place is refused
+	MaxWait    time.Duration // time that a call may wait
 }
 
-// Validate says what of l can't be used, by the name of its field.
+// Validate returns an error that names the first limit out of its range, or nil.
 func (l Limits) Validate() error {
 	switch {
-	case l.Active < 1 || l.Active > PlacesMost:
-		return fmt.Errorf("queue: active must be within 1 and %d", PlacesMost)
-	case l.Waiting < 0 || l.Waiting > WaitingMost:
-		return fmt.Errorf("queue: waiting must be within 0 and %d", WaitingMost)
-	case l.Waiting > 0 && l.Longest <= 0:
-		return fmt.Errorf("queue: longest must be above 0 where calls may wait")
+	case l.MaxActive < 1 || l.MaxActive > MaxActiveCalls:
+		return fmt.Errorf("queue: maximum of active calls must be within 1 and %d", MaxActiveCalls)
+	case l.MaxWaiting < 0 || l.MaxWaiting > MaxWaitingCalls:
+		return fmt.Errorf("queue: maximum of waiting calls must be within 0 and %d", MaxWaitingCalls)
+	case l.MaxWaiting > 0 && l.MaxWait <= 0:
+		return fmt.Errorf("queue: longest wait must be above 0 if calls may wait")
 	}
 	return nil
 }
 
-// ID names a call for as long as the queue knows it.
+// ID identifies a call while it is active or waiting.
 type ID uint64
 
-// Verdict is what becomes of a call.
-type Verdict int
+// Decision is the result of Arrive for a call.
+type Decision int
 
 const (
-	Go     Verdict = iota // it has a place, until Leave
-	Wait                  // Moves or Expire tell of it later
-	Refuse                // it is not known any more
+	Admit  Decision = iota // the call has a place until Remove
+	Wait                   // a Change of a later method call admits or refuses it
+	Refuse                 // the call is refused and the queue forgets it
 )
 
-// Refusal is a call that has waited for nothing. Asking again before After is of no use.
+// Refusal is a call that was refused on arrival or while it waited. A retry sooner than
+// RetryAfter is unlikely to be admitted.
 type Refusal struct {
-	ID    ID
-	After time.Duration
+	ID         ID
+	RetryAfter time.Duration
 }
 
-// Change is what an event brought for calls that waited.
+// Change lists the calls that an event admitted from the queue or refused.
 type Change struct {
-	Went    []ID // have a place now
-	Refused []Refusal
+	Admitted []ID // calls that have a place now
+	Refused  []Refusal
 }
 
-type waiting struct {
-	id    ID
-	worth float64
-	until time.Duration
-	n     uint64 // its place by time of coming
+type waitingCall struct {
+	id        ID
+	worth     float64
+	expiresAt time.Duration
+	seq       uint64 // order of arrival
 }
 
-// Queue is one pool's. One owner calls its methods in turn, with a time that never goes
-// back. A call is added by Arrive and taken away by its Refuse, a Refusal, or Leave.
+// Queue is the queue of one pool. It is not safe for concurrent use, and the times passed
+// to its methods must not decrease. A call is added by Arrive and is removed when it is
+// refused or passed to Remove.
 type Queue struct {
-	limits  Limits
-	active  map[ID]time.Duration // since when it has its place
-	line    []waiting            // the dearest first, then the one that came first
-	came    uint64
-	service time.Duration // mean; 0: nothing has ended yet
-	counts  Counts
+	limits      Limits
+	active      map[ID]time.Duration // time of admission by call
+	waiting     []waitingCall        // by descending worth, then by arrival
+	nextSeq     uint64
+	meanService time.Duration // 0: no call has ended yet
+	counts      Counts
 }
 
-// Counts are what a queue has done since its beginning.
+// Counts holds the totals of a queue since it was made.
 type Counts struct {
-	Went      uint64 `json:"went"`      // at once or after a wait
-	Waited    uint64 `json:"waited"`    // of these and of those refused
-	Hopeless  uint64 `json:"hopeless"`  // refused as they came: too many before them
-	Displaced uint64 `json:"displaced"` // refused for a dearer one
-	Expired   uint64 `json:"expired"`   // refused after their wait
+	Admitted         uint64 `json:"went"`      // on arrival or after a wait
+	Waited           uint64 `json:"waited"`    // calls queued, whether admitted or refused later
+	RefusedOnArrival uint64 `json:"hopeless"`  // could not be admitted in time
+	Displaced        uint64 `json:"displaced"` // refused in favour of a call of higher worth
+	Expired          uint64 `json:"expired"`   // refused after the longest wait
 }
 
-// New returns an empty Queue.
+// New returns an empty Queue, or an error if the limits are invalid.
 func New(l Limits) (*Queue, error) {
 	if err := l.Validate(); err != nil {
 		return nil, err
@@ -103,87 +106,92 @@
 	return &Queue{limits: l, active: make(map[ID]time.Duration)}, nil
 }
 
-// Arrive takes a call. worth orders those that wait: a dearer one goes first, and where
-// the line is full it displaces the last of the cheapest. until is when its caller stops
-// waiting; patient says whether it may wait here at all.
-func (q *Queue) Arrive(now time.Duration, id ID, worth float64, until time.Duration, patient bool) (Verdict, Change) {
-	if len(q.active) < q.limits.Active && len(q.line) == 0 {
-		q.seat(now, id)
-		return Go, Change{}
+// Arrive admits, queues or refuses a call. Waiting calls are ordered by worth: one of
+// higher worth is admitted first, and if the queue is full it displaces the last call of
+// the lowest worth. deadline is the time at which the caller stops waiting; mayWait
+// reports whether the call may be queued at all.
+func (q *Queue) Arrive(now time.Duration, id ID, worth float64, deadline time.Duration, mayWait bool) (Decision, Change) {
+	if len(q.active) < q.limits.MaxActive && len(q.waiting) == 0 {
+		q.admit(now, id)
+		return Admit, Change{}
 	}
-	w := waiting{id: id, worth: worth, until: min(until, now+q.limits.Longest), n: q.came}
-	q.came++
-	at, _ := slices.BinarySearchFunc(q.line, w, before)
-	if !patient || q.limits.Waiting == 0 || now+q.expected(at) >= w.until || at >= q.limits.Waiting {
-		q.counts.Hopeless++
-		return Refuse, Change{Refused: []Refusal{{id, q.comeBack()}}}
+	w := waitingCall{id: id, worth: worth, expiresAt: min(deadline, now+q.limits.MaxWait), seq: q.nextSeq}
+	q.nextSeq++
+	position, _ := slices.BinarySearchFunc(q.waiting, w, compareWaiting)
+	if !mayWait || q.limits.MaxWaiting == 0 || now+q.expectedWait(position) >= w.expiresAt || position >= q.limits.MaxWaiting {
+		q.counts.RefusedOnArrival++
+		return Refuse, Change{Refused: []Refusal{{id, q.retryDelay()}}}
 	}
 	var c Change
-	if len(q.line) >= q.limits.Waiting {
-		last := q.line[len(q.line)-1]
-		q.line = q.line[:len(q.line)-1]
+	if len(q.waiting) >= q.limits.MaxWaiting {
+		last := q.waiting[len(q.waiting)-1]
+		q.waiting = q.waiting[:len(q.waiting)-1]
 		q.counts.Displaced++
-		c.Refused = append(c.Refused, Refusal{last.id, q.comeBack()})
+		c.Refused = append(c.Refused, Refusal{last.id, q.retryDelay()})
 	}
-	q.line = slices.Insert(q.line, at, w)
+	q.waiting = slices.Insert(q.waiting, position, w)
 	q.counts.Waited++
 	return Wait, c
 }
 
-func before(a, b waiting) int {
-	return cmp.Or(cmp.Compare(b.worth, a.worth), cmp.Compare(a.n, b.n))
+// compareWaiting orders waiting calls by descending worth, then by arrival.
+func compareWaiting(a, b waitingCall) int {
+	return cmp.Or(cmp.Compare(b.worth, a.worth), cmp.Compare(a.seq, b.seq))
 }
 
-// expected is how long a call waits that finds so many before it in the line.
-func (q *Queue) expected(ahead int) time.Duration {
-	return time.Duration(float64(q.service) * float64(ahead+1) / float64(q.limits.Active))
+// expectedWait estimates the wait of a call with the given number of calls ahead of it.
+func (q *Queue) expectedWait(ahead int) time.Duration {
+	return time.Duration(float64(q.meanService) * float64(ahead+1) / float64(q.limits.MaxActive))
 }
 
-// comeBack is when the line as it is now will have gone.
-func (q *Queue) comeBack() time.Duration { return q.expected(len(q.line)) }
+// retryDelay estimates how long the calls that wait now need to be admitted.
+func (q *Queue) retryDelay() time.Duration { return q.expectedWait(len(q.waiting)) }
 
-func (q *Queue) seat(now time.Duration, id ID) {
+// admit gives a call a place.
+func (q *Queue) admit(now time.Duration, id ID) {
 	q.active[id] = now
-	q.counts.Went++
+	q.counts.Admitted++
 }
 
-// Leave says that a call has ended, or has given up waiting. A call that is not known is
-// none: guards against a place that is freed twice.
-func (q *Queue) Leave(now time.Duration, id ID) Change {
+// Remove removes a call that has ended or that has stopped waiting, and admits waiting
+// calls to the place that it frees. An unknown call is ignored, so that a place can't be
+// freed twice.
+func (q *Queue) Remove(now time.Duration, id ID) Change {
 	since, ok := q.active[id]
 	if !ok {
-		q.line = slices.DeleteFunc(q.line, func(w waiting) bool { return w.id == id })
+		q.waiting = slices.DeleteFunc(q.waiting, func(w waitingCall) bool { return w.id == id })
 		return Change{}
 	}
 	delete(q.active, id)
 	took := max(now-since, 1)
-	q.service = cmp.Or(q.service, took)
-	q.service += time.Duration(serviceStep * float64(took-q.service))
-	return q.move(now)
-}
-
-// move gives free places to those that wait, and drops those whose time is over.
-func (q *Queue) move(now time.Duration) Change {
-	c := Change{Refused: q.expire(now)}
-	for len(q.line) > 0 && len(q.active) < q.limits.Active {
-		w := q.line[0]
-		q.line = q.line[1:]
-		q.seat(now, w.id)
-		c.Went = append(c.Went, w.id)
+	q.meanService = cmp.Or(q.meanService, took)
+	q.meanService += time.Duration(serviceTimeWeight * float64(took-q.meanService))
+	return q.admitWaiting(now)
+}
+
+// admitWaiting refuses the calls whose wait has expired and admits others to free places.
+func (q *Queue) admitWaiting(now time.Duration) Change {
+	c := Change{Refused: q.dropExpired(now)}
+	for len(q.waiting) > 0 && len(q.active) < q.limits.MaxActive {
+		w := q.waiting[0]
+		q.waiting = q.waiting[1:]
+		q.admit(now, w.id)
+		c.Admitted = append(c.Admitted, w.id)
 	}
 	return c
 }
 
-// Expire refuses those that have waited as long as they may, and says when to ask next;
-// 0: when something waits again.
+// Expire refuses the calls that have waited as long as they may. It returns the time of
+// the next expiry as NextExpiry does.
 func (q *Queue) Expire(now time.Duration) (c Change, next time.Duration) {
-	c = q.move(now)
-	return c, q.Next()
+	c = q.admitWaiting(now)
+	return c, q.NextExpiry()
 }
 
-func (q *Queue) expire(now time.Duration) (refused []Refusal) {
-	q.line = slices.DeleteFunc(q.line, func(w waiting) bool {
-		if w.until > now {
+// dropExpired removes the calls whose wait has expired and returns their refusals.
+func (q *Queue) dropExpired(now time.Duration) (refused []Refusal) {
+	q.waiting = slices.DeleteFunc(q.waiting, func(w waitingCall) bool {
+		if w.expiresAt > now {
 			return false
 		}
 		q.counts.Expired++
@@ -191,43 +199,44 @@
 		return true
 	})
 	for n := range refused {
-		refused[n].After = q.comeBack()
+		refused[n].RetryAfter = q.retryDelay()
 	}
 	return refused
 }
 
-// Next is when the first that waits will have waited long enough; 0: nothing waits.
-func (q *Queue) Next() (at time.Duration) {
-	for _, w := range q.line {
-		if at == 0 || w.until < at {
-			at = w.until
+// NextExpiry returns the time at which the first wait expires, or 0 if no call waits.
+func (q *Queue) NextExpiry() (at time.Duration) {
+	for _, w := range q.waiting {
+		if at == 0 || w.expiresAt < at {
+			at = w.expiresAt
 		}
 	}
 	return at
 }
 
-// Stop refuses all that wait and lets nobody wait from now on: the process ends.
+// Stop refuses all waiting calls and queues none from then on. It is called when the
+// process ends.
 func (q *Queue) Stop() Change {
-	q.limits.Waiting = 0
+	q.limits.MaxWaiting = 0
 	var c Change
-	for _, w := range q.line {
+	for _, w := range q.waiting {
 		c.Refused = append(c.Refused, Refusal{ID: w.id})
 	}
-	q.line = nil
+	q.waiting = nil
 	return c
 }
 
-// View is a queue for operators.
+// View is the state of a queue as shown to operators.
 type View struct {
-	Active    int     `json:"active"`
-	Places    int     `json:"places"`
-	Waiting   int     `json:"waiting"`
-	Most      int     `json:"waiting_most"`
-	ServiceMS float64 `json:"service_ms"` // mean
+	Active     int     `json:"active"`
+	MaxActive  int     `json:"places"`
+	Waiting    int     `json:"waiting"`
+	MaxWaiting int     `json:"waiting_most"`
+	ServiceMS  float64 `json:"service_ms"` // mean
 	Counts
 }
 
-// View is the queue as it is now.
+// View returns the current state of the queue.
 func (q *Queue) View() View {
-	return View{len(q.active), q.limits.Active, len(q.line), q.limits.Waiting, float64(q.service) / float64(time.Millisecond), q.counts}
+	return View{len(q.active), q.limits.MaxActive, len(q.waiting), q.limits.MaxWaiting, float64(q.meanService) / float64(time.Millisecond), q.counts}
 }
--- a/internal/rooms/pools/pools.go
+++ b/internal/rooms/pools/pools.go
@@ -31,17 +31,17 @@
 type serverPool struct {
 	name    string
 	host    *core.Host
-	line    *queued // before host; nil: calls come to it at once
+	queue   *queuedHandler // before host; nil: calls come to it at once
 	conns   *upstream.Pool
 	watcher *discovery.Watcher // nil: a fixed list
 
-	mu      sync.Mutex
-	members *pool.Pool // nil: discovery's
-	checks  features.PoolChecks
-	start   time.Time
-	unix    time.Duration
-	wg      sync.WaitGroup
-	stop    context.CancelFunc
+	mu        sync.Mutex
+	members   *pool.Pool // nil: discovery's
+	checks    features.PoolChecks
+	start     time.Time
+	startUnix time.Duration
+	wg        sync.WaitGroup
+	stop      context.CancelFunc
 }
 
 // Config is what routes and pools are made of.
@@ -73,7 +73,7 @@
 func newServerPool(c *Config, p *features.Pool, seed uint64) (*serverPool, error) {
 	set := Settings(c.Settings, p)
 	s := &serverPool{name: p.Name, checks: p.Checks, start: time.Now()}
-	s.unix = time.Duration(s.start.UnixNano())
+	s.startUnix = time.Duration(s.start.UnixNano())
 	s.conns = upstream.New(upstream.Config{
 		ConnIdle: set.ConnIdle, DialTimeout: set.DialTimeout, DrainGrace: set.DrainGrace, MaxConns: p.MaxConnections, Stall: set.ShortestAim() / 2,
 	})
@@ -86,7 +86,7 @@
 		return nil, fmt.Errorf("pool %q: %w", p.Name, err)
 	}
 	if p.MaxActive > 0 {
-		s.line, err = newQueued(s.host, queue.Limits{Active: p.MaxActive, Waiting: p.MaxWaiting, Longest: time.Duration(p.QueueWait)},
+		s.queue, err = newQueuedHandler(s.host, queue.Limits{MaxActive: p.MaxActive, MaxWaiting: p.MaxWaiting, MaxWait: time.Duration(p.QueueWait)},
 			func(class string) float64 {
 				if k := set.ClassOf(class); k != nil {
 					return k.Worth
@@ -124,14 +124,14 @@
 		for n, m := range members {
 			// Spread over the time between two checks: they must not come as one burst.
 			first := time.Duration(p.Checks.Every) * time.Duration(n) / time.Duration(len(members))
-			s.wg.Go(func() { s.check(ctx, m, first) })
+			s.wg.Go(func() { s.runChecks(ctx, m, first) })
 		}
 	}
 	return s, nil
 }
 
-// check checks one member again and again. It holds one connection at most.
-func (s *serverPool) check(ctx context.Context, m pool.Member, first time.Duration) {
+// runChecks checks one member again and again. It holds one connection at most.
+func (s *serverPool) runChecks(ctx context.Context, m pool.Member, first time.Duration) {
 	t := time.NewTimer(first)
 	defer t.Stop()
 	for {
@@ -147,7 +147,7 @@
 		}
 		s.mu.Lock()
 		var l *membership.List
-		if s.members.RecordResult(s.unix+time.Since(s.start), m.Name, err == nil) {
+		if s.members.RecordResult(s.startUnix+time.Since(s.start), m.Name, err == nil) {
 			l = s.members.List()
 			slog.Info("checks", "pool", s.name, "server", m.Name, "up", err == nil, "err", err)
 			s.host.Listed(l) // under the lock: lists must not overtake each other
@@ -186,16 +186,16 @@
 
 // handler is who takes the pool's calls.
 func (s *serverPool) handler() front.Handler {
-	if s.line != nil {
-		return s.line
+	if s.queue != nil {
+		return s.queue
 	}
 	return s.host
 }
 
 func (s *serverPool) close() {
 	s.stop()
-	if s.line != nil {
-		s.line.stop()
+	if s.queue != nil {
+		s.queue.stop()
 	}
 	if s.watcher != nil {
 		s.watcher.Close()
@@ -216,8 +216,8 @@
 
 func (s *serverPool) status() Status {
 	st := Status{Name: s.name, Held: s.host.Held(), Connections: s.conns.Conns()}
-	if s.line != nil {
-		v := s.line.view()
+	if s.queue != nil {
+		v := s.queue.view()
 		st.Queue = &v
 	}
 	if s.members != nil {
@@ -230,9 +230,9 @@
 
 // Routing is the routes with their pools. What is called of a nil one does nothing.
 type Routing struct {
-	table *route.Table
-	pools map[string]*serverPool
-	all   []*serverPool
+	table   *route.Table
+	pools   map[string]*serverPool
+	ordered []*serverPool
 
 	listeners map[string]net.Listener
 }
@@ -249,7 +249,7 @@
 	for _, e := range f.Routes {
 		m := route.Match{Listeners: e.Listeners, Hosts: e.Hosts, Paths: e.Paths, Prefixes: e.Prefixes, Regexps: e.Regexps, Methods: e.Methods}
 		for _, h := range e.Headers {
-			m.Headers = append(m.Headers, route.Header{Name: http.CanonicalHeaderKey(h.Name), Value: h.Value, Not: h.Not})
+			m.Headers = append(m.Headers, route.Header{Name: http.CanonicalHeaderKey(h.Name), Value: h.Value, Negated: h.Not})
 		}
 		for _, s := range e.Sources {
 			p, err := netip.ParsePrefix(s)
@@ -278,7 +278,7 @@
 			return nil, err
 		}
 		r.pools[p.name] = p
-		r.all = append(r.all, p)
+		r.ordered = append(r.ordered, p)
 	}
 	for _, l := range f.Listeners {
 		ln, err := net.Listen("tcp", l.Address)
@@ -314,7 +314,7 @@
 	}
 	c := front.Choice{Class: e.Action.Class, Status: e.Action.Status, Location: e.Action.Location, Body: e.Action.Body}
 	if e.Action.Rewrite != nil {
-		c.Path = e.Rewritten(q.URL.Path)
+		c.Path = e.RewritePath(q.URL.Path)
 	}
 	c.To = r.Handler(e.Action.Pool)
 	return c
@@ -342,7 +342,7 @@
 		for _, ln := range r.listeners {
 			ln.Close()
 		}
-		for _, p := range r.all {
+		for _, p := range r.ordered {
 			p.close()
 		}
 	}
@@ -351,7 +351,7 @@
 // Sweep closes connections that have been idle for too long.
 func (r *Routing) Sweep(now time.Time) {
 	if r != nil {
-		for _, p := range r.all {
+		for _, p := range r.ordered {
 			p.conns.Sweep(now)
 		}
 	}
@@ -360,9 +360,9 @@
 // QuitAt has all that is held answered in so long; what waits in a line is told at once.
 func (r *Routing) QuitAt(in time.Duration) {
 	if r != nil {
-		for _, p := range r.all {
-			if p.line != nil {
-				p.line.stop()
+		for _, p := range r.ordered {
+			if p.queue != nil {
+				p.queue.stop()
 			}
 			p.host.QuitAt(in)
 		}
@@ -381,7 +381,7 @@
 // Status is what operators see of each pool.
 func (r *Routing) Status() []Status {
 	all := []Status{}
-	for _, p := range r.all {
+	for _, p := range r.ordered {
 		all = append(all, p.status())
 	}
 	return all
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -1,9 +1,9 @@
-// Package route says which route a request takes: by its host, path, method, header
-// fields and source, the first in a stated order that matches. It has no I/O, clock or
-// goroutines, and a table does not change once it is made.
+// Package route selects the route of a request by its listener, host, path, method,
+// header fields and source address. The first matching route in the configured order is
+// used. The package has no I/O, clock or goroutines, and a table is immutable.
 //
-// The words are HAProxy's and Envoy's: a listener has a table of routes; a route names a
-// pool of servers and the class of its requests, or answers by itself.
+// The terms follow HAProxy and Envoy: a listener has a table of routes; a route names a
+// pool of servers and the class of its requests, or defines a fixed response.
 package route
 
 import (
@@ -14,111 +14,116 @@
 	"strings"
 )
 
-// Bounds of a table.
+// Limits of a table.
 const (
-	RoutesMost  = 1 << 16
-	matchesMost = 16       // of header fields in one route
-	regexpMost  = 1 << 10  // bytes of one expression
-	hostMost    = 255      // RFC 1035 section 2.3.4
-	pathMost    = 64 << 10 // as long as a head may be
+	MaxRoutes        = 1 << 16
+	maxHeaderMatches = 16       // header matches in one route
+	maxRegexpBytes   = 1 << 10  // of one expression
+	maxHostBytes     = 255      // RFC 1035 section 2.3.4
+	maxPathBytes     = 64 << 10 // the longest request head
 )
 
-// Match is what a route asks of a request. What is left out matches all.
+// Match holds the conditions of a route. Every kind of condition has to be met; an empty
+// list matches every request. One entry of a list is enough, except that all Headers have
+// to match.
 type Match struct {
-	// Listeners are names of those that a request came by; the platform's has none.
+	// Listeners are names of the listeners that accepted the request.
 	Listeners []string
-	// Hosts are names, or "*.example.com" for those below it; case does not matter, and
-	// a port in the request's Host is left out. Any of them will do, as in each list.
+	// Hosts are host names, or "*.example.com" for all subdomains. Case, and a port in the
+	// request's Host, are ignored.
 	Hosts []string
-	// Paths, Prefixes and Regexps are of the path as it came, without the query. A prefix
-	// ends at a "/" of the path: "/a" matches "/a" and "/a/b" and not "/ab"; with a "/"
-	// at its end it matches what is below it only.
+	// Paths, Prefixes and Regexps apply to the path as received, without the query; one
+	// match among the three is enough. A prefix matches whole path segments: "/a" matches
+	// "/a" and "/a/b" but not "/ab"; "/a/" matches only paths below "/a".
 	Paths    []string
 	Prefixes []string
-	// Regexps are RE2's, which matches in time linear in the path, and match anywhere in
-	// it unless they say "^" or "$".
+	// Regexps use RE2, which matches in time linear in the length of the path. They match
+	// anywhere in the path unless anchored by "^" or "$".
 	Regexps []string
 	Methods []string
 	Headers []Header
 	Sources []netip.Prefix
 }
 
-// Header asks that a field is there, and has a value if one is set; Not turns it round.
+// Header matches a request that has a header field, with Value if that is set. Negated
+// inverts the match.
 type Header struct {
-	Name  string // without case
-	Value string // the whole value of one of its lines; empty: any
-	Not   bool
+	Name    string // case-insensitive
+	Value   string // whole value of one of the field's lines; empty: any
+	Negated bool
 }
 
-// Action is what becomes of a request.
+// Action states what happens to a request that matches.
 type Action struct {
-	Pool  string // empty: it is answered here
-	Class string // empty: the first part of the path names it
-	// Rewrite, if set, stands in the place of the prefix that matched.
+	Pool  string // empty: fixed response
+	Class string // empty: the first path segment is the class
+	// Rewrite, if set, replaces the prefix that matched.
 	Rewrite *string
-	// Status and Location are of an answer that no server gives.
+	// Status, Location and Body define the fixed response.
 	Status   int
 	Location string
 	Body     string
 }
 
-// Route is one entry of a table.
+// Route is one entry of a table. Names are unique in a table.
 type Route struct {
 	Name   string
 	Match  Match
 	Action Action
 }
 
-// Request is what a table looks at.
+// Request holds the properties of a request that routes match on.
 type Request struct {
 	Host, Path, Method string
 	Source             netip.Addr
 	Listener           string
-	// Header has the values of a field, whose name is as the route has it.
+	// Header returns the values of a field. The name is spelled as in the route.
 	Header func(name string) []string
 }
 
-// compiled is a route that has been checked.
-type compiled struct {
+// compiledRoute is a validated route with its compiled regular expressions.
+type compiledRoute struct {
 	*Route
 	regexps []*regexp.Regexp
 }
 
-// Table finds routes. It is safe for use by many at once. It holds each route once, and
-// for each of its hosts and paths an entry of some 100 bytes.
+// Table is an index of routes, safe for concurrent use. It holds each route once, and an
+// entry of about 100 bytes for each of a route's hosts and paths.
 type Table struct {
-	routes []compiled
-	// hosts has, by a host's name or "*." and a name, what is asked of paths there; any
-	// has those that ask nothing of the host.
-	hosts map[string]*paths
-	any   *paths
+	routes []compiledRoute
+	// hosts holds an index for each host name and wildcard ("*." and a name); anyHost
+	// holds the routes without a host condition.
+	hosts   map[string]*pathIndex
+	anyHost *pathIndex
 }
 
-// paths are the places of routes, in their order, by what they ask of the path.
-type paths struct {
+// pathIndex maps path conditions to the indexes of their routes in Table.routes, in
+// ascending order.
+type pathIndex struct {
 	exact  map[string][]int32
-	prefix map[string][]int32 // without the "/" at the end
-	// longest is that of the prefixes, in bytes.
-	longest int
-	other   []int32 // regular expressions, and those that ask nothing
+	prefix map[string][]int32 // without a trailing "/"
+	// maxPrefixBytes is the length of the longest prefix.
+	maxPrefixBytes int
+	unindexed      []int32 // routes with regular expressions or without a path condition
 }
 
-func newPaths() *paths {
-	return &paths{exact: make(map[string][]int32), prefix: make(map[string][]int32)}
+func newPathIndex() *pathIndex {
+	return &pathIndex{exact: make(map[string][]int32), prefix: make(map[string][]int32)}
 }
 
-// New returns a Table of routes in their order. Errors name the route and the field.
+// New returns a Table that tries routes in the given order. It returns an error that names
+// the route and the field if a route is invalid.
 func New(routes []Route) (*Table, error) {
-	if len(routes) > RoutesMost {
-		return nil, fmt.Errorf("route: %d routes, %d at most", len(routes), RoutesMost)
+	if len(routes) > MaxRoutes {
+		return nil, fmt.Errorf("route: table has %d routes, the maximum is %d", len(routes), MaxRoutes)
 	}
-	t := &Table{routes: make([]compiled, len(routes)), hosts: make(map[string]*paths), any: newPaths()}
+	t := &Table{routes: make([]compiledRoute, len(routes)), hosts: make(map[string]*pathIndex), anyHost: newPathIndex()}
 	names := make(map[string]bool)
 	for n := range routes {
 		r := &routes[n]
 		c, err := compile(r)
 		if err == nil && names[r.Name] {
-			err = fmt.Errorf("name: is there twice")
+			err = fmt.Errorf("name: must be unique, is used twice")
 		}
 		if err != nil {
 			return nil, fmt.Errorf("route %d (%q): %w", n+1, r.Name, err)
@@ -126,12 +131,12 @@
 		names[r.Name] = true
 		t.routes[n] = c
 		if len(r.Match.Hosts) == 0 {
-			t.any.add(&r.Match, int32(n))
+			t.anyHost.add(&r.Match, int32(n))
 		}
 		for _, h := range r.Match.Hosts {
 			h = strings.ToLower(h)
 			if t.hosts[h] == nil {
-				t.hosts[h] = newPaths()
+				t.hosts[h] = newPathIndex()
 			}
 			t.hosts[h].add(&r.Match, int32(n))
 		}
@@ -139,102 +144,103 @@
 	return t, nil
 }
 
-func (p *paths) add(m *Match, n int32) {
-	put := func(l []int32) []int32 {
-		if len(l) > 0 && l[len(l)-1] == n {
+// add enters the route at index under its path conditions.
+func (p *pathIndex) add(m *Match, index int32) {
+	appendOnce := func(l []int32) []int32 {
+		if len(l) > 0 && l[len(l)-1] == index {
 			return l
 		}
-		return append(l, n)
+		return append(l, index)
 	}
 	for _, e := range m.Paths {
-		p.exact[e] = put(p.exact[e])
+		p.exact[e] = appendOnce(p.exact[e])
 	}
 	for _, f := range m.Prefixes {
 		f = strings.TrimSuffix(f, "/")
-		p.prefix[f] = put(p.prefix[f])
-		p.longest = max(p.longest, len(f))
+		p.prefix[f] = appendOnce(p.prefix[f])
+		p.maxPrefixBytes = max(p.maxPrefixBytes, len(f))
 	}
 	if len(m.Regexps) > 0 || len(m.Paths)+len(m.Prefixes) == 0 {
-		p.other = put(p.other)
+		p.unindexed = appendOnce(p.unindexed)
 	}
 }
 
-func compile(r *Route) (c compiled, err error) {
+// compile validates a route and compiles its regular expressions.
+func compile(r *Route) (c compiledRoute, err error) {
 	c.Route = r
 	m, a := &r.Match, &r.Action
-	bad := func(field, format string, args ...any) (compiled, error) {
+	invalid := func(field, format string, args ...any) (compiledRoute, error) {
 		return c, fmt.Errorf(field+": "+format, args...)
 	}
 	for _, h := range m.Hosts {
 		name := strings.TrimPrefix(h, "*.")
-		if name == "" || len(h) > hostMost || strings.ContainsAny(name, "*/ :") {
-			return bad("hosts", "%q is no name of a host", h)
+		if name == "" || len(h) > maxHostBytes || strings.ContainsAny(name, "*/ :") {
+			return invalid("hosts", "%q is not a host name", h)
 		}
 	}
 	for _, p := range append(slices.Clone(m.Paths), m.Prefixes...) {
-		if !strings.HasPrefix(p, "/") || len(p) > pathMost {
-			return bad("paths", "%q must begin with '/'", p)
+		if !strings.HasPrefix(p, "/") || len(p) > maxPathBytes {
+			return invalid("paths", "%q must begin with '/'", p)
 		}
 	}
 	for _, e := range m.Regexps {
-		if len(e) > regexpMost {
-			return bad("regexps", "over %d bytes long", regexpMost)
+		if len(e) > maxRegexpBytes {
+			return invalid("regexps", "expression is longer than %d bytes", maxRegexpBytes)
 		}
 		re, err := regexp.Compile(e)
 		if err != nil {
-			return bad("regexps", "%w", err)
+			return invalid("regexps", "%w", err)
 		}
 		c.regexps = append(c.regexps, re)
 	}
 	for _, method := range m.Methods {
 		if method == "" || strings.ToUpper(method) != method {
-			return bad("methods", "%q is no method", method)
+			return invalid("methods", "%q is not an upper-case method name", method)
 		}
 	}
-	if len(m.Headers) > matchesMost {
-		return bad("headers", "over %d", matchesMost)
+	if len(m.Headers) > maxHeaderMatches {
+		return invalid("headers", "more than %d matches", maxHeaderMatches)
 	}
 	for _, h := range m.Headers {
 		if h.Name == "" {
-			return bad("headers", "a field without a name")
+			return invalid("headers", "field name must be set")
 		}
 	}
 	for _, s := range m.Sources {
 		if !s.IsValid() {
-			return bad("sources", "no range of addresses")
+			return invalid("sources", "invalid address range")
 		}
 	}
 	switch {
 	case a.Pool != "" && (a.Status != 0 || a.Location != "" || a.Body != ""):
-		return bad("status", "a route to a pool does not answer by itself")
+		return invalid("status", "a route to a pool can't have a fixed response")
 	case a.Pool == "" && (a.Status < 200 || a.Status > 599):
-		return bad("status", "must be within 200 and 599, or a pool named")
+		return invalid("status", "must be within 200 and 599 if no pool is set")
 	case a.Pool == "" && (a.Status/100 == 3) != (a.Location != ""):
-		return bad("location", "goes with a status of 3xx, and only with one")
+		return invalid("location", "must be set for a 3xx status and for no other")
 	case strings.ContainsAny(a.Location, "\r\n\x00"):
-		return bad("location", "must be one line")
+		return invalid("location", "must be one line")
 	case a.Rewrite != nil && (a.Pool == "" || len(m.Prefixes) == 0):
-		return bad("rewrite", "needs prefixes and a pool")
+		return invalid("rewrite", "needs prefixes and a pool")
 	case a.Rewrite != nil && !strings.HasPrefix(*a.Rewrite, "/"):
-		return bad("rewrite", "%q must begin with '/'", *a.Rewrite)
+		return invalid("rewrite", "%q must begin with '/'", *a.Rewrite)
 	}
 	return c, nil
 }
 
-// Find is the first route that matches, nil if none does. It allocates nothing but what
-// a regular expression needs. Its cost does not grow with the routes of other hosts, nor
-// with those of other paths; those at one path, and all regular expressions of a host,
-// are tried in turn.
+// Find returns the first route that matches, or nil. It allocates nothing except in
+// regular expressions. Its cost does not depend on the number of routes of other hosts or
+// paths; the routes of one path, and all regular expressions of a host, are tried in turn.
 func (t *Table) Find(q *Request) *Route {
 	best := int32(len(t.routes))
-	best = t.any.find(t, q, best)
+	best = t.anyHost.firstMatch(t, q, best)
 	if len(t.hosts) > 0 {
-		host := hostOf(q.Host)
-		best = t.hosts[host].find(t, q, best)
+		host := normalizeHost(q.Host)
+		best = t.hosts[host].firstMatch(t, q, best)
 		for at := strings.IndexByte(host, '.'); at >= 0; {
-			// "*." and what is behind the dot, without putting a string together.
-			if p := t.below(host[at+1:]); p != nil {
-				best = p.find(t, q, best)
+			// Looks up "*." and the rest of the name without allocating a string.
+			if p := t.wildcard(host[at+1:]); p != nil {
+				best = p.firstMatch(t, q, best)
 			}
 			next := strings.IndexByte(host[at+1:], '.')
 			if next < 0 {
@@ -249,25 +255,27 @@
 	return t.routes[best].Route
 }
 
-// below is what is asked of the hosts below a name.
-func (t *Table) below(name string) *paths {
-	var buf [hostMost + 2]byte
-	if len(name) > hostMost {
+// wildcard returns the index for the subdomains of a name, or nil.
+func (t *Table) wildcard(name string) *pathIndex {
+	var buf [maxHostBytes + 2]byte
+	if len(name) > maxHostBytes {
 		return nil
 	}
 	return t.hosts[string(append(append(buf[:0], "*."...), name...))]
 }
 
-// hostOf is a Host field's name, without case, port and the dot at the end.
-func hostOf(host string) string {
+// normalizeHost returns the name in a Host field in lower case, without the port and a
+// trailing dot.
+func normalizeHost(host string) string {
 	if at := strings.LastIndexByte(host, ':'); at >= 0 && !strings.HasSuffix(host, "]") {
 		host = host[:at]
 	}
 	return strings.ToLower(strings.TrimSuffix(host, "."))
 }
 
-// find is the first of p's routes that matches, if it comes before best.
-func (p *paths) find(t *Table, q *Request, best int32) int32 {
+// firstMatch returns the index of the first route of p that matches and precedes best,
+// else best.
+func (p *pathIndex) firstMatch(t *Table, q *Request, best int32) int32 {
 	if p == nil {
 		return best
 	}
@@ -283,20 +291,20 @@
 		}
 	}
 	first(p.exact[q.Path])
-	for end := min(len(q.Path), p.longest); end >= 0; end-- {
+	for end := min(len(q.Path), p.maxPrefixBytes); end >= 0; end-- {
 		if end == len(q.Path) || q.Path[end] == '/' {
 			first(p.prefix[q.Path[:end]])
 		}
 	}
-	first(p.other)
+	first(p.unindexed)
 	return best
 }
 
-// matches says whether a request is all that a route asks for, but for the host.
-func (c *compiled) matches(q *Request) bool {
+// matches reports whether a request meets all conditions of the route except the host.
+func (c *compiledRoute) matches(q *Request) bool {
 	m := &c.Match
 	if len(m.Paths)+len(m.Prefixes)+len(c.regexps) > 0 && !slices.Contains(m.Paths, q.Path) &&
-		!slices.ContainsFunc(m.Prefixes, func(p string) bool { return under(q.Path, p) }) &&
+		!slices.ContainsFunc(m.Prefixes, func(p string) bool { return hasPathPrefix(q.Path, p) }) &&
 		!slices.ContainsFunc(c.regexps, func(re *regexp.Regexp) bool { return re.MatchString(q.Path) }) {
 		return false
 	}
@@ -316,28 +324,28 @@
 			values = q.Header(h.Name)
 		}
 		has := len(values) > 0 && (h.Value == "" || slices.Contains(values, h.Value))
-		if has == h.Not {
+		if has == h.Negated {
 			return false
 		}
 	}
 	return true
 }
 
-// under says whether a path is a prefix's, or below it.
-func under(path, prefix string) bool {
+// hasPathPrefix reports whether a prefix, as in Match.Prefixes, matches a path.
+func hasPathPrefix(path, prefix string) bool {
 	rest, ok := strings.CutPrefix(path, strings.TrimSuffix(prefix, "/"))
 	return ok && (strings.HasPrefix(rest, "/") || rest == "" && !strings.HasSuffix(prefix, "/"))
 }
 
-// Rewritten is the path that goes on to the pool: the longest of the route's prefixes
-// that the path has is replaced.
-func (r *Route) Rewritten(path string) string {
+// RewritePath returns the path that is sent to the pool, with the longest of the route's
+// prefixes that matches replaced by Action.Rewrite.
+func (r *Route) RewritePath(path string) string {
 	if r.Action.Rewrite == nil {
 		return path
 	}
 	longest := -1
 	for n, p := range r.Match.Prefixes {
-		if under(path, p) && (longest < 0 || len(p) > len(r.Match.Prefixes[longest])) {
+		if hasPathPrefix(path, p) && (longest < 0 || len(p) > len(r.Match.Prefixes[longest])) {
 			longest = n
 		}
 	}
@@ -345,9 +353,9 @@
 		return path
 	}
 	rest := path[len(strings.TrimSuffix(r.Match.Prefixes[longest], "/")):]
-	to := strings.TrimSuffix(*r.Action.Rewrite, "/") + rest
-	if to == "" {
-		to = "/"
+	rewritten := strings.TrimSuffix(*r.Action.Rewrite, "/") + rest
+	if rewritten == "" {
+		rewritten = "/"
 	}
-	return to
+	return rewritten
 }
