--- a/internal/rooms/pools/pools.go
+++ b/internal/rooms/pools/pools.go
@@ -1,4 +1,6 @@
-// Package pools hosts the routes and the pools of servers of their own that they lead to.
+// Package pools runs the configured routes, the further listeners, and the server pools
+// that routes refer to. Each pool has its own balancer, connections, health checks or
+// discovery, and optionally a queue.
 package pools
 
 import (
@@ -25,18 +27,18 @@
 	"chalkrack/internal/upstream"
 )
 
-// serverPool is a pool of servers with all of its own: a balancer under the one decision
-// module, connections, calls held, and where its servers come from. What is shared with
-// other pools is the process and the clients' connections.
+// serverPool is a pool with its own balancer (an instance of the decision module),
+// connections, held calls and source of servers. Pools share only the process and the
+// client connections.
 type serverPool struct {
 	name    string
 	host    *core.Host
-	queue   *queuedHandler // before host; nil: calls come to it at once
+	queue   *queuedHandler // in front of host; nil: calls go to host directly
 	conns   *upstream.Pool
-	watcher *discovery.Watcher // nil: a fixed list
+	watcher *discovery.Watcher // nil if the list of servers is fixed
 
 	mu        sync.Mutex
-	members   *pool.Pool // nil: discovery's
+	members   *pool.Pool // nil if servers come from discovery
 	checks    features.PoolChecks
 	start     time.Time
 	startUnix time.Duration
@@ -44,24 +46,24 @@
 	stop      context.CancelFunc
 }
 
-// Config is what routes and pools are made of.
+// Config holds the inputs of New.
 type Config struct {
 	Settings *settings.Settings // the platform's
 	Features *features.File
 	Seed     uint64
-	Trace    *slog.Logger // takes the traces of calls; nil: nobody does
+	Trace    *slog.Logger // receives the traces of calls; may be nil
 }
 
-// Settings are the platform's, with what a pool has of its own.
+// Settings returns the platform's settings with the pool's own values applied.
 func Settings(platform *settings.Settings, p *features.Pool) *settings.Settings {
 	s := *platform
 	s.MaxHeld = p.MaxHeld
-	s.Config.AskWithin = 0 // its discovery is followed, not asked
+	s.Config.AskWithin = 0 // a pool's discovery pushes changes and is not asked
 	if p.Attempts > 0 {
 		s.Config.MaxAttempts = p.Attempts
 	}
 	if p.Discovery == "" {
-		// A fixed list has no starts but those that checks see.
+		// For a fixed list, only checks detect that a server has started.
 		s.Config.ColdFor, s.Config.ColdFrom = time.Duration(p.SlowStart), p.Cold
 		if s.Config.OverloadFactor == 0 {
 			s.Config.OverloadFactor, s.Config.OverloadFor = 2, time.Second
@@ -70,6 +72,8 @@
 	return &s
 }
 
+// newServerPool starts a pool: it follows discovery, or lists its fixed servers and starts
+// their checks.
 func newServerPool(c *Config, p *features.Pool, seed uint64) (*serverPool, error) {
 	set := Settings(c.Settings, p)
 	s := &serverPool{name: p.Name, checks: p.Checks, start: time.Now()}
@@ -122,7 +126,7 @@
 	s.host.Listed(s.members.List())
 	if p.Checks.Every > 0 {
 		for n, m := range members {
-			// Spread over the time between two checks: they must not come as one burst.
+			// Spreads the first checks over the interval so that they don't come in a burst.
 			first := time.Duration(p.Checks.Every) * time.Duration(n) / time.Duration(len(members))
 			s.wg.Go(func() { s.runChecks(ctx, m, first) })
 		}
@@ -130,7 +134,8 @@
 	return s, nil
 }
 
-// runChecks checks one member again and again. It holds one connection at most.
+// runChecks checks one member periodically until ctx is done, and passes the list to host
+// if the member's state changes. It opens one connection at a time.
 func (s *serverPool) runChecks(ctx context.Context, m pool.Member, first time.Duration) {
 	t := time.NewTimer(first)
 	defer t.Stop()
@@ -149,14 +154,15 @@
 		var l *membership.List
 		if s.members.RecordResult(s.startUnix+time.Since(s.start), m.Name, err == nil) {
 			l = s.members.List()
-			slog.Info("checks", "pool", s.name, "server", m.Name, "up", err == nil, "err", err)
-			s.host.Listed(l) // under the lock: lists must not overtake each other
+			slog.Info("health checks changed a server's state", "pool", s.name, "server", m.Name, "up", err == nil, "err", err)
+			s.host.Listed(l) // under the lock, to keep the lists in order
 		}
 		s.mu.Unlock()
 	}
 }
 
-// checkOnce is one check: a connection that comes up, or a GET answered with 2xx or 3xx.
+// checkOnce makes one check within the timeout wait: a TCP connection if path is empty, else
+// a GET that has to be answered with a 2xx or 3xx status.
 func checkOnce(ctx context.Context, addr, path string, wait time.Duration) error {
 	ctx, cancel := context.WithTimeout(ctx, wait)
 	defer cancel()
@@ -179,12 +185,12 @@
 	io.CopyN(io.Discard, resp.Body, 64<<10)
 	resp.Body.Close()
 	if resp.StatusCode < 200 || resp.StatusCode > 399 {
-		return fmt.Errorf("status %d", resp.StatusCode)
+		return fmt.Errorf("check answered with status %d, expected 200 to 399", resp.StatusCode)
 	}
 	return nil
 }
 
-// handler is who takes the pool's calls.
+// handler returns the handler for the pool's calls.
 func (s *serverPool) handler() front.Handler {
 	if s.queue != nil {
 		return s.queue
@@ -192,6 +198,7 @@
 	return s.host
 }
 
+// close stops checks, discovery and the queue, and closes the balancer and connections.
 func (s *serverPool) close() {
 	s.stop()
 	if s.queue != nil {
@@ -205,13 +212,13 @@
 	s.conns.Close()
 }
 
-// Status is what operators see of a pool.
+// Status is the state of a pool as shown to operators.
 type Status struct {
 	Name        string      `json:"name"`
 	Held        int         `json:"held"`
 	Connections int         `json:"connections"`
 	Queue       *queue.View `json:"queue,omitempty"`
-	Servers     []pool.View `json:"servers,omitempty"` // of a fixed list
+	Servers     []pool.View `json:"servers,omitempty"` // only for a fixed list
 }
 
 func (s *serverPool) status() Status {
@@ -228,7 +235,8 @@
 	return st
 }
 
-// Routing is the routes with their pools. What is called of a nil one does nothing.
+// Routing holds the routes, their pools and the further listeners. On a nil Routing, Serve,
+// Chooser, Close, Sweep and QuitAt do nothing.
 type Routing struct {
 	table   *route.Table
 	pools   map[string]*serverPool
@@ -237,8 +245,8 @@
 	listeners map[string]net.Listener
 }
 
-// New makes the pools and the table, and binds the further listeners; nil where the file has
-// none. Errors name the pool or route.
+// New builds the route table, starts the pools and binds the further listeners. It returns
+// nil if the file has no routes, pools or listeners. Errors name the pool, route or listener.
 func New(c *Config) (*Routing, error) {
 	f := c.Features
 	if len(f.Routes)+len(f.Pools)+len(f.Listeners) == 0 {
@@ -291,7 +299,7 @@
 	return r, nil
 }
 
-// Serve accepts clients on the further listeners.
+// Serve starts to accept clients on the further listeners; it does not block.
 func (r *Routing) Serve(srv *front.Server) {
 	if r != nil {
 		for name, ln := range r.listeners {
@@ -300,10 +308,11 @@
 	}
 }
 
-// platformPool stands for the platform's own servers; no pool can have the name.
+// platformPool names the platform's own servers. No configured pool can have this name.
 const platformPool = "\x00"
 
-// choose implements front.Config.Choose. What no route takes goes the platform's way.
+// choose implements front.Config.Choose. A request without a matching route goes to the
+// platform's servers.
 func (r *Routing) choose(q *http.Request, listener string, from netip.Addr) front.Choice {
 	if listener == "" {
 		listener = features.PlatformListener
@@ -320,7 +329,7 @@
 	return c
 }
 
-// Handler is who takes the calls of a pool; nil: there is no such pool.
+// Handler returns the handler for the calls of a pool, nil if there is no such pool.
 func (r *Routing) Handler(name string) front.Handler {
 	if p := r.pools[name]; p != nil {
 		return p.handler()
@@ -328,7 +337,7 @@
 	return nil
 }
 
-// Chooser is what a front is told; nil where there are no routes.
+// Chooser returns the function for front.Config.Choose, nil if there are no routes.
 func (r *Routing) Chooser() func(*http.Request, string, netip.Addr) front.Choice {
 	if r == nil {
 		return nil
@@ -336,7 +345,7 @@
 	return r.choose
 }
 
-// Close ends the pools and the further listeners.
+// Close closes the pools and the further listeners.
 func (r *Routing) Close() {
 	if r != nil {
 		for _, ln := range r.listeners {
@@ -348,7 +357,7 @@
 	}
 }
 
-// Sweep closes connections that have been idle for too long.
+// Sweep closes the pools' connections that have been idle for too long.
 func (r *Routing) Sweep(now time.Time) {
 	if r != nil {
 		for _, p := range r.ordered {
@@ -357,7 +366,8 @@
 	}
 }
 
-// QuitAt has all that is held answered in so long; what waits in a line is told at once.
+// QuitAt has all held calls answered within the given time, and refuses calls that wait in
+// a queue at once.
 func (r *Routing) QuitAt(in time.Duration) {
 	if r != nil {
 		for _, p := range r.ordered {
@@ -369,7 +379,7 @@
 	}
 }
 
-// Addresses are where the further listeners are.
+// Addresses returns the addresses of the further listeners by name.
 func (r *Routing) Addresses() map[string]string {
 	all := make(map[string]string)
 	for name, ln := range r.listeners {
@@ -378,7 +388,7 @@
 	return all
 }
 
-// Status is what operators see of each pool.
+// Status returns the states of all pools, in the configured order.
 func (r *Routing) Status() []Status {
 	all := []Status{}
 	for _, p := range r.ordered {
--- a/internal/rooms/pools/queued.go
+++ b/internal/rooms/pools/queued.go
@@ -9,33 +9,32 @@
 	"chalkrack/internal/queue"
 )
 
-// queuedHandler is a pool's calls before they come to its core: those that find no place wait
-// here. It is the front's Handler in the core's place, and stands between the core and
-// each call's Caller to see it end.
+// queuedHandler queues the calls of a pool in front of its core. It takes the place of the
+// core as the front's Handler, and wraps each call's Caller to detect the end of the call.
 type queuedHandler struct {
 	front.Handler
 	worth         func(class string) float64
-	maxDuration   func(c *core.Call) time.Duration // how long a call may take from Received on
-	maxRetryAfter time.Duration                    // that clients are told to wait
+	maxDuration   func(c *core.Call) time.Duration // time limit of a call, from Received
+	maxRetryAfter time.Duration                    // upper bound of the retry delay sent to clients
 
 	start   time.Time
 	mu      sync.Mutex
 	queue   *queue.Queue
 	lastID  queue.ID
-	waiting map[queue.ID]*trackedCall // that wait
+	waiting map[queue.ID]*trackedCall // queued calls
 	tracked map[*core.Call]*trackedCall
 	timer   *time.Timer
 }
 
-// trackedCall is one call's stay: its place is free when the core needs nothing more of it and
-// a long answer has ended. Then it is forgotten.
+// trackedCall is a call that has or waits for a place. The place is freed once the core has
+// released the call and a streamed response, if any, has ended.
 type trackedCall struct {
 	core.Caller
 	handler *queuedHandler
 	id      queue.ID
 	call    *core.Call
 	mu      sync.Mutex
-	pending int // of the two, what still holds the place
+	pending int // of release and stream end, those that still hold the place
 }
 
 func newQueuedHandler(h front.Handler, l queue.Limits, worth func(string) float64, maxDuration func(*core.Call) time.Duration, maxRetryAfter time.Duration) (*queuedHandler, error) {
@@ -57,10 +56,10 @@
 	s.lastID++
 	t := &trackedCall{Caller: c.Caller, handler: s, id: s.lastID, call: c, pending: 1}
 	deadline := c.Received.Add(s.maxDuration(c)).Sub(s.start)
-	// One whose body is not kept can't wait: its client is sending it.
+	// A call whose body is still being sent by its client, and is not stored, can't wait.
 	mayWait := c.Limits == nil || c.Limits.Coming == 0
 	decision, change := s.queue.Arrive(s.now(), t.id, s.worth(c.Class), deadline, mayWait)
-	if decision != queue.Admit { // also one that is refused: all who are told are found here
+	if decision != queue.Admit { // also a refused call: applyChange looks it up here
 		s.waiting[t.id] = t
 	}
 	s.tracked[c] = t
@@ -72,12 +71,13 @@
 	}
 }
 
-// applyChange does what the queue decided, and sets the timer anew.
+// applyChange passes admitted calls to the core, refuses others, and resets the timer to the
+// next expiry.
 func (s *queuedHandler) applyChange(c queue.Change) {
 	s.mu.Lock()
-	went := make([]*trackedCall, 0, len(c.Admitted))
+	admitted := make([]*trackedCall, 0, len(c.Admitted))
 	for _, id := range c.Admitted {
-		went = append(went, s.waiting[id])
+		admitted = append(admitted, s.waiting[id])
 		delete(s.waiting, id)
 	}
 	refused := make([]*trackedCall, 0, len(c.Refused))
@@ -91,9 +91,9 @@
 		s.timer.Reset(max(at-s.now(), 0))
 	}
 	s.mu.Unlock()
-	for _, t := range went {
-		// Of its own: one that the core ends at once frees its place, and so would call
-		// the next from within, as deep as the line is long.
+	for _, t := range admitted {
+		// In a goroutine: a call that the core ends at once frees its place and admits the
+		// next one, which would nest as deeply as the queue is long.
 		go s.Handler.Arrive(t.call)
 	}
 	for n, t := range refused {
@@ -102,6 +102,7 @@
 	}
 }
 
+// expireWaiting refuses the calls that have waited as long as they may.
 func (s *queuedHandler) expireWaiting() {
 	s.mu.Lock()
 	change, _ := s.queue.Expire(s.now())
@@ -109,7 +110,7 @@
 	s.applyChange(change)
 }
 
-// Gone implements front.Handler.
+// Gone implements front.Handler. It removes a waiting call itself and passes on any other.
 func (s *queuedHandler) Gone(c *core.Call) bool {
 	s.mu.Lock()
 	t := s.tracked[c]
@@ -127,7 +128,7 @@
 	return true
 }
 
-// stop refuses what waits: the process ends, and another takes it.
+// stop refuses all waiting calls when the process ends, so that another process takes them.
 func (s *queuedHandler) stop() {
 	s.mu.Lock()
 	s.timer.Stop()
@@ -142,7 +143,7 @@
 	return s.queue.View()
 }
 
-// releasePlace gives one of the two that hold the place back, and the place with the last.
+// releasePlace drops one of the references to the place, and frees it with the last.
 func (t *trackedCall) releasePlace() {
 	t.mu.Lock()
 	t.pending--
@@ -173,6 +174,7 @@
 	return &trackedStream{t.Caller.Stream(answer, abort), t}
 }
 
+// trackedStream wraps the stream of a response to free the call's place at its end.
 type trackedStream struct {
 	core.Stream
 	tracked *trackedCall
--- a/internal/rooms/pools/queued_test.go
+++ b/internal/rooms/pools/queued_test.go
@@ -12,11 +12,11 @@
 	"chalkrack/internal/queue"
 )
 
-// fakeCore is a core that holds each call until it is told to end it.
+// fakeCore is a Handler that records calls, and ends them only if endsAtOnce is set.
 type fakeCore struct {
 	mu         sync.Mutex
 	calls      []*core.Call
-	endsAtOnce bool // ends each at once
+	endsAtOnce bool // fail and release each call on arrival
 	goneCount  int
 }
 
@@ -37,7 +37,7 @@
 	return "", generation.Stamp{}, true
 }
 
-// takeCalls are the calls that came, and forgets them.
+// takeCalls returns the calls received since the last takeCalls, and their IDs.
 func (h *fakeCore) takeCalls() (ids []string, calls []*core.Call) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -48,7 +48,7 @@
 	return ids, calls
 }
 
-// fakeCaller is a caller that keeps what it was told.
+// fakeCaller is a Caller that records its method calls as events.
 type fakeCaller struct {
 	mu     sync.Mutex
 	events []string
@@ -69,7 +69,7 @@
 func (h *fakeCaller) End(bool)                       { h.record("ended") }
 func (h *fakeCaller) Release()                       { h.record("released") }
 
-// newTestQueue is a queue of one place before a core that holds calls.
+// newTestQueue returns a queue in front of a fakeCore, and a function that sends it a call.
 func newTestQueue(t *testing.T, l queue.Limits) (*queuedHandler, *fakeCore, func(id, class string, wait time.Duration) *fakeCaller) {
 	t.Helper()
 	h := new(fakeCore)
@@ -84,8 +84,8 @@
 	}
 }
 
-// A place is taken until the core needs nothing of the call and a long answer has ended;
-// what waits is answered once: by the core, by its time, or by the end of the process.
+// A call keeps its place until the core has released it and a streamed response has ended.
+// A waiting call is answered once: by the core, at its time limit, or at the process's end.
 func TestPlaceIsHeldUntilCallAndStreamEnd(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, held, ask := newTestQueue(t, queue.Limits{MaxActive: 1, MaxWaiting: 3, MaxWait: 2 * time.Second})
@@ -94,7 +94,7 @@
 			synctest.Wait()
 			ids, calls := held.takeCalls()
 			if fmt.Sprint(ids) != want {
-				t.Errorf("came %v, want %s", ids, want)
+				t.Errorf("the core received calls %v, want %s", ids, want)
 			}
 			return calls
 		}
@@ -104,7 +104,7 @@
 			c.mu.Lock()
 			defer c.mu.Unlock()
 			if fmt.Sprint(c.events) != want {
-				t.Errorf("heard %v, want %s", c.events, want)
+				t.Errorf("the caller recorded %v, want %s", c.events, want)
 			}
 		}
 		first := ask("a", "x", time.Minute)
@@ -113,7 +113,7 @@
 		check("[]")
 		stream := a.Caller.Stream(nil, nil)
 		a.Caller.Release()
-		check("[]") // the answer goes on
+		check("[]") // the response is still being streamed
 		says(first, "[released]")
 		stream.End(true)
 		d := check("[d]")[0]
@@ -124,13 +124,13 @@
 		says(dear, "[served released]")
 		b := check("[b]")[0]
 		if s.Gone(b) || held.goneCount != 1 {
-			t.Error("the core's own call is not asked of the core")
+			t.Error("Gone for an admitted call was not passed to the core")
 		}
 		left := &fakeCaller{}
 		w := &core.Call{ID: "e", Class: "x", Wait: time.Minute, Received: time.Now(), Caller: left}
 		s.Arrive(w)
 		if !s.Gone(w) || held.goneCount != 1 {
-			t.Error("a call that waits is not its caller's to take back")
+			t.Error("Gone for a waiting call returned false or was passed to the core")
 		}
 		says(left, "[released]")
 		last := ask("f", "x", time.Minute)
@@ -141,12 +141,13 @@
 		check("[]")
 		says(cheap, "[failed released]")
 		if v := s.view(); v.Active != 0 || v.Waiting != 0 || len(s.waiting)+len(s.tracked) != 0 {
-			t.Errorf("left over: %+v, %d, %d", v, len(s.waiting), len(s.tracked))
+			t.Errorf("calls are left over: %+v, %d waiting and %d tracked", v, len(s.waiting), len(s.tracked))
 		}
 	})
 }
 
-// A core that ends calls at once as they come works off a line of any length.
+// A core that ends calls on arrival drains a long queue. Nested admissions in one goroutine
+// would grow the stack with the length of the queue.
 func TestLongQueueDrainsWhenCallsEndAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, held, ask := newTestQueue(t, queue.Limits{MaxActive: 1, MaxWaiting: 2000, MaxWait: time.Minute})
@@ -162,11 +163,11 @@
 		synctest.Wait()
 		for n, c := range all {
 			if fmt.Sprint(c.events) != "[failed released]" {
-				t.Fatalf("%d: %v", n, c.events)
+				t.Fatalf("call %d: caller recorded %v", n, c.events)
 			}
 		}
 		if v := s.view(); v.Admitted != 2001 || v.Active != 0 {
-			t.Errorf("%+v", v)
+			t.Errorf("view %+v, want 2001 admitted and none active", v)
 		}
 	})
 }
