--- a/internal/weights/hold.go
+++ b/internal/weights/controller.go
@@ -99,20 +99,20 @@
 
 // SetPlan replaces the plan; nil removes it. Hints move from their current values to the
 // new targets in steps. SetPlan reports false and keeps the plan if p is older.
-func (h *Controller) SetPlan(p *Plan) (accepted bool) {
-	if p != nil && h.plan != nil {
-		if p.Made.Before(h.plan.Made) {
+func (c *Controller) SetPlan(p *Plan) (accepted bool) {
+	if p != nil && c.plan != nil {
+		if p.Made.Before(c.plan.Made) {
 			return false
 		}
-		if p.Made.Equal(h.plan.Made) { // the same plan again: keeps the halvings
+		if p.Made.Equal(c.plan.Made) { // the same plan again: keeps the halvings
 			return true
 		}
 	}
-	h.plan, h.priors, h.halvings, h.totalHalvings, h.contradictingTicks, h.agreeingTicks = p, nil, 0, 0, 0, 0
+	c.plan, c.priors, c.halvings, c.totalHalvings, c.contradictingTicks, c.agreeingTicks = p, nil, 0, 0, 0, 0
 	if p == nil {
 		return true
 	}
-	zoneWeights := p.Weights[h.cfg.Zone]
+	zoneWeights := p.Weights[c.cfg.Zone]
 	sum, n := 0.0, 0
 	for _, w := range zoneWeights {
 		if w > 0 {
@@ -122,29 +122,29 @@
 	if n == 0 {
 		return true
 	}
-	h.priors = make(map[string]float64, len(zoneWeights))
+	c.priors = make(map[string]float64, len(zoneWeights))
 	mean := sum / float64(n)
 	for name, w := range zoneWeights {
 		// A node of weight 0 gets the smallest factor: without any calls it is never measured.
-		h.priors[name] = min(max(w/mean, 1/maxPriorFactor), maxPriorFactor)
+		c.priors[name] = min(max(w/mean, 1/maxPriorFactor), maxPriorFactor)
 	}
 	return true
 }
 
 // Start sets the hints to their targets at once. It is for a process that has sent no
 // calls yet, so that there is no load to shift in steps.
-func (h *Controller) Start(now time.Time, nodes []Node) {
-	hold, why := h.evaluatePlan(now, nodes)
+func (c *Controller) Start(now time.Time, nodes []Node) {
+	hold, why := c.evaluatePlan(now, nodes)
 	for _, n := range nodes {
-		h.hints[n.Name] = h.targetHint(n.Name, hold)
+		c.hints[n.Name] = c.targetHint(n.Name, hold)
 	}
-	h.view.Hold, h.view.Why = hold, why
+	c.view.Hold, c.view.Why = hold, why
 }
 
 // targetHint returns the hint that a node should have: the plan's relative weight to the
 // power of hold, or 1 for a node that is not in the plan.
-func (h *Controller) targetHint(name string, hold float64) float64 {
-	if p := h.priors[name]; p > 0 {
+func (c *Controller) targetHint(name string, hold float64) float64 {
+	if p := c.priors[name]; p > 0 {
 		return math.Pow(p, hold)
 	}
 	return 1
@@ -152,74 +152,74 @@
 
 // UpdateHints moves the hints of the serving nodes one step towards their targets, and
 // drops those of other nodes. now is wall-clock time. It returns the hints that changed.
-func (h *Controller) UpdateHints(now time.Time, nodes []Node) (changed map[string]float64) {
-	hold, why := h.evaluatePlan(now, nodes)
+func (c *Controller) UpdateHints(now time.Time, nodes []Node) (changed map[string]float64) {
+	hold, why := c.evaluatePlan(now, nodes)
 	changed = make(map[string]float64)
 	seen := make(map[string]bool, len(nodes))
 	moving := false
 	for _, n := range nodes {
 		seen[n.Name] = true
-		target := h.targetHint(n.Name, hold)
-		previous, ok := h.hints[n.Name]
+		target := c.targetHint(n.Name, hold)
+		previous, ok := c.hints[n.Name]
 		if !ok { // a new node starts with a hint of at most 1
 			previous = min(1, target)
-			h.hints[n.Name], changed[n.Name] = previous, previous
+			c.hints[n.Name], changed[n.Name] = previous, previous
 		}
-		next := min(max(target, previous/h.cfg.Step), previous*h.cfg.Step)
+		next := min(max(target, previous/c.cfg.Step), previous*c.cfg.Step)
 		if math.Abs(next-target) > hintTolerance*target {
 			moving = true
 		}
 		if next != previous {
-			h.hints[n.Name], changed[n.Name] = next, next
+			c.hints[n.Name], changed[n.Name] = next, next
 		}
 	}
-	for name := range h.hints {
+	for name := range c.hints {
 		if !seen[name] {
-			delete(h.hints, name)
+			delete(c.hints, name)
 		}
 	}
-	h.view.Hold, h.view.Why, h.view.Moving = hold, why, moving
+	c.view.Hold, c.view.Why, c.view.Moving = hold, why, moving
 	return changed
 }
 
 // Hint returns the current hint of a node, 1 for an unknown one.
-func (h *Controller) Hint(name string) float64 {
-	if f, ok := h.hints[name]; ok {
+func (c *Controller) Hint(name string) float64 {
+	if f, ok := c.hints[name]; ok {
 		return f
 	}
 	return 1
 }
 
 // evaluatePlan returns the hold of the plan, and why it is not full.
-func (h *Controller) evaluatePlan(now time.Time, nodes []Node) (hold float64, why Reason) {
-	v := &h.view
+func (c *Controller) evaluatePlan(now time.Time, nodes []Node) (hold float64, why Reason) {
+	v := &c.view
 	v.Known, v.Unknown, v.Off = 0, 0, 0
-	if h.plan == nil {
+	if c.plan == nil {
 		v.Made, v.Until = time.Time{}, time.Time{}
 		return 0, NoPlan
 	}
-	v.Made, v.Until = h.plan.Made, h.plan.Until
-	if h.priors == nil {
+	v.Made, v.Until = c.plan.Made, c.plan.Until
+	if c.priors == nil {
 		return 0, NoZone
 	}
-	if now.Before(h.plan.Made.Add(-time.Minute)) { // tolerates clock differences of up to a minute
+	if now.Before(c.plan.Made.Add(-time.Minute)) { // tolerates clock differences of up to a minute
 		return 0, NotYetValid
 	}
 	hold = 1
-	limitHold := func(to float64, reason Reason) {
-		if to < hold {
-			hold, why = to, reason
+	limitHold := func(limit float64, reason Reason) {
+		if limit < hold {
+			hold, why = limit, reason
 		}
 	}
-	if sinceExpiry := now.Sub(h.plan.Until); sinceExpiry >= 0 {
+	if sinceExpiry := now.Sub(c.plan.Until); sinceExpiry >= 0 {
 		limitHold(0.5, Expired)
-		if sinceExpiry >= h.cfg.Fade {
+		if sinceExpiry >= c.cfg.Fade {
 			limitHold(0, Expired)
 		}
 	}
 	var measured []float64
 	for _, n := range nodes {
-		if h.priors[n.Name] == 0 {
+		if c.priors[n.Name] == 0 {
 			v.Unknown++
 			continue
 		}
@@ -228,19 +228,19 @@
 			measured = append(measured, n.Measured)
 		}
 	}
-	if share := float64(v.Unknown) / float64(max(1, len(nodes))); share > h.cfg.Strangers {
+	if share := float64(v.Unknown) / float64(max(1, len(nodes))); share > c.cfg.Strangers {
 		limitHold(0.5, UnknownNodes)
-		if share > 2*h.cfg.Strangers {
+		if share > 2*c.cfg.Strangers {
 			limitHold(0, UnknownNodes)
 		}
 	}
-	h.compareMeasured(measured)
-	if h.halvings > 0 {
-		to := math.Pow(0.5, float64(h.halvings))
-		if h.halvings >= maxHalvings {
-			to = 0
+	c.compareMeasured(measured)
+	if c.halvings > 0 {
+		limit := math.Pow(0.5, float64(c.halvings))
+		if c.halvings >= maxHalvings {
+			limit = 0
 		}
-		limitHold(to, Contradicted)
+		limitHold(limit, Contradicted)
 	}
 	return hold, why
 }
@@ -248,40 +248,40 @@
 // compareMeasured compares the measured corrections with the plan and updates the
 // halvings. Corrections apply to the current hints, which include the plan's weights: if
 // the plan is right they are all close to their median.
-func (h *Controller) compareMeasured(measured []float64) {
+func (c *Controller) compareMeasured(measured []float64) {
 	if len(measured) < 2 {
 		return // too few measurements
 	}
 	slices.Sort(measured)
 	median := measured[len(measured)/2]
 	for _, m := range measured {
-		if r := m / median; r > h.cfg.Off || r < 1/h.cfg.Off {
-			h.view.Off++
+		if r := m / median; r > c.cfg.Off || r < 1/c.cfg.Off {
+			c.view.Off++
 		}
 	}
-	if float64(h.view.Off) > h.cfg.OffShare*float64(len(measured)) {
-		h.agreeingTicks = 0
-		if h.contradictingTicks++; h.contradictingTicks >= h.cfg.Proof {
-			h.contradictingTicks, h.halvings, h.totalHalvings = 0, min(h.halvings+1, maxHalvings), min(h.totalHalvings+1, maxRecoveryDoublings)
+	if float64(c.view.Off) > c.cfg.OffShare*float64(len(measured)) {
+		c.agreeingTicks = 0
+		if c.contradictingTicks++; c.contradictingTicks >= c.cfg.Proof {
+			c.contradictingTicks, c.halvings, c.totalHalvings = 0, min(c.halvings+1, maxHalvings), min(c.totalHalvings+1, maxRecoveryDoublings)
 		}
 		return
 	}
-	h.contradictingTicks = 0
-	if h.halvings == 0 {
+	c.contradictingTicks = 0
+	if c.halvings == 0 {
 		return
 	}
 	// A plan without any hold does not affect the hints, so that measurements can't confirm
 	// it. Only a new plan ends that state.
-	if h.agreeingTicks++; h.agreeingTicks >= h.cfg.Proof<<h.totalHalvings && h.halvings < maxHalvings {
-		h.agreeingTicks, h.halvings = 0, h.halvings-1
+	if c.agreeingTicks++; c.agreeingTicks >= c.cfg.Proof<<c.totalHalvings && c.halvings < maxHalvings {
+		c.agreeingTicks, c.halvings = 0, c.halvings-1
 	}
 }
 
 // View returns the current state.
-func (h *Controller) View() View {
-	v := h.view
-	v.Hints = make(map[string]float64, len(h.hints))
-	for name, f := range h.hints {
+func (c *Controller) View() View {
+	v := c.view
+	v.Hints = make(map[string]float64, len(c.hints))
+	for name, f := range c.hints {
 		v.Hints[name] = f
 	}
 	return v
