--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -33,6 +33,7 @@
 	Fall     int           // consecutive failures that take a member down
 }
 
+// memberState is a member with the state that checks and operators have given it.
 type memberState struct {
 	Member
 	up        bool
--- a/internal/queue/queue.go
+++ b/internal/queue/queue.go
@@ -70,6 +70,7 @@
 	Refused  []Refusal
 }
 
+// waitingCall is a queued call with its rank and the end of its wait.
 type waitingCall struct {
 	id        ID
 	worth     float64
--- a/internal/rooms/pools/queued.go
+++ b/internal/rooms/pools/queued.go
@@ -37,6 +37,7 @@
 	pending int // of release and stream end, those that still hold the place
 }
 
+// newQueuedHandler returns a queue in front of h, or an error if the limits are invalid.
 func newQueuedHandler(h front.Handler, l queue.Limits, worth func(string) float64, maxDuration func(*core.Call) time.Duration, maxRetryAfter time.Duration) (*queuedHandler, error) {
 	q, err := queue.New(l)
 	if err != nil {
--- a/internal/rooms/pools/queued_test.go
+++ b/internal/rooms/pools/queued_test.go
@@ -109,7 +109,7 @@
 		}
 		first := ask("a", "x", time.Minute)
 		a := check("[a]")[0]
-		cheap, short, dear := ask("b", "x", time.Minute), ask("c", "x", time.Second), ask("d", "xx", time.Minute)
+		lowWorth, shortWait, highWorth := ask("b", "x", time.Minute), ask("c", "x", time.Second), ask("d", "xx", time.Minute)
 		check("[]")
 		stream := a.Caller.Stream(nil, nil)
 		a.Caller.Release()
@@ -118,10 +118,10 @@
 		stream.End(true)
 		d := check("[d]")[0]
 		time.Sleep(time.Second)
-		says(short, "[refused true released]")
+		says(shortWait, "[refused true released]")
 		d.Caller.Serve(nil)
 		d.Caller.Release()
-		says(dear, "[served released]")
+		says(highWorth, "[served released]")
 		b := check("[b]")[0]
 		if s.Gone(b) || held.goneCount != 1 {
 			t.Error("Gone for an admitted call was not passed to the core")
@@ -139,7 +139,7 @@
 		b.Caller.Fail()
 		b.Caller.Release()
 		check("[]")
-		says(cheap, "[failed released]")
+		says(lowWorth, "[failed released]")
 		if v := s.view(); v.Active != 0 || v.Waiting != 0 || len(s.waiting)+len(s.tracked) != 0 {
 			t.Errorf("calls are left over: %+v, %d waiting and %d tracked", v, len(s.waiting), len(s.tracked))
 		}
--- a/internal/weights/controller.go
+++ b/internal/weights/controller.go
@@ -9,22 +9,26 @@
 // Config holds the rules by which a plan gains and loses its hold.
 type Config struct {
 	Zone string // zone of this sidecar
-	// Every is the interval between two calls of UpdateHints. Step is the largest factor by
-	// which a hint changes in one of them, so that no node's share of calls grows abruptly.
+	// Every is the interval between two calls of UpdateHints.
 	Every time.Duration
-	Step  float64
+	// Step is the largest factor by which a hint changes in one call of UpdateHints, so that
+	// no node's share of calls grows abruptly.
+	Step float64
 	// Fade is how long an expired plan keeps half of its hold before it loses all of it.
 	Fade time.Duration
 	// Strangers is the largest share of serving nodes missing in the plan at which it keeps
 	// its full hold. Above that share the hold is halved, above twice that share it is 0.
 	Strangers float64
-	// Off is the largest factor by which the measurements of a node may deviate from the
-	// plan, and OffShare the largest share of deviating nodes, before the plan counts as
-	// contradicted. Proof is the number of consecutive updates with a contradiction that
-	// halve the hold, and the base of the number without one that double it again.
-	Off      float64
+	// Off is the largest factor by which the measurements of a node may differ from the plan
+	// before the node counts as deviating.
+	Off float64
+	// OffShare is the largest share of deviating nodes at which the plan does not count as
+	// contradicted.
 	OffShare float64
-	Proof    int
+	// Proof is the number of consecutive contradicted updates that halve the hold. Undoing
+	// a halving takes as many updates without a contradiction, doubled for each halving
+	// since SetPlan.
+	Proof int
 }
 
 // DefaultConfig returns the default rules, without a zone.
@@ -37,8 +41,8 @@
 	maxPriorFactor = 8.0
 	// maxHalvings is the number of halvings at which a contradicted plan has no hold left.
 	maxHalvings = 3
-	// maxRecoveryDoublings bounds the updates needed to undo a halving to Proof times 2 to
-	// this power.
+	// maxRecoveryDoublings bounds the updates that undo a halving: 2 to this power times the
+	// number that halves the hold.
 	maxRecoveryDoublings = 8
 	// hintTolerance is the relative difference within which a hint has reached its target.
 	hintTolerance = 1e-3
--- a/internal/weights/fleet_test.go
+++ b/internal/weights/fleet_test.go
@@ -45,7 +45,7 @@
 				}
 				return all
 			}
-			tell := func(hints map[string]float64) {
+			applyHints := func(hints map[string]float64) {
 				var all []chalkrack.Endpoint
 				for _, n := range cfg.Nodes {
 					if f, ok := hints[n.Name]; ok {
@@ -55,10 +55,10 @@
 				s.ServersChanged(s.Lab.Now, all)
 			}
 			h.Start(noon, nodes())
-			s.Lab.After(0, func() { tell(h.View().Hints) })
+			s.Lab.After(0, func() { applyHints(h.View().Hints) })
 			s.Lab.Every(hc.Every, func() {
 				if changed := h.UpdateHints(noon.Add(s.Lab.Now), nodes()); len(changed) > 0 {
-					tell(changed)
+					applyHints(changed)
 				}
 			})
 		}
