--- a/internal/generation/generation.go
+++ b/internal/generation/generation.go
@@ -1,10 +1,10 @@
-// Package generation holds which configurations a process serves under while one takes
-// another's place. It has no I/O, clock, chance or goroutines.
+// Package generation tracks which configurations a process serves under while one
+// replaces another. It has no I/O, clock, random source or goroutines.
 //
-// A generation is one configuration. A call is stamped with one when it comes and lives
-// under it to its end. While a change is on trial two generations take calls, and a judge
-// (package bake) holds them against each other; what all calls share (the cold servers,
-// the learned state by class) is held to the stricter of both.
+// A generation is one configuration. A call is assigned to a generation when it arrives
+// and keeps it until it ends. During a trial, two generations take calls and a judge
+// (package bake) compares them. State that all calls share (cold servers, what was
+// learned per class) follows the stricter rules of the two.
 package generation
 
 import (
@@ -18,39 +18,40 @@
 	"chalkrack/internal/settings"
 )
 
-// Generation is one configuration that calls live under. Nothing in it changes.
+// Generation is one configuration that calls are served under. It is immutable once New
+// or Machine.Begin has taken it.
 type Generation struct {
-	ID       int // as its owner numbers them
+	ID       int // assigned by the owner
 	Settings *settings.Settings
-	// Paths has the class of requests to exact paths. Elsewhere the first part of the
-	// path is the class.
+	// Paths maps exact request paths to classes. For any other path the first segment
+	// is the class.
 	Paths map[string]string
-	// PassClientErrors takes a server's answer of 4xx as the call's answer.
+	// PassClientErrors passes a server's 4xx response on as the response to the call.
 	PassClientErrors bool
 
-	// rules are the Settings' with classes and tenants at their places.
+	// rules is Settings.Config with classes and tenants at the process's indexes.
 	rules            chalkrack.Config
 	classes, tenants map[string]int
 }
 
-// Rules are what the decision module is told of a call that lives under g.
+// Rules returns the configuration of the decision module for calls under g.
 func (g *Generation) Rules() *chalkrack.Config { return &g.rules }
 
-// Class is the place of a class, Tenant that of a tenant; -1 if g does not know it.
-func (g *Generation) Class(name string) int { return at(g.classes, name) }
+// Class returns the index of a class, or -1 if g does not have it.
+func (g *Generation) Class(name string) int { return indexOf(g.classes, name) }
 
-// Tenant is the place of a tenant, -1 for one that is not known.
-func (g *Generation) Tenant(name string) int { return at(g.tenants, name) }
+// Tenant returns the index of a tenant, or -1 if g does not have it.
+func (g *Generation) Tenant(name string) int { return indexOf(g.tenants, name) }
 
-func at(places map[string]int, name string) int {
-	if n, ok := places[name]; ok {
+func indexOf(indexes map[string]int, name string) int {
+	if n, ok := indexes[name]; ok {
 		return n
 	}
 	return -1
 }
 
-// ClassOfPath is the class that a path names, by Paths or by its first part; it may be
-// none that g knows.
+// ClassOfPath returns the class that a request path names, through Paths or its first
+// segment. The class may be unknown to g.
 func (g *Generation) ClassOfPath(path string) string {
 	if class, ok := g.Paths[path]; ok {
 		return class
@@ -59,37 +60,41 @@
 	return class
 }
 
-// placesMost bounds the names of classes, and of tenants, that a process may meet in its
-// life: what was learned of each is kept.
-const placesMost = 1024
+// maxNames is the maximum number of distinct class names, and of tenant names, over the
+// life of a process, because the learned state of each name is kept.
+const maxNames = 1024
 
-// ErrPlaces says that a process has met more names than it can keep apart.
-var ErrPlaces = errors.New("generation: over 1024 classes or tenants since the start: a start forgets those that are gone")
+// ErrTooManyNames reports that a generation would bring the process over its limit of
+// distinct class or tenant names.
+var ErrTooManyNames = errors.New("generation: over 1024 classes or tenants since the start: a start forgets those that are gone")
 
-// places give each name a place for the life of the process, so that what was learned of
-// a class or a tenant goes over to the next generation, and comes back at an undo.
-type places struct {
+// nameTable assigns each class and tenant name an index for the life of the process, so
+// that the learned state of a name carries over to the next generation and is there again
+// after an undo.
+type nameTable struct {
 	classes, tenants []string
-	// last is what each class was last, for the places of those that a generation lacks.
-	last []chalkrack.Class
+	// lastClasses holds the latest settings of each class, used at the indexes of classes
+	// that a generation does not have.
+	lastClasses []chalkrack.Class
 }
 
-// with returns the places with a generation's names added, and fills the generation in.
-// It changes nothing of p.
-func (p places) with(g *Generation) (places, error) {
-	s := g.Settings
-	next := places{slices.Clone(p.classes), slices.Clone(p.tenants), slices.Clone(p.last)}
-	g.rules = s.Config
+// withGeneration returns a copy of t with the generation's names added, and sets the
+// generation's rules and indexes. It does not change t. An error says that there are too
+// many names or that the rules are invalid.
+func (t nameTable) withGeneration(g *Generation) (nameTable, error) {
+	set := g.Settings
+	next := nameTable{slices.Clone(t.classes), slices.Clone(t.tenants), slices.Clone(t.lastClasses)}
+	g.rules = set.Config
 	g.classes, g.tenants = make(map[string]int), make(map[string]int)
-	for n, name := range s.Names() {
+	for n, name := range set.Names() {
 		i := slices.Index(next.classes, name)
 		if i < 0 {
 			i = len(next.classes)
-			next.classes, next.last = append(next.classes, name), append(next.last, s.Config.Classes[n])
+			next.classes, next.lastClasses = append(next.classes, name), append(next.lastClasses, set.Config.Classes[n])
 		}
-		next.last[i], g.classes[name] = s.Config.Classes[n], i
+		next.lastClasses[i], g.classes[name] = set.Config.Classes[n], i
 	}
-	names := s.TenantNames()
+	names := set.TenantNames()
 	for _, name := range names {
 		i := slices.Index(next.tenants, name)
 		if i < 0 {
@@ -98,35 +103,36 @@
 		}
 		g.tenants[name] = i
 	}
-	if len(next.classes) > placesMost || len(next.tenants) > placesMost {
-		return p, ErrPlaces
+	if len(next.classes) > maxNames || len(next.tenants) > maxNames {
+		return t, ErrTooManyNames
 	}
-	g.rules.Classes = slices.Clone(next.last)
+	g.rules.Classes = slices.Clone(next.lastClasses)
 	g.rules.Tenants = make([]float64, len(next.tenants))
 	for n, name := range names {
-		g.rules.Tenants[g.tenants[name]] = s.Config.Tenants[n]
+		g.rules.Tenants[g.tenants[name]] = set.Config.Tenants[n]
 	}
 	if err := g.rules.Validate(); err != nil {
-		return p, fmt.Errorf("generation: %w", err)
+		return t, fmt.Errorf("generation: %w", err)
 	}
 	return next, nil
 }
 
-// stricter is what the decision module is told while two generations take calls: rules on
-// cold servers, and the waste of copies, that keep to both; of the rest those of next.
-// The classes and tenants of both have their places in next.
-func stricter(running, next *chalkrack.Config) chalkrack.Config {
-	g := *next
-	g.ColdFrom = min(running.ColdFrom, next.ColdFrom)
-	g.ColdFor = max(running.ColdFor, next.ColdFor)
-	g.OverloadFactor = min(running.OverloadFactor, next.OverloadFactor)
-	g.OverloadFor = min(running.OverloadFor, next.OverloadFor)
-	g.WasteCost = max(running.WasteCost, next.WasteCost)
-	g.Probes = running.Probes && next.Probes
+// stricterRules returns the decision module's configuration while two generations take
+// calls: for cold servers, overload, probes, discovery queries and the cost of wasted
+// copies the stricter value of the two, for all else that of next. next must have the
+// classes and tenants of both at their indexes.
+func stricterRules(running, next *chalkrack.Config) chalkrack.Config {
+	rules := *next
+	rules.ColdFrom = min(running.ColdFrom, next.ColdFrom)
+	rules.ColdFor = max(running.ColdFor, next.ColdFor)
+	rules.OverloadFactor = min(running.OverloadFactor, next.OverloadFactor)
+	rules.OverloadFor = min(running.OverloadFor, next.OverloadFor)
+	rules.WasteCost = max(running.WasteCost, next.WasteCost)
+	rules.Probes = running.Probes && next.Probes
 	if running.AskWithin > 0 && next.AskWithin > 0 {
-		g.AskWithin = min(running.AskWithin, next.AskWithin)
+		rules.AskWithin = min(running.AskWithin, next.AskWithin)
 	} else {
-		g.AskWithin = cmp.Or(running.AskWithin, next.AskWithin)
+		rules.AskWithin = cmp.Or(running.AskWithin, next.AskWithin)
 	}
-	return g
+	return rules
 }
--- a/internal/generation/generation_test.go
+++ b/internal/generation/generation_test.go
@@ -15,65 +15,66 @@
 	"chalkrack/internal/settings"
 )
 
-// made is a generation with classes whose worth tells where they come from.
-func made(t interface{ Fatal(...any) }, id int, names []string, change func(*chalkrack.Config)) *Generation {
+// newTestGeneration returns a generation whose classes have its ID as their worth, so that
+// a test can tell which generation a class comes from.
+func newTestGeneration(t interface{ Fatal(...any) }, id int, classNames []string, change func(*chalkrack.Config)) *Generation {
 	cfg := chalkrack.Config{Instances: 1, MaxAttempts: 1 + id%4, ColdFrom: 0.2, ColdFor: 8 * time.Second, OverloadFactor: 2, OverloadFor: time.Second}
 	var deadlines []time.Duration
-	for range names {
+	for range classNames {
 		cfg.Classes = append(cfg.Classes, chalkrack.Class{Aim: time.Second, Worth: float64(id)})
 		deadlines = append(deadlines, time.Second)
 	}
 	if change != nil {
 		change(&cfg)
 	}
-	set, err := settings.New(cfg, names, deadlines)
+	testSettings, err := settings.New(cfg, classNames, deadlines)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return &Generation{ID: id, Settings: set}
+	return &Generation{ID: id, Settings: testSettings}
 }
 
 var testBake = bake.Config{Share: 0.3, FalseUndo: 0.01, Notice: 0.5, Bake: time.Minute}
 
-// Over any run of changes a class has one place, nobody's rules change behind them, a
-// class unknown to a generation stays so, and the rules that hold all calls are the
-// stricter of both while there are two.
-func TestAnyChanges(t *testing.T) {
+// Over any sequence of changes a class keeps its index, a generation's rules do not
+// change, a class that a generation does not have stays unknown to it, and during a trial
+// the shared rules are the stricter of both generations.
+func TestClassIndexesAndRulesAcrossChanges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		names := rapid.SliceOfNDistinct(rapid.SampledFrom([]string{"a", "b", "c", "d", "e"}), 1, 5, rapid.ID[string])
-		var all []*Generation
-		var before []chalkrack.Config
+		var generations []*Generation
+		var rulesBefore []chalkrack.Config
 		add := func(g *Generation) {
-			all = append(all, g)
+			generations = append(generations, g)
 			c := *g.Rules()
 			c.Classes = append([]chalkrack.Class(nil), c.Classes...)
-			before = append(before, c)
+			rulesBefore = append(rulesBefore, c)
 		}
-		first := made(t, 1, names.Draw(t, "first"), nil)
+		first := newTestGeneration(t, 1, names.Draw(t, "first"), nil)
 		m, err := New(first)
 		if err != nil {
 			t.Fatal(err)
 		}
 		add(first)
-		place := make(map[string]int)
+		indexByClass := make(map[string]int)
 		for step := range rapid.IntRange(1, 12).Draw(t, "steps") {
 			v := m.View()
 			var rules chalkrack.Config
 			switch rapid.IntRange(0, 2).Draw(t, "what") {
 			case 0:
 				cold := rapid.Float64Range(0, 1).Draw(t, "cold")
-				g := made(t, step+2, names.Draw(t, "next"), func(c *chalkrack.Config) { c.ColdFrom, c.ColdFor = cold, time.Duration(cold*float64(20*time.Second)) })
+				g := newTestGeneration(t, step+2, names.Draw(t, "next"), func(c *chalkrack.Config) { c.ColdFrom, c.ColdFor = cold, time.Duration(cold*float64(20*time.Second)) })
 				rules, err = m.Begin(0, g, testBake, 1)
 				if (v.Next != nil) != errors.Is(err, ErrTrial) {
-					t.Fatalf("on trial %v: %v", v.Next != nil, err)
+					t.Fatalf("Begin with a trial on: %v: got error %v", v.Next != nil, err)
 				}
 				if err != nil {
 					continue
 				}
 				add(g)
-				for _, of := range []*chalkrack.Config{v.Current.Rules(), g.Rules()} {
-					if rules.ColdFrom > of.ColdFrom || rules.ColdFor < of.ColdFor || rules.OverloadFactor > of.OverloadFactor || rules.OverloadFor > of.OverloadFor {
-						t.Fatalf("%+v is laxer than %+v", rules, of)
+				for _, other := range []*chalkrack.Config{v.Current.Rules(), g.Rules()} {
+					if rules.ColdFrom > other.ColdFrom || rules.ColdFor < other.ColdFor || rules.OverloadFactor > other.OverloadFactor || rules.OverloadFor > other.OverloadFor {
+						t.Fatalf("shared rules %+v are less strict than %+v", rules, other)
 					}
 				}
 			default:
@@ -89,37 +90,37 @@
 					want = v.Next
 				}
 				if m.View().Current != want || m.View().Next != nil {
-					t.Fatal("the other one serves")
+					t.Fatal("the wrong generation is current after End")
 				}
 			}
 			if len(rules.Classes) != len(m.Classes()) {
-				t.Fatalf("%d classes have places, rules have %d", len(m.Classes()), len(rules.Classes))
+				t.Fatalf("%d classes have an index, the rules have %d classes", len(m.Classes()), len(rules.Classes))
 			}
 			for n, name := range m.Classes() {
-				if old, ok := place[name]; ok && old != n {
-					t.Fatalf("%s moved from %d to %d", name, old, n)
+				if old, ok := indexByClass[name]; ok && old != n {
+					t.Fatalf("index of class %s changed from %d to %d", name, old, n)
 				}
-				place[name] = n
+				indexByClass[name] = n
 			}
 		}
-		for n, g := range all {
-			if !reflect.DeepEqual(*g.Rules(), before[n]) {
-				t.Fatalf("generation %d changed", g.ID)
+		for n, g := range generations {
+			if !reflect.DeepEqual(*g.Rules(), rulesBefore[n]) {
+				t.Fatalf("rules of generation %d changed", g.ID)
 			}
-			for name, at := range place {
-				knows := g.Settings.Class([]byte(name)) >= 0
-				if got := g.Class(name); knows && (got != at || g.Rules().Classes[at].Worth != float64(g.ID)) || !knows && got >= 0 {
-					t.Fatalf("generation %d has %s at %d, place %d", g.ID, name, got, at)
+			for name, index := range indexByClass {
+				isKnown := g.Settings.Class([]byte(name)) >= 0
+				if got := g.Class(name); isKnown && (got != index || g.Rules().Classes[index].Worth != float64(g.ID)) || !isKnown && got >= 0 {
+					t.Fatalf("generation %d has class %s at index %d, the process at %d", g.ID, name, got, index)
 				}
 			}
 		}
 	})
 }
 
-// The coin gives the new generation its share, and nothing that a call is has a part in
-// it; calls from before the trial, or of another one, say nothing of it.
-func TestStampsAndCounts(t *testing.T) {
-	old, next := made(t, 1, []string{"a", "gone"}, nil), made(t, 2, []string{"a"}, nil)
+// The new generation gets its share of calls. Calls from before the trial or from another
+// trial do not count.
+func TestTrialShareAndCountedCalls(t *testing.T) {
+	old, next := newTestGeneration(t, 1, []string{"a", "gone"}, nil), newTestGeneration(t, 2, []string{"a"}, nil)
 	m, err := New(old)
 	if err != nil {
 		t.Fatal(err)
@@ -128,16 +129,16 @@
 	if _, err := m.Begin(0, next, testBake, 77); err != nil {
 		t.Fatal(err)
 	}
-	n := 0
+	nextCalls := 0
 	for i := range uint64(10000) {
 		if m.View().Stamp(i).Gen == next {
-			n++
+			nextCalls++
 		}
 	}
-	if math.Abs(float64(n)-3000) > 150 {
-		t.Errorf("%d of 10,000 calls, share 0.3", n)
+	if math.Abs(float64(nextCalls)-3000) > 150 {
+		t.Errorf("the new generation got %d of 10,000 calls at share 0.3", nextCalls)
 	}
-	of := func(g *Generation) (s Stamp) {
+	stampFor := func(g *Generation) (s Stamp) {
 		for i := uint64(0); s.Gen != g; i++ {
 			s = m.View().Stamp(i)
 		}
@@ -145,73 +146,74 @@
 	}
 	m.Good(early)
 	m.Bad(early, 0, bake.Failed)
-	m.Bad(of(old), -1, bake.Failed)
-	m.Bad(of(next), 0, bake.Late)
-	m.Good(of(next))
-	m.Unknown(of(next), "gone")
-	m.Unknown(of(next), "never there") // a client's mistake
-	m.Unknown(of(old), "gone")
+	m.Bad(stampFor(old), -1, bake.Failed)
+	m.Bad(stampFor(next), 0, bake.Late)
+	m.Good(stampFor(next))
+	m.Unknown(stampFor(next), "gone")
+	m.Unknown(stampFor(next), "never there") // unknown to both generations: a client error
+	m.Unknown(stampFor(old), "gone")
 	if r, _, err := m.Rule(time.Second); err != nil || r.Calls != 3 || r.Verdict != bake.Watching {
 		t.Errorf("%+v, %v", r, err)
 	}
-	stale := of(next)
+	stale := stampFor(next)
 	if _, err := m.End(false); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := m.Begin(0, made(t, 3, []string{"a"}, nil), testBake, 78); err != nil {
+	if _, err := m.Begin(0, newTestGeneration(t, 3, []string{"a"}, nil), testBake, 78); err != nil {
 		t.Fatal(err)
 	}
-	// Calls of a trial that is over, and from before any, would hide what the new one does.
+	// If calls of an ended trial, or from before any trial, counted, they would hide the
+	// failures of the new generation.
 	for range 1000 {
 		m.Bad(stale, 0, bake.Failed)
 		m.Bad(early, 0, bake.Failed)
 	}
 	for range 60 {
-		m.Bad(of(m.View().Next), 0, bake.Failed)
+		m.Bad(stampFor(m.View().Next), 0, bake.Failed)
 	}
 	if r, _, _ := m.Rule(time.Second); r.Calls != 60 || r.Verdict != bake.Undo {
-		t.Errorf("calls that no coin of this trial chose count: %+v", r)
+		t.Errorf("calls that this trial did not assign count: %+v", r)
 	}
 	if _, err := m.End(false); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := m.Begin(0, made(t, 4, []string{"a"}, nil), testBake, 79); err != nil {
+	if _, err := m.Begin(0, newTestGeneration(t, 4, []string{"a"}, nil), testBake, 79); err != nil {
 		t.Fatal(err)
 	}
-	// A class that a change drops while clients ask for it undoes it.
+	// A change that removes a class which clients still use is undone.
 	for range 100 {
-		m.Unknown(of(m.View().Next), "gone")
+		m.Unknown(stampFor(m.View().Next), "gone")
 	}
 	if r, _, _ := m.Rule(time.Second); r.Verdict != bake.Undo || m.Classes()[r.Class] != "gone" {
 		t.Errorf("%+v", r)
 	}
 }
 
-// What can't be put on trial leaves all as it was.
-func TestBadTrial(t *testing.T) {
-	m, err := New(made(t, 1, []string{"a"}, nil))
+// A generation that cannot be put on trial leaves the machine unchanged.
+func TestRejectedTrialChangesNothing(t *testing.T) {
+	m, err := New(newTestGeneration(t, 1, []string{"a"}, nil))
 	if err != nil {
 		t.Fatal(err)
 	}
 	v := m.View()
 	var many []string
-	for n := range placesMost {
+	for n := range maxNames {
 		many = append(many, fmt.Sprint("class", n))
 	}
-	if _, err := m.Begin(0, made(t, 2, many, nil), testBake, 1); !errors.Is(err, ErrPlaces) {
-		t.Errorf("%v", err)
+	if _, err := m.Begin(0, newTestGeneration(t, 2, many, nil), testBake, 1); !errors.Is(err, ErrTooManyNames) {
+		t.Errorf("Begin with too many classes: got error %v, want ErrTooManyNames", err)
 	}
-	if _, err := m.Begin(0, made(t, 2, []string{"b"}, nil), bake.Config{}, 1); err == nil {
-		t.Error("a judge without settings")
+	if _, err := m.Begin(0, newTestGeneration(t, 2, []string{"b"}, nil), bake.Config{}, 1); err == nil {
+		t.Error("Begin accepted an empty bake.Config")
 	}
 	if m.View() != v || len(m.Classes()) != 1 {
-		t.Errorf("%+v, %v", m.View(), m.Classes())
+		t.Errorf("a rejected trial changed the machine: view %+v, classes %v", m.View(), m.Classes())
 	}
 	if _, _, err := m.Rule(0); !errors.Is(err, ErrIdle) {
-		t.Errorf("%v", err)
+		t.Errorf("Rule without a trial: got error %v, want ErrIdle", err)
 	}
-	// Places that came with a change which was undone keep what they learned.
-	if _, err := m.Begin(0, made(t, 3, []string{"b"}, nil), testBake, 1); err != nil {
+	// Classes of a change that was undone keep their index and learned state.
+	if _, err := m.Begin(0, newTestGeneration(t, 3, []string{"b"}, nil), testBake, 1); err != nil {
 		t.Fatal(err)
 	}
 	if rules, err := m.End(false); err != nil || len(rules.Classes) != 2 || rules.Validate() != nil {
--- a/internal/generation/trial.go
+++ b/internal/generation/trial.go
@@ -8,133 +8,135 @@
 	"chalkrack/internal/bake"
 )
 
-// Stamp is what a call gets when it comes, and keeps. The zero value is none.
+// Stamp assigns a call to a generation when it arrives; it stays the same until the call
+// ends. The zero value means no generation.
 type Stamp struct {
 	Gen *Generation
-	// trial numbers the trial whose coin chose Gen; 0: there was none to choose.
-	trial int
+	// trialID is the trial that assigned Gen at random; 0 if no trial was on.
+	trialID int
 }
 
-// View is who takes calls at a moment. It does not change: a switch puts another one in
-// its place.
+// View is an immutable snapshot of the generations that take calls. A change of
+// generations creates a new View.
 type View struct {
 	Current *Generation
-	Next    *Generation // on trial; nil: none is
-	trial   int
+	Next    *Generation // on trial; nil if there is no trial
+	trialID int
 	share   float64
 	seed    uint64
 }
 
-// Stamp gives the n-th call of a trial its generation. Who brings calls can't tell which,
-// so neither can what becomes of them.
+// Stamp assigns the n-th call of a trial to a generation by a seeded hash. A caller cannot
+// predict the assignment, so it is independent of how calls end.
 func (v *View) Stamp(n uint64) Stamp {
 	if v.Next == nil {
 		return Stamp{Gen: v.Current}
 	}
-	h := v.seed ^ n*0x9e3779b97f4a7c15
-	h = (h ^ h>>30) * 0xbf58476d1ce4e5b9
-	h = (h ^ h>>27) * 0x94d049bb133111eb
-	if float64((h^h>>31)>>11)/(1<<53) < v.share {
-		return Stamp{v.Next, v.trial}
+	hash := v.seed ^ n*0x9e3779b97f4a7c15
+	hash = (hash ^ hash>>30) * 0xbf58476d1ce4e5b9
+	hash = (hash ^ hash>>27) * 0x94d049bb133111eb
+	if float64((hash^hash>>31)>>11)/(1<<53) < v.share {
+		return Stamp{v.Next, v.trialID}
 	}
-	return Stamp{v.Current, v.trial}
+	return Stamp{v.Current, v.trialID}
 }
 
-// What is wrong with a step.
+// Errors of Machine methods that are called in the wrong state.
 var (
 	ErrTrial = errors.New("generation: a change is on trial")
 	ErrIdle  = errors.New("generation: no change is on trial")
 )
 
-// Machine is who serves, who is on trial, and what is known of how they do. One owner
-// calls its methods in turn.
+// Machine is the state machine of trials: the generation that serves, the one on trial
+// and the judge that compares them. It is not safe for concurrent use.
 type Machine struct {
-	view   *View
-	places places
-	judge  *bake.Judge
-	began  time.Duration
-	trials int
+	view       *View
+	names      nameTable
+	judge      *bake.Judge
+	trialStart time.Duration
+	trialCount int
 }
 
-// New returns a Machine with one generation.
+// New returns a Machine with one generation and no trial.
 func New(first *Generation) (*Machine, error) {
 	m := new(Machine)
 	var err error
-	if m.places, err = m.places.with(first); err != nil {
+	if m.names, err = m.names.withGeneration(first); err != nil {
 		return nil, err
 	}
 	m.view = &View{Current: first}
 	return m, nil
 }
 
-// View is who takes calls now.
+// View returns the generations that take calls now.
 func (m *Machine) View() *View { return m.view }
 
-// Classes are the names of the classes by their places.
-func (m *Machine) Classes() []string { return m.places.classes }
+// Classes returns the class names by index. The caller must not change the slice.
+func (m *Machine) Classes() []string { return m.names.classes }
 
-// Begin puts a generation on trial beside the one that serves, which judges it by cfg
-// (its Classes are set here). It returns the rules that both are held to together. An
-// error leaves all as it was.
+// Begin starts a trial of next beside the current generation, with a judge configured by
+// cfg (Begin sets its Classes). It returns the rules for state that both share. On an
+// error m does not change.
 func (m *Machine) Begin(now time.Duration, next *Generation, cfg bake.Config, seed uint64) (chalkrack.Config, error) {
 	if m.view.Next != nil {
 		return chalkrack.Config{}, ErrTrial
 	}
-	p, err := m.places.with(next)
+	names, err := m.names.withGeneration(next)
 	if err != nil {
 		return chalkrack.Config{}, err
 	}
-	rules := stricter(&m.view.Current.rules, &next.rules) // good, as both are
-	cfg.Classes = len(p.classes)
+	rules := stricterRules(&m.view.Current.rules, &next.rules) // valid because both are
+	cfg.Classes = len(names.classes)
 	judge, err := bake.New(cfg)
 	if err != nil {
 		return chalkrack.Config{}, err
 	}
-	m.trials++
-	m.places, m.judge, m.began = p, judge, now
-	m.view = &View{Current: m.view.Current, Next: next, trial: m.trials, share: cfg.Share, seed: seed}
+	m.trialCount++
+	m.names, m.judge, m.trialStart = names, judge, now
+	m.view = &View{Current: m.view.Current, Next: next, trialID: m.trialCount, share: cfg.Share, seed: seed}
 	return rules, nil
 }
 
-// counts says whether a call's end is one that the judge may hear of: its generation was
-// chosen by the coin of the trial that is on.
-func (m *Machine) counts(s Stamp) bool { return m.view.Next != nil && s.trial == m.view.trial }
+// inTrial reports whether the outcome of a call counts for the judge: the trial
+// that is on must have assigned its generation at random.
+func (m *Machine) inTrial(s Stamp) bool { return m.view.Next != nil && s.trialID == m.view.trialID }
 
-// Good takes a call that was served in time.
+// Good records a call that succeeded in time.
 func (m *Machine) Good(s Stamp) {
-	if m.counts(s) {
+	if m.inTrial(s) {
 		m.judge.Good(s.Gen == m.view.Next)
 	}
 }
 
-// Bad takes a call that went badly.
+// Bad records a call that failed, was refused or was late.
 func (m *Machine) Bad(s Stamp, class int, k bake.Kind) {
-	if m.counts(s) {
+	if m.inTrial(s) {
 		m.judge.Bad(class, k, s.Gen == m.view.Next)
 	}
 }
 
-// Unknown takes a call of a class that its generation does not know, though the other one
-// does: a class that a change has dropped while clients still ask for it.
+// Unknown records a call whose class its generation does not have. It counts as failed if
+// the generation is the one on trial and the current one has the class: the change removed
+// a class that clients still use.
 func (m *Machine) Unknown(s Stamp, class string) {
-	if m.counts(s) && s.Gen == m.view.Next {
-		if n := m.view.Current.Class(class); n >= 0 {
-			m.judge.Bad(n, bake.Failed, true)
+	if m.inTrial(s) && s.Gen == m.view.Next {
+		if index := m.view.Current.Class(class); index >= 0 {
+			m.judge.Bad(index, bake.Failed, true)
 		}
 	}
 }
 
-// Rule is the judge's ruling so far, and since when it watches.
+// Rule returns the judge's ruling so far and the time since the trial began, or ErrIdle.
 func (m *Machine) Rule(now time.Duration) (r bake.Ruling, since time.Duration, err error) {
 	if m.view.Next == nil {
 		return r, 0, ErrIdle
 	}
-	return m.judge.Rule(now - m.began), now - m.began, nil
+	return m.judge.Rule(now - m.trialStart), now - m.trialStart, nil
 }
 
-// End ends the trial: with keep the next generation serves alone, without it the one
-// before does. It returns the rules from now on. Calls that are under way go on under
-// the generation that they have.
+// End ends the trial: with keep the generation on trial becomes the current one, otherwise
+// the current one stays. It returns the rules that apply from now on, or ErrIdle. Calls in
+// flight keep their generation.
 func (m *Machine) End(keep bool) (chalkrack.Config, error) {
 	v := m.view
 	if v.Next == nil {
@@ -146,8 +148,9 @@
 	}
 	m.view, m.judge = &View{Current: winner}, nil
 	rules := winner.rules
-	// An undone generation's names keep their places: what they learned may come again.
-	rules.Classes = append(rules.Classes[:len(rules.Classes):len(rules.Classes)], m.places.last[len(rules.Classes):]...)
-	rules.Tenants = append(rules.Tenants[:len(rules.Tenants):len(rules.Tenants)], make([]float64, len(m.places.tenants)-len(rules.Tenants))...)
+	// Names of a generation that was undone keep their indexes: their learned state may be
+	// needed again.
+	rules.Classes = append(rules.Classes[:len(rules.Classes):len(rules.Classes)], m.names.lastClasses[len(rules.Classes):]...)
+	rules.Tenants = append(rules.Tenants[:len(rules.Tenants):len(rules.Tenants)], make([]float64, len(m.names.tenants)-len(rules.Tenants))...)
 	return rules, nil
 }
