--- a/internal/bake/judge.go
+++ b/internal/bake/judge.go
@@ -1,17 +1,17 @@
-// Package bake judges a new configuration against the one before, while both serve. It
-// has no I/O, clock, chance or goroutines.
+// Package bake judges a new configuration (generation) against the one before it while
+// both serve. It has no I/O, clock, random source or goroutines.
 //
-// For the time of the bake each call is given to one of the two generations by a coin
-// that nobody sees before the call: Share of them to the new one. If both do equally
-// well, a call that goes badly is the new one's with the chance Share, whatever the load
-// and the servers do meanwhile: trouble that all suffer falls on both. So only the
-// assignment of the bad calls is tested, and no rate has to be known or to stand still.
+// During the bake each call is assigned at random, and unpredictably for the caller, to one
+// of the two generations, a fraction Share of them to the new one. If both do equally well,
+// a bad call belongs to the new generation with probability Share, whatever the load and
+// the servers do, because trouble that affects all calls affects both. Therefore only the
+// assignment of bad calls is tested, and no failure rate has to be known or constant.
 //
-// The test is a likelihood ratio that grows with each bad call, held against a mixture
-// of rises (A. Wald, Sequential Analysis, 1947; H. Robbins, Statistical methods related
-// to the law of the iterated logarithm, 1970). Its mean stays 1 while both do equally
-// well, so by J. Ville's inequality the chance that it ever passes 1/FalseUndo is at most
-// FalseUndo, however often it is looked at.
+// The test is a sequential likelihood ratio, updated with each bad call, against a mixture
+// of rate ratios (A. Wald, Sequential Analysis, 1947; H. Robbins, Statistical methods
+// related to the law of the iterated logarithm, 1970). Its mean stays 1 while both do
+// equally well, so by Ville's inequality the probability that it ever passes 1/FalseUndo
+// is at most FalseUndo, however often it is evaluated.
 package bake
 
 import (
@@ -21,35 +21,36 @@
 	"time"
 )
 
-// Kind is a way to go badly.
+// Kind is the way in which a call went badly.
 type Kind int
 
 const (
 	Failed Kind = iota
 	Refused
-	Late // answered past its aim
-	kinds
+	Late // answered after its class's aim
+	kindCount
 )
 
-// String is the kind's name.
+// String returns the kind's name.
 func (k Kind) String() string { return [...]string{"failed", "refused", "late"}[k] }
 
-// rises are the rates of the new generation that are tested, as multiples of the old
-// one's. The last is a fault that the old one does not have at all.
-var rises = [...]float64{1.5, 3, 10, math.Inf(1)}
+// rateRatios are the tested rates of bad calls of the new generation, as multiples of the
+// old generation's rate. Infinity stands for a fault that the old one does not have at all.
+var rateRatios = [...]float64{1.5, 3, 10, math.Inf(1)}
 
-// Config is what a Judge is told.
+// Config configures a Judge.
 type Config struct {
 	Classes   int           // 1 to 1,024
-	Share     float64       // of calls that the new generation takes, 0.05 to 0.95
-	FalseUndo float64       // the chance that a good change is undone, 1e-9 to 0.2
-	Notice    float64       // the share of bad calls that must not pass unnoticed, above 0 and at most 1
-	Bake      time.Duration // how long it watches
-	// ThinUndo undoes a change that too few calls have tried; otherwise it is kept.
+	Share     float64       // fraction of calls that the new generation takes, 0.05 to 0.95
+	FalseUndo float64       // maximum probability of undoing a good change, 1e-9 to 0.2
+	Notice    float64       // smallest fraction of bad calls that must be detected, above 0 and at most 1
+	Bake      time.Duration // length of the trial
+	// ThinUndo undoes a change that got fewer calls than a verdict needs; otherwise such a
+	// change is kept.
 	ThinUndo bool
 }
 
-// Validate says what of c can't be used, by the name of its field.
+// Validate returns an error that names the first invalid field of c.
 func (c *Config) Validate() error {
 	switch {
 	case c.Classes < 1 || c.Classes > 1024:
@@ -66,7 +67,7 @@
 	return nil
 }
 
-// Verdict is what a Judge says.
+// Verdict is the decision of a Judge about a change.
 type Verdict int
 
 const (
@@ -75,159 +76,166 @@
 	Undo
 )
 
-// String is the verdict's name.
+// String returns the verdict's name.
 func (v Verdict) String() string { return [...]string{"watching", "keep", "undo"}[v] }
 
 // Ruling is a verdict with its reasons.
 type Ruling struct {
 	Verdict Verdict
-	// Thin says that too few calls came for a verdict: it is the default's.
+	// Thin reports that there were too few calls for a verdict, so that Config.ThinUndo
+	// decided.
 	Thin bool
-	// Class and Kind weigh most in an Undo that is not Thin.
+	// Class and Kind are those with the strongest evidence for an Undo that is not Thin.
 	Class int
 	Kind  Kind
-	// Calls of the new generation that were seen, and that are needed to notice what
-	// Config.Notice says.
+	// Calls is the number of calls of the new generation so far, Needed the number that
+	// it takes to detect a fault of size Config.Notice.
 	Calls, Needed int
 }
 
-// cell is one class's calls of one kind.
-type cell struct {
+// badCounts counts the bad calls of one class and kind for each generation.
+type badCounts struct {
 	old, new float64
 }
 
-// starts is from how many times on the bad calls are counted: from the switch, and from
-// each further eighth of the bake. A fault that trouble at the servers covered at first
-// shows once that is over, in counts that it is no part of. What has not started yet
-// counts as 1, so the mean over the starts is held by the same bound.
-const starts = 8
+// maxWindows is the number of windows over which bad calls are counted: one begins at the
+// switch and one at each further eighth of the bake; all of them end now. Trouble at the
+// servers may hide a fault at first; it shows in a window that began after the trouble. A
+// window that has not begun counts as a ratio of 1, so the same bound holds for the mean
+// over the windows.
+const maxWindows = 8
 
-// Judge watches one change. Its memory is 48 counters for each class.
+// Judge evaluates one change. It holds at most 48 counters for each class. It is not safe
+// for concurrent use.
 type Judge struct {
-	cfg   Config
-	cells []cell
-	calls int      // of the new generation
-	since [][]cell // the cells as they were at each start that has come, the switch first
-	final *Ruling
-	// By rise, the logarithms of what a bad call multiplies the ratio by.
-	ofNew, ofOld [len(rises)]float64
+	cfg          Config
+	counts       []badCounts
+	newCalls     int           // calls of the new generation
+	windowStarts [][]badCounts // counts at the start of each window so far, the switch first
+	result       *Ruling
+	// For each of rateRatios, the logarithm of the factor by which a bad call of the new
+	// or the old generation changes the likelihood ratio.
+	logFactorNew, logFactorOld [len(rateRatios)]float64
 }
 
-// New returns a Judge.
+// New returns a Judge, or an error if cfg is invalid.
 func New(cfg Config) (*Judge, error) {
 	if err := cfg.Validate(); err != nil {
 		return nil, err
 	}
-	n := cfg.Classes * int(kinds)
-	j := &Judge{cfg: cfg, cells: make([]cell, n), since: [][]cell{make([]cell, n)}}
-	for k, r := range rises {
-		// A bad call is the new one's with the chance r*share / (r*share + 1 - share).
-		both := r*cfg.Share + 1 - cfg.Share
-		j.ofNew[k], j.ofOld[k] = math.Log(r/both), math.Log(1/both)
+	n := cfg.Classes * int(kindCount)
+	j := &Judge{cfg: cfg, counts: make([]badCounts, n), windowStarts: [][]badCounts{make([]badCounts, n)}}
+	for k, r := range rateRatios {
+		// A bad call is the new generation's with probability r*share / (r*share + 1 - share).
+		total := r*cfg.Share + 1 - cfg.Share
+		j.logFactorNew[k], j.logFactorOld[k] = math.Log(r/total), math.Log(1/total)
 		if math.IsInf(r, 1) {
-			j.ofNew[k], j.ofOld[k] = -math.Log(cfg.Share), math.Inf(-1)
+			j.logFactorNew[k], j.logFactorOld[k] = -math.Log(cfg.Share), math.Inf(-1)
 		}
 	}
 	return j, nil
 }
 
-// Good takes a call that went well.
-func (j *Judge) Good(newGeneration bool) {
+// RecordGood records a call that went well.
+func (j *Judge) RecordGood(newGeneration bool) {
 	if newGeneration {
-		j.calls++
+		j.newCalls++
 	}
 }
 
-// Bad takes a call of a class that went badly. A call counts once, as the first of its
-// kinds. Classes out of range are left out.
-func (j *Judge) Bad(class int, k Kind, newGeneration bool) {
-	if class < 0 || class >= j.cfg.Classes || k < 0 || k >= kinds {
+// RecordBad records a call that went badly. The caller records a call once, under the
+// first kind that applies. Calls with a class or kind out of range are ignored.
+func (j *Judge) RecordBad(class int, k Kind, newGeneration bool) {
+	if class < 0 || class >= j.cfg.Classes || k < 0 || k >= kindCount {
 		return
 	}
-	c := &j.cells[class*int(kinds)+int(k)]
+	c := &j.counts[class*int(kindCount)+int(k)]
 	if newGeneration {
-		j.calls++
+		j.newCalls++
 		c.new++
 	} else {
 		c.old++
 	}
 }
 
-// evidence is the logarithm of a cell's likelihood ratio: the mean over the rises.
-func (j *Judge) evidence(c cell) float64 {
+// logEvidence returns the logarithm of the likelihood ratio for c: the mean of the ratios
+// over rateRatios.
+func (j *Judge) logEvidence(c badCounts) float64 {
 	if c.old+c.new == 0 {
 		return 0
 	}
-	var logs [len(rises)]float64
-	for n := range rises {
-		logs[n] = c.new * j.ofNew[n]
+	var logs [len(rateRatios)]float64
+	for n := range rateRatios {
+		logs[n] = c.new * j.logFactorNew[n]
 		if c.old > 0 {
-			logs[n] += c.old * j.ofOld[n]
+			logs[n] += c.old * j.logFactorOld[n]
 		}
 	}
-	return meanLog(logs[:])
+	return logMeanExp(logs[:])
 }
 
-// meanLog is the logarithm of the mean of what has these logarithms.
-func meanLog(logs []float64) float64 {
-	most := math.Inf(-1)
+// logMeanExp returns the logarithm of the mean of the numbers with these logarithms.
+func logMeanExp(logs []float64) float64 {
+	maxLog := math.Inf(-1)
 	for _, l := range logs {
-		most = max(most, l)
+		maxLog = max(maxLog, l)
 	}
-	if math.IsInf(most, -1) {
-		return most
+	if math.IsInf(maxLog, -1) {
+		return maxLog
 	}
 	sum := 0.0
 	for _, l := range logs {
-		sum += math.Exp(l - most)
+		sum += math.Exp(l - maxLog)
 	}
-	return most + math.Log(sum/float64(len(logs)))
+	return maxLog + math.Log(sum/float64(len(logs)))
 }
 
-// Needed is how many calls of the new generation it takes to notice a fault that spoils
-// Notice of one class's calls and none of the old one's, if they all are of that class:
-// as many as have that many bad ones among them with a chance of about 0.98.
-func (j *Judge) Needed() int {
-	per := math.Log(1 / j.cfg.Share)
-	bad := math.Ceil(math.Log(float64(starts*len(rises)*len(j.cells))/j.cfg.FalseUndo) / per)
-	return int(math.Ceil((bad + 2*math.Sqrt(bad) + 2) / j.cfg.Notice))
+// RequiredCalls returns the number of calls of the new generation that it takes to detect a
+// fault which makes a fraction Notice of one class's calls bad, and none of the old
+// generation's, if all calls are of that class. With that many calls, enough of them are
+// bad with a probability of about 0.98.
+func (j *Judge) RequiredCalls() int {
+	evidencePerCall := math.Log(1 / j.cfg.Share)
+	badCalls := math.Ceil(math.Log(float64(maxWindows*len(rateRatios)*len(j.counts))/j.cfg.FalseUndo) / evidencePerCall)
+	return int(math.Ceil((badCalls + 2*math.Sqrt(badCalls) + 2) / j.cfg.Notice))
 }
 
-// Rule gives the verdict so long after the switch; it is to be asked some times in each
-// eighth of the bake, at times that the calls' ends have no part in. Once it is not Watching it stays.
-func (j *Judge) Rule(since time.Duration) Ruling {
-	if j.final != nil {
-		return *j.final
+// Evaluate returns the ruling at a time after the switch. The caller must call it a few
+// times in each eighth of the bake, at times that do not depend on the outcomes of calls.
+// A verdict other than Watching is final.
+func (j *Judge) Evaluate(since time.Duration) Ruling {
+	if j.result != nil {
+		return *j.result
 	}
-	for len(j.since) < starts && since >= j.cfg.Bake/starts*time.Duration(len(j.since)) {
-		j.since = append(j.since, slices.Clone(j.cells))
+	for len(j.windowStarts) < maxWindows && since >= j.cfg.Bake/maxWindows*time.Duration(len(j.windowStarts)) {
+		j.windowStarts = append(j.windowStarts, slices.Clone(j.counts))
 	}
-	r := Ruling{Calls: j.calls, Needed: j.Needed()}
-	logs := make([]float64, len(j.cells))
-	var each [starts]float64 // 0, for 1, where it has not begun
-	most := math.Inf(-1)
-	for k, then := range j.since {
-		for n, c := range j.cells {
-			logs[n] = j.evidence(cell{c.old - then[n].old, c.new - then[n].new})
-			if logs[n] > most {
-				most, r.Class, r.Kind = logs[n], n/int(kinds), Kind(n%int(kinds))
+	ruling := Ruling{Calls: j.newCalls, Needed: j.RequiredCalls()}
+	logs := make([]float64, len(j.counts))
+	var windowLogs [maxWindows]float64 // 0, a ratio of 1, for windows that have not begun
+	maxLog := math.Inf(-1)
+	for k, start := range j.windowStarts {
+		for n, c := range j.counts {
+			logs[n] = j.logEvidence(badCounts{c.old - start[n].old, c.new - start[n].new})
+			if logs[n] > maxLog {
+				maxLog, ruling.Class, ruling.Kind = logs[n], n/int(kindCount), Kind(n%int(kindCount))
 			}
 		}
-		each[k] = meanLog(logs)
+		windowLogs[k] = logMeanExp(logs)
 	}
 	switch {
-	case meanLog(each[:]) >= -math.Log(j.cfg.FalseUndo):
-		r.Verdict = Undo
+	case logMeanExp(windowLogs[:]) >= -math.Log(j.cfg.FalseUndo):
+		ruling.Verdict = Undo
 	case since < j.cfg.Bake:
-		return r
-	case j.calls < r.Needed:
-		r.Thin, r.Verdict = true, Keep
+		return ruling
+	case j.newCalls < ruling.Needed:
+		ruling.Thin, ruling.Verdict = true, Keep
 		if j.cfg.ThinUndo {
-			r.Verdict = Undo
+			ruling.Verdict = Undo
 		}
 	default:
-		r.Verdict = Keep
+		ruling.Verdict = Keep
 	}
-	j.final = &r
-	return r
+	j.result = &ruling
+	return ruling
 }
--- a/internal/bake/judge_test.go
+++ b/internal/bake/judge_test.go
@@ -12,13 +12,13 @@
 	"pgregory.net/rapid"
 )
 
-func config() Config {
+func testConfig() Config {
 	return Config{Classes: 3, Share: 0.5, FalseUndo: 0.001, Notice: 0.05, Bake: time.Minute}
 }
 
-func judge(t testing.TB, change func(*Config)) *Judge {
+func newTestJudge(t testing.TB, change func(*Config)) *Judge {
 	t.Helper()
-	c := config()
+	c := testConfig()
 	if change != nil {
 		change(&c)
 	}
@@ -29,20 +29,22 @@
 	return j
 }
 
-// season is how one kind of change and its time go.
-type season struct {
+// scenario describes a change and the conditions during its trial.
+type scenario struct {
 	name  string
 	calls int
-	// bad is the chance of a bad call of the old generation at a time within 0 and 1.
-	bad func(at float64) float64
-	// worse is what the new generation adds in class 0.
-	worse float64
+	// badRate returns the probability of a bad call of the old generation, by the elapsed
+	// fraction of the trial (0 to 1).
+	badRate func(at float64) float64
+	// addedRate is the additional probability of a bad call of the new generation in
+	// class 0.
+	addedRate float64
 }
 
-func steady(p float64) func(float64) float64 { return func(float64) float64 { return p } }
+func constant(p float64) func(float64) float64 { return func(float64) float64 { return p } }
 
-// burst is trouble at the servers for a third of the time, which begins at the switch.
-func burst(p float64) func(float64) float64 {
+// initialBurst is trouble at the servers during the first third of the trial.
+func initialBurst(p float64) func(float64) float64 {
 	return func(at float64) float64 {
 		if at < 0.33 {
 			return p
@@ -51,55 +53,56 @@
 	}
 }
 
-// play is one change: its verdict, and the calls of the new generation by then.
-func play(t testing.TB, s season, seed uint64, share float64) Ruling {
+// runScenario simulates one trial and returns the final ruling.
+func runScenario(t testing.TB, s scenario, seed uint64, share float64) Ruling {
 	rng := rand.New(rand.NewPCG(seed, 6))
-	j := judge(t, func(c *Config) { c.Share = share })
+	j := newTestJudge(t, func(c *Config) { c.Share = share })
 	for n := range s.calls {
 		at := float64(n) / float64(s.calls)
 		class := n % 3
 		new := rng.Float64() < share
-		p := s.bad(at)
+		p := s.badRate(at)
 		if new && class == 0 {
-			p = 1 - (1-p)*(1-s.worse)
+			p = 1 - (1-p)*(1-s.addedRate)
 		}
 		if rng.Float64() < p {
-			j.Bad(class, Kind(rng.IntN(int(kinds))), new)
+			j.RecordBad(class, Kind(rng.IntN(int(kindCount))), new)
 		} else {
-			j.Good(new)
+			j.RecordGood(new)
 		}
 		if n%50 == 0 {
-			if r := j.Rule(time.Duration(at * float64(time.Minute))); r.Verdict != Watching {
+			if r := j.Evaluate(time.Duration(at * float64(time.Minute))); r.Verdict != Watching {
 				return r
 			}
 		}
 	}
-	return j.Rule(time.Minute)
+	return j.Evaluate(time.Minute)
 }
 
-// 10,000 changes, good and faulty, under steady load, under trouble at the servers and
-// with thin traffic. Good ones are undone at most as often as FalseUndo says, with room
-// for chance; of the faulty none that spoils a fifth of a class is kept.
-func TestTenThousandChanges(t *testing.T) {
-	const each = 1000
+// Simulates 10,000 good and faulty changes under constant load, with trouble at the
+// servers and with few calls. Good changes are undone no more often than FalseUndo allows
+// (with a margin for random variation), and no fault that makes a fifth of a class's calls
+// bad is kept.
+func TestVerdictsOverTenThousandChanges(t *testing.T) {
+	const runs = 1000
 	var table strings.Builder
 	fmt.Fprintf(&table, "%-46s %8s %6s %6s %6s %14s\n", "change", "calls", "kept", "undone", "thin", "calls to undo")
-	for _, s := range []season{
-		{"good, nothing fails", 6000, steady(0), 0},
-		{"good, 1 % fail", 6000, steady(0.01), 0},
-		{"good, 30 % fail", 6000, steady(0.3), 0},
-		{"good, all fail for a third of the time", 6000, burst(1), 0},
-		{"good, thin traffic", 200, steady(0.05), 0},
-		{"faulty: 20 % of a class", 6000, steady(0.01), 0.2},
-		{"faulty: all of a class, 30 % fail anyway", 6000, steady(0.3), 1},
-		{"faulty: 20 % of a class, servers in trouble", 6000, burst(0.5), 0.2},
-		{"faulty: 5 % of a class", 6000, steady(0.01), 0.05},
-		{"faulty: 20 % of a class, thin traffic", 200, steady(0.01), 0.2},
+	for _, s := range []scenario{
+		{"good, nothing fails", 6000, constant(0), 0},
+		{"good, 1 % fail", 6000, constant(0.01), 0},
+		{"good, 30 % fail", 6000, constant(0.3), 0},
+		{"good, all fail for a third of the time", 6000, initialBurst(1), 0},
+		{"good, thin traffic", 200, constant(0.05), 0},
+		{"faulty: 20 % of a class", 6000, constant(0.01), 0.2},
+		{"faulty: all of a class, 30 % fail anyway", 6000, constant(0.3), 1},
+		{"faulty: 20 % of a class, servers in trouble", 6000, initialBurst(0.5), 0.2},
+		{"faulty: 5 % of a class", 6000, constant(0.01), 0.05},
+		{"faulty: 20 % of a class, thin traffic", 200, constant(0.01), 0.2},
 	} {
 		kept, undone, thin := 0, 0, 0
-		var took []int
-		for seed := range each {
-			r := play(t, s, uint64(seed), 0.5)
+		var undoCalls []int
+		for seed := range runs {
+			r := runScenario(t, s, uint64(seed), 0.5)
 			switch {
 			case r.Thin:
 				thin++
@@ -107,36 +110,36 @@
 				kept++
 			case r.Verdict == Undo:
 				undone++
-				took = append(took, r.Calls)
+				undoCalls = append(undoCalls, r.Calls)
 			default:
 				t.Fatalf("%s, seed %d: %v", s.name, seed, r)
 			}
 		}
 		text := "-"
-		if len(took) > 0 {
-			slices.Sort(took)
-			text = fmt.Sprintf("%d, %d", took[len(took)/2], took[len(took)*95/100])
+		if len(undoCalls) > 0 {
+			slices.Sort(undoCalls)
+			text = fmt.Sprintf("%d, %d", undoCalls[len(undoCalls)/2], undoCalls[len(undoCalls)*95/100])
 		}
 		fmt.Fprintf(&table, "%-46s %8d %6d %6d %6d %14s\n", s.name, s.calls, kept, undone, thin, text)
 		switch {
-		// 1 of 1,000 is expected at most; 6 or more would come with a chance below 0.001.
-		case s.worse == 0 && undone > 5:
+		// At most 1 of 1,000 is expected; 6 or more have a probability below 0.001.
+		case s.addedRate == 0 && undone > 5:
 			t.Errorf("%s: %d good changes undone", s.name, undone)
-		case s.worse >= 0.2 && s.calls >= 6000 && kept > 0:
+		case s.addedRate >= 0.2 && s.calls >= 6000 && kept > 0:
 			t.Errorf("%s: %d faulty changes kept", s.name, kept)
-		case s.calls < 1000 && s.worse == 0 && thin < each-5:
-			t.Errorf("%s: %d verdicts from thin traffic", s.name, each-thin)
+		case s.calls < 1000 && s.addedRate == 0 && thin < runs-5:
+			t.Errorf("%s: %d verdicts from too few calls", s.name, runs-thin)
 		}
 	}
-	t.Logf("by the new generation's calls, median and 95th of 100:\n%s", table.String())
+	t.Logf("calls of the new generation until the undo, median and 95th percentile:\n%s", table.String())
 }
 
-// The mean of the ratio stays 1 under the null, whatever the share: what the bound on
-// false undos rests on. Each bad call multiplies it by one of two factors.
-func TestMeanIsOne(t *testing.T) {
+// The mean of the likelihood ratio is 1 under the null hypothesis for any share. The bound
+// on false undos depends on that. Each bad call multiplies the ratio by one of two factors.
+func TestLikelihoodRatioMeanIsOne(t *testing.T) {
 	for _, share := range []float64{0.05, 0.1, 0.5, 0.95} {
-		j := judge(t, func(c *Config) { c.Share = share })
-		// All outcomes of 12 bad calls, each with its chance.
+		j := newTestJudge(t, func(c *Config) { c.Share = share })
+		// All outcomes of 12 bad calls, each with its probability.
 		sum := 0.0
 		for new := range 13 {
 			ways := 1.0
@@ -144,30 +147,30 @@
 				ways = ways * float64(12-k) / float64(k+1)
 			}
 			chance := ways * math.Pow(share, float64(new)) * math.Pow(1-share, float64(12-new))
-			sum += chance * math.Exp(j.evidence(cell{float64(12 - new), float64(new)}))
+			sum += chance * math.Exp(j.logEvidence(badCounts{float64(12 - new), float64(new)}))
 		}
 		if math.Abs(sum-1) > 1e-9 {
-			t.Errorf("share %v: the mean is %v", share, sum)
+			t.Errorf("share %v: mean is %v, want 1", share, sum)
 		}
 	}
 }
 
-// Trouble that both have is no reason; the same trouble of the new one alone is, at
-// once, and it names where.
-func TestReasons(t *testing.T) {
-	j := judge(t, nil)
+// Trouble of both generations does not undo a change. The same trouble of the new
+// generation alone does within a few calls, and the ruling names its class and kind.
+func TestUndoNamesClassAndKind(t *testing.T) {
+	j := newTestJudge(t, nil)
 	for range 500 {
-		j.Bad(1, Late, true)
-		j.Bad(1, Late, false)
+		j.RecordBad(1, Late, true)
+		j.RecordBad(1, Late, false)
 	}
-	if r := j.Rule(time.Second); r.Verdict != Watching {
-		t.Errorf("both suffer: %+v", r)
+	if r := j.Evaluate(time.Second); r.Verdict != Watching {
+		t.Errorf("both generations have late calls: %+v", r)
 	}
 	for n := 1; ; n++ {
-		j.Bad(2, Refused, true)
-		if r := j.Rule(2 * time.Second); r.Verdict == Undo {
+		j.RecordBad(2, Refused, true)
+		if r := j.Evaluate(2 * time.Second); r.Verdict == Undo {
 			if r.Class != 2 || r.Kind != Refused || r.Thin || n > 20 {
-				t.Errorf("after %d: %+v", n, r)
+				t.Errorf("undone after %d bad calls: %+v", n, r)
 			}
 			break
 		}
@@ -175,71 +178,72 @@
 			t.Fatal("never undone")
 		}
 	}
-	j.Bad(9, Failed, true) // no class of it
-	j.Bad(0, Kind(7), true)
+	j.RecordBad(9, Failed, true) // class out of range
+	j.RecordBad(0, Kind(7), true)
 	for range 1000 {
-		j.Bad(2, Refused, false)
+		j.RecordBad(2, Refused, false)
 	}
-	if r := j.Rule(time.Hour); r.Verdict != Undo {
-		t.Errorf("a verdict was taken back: %+v", r)
+	if r := j.Evaluate(time.Hour); r.Verdict != Undo {
+		t.Errorf("a final verdict changed: %+v", r)
 	}
-	// The old one's failures never undo the new.
-	j = judge(t, nil)
+	// Failures of the old generation never undo the new one.
+	j = newTestJudge(t, nil)
 	for range 5000 {
-		j.Bad(0, Failed, false)
-		j.Good(true)
+		j.RecordBad(0, Failed, false)
+		j.RecordGood(true)
 	}
-	if r := j.Rule(time.Minute); r.Verdict != Keep || r.Thin {
-		t.Errorf("the old one fails: %+v", r)
+	if r := j.Evaluate(time.Minute); r.Verdict != Keep || r.Thin {
+		t.Errorf("only the old generation fails: %+v", r)
 	}
 }
 
-// With too few calls it says so, says how many it needs, and keeps to the default.
-func TestThin(t *testing.T) {
+// With too few calls the ruling is Thin, says how many calls are needed, and its verdict
+// is the one that ThinUndo selects.
+func TestTooFewCalls(t *testing.T) {
 	for _, undo := range []bool{false, true} {
-		j := judge(t, func(c *Config) { c.ThinUndo = undo })
-		for range j.Needed() - 1 {
-			j.Good(true)
+		j := newTestJudge(t, func(c *Config) { c.ThinUndo = undo })
+		for range j.RequiredCalls() - 1 {
+			j.RecordGood(true)
 		}
-		if r := j.Rule(time.Minute - 1); r.Verdict != Watching {
+		if r := j.Evaluate(time.Minute - 1); r.Verdict != Watching {
 			t.Errorf("%+v", r)
 		}
-		r := j.Rule(time.Minute)
+		r := j.Evaluate(time.Minute)
 		if want := map[bool]Verdict{false: Keep, true: Undo}[undo]; !r.Thin || r.Verdict != want || r.Calls != r.Needed-1 {
 			t.Errorf("%+v", r)
 		}
 	}
-	j := judge(t, nil)
-	for range j.Needed() {
-		j.Good(true)
+	j := newTestJudge(t, nil)
+	for range j.RequiredCalls() {
+		j.RecordGood(true)
 	}
-	if r := j.Rule(time.Minute); r.Thin || r.Verdict != Keep {
+	if r := j.Evaluate(time.Minute); r.Thin || r.Verdict != Keep {
 		t.Errorf("%+v", r)
 	}
-	// What it says it needs is enough.
+	// RequiredCalls is enough to detect a fault of size Notice.
 	missed := 0
 	for seed := range 1000 {
 		rng := rand.New(rand.NewPCG(uint64(seed), 9))
-		j := judge(t, nil)
-		for range j.Needed() {
+		j := newTestJudge(t, nil)
+		for range j.RequiredCalls() {
 			if rng.Float64() < j.cfg.Notice {
-				j.Bad(0, Failed, true)
+				j.RecordBad(0, Failed, true)
 			} else {
-				j.Good(true)
+				j.RecordGood(true)
 			}
-			j.Good(false)
+			j.RecordGood(false)
 		}
-		if j.Rule(time.Minute).Verdict != Undo {
+		if j.Evaluate(time.Minute).Verdict != Undo {
 			missed++
 		}
 	}
 	if missed > 40 {
-		t.Errorf("%d of 1,000 faults missed with as many calls as it needs", missed)
+		t.Errorf("%d of 1,000 faults missed with RequiredCalls calls", missed)
 	}
 }
 
-// In any order of any calls the verdict is the same: it is about counts.
-func TestAnyOrder(t *testing.T) {
+// The verdict depends on the counts of calls only, not on their order.
+func TestVerdictIndependentOfCallOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		type call struct {
 			class int
@@ -252,22 +256,22 @@
 		shuffled := rapid.Permutation(calls).Draw(t, "shuffled")
 		var rulings [2]Ruling
 		for n, list := range [][]call{calls, shuffled} {
-			j, err := New(config())
+			j, err := New(testConfig())
 			if err != nil {
 				t.Fatal(err)
 			}
 			for _, c := range list {
-				j.Bad(c.class, c.kind, c.new)
+				j.RecordBad(c.class, c.kind, c.new)
 			}
-			rulings[n] = j.Rule(time.Minute)
+			rulings[n] = j.Evaluate(time.Minute)
 		}
 		if rulings[0] != rulings[1] {
-			t.Errorf("%+v and %+v", rulings[0], rulings[1])
+			t.Errorf("rulings differ by order of calls: %+v and %+v", rulings[0], rulings[1])
 		}
 	})
 }
 
-func TestConfig(t *testing.T) {
+func TestInvalidConfigIsRejected(t *testing.T) {
 	for n, change := range []func(*Config){
 		func(c *Config) { c.Classes = 0 }, func(c *Config) { c.Classes = 1 << 20 },
 		func(c *Config) { c.Share = 0 }, func(c *Config) { c.Share = 1 }, func(c *Config) { c.Share = math.NaN() },
@@ -275,20 +279,20 @@
 		func(c *Config) { c.Notice = 0 }, func(c *Config) { c.Notice = 2 },
 		func(c *Config) { c.Bake = 0 },
 	} {
-		c := config()
+		c := testConfig()
 		change(&c)
 		if _, err := New(c); err == nil {
-			t.Errorf("%d: %+v is taken", n, c)
+			t.Errorf("%d: New accepted %+v", n, c)
 		}
 	}
 }
 
-func BenchmarkRule(b *testing.B) {
-	j := judge(b, nil)
+func BenchmarkEvaluate(b *testing.B) {
+	j := newTestJudge(b, nil)
 	for n := range 3000 {
-		j.Bad(n%3, Kind(n%3), n%2 == 0)
+		j.RecordBad(n%3, Kind(n%3), n%2 == 0)
 	}
 	for b.Loop() {
-		j.Rule(0)
+		j.Evaluate(0)
 	}
 }
--- a/internal/generation/trial.go
+++ b/internal/generation/trial.go
@@ -104,14 +104,14 @@
 // Good records a call that succeeded in time.
 func (m *Machine) Good(s Stamp) {
 	if m.inTrial(s) {
-		m.judge.Good(s.Gen == m.view.Next)
+		m.judge.RecordGood(s.Gen == m.view.Next)
 	}
 }
 
 // Bad records a call that failed, was refused or was late.
 func (m *Machine) Bad(s Stamp, class int, k bake.Kind) {
 	if m.inTrial(s) {
-		m.judge.Bad(class, k, s.Gen == m.view.Next)
+		m.judge.RecordBad(class, k, s.Gen == m.view.Next)
 	}
 }
 
@@ -121,7 +121,7 @@
 func (m *Machine) Unknown(s Stamp, class string) {
 	if m.inTrial(s) && s.Gen == m.view.Next {
 		if index := m.view.Current.Class(class); index >= 0 {
-			m.judge.Bad(index, bake.Failed, true)
+			m.judge.RecordBad(index, bake.Failed, true)
 		}
 	}
 }
@@ -131,7 +131,7 @@
 	if m.view.Next == nil {
 		return r, 0, ErrIdle
 	}
-	return m.judge.Rule(now - m.trialStart), now - m.trialStart, nil
+	return m.judge.Evaluate(now - m.trialStart), now - m.trialStart, nil
 }
 
 // End ends the trial: with keep the generation on trial becomes the current one, otherwise
