--- a/internal/change/change_test.go
+++ b/internal/change/change_test.go
@@ -19,7 +19,7 @@
 {"name":"register","effect":"by_key","dedupScope":"cell","repeatWindowUs":60000000,"promiseUs":1000000,"hardLimitUs":3000000},
 {"name":"check","effect":"repeatable","promiseUs":1000000,"hardLimitUs":3000000}]}}`
 
-const own = `[paths]
+const featuresTOML = `[paths]
 "/sim.v1/Activate" = "activate"
 "/sim.v1/Check" = "check"
 [radius]
@@ -63,23 +63,23 @@
 	return Document{[]byte(platform), f}
 }
 
-func swap(t testing.TB, text, old, new string) string {
+func replaceOnce(t testing.TB, text, old, new string) string {
 	t.Helper()
 	if strings.Count(text, old) != 1 {
-		t.Fatalf("%q is %d times in it", old, strings.Count(text, old))
+		t.Fatalf("%q occurs %d times, want once", old, strings.Count(text, old))
 	}
 	return strings.Replace(text, old, new, 1)
 }
 
-// Changes that are valid alone, and wrong against what runs: each is refused, with its
-// field and both values, and its way back is not.
-func TestRefused(t *testing.T) {
+// Each change leads to a valid configuration but weakens the running one. It is refused
+// with its field and both values; the reverse change is allowed.
+func TestWeakeningChangeIsRefused(t *testing.T) {
 	use := Use{MemoryMB: 40, Sockets: 100, Held: 50}
 	for _, c := range []struct {
-		name, old, new string // of the platform's JSON, or, with own set, of ours
+		name, old, new string // replacement in the platform JSON, or in the features file if own is set
 		own            bool
 		field          string
-		back           bool // the way back is refused too, or is no change of that kind
+		back           bool // the reverse change is refused too, or is of another kind
 	}{
 		{"activate may repeat by its key", `"activate","effect":"once"`, `"activate","effect":"by_key"`, false, "settings.classes[activate].effect", false},
 		{"activate may repeat", `"activate","effect":"once"`, `"activate","effect":"repeatable"`, false, "settings.classes[activate].effect", false},
@@ -111,16 +111,16 @@
 		{"memory of events", "remember_file = \"/tmp/memory\"\n", "", true, "features.radius.remember_file", false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			running := document(t, platform, own)
+			running := document(t, platform, featuresTOML)
 			var next Document
 			switch {
-			case strings.Contains(c.new, "access2"): // with a patience that the rest is under
-				next = document(t, platform, swap(t, swap(t, own, "[radius]\n", "[radius]\nrest = \"1s\"\n"), "effect = \"once\"", "effect = \"once\"\npatience = \"3s\""))
-				running = document(t, platform, swap(t, own, "effect = \"once\"", "effect = \"once\"\npatience = \"3s\""))
+			case strings.Contains(c.new, "access2"): // with a patience that is longer than the rest
+				next = document(t, platform, replaceOnce(t, replaceOnce(t, featuresTOML, "[radius]\n", "[radius]\nrest = \"1s\"\n"), "effect = \"once\"", "effect = \"once\"\npatience = \"3s\""))
+				running = document(t, platform, replaceOnce(t, featuresTOML, "effect = \"once\"", "effect = \"once\"\npatience = \"3s\""))
 			case c.own:
-				next = document(t, platform, swap(t, own, c.old, c.new))
+				next = document(t, platform, replaceOnce(t, featuresTOML, c.old, c.new))
 			default:
-				next = document(t, swap(t, platform, c.old, c.new), own)
+				next = document(t, replaceOnce(t, platform, c.old, c.new), featuresTOML)
 			}
 			p, err := Compare(running, next, use)
 			if err != nil {
@@ -137,15 +137,16 @@
 				t.Fatal(err)
 			}
 			if len(back.Refusals) != 0 || len(back.Changes) != 1 {
-				t.Errorf("back: %v, %v", back.Refusals, back.Changes)
+				t.Errorf("reverse change: refusals %v, changes %v", back.Refusals, back.Changes)
 			}
 		})
 	}
 }
 
-// What operators do on a working day is planned and not refused.
-func TestPlanned(t *testing.T) {
-	running := document(t, platform, own)
+// Routine changes by operators appear in the plan and are not refused. Secrets are not
+// shown.
+func TestRoutineChangeIsAllowed(t *testing.T) {
+	running := document(t, platform, featuresTOML)
 	for _, c := range []struct {
 		platform, own [2]string
 		want          string
@@ -163,16 +164,16 @@
 	} {
 		next := running
 		if c.own[0] != "" {
-			next = document(t, platform, swap(t, own, c.own[0], c.own[1]))
+			next = document(t, platform, replaceOnce(t, featuresTOML, c.own[0], c.own[1]))
 		} else {
-			next = document(t, swap(t, platform, c.platform[0], c.platform[1]), own)
+			next = document(t, replaceOnce(t, platform, c.platform[0], c.platform[1]), featuresTOML)
 		}
 		p, err := Compare(running, next, Use{MemoryMB: 40, Sockets: 100, Held: 50})
 		if err != nil {
 			t.Fatal(err)
 		}
 		if len(p.Refusals) > 0 {
-			t.Errorf("%s: %v", c.want, p.Refusals)
+			t.Errorf("%s: refused: %v", c.want, p.Refusals)
 		}
 		var text strings.Builder
 		for _, c := range p.Changes {
@@ -182,27 +183,27 @@
 			t.Errorf("%s: planned:\n%s", c.want, text.String())
 		}
 	}
-	// Less is allowed, though a scope and a window go with it.
-	once := document(t, swap(t, platform, `"by_key","dedupScope":"cell","repeatWindowUs":60000000`, `"once"`), own)
+	// An effect that allows fewer repeats is allowed, even if scope and window are removed.
+	once := document(t, replaceOnce(t, platform, `"by_key","dedupScope":"cell","repeatWindowUs":60000000`, `"once"`), featuresTOML)
 	if p, err := Compare(running, once, Use{}); err != nil || len(p.Changes) != 3 || len(p.Refusals) > 0 {
 		t.Errorf("%+v, %v", p, err)
 	}
-	if p, err := Compare(running, document(t, platform, own), Use{}); err != nil || len(p.Changes) > 0 || len(p.Refusals) > 0 {
+	if p, err := Compare(running, document(t, platform, featuresTOML), Use{}); err != nil || len(p.Changes) > 0 || len(p.Refusals) > 0 {
 		t.Errorf("%+v, %v", p, err)
 	}
 	if _, err := Compare(running, Document{Platform: []byte("{")}, Use{}); err == nil {
-		t.Error("half a file is taken")
+		t.Error("Compare accepted truncated JSON")
 	}
-	// All reasons at once.
-	next := document(t, swap(t, swap(t, platform, `"once"`, `"repeatable"`), `"coldFrom":0.2`, `"coldFrom":1`), swap(t, own, "effect = \"once\"", "effect = \"safe\""))
+	// All refusals are reported together.
+	next := document(t, replaceOnce(t, replaceOnce(t, platform, `"once"`, `"repeatable"`), `"coldFrom":0.2`, `"coldFrom":1`), replaceOnce(t, featuresTOML, "effect = \"once\"", "effect = \"safe\""))
 	if p, err := Compare(running, next, Use{}); err != nil || len(p.Refusals) != 3 {
 		t.Errorf("%+v, %v", p, err)
 	}
 }
 
-// Any way from one set of effects to another is refused exactly where one of them
-// allows more than before; the order of classes says nothing.
-func TestAnyEffects(t *testing.T) {
+// A change between any two sets of effects is refused exactly for the classes whose effect
+// allows more repeats than before, whatever the order of the classes.
+func TestEffectChangeIsRefusedIfMoreRepeatable(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		names := []string{"a", "b", "c"}
 		configuration := func(label string) (string, map[string]int) {
--- a/internal/change/document.go
+++ b/internal/change/document.go
@@ -1,9 +1,10 @@
-// Package change compares a configuration with the one that runs: what would change,
-// field by field, and what of it must not. It has no I/O and no clock.
+// Package change compares a new configuration with the running one field by field, and
+// reports which changes must not be made. It has no I/O and no clock.
 //
-// A configuration can be good alone and wrong after another: a class that may suddenly
-// run twice, a window wider than servers promised. A start takes any good configuration;
-// a change of what runs is held to more.
+// A configuration can be valid on its own and still be wrong as a successor of another:
+// calls of a class could suddenly run twice, or a window could exceed what the servers
+// promised. A start accepts any valid configuration; a change of a running one has to
+// meet the rules of this package as well.
 package change
 
 import (
@@ -23,13 +24,13 @@
 	"chalkrack/internal/features"
 )
 
-// Document is a configuration whose parts have each been checked alone.
+// Document is a configuration whose two parts have each been validated.
 type Document struct {
 	Platform []byte // the platform's JSON
 	Features *features.File
 }
 
-// value is a field's value. Those of secrets compare by what they are and show nothing.
+// value is a field's value as text. Secrets are compared by their text but never shown.
 type value struct {
 	text   string
 	secret bool
@@ -47,46 +48,46 @@
 	return n
 }
 
-// fields are values by path. An entry of a list that has a name stands under it:
-// settings.classes[activate].effect.
+// fields maps paths to values. A list entry is identified by its name if it has one, as in
+// settings.classes[activate].effect, otherwise by its index.
 type fields map[string]value
 
-// apart are what a change does not concern: the list that a start begins with, and
-// what only tells one copy from another.
-var apart = map[string]bool{"known": true, "seed": true, "name": true}
+// ignoredKeys are the top-level keys that are not compared: the server list to start with
+// (known), and what distinguishes one sidecar from another (seed, name).
+var ignoredKeys = map[string]bool{"known": true, "seed": true, "name": true}
 
 func flatten(d Document) (fields, error) {
-	all := make(fields)
+	result := make(fields)
 	var tree map[string]any
 	if err := json.Unmarshal(d.Platform, &tree); err != nil {
 		return nil, fmt.Errorf("change: %w", err)
 	}
 	for key, v := range tree {
-		if !apart[key] {
-			all.json(key, v)
+		if !ignoredKeys[key] {
+			result.addJSON(key, v)
 		}
 	}
 	if d.Features != nil {
-		all.toml("features", reflect.ValueOf(*d.Features))
+		result.addTOML("features", reflect.ValueOf(*d.Features))
 	}
-	return all, nil
+	return result, nil
 }
 
-func (f fields) json(path string, v any) {
+func (f fields) addJSON(path string, v any) {
 	switch v := v.(type) {
 	case map[string]any:
 		for key, v := range v {
-			f.json(path+"."+key, v)
+			f.addJSON(path+"."+key, v)
 		}
 	case []any:
 		for n, v := range v {
-			at := strconv.Itoa(n)
+			label := strconv.Itoa(n)
 			if entry, ok := v.(map[string]any); ok {
 				if name, ok := entry["name"].(string); ok {
-					at = name
+					label = name
 				}
 			}
-			f.json(path+"["+at+"]", v)
+			f.addJSON(path+"["+label+"]", v)
 		}
 	case float64:
 		f[path] = value{text: strconv.FormatFloat(v, 'f', -1, 64)}
@@ -96,7 +97,7 @@
 	}
 }
 
-func (f fields) toml(path string, v reflect.Value) {
+func (f fields) addTOML(path string, v reflect.Value) {
 	switch x := v.Interface().(type) {
 	case features.Secret:
 		if x != "" {
@@ -108,33 +109,33 @@
 		return
 	}
 	switch v.Kind() {
-	case reflect.Pointer: // a setting that may be left out
+	case reflect.Pointer: // an optional setting
 		if !v.IsNil() {
-			f.toml(path, v.Elem())
+			f.addTOML(path, v.Elem())
 		}
 	case reflect.Struct:
 		for n := range v.NumField() {
 			if name, _, _ := strings.Cut(v.Type().Field(n).Tag.Get("toml"), ","); name != "" {
-				f.toml(path+"."+name, v.Field(n))
+				f.addTOML(path+"."+name, v.Field(n))
 			}
 		}
 	case reflect.Slice:
 		for n := range v.Len() {
 			e := v.Index(n)
-			at := strconv.Itoa(n)
+			label := strconv.Itoa(n)
 			if e.Kind() == reflect.Struct {
-				for _, key := range []string{"Name", "Range"} { // what tells entries apart
+				for _, key := range []string{"Name", "Range"} { // fields that identify an entry
 					if name := e.FieldByName(key); name.IsValid() && name.Kind() == reflect.String && name.String() != "" {
-						at = name.String()
+						label = name.String()
 						break
 					}
 				}
 			}
-			f.toml(path+"["+at+"]", e)
+			f.addTOML(path+"["+label+"]", e)
 		}
 	case reflect.Map:
 		for _, key := range v.MapKeys() {
-			f.toml(path+"["+key.String()+"]", v.MapIndex(key))
+			f.addTOML(path+"["+key.String()+"]", v.MapIndex(key))
 		}
 	case reflect.String:
 		if v.String() != "" {
@@ -145,103 +146,104 @@
 	}
 }
 
-// Change is one field that differs.
+// Change is one field whose value differs.
 type Change struct {
 	Field    string
-	Old, New string // empty: it is not there
-	Takes    string // what it needs or costs
-	Live     bool   // it can be made while the daemon runs
+	Old, New string // empty if the field is absent
+	Takes    string // what the change requires and costs
+	Live     bool   // the change can be made while the daemon runs
 }
 
-// String is the change as a line.
+// String returns the change as one line of text.
 func (c Change) String() string {
 	return fmt.Sprintf("%s: %s -> %s (%s)", c.Field, cmp.Or(c.Old, "none"), cmp.Or(c.New, "none"), c.Takes)
 }
 
-// Refusal is a change that must not be made while it runs.
+// Refusal is a change that must not be made to a running configuration.
 type Refusal struct {
 	Field    string
 	Old, New string
 	Why      string
 }
 
-// Error implements error: a line with the field and both values.
+// Error implements error. It returns one line with the field, both values and the reason.
 func (r *Refusal) Error() string {
 	return fmt.Sprintf("%s: %s -> %s: %s", r.Field, cmp.Or(r.Old, "none"), cmp.Or(r.New, "none"), r.Why)
 }
 
-// Plan is what a change would do.
+// Plan lists the changes between two configurations and those that are refused.
 type Plan struct {
 	Changes  []Change
-	Refusals []*Refusal // all of them; none: it may be made
+	Refusals []*Refusal // empty if every change may be made
 }
 
-// Use is what runs needs now. Zero values are not looked at.
+// Use holds the resources in use by the running configuration. A zero value is not
+// compared with the new limits.
 type Use struct {
 	MemoryMB, Sockets, Held int
 }
 
-// Compare plans the way from what runs to another configuration. An error says that one
-// of them is no configuration at all.
+// Compare returns the changes from the running configuration to the next one, sorted by
+// field, with all refusals. It returns an error if either is not valid JSON.
 func Compare(running, next Document, use Use) (*Plan, error) {
-	old, err := flatten(running)
+	oldFields, err := flatten(running)
 	if err != nil {
 		return nil, err
 	}
-	now, err := flatten(next)
+	newFields, err := flatten(next)
 	if err != nil {
 		return nil, err
 	}
 	var paths []string
-	for path := range old {
-		if old[path] != now[path] {
+	for path := range oldFields {
+		if oldFields[path] != newFields[path] {
 			paths = append(paths, path)
 		}
 	}
-	for path := range now {
-		if _, ok := old[path]; !ok {
+	for path := range newFields {
+		if _, ok := oldFields[path]; !ok {
 			paths = append(paths, path)
 		}
 	}
 	slices.Sort(paths)
-	p := new(Plan)
+	plan := new(Plan)
 	for _, path := range paths {
-		a, b := old[path], now[path]
-		takes, live := takes(path)
+		a, b := oldFields[path], newFields[path]
+		takes, live := requirement(path)
 		c := Change{path, a.String(), b.String(), takes, live}
 		if a.secret && b.secret {
 			c.New = "another secret"
 		}
-		p.Changes = append(p.Changes, c)
+		plan.Changes = append(plan.Changes, c)
 		for _, r := range rules {
 			if !r.match(path) {
 				continue
 			}
-			if why := r.wrong(&way{path, a, b, old, now, use}); why != "" {
-				p.Refusals = append(p.Refusals, &Refusal{path, c.Old, c.New, why})
+			if why := r.check(&transition{path, a, b, oldFields, newFields, use}); why != "" {
+				plan.Refusals = append(plan.Refusals, &Refusal{path, c.Old, c.New, why})
 			}
 		}
 	}
-	return p, nil
+	return plan, nil
 }
 
-// Waiting are the changes that can't be made while the daemon runs.
-func (p *Plan) Waiting() (all []Change) {
+// NeedingRestart returns the changes that can't be made while the daemon runs.
+func (p *Plan) NeedingRestart() (changes []Change) {
 	for _, c := range p.Changes {
 		if !c.Live {
-			all = append(all, c)
+			changes = append(changes, c)
 		}
 	}
-	return all
+	return changes
 }
 
-// onlyStart are settings that the parts of a daemon are made of: the zone by which it
-// ordered its servers, and whether it asks discovery or is told.
-var onlyStart = map[string]bool{"settings.zone": true, "settings.registryMode": true}
+// restartSettings are settings that parts of the daemon are constructed with: the zone by
+// which servers are ordered, and whether it queries discovery or receives updates.
+var restartSettings = map[string]bool{"settings.zone": true, "settings.registryMode": true}
 
-// takes says what a change of a field needs and costs, and whether it can be made while
-// the daemon runs.
-func takes(path string) (needs string, live bool) {
+// requirement returns what a change of a field needs and costs, and whether it can be made
+// while the daemon runs.
+func requirement(path string) (needs string, live bool) {
 	const otherwise = " where [config] is on, else the next start"
 	switch {
 	case path == "discovery":
@@ -250,14 +252,14 @@
 		return "a switch, with a listener beside the old one until it is kept," + otherwise, true
 	case path == "settings.caps.connIdleUs":
 		return "a switch that closes connections idle for longer," + otherwise, true
-	case strings.HasPrefix(path, "settings.") && !onlyStart[path], strings.HasPrefix(path, "features.paths["), strings.HasPrefix(path, "features.answers."):
+	case strings.HasPrefix(path, "settings.") && !restartSettings[path], strings.HasPrefix(path, "features.paths["), strings.HasPrefix(path, "features.answers."):
 		return "a switch" + otherwise, true
 	}
 	return "the next start", false
 }
 
-// Sum names what a document says, whatever its form; what a change does not concern, and
-// where discovery is, are left out.
+// Sum returns the SHA-256 hash, in hexadecimal, of all compared fields of a document except
+// the address of discovery. It does not depend on formatting or the order of fields.
 func Sum(d Document) (string, error) {
 	all, err := flatten(d)
 	if err != nil {
@@ -271,15 +273,16 @@
 	return hex.EncodeToString(h.Sum(nil)), nil
 }
 
-// between cuts the part of a path in brackets after a prefix.
-func between(path, prefix string) (name, rest string, ok bool) {
+// bracketed returns the part of a path in brackets after a prefix, and the rest behind the
+// brackets. ok is false if the path has another form.
+func bracketed(path, prefix string) (name, rest string, ok bool) {
 	tail, ok := strings.CutPrefix(path, prefix+"[")
 	if !ok {
 		return "", "", false
 	}
-	at := strings.LastIndexByte(tail, ']')
-	if at < 0 {
+	end := strings.LastIndexByte(tail, ']')
+	if end < 0 {
 		return "", "", false
 	}
-	return tail[:at], tail[at+1:], true
+	return tail[:end], tail[end+1:], true
 }
--- a/internal/rooms/changes/changes.go
+++ b/internal/rooms/changes/changes.go
@@ -135,7 +135,7 @@
 	for _, r := range p.Refusals {
 		why = append(why, r)
 	}
-	for _, ch := range p.Waiting() {
+	for _, ch := range p.NeedingRestart() {
 		why = append(why, fmt.Errorf("%s: %s -> %s: %w", ch.Field, ch.Old, ch.New, errNeedsStart))
 	}
 	// Parts that are made at the start know the classes of the start only.
