--- a/internal/durable/durable.go
+++ b/internal/durable/durable.go
@@ -1,5 +1,6 @@
-// Package durable writes files that a process killed at any point, or a machine without
-// power, leaves whole or not there, and holds locks that end with their process.
+// Package durable writes files atomically, so that a kill of the process or a power failure
+// at any point leaves a file complete or absent, and provides locks that end with the
+// process that holds them.
 package durable
 
 import (
@@ -9,8 +10,9 @@
 	"time"
 )
 
-// Write writes a file of mode 0600 and syncs it and its folder. Killed meanwhile it may
-// leave half of it: write under a name that nobody reads, and Rename.
+// Write writes a file with mode 0600 and syncs it and its folder. A process that is killed
+// meanwhile may leave a partial file, so write to a temporary name and use Rename, or use
+// Replace.
 func Write(path string, data []byte) error {
 	f, err := os.OpenFile(path, os.O_WRONLY|os.O_CREATE|os.O_TRUNC, 0o600)
 	if err != nil {
@@ -29,7 +31,7 @@
 	return syncFolder(path)
 }
 
-// Rename puts a file in another's place in the same folder, whole, and syncs the folder.
+// Rename atomically replaces a file in the same folder and syncs the folder.
 func Rename(from, to string) error {
 	if err := os.Rename(from, to); err != nil {
 		return err
@@ -37,8 +39,8 @@
 	return syncFolder(to)
 }
 
-// Replace puts data in a file's place, whole or not at all. A file of that name with
-// .new behind it is used on the way.
+// Replace atomically replaces a file's content. It uses a temporary file with the suffix
+// .new.
 func Replace(path string, data []byte) error {
 	if err := Write(path+".new", data); err != nil {
 		os.Remove(path + ".new")
@@ -56,8 +58,9 @@
 	return f.Sync()
 }
 
-// Lock takes a file's lock, which ends with the process that holds it, whatever its
-// number was. It is tried for the time given, once at least.
+// Lock takes an exclusive lock on a file and creates the file if needed. The lock ends when
+// the returned file is closed or the process ends, so it does not depend on process IDs.
+// Lock tries for the time wait, at least once, and blocks meanwhile.
 func Lock(path string, wait time.Duration) (*os.File, error) {
 	f, err := os.OpenFile(path, os.O_RDWR|os.O_CREATE|syscall.O_NOFOLLOW, 0o600)
 	if err != nil {
