--- a/internal/history/history_test.go
+++ b/internal/history/history_test.go
@@ -16,34 +16,34 @@
 	"pgregory.net/rapid"
 )
 
-// faulty is a disk in memory that dies at a step: before it, in its middle (a file half
-// written, a rename that is not yet lasting), or after it. What is in files is what a
-// start finds.
-type faulty struct {
-	files map[string][]byte
-	left  int // steps until it dies; below 0: never
-	mid   bool
-	dead  bool
+// faultyDisk is a disk in memory that simulates a kill of the process at a step: before
+// it, or halfway (a file half written, a rename done but not reported). files is what the
+// next start finds.
+type faultyDisk struct {
+	files     map[string][]byte
+	stepsLeft int // steps until the kill; below 0: never
+	halfway   bool
+	dead      bool
 }
 
-var errDead = errors.New("killed")
+var errKilled = errors.New("killed")
 
-// step says whether the process lives through this step, and if not, whether it dies in
-// its middle.
-func (d *faulty) step() (lives, half bool) {
+// nextStep reports whether the process completes this step, and if not, whether it is
+// killed halfway.
+func (d *faultyDisk) nextStep() (lives, half bool) {
 	if d.dead {
 		return false, false
 	}
-	if d.left == 0 {
+	if d.stepsLeft == 0 {
 		d.dead = true
-		return false, d.mid
+		return false, d.halfway
 	}
-	d.left--
+	d.stepsLeft--
 	return true, false
 }
 
-func (d *faulty) Write(name string, data []byte) error {
-	lives, half := d.step()
+func (d *faultyDisk) Write(name string, data []byte) error {
+	lives, half := d.nextStep()
 	if lives {
 		d.files[name] = bytes.Clone(data)
 		return nil
@@ -51,98 +51,100 @@
 	if half {
 		d.files[name] = bytes.Clone(data[:len(data)/2])
 	}
-	return errDead
+	return errKilled
 }
 
-func (d *faulty) Rename(from, to string) error {
-	lives, half := d.step()
-	if lives || half { // it is done, and the process may die before it hears
+func (d *faultyDisk) Rename(from, to string) error {
+	lives, half := d.nextStep()
+	if lives || half { // halfway: the rename is done, but the process is killed before it returns
 		d.files[to] = d.files[from]
 		delete(d.files, from)
 	}
 	if !lives {
-		return errDead
+		return errKilled
 	}
 	return nil
 }
 
-func (d *faulty) Remove(name string) error {
-	if lives, half := d.step(); !lives && !half {
-		return errDead
+func (d *faultyDisk) Remove(name string) error {
+	if lives, half := d.nextStep(); !lives && !half {
+		return errKilled
 	}
 	delete(d.files, name)
 	return nil
 }
 
-func (d *faulty) Read(name string, _ int64) ([]byte, error) {
+func (d *faultyDisk) Read(name string, _ int64) ([]byte, error) {
 	if data, ok := d.files[name]; ok {
 		return data, nil
 	}
 	return nil, fs.ErrNotExist
 }
 
-func (d *faulty) Names() (names []string, err error) {
+func (d *faultyDisk) Names() (names []string, err error) {
 	for name := range d.files {
 		names = append(names, name)
 	}
 	return names, nil
 }
 
-func clock() func() time.Time {
+func testClock() func() time.Time {
 	at := time.Unix(1790000000, 0)
 	return func() time.Time { at = at.Add(time.Second); return at }
 }
 
-func documents(n int) Documents {
+func testDocuments(n int) Documents {
 	return Documents{Platform: fmt.Appendf(nil, `{"n":%d}`, n), Features: fmt.Appendf(nil, "# %d\n", n)}
 }
 
-// whole says which of the documents these are; -1: a mixture, or half of one.
-func whole(d Documents) int {
+// documentNumber returns the n for which d equals testDocuments(n), or -1 if d is a mixture
+// or incomplete.
+func documentNumber(d Documents) int {
 	for n := range 20 {
-		if want := documents(n); bytes.Equal(d.Platform, want.Platform) && bytes.Equal(d.Features, want.Features) {
+		if want := testDocuments(n); bytes.Equal(d.Platform, want.Platform) && bytes.Equal(d.Features, want.Features) {
 			return n
 		}
 	}
 	return -1
 }
 
-// The process is killed at every step of a change, in its middle too, and started again:
-// it comes up under the old configuration or the new one, whole, and goes on from there.
-func TestKilledAnywhere(t *testing.T) {
+// The process is killed before and halfway through each step of a change, and started
+// again. It must run either the complete old or the complete new configuration, and accept
+// further changes.
+func TestKilledAtAnyStepStartsWithWholeConfiguration(t *testing.T) {
 	before := make(map[string][]byte)
-	s, err := open(&faulty{files: before, left: -1}, clock())
+	s, err := open(&faultyDisk{files: before, stepsLeft: -1}, testClock())
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := s.Apply(documents(1), "", "the first"); err != nil {
+	if _, err := s.Apply(testDocuments(1), "", "the first"); err != nil {
 		t.Fatal(err)
 	}
 	for name, change := range map[string]struct {
 		do    func(*Store) error
 		after []int // what may run at the next start
 	}{
-		"apply": {func(s *Store) error { _, err := s.Apply(documents(2), "", ""); return err }, []int{1, 2}},
+		"apply": {func(s *Store) error { _, err := s.Apply(testDocuments(2), "", ""); return err }, []int{1, 2}},
 		"keep": {func(s *Store) error {
-			if _, err := s.Apply(documents(2), "", ""); err != nil {
+			if _, err := s.Apply(testDocuments(2), "", ""); err != nil {
 				return err
 			}
 			return s.Keep("")
 		}, []int{1, 2}},
 		"undo": {func(s *Store) error {
-			if _, err := s.Apply(documents(2), "", ""); err != nil {
+			if _, err := s.Apply(testDocuments(2), "", ""); err != nil {
 				return err
 			}
 			return s.Undo("")
 		}, []int{1, 2}},
 		"keep, and another": {func(s *Store) error {
-			if _, err := s.Apply(documents(2), "", ""); err != nil {
+			if _, err := s.Apply(testDocuments(2), "", ""); err != nil {
 				return err
 			}
 			if err := s.Keep(""); err != nil {
 				return err
 			}
-			_, err := s.Apply(documents(3), "", "")
+			_, err := s.Apply(testDocuments(3), "", "")
 			return err
 		}, []int{1, 2, 3}},
 	} {
@@ -150,36 +152,36 @@
 		for step := 0; ; step++ {
 			lived := false
 			for _, mid := range []bool{false, true} {
-				d := &faulty{files: maps.Clone(before), left: step, mid: mid}
-				s, err := open(d, clock())
+				d := &faultyDisk{files: maps.Clone(before), stepsLeft: step, halfway: mid}
+				s, err := open(d, testClock())
 				if err != nil {
 					t.Fatal(err)
 				}
 				lived = change.do(s) == nil
-				d.left, d.dead = -1, false // the next start
-				s, err = open(d, clock())
+				d.stepsLeft, d.dead = -1, false // the process starts again
+				s, err = open(d, testClock())
 				if err != nil {
 					t.Fatalf("%s, killed at step %d: %v", name, step, err)
 				}
 				_, docs, err := s.Start()
-				n := whole(docs)
+				n := documentNumber(docs)
 				if err != nil || !contains(change.after, n) {
-					t.Fatalf("%s, killed at step %d, in its middle %v: runs %d of %v, %v", name, step, mid, n, change.after, err)
+					t.Fatalf("%s, killed at step %d, halfway %v: runs %d, want one of %v, error %v", name, step, mid, n, change.after, err)
 				}
 				seen[n]++
-				// And it goes on.
+				// Further changes work.
 				if s.State().Baking != 0 {
 					if err := s.Undo(""); err != nil {
 						t.Fatal(err)
 					}
 				}
-				if _, err := s.Apply(documents(9), "", ""); err != nil {
+				if _, err := s.Apply(testDocuments(9), "", ""); err != nil {
 					t.Fatalf("%s, killed at step %d: %v", name, step, err)
 				}
-				if _, docs, err := s.Start(); err != nil || whole(docs) != 9 {
-					t.Fatalf("%s, killed at step %d: then %d, %v", name, step, whole(docs), err)
+				if _, docs, err := s.Start(); err != nil || documentNumber(docs) != 9 {
+					t.Fatalf("%s, killed at step %d: runs %d after a further change, want 9, error %v", name, step, documentNumber(docs), err)
 				}
-				want := 5 // the one on trial, the good one and the state
+				want := 5 // two files of each of the trial's and the good configuration, and the state
 				if s.State().Before != 0 {
 					want += 2
 				}
@@ -189,7 +191,7 @@
 			}
 			if lived {
 				if step < 4 {
-					t.Errorf("%s has %d steps", name, step)
+					t.Errorf("%s has only %d steps", name, step)
 				}
 				break
 			}
@@ -209,12 +211,12 @@
 	return false
 }
 
-// A change after which the process crashes again and again is undone by the start after
-// StartsMost of them; one that is kept in time is not.
-func TestCrashes(t *testing.T) {
-	d := &faulty{files: make(map[string][]byte), left: -1}
+// If the process crashes repeatedly during a trial, the start after MaxTrialStarts starts
+// undoes the change. A change that was kept before that stays.
+func TestRepeatedCrashesUndoTheTrial(t *testing.T) {
+	d := &faultyDisk{files: make(map[string][]byte), stepsLeft: -1}
 	start := func() (*Store, int) {
-		s, err := open(d, clock())
+		s, err := open(d, testClock())
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -222,52 +224,52 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		return s, whole(docs)
+		return s, documentNumber(docs)
 	}
 	s, n := start()
 	if n != -1 || s.State().Good != 0 {
-		t.Errorf("an empty folder runs %d", n)
+		t.Errorf("an empty disk runs configuration %d", n)
 	}
 	for n := 1; n <= 2; n++ {
-		if _, err := s.Apply(documents(n), "", ""); err != nil {
+		if _, err := s.Apply(testDocuments(n), "", ""); err != nil {
 			t.Fatal(err)
 		}
 	}
-	for k := range StartsMost {
+	for k := range MaxTrialStarts {
 		if _, n := start(); n != 2 {
-			t.Errorf("start %d runs %d", k, n)
+			t.Errorf("start %d runs configuration %d, want 2", k, n)
 		}
 	}
 	for range 2 {
 		if s, n = start(); n != 1 || s.State().Baking != 0 {
-			t.Errorf("runs %d, %+v", n, s.State())
+			t.Errorf("runs configuration %d, want 1: %+v", n, s.State())
 		}
 	}
 	if e := s.State().Events; e[len(e)-1].What != "crashed" || e[len(e)-1].ID != 2 {
 		t.Errorf("%+v", e)
 	}
-	if id, err := s.Apply(documents(3), "", ""); id != 3 || err != nil { // no number twice
+	if id, err := s.Apply(testDocuments(3), "", ""); id != 3 || err != nil { // numbers are not reused
 		t.Errorf("%d, %v", id, err)
 	}
-	for range StartsMost {
+	for range MaxTrialStarts {
 		s, _ = start()
 	}
 	if err := s.Keep(""); err != nil {
 		t.Fatal(err)
 	}
-	for range StartsMost + 2 {
+	for range MaxTrialStarts + 2 {
 		if _, n = start(); n != 3 {
-			t.Errorf("kept, and runs %d", n)
+			t.Errorf("configuration 3 was kept, but %d runs", n)
 		}
 	}
 }
 
-// In any order of steps the state makes sense, a change on trial has one to go back to,
-// and the history is bounded.
-func TestAnyOrder(t *testing.T) {
+// After any sequence of steps the state is valid, there is a good configuration during a
+// trial, and the history is bounded.
+func TestStateIsValidAfterAnySteps(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := State{Version: stateVersion}
-		now := clock()
+		now := testClock()
 		for range rapid.IntRange(0, 300).Draw(t, "steps") {
 			before := s
 			var err error
@@ -286,24 +288,25 @@
 				}
 			case "start":
 				var id ID
-				if s, id = s.Start(now()); id != s.Good && id != s.Baking || before.Baking != 0 && before.Starts < StartsMost != (id == before.Baking) {
-					t.Fatalf("starts %d after %+v", id, before)
+				if s, id = s.Start(now()); id != s.Good && id != s.Baking || before.Baking != 0 && before.Starts < MaxTrialStarts != (id == before.Baking) {
+					t.Fatalf("Start returned configuration %d after %+v", id, before)
 				}
 			}
-			if err := s.check(); err != nil {
+			if err := s.validate(); err != nil {
 				t.Fatalf("%v: %+v", err, s)
 			}
 		}
 		for _, e := range s.Events {
-			if len(e.Why) > whyMost {
-				t.Fatal("a reason is not bounded")
+			if len(e.Why) > maxReasonBytes {
+				t.Fatal("a reason is longer than maxReasonBytes")
 			}
 		}
 	})
 }
 
-// What becomes of what files say, by what is kept, on trial, undone and read before.
-func TestRead(t *testing.T) {
+// State.Read classifies the content of the files by what is kept, on trial, undone and was
+// read before.
+func TestReadClassifiesFiles(t *testing.T) {
 	kept := State{Good: 1, Last: 1, Kept: "k", Undone: "u", Seen: "s"}
 	trial := kept
 	trial.Baking, trial.Last, trial.Trying = 2, 2, "t"
@@ -319,7 +322,7 @@
 			t.Errorf("%+v: %q is %d, want %d", c.of, c.sum, got, c.want)
 		}
 	}
-	// What was undone and is kept after all is no longer rejected.
+	// A configuration that was undone and later kept is no longer rejected.
 	s := State{Version: stateVersion}
 	var err error
 	step := func(next State, e error) {
@@ -347,15 +350,15 @@
 	}
 }
 
-// A folder on a real disk: modes, what is no state, documents that are gone.
-func TestFolder(t *testing.T) {
+// A store in a real folder: file modes, the lock, missing documents and invalid states.
+func TestStoreInFolder(t *testing.T) {
 	folder := filepath.Join(t.TempDir(), "history")
 	s, err := Open(folder)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for n := 1; n <= 3; n++ {
-		if _, err := s.Apply(documents(n), "", "pushed"); err != nil {
+		if _, err := s.Apply(testDocuments(n), "", "pushed"); err != nil {
 			t.Fatal(err)
 		}
 		if n > 1 {
@@ -364,20 +367,20 @@
 			}
 		}
 	}
-	if err := s.Keep(""); !errors.Is(err, ErrIdle) {
+	if err := s.Keep(""); !errors.Is(err, ErrNoTrial) {
 		t.Errorf("%v", err)
 	}
 	entries, err := os.ReadDir(folder)
-	if err != nil || len(entries) != 6 { // of two, the state and the lock
+	if err != nil || len(entries) != 6 { // two files of two configurations, the state and the lock
 		t.Errorf("%v, %v", entries, err)
 	}
 	for _, e := range entries {
-		if info, err := e.Info(); err != nil || info.Mode().Perm() != 0o600 { // secrets may be in it
+		if info, err := e.Info(); err != nil || info.Mode().Perm() != 0o600 { // files may hold secrets
 			t.Errorf("%s: %v, %v", e.Name(), info.Mode(), err)
 		}
 	}
 	if _, err := Open(folder); err == nil || !strings.Contains(err.Error(), "another process") {
-		t.Errorf("two at once: %v", err)
+		t.Errorf("second Open of an open folder: got error %v", err)
 	}
 	s.Close()
 	s, err = Open(folder)
@@ -385,7 +388,7 @@
 		t.Fatal(err)
 	}
 	defer s.Close()
-	if id, docs, err := s.Start(); id != 3 || whole(docs) != 3 || err != nil {
+	if id, docs, err := s.Start(); id != 3 || documentNumber(docs) != 3 || err != nil {
 		t.Errorf("%d, %v", id, err)
 	}
 	if err := os.Remove(filepath.Join(folder, "3.toml")); err != nil {
@@ -398,8 +401,8 @@
 		if err := os.WriteFile(filepath.Join(folder, "state"), []byte(bad), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		if _, err := open(dir(folder), clock()); err == nil {
-			t.Errorf("%q is taken", bad)
+		if _, err := open(folderDisk(folder), testClock()); err == nil {
+			t.Errorf("state %q was accepted", bad)
 		}
 	}
 }
@@ -408,12 +411,12 @@
 	f.Add([]byte(`{"Version":1,"Last":2,"Good":1,"Baking":2,"Starts":1,"Events":[{"ID":1,"What":"kept"}]}`))
 	f.Add([]byte(`{"Version":1}`))
 	f.Fuzz(func(t *testing.T, data []byte) {
-		s, err := open(&faulty{files: map[string][]byte{"state": data}, left: -1}, clock())
+		s, err := open(&faultyDisk{files: map[string][]byte{"state": data}, stepsLeft: -1}, testClock())
 		if err != nil {
 			return
 		}
 		next, id := s.State().Start(time.Unix(0, 0))
-		if err := next.check(); err != nil || id != next.Good && id != next.Baking {
+		if err := next.validate(); err != nil || id != next.Good && id != next.Baking {
 			t.Errorf("%s: %+v, %v", data, next, err)
 		}
 		if _, err := json.Marshal(next); err != nil {
--- a/internal/history/store.go
+++ b/internal/history/store.go
@@ -17,72 +17,75 @@
 	"chalkrack/internal/durable"
 )
 
-// disk is what a Store needs of a file system: a folder's, or a test's that dies.
+// disk is the file system interface of a Store: a folder, memory, or a fake in tests that
+// fails at a given step.
 type disk interface {
 	// Write writes a file and syncs it and its folder.
 	Write(name string, data []byte) error
-	// Rename puts a file in another's place, whole, and syncs the folder.
+	// Rename atomically replaces a file with another one and syncs the folder.
 	Rename(from, to string) error
-	Read(name string, most int64) ([]byte, error)
+	// Read returns a file's content, or an error if it is longer than maxBytes.
+	Read(name string, maxBytes int64) ([]byte, error)
 	Names() ([]string, error)
 	Remove(name string) error
 }
 
-// Documents are a configuration's two files, as they were read.
+// Documents are the two files of a configuration, as they were read.
 type Documents struct {
 	Platform []byte // the platform's JSON
-	Features []byte // deploy/features.toml; empty: none
+	Features []byte // deploy/features.toml; empty if there is none
 }
 
 const (
 	stateFile = "state"
 	lockFile  = "lock"
-	// lockWait is how long a start waits for the process before it to end.
-	lockWait = time.Second
-	// documentMost bounds each file that is read, in bytes.
-	documentMost = 4 << 20
+	// lockTimeout is how long a start waits for the previous process to end.
+	lockTimeout = time.Second
+	// maxDocumentBytes is the maximum size of each file that is read.
+	maxDocumentBytes = 4 << 20
 )
 
-// Store keeps a State and the documents that it names in a folder of its own. Every
-// step is written before it is taken: the documents whole, then the state that names
-// them by one rename. One process may have a folder at a time.
+// Store persists a State and the documents that it refers to in a folder of its own. Each
+// step is written before it takes effect: first the complete documents, then, by one
+// rename, the state that refers to them. Only one process can have a folder open. A Store
+// is not safe for concurrent use.
 type Store struct {
 	disk  disk
 	state State
 	now   func() time.Time
-	held  *os.File // the folder's lock; nil: none
+	lock  *os.File // the folder's lock; nil if the store is in memory
 }
 
-// Open reads what a folder remembers; it makes the folder, with mode 0700, if it is not
-// there. An error says that the folder can't be used, that another process has it, or
-// that it holds what is no state.
+// Open reads the state in a folder, and creates the folder with mode 0700 if it does not
+// exist. It waits up to lockTimeout for the folder's lock. It returns an error if the folder
+// can't be used, another process has it open, or its state is invalid.
 func Open(folder string) (*Store, error) {
 	if err := os.MkdirAll(folder, 0o700); err != nil {
 		return nil, fmt.Errorf("history: %w", err)
 	}
-	held, err := durable.Lock(filepath.Join(folder, lockFile), lockWait)
+	lock, err := durable.Lock(filepath.Join(folder, lockFile), lockTimeout)
 	if err != nil {
 		return nil, fmt.Errorf("history: %s: another process has it: %w", folder, err)
 	}
-	s, err := open(dir(folder), time.Now)
+	s, err := open(folderDisk(folder), time.Now)
 	if err != nil {
-		held.Close()
+		lock.Close()
 		return nil, err
 	}
-	s.held = held
+	s.lock = lock
 	return s, nil
 }
 
-// Close lets go of the folder.
+// Close releases the folder.
 func (s *Store) Close() {
-	if s.held != nil {
-		s.held.Close()
+	if s.lock != nil {
+		s.lock.Close()
 	}
 }
 
 func open(d disk, now func() time.Time) (*Store, error) {
 	s := &Store{disk: d, now: now, state: State{Version: stateVersion}}
-	data, err := d.Read(stateFile, documentMost)
+	data, err := d.Read(stateFile, maxDocumentBytes)
 	switch {
 	case errors.Is(err, fs.ErrNotExist):
 	case err != nil:
@@ -92,7 +95,7 @@
 		if err := json.Unmarshal(data, &read); err != nil {
 			return nil, fmt.Errorf("history: %w", err)
 		}
-		if err := read.check(); err != nil {
+		if err := read.validate(); err != nil {
 			return nil, err
 		}
 		s.state = read
@@ -100,10 +103,11 @@
 	return s, nil
 }
 
-// State is what is remembered now.
+// State returns the current state.
 func (s *Store) State() State { return s.state }
 
-// commit makes a state the one that is remembered. An error leaves the one before.
+// commit persists a state and makes it the current one. On an error the previous state
+// stays current.
 func (s *Store) commit(next State) error {
 	data, err := json.Marshal(next)
 	if err == nil {
@@ -116,13 +120,13 @@
 		return fmt.Errorf("history: %w", err)
 	}
 	s.state = next
-	s.sweep()
+	s.removeUnused()
 	return nil
 }
 
-// sweep removes documents that no step can come back to. What it leaves at an error
-// goes with the next.
-func (s *Store) sweep() {
+// removeUnused removes documents that no step can use again. Files that it fails to remove
+// are removed after a later commit.
+func (s *Store) removeUnused() {
 	names, err := s.disk.Names()
 	if err != nil {
 		return
@@ -139,13 +143,13 @@
 func platformFile(id ID) string { return fmt.Sprintf("%d.json", id) }
 func featuresFile(id ID) string { return fmt.Sprintf("%d.toml", id) }
 
-// InMemory returns a Store that forgets with its process.
+// InMemory returns a Store that is lost at the end of the process.
 func InMemory() *Store {
-	s, _ := open(make(memory), time.Now)
+	s, _ := open(make(memoryDisk), time.Now)
 	return s
 }
 
-// See remembers what the files say.
+// See persists the hash of the files that were read last.
 func (s *Store) See(sum string) error {
 	if s.state.Seen == sum {
 		return nil
@@ -155,8 +159,8 @@
 	return s.commit(next)
 }
 
-// Apply remembers a configuration as the one on trial; see State.Apply. sum names what
-// it says.
+// Apply persists a configuration with the hash sum as the one on trial and returns its
+// number; see State.Apply.
 func (s *Store) Apply(d Documents, sum, why string) (ID, error) {
 	next, err := s.state.Apply(s.now(), sum, why)
 	if err != nil {
@@ -175,25 +179,26 @@
 	return id, nil
 }
 
-// Keep makes the configuration on trial the good one.
-func (s *Store) Keep(why string) error { return s.end(State.Keep, why) }
+// Keep ends the trial and makes the configuration on trial the good one.
+func (s *Store) Keep(why string) error { return s.endTrial(State.Keep, why) }
 
-// Undo goes back to the good one.
-func (s *Store) Undo(why string) error { return s.end(State.Undo, why) }
+// Undo ends the trial and goes back to the good configuration.
+func (s *Store) Undo(why string) error { return s.endTrial(State.Undo, why) }
 
-// Drop goes back to the good one for the sake of another change.
-func (s *Store) Drop(why string) error { return s.end(State.Drop, why) }
+// Drop ends the trial and goes back to the good configuration to make way for another
+// change.
+func (s *Store) Drop(why string) error { return s.endTrial(State.Drop, why) }
 
-func (s *Store) end(how func(State, time.Time, string) (State, error), why string) error {
-	next, err := how(s.state, s.now(), why)
+func (s *Store) endTrial(step func(State, time.Time, string) (State, error), why string) error {
+	next, err := step(s.state, s.now(), why)
 	if err != nil {
 		return err
 	}
 	return s.commit(next)
 }
 
-// Start is to be called at each start of the process, before it serves: it gives the
-// documents to run. ID 0 says that none are known.
+// Start persists a start of the process and returns the documents to run, with ID 0 if
+// there are none. The process must call it once, before it serves.
 func (s *Store) Start() (ID, Documents, error) {
 	next, id := s.state.Start(s.now())
 	if next.Starts != s.state.Starts || next.Baking != s.state.Baking {
@@ -208,10 +213,11 @@
 	return id, d, err
 }
 
-// Documents are those of the good configuration or of the one on trial.
+// Documents returns the documents of a configuration, which must be the good one, the one
+// before it or the one on trial.
 func (s *Store) Documents(id ID) (d Documents, err error) {
-	if d.Platform, err = s.disk.Read(platformFile(id), documentMost); err == nil {
-		d.Features, err = s.disk.Read(featuresFile(id), documentMost)
+	if d.Platform, err = s.disk.Read(platformFile(id), maxDocumentBytes); err == nil {
+		d.Features, err = s.disk.Read(featuresFile(id), maxDocumentBytes)
 	}
 	if err != nil {
 		return Documents{}, fmt.Errorf("history: configuration %d: %w", id, err)
@@ -219,24 +225,24 @@
 	return d, nil
 }
 
-// memory is a disk of a process that has none.
-type memory map[string][]byte
+// memoryDisk is a disk in memory, for processes without a folder.
+type memoryDisk map[string][]byte
 
 // Write implements disk.
-func (m memory) Write(name string, data []byte) error {
+func (m memoryDisk) Write(name string, data []byte) error {
 	m[name] = bytes.Clone(data)
 	return nil
 }
 
 // Rename implements disk.
-func (m memory) Rename(from, to string) error {
+func (m memoryDisk) Rename(from, to string) error {
 	m[to] = m[from]
 	delete(m, from)
 	return nil
 }
 
 // Read implements disk.
-func (m memory) Read(name string, _ int64) ([]byte, error) {
+func (m memoryDisk) Read(name string, _ int64) ([]byte, error) {
 	if data, ok := m[name]; ok {
 		return bytes.Clone(data), nil
 	}
@@ -244,39 +250,39 @@
 }
 
 // Names implements disk.
-func (m memory) Names() ([]string, error) { return slices.Collect(maps.Keys(m)), nil }
+func (m memoryDisk) Names() ([]string, error) { return slices.Collect(maps.Keys(m)), nil }
 
 // Remove implements disk.
-func (m memory) Remove(name string) error {
+func (m memoryDisk) Remove(name string) error {
 	delete(m, name)
 	return nil
 }
 
-// dir is a folder.
-type dir string
+// folderDisk is a disk in the folder with this path.
+type folderDisk string
 
-func (d dir) at(name string) string { return filepath.Join(string(d), name) }
+func (d folderDisk) path(name string) string { return filepath.Join(string(d), name) }
 
 // Write implements disk.
-func (d dir) Write(name string, data []byte) error { return durable.Write(d.at(name), data) }
+func (d folderDisk) Write(name string, data []byte) error { return durable.Write(d.path(name), data) }
 
 // Rename implements disk.
-func (d dir) Rename(from, to string) error { return durable.Rename(d.at(from), d.at(to)) }
+func (d folderDisk) Rename(from, to string) error { return durable.Rename(d.path(from), d.path(to)) }
 
 // Read implements disk.
-func (d dir) Read(name string, most int64) ([]byte, error) {
-	info, err := os.Stat(d.at(name))
+func (d folderDisk) Read(name string, maxBytes int64) ([]byte, error) {
+	info, err := os.Stat(d.path(name))
 	if err != nil {
 		return nil, err
 	}
-	if info.Size() > most {
-		return nil, fmt.Errorf("%s is over %d bytes", name, most)
+	if info.Size() > maxBytes {
+		return nil, fmt.Errorf("%s is longer than %d bytes", name, maxBytes)
 	}
-	return os.ReadFile(d.at(name))
+	return os.ReadFile(d.path(name))
 }
 
 // Names implements disk.
-func (d dir) Names() (names []string, err error) {
+func (d folderDisk) Names() (names []string, err error) {
 	entries, err := os.ReadDir(string(d))
 	for _, e := range entries {
 		names = append(names, e.Name())
@@ -285,4 +291,4 @@
 }
 
 // Remove implements disk.
-func (d dir) Remove(name string) error { return os.Remove(d.at(name)) }
+func (d folderDisk) Remove(name string) error { return os.Remove(d.path(name)) }
--- a/internal/rooms/changes/changes_test.go
+++ b/internal/rooms/changes/changes_test.go
@@ -75,7 +75,7 @@
 		if g.Longest() != time.Minute {
 			t.Errorf("a stop waits %v", g.Longest())
 		}
-		if _, err := g.propose(g.edit(t, `"attemptsCap":5`, `"attemptsCap":4`), "", false); !errors.Is(err, history.ErrBaking) {
+		if _, err := g.propose(g.edit(t, `"attemptsCap":5`, `"attemptsCap":4`), "", false); !errors.Is(err, history.ErrOnTrial) {
 			t.Errorf("two at once: %v", err)
 		}
 		g.c.Discovery = "127.0.0.1:99" // as a SIGHUP within the trial has it
--- a/internal/rooms/changes/files.go
+++ b/internal/rooms/changes/files.go
@@ -62,7 +62,7 @@
 		return err
 	case history.Waits:
 		g.pending = true
-		return fmt.Errorf("%w: %d; this one waits for its end", history.ErrBaking, st.Baking)
+		return fmt.Errorf("%w: %d; this one waits for its end", history.ErrOnTrial, st.Baking)
 	}
 	// What is refused stays new: a start takes it, and what refused it may be over by the
 	// next SIGHUP.
