--- a/internal/rooms/changes/changes.go
+++ b/internal/rooms/changes/changes.go
@@ -1,5 +1,6 @@
-// Package changes is the way of a change of the configuration in a running sidecar: proposed by a
-// file, a signal or operators, checked, on trial beside what runs, kept or undone.
+// Package changes manages changes of the configuration in a running sidecar. A change is
+// proposed by a file, SIGHUP or operators, checked against the running configuration, put
+// on trial beside it, and then kept or undone.
 package changes
 
 import (
@@ -24,109 +25,109 @@
 	"chalkrack/internal/upstream"
 )
 
-// Proposal is a configuration that is to run. What is left out stays as it is.
+// Proposal is a request to change the configuration. Parts that are left out do not change.
 type Proposal struct {
 	Platform json.RawMessage `json:"platform,omitempty"`
-	Features *string         `json:"features,omitempty"` // the text; empty: none
+	Features *string         `json:"features,omitempty"` // the file's text; empty for none
 	Why      string          `json:"why,omitempty"`
-	Plan     bool            `json:"plan,omitempty"` // say what would be, and do nothing
+	Plan     bool            `json:"plan,omitempty"` // only report what would change
 }
 
-// Outcome is what became of a proposal.
+// Outcome is the result of a proposal.
 type Outcome struct {
-	ID      history.ID      `json:"id,omitempty"` // 0: nothing was switched
+	ID      history.ID      `json:"id,omitempty"` // 0 if no trial was started
 	Changes []change.Change `json:"changes"`
-	Refused []string        `json:"refused,omitempty"` // of a plan only: a proposal that is refused is an error
+	Refused []string        `json:"refused,omitempty"` // set only for a plan; otherwise a refusal is an error
 }
 
-// errNeedsStart is part of a refusal for fields that only a start takes.
-var errNeedsStart = errors.New("takes the next start")
+// errNeedsRestart is wrapped by refusals of fields that only a start of the process applies.
+var errNeedsRestart = errors.New("takes the next start")
 
-// verdict is how a trial ended.
-type verdict struct {
+// trialResult is the end of a trial, with its reason.
+type trialResult struct {
 	keep bool
 	why  string
 }
 
-// Config is what a Changes is told.
+// Config configures a Changes.
 type Config struct {
 	Running   *config.Config
 	Host      *core.Host
 	Pool      *upstream.Pool
 	Front     *front.Server
 	Discovery *discovery.Watcher
-	Listener  net.Listener     // of the clients
-	Figures   *figures.Figures // nil: nobody counts
+	Listener  net.Listener     // for clients
+	Figures   *figures.Figures // metrics; nil for none
 }
 
-// Changes owns the way of changes: what runs, what is on trial, and their listeners. All
-// its methods but those that pages and deeds call run in one goroutine, which also answers
-// what comes from Asks.
+// Changes owns the current configuration, the one on trial and their listeners. All its
+// methods run in one goroutine, which also serves the requests from Asks; the handlers that
+// Pages returns may be called from any goroutine.
 type Changes struct {
-	c    *config.Config // what runs, or ran before the trial
-	next *config.Config // on trial beside it; nil: none is
+	current *config.Config // the current configuration; during a trial, the one before it
+	trial   *config.Config // on trial beside current; nil if there is none
 
 	host    *core.Host
 	pool    *upstream.Pool
 	srv     *front.Server
 	watcher *discovery.Watcher
 
-	ln, nextLn net.Listener // nextLn: of the trial, where it is another one
+	listener, trialListener net.Listener // trialListener is nil if the trial uses listener
 
-	since   time.Time // of a trial that has nothing beside it
-	pending bool      // a SIGHUP came that waits for a trial's end
-	problem string    // of the memory: what could not be written
-	owed    *verdict  // what could not be written; nil: nothing
-	owedAt  time.Time // when that was tried last
-	took    []time.Duration
-	trials  uint64
+	startTime       time.Time    // start of this process, and of a trial without a configuration to compare with
+	reloadPending   bool         // a SIGHUP waits for the end of the trial
+	storeError      string       // last error of the store; empty if it works
+	unsaved         *trialResult // result that could not be saved; nil if there is none
+	lastSaveAttempt time.Time    // time of the last attempt to save a result
+	switchTimes     []time.Duration
+	trialCount      uint64
 
-	fig     *figures.Figures // nil: nobody counts
-	asks    chan Ask
-	done    chan struct{}
-	closing sync.Once
+	figures  *figures.Figures // metrics; nil for none
+	requests chan Request
+	done     chan struct{}
+	closing  sync.Once
 }
 
-// New has a configuration run.
+// New returns a Changes for the running configuration.
 func New(c Config) *Changes {
-	return &Changes{c: c.Running, host: c.Host, pool: c.Pool, srv: c.Front, watcher: c.Discovery, ln: c.Listener, fig: c.Figures, since: time.Now(), asks: make(chan Ask), done: make(chan struct{})}
+	return &Changes{current: c.Running, host: c.Host, pool: c.Pool, srv: c.Front, watcher: c.Discovery, listener: c.Listener, figures: c.Figures, startTime: time.Now(), requests: make(chan Request), done: make(chan struct{})}
 }
 
-// Running is the configuration that runs, or ran before the trial.
-func (g *Changes) Running() *config.Config { return g.c }
+// Running returns the current configuration; during a trial, the one before it.
+func (g *Changes) Running() *config.Config { return g.current }
 
-// Asks is what operators ask for.
-func (g *Changes) Asks() <-chan Ask { return g.asks }
+// Asks returns the channel of operators' requests.
+func (g *Changes) Asks() <-chan Request { return g.requests }
 
-// CloseListener ends the listener of what runs.
-func (g *Changes) CloseListener() { g.ln.Close() }
+// CloseListener closes the listener of the current configuration.
+func (g *Changes) CloseListener() { g.listener.Close() }
 
-// Close ends the listeners, and what operators wait for.
+// Close closes the listeners and fails the operators' requests that have not been received.
 func (g *Changes) Close() {
 	g.closing.Do(func() { close(g.done) })
-	g.ln.Close()
-	if g.nextLn != nil {
-		g.nextLn.Close()
+	g.listener.Close()
+	if g.trialListener != nil {
+		g.trialListener.Close()
 	}
 }
 
-// On says that changes are made while this process runs.
-func (g *Changes) On() bool { return g.c.Store != nil }
+// On reports whether the configuration can be changed while the process runs.
+func (g *Changes) On() bool { return g.current.Store != nil }
 
-// use is what runs needs now.
-func (g *Changes) use() change.Use {
+// usage returns the resources in use now.
+func (g *Changes) usage() change.Use {
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
 	return change.Use{MemoryMB: int(m.Sys >> 20), Sockets: g.srv.Conns() + g.pool.Conns(), Held: g.host.Held()}
 }
 
-// plan holds a configuration against the one that runs: all that would change, and every
-// reason why it must not be made now.
+// plan compares a configuration with the current one. It returns all changes, and every
+// reason why they must not be made now.
 func (g *Changes) plan(next *config.Config) (*change.Plan, []error, error) {
-	return planOf(g.c, next, g.use())
+	return comparePlan(g.current, next, g.usage())
 }
 
-func planOf(running, next *config.Config, use change.Use) (*change.Plan, []error, error) {
+func comparePlan(running, next *config.Config, use change.Use) (*change.Plan, []error, error) {
 	p, err := change.Compare(running.Document(), next.Document(), use)
 	if err != nil {
 		return nil, nil, err
@@ -136,22 +137,23 @@
 		why = append(why, r)
 	}
 	for _, ch := range p.NeedingRestart() {
-		why = append(why, fmt.Errorf("%s: %s -> %s: %w", ch.Field, ch.Old, ch.New, errNeedsStart))
+		why = append(why, fmt.Errorf("%s: %s -> %s: %w", ch.Field, ch.Old, ch.New, errNeedsRestart))
 	}
-	// Parts that are made at the start know the classes of the start only.
+	// Parts that are created at the start know only the classes of that time.
 	for _, ch := range p.Changes {
 		switch {
 		case !ch.Live || !strings.HasPrefix(ch.Field, "settings."):
 		case running.Features.Radius.Enabled:
-			why = append(why, fmt.Errorf("%s: %s -> %s: [radius] goes by it and %w", ch.Field, ch.Old, ch.New, errNeedsStart))
+			why = append(why, fmt.Errorf("%s: %s -> %s: [radius] goes by it and %w", ch.Field, ch.Old, ch.New, errNeedsRestart))
 		case running.Features.Bodies.Enabled && strings.HasSuffix(ch.Field, "].name"):
-			why = append(why, fmt.Errorf("%s: %s -> %s: [bodies] has shares by it and %w", ch.Field, ch.Old, ch.New, errNeedsStart))
+			why = append(why, fmt.Errorf("%s: %s -> %s: [bodies] has shares by it and %w", ch.Field, ch.Old, ch.New, errNeedsRestart))
 		}
 	}
 	return p, why, nil
 }
 
-// propose checks a configuration, and puts it on trial if it may be.
+// propose checks a configuration and, unless planOnly is set, puts it on trial if every
+// change is allowed. Otherwise the error joins all refusals.
 func (g *Changes) propose(next *config.Config, why string, planOnly bool) (*Outcome, error) {
 	p, refused, err := g.plan(next)
 	if err != nil {
@@ -170,41 +172,41 @@
 	if len(p.Changes) == 0 || len(p.Changes) == 1 && p.Changes[0].Field == "discovery" {
 		return out, nil
 	}
-	if g.owed != nil {
-		return nil, fmt.Errorf("the memory of changes can't be written, so the last verdict is not in it: %s", g.problem)
+	if g.unsaved != nil {
+		return nil, fmt.Errorf("the memory of changes can't be written, so the last verdict is not in it: %s", g.storeError)
 	}
-	out.ID, err = g.try(next, why)
+	out.ID, err = g.startTrial(next, why)
 	return out, err
 }
 
-// try stages a configuration, remembers it and switches to it. Everything that can fail
-// comes before the switch, and is taken back whole.
-func (g *Changes) try(next *config.Config, why string) (id history.ID, err error) {
+// startTrial opens a configuration's listener, persists the configuration and starts its
+// trial. Every step that can fail comes before the switch and is undone on an error.
+func (g *Changes) startTrial(next *config.Config, why string) (id history.ID, err error) {
 	sum, err := change.Sum(next.Document())
 	if err != nil {
 		return 0, err
 	}
-	ln, err := g.stage(next)
+	ln, err := g.openListener(next)
 	if err != nil {
 		return 0, err
 	}
-	if id, err = g.c.Store.Apply(next.Documents(), sum, why); err != nil {
-		unstage(ln)
+	if id, err = g.current.Store.Apply(next.Documents(), sum, why); err != nil {
+		closeListener(ln)
 		return 0, err
 	}
-	if err := g.begin(next, id, ln); err != nil {
-		g.record(verdict{why: err.Error()})
+	if err := g.switchToTrial(next, id, ln); err != nil {
+		g.saveResult(trialResult{why: err.Error()})
 		return 0, err
 	}
-	f := &g.c.Features.Config
+	f := &g.current.Features.Config
 	slog.Info("configuration on trial", "id", id, "why", why, "share", f.Share, "for", time.Duration(f.Bake))
 	return id, nil
 }
 
-// stage makes what a configuration needs beside what runs: a listener, if it is another
-// one.
-func (g *Changes) stage(next *config.Config) (net.Listener, error) {
-	if next.Listen == g.c.Listen {
+// openListener opens the listener of a configuration, or returns nil if its address is the
+// current one.
+func (g *Changes) openListener(next *config.Config) (net.Listener, error) {
+	if next.Listen == g.current.Listen {
 		return nil, nil
 	}
 	ln, err := net.Listen("tcp", next.Listen)
@@ -214,87 +216,88 @@
 	return ln, nil
 }
 
-func unstage(ln net.Listener) {
+func closeListener(ln net.Listener) {
 	if ln != nil {
 		ln.Close()
 	}
 }
 
-// begin switches: from now on next takes its share of the calls. An error leaves nothing
-// of it.
-func (g *Changes) begin(next *config.Config, id history.ID, ln net.Listener) error {
-	f := &g.c.Features.Config
-	g.trials++
+// switchToTrial starts the trial, so that next takes its share of the calls. On an error it
+// closes the listener and nothing changes.
+func (g *Changes) switchToTrial(next *config.Config, id history.ID, ln net.Listener) error {
+	f := &g.current.Features.Config
+	g.trialCount++
 	began := time.Now()
 	err := g.host.Try(next.Generation(id), bake.Config{
 		Share: f.Share, FalseUndo: f.FalseUndo, Notice: f.Notice, Bake: time.Duration(f.Bake), ThinUndo: f.Thin == "undo",
-	}, g.c.Seed^g.trials)
+	}, g.current.Seed^g.trialCount)
 	if err != nil {
-		unstage(ln)
+		closeListener(ln)
 		return err
 	}
-	g.pool.Adopt(strictest(times(g.c), times(next)))
-	g.note(time.Since(began))
-	g.next, g.nextLn = next, ln
+	g.pool.Adopt(strictestTimes(connTimes(g.current), connTimes(next)))
+	g.addSwitchTime(time.Since(began))
+	g.trial, g.trialListener = next, ln
 	if ln != nil {
 		go g.srv.Serve(ln)
 	}
 	return nil
 }
 
-// switchesMost bounds the times of switches that are kept.
-const switchesMost = 16
+// maxSwitchTimes is the number of latest switch durations that are kept.
+const maxSwitchTimes = 16
 
-func (g *Changes) note(took time.Duration) {
-	g.took = append(g.took, took)
-	g.took = g.took[max(0, len(g.took)-switchesMost):]
+func (g *Changes) addSwitchTime(took time.Duration) {
+	g.switchTimes = append(g.switchTimes, took)
+	g.switchTimes = g.switchTimes[max(0, len(g.switchTimes)-maxSwitchTimes):]
 }
 
-func times(c *config.Config) upstream.Times {
+func connTimes(c *config.Config) upstream.Times {
 	return upstream.Times{ConnIdle: c.Settings.ConnIdle, DialTimeout: c.Settings.DialTimeout, DrainGrace: c.Settings.DrainGrace}
 }
 
-// strictest is the times that keep the promises of both.
-func strictest(a, b upstream.Times) upstream.Times {
+// strictestTimes returns the times that keep the promises of both configurations.
+func strictestTimes(a, b upstream.Times) upstream.Times {
 	return upstream.Times{ConnIdle: min(a.ConnIdle, b.ConnIdle), DialTimeout: max(a.DialTimeout, b.DialTimeout), DrainGrace: min(a.DrainGrace, b.DrainGrace)}
 }
 
-// remember keeps what the memory complains of, for operators to see.
-func (g *Changes) remember(err error) {
-	g.problem = ""
+// setStoreError logs an error of the store and keeps it for Status; nil clears it.
+func (g *Changes) setStoreError(err error) {
+	g.storeError = ""
 	if err != nil {
-		g.problem = err.Error()
-		slog.Error("the memory of changes", "err", err)
+		g.storeError = err.Error()
+		slog.Error("the history of configuration changes can't be written", "err", err)
 	}
 }
 
-// owedEach is how often a verdict is tried that could not be written.
-const owedEach = time.Second
+// saveRetryInterval is the minimum time between attempts to save a result.
+const saveRetryInterval = time.Second
 
-// record writes a verdict down. What can't be written holds for this process all the same
-// and is tried again; until then nothing else is put on trial, and a start finds the
-// trial as it was.
-func (g *Changes) record(v verdict) {
-	write := g.c.Store.Undo
+// saveResult persists the result of a trial. If that fails, the result still applies to this
+// process and Watch retries the write. Until it succeeds no other change is put on trial,
+// and a start of the process finds the trial still on.
+func (g *Changes) saveResult(v trialResult) {
+	write := g.current.Store.Undo
 	if v.keep {
-		write = g.c.Store.Keep
+		write = g.current.Store.Keep
 	}
 	err := write(v.why)
-	if g.owed, g.owedAt = nil, time.Now(); err != nil {
-		g.owed = &v
+	if g.unsaved, g.lastSaveAttempt = nil, time.Now(); err != nil {
+		g.unsaved = &v
 	}
-	g.remember(err)
+	g.setStoreError(err)
 }
 
-// Watch ends a trial whose verdict is there.
+// Watch ends a trial that has a verdict, and retries to save a result that could not be
+// saved. It must be called at regular intervals.
 func (g *Changes) Watch() {
 	switch {
-	case g.owed != nil:
-		if time.Since(g.owedAt) >= owedEach {
-			g.record(*g.owed)
-			g.after()
+	case g.unsaved != nil:
+		if time.Since(g.lastSaveAttempt) >= saveRetryInterval {
+			g.saveResult(*g.unsaved)
+			g.runPendingReload()
 		}
-	case g.next != nil:
+	case g.trial != nil:
 		r, class, _, err := g.host.Rule()
 		if err != nil || r.Verdict == bake.Watching {
 			return
@@ -306,59 +309,61 @@
 		case r.Verdict == bake.Undo:
 			why = fmt.Sprintf("more calls %v than under the one before, most of class %s, after %d calls", r.Kind, class, r.Calls)
 		}
-		g.settle(r.Verdict == bake.Keep, why)
-	case g.c.Trial && time.Since(g.since) >= time.Duration(g.c.Features.Config.Bake):
-		g.c.Trial = false
-		g.record(verdict{true, "served since a start, with nothing beside it"})
-		g.after()
+		g.finishTrial(r.Verdict == bake.Keep, why)
+	case g.current.Trial && time.Since(g.startTime) >= time.Duration(g.current.Features.Config.Bake):
+		g.current.Trial = false
+		g.saveResult(trialResult{true, "served since a start, with nothing beside it"})
+		g.runPendingReload()
 	}
 }
 
-// after takes up what waited for a trial's end.
-func (g *Changes) after() {
-	if g.pending && g.owed == nil {
-		g.pending = false
+// runPendingReload reloads the files if a SIGHUP arrived during the trial.
+func (g *Changes) runPendingReload() {
+	if g.reloadPending && g.unsaved == nil {
+		g.reloadPending = false
 		g.Reload()
 	}
 }
 
-// settle ends the trial: it is written down first, so that a start comes out the same.
-func (g *Changes) settle(keep bool, why string) {
-	g.record(verdict{keep, why})
-	g.end(keep)
+// finishTrial ends the trial. It persists the result first, so that a start of the process
+// has the same result.
+func (g *Changes) finishTrial(keep bool, why string) {
+	g.saveResult(trialResult{keep, why})
+	g.switchFromTrial(keep)
 	if keep {
 		slog.Info("configuration kept", "why", why)
 	} else {
 		slog.Error("configuration undone", "why", why)
 	}
-	g.after()
+	g.runPendingReload()
 }
 
-// end switches to one generation alone.
-func (g *Changes) end(keep bool) {
+// switchFromTrial makes one of the two configurations the current one and ends the other.
+func (g *Changes) switchFromTrial(keep bool) {
 	began := time.Now()
 	if err := g.host.Settle(keep); err != nil { // both sets of rules were checked
-		slog.Error("the end of a trial", "err", err)
+		slog.Error("a trial could not be ended", "err", err)
 	}
-	winner, old := g.c, g.nextLn
+	winner, old := g.current, g.trialListener
 	if keep {
-		winner = g.next
-		winner.Store, winner.Lasting, winner.Discovery = g.c.Store, g.c.Lasting, g.c.Discovery
-		if old = nil; g.nextLn != nil {
-			old, g.ln = g.ln, g.nextLn
+		winner = g.trial
+		winner.Store, winner.Lasting, winner.Discovery = g.current.Store, g.current.Lasting, g.current.Discovery
+		if old = nil; g.trialListener != nil {
+			old, g.listener = g.listener, g.trialListener
 		}
 	}
-	g.pool.Adopt(times(winner))
-	g.note(time.Since(began))
-	unstage(old) // connections that it took go on
-	g.c, g.next, g.nextLn = winner, nil, nil
+	g.pool.Adopt(connTimes(winner))
+	g.addSwitchTime(time.Since(began))
+	closeListener(old) // connections that it accepted stay open
+	g.current, g.trial, g.trialListener = winner, nil, nil
 }
 
-// Longest is the longest time that a client waits by any configuration that serves.
+// Longest returns the longest time that a client waits for a response under any
+// configuration that serves.
 func (g *Changes) Longest() time.Duration {
-	d := g.c.Settings.Longest()
-	if g.next != nil {
-		d = max(d, g.next.Settings.Longest())
+	d := g.current.Settings.Longest()
+	if g.trial != nil {
+		d = max(d, g.trial.Settings.Longest())
 	}
 	return d
 }
--- a/internal/rooms/changes/changes_test.go
+++ b/internal/rooms/changes/changes_test.go
@@ -19,14 +19,15 @@
 	"chalkrack/internal/upstream"
 )
 
-// starts is a changer as a start makes it, without servers or clients.
-func starts(t *testing.T, c *config.Config) *Changes {
+// newTestChanges returns a Changes as the daemon creates it at a start, without servers or
+// clients.
+func newTestChanges(t *testing.T, c *config.Config) *Changes {
 	t.Helper()
 	c, err := config.Recall(c)
 	if err != nil {
 		t.Fatal(err)
 	}
-	ts := times(c)
+	ts := connTimes(c)
 	pool := upstream.New(upstream.Config{ConnIdle: ts.ConnIdle, DialTimeout: ts.DialTimeout, DrainGrace: ts.DrainGrace, MaxConns: 10})
 	host, err := core.New(core.Config{First: c.Generation(c.ID()), Seed: 1, Transport: pool})
 	if err != nil {
@@ -41,58 +42,59 @@
 	return g
 }
 
-// edit is what runs with a part of its text replaced.
-func (g *Changes) edit(t *testing.T, old, new string) *config.Config {
+// withReplacement returns the current configuration with a part of its text replaced.
+func (g *Changes) withReplacement(t *testing.T, old, new string) *config.Config {
 	t.Helper()
-	text := strings.Replace(string(g.c.Platform), old, new, 1)
-	if text == string(g.c.Platform) {
-		t.Fatalf("%s is not in it", old)
+	text := strings.Replace(string(g.current.Platform), old, new, 1)
+	if text == string(g.current.Platform) {
+		t.Fatalf("the configuration does not contain %s", old)
 	}
-	next, err := config.Parse([]byte(text), g.c.Own, "features", g.c.Getenv)
+	next, err := config.Parse([]byte(text), g.current.Own, "features", g.current.Getenv)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return next
 }
 
-// What belongs to no single call goes by both configurations while both serve, and by the
-// one that is left afterwards; the address of discovery is a fact that no verdict changes;
-// one trial is enough at a time.
-func TestWhatAllCallsShare(t *testing.T) {
+// Settings that all calls share follow the stricter of both configurations during a trial,
+// and the remaining one afterwards. The address of discovery does not depend on the result
+// of the trial, and a second trial is refused.
+func TestSharedSettingsFollowBothConfigurationsDuringTrial(t *testing.T) {
 	for _, keep := range []bool{false, true} {
 		p := configtest.New(t)
 		p.Write(t, 5, "[config]\nenabled = true\n")
-		g := starts(t, p.Load(t))
-		next := g.edit(t, `"connIdleUs":30000000,"dialTimeoutUs":250000},"guarantees":{"drainGraceUs":2000000}`,
+		g := newTestChanges(t, p.Load(t))
+		next := g.withReplacement(t, `"connIdleUs":30000000,"dialTimeoutUs":250000},"guarantees":{"drainGraceUs":2000000}`,
 			`"connIdleUs":20000000,"dialTimeoutUs":900000},"guarantees":{"drainGraceUs":1000000}`)
 		next.Settings.Deadlines[0] = time.Minute
 		if out, err := g.propose(next, "", false); err != nil || out.ID != 2 {
 			t.Fatalf("%+v, %v", out, err)
 		}
 		if got := g.pool.Times(); got != (upstream.Times{ConnIdle: 20 * time.Second, DialTimeout: 900 * time.Millisecond, DrainGrace: time.Second}) {
-			t.Errorf("on trial: %+v", got)
+			t.Errorf("times during the trial: %+v", got)
 		}
 		if g.Longest() != time.Minute {
-			t.Errorf("a stop waits %v", g.Longest())
+			t.Errorf("Longest is %v, want 1m", g.Longest())
 		}
-		if _, err := g.propose(g.edit(t, `"attemptsCap":5`, `"attemptsCap":4`), "", false); !errors.Is(err, history.ErrOnTrial) {
-			t.Errorf("two at once: %v", err)
+		if _, err := g.propose(g.withReplacement(t, `"attemptsCap":5`, `"attemptsCap":4`), "", false); !errors.Is(err, history.ErrOnTrial) {
+			t.Errorf("second trial: got error %v, want ErrOnTrial", err)
 		}
-		g.c.Discovery = "127.0.0.1:99" // as a SIGHUP within the trial has it
-		g.settle(keep, "")
-		want := times(g.c)
+		g.current.Discovery = "127.0.0.1:99" // as a SIGHUP within the trial has it
+		g.finishTrial(keep, "")
+		want := connTimes(g.current)
 		if got := g.pool.Times(); got != want || (want.ConnIdle == 20*time.Second) != keep {
 			t.Errorf("keep %v: %+v, want %+v", keep, got, want)
 		}
-		if g.c.Discovery != "127.0.0.1:99" || (g.c == next) != keep {
-			t.Errorf("keep %v: discovery %s", keep, g.c.Discovery)
+		if g.current.Discovery != "127.0.0.1:99" || (g.current == next) != keep {
+			t.Errorf("keep %v: discovery %s", keep, g.current.Discovery)
 		}
 	}
 }
 
-// The way back of a trial that a start found is a change like any: one that takes a start
-// is refused whole, and the trial goes on; any other is made at once.
-func TestWayBackBehindAStart(t *testing.T) {
+// The rollback of a trial that was on at the start of the process follows the rules of any
+// change: one that needs a restart is refused completely and the trial goes on; any other
+// is made at once.
+func TestRollbackOfTrialFoundAtStart(t *testing.T) {
 	p := configtest.New(t)
 	folder := t.TempDir()
 	own := "[config]\nenabled = true\nfolder = \"" + folder + "\"\n"
@@ -103,33 +105,33 @@
 	}
 	first.Store.Close()
 	p.Write(t, 4, strings.Replace(own, "enabled", "bake = \"1h\"\nenabled", 1))
-	g := starts(t, p.Load(t))
-	if !g.c.Trial {
-		t.Fatal("not on trial")
+	g := newTestChanges(t, p.Load(t))
+	if !g.current.Trial {
+		t.Fatal("the configuration from the files is not on trial after the start")
 	}
-	if _, err := g.rollback(nil); !errors.Is(err, errNeedsStart) {
+	if _, err := g.rollback(nil); !errors.Is(err, errNeedsRestart) {
 		t.Errorf("%v", err)
 	}
-	if st := g.c.Store.State(); st.Baking == 0 || !g.c.Trial || g.next != nil {
-		t.Errorf("half undone: %+v", st)
+	if st := g.current.Store.State(); st.Baking == 0 || !g.current.Trial || g.trial != nil {
+		t.Errorf("a refused rollback changed the trial: %+v", st)
 	}
 	g.Close()
-	g.c.Store.Close()
+	g.current.Store.Close()
 
 	p.Write(t, 3, own)
-	g = starts(t, p.Load(t))
+	g = newTestChanges(t, p.Load(t))
 	if _, err := g.rollback(nil); err != nil {
 		t.Fatal(err)
 	}
-	st := g.c.Store.State()
-	if st.Baking != 0 || g.c.Trial || g.c.Settings.Config.MaxAttempts != 5 || g.host.Generations().Current.ID != int(st.Good) || g.host.Generations().Next != nil {
-		t.Errorf("%+v, %d attempts", st, g.c.Settings.Config.MaxAttempts)
+	st := g.current.Store.State()
+	if st.Baking != 0 || g.current.Trial || g.current.Settings.Config.MaxAttempts != 5 || g.host.Generations().Current.ID != int(st.Good) || g.host.Generations().Next != nil {
+		t.Errorf("%+v, %d attempts", st, g.current.Settings.Config.MaxAttempts)
 	}
 }
 
-// What the parts of a daemon were made with waits for a start, whatever else a change
-// says: nothing of it is taken.
-func TestPlanWaitsForAStart(t *testing.T) {
+// A change of a setting that parts of the daemon were constructed with needs a restart, and
+// the whole change is refused.
+func TestChangesThatNeedRestartAreRefused(t *testing.T) {
 	p := configtest.New(t)
 	const bodies = "[bodies]\nenabled = true\n"
 	const radius = "[radius]\nenabled = true\nauth = \"127.0.0.1:1812\"\nacct = \"127.0.0.1:1813\"\n[[radius.clients]]\nname = \"c\"\nrange = \"10.0.0.0/8\"\nsecret = \"a long secret\"\n" +
@@ -152,7 +154,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		plan, why, err := planOf(running, next, change.Use{})
+		plan, why, err := comparePlan(running, next, change.Use{})
 		if err != nil || len(plan.Changes) == 0 {
 			t.Fatalf("%+v, %v", plan, err)
 		}
@@ -163,11 +165,11 @@
 	}
 }
 
-// While two configurations serve, what their connections have in common keeps to both.
-func TestStrictest(t *testing.T) {
+// During a trial the times of shared connections keep the promises of both configurations.
+func TestStrictestTimesKeepsBothPromises(t *testing.T) {
 	a := upstream.Times{ConnIdle: 3, DialTimeout: 1, DrainGrace: 2}
 	b := upstream.Times{ConnIdle: 2, DialTimeout: 4, DrainGrace: 5}
-	if got := strictest(a, b); got != (upstream.Times{ConnIdle: 2, DialTimeout: 4, DrainGrace: 2}) || got != strictest(b, a) {
+	if got := strictestTimes(a, b); got != (upstream.Times{ConnIdle: 2, DialTimeout: 4, DrainGrace: 2}) || got != strictestTimes(b, a) {
 		t.Errorf("%+v", got)
 	}
 }
--- a/internal/rooms/changes/files.go
+++ b/internal/rooms/changes/files.go
@@ -10,8 +10,9 @@
 	"chalkrack/internal/history"
 )
 
-// Reload takes the files up at a SIGHUP. The address of discovery is a fact and taken at
-// once. With changes on, the rest is a proposal if it is new; else it is named.
+// Reload reads the files after a SIGHUP. A new address of discovery applies at once,
+// without a trial. If changes are on, the rest is proposed if it is new; if they are off,
+// the differences are logged.
 func (g *Changes) Reload() {
 	read := config.ReadFiles
 	if g.On() {
@@ -19,62 +20,63 @@
 			return config.ReadTwice(getenv, func() { time.Sleep(config.SettleWait) })
 		}
 	}
-	getenv := config.FileFirst(g.c.Getenv)
+	getenv := config.FileFirst(g.current.Getenv)
 	platform, own, name, err := read(getenv)
 	var next *config.Config
 	if err == nil {
 		next, err = config.Parse(platform, own, name, getenv)
 	}
 	if err != nil {
-		g.fig.Read(false)
+		g.figures.Read(false)
 		slog.Error("new configuration not taken: the old one stays in force", "err", err)
 		return
 	}
-	if next.Discovery != g.c.Discovery {
-		slog.Info("discovery moves", "from", g.c.Discovery, "to", next.Discovery)
-		g.c.Discovery = next.Discovery
+	if next.Discovery != g.current.Discovery {
+		slog.Info("address of discovery changed", "from", g.current.Discovery, "to", next.Discovery)
+		g.current.Discovery = next.Discovery
 		g.watcher.Move(next.Discovery)
 	}
 	if !g.On() {
-		g.tell(next)
+		g.logDifferences(next)
 	} else if err = g.reloadChange(next); err != nil {
 		slog.Error("new configuration not taken: the old one stays in force", "err", err)
 	}
-	g.fig.Read(err == nil)
-	slog.Info("configuration read again", "discovery", g.c.Discovery)
+	g.figures.Read(err == nil)
+	slog.Info("configuration files reloaded", "discovery", g.current.Discovery)
 }
 
-// reloadChange proposes what the files say, if it is new.
+// reloadChange proposes the configuration in the files if it is new.
 func (g *Changes) reloadChange(next *config.Config) error {
 	sum, err := change.Sum(next.Document())
 	if err != nil {
 		return err
 	}
-	switch st := g.c.Store.State(); st.Read(sum) {
+	switch st := g.current.Store.State(); st.Read(sum) {
 	case history.Known:
 		return nil
 	case history.Rejected:
-		slog.Warn("the files hold what was undone: it is taken by 'fawnctl config apply' only")
+		slog.Warn("the files hold a configuration that was undone: only 'fawnctl config apply' can apply it again")
 		return nil
 	case history.Back:
-		g.remember(g.c.Store.See(sum))
-		_, err := g.back("the files hold the one before again")
+		g.setStoreError(g.current.Store.See(sum))
+		_, err := g.endTrialNow("the files hold the one before again")
 		return err
 	case history.Waits:
-		g.pending = true
+		g.reloadPending = true
 		return fmt.Errorf("%w: %d; this one waits for its end", history.ErrOnTrial, st.Baking)
 	}
-	// What is refused stays new: a start takes it, and what refused it may be over by the
-	// next SIGHUP.
+	// A refused configuration still counts as new: a start accepts it, and the reason for
+	// the refusal may be gone by the next SIGHUP.
 	if _, err = g.propose(next, "SIGHUP", false); err == nil {
-		g.remember(g.c.Store.See(sum))
+		g.setStoreError(g.current.Store.See(sum))
 	}
 	return err
 }
 
-// tell names what a start would take, where changes are off.
-func (g *Changes) tell(next *config.Config) {
-	plan, err := change.Compare(g.c.Document(), next.Document(), change.Use{})
+// logDifferences logs what a start would change, and what weakens the running
+// configuration. It is used if changes are off.
+func (g *Changes) logDifferences(next *config.Config) {
+	plan, err := change.Compare(g.current.Document(), next.Document(), change.Use{})
 	if err != nil {
 		return
 	}
