--- a/internal/drain/drain.go
+++ b/internal/drain/drain.go
@@ -1,55 +1,56 @@
-// Package drain decides how a sidecar leaves its clients and comes back to them: a state
-// machine without I/O, clock or goroutines.
+// Package drain decides how a sidecar drains its client connections and returns to
+// service. It is a state machine without I/O, clock or goroutines.
 //
-// From DRAIN on the front is told no, and sends no new connection soon after. Answers
-// end their connections. Those that idle are ended after idleAfter, when the front has
-// long stopped to open new ones, and long before it wants them all gone.
+// From DRAIN on the sidecar reports that it is not ready, and the load balancer in front
+// of it soon sends no new connections. Each answer closes its connection. Connections
+// that stay idle are closed after idleCloseDelay, well after the load balancer stops
+// opening new ones and well before it requires all of them to be closed.
 package drain
 
 import "time"
 
-// State is where a sidecar stands.
+// State is the stage of a drain.
 type State int
 
 const (
-	Serving  State = iota
-	Draining       // connections come and are used
-	Ending         // those that idle are ended
+	Serving     State = iota
+	Draining          // connections are still accepted and used
+	ClosingIdle       // idle connections are closed
 )
 
-// idleAfter is how long after DRAIN connections that idle are ended. Until then most end
-// with an answer, which no request can cross.
-const idleAfter = 900 * time.Millisecond
+// idleCloseDelay is the time from DRAIN until idle connections are closed. Until then
+// most connections end with an answer, where no request can cross the close.
+const idleCloseDelay = 900 * time.Millisecond
 
-// Machine is one sidecar's drain. The zero Machine serves.
+// Machine is the drain state of one sidecar. The zero Machine serves.
 type Machine struct {
-	on    bool
-	since time.Duration
+	draining bool
+	since    time.Duration
 }
 
-// Begin drains from now on. Told twice, the first time holds.
+// Begin starts a drain at now. During a drain it does nothing: the first start time stays.
 func (m *Machine) Begin(now time.Duration) {
-	if !m.on {
-		m.on, m.since = true, now
+	if !m.draining {
+		m.draining, m.since = true, now
 	}
 }
 
-// End goes back to work.
-func (m *Machine) End() { m.on = false }
+// End stops the drain and returns to service.
+func (m *Machine) End() { m.draining = false }
 
-// State is where it stands now.
+// State returns the state at now.
 func (m *Machine) State(now time.Duration) State {
 	switch {
-	case !m.on:
+	case !m.draining:
 		return Serving
-	case now-m.since < idleAfter:
+	case now-m.since < idleCloseDelay:
 		return Draining
 	}
-	return Ending
+	return ClosingIdle
 }
 
-// Since is when the drain began; false if there is none.
-func (m *Machine) Since() (time.Duration, bool) { return m.since, m.on }
+// Since returns when the drain began, and whether there is one.
+func (m *Machine) Since() (time.Duration, bool) { return m.since, m.draining }
 
-// String is the state's name.
+// String returns the state's name.
 func (s State) String() string { return [...]string{"serving", "draining", "ending"}[s] }
--- a/internal/drain/drain_test.go
+++ b/internal/drain/drain_test.go
@@ -5,7 +5,9 @@
 	"time"
 )
 
-func TestDrain(t *testing.T) {
+// A repeated Begin must not restart the delay, and a new drain after End must not keep
+// the start time of the previous one.
+func TestDrainStates(t *testing.T) {
 	var m Machine
 	at := func(ms int, want State) {
 		t.Helper()
@@ -17,19 +19,20 @@
 	m.Begin(100 * time.Millisecond)
 	at(100, Draining)
 	at(999, Draining)
-	m.Begin(500 * time.Millisecond) // told twice: the first time holds
-	at(1000, Ending)
-	at(100000, Ending)
+	m.Begin(500 * time.Millisecond) // repeated: the first start time stays
+	at(1000, ClosingIdle)
+	at(100000, ClosingIdle)
 	m.End()
 	at(1000, Serving)
 	m.End()
-	m.Begin(2 * time.Second) // a new drain has its own time
+	m.Begin(2 * time.Second) // a new drain has its own start time
 	at(2100, Draining)
 	if since, on := m.Since(); since != 2*time.Second || !on {
-		t.Errorf("since %v, %v", since, on)
+		t.Errorf("Since() = %v, %v, want 2s, true", since, on)
 	}
-	// All ends long before the front wants it: 4 s, less 2 s in which no request may come.
-	if idleAfter > 1500*time.Millisecond {
-		t.Errorf("idle connections last %v", idleAfter)
+	// The load balancer in front requires all connections closed after 4 s. In 2 s of
+	// these no request may arrive, so the delay has to end well within the other 2 s.
+	if idleCloseDelay > 1500*time.Millisecond {
+		t.Errorf("idle connections are closed after %v, want at most 1.5s", idleCloseDelay)
 	}
 }
--- a/internal/rooms/operating/operating.go
+++ b/internal/rooms/operating/operating.go
@@ -218,7 +218,7 @@
 			return
 		}
 		o.mu.Unlock()
-		if st == drain.Ending {
+		if st == drain.ClosingIdle {
 			o.srv.EndIdle()
 		}
 	}
