--- a/internal/maintenance/maintenance.go
+++ b/internal/maintenance/maintenance.go
@@ -1,7 +1,7 @@
-// Package maintenance holds the servers that operators have taken out by hand, and lays
-// that over the list of servers: one that is out is draining, whatever the list says of
-// it, and one that was called back has just started. It has no I/O, clock or goroutines;
-// whoever hosts it calls it under one lock.
+// Package maintenance keeps the servers that operators have disabled and applies that to
+// the list from discovery: a disabled server that is listed as serving counts as draining,
+// and one that was enabled again counts as just started. It has no I/O, clock or
+// goroutines; its caller serializes all calls.
 package maintenance
 
 import (
@@ -15,111 +15,115 @@
 	"chalkrack/internal/membership"
 )
 
-// Most bounds the servers that may be out at once, and those that are remembered as
-// called back.
-const Most = 4096
+// MaxServers bounds the servers that may be disabled at once, and the servers whose
+// enabling is remembered.
+const MaxServers = 4096
 
-// Why a call is refused.
+// Errors of Disable and Enable. Their texts are part of the answer to the operator.
 var (
-	ErrUnknown = errors.New("no server of this id")
-	ErrMany    = errors.New("too many servers are out")
+	ErrUnknownServer   = errors.New("no server of this id")
+	ErrTooManyDisabled = errors.New("too many servers are out")
 )
 
-// State is what operators have done: what outlives a process.
+// State is the part of a Set that outlives its process.
 type State struct {
-	Out  []string                 `json:"out"`  // sorted
-	Back map[string]time.Duration `json:"back"` // Unix time of the call, by id
+	Disabled  []string                 `json:"out"`  // sorted
+	EnabledAt map[string]time.Duration `json:"back"` // Unix time of the last Enable, by server id
 }
 
-// Set is who is out and what was last heard of all servers.
+// Set holds the disabled servers and the last list of all servers.
 type Set struct {
-	out    map[string]bool
-	back   map[string]time.Duration
-	listed map[string]membership.Entry
+	disabled  map[string]bool
+	enabledAt map[string]time.Duration
+	listed    map[string]membership.Entry
 }
 
-// New returns a Set with nobody out.
+// New returns a Set without disabled servers.
 func New() *Set {
-	return &Set{out: make(map[string]bool), back: make(map[string]time.Duration), listed: make(map[string]membership.Entry)}
+	return &Set{disabled: make(map[string]bool), enabledAt: make(map[string]time.Duration), listed: make(map[string]membership.Entry)}
 }
 
-// Listed takes a list as it came, and returns it as it is used.
-func (s *Set) Listed(l *membership.List) *membership.List {
+// ApplyList takes a list from discovery and returns a copy with the operators' changes
+// applied.
+func (s *Set) ApplyList(l *membership.List) *membership.List {
 	if l.Whole {
 		clear(s.listed)
 	}
-	laid := *l
-	laid.Entries = make([]membership.Entry, len(l.Entries))
-	for n, e := range l.Entries {
+	overlaid := *l
+	overlaid.Entries = make([]membership.Entry, len(l.Entries))
+	for i, e := range l.Entries {
 		if e.State == chalkrack.Gone {
 			delete(s.listed, e.Name)
 		} else {
 			s.listed[e.Name] = e
 		}
-		laid.Entries[n] = s.lay(e)
+		overlaid.Entries[i] = s.overlay(e)
 	}
-	return &laid
+	return &overlaid
 }
 
-// lay is an entry as it is used.
-func (s *Set) lay(e membership.Entry) membership.Entry {
-	if s.out[e.Name] && e.State == chalkrack.Serving {
+// overlay returns an entry of the list with the operators' changes applied.
+func (s *Set) overlay(e membership.Entry) membership.Entry {
+	if s.disabled[e.Name] && e.State == chalkrack.Serving {
 		e.State = chalkrack.Draining
 	}
-	e.Started = max(e.Started, s.back[e.Name])
+	e.Started = max(e.Started, s.enabledAt[e.Name])
 	return e
 }
 
-// Disable takes a server out. The list that it returns is what changes, nil for nothing.
+// Disable disables a listed server. It returns the list of what changes, nil if nothing
+// does.
 func (s *Set) Disable(id string) (*membership.List, error) {
 	switch _, listed := s.listed[id]; {
-	case s.out[id]:
+	case s.disabled[id]:
 		return nil, nil
 	case !listed:
-		return nil, ErrUnknown
-	case len(s.out) >= Most:
-		return nil, ErrMany
+		return nil, ErrUnknownServer
+	case len(s.disabled) >= MaxServers:
+		return nil, ErrTooManyDisabled
 	}
-	s.out[id] = true
-	return s.change(id), nil
+	s.disabled[id] = true
+	return s.changedList(id), nil
 }
 
-// Enable calls a server back, at a time since 1970. One that is out can be called back
-// also where the list does not name it.
+// Enable enables a server again; now is the time since 1970. A disabled server can be
+// enabled even if it is not listed. Enable returns the list of what changes, nil if nothing
+// does.
 func (s *Set) Enable(id string, now time.Duration) (*membership.List, error) {
-	if !s.out[id] {
+	if !s.disabled[id] {
 		if _, listed := s.listed[id]; !listed {
-			return nil, ErrUnknown
+			return nil, ErrUnknownServer
 		}
 		return nil, nil
 	}
-	delete(s.out, id)
-	s.came(id, now)
-	return s.change(id), nil
+	delete(s.disabled, id)
+	s.recordEnabled(id, now)
+	return s.changedList(id), nil
 }
 
-// came remembers a return. Past Most the oldest is forgotten, which by then is warm.
-func (s *Set) came(id string, at time.Duration) {
-	s.back[id] = max(at, s.back[id])
-	if len(s.back) <= Most {
+// recordEnabled remembers when a server was enabled. Beyond MaxServers it forgets the
+// server enabled longest ago, which is warm by then.
+func (s *Set) recordEnabled(id string, at time.Duration) {
+	s.enabledAt[id] = max(at, s.enabledAt[id])
+	if len(s.enabledAt) <= MaxServers {
 		return
 	}
 	oldest := id
-	for other, at := range s.back {
-		if at < s.back[oldest] {
+	for other, at := range s.enabledAt {
+		if at < s.enabledAt[oldest] {
 			oldest = other
 		}
 	}
-	delete(s.back, oldest)
+	delete(s.enabledAt, oldest)
 }
 
-// change is the list that tells of servers, as they are used now; nil where none is
-// listed.
-func (s *Set) change(ids ...string) *membership.List {
+// changedList returns a partial list of the given servers with the operators' changes
+// applied, nil if none of them is listed.
+func (s *Set) changedList(ids ...string) *membership.List {
 	l := &membership.List{}
 	for _, id := range ids {
 		if e, ok := s.listed[id]; ok {
-			l.Entries = append(l.Entries, s.lay(e))
+			l.Entries = append(l.Entries, s.overlay(e))
 		}
 	}
 	if len(l.Entries) == 0 {
@@ -128,53 +132,54 @@
 	return l
 }
 
-// State is what has been done so far.
+// State returns a copy of the operators' changes.
 func (s *Set) State() State {
-	return State{Out: slices.Sorted(maps.Keys(s.out)), Back: maps.Clone(s.back)}
+	return State{Disabled: slices.Sorted(maps.Keys(s.disabled)), EnabledAt: maps.Clone(s.enabledAt)}
 }
 
-// Adopt goes on from what another process of the same sidecar has done: who is out is as
-// it says, and returns add up. The list is what changes, nil for nothing.
+// Adopt takes over the state of another process of the same sidecar: the disabled servers
+// are replaced, the enabling times are merged. It returns the list of what changes, nil if
+// nothing does.
 func (s *Set) Adopt(st State) *membership.List {
 	var changed []string
-	out := make(map[string]bool, len(st.Out))
-	for _, id := range st.Out[:min(len(st.Out), Most)] {
-		if out[id] = true; !s.out[id] {
+	disabled := make(map[string]bool, len(st.Disabled))
+	for _, id := range st.Disabled[:min(len(st.Disabled), MaxServers)] {
+		if disabled[id] = true; !s.disabled[id] {
 			changed = append(changed, id)
 		}
 	}
-	for id := range s.out {
-		if !out[id] {
+	for id := range s.disabled {
+		if !disabled[id] {
 			changed = append(changed, id)
 		}
 	}
-	s.out = out
-	for id, at := range st.Back {
-		if at > s.back[id] {
-			s.came(id, at)
+	s.disabled = disabled
+	for id, at := range st.EnabledAt {
+		if at > s.enabledAt[id] {
+			s.recordEnabled(id, at)
 			if !slices.Contains(changed, id) {
 				changed = append(changed, id)
 			}
 		}
 	}
 	slices.Sort(changed)
-	return s.change(changed...)
+	return s.changedList(changed...)
 }
 
-// List is the whole list as it came, by name.
+// List returns the entries of the whole list as discovery gave them, sorted by name.
 func (s *Set) List() []membership.Entry {
 	return slices.SortedFunc(maps.Values(s.listed), func(a, b membership.Entry) int { return cmp.Compare(a.Name, b.Name) })
 }
 
-// Discovered is how many servers are on the list.
+// Discovered returns the number of servers on the list.
 func (s *Set) Discovered() int { return len(s.listed) }
 
-// Out says whether a listed server is out by hand.
-func (s *Set) Out(id string) bool { return s.out[id] }
+// IsDisabled reports whether operators have disabled a server.
+func (s *Set) IsDisabled(id string) bool { return s.disabled[id] }
 
-// OutListed is how many listed servers are out by hand.
-func (s *Set) OutListed() (n int) {
-	for id := range s.out {
+// DisabledCount returns the number of listed servers that are disabled.
+func (s *Set) DisabledCount() (n int) {
+	for id := range s.disabled {
 		if _, ok := s.listed[id]; ok {
 			n++
 		}
--- a/internal/maintenance/maintenance_test.go
+++ b/internal/maintenance/maintenance_test.go
@@ -17,7 +17,7 @@
 	return membership.Entry{Endpoint: chalkrack.Endpoint{Name: name, State: state, Started: 5}, Address: "h:1"}
 }
 
-func whole(names ...string) *membership.List {
+func wholeList(names ...string) *membership.List {
 	l := &membership.List{Whole: true}
 	for _, n := range names {
 		l.Entries = append(l.Entries, entry(n, chalkrack.Serving))
@@ -25,10 +25,10 @@
 	return l
 }
 
-func told(t *testing.T, l *membership.List, name string, state chalkrack.State, started time.Duration) {
+func checkEntry(t *testing.T, l *membership.List, name string, state chalkrack.State, started time.Duration) {
 	t.Helper()
 	if l == nil {
-		t.Fatalf("%s: nothing told", name)
+		t.Fatalf("%s: no list of changes", name)
 	}
 	for _, e := range l.Entries {
 		if e.Name == name {
@@ -38,61 +38,63 @@
 			return
 		}
 	}
-	t.Errorf("%s is not told", name)
+	t.Errorf("%s is not in the list", name)
 }
 
-func TestOutAndBack(t *testing.T) {
+// A disabled server stays draining through any list from discovery, and an enabled one
+// stays recently started. Both would be lost if a new list replaced the operators' changes.
+func TestDisableAndEnable(t *testing.T) {
 	s := New()
-	s.Listed(whole("a", "b"))
-	if _, err := s.Disable("c"); !errors.Is(err, ErrUnknown) {
-		t.Errorf("one that nobody has: %v", err)
+	s.ApplyList(wholeList("a", "b"))
+	if _, err := s.Disable("c"); !errors.Is(err, ErrUnknownServer) {
+		t.Errorf("Disable of an unknown server: %v", err)
 	}
-	if _, err := s.Enable("c", 10); !errors.Is(err, ErrUnknown) {
-		t.Errorf("back, one that nobody has: %v", err)
+	if _, err := s.Enable("c", 10); !errors.Is(err, ErrUnknownServer) {
+		t.Errorf("Enable of an unknown server: %v", err)
 	}
 	l, err := s.Disable("a")
 	if err != nil {
 		t.Fatal(err)
 	}
-	told(t, l, "a", chalkrack.Draining, 5)
+	checkEntry(t, l, "a", chalkrack.Draining, 5)
 	if l, err := s.Disable("a"); l != nil || err != nil {
-		t.Errorf("a second call: %v, %v", l, err)
+		t.Errorf("second Disable: %v, %v", l, err)
 	}
-	// Whatever discovery says: gone, back under the same id, and up.
-	s.Listed(&membership.List{Entries: []membership.Entry{entry("a", chalkrack.Gone)}})
-	if s.OutListed() != 0 || s.Discovered() != 1 {
-		t.Errorf("%d out, %d listed", s.OutListed(), s.Discovered())
+	// The server leaves the list, is listed again under its id, and is serving.
+	s.ApplyList(&membership.List{Entries: []membership.Entry{entry("a", chalkrack.Gone)}})
+	if s.DisabledCount() != 0 || s.Discovered() != 1 {
+		t.Errorf("%d disabled, %d listed, want 0 and 1", s.DisabledCount(), s.Discovered())
 	}
-	told(t, s.Listed(&membership.List{Entries: []membership.Entry{entry("a", chalkrack.Serving)}}), "a", chalkrack.Draining, 5)
-	told(t, s.Listed(whole("a", "b")), "a", chalkrack.Draining, 5)
-	told(t, s.Listed(whole("a", "b")), "b", chalkrack.Serving, 5)
+	checkEntry(t, s.ApplyList(&membership.List{Entries: []membership.Entry{entry("a", chalkrack.Serving)}}), "a", chalkrack.Draining, 5)
+	checkEntry(t, s.ApplyList(wholeList("a", "b")), "a", chalkrack.Draining, 5)
+	checkEntry(t, s.ApplyList(wholeList("a", "b")), "b", chalkrack.Serving, 5)
 	if l, err = s.Enable("a", 100); err != nil {
 		t.Fatal(err)
 	}
-	told(t, l, "a", chalkrack.Serving, 100)
-	told(t, s.Listed(whole("a", "b")), "a", chalkrack.Serving, 100) // still cold by the next list
+	checkEntry(t, l, "a", chalkrack.Serving, 100)
+	checkEntry(t, s.ApplyList(wholeList("a", "b")), "a", chalkrack.Serving, 100) // still cold after the next list
 	if l, err := s.Enable("a", 200); l != nil || err != nil {
-		t.Errorf("a second call back: %v, %v", l, err)
+		t.Errorf("second Enable: %v, %v", l, err)
 	}
-	// One that left the list while it was out.
+	// A server that leaves the list while it is disabled.
 	if _, err := s.Disable("b"); err != nil {
 		t.Fatal(err)
 	}
-	s.Listed(whole("a"))
+	s.ApplyList(wholeList("a"))
 	if l, err := s.Enable("b", 300); l != nil || err != nil {
-		t.Errorf("back, unlisted: %v, %v", l, err)
+		t.Errorf("Enable of an unlisted server: %v, %v", l, err)
 	}
-	told(t, s.Listed(whole("b")), "b", chalkrack.Serving, 300)
+	checkEntry(t, s.ApplyList(wholeList("b")), "b", chalkrack.Serving, 300)
 }
 
-// Two processes that adopt each other's state after each call agree, and so do the lists
-// that they hand on.
-func TestTwoAgree(t *testing.T) {
+// Two processes that adopt each other's state after each call have the same state and
+// return the same lists, in any order of calls and of lists from discovery.
+func TestTwoProcessesAgree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		names := []string{"a", "b", "c"}
 		sets := [2]*Set{New(), New()}
 		used := [2]map[string]membership.Entry{{}, {}}
-		take := func(n int, l *membership.List) {
+		deliver := func(n int, l *membership.List) {
 			if l == nil {
 				return
 			}
@@ -106,7 +108,7 @@
 			}
 		}
 		for n := range sets {
-			take(n, sets[n].Listed(whole(names...)))
+			deliver(n, sets[n].ApplyList(wholeList(names...)))
 		}
 		for step := range rapid.IntRange(1, 60).Draw(t, "steps") {
 			n := rapid.IntRange(0, 1).Draw(t, "which")
@@ -117,46 +119,48 @@
 				l, _ = sets[n].Disable(name)
 			case 1:
 				l, _ = sets[n].Enable(name, time.Duration(100+step))
-			case 2: // both hear the same, in their own time
-				list := whole(rapid.SampledFrom([][]string{{"a", "b", "c"}, {"a", "b"}, {"c"}}).Draw(t, "list")...)
-				take(1-n, sets[1-n].Listed(list))
-				l = sets[n].Listed(list)
+			case 2: // both get the same list, one after the other
+				list := wholeList(rapid.SampledFrom([][]string{{"a", "b", "c"}, {"a", "b"}, {"c"}}).Draw(t, "list")...)
+				deliver(1-n, sets[1-n].ApplyList(list))
+				l = sets[n].ApplyList(list)
 			}
-			take(n, l)
-			take(1-n, sets[1-n].Adopt(sets[n].State()))
+			deliver(n, l)
+			deliver(1-n, sets[1-n].Adopt(sets[n].State()))
 			for name, e := range used[n] {
 				if other := used[1-n][name]; other != e {
-					t.Fatalf("%s is %+v at one, %+v at the other", name, e, other)
+					t.Fatalf("%s is %+v in one process, %+v in the other", name, e, other)
 				}
-				if out := slices.Contains(sets[n].State().Out, name); out != (e.State == chalkrack.Draining) {
-					t.Fatalf("%s: out %v, state %d", name, out, e.State)
+				if disabled := slices.Contains(sets[n].State().Disabled, name); disabled != (e.State == chalkrack.Draining) {
+					t.Fatalf("%s: disabled %v, state %d", name, disabled, e.State)
 				}
 			}
 		}
 	})
 }
 
-func TestBounds(t *testing.T) {
+// At most MaxServers servers are disabled or remembered as enabled, however many calls are
+// made. Without the bound the state would grow with each server that is ever disabled.
+func TestMaxServers(t *testing.T) {
 	s := New()
 	var names []string
-	for n := range Most + 1 {
+	for n := range MaxServers + 1 {
 		names = append(names, fmt.Sprint(n))
 	}
-	s.Listed(whole(names...))
-	for _, n := range names[:Most] {
+	s.ApplyList(wholeList(names...))
+	for _, n := range names[:MaxServers] {
 		if _, err := s.Disable(n); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if _, err := s.Disable(names[Most]); !errors.Is(err, ErrMany) {
-		t.Errorf("past the bound: %v", err)
+	if _, err := s.Disable(names[MaxServers]); !errors.Is(err, ErrTooManyDisabled) {
+		t.Errorf("Disable beyond MaxServers: %v", err)
 	}
-	for n, name := range names[:Most] {
+	for n, name := range names[:MaxServers] {
 		s.Enable(name, time.Duration(n+1))
 	}
-	s.Disable(names[Most])
-	s.Enable(names[Most], 9999)
-	if st := s.State(); len(st.Back) != Most || st.Back[names[Most]] != 9999 {
-		t.Errorf("%d remembered", len(st.Back))
+	s.Disable(names[MaxServers])
+	s.Enable(names[MaxServers], 9999)
+	if st := s.State(); len(st.EnabledAt) != MaxServers || st.EnabledAt[names[MaxServers]] != 9999 {
+		t.Errorf("%d servers remembered as enabled, or the last of them is missing", len(st.EnabledAt))
 	}
 }
--- a/internal/rooms/operating/operating.go
+++ b/internal/rooms/operating/operating.go
@@ -85,7 +85,7 @@
 func (o *Operation) Listed(l *membership.List) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.c.Tell(o.set.Listed(l))
+	o.c.Tell(o.set.ApplyList(l))
 }
 
 // Serve says that this process can serve.
@@ -122,7 +122,7 @@
 // Figures implements management.Deeds.
 func (o *Operation) Figures(b []byte) []byte {
 	o.mu.Lock()
-	m := figures.Members{Discovered: o.set.Discovered(), Ejected: o.set.OutListed()}
+	m := figures.Members{Discovered: o.set.Discovered(), Ejected: o.set.DisabledCount()}
 	o.mu.Unlock()
 	m.Ejected += o.c.Host.Ejected()
 	return o.c.Figures.Append(b, m)
