--- a/internal/handover/folder.go
+++ b/internal/handover/folder.go
@@ -15,65 +15,67 @@
 )
 
 const (
-	here    = "here-"   // a process; it holds the file's lock for as long as it lives
-	wants   = "wants-"  // it asks for what others have learnt
-	learnt  = "learnt-" // and this is it
-	unnamed = "new-"    // what is being written
-	done    = "done"    // what operators have done
-	doneKey = "done.lock"
-
-	lockMost = 300 * time.Millisecond
-	askEach  = 10 * time.Millisecond
-	// namesMost bounds what is read of the folder at once.
-	namesMost = 256
+	presencePrefix   = "here-"   // one file per process, locked while the process lives
+	requestPrefix    = "wants-"  // a process requests the learned state
+	answerPrefix     = "learnt-" // the learned state for the process that requested it
+	tempPrefix       = "new-"    // files that are being written
+	operatorFile     = "done"    // the changes that operators made
+	operatorLockFile = "done.lock"
+
+	lockTimeout  = 300 * time.Millisecond
+	pollInterval = 10 * time.Millisecond
+	// maxNames bounds the file names that are read of the folder at once.
+	maxNames = 256
 )
 
-// Folder is one process's hold of the folder. One goroutine uses it at a time.
+// Folder is one process's access to the shared folder. It is not safe for concurrent use.
 type Folder struct {
-	dir, me string
-	lock    *os.File
-	seen    os.FileInfo // of done, as it was read or written last
+	dir, id      string
+	presence     *os.File
+	operatorInfo os.FileInfo // of operatorFile when it was last read or written
 }
 
-// Open enters a folder, which is made if need be. What dead processes left of themselves
-// is removed.
+// Open registers this process in a folder, which it creates if needed. It removes stale
+// files that killed processes were writing.
 func Open(dir string) (*Folder, error) {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, fmt.Errorf("handover: %w", err)
 	}
 	var id [8]byte
 	rand.Read(id[:])
-	f := &Folder{dir: dir, me: fmt.Sprintf("%d-%s", os.Getpid(), hex.EncodeToString(id[:]))}
-	// Locked before others see it: guards against being taken for dead meanwhile.
-	own := f.path(unnamed + f.me)
-	lock, err := os.OpenFile(own, os.O_RDWR|os.O_CREATE|os.O_EXCL|syscall.O_CLOEXEC, 0o600)
+	f := &Folder{dir: dir, id: fmt.Sprintf("%d-%s", os.Getpid(), hex.EncodeToString(id[:]))}
+	// The file is locked before it gets the name that others look for. Otherwise they could
+	// take this process for dead in between.
+	tempPath := f.path(tempPrefix + f.id)
+	lock, err := os.OpenFile(tempPath, os.O_RDWR|os.O_CREATE|os.O_EXCL|syscall.O_CLOEXEC, 0o600)
 	if err != nil {
 		return nil, fmt.Errorf("handover: %w", err)
 	}
 	if err = syscall.Flock(int(lock.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err == nil {
-		err = os.Rename(own, f.path(here+f.me))
+		err = os.Rename(tempPath, f.path(presencePrefix+f.id))
 	}
 	if err != nil {
 		lock.Close()
-		os.Remove(own)
+		os.Remove(tempPath)
 		return nil, fmt.Errorf("handover: %w", err)
 	}
-	f.lock = lock
-	f.tidy()
+	f.presence = lock
+	f.removeStale()
 	return f, nil
 }
 
-// leftAfter is when a file that was never renamed was left by a process that was killed.
-const leftAfter = time.Minute
+// staleAfter is the age from which a temporary file counts as left by a killed process.
+const staleAfter = time.Minute
 
-// tidy removes such files. Guards against a folder that fills with them, until those who
-// live are not seen among the names.
-func (f *Folder) tidy() {
+// removeStale removes temporary files that are older than staleAfter. Otherwise they could
+// pile up until the files of living processes are not among the maxNames names that are
+// read.
+func (f *Folder) removeStale() {
 	for _, name := range f.names() {
-		if !strings.HasPrefix(name, unnamed) {
+		if !strings.HasPrefix(name, tempPrefix) {
 			continue
 		}
-		if info, err := os.Lstat(f.path(name)); err == nil && time.Since(info.ModTime()) > leftAfter {
+		if info, err := os.Lstat(f.path(name)); err == nil && time.Since(info.ModTime()) > staleAfter {
 			os.Remove(f.path(name))
 		}
 	}
@@ -81,12 +83,12 @@
 
 func (f *Folder) path(name string) string { return filepath.Join(f.dir, name) }
 
-// Close leaves the folder.
+// Close removes this process's files from the folder and releases its lock.
 func (f *Folder) Close() {
-	for _, kind := range []string{here, wants, learnt} {
-		os.Remove(f.path(kind + f.me))
+	for _, kind := range []string{presencePrefix, requestPrefix, answerPrefix} {
+		os.Remove(f.path(kind + f.id))
 	}
-	f.lock.Close()
+	f.presence.Close()
 }
 
 func (f *Folder) names() []string {
@@ -95,28 +97,28 @@
 		return nil
 	}
 	defer d.Close()
-	names, _ := d.Readdirnames(namesMost)
+	names, _ := d.Readdirnames(maxNames)
 	return names
 }
 
-// Around is who else is here: how many other processes live, and which of them ask for
-// what this one has learnt.
-func (f *Folder) Around() (others int, asking []string) {
+// Processes returns the number of other living processes and the ids of those that request
+// the learned state. It removes the files of dead processes.
+func (f *Folder) Processes() (others int, requesting []string) {
 	for _, name := range f.names() {
-		if id, ok := strings.CutPrefix(name, here); ok && id != f.me && f.lives(id) {
+		if id, ok := strings.CutPrefix(name, presencePrefix); ok && id != f.id && f.isAlive(id) {
 			others++
 		}
-		if id, ok := strings.CutPrefix(name, wants); ok && id != f.me {
-			asking = append(asking, id)
+		if id, ok := strings.CutPrefix(name, requestPrefix); ok && id != f.id {
+			requesting = append(requesting, id)
 		}
 	}
-	return others, asking
+	return others, requesting
 }
 
-// lives says whether a process holds its lock. One that does not is dead, however it
-// ended, and its files go.
-func (f *Folder) lives(id string) bool {
-	file, err := os.OpenFile(f.path(here+id), os.O_RDWR|syscall.O_NOFOLLOW|syscall.O_CLOEXEC, 0)
+// isAlive reports whether a process holds its lock. A process without it is dead, whether
+// it ended or was killed, and isAlive removes its files.
+func (f *Folder) isAlive(id string) bool {
+	file, err := os.OpenFile(f.path(presencePrefix+id), os.O_RDWR|syscall.O_NOFOLLOW|syscall.O_CLOEXEC, 0)
 	if err != nil {
 		return false
 	}
@@ -124,26 +126,26 @@
 	if err := syscall.Flock(int(file.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err != nil {
 		return errors.Is(err, syscall.EWOULDBLOCK)
 	}
-	for _, kind := range []string{here, wants, learnt} {
+	for _, kind := range []string{presencePrefix, requestPrefix, answerPrefix} {
 		os.Remove(f.path(kind + id))
 	}
 	return false
 }
 
-// Ask asks the others for what they have learnt, into v, and waits so long for it.
-// os.ErrDeadlineExceeded says that nobody answered.
-func (f *Folder) Ask(v any, wait time.Duration) error {
-	ask, answer := f.path(wants+f.me), f.path(learnt+f.me)
-	if err := os.WriteFile(ask, nil, 0o600); err != nil {
+// RequestState requests the learned state of another process and decodes it into v. It
+// blocks for up to wait, and returns os.ErrDeadlineExceeded if no process answers.
+func (f *Folder) RequestState(v any, wait time.Duration) error {
+	requestPath, answerPath := f.path(requestPrefix+f.id), f.path(answerPrefix+f.id)
+	if err := os.WriteFile(requestPath, nil, 0o600); err != nil {
 		return fmt.Errorf("handover: %w", err)
 	}
-	defer os.Remove(answer)
-	defer os.Remove(ask)
-	for end := time.Now().Add(wait); ; time.Sleep(askEach) {
-		data, err := read(answer)
+	defer os.Remove(answerPath)
+	defer os.Remove(requestPath)
+	for end := time.Now().Add(wait); ; time.Sleep(pollInterval) {
+		data, err := readFile(answerPath)
 		switch {
 		case err == nil:
-			return Decode(learnt, data, v)
+			return Decode(answerPrefix, data, v)
 		case !errors.Is(err, os.ErrNotExist):
 			return err
 		case time.Now().After(end):
@@ -152,39 +154,40 @@
 	}
 }
 
-// Tell answers one who asks.
-func (f *Folder) Tell(who string, v any) error {
-	data, err := Encode(learnt, v)
+// SendState answers the request of process id with v.
+func (f *Folder) SendState(id string, v any) error {
+	data, err := Encode(answerPrefix, v)
 	if err == nil {
-		err = f.put(learnt+who, data)
+		err = f.writeFile(answerPrefix+id, data)
 	}
-	os.Remove(f.path(wants + who)) // also where nothing can be told
+	os.Remove(f.path(requestPrefix + id)) // also if the state could not be written
 	return err
 }
 
-// Done reads what operators have done, into v; false if that is as this process last
-// read or wrote it. What can't be used is logged, and nothing.
-func (f *Folder) Done(v any) bool {
-	info, err := os.Stat(f.path(done))
-	if err != nil || f.seen != nil && os.SameFile(info, f.seen) && info.ModTime().Equal(f.seen.ModTime()) {
+// ReadOperatorState reads the changes that operators made into v. It returns false if they
+// are as this process last read or wrote them, or if the file can't be used, which is
+// logged.
+func (f *Folder) ReadOperatorState(v any) bool {
+	info, err := os.Stat(f.path(operatorFile))
+	if err != nil || f.operatorInfo != nil && os.SameFile(info, f.operatorInfo) && info.ModTime().Equal(f.operatorInfo.ModTime()) {
 		return false
 	}
-	f.seen = info
-	data, err := read(f.path(done))
+	f.operatorInfo = info
+	data, err := readFile(f.path(operatorFile))
 	if err == nil {
-		err = Decode(done, data, v)
+		err = Decode(operatorFile, data, v)
 	}
 	if err != nil {
-		slog.Error("what operators have done can't be read: it is passed over", "err", err)
+		slog.Error("handover: operators' changes can't be read and are ignored", "err", err)
 	}
 	return err == nil
 }
 
-// Change has do make changes that no other process makes meanwhile, and writes down what
-// it returns. do runs also where the others can't be kept out or nothing can be written:
-// the error says so.
-func (f *Folder) Change(do func() (v any, ok bool)) error {
-	lock, lockErr := f.exclude()
+// UpdateOperatorState runs do under the lock that all processes share, and writes the value
+// it returns unless ok is false. do runs even if the lock can't be taken within lockTimeout
+// or nothing can be written; UpdateOperatorState then returns an error.
+func (f *Folder) UpdateOperatorState(do func() (v any, ok bool)) error {
+	lock, lockErr := f.lockOperatorFile()
 	if lockErr == nil {
 		defer lock.Close()
 	}
@@ -192,23 +195,23 @@
 	if !ok {
 		return nil
 	}
-	data, err := Encode(done, v)
+	data, err := Encode(operatorFile, v)
 	if err == nil {
-		err = f.put(done, data)
+		err = f.writeFile(operatorFile, data)
 	}
 	if err != nil {
 		return err
 	}
-	f.seen, _ = os.Stat(f.path(done))
+	f.operatorInfo, _ = os.Stat(f.path(operatorFile))
 	return lockErr
 }
 
-func (f *Folder) exclude() (*os.File, error) {
-	lock, err := os.OpenFile(f.path(doneKey), os.O_RDWR|os.O_CREATE|syscall.O_NOFOLLOW|syscall.O_CLOEXEC, 0o600)
+func (f *Folder) lockOperatorFile() (*os.File, error) {
+	lock, err := os.OpenFile(f.path(operatorLockFile), os.O_RDWR|os.O_CREATE|syscall.O_NOFOLLOW|syscall.O_CLOEXEC, 0o600)
 	if err != nil {
 		return nil, fmt.Errorf("handover: %w", err)
 	}
-	for end := time.Now().Add(lockMost); ; time.Sleep(askEach) {
+	for end := time.Now().Add(lockTimeout); ; time.Sleep(pollInterval) {
 		if err = syscall.Flock(int(lock.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err == nil {
 			return lock, nil
 		}
@@ -219,10 +222,11 @@
 	}
 }
 
-// put writes a file whole or not at all: a process killed meanwhile leaves none of it
-// under its name. It need not outlive the machine, so nothing is synced.
-func (f *Folder) put(name string, data []byte) error {
-	tmp := f.path(unnamed + f.me + "-" + name)
+// writeFile writes a file atomically: a process that is killed meanwhile leaves no partial
+// file under the name. The file does not need to survive a crash of the machine, so it is
+// not synced.
+func (f *Folder) writeFile(name string, data []byte) error {
+	tmp := f.path(tempPrefix + f.id + "-" + name)
 	err := os.WriteFile(tmp, data, 0o600)
 	if err == nil {
 		err = os.Rename(tmp, f.path(name))
@@ -234,13 +238,13 @@
 	return nil
 }
 
-func read(path string) ([]byte, error) {
+func readFile(path string) ([]byte, error) {
 	file, err := os.OpenFile(path, os.O_RDONLY|syscall.O_NOFOLLOW|syscall.O_NONBLOCK, 0)
 	if err != nil {
 		return nil, err
 	}
 	defer file.Close()
-	data, err := io.ReadAll(io.LimitReader(file, Most+1))
+	data, err := io.ReadAll(io.LimitReader(file, MaxFileBytes+1))
 	if err != nil {
 		return nil, err
 	}
--- a/internal/rooms/operating/handover.go
+++ b/internal/rooms/operating/handover.go
@@ -55,7 +55,7 @@
 	o.folder = f
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.others, _ = f.Around()
+	o.others, _ = f.Processes()
 	o.heed()
 }
 
@@ -68,7 +68,7 @@
 	if o.others > 0 {
 		var l learnt
 		began := time.Now()
-		if err := o.folder.Ask(&l, learntMost); err != nil {
+		if err := o.folder.RequestState(&l, learntMost); err != nil {
 			slog.Warn("nothing learnt from the process before", "err", err)
 		} else {
 			if len(l.List) > 0 {
@@ -98,7 +98,7 @@
 			o.mu.Unlock()
 			return
 		}
-		others, asking := o.folder.Around()
+		others, asking := o.folder.Processes()
 		if others != o.others {
 			slog.Info("processes of this sidecar", "others", others)
 			o.others = others
@@ -111,7 +111,7 @@
 				if o.c.Zones != nil {
 					l.Zones = o.c.Zones.State()
 				}
-				if err := o.folder.Tell(who, l); err != nil {
+				if err := o.folder.SendState(who, l); err != nil {
 					slog.Error("what was learnt can't be told", "err", err)
 				}
 			}
@@ -123,7 +123,7 @@
 // heed takes up what operators told other processes. It is called with the lock held.
 func (o *Operation) heed() {
 	var d done
-	if !o.folder.Done(&d) {
+	if !o.folder.ReadOperatorState(&d) {
 		return
 	}
 	if l := o.set.Adopt(d.State); l != nil {
@@ -143,7 +143,7 @@
 	if o.folder == nil {
 		return do()
 	}
-	unwritten := o.folder.Change(func() (any, bool) {
+	unwritten := o.folder.UpdateOperatorState(func() (any, bool) {
 		o.heed()
 		if err = do(); err != nil {
 			return nil, false
