--- a/internal/figures/figures.go
+++ b/internal/figures/figures.go
@@ -1,6 +1,7 @@
-// Package figures counts what operators are told of a sidecar: how each request ended,
-// by its class, and how many attempts went out whole. Each request is counted once, in
-// one place, whichever way it ends. All of it is atomic: reading waits for nobody.
+// Package figures holds the counters that a sidecar reports to operators: how the requests
+// of each class ended, and how many attempts were sent completely. Each request is counted
+// once, at one place, whichever way it ends. All counters are atomic: reading them never
+// blocks.
 package figures
 
 import (
@@ -12,103 +13,105 @@
 type End uint32
 
 const (
-	Succeeded End = iota // an answer of a server's went out whole
-	Declined             // turned away: trying again is harmless
-	Aborted              // any other end that its client was told, or could see
-	Left                 // its client had left before
-	ends
+	Succeeded End = iota // a server's answer was sent completely
+	Declined             // turned away; a retry is harmless
+	Aborted              // any other end that the client was told or could see
+	Left                 // the client had left before the end
+	endCount
 )
 
-// Figures are those of one process. It holds a few numbers for each class.
+// Figures holds the counters of one process, a few for each class.
 type Figures struct {
-	names   []string
-	places  map[string]int
-	counts  [][ends]atomic.Int64
-	taken   atomic.Int64
-	ended   atomic.Int64
-	forward atomic.Int64
-	// Configurations read at SIGHUP: those taken, and those not.
-	applied, rejected atomic.Int64
+	classes    []string
+	classIndex map[string]int
+	counts     [][endCount]atomic.Int64
+	accepted   atomic.Int64
+	ended      atomic.Int64
+	forwarded  atomic.Int64
+	// Configurations that were read at a SIGHUP and applied or rejected.
+	reloadsApplied, reloadsRejected atomic.Int64
 }
 
-// New counts for classes of these names.
+// New returns Figures for the classes of these names.
 func New(classes []string) *Figures {
-	f := &Figures{names: classes, places: make(map[string]int, len(classes)), counts: make([][ends]atomic.Int64, len(classes))}
+	f := &Figures{classes: classes, classIndex: make(map[string]int, len(classes)), counts: make([][endCount]atomic.Int64, len(classes))}
 	for n, name := range classes {
-		f.places[name] = n
+		f.classIndex[name] = n
 	}
 	return f
 }
 
-// Request is one request that counts. The zero Request counts nowhere, so that its
-// methods may always be called.
+// Request is the counting state of one request. The zero Request counts nowhere, so that
+// its methods may always be called.
 type Request struct {
 	f     *Figures
 	class int
-	over  atomic.Bool
+	ended atomic.Bool
 }
 
-// Take counts a request as taken, if there is such a class. It is called before the
-// request may end, and once for r.
+// Take counts r as accepted, unless the class is unknown or r was counted before. It has to
+// be called before the request may end. A nil Figures counts nothing.
 func (f *Figures) Take(r *Request, class string) {
 	if f == nil || r.f != nil {
 		return
 	}
-	if n, ok := f.places[class]; ok {
+	if n, ok := f.classIndex[class]; ok {
 		r.f, r.class = f, n
-		f.taken.Add(1)
+		f.accepted.Add(1)
 	}
 }
 
-// Over counts the end of r. Only the first call counts.
+// Over counts the end of r. Calls after the first do nothing.
 func (r *Request) Over(how End) {
-	if r.f != nil && r.over.CompareAndSwap(false, true) {
+	if r.f != nil && r.ended.CompareAndSwap(false, true) {
 		r.f.counts[r.class][how].Add(1)
 		r.f.ended.Add(1)
 	}
 }
 
-// Forwarded counts an attempt whose last byte was written to its server.
+// Forwarded counts an attempt whose last byte was written to its server. A nil Figures
+// counts nothing.
 func (f *Figures) Forwarded() {
 	if f != nil {
-		f.forward.Add(1)
+		f.forwarded.Add(1)
 	}
 }
 
-// Read counts a configuration that was read at a SIGHUP.
-func (f *Figures) Read(taken bool) {
+// Read counts a configuration that was read at a SIGHUP, and whether it was applied. A nil
+// Figures counts nothing.
+func (f *Figures) Read(applied bool) {
 	switch {
 	case f == nil:
-	case taken:
-		f.applied.Add(1)
+	case applied:
+		f.reloadsApplied.Add(1)
 	default:
-		f.rejected.Add(1)
+		f.reloadsRejected.Add(1)
 	}
 }
 
-// Outstanding is how many requests were taken and have not ended.
+// Outstanding returns the number of requests that were accepted and have not ended.
 func (f *Figures) Outstanding() int64 {
-	ended := f.ended.Load() // first: what is taken in between must not go below 0
-	return f.taken.Load() - ended
+	ended := f.ended.Load() // first, so that the difference can't be negative
+	return f.accepted.Load() - ended
 }
 
-// Count is how many requests of a class ended so.
+// Count returns the number of requests of a class with this end, 0 for an unknown class.
 func (f *Figures) Count(class string, how End) int64 {
-	if n, ok := f.places[class]; ok {
+	if n, ok := f.classIndex[class]; ok {
 		return f.counts[n][how].Load()
 	}
 	return 0
 }
 
-// Members are the figures of the server list.
-type Members struct {
+// ServerCounts are the counters of the server list.
+type ServerCounts struct {
 	Discovered int // on the list
-	Ejected    int // of these, avoided by hand or by choice
+	Ejected    int // of these, disabled by operators or ejected by the balancer
 }
 
-// Append appends the figures, a line each, as name=value.
-func (f *Figures) Append(b []byte, m Members) []byte {
-	line := func(name, class string, v int64) {
+// Append appends the counters and m to b, one line name=value each.
+func (f *Figures) Append(b []byte, m ServerCounts) []byte {
+	appendLine := func(name, class string, v int64) {
 		b = append(b, "balancer."...)
 		b = append(b, name...)
 		if class != "" {
@@ -119,15 +122,15 @@
 		b = append(strconv.AppendInt(b, v, 10), '\n')
 	}
 	for how, name := range [...]string{"succeeded", "declined", "aborted"} {
-		for n, class := range f.names {
-			line(name, class, f.counts[n][how].Load())
+		for n, class := range f.classes {
+			appendLine(name, class, f.counts[n][how].Load())
 		}
 	}
-	line("forwards", "", f.forward.Load())
-	line("outstanding", "", f.Outstanding())
-	line("discovered", "", int64(m.Discovered))
-	line("ejected", "", int64(m.Ejected))
-	line("sighup_applied", "", f.applied.Load())
-	line("sighup_rejected", "", f.rejected.Load())
+	appendLine("forwards", "", f.forwarded.Load())
+	appendLine("outstanding", "", f.Outstanding())
+	appendLine("discovered", "", int64(m.Discovered))
+	appendLine("ejected", "", int64(m.Ejected))
+	appendLine("sighup_applied", "", f.reloadsApplied.Load())
+	appendLine("sighup_rejected", "", f.reloadsRejected.Load())
 	return b
 }
--- a/internal/figures/figures_test.go
+++ b/internal/figures/figures_test.go
@@ -8,51 +8,52 @@
 	"pgregory.net/rapid"
 )
 
-// Over random lives each request that was taken is counted at one end, or is outstanding.
-func TestEachRequestOnce(t *testing.T) {
+// In any order of calls each accepted request has exactly one end or is outstanding. It
+// would be counted twice if a second Take or Over had an effect.
+func TestEachRequestIsCountedOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		classes := []string{"a", "b"}
 		f := New(classes)
 		var open []*Request
-		taken := 0
+		accepted := 0
 		for range rapid.IntRange(0, 200).Draw(t, "steps") {
 			switch rapid.IntRange(0, 3).Draw(t, "step") {
 			case 0, 1:
 				r := new(Request)
 				class := rapid.SampledFrom([]string{"a", "b", "none"}).Draw(t, "class")
 				f.Take(r, class)
-				f.Take(r, "a") // once only
+				f.Take(r, "a") // has no effect
 				if class != "none" || r.f != nil {
-					taken++
+					accepted++
 				}
 				open = append(open, r)
 			case 2:
 				if len(open) > 0 {
 					r := open[0]
-					r.Over(End(rapid.IntRange(0, int(ends)-1).Draw(t, "how")))
-					r.Over(Succeeded) // counts no more
+					r.Over(End(rapid.IntRange(0, int(endCount)-1).Draw(t, "how")))
+					r.Over(Succeeded) // has no effect
 					open = open[1:]
 				}
 			case 3:
-				new(Request).Over(Aborted) // never taken
+				new(Request).Over(Aborted) // never accepted
 			}
 			sum := f.Outstanding()
 			for _, c := range classes {
-				for how := range ends {
+				for how := range endCount {
 					sum += f.Count(c, how)
 				}
 			}
-			if sum != int64(taken) {
-				t.Fatalf("%d counted of %d taken", sum, taken)
+			if sum != int64(accepted) {
+				t.Fatalf("%d requests counted, %d accepted", sum, accepted)
 			}
 			if f.Outstanding() < 0 {
-				t.Fatal("less than none outstanding")
+				t.Fatal("negative number of outstanding requests")
 			}
 		}
 	})
 }
 
-func TestForm(t *testing.T) {
+func TestAppendFormat(t *testing.T) {
 	f := New([]string{"activate", "status-check"})
 	var r, left Request
 	f.Take(&r, "activate")
@@ -62,14 +63,14 @@
 	f.Read(true)
 	f.Read(false)
 	f.Read(false)
-	got := string(f.Append(nil, Members{Discovered: 7, Ejected: 2}))
+	got := string(f.Append(nil, ServerCounts{Discovered: 7, Ejected: 2}))
 	for _, want := range []string{"succeeded.activate=0", "declined.activate=1", "aborted.status-check=0", "forwards=1", "outstanding=1", "discovered=7", "ejected=2", "sighup_applied=1", "sighup_rejected=2"} {
 		if !strings.Contains(got, fmt.Sprintf("balancer.%s\n", want)) {
-			t.Errorf("no %s in\n%s", want, got)
+			t.Errorf("line %s is missing in\n%s", want, got)
 		}
 	}
-	var none *Figures
-	none.Take(new(Request), "activate") // nobody counts
+	var none *Figures // methods of nil must not panic
+	none.Take(new(Request), "activate")
 	none.Forwarded()
 	none.Read(true)
 }
--- a/internal/rooms/operating/operating.go
+++ b/internal/rooms/operating/operating.go
@@ -122,7 +122,7 @@
 // Figures implements management.Deeds.
 func (o *Operation) Figures(b []byte) []byte {
 	o.mu.Lock()
-	m := figures.Members{Discovered: o.set.Discovered(), Ejected: o.set.DisabledCount()}
+	m := figures.ServerCounts{Discovered: o.set.Discovered(), Ejected: o.set.DisabledCount()}
 	o.mu.Unlock()
 	m.Ejected += o.c.Host.Ejected()
 	return o.c.Figures.Append(b, m)
