--- a/internal/management/ask.go
+++ b/internal/management/ask.go
@@ -11,45 +11,47 @@
 )
 
 const (
-	askMost     = 5 * time.Second
-	answerBytes = 1 << 20
+	askTimeout     = 5 * time.Second
+	maxAnswerBytes = 1 << 20
 )
 
-// Ask makes a call at a sidecar's management address, and returns what it answers. An
-// answer that begins with NO is ErrRefused.
+// Ask sends one call to a sidecar's management address and returns the answer. It blocks
+// for up to askTimeout. An empty answer, or one that begins with NO, is returned with an
+// error that wraps ErrRefused.
 func Ask(ctx context.Context, addr, line string) (string, error) {
 	if _, err := Parse(line); err != nil {
 		return "", fmt.Errorf("management: %w", err)
 	}
-	ctx, cancel := context.WithTimeout(ctx, askMost)
+	ctx, cancel := context.WithTimeout(ctx, askTimeout)
 	defer cancel()
 	c, err := new(net.Dialer).DialContext(ctx, "tcp", addr)
 	if err != nil {
 		return "", fmt.Errorf("management: %w", err)
 	}
 	defer c.Close()
-	c.SetDeadline(time.Now().Add(askMost))
+	c.SetDeadline(time.Now().Add(askTimeout))
 	if _, err := io.WriteString(c, line+"\n"); err != nil {
 		return "", fmt.Errorf("management: %w", err)
 	}
-	text, err := io.ReadAll(io.LimitReader(c, answerBytes))
+	text, err := io.ReadAll(io.LimitReader(c, maxAnswerBytes))
 	if err != nil {
 		return "", fmt.Errorf("management: %w", err)
 	}
 	return string(text), Refused(string(text))
 }
 
-// ErrRefused is what a call comes to that the sidecar does not do.
+// ErrRefused is wrapped by the error of a call that the sidecar did not carry out.
 var ErrRefused = errors.New("refused")
 
-// Refused is the error of an answer, nil for one that is no refusal.
+// Refused returns an error that wraps ErrRefused if the answer is a refusal or empty, and
+// nil otherwise.
 func Refused(answer string) error {
-	why, no := strings.CutPrefix(strings.TrimSpace(answer), "NO")
+	reason, refused := strings.CutPrefix(strings.TrimSpace(answer), "NO")
 	switch {
 	case answer == "":
 		return fmt.Errorf("management: %w: no answer", ErrRefused)
-	case no:
-		return fmt.Errorf("management: %w:%s", ErrRefused, why)
+	case refused:
+		return fmt.Errorf("management: %w:%s", ErrRefused, reason)
 	}
 	return nil
 }
--- a/internal/management/line.go
+++ b/internal/management/line.go
@@ -1,5 +1,6 @@
-// Package management is where operators call a running sidecar: a line to a connection,
-// an answer, and the end. What the calls do is Deeds'.
+// Package management serves operators' calls to a running sidecar on a TCP address. Each
+// connection carries one line with a call and one answer. An implementation of Deeds
+// carries the calls out.
 package management
 
 import (
@@ -8,7 +9,7 @@
 	"strings"
 )
 
-// Kind is what a call asks for.
+// Kind is the command of a call.
 type Kind int
 
 const (
@@ -20,25 +21,25 @@
 	Undrain
 )
 
-var kinds = map[string]Kind{"READY": Ready, "STATS": Stats, "DISABLE": Disable, "ENABLE": Enable, "DRAIN": Drain, "UNDRAIN": Undrain}
+var kindByName = map[string]Kind{"READY": Ready, "STATS": Stats, "DISABLE": Disable, "ENABLE": Enable, "DRAIN": Drain, "UNDRAIN": Undrain}
 
-// Call is one call.
+// Call is a parsed line.
 type Call struct {
 	Kind Kind
-	ID   string // of a server, for Disable and Enable
+	ID   string // of the server, for Disable and Enable
 }
 
-// lineMost is the longest line of a call, its end included.
-const lineMost = 512
+// maxLineBytes is the length of the longest line of a call, its end included.
+const maxLineBytes = 512
 
-var errLong = errors.New("the line is longer than 512 bytes")
+var errLineTooLong = errors.New("the line is longer than 512 bytes")
 
-// Parse reads a call from its line, without the end of the line. The error is the reason
-// that the caller is told; it repeats nothing of the line.
+// Parse parses the line of a call, without its newline. The error's text is sent to the
+// caller; it repeats nothing that the caller chose.
 func Parse(line string) (Call, error) {
 	line = strings.TrimSuffix(line, "\r")
-	if len(line) >= lineMost {
-		return Call{}, errLong
+	if len(line) >= maxLineBytes {
+		return Call{}, errLineTooLong
 	}
 	for _, c := range []byte(line) {
 		if c < ' ' && c != '\t' || c == 0x7f {
@@ -49,7 +50,7 @@
 	if len(words) == 0 {
 		return Call{}, errors.New("the line is empty")
 	}
-	kind, ok := kinds[words[0]]
+	kind, ok := kindByName[words[0]]
 	if !ok {
 		return Call{}, errors.New("no such call: READY, STATS, DISABLE ID, ENABLE ID, DRAIN, UNDRAIN")
 	}
--- a/internal/management/management_test.go
+++ b/internal/management/management_test.go
@@ -12,35 +12,35 @@
 	"time"
 )
 
-const patience = 30 * time.Second
+const testTimeout = 30 * time.Second
 
-// book writes down what it is asked to do.
-type book struct {
-	mu   sync.Mutex
-	done []string
+// stub implements Deeds and records the calls.
+type stub struct {
+	mu  sync.Mutex
+	ran []string
 }
 
-func (b *book) note(what string) error {
+func (b *stub) record(what string) error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.done = append(b.done, what)
+	b.ran = append(b.ran, what)
 	if strings.HasSuffix(what, " nobody") {
 		return errors.New("no server of this id")
 	}
 	return nil
 }
 
-func (b *book) Ready() bool              { return b.note("ready") == nil }
-func (b *book) Figures(to []byte) []byte { b.note("stats"); return append(to, "x=1\n"...) }
-func (b *book) Disable(id string) error  { return b.note("out " + id) }
-func (b *book) Enable(id string) error   { return b.note("back " + id) }
-func (b *book) Drain() error             { return b.note("drain") }
-func (b *book) Undrain() error           { return b.note("undrain") }
-func (b *book) all() string              { b.mu.Lock(); defer b.mu.Unlock(); return strings.Join(b.done, ", ") }
-func listen(t *testing.T, places int) (*Server, *book) {
+func (b *stub) Ready() bool              { return b.record("ready") == nil }
+func (b *stub) Figures(to []byte) []byte { b.record("stats"); return append(to, "x=1\n"...) }
+func (b *stub) Disable(id string) error  { return b.record("out " + id) }
+func (b *stub) Enable(id string) error   { return b.record("back " + id) }
+func (b *stub) Drain() error             { return b.record("drain") }
+func (b *stub) Undrain() error           { return b.record("undrain") }
+func (b *stub) list() string             { b.mu.Lock(); defer b.mu.Unlock(); return strings.Join(b.ran, ", ") }
+func listen(t *testing.T, maxConns int) (*Server, *stub) {
 	t.Helper()
-	b := new(book)
-	s, err := Listen("127.0.0.1:0", places, b)
+	b := new(stub)
+	s, err := Listen("127.0.0.1:0", maxConns, b)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -48,14 +48,14 @@
 	return s, b
 }
 
-func call(t *testing.T, s *Server, line string) string {
+func sendLine(t *testing.T, s *Server, line string) string {
 	t.Helper()
 	c, err := net.Dial("tcp", s.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer c.Close()
-	c.SetDeadline(time.Now().Add(patience))
+	c.SetDeadline(time.Now().Add(testTimeout))
 	io.WriteString(c, line)
 	text, err := io.ReadAll(c)
 	if err != nil {
@@ -64,7 +64,7 @@
 	return string(text)
 }
 
-func TestCalls(t *testing.T) {
+func TestCallsAndAnswers(t *testing.T) {
 	s, b := listen(t, 4)
 	for _, c := range []struct{ line, answer, done string }{
 		{"READY\n", "YES\n", "ready"},
@@ -83,49 +83,50 @@
 		{"READY now\n", "NO READY takes 0 words", ""},
 		{"\x00\xff\x01\n", "NO the line has bytes", ""},
 		{strings.Repeat("A", 5000), "NO the line is longer", ""},
-		{"DISABLE " + strings.Repeat("A", lineMost) + "\n", "NO the line is longer", ""},
+		{"DISABLE " + strings.Repeat("A", maxLineBytes) + "\n", "NO the line is longer", ""},
 	} {
 		b.mu.Lock()
-		b.done = nil
+		b.ran = nil
 		b.mu.Unlock()
-		answer := call(t, s, c.line)
+		answer := sendLine(t, s, c.line)
 		lines := max(1, strings.Count(c.answer, "\n"))
 		if !strings.HasPrefix(answer, c.answer) || strings.Count(answer, "\n") != lines || !strings.HasSuffix(answer, "\n") {
-			t.Errorf("%.40q answers %q", c.line, answer)
+			t.Errorf("%.40q: answer %q", c.line, answer)
 		}
-		if b.all() != c.done {
-			t.Errorf("%.40q does %q", c.line, b.all())
+		if b.list() != c.done {
+			t.Errorf("%.40q: calls %q", c.line, b.list())
 		}
 	}
 }
 
-// begin listens, has what is to come before anybody is accepted come, and serves. Callers give
-// way after a time that a slow machine keeps.
-func begin(t *testing.T, places int, youngest time.Duration, before func(*Server)) *Server {
+// serveAfter starts a server that accepts connections only after before has returned. The
+// tests set minEvictAge so that it also holds on a slow machine.
+func serveAfter(t *testing.T, maxConns int, youngest time.Duration, before func(*Server)) *Server {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := serverOf(ln, places, new(book))
-	s.youngest = youngest
+	s := newServer(ln, maxConns, new(stub))
+	s.minEvictAge = youngest
 	before(s)
 	s.wg.Go(s.accept)
 	t.Cleanup(s.Close)
 	return s
 }
 
-// Who gives way is answered if its line has come, though nobody has read it yet.
-func TestLineThatLiesThere(t *testing.T) {
+// A connection that is evicted must be answered if its line has arrived but has not been
+// read, as happens on a busy machine. Otherwise the caller's call is lost.
+func TestEvictedCallerWithUnreadLineIsAnswered(t *testing.T) {
 	var all []net.Conn
-	begin(t, 2, 0, func(s *Server) {
+	serveAfter(t, 2, 0, func(s *Server) {
 		for range 50 {
 			c, err := net.Dial("tcp", s.Addr().String())
 			if err != nil {
 				t.Fatal(err)
 			}
 			t.Cleanup(func() { c.Close() })
-			c.SetDeadline(time.Now().Add(patience))
+			c.SetDeadline(time.Now().Add(testTimeout))
 			if _, err := io.WriteString(c, "STATS\n"); err != nil {
 				t.Fatal(err)
 			}
@@ -135,16 +136,17 @@
 	for n, c := range all {
 		text, err := io.ReadAll(c)
 		if string(text) != "x=1\nEND\n" {
-			t.Fatalf("caller %d is answered %q, %v", n, text, err)
+			t.Fatalf("caller %d: answer %q, %v", n, text, err)
 		}
 		c.Close()
 	}
 }
 
-// Callers that hold every place and say nothing, or a byte now and then, shut nobody out.
-func TestSilentCallersMakeWay(t *testing.T) {
-	const places, silent = 4, 12
-	s := begin(t, places, time.Second, func(*Server) {})
+// Callers that use up all connections and send nothing, or a byte now and then, must not
+// keep others from being answered.
+func TestSilentCallersAreEvicted(t *testing.T) {
+	const maxConns, silent = 4, 12
+	s := serveAfter(t, maxConns, time.Second, func(*Server) {})
 	stop := make(chan struct{})
 	var wg sync.WaitGroup
 	defer wg.Wait()
@@ -157,7 +159,7 @@
 				return
 			}
 			defer c.Close()
-			for n%2 == 0 { // drips
+			for n%2 == 0 { // sends a byte now and then
 				if _, err := io.WriteString(c, "S"); err != nil {
 					return
 				}
@@ -171,32 +173,32 @@
 		})
 	}
 	for range 10 {
-		if got := call(t, s, "STATS\n"); got != "x=1\nEND\n" {
-			t.Fatalf("answered %q", got)
+		if got := sendLine(t, s, "STATS\n"); got != "x=1\nEND\n" {
+			t.Fatalf("answer %q, want the counters", got)
 		}
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if len(s.conns) > places {
-		t.Errorf("%d connections held, %d places", len(s.conns), places)
+	if len(s.conns) > maxConns {
+		t.Errorf("%d connections held, at most %d allowed", len(s.conns), maxConns)
 	}
 }
 
-// A call cut in pieces is one call; half of one is none.
-func TestPieces(t *testing.T) {
+// A call that arrives in pieces is carried out once; an incomplete one is not.
+func TestLineInPieces(t *testing.T) {
 	s, b := listen(t, 2)
 	c, err := net.Dial("tcp", s.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer c.Close()
-	c.SetDeadline(time.Now().Add(patience))
+	c.SetDeadline(time.Now().Add(testTimeout))
 	for _, piece := range []string{"DIS", "ABLE s", "-1", "\n"} {
 		io.WriteString(c, piece)
 		time.Sleep(5 * time.Millisecond)
 	}
-	if line, err := bufio.NewReader(c).ReadString('\n'); line != "YES\n" || err != nil || b.all() != "out s-1" {
-		t.Errorf("answered %q, %v, and did %q", line, err, b.all())
+	if line, err := bufio.NewReader(c).ReadString('\n'); line != "YES\n" || err != nil || b.list() != "out s-1" {
+		t.Errorf("answer %q, %v, calls %q", line, err, b.list())
 	}
 	half, err := net.Dial("tcp", s.Addr().String())
 	if err != nil {
@@ -204,17 +206,17 @@
 	}
 	io.WriteString(half, "DRAIN")
 	half.(*net.TCPConn).CloseWrite()
-	half.SetDeadline(time.Now().Add(patience))
-	if text, _ := io.ReadAll(half); len(text) != 0 || b.all() != "out s-1" {
-		t.Errorf("half a call answers %q and does %q", text, b.all())
+	half.SetDeadline(time.Now().Add(testTimeout))
+	if text, _ := io.ReadAll(half); len(text) != 0 || b.list() != "out s-1" {
+		t.Errorf("incomplete call: answer %q, calls %q", text, b.list())
 	}
 	half.Close()
 }
 
-func TestTakenAddress(t *testing.T) {
+func TestAddressInUse(t *testing.T) {
 	s, b := listen(t, 2)
 	if _, err := Listen(s.Addr().String(), 2, b); err == nil || !strings.Contains(err.Error(), "management") {
-		t.Errorf("a taken address: %v", err)
+		t.Errorf("Listen on an address in use: %v", err)
 	}
 }
 
@@ -226,7 +228,7 @@
 		c, err := Parse(line)
 		if err != nil {
 			if strings.ContainsAny(err.Error(), "\r\n") {
-				t.Errorf("%q: an answer of several lines", line)
+				t.Errorf("%q: error text of several lines", line)
 			}
 			return
 		}
@@ -234,7 +236,7 @@
 			t.Errorf("%q: %+v", line, c)
 		}
 		if again, err := Parse(fmt.Sprint(strings.Fields(line)[0], " ", c.ID)); err != nil || again != c {
-			t.Errorf("%q: %+v, again %+v, %v", line, c, again, err)
+			t.Errorf("%q: parsed as %+v, then as %+v, %v", line, c, again, err)
 		}
 	})
 }
--- a/internal/management/server.go
+++ b/internal/management/server.go
@@ -15,14 +15,15 @@
 	"time"
 )
 
-// Deeds carries calls out. Its methods may be called from several goroutines and must
-// wait for nobody for long: each answer is owed within a second.
+// Deeds carries out the calls. Its methods may be called from several goroutines and must
+// not block for long: each answer is due within a second.
 type Deeds interface {
-	// Ready says whether this process can serve.
+	// Ready reports whether this process can serve.
 	Ready() bool
-	// Figures appends what the sidecar counts, a line each.
+	// Figures appends the sidecar's counters to b, one line each.
 	Figures(b []byte) []byte
-	// Disable leaves a server out, Enable puts it back. An error is why not.
+	// Disable takes a server out of use, Enable puts it back. The text of an error is sent
+	// to the caller.
 	Disable(id string) error
 	Enable(id string) error
 	Drain() error
@@ -30,59 +31,61 @@
 }
 
 const (
-	// A caller is cut that has brought no whole line for so long.
-	callMost = 10 * time.Second
-	// One that takes nothing of its answer is cut earlier: it is short.
-	answerMost = 2 * time.Second
-	// Where all places are taken, the caller that has waited longest gives way, if it is
-	// older than this: one that has just come is about to say what it wants.
-	youngest = 15 * time.Millisecond
-	acceptIn = 3 * time.Millisecond
+	// callTimeout is the time in which a caller has to send its whole line.
+	callTimeout = 10 * time.Second
+	// answerTimeout is the time in which a caller has to read its answer. It is shorter
+	// than callTimeout because answers are short.
+	answerTimeout = 2 * time.Second
+	// minEvictAge is the age from which the oldest connection without a whole line may be
+	// closed when maxConns are open. A younger one is probably about to send its line.
+	minEvictAge         = 15 * time.Millisecond
+	acceptRetryInterval = 3 * time.Millisecond
 )
 
-// Server answers callers. It holds Places connections at most; those without a whole
-// line make way for new ones.
+// Server answers operators' calls. It holds at most maxConns connections; at that limit it
+// closes the oldest one without a whole line to accept a new one.
 type Server struct {
-	ln       net.Listener
-	deeds    Deeds
-	places   int
-	youngest time.Duration
-
-	mu    sync.Mutex
-	conns map[*caller]struct{}
-	shut  bool
-	wg    sync.WaitGroup
+	ln          net.Listener
+	deeds       Deeds
+	maxConns    int
+	minEvictAge time.Duration
+
+	mu     sync.Mutex
+	conns  map[*caller]struct{}
+	closed bool
+	wg     sync.WaitGroup
 }
 
 type caller struct {
 	net.Conn
-	since time.Time
-	heard bool // its line is whole
-	told  bool // to give way; it does, unless its line has come meanwhile
+	accepted time.Time
+	lineRead bool // its line has been read, or it can't be evicted any more
+	evicting bool // asked to close for a new connection, unless its line has arrived
 }
 
-// Listen serves at an address with so many places. The error names the address.
-func Listen(addr string, places int, d Deeds) (*Server, error) {
+// Listen serves calls at a TCP address with at most maxConns connections, but no fewer than
+// two. The error names the address.
+func Listen(addr string, maxConns int, d Deeds) (*Server, error) {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
 		return nil, fmt.Errorf("management: %w", err)
 	}
-	s := serverOf(ln, places, d)
+	s := newServer(ln, maxConns, d)
 	s.wg.Go(s.accept)
 	return s, nil
 }
 
-func serverOf(ln net.Listener, places int, d Deeds) *Server {
-	return &Server{ln: ln, deeds: d, places: max(places, 2), youngest: youngest, conns: make(map[*caller]struct{})}
+func newServer(ln net.Listener, maxConns int, d Deeds) *Server {
+	return &Server{ln: ln, deeds: d, maxConns: max(maxConns, 2), minEvictAge: minEvictAge, conns: make(map[*caller]struct{})}
 }
 
-// Addr is where it listens.
+// Addr returns the address on which the server listens.
 func (s *Server) Addr() net.Addr { return s.ln.Addr() }
 
-// Close ends it, and all connections.
+// Close stops the server, closes all connections and waits for their goroutines.
 func (s *Server) Close() {
 	s.mu.Lock()
-	s.shut = true
+	s.closed = true
 	for c := range s.conns {
 		c.Conn.Close()
 	}
@@ -93,19 +96,19 @@
 
 func (s *Server) accept() {
 	for {
-		s.makeRoom()
+		s.waitForCapacity()
 		nc, err := s.ln.Accept()
 		switch {
 		case errors.Is(err, net.ErrClosed):
 			return
 		case err != nil:
-			slog.Warn("management: can't accept", "err", err)
-			time.Sleep(acceptIn)
+			slog.Warn("management: accepting a connection failed", "err", err)
+			time.Sleep(acceptRetryInterval)
 			continue
 		}
-		c := &caller{Conn: nc, since: time.Now()}
+		c := &caller{Conn: nc, accepted: time.Now()}
 		s.mu.Lock()
-		if s.shut {
+		if s.closed {
 			s.mu.Unlock()
 			nc.Close()
 			return
@@ -116,85 +119,87 @@
 	}
 }
 
-// makeRoom waits until one more connection may be held. Guards against callers that hold
-// connections and say nothing: they shut nobody out, and take no more descriptors than
-// are set aside. Who gives way ends by itself: its line may lie in its socket, where a busy
-// machine has not let anybody look.
-func (s *Server) makeRoom() {
+// waitForCapacity blocks until another connection may be accepted. At the limit it evicts
+// the oldest connection without a line, so that silent callers neither shut others out nor
+// use more descriptors than are set aside. The evicted connection's goroutine closes it: on
+// a busy machine its line may have arrived without having been read.
+func (s *Server) waitForCapacity() {
 	for {
 		s.mu.Lock()
-		if s.shut || len(s.conns) < s.places {
+		if s.closed || len(s.conns) < s.maxConns {
 			s.mu.Unlock()
 			return
 		}
 		var oldest *caller
-		ending := false
+		evicting := false
 		for c := range s.conns {
-			ending = ending || c.told
-			if !c.heard && (oldest == nil || c.since.Before(oldest.since)) {
+			evicting = evicting || c.evicting
+			if !c.lineRead && (oldest == nil || c.accepted.Before(oldest.accepted)) {
 				oldest = c
 			}
 		}
-		if !ending && oldest != nil && time.Since(oldest.since) > s.youngest {
-			oldest.told = true
+		if !evicting && oldest != nil && time.Since(oldest.accepted) > s.minEvictAge {
+			oldest.evicting = true
 			oldest.SetReadDeadline(time.Unix(1, 0))
 		}
 		s.mu.Unlock()
-		time.Sleep(acceptIn)
+		time.Sleep(acceptRetryInterval)
 	}
 }
 
 func (s *Server) serve(c *caller) {
 	defer func() {
 		if p := recover(); p != nil {
-			slog.Error("panic at a management call", "panic", p, "stack", string(debug.Stack()))
+			slog.Error("management: panic in a call", "panic", p, "stack", string(debug.Stack()))
 		}
 		c.Conn.Close()
 		s.mu.Lock()
 		delete(s.conns, c)
 		s.mu.Unlock()
 	}()
-	c.SetReadDeadline(c.since.Add(callMost))
-	line, err := bufio.NewReaderSize(c.Conn, lineMost).ReadSlice('\n')
+	c.SetReadDeadline(c.accepted.Add(callTimeout))
+	line, err := bufio.NewReaderSize(c.Conn, maxLineBytes).ReadSlice('\n')
 	s.mu.Lock()
-	told := c.told
+	evicting := c.evicting
 	s.mu.Unlock()
-	if told && errors.Is(err, os.ErrDeadlineExceeded) {
-		line, err = waiting(c.Conn, line)
+	if evicting && errors.Is(err, os.ErrDeadlineExceeded) {
+		line, err = readBuffered(c.Conn, line)
 	}
 	s.mu.Lock()
-	c.heard, c.told = true, false
+	c.lineRead, c.evicting = true, false
 	s.mu.Unlock()
 	var answer []byte
 	switch {
 	case err == nil:
-		answer = Answer(strings.TrimSuffix(string(line), "\n"), s.deeds)
+		answer = ExecuteLine(strings.TrimSuffix(string(line), "\n"), s.deeds)
 	case errors.Is(err, bufio.ErrBufferFull):
-		answer = no(errLong)
-	default: // it left, or brought no whole line in time
+		answer = refusal(errLineTooLong)
+	default: // the caller left, or sent no whole line in time
 		return
 	}
-	c.SetWriteDeadline(time.Now().Add(answerMost))
+	c.SetWriteDeadline(time.Now().Add(answerTimeout))
 	if _, err := c.Conn.Write(answer); err != nil {
 		return
 	}
-	// What it sent behind its line is read off: closed over it, the answer would be lost.
+	// Bytes after the line are read before the connection is closed. Closing it with unread
+	// bytes would reset it, and the answer would be lost.
 	if tc, ok := c.Conn.(*net.TCPConn); ok {
 		tc.CloseWrite()
 	}
-	c.SetReadDeadline(time.Now().Add(lingerMost))
+	c.SetReadDeadline(time.Now().Add(lingerTimeout))
 	var rest [512]byte
-	for range lingerReads {
+	for range maxLingerReads {
 		if _, err := c.Conn.Read(rest[:]); err != nil {
 			return
 		}
 	}
 }
 
-// waiting is a caller's line with what lies unread in its socket, whatever the deadline says;
-// os.ErrDeadlineExceeded: it is not whole.
-func waiting(c net.Conn, line []byte) ([]byte, error) {
-	line = append(make([]byte, 0, lineMost), line...)
+// readBuffered returns a caller's line, completed with what is unread in its socket even if
+// the read deadline has passed. It does not block. If the line is still not whole, it
+// returns os.ErrDeadlineExceeded.
+func readBuffered(c net.Conn, line []byte) ([]byte, error) {
+	line = append(make([]byte, 0, maxLineBytes), line...)
 	if sc, ok := c.(syscall.Conn); ok {
 		if raw, err := sc.SyscallConn(); err == nil {
 			raw.Control(func(fd uintptr) {
@@ -210,17 +215,18 @@
 }
 
 const (
-	lingerMost  = 100 * time.Millisecond
-	lingerReads = 64
+	lingerTimeout  = 100 * time.Millisecond
+	maxLingerReads = 64
 )
 
-func no(err error) []byte { return []byte("NO " + err.Error() + "\n") }
+func refusal(err error) []byte { return []byte("NO " + err.Error() + "\n") }
 
-// Answer carries out the call of a line, and returns what its caller is told.
-func Answer(line string, d Deeds) []byte {
+// ExecuteLine parses a line without its newline, carries out the call and returns the
+// answer.
+func ExecuteLine(line string, d Deeds) []byte {
 	call, err := Parse(line)
 	if err != nil {
-		return no(err)
+		return refusal(err)
 	}
 	switch call.Kind {
 	case Ready:
@@ -239,7 +245,7 @@
 		err = d.Undrain()
 	}
 	if err != nil {
-		return no(err)
+		return refusal(err)
 	}
 	return []byte("YES\n")
 }
--- a/internal/rooms/operating/operating.go
+++ b/internal/rooms/operating/operating.go
@@ -230,5 +230,5 @@
 	if err := json.Unmarshal(text, &line); err != nil {
 		return nil, fmt.Errorf("operate: %w", err)
 	}
-	return string(management.Answer(line, o)), nil
+	return string(management.ExecuteLine(line, o)), nil
 }
