--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -1,5 +1,5 @@
-// Package admin is the operators' way into a running process: HTTP and JSON over a Unix
-// socket that only its owner may open. It only shows, so far.
+// Package admin serves operators of a running process: JSON pages and actions by HTTP over
+// a Unix socket that only its owner may open. It also contains the client.
 package admin
 
 import (
@@ -19,54 +19,55 @@
 	"time"
 )
 
-// Bounds of what operators may hold open.
+// Limits of connections, messages and times.
 const (
-	connsMost  = 16
-	headMost   = 8 << 10
-	callWait   = 5 * time.Second
-	answerMost = 4 << 20
-	askMost    = 9 << 20
+	maxConns        = 16
+	maxHeaderBytes  = 8 << 10
+	callTimeout     = 5 * time.Second
+	maxAnswerBytes  = 4 << 20
+	maxRequestBytes = 9 << 20
 )
 
-// Server serves a socket. It holds connsMost connections at most; more wait.
+// Server serves a Unix socket. It accepts at most maxConns connections at a time; more wait.
 type Server struct {
-	path string
-	own  os.FileInfo // of its socket
-	http *http.Server
-	done chan struct{}
+	path       string
+	socketInfo os.FileInfo // of the socket that this process created
+	http       *http.Server
+	done       chan struct{}
 }
 
-// Deed is something that operators ask for, with a text of up to askMost bytes. Its
-// error is answered as it reads.
+// Deed carries out an action that an operator requests with a body of up to maxRequestBytes.
+// The text of its error is sent to the operator as it is.
 type Deed func(text []byte) (any, error)
 
-// Listen serves pages, each at /v1/NAME, on a socket at a path, and deeds, which are
-// asked for by POST. One that a dead process left is replaced, one that answers is not.
+// Listen serves pages by GET and deeds by POST, each at /v1/NAME, on a Unix socket at path.
+// It replaces a socket that a dead process left, but fails if another process serves it.
 // The error names the path.
 func Listen(path string, pages map[string]func() any, deeds map[string]Deed) (*Server, error) {
 	return listen(path, false, pages, deeds)
 }
 
-// Succeed is Listen for a process that follows another of the same sidecar, which may still
-// serve: whoever asks from now on asks this one.
+// Succeed is Listen for a process that takes over from another one of the same sidecar. It
+// replaces the socket even if that one still serves it, so that new requests reach this
+// process.
 func Succeed(path string, pages map[string]func() any, deeds map[string]Deed) (*Server, error) {
 	return listen(path, true, pages, deeds)
 }
 
-func listen(path string, succeeds bool, pages map[string]func() any, deeds map[string]Deed) (*Server, error) {
-	if c, err := net.DialTimeout("unix", path, callWait); err == nil {
+func listen(path string, replace bool, pages map[string]func() any, deeds map[string]Deed) (*Server, error) {
+	if c, err := net.DialTimeout("unix", path, callTimeout); err == nil {
 		c.Close()
-		if !succeeds {
+		if !replace {
 			return nil, fmt.Errorf("admin: %s: another process serves it", path)
 		}
 	} else if !errors.Is(err, syscall.ECONNREFUSED) && !errors.Is(err, os.ErrNotExist) {
 		return nil, fmt.Errorf("admin: %w", err)
 	}
 	if info, err := os.Lstat(path); err == nil && info.Mode()&os.ModeSocket == 0 {
-		return nil, fmt.Errorf("admin: %s: is there and no socket", path)
+		return nil, fmt.Errorf("admin: %s: the file exists and is not a socket", path)
 	}
-	// It is made in a folder that nobody else may enter: guards the moment between its
-	// making and its mode.
+	// The socket is created in a folder that only the owner may enter, so that nobody else
+	// can open it before its mode is set.
 	dir, err := os.MkdirTemp(filepath.Dir(path), ".admin")
 	if err != nil {
 		return nil, fmt.Errorf("admin: %w", err)
@@ -78,9 +79,9 @@
 		return nil, fmt.Errorf("admin: %w", err)
 	}
 	ln.(*net.UnixListener).SetUnlinkOnClose(false)
-	var own os.FileInfo
+	var socketInfo os.FileInfo
 	if err = os.Chmod(tmp, 0o600); err == nil {
-		if own, err = os.Lstat(tmp); err == nil {
+		if socketInfo, err = os.Lstat(tmp); err == nil {
 			err = os.Rename(tmp, path)
 		}
 	}
@@ -102,7 +103,7 @@
 	}
 	for name, deed := range deeds {
 		mux.HandleFunc("POST /v1/"+name, func(w http.ResponseWriter, r *http.Request) {
-			text, err := io.ReadAll(http.MaxBytesReader(w, r.Body, askMost))
+			text, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxRequestBytes))
 			var v any
 			if err == nil {
 				v, err = deed(text)
@@ -115,78 +116,81 @@
 			json.NewEncoder(w).Encode(v)
 		})
 	}
-	s := &Server{path: path, own: own, done: make(chan struct{}), http: &http.Server{
-		Handler: mux, ReadTimeout: callWait, WriteTimeout: callWait, IdleTimeout: callWait, MaxHeaderBytes: headMost,
+	s := &Server{path: path, socketInfo: socketInfo, done: make(chan struct{}), http: &http.Server{
+		Handler: mux, ReadTimeout: callTimeout, WriteTimeout: callTimeout, IdleTimeout: callTimeout, MaxHeaderBytes: maxHeaderBytes,
 		ErrorLog: slog.NewLogLogger(slog.DiscardHandler, 0),
 	}}
 	go func() {
 		defer close(s.done)
-		s.http.Serve(&limited{Listener: ln, room: make(chan struct{}, connsMost)})
+		s.http.Serve(&limitedListener{Listener: ln, slots: make(chan struct{}, maxConns)})
 	}()
 	return s, nil
 }
 
-// Close ends it and removes the socket, unless another process has put its own there.
+// Close stops the server and removes the socket, unless another process has replaced it.
 func (s *Server) Close() {
-	if now, err := os.Lstat(s.path); err == nil && os.SameFile(now, s.own) {
+	if now, err := os.Lstat(s.path); err == nil && os.SameFile(now, s.socketInfo) {
 		os.Remove(s.path)
 	}
 	s.http.Close()
 	<-s.done
 }
 
-// limited takes no more connections than there is room for.
-type limited struct {
+// limitedListener accepts a connection only while a slot is free. Closing the connection
+// frees its slot.
+type limitedListener struct {
 	net.Listener
-	room chan struct{}
+	slots chan struct{}
 }
 
-func (l *limited) Accept() (net.Conn, error) {
-	l.room <- struct{}{}
+func (l *limitedListener) Accept() (net.Conn, error) {
+	l.slots <- struct{}{}
 	c, err := l.Listener.Accept()
 	if err != nil {
-		<-l.room
+		<-l.slots
 		return nil, err
 	}
-	return &limitedConn{Conn: c, room: l.room}, nil
+	return &limitedConn{Conn: c, slots: l.slots}, nil
 }
 
 type limitedConn struct {
 	net.Conn
-	room chan struct{}
+	slots chan struct{}
 }
 
 func (c *limitedConn) Close() error {
 	err := c.Conn.Close()
-	if err == nil { // once: a second Close fails
-		<-c.room
+	if err == nil { // the slot is freed once: a second Close fails
+		<-c.slots
 	}
 	return err
 }
 
-// Refused is what a process says to a deed that it does not do.
+// Refused is the error of a deed that a process did not carry out, with the text it sent.
 type Refused string
 
 // Error implements error.
 func (r Refused) Error() string { return string(r) }
 
-// Ask asks a socket for a page, into v.
+// Ask gets a page from the process that serves the socket at path and decodes it into v. It
+// blocks for up to callTimeout.
 func Ask(ctx context.Context, path, page string, v any) error {
-	return ask(ctx, path, http.MethodGet, page, nil, v)
+	return send(ctx, path, http.MethodGet, page, nil, v)
 }
 
-// Do asks a socket for a deed, and for what it says of it into v. An error is Refused
-// where the process was asked and did nothing.
+// Do requests a deed from the process that serves the socket at path, with with as JSON, and
+// decodes the result into v. It blocks for up to callTimeout. The error is Refused if the
+// process received the request and did not carry it out.
 func Do(ctx context.Context, path, deed string, with, v any) error {
 	text, err := json.Marshal(with)
 	if err != nil {
 		return fmt.Errorf("admin: %w", err)
 	}
-	return ask(ctx, path, http.MethodPost, deed, text, v)
+	return send(ctx, path, http.MethodPost, deed, text, v)
 }
 
-func ask(ctx context.Context, path, method, page string, text []byte, v any) error {
-	ctx, cancel := context.WithTimeout(ctx, callWait)
+func send(ctx context.Context, path, method, page string, text []byte, v any) error {
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	t := &http.Transport{DisableKeepAlives: true, DialContext: func(ctx context.Context, _, _ string) (net.Conn, error) {
 		return new(net.Dialer).DialContext(ctx, "unix", path)
@@ -204,17 +208,17 @@
 	switch resp.StatusCode {
 	case http.StatusOK:
 	case http.StatusConflict:
-		why, err := io.ReadAll(io.LimitReader(resp.Body, answerMost))
+		reason, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswerBytes))
 		if err != nil {
 			return fmt.Errorf("admin: %s: %w", path, err)
 		}
-		return Refused(strings.TrimSpace(string(why)))
+		return Refused(strings.TrimSpace(string(reason)))
 	case http.StatusNotFound:
 		return fmt.Errorf("admin: %s: the process shows no %s: it is off there", path, page)
 	default:
 		return fmt.Errorf("admin: %s: %s", path, resp.Status)
 	}
-	if err := json.NewDecoder(io.LimitReader(resp.Body, answerMost)).Decode(v); err != nil {
+	if err := json.NewDecoder(io.LimitReader(resp.Body, maxAnswerBytes)).Decode(v); err != nil {
 		return fmt.Errorf("admin: %s: %w", path, err)
 	}
 	return nil
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -12,7 +12,9 @@
 	"go.uber.org/goleak"
 )
 
-func TestSocket(t *testing.T) {
+// A server answers pages and deeds, refuses what it has to, answers again after idle
+// connections have used up its slots, and leaves neither socket nor goroutine behind.
+func TestServePagesAndDeeds(t *testing.T) {
 	defer goleak.VerifyNone(t, goleak.IgnoreCurrent())
 	dir := t.TempDir()
 	path := filepath.Join(dir, "s")
@@ -24,7 +26,7 @@
 		}
 		return view{9}, nil
 	}}
-	// One that a dead process left: a socket that nobody serves.
+	// A socket that a dead process left: nobody serves it.
 	ln, err := net.Listen("unix", path)
 	if err != nil {
 		t.Fatal(err)
@@ -39,20 +41,20 @@
 		t.Errorf("mode %v, %v", info.Mode(), err)
 	}
 	var v view
-	for range 3 * connsMost { // each ends its connection
+	for range 3 * maxConns { // each call closes its connection
 		if err := Ask(t.Context(), path, "status", &v); err != nil || v.N != 7 {
 			t.Fatalf("%+v, %v", v, err)
 		}
 	}
 	if err := Ask(t.Context(), path, "bodies", &v); err == nil || !strings.Contains(err.Error(), "off there") {
-		t.Errorf("a page that is not there: %v", err)
+		t.Errorf("page that is not served: %v", err)
 	}
 	if err := Do(t.Context(), path, "set", view{8}, &v); err != nil || v.N != 9 {
-		t.Errorf("a deed: %+v, %v", v, err)
+		t.Errorf("deed: %+v, %v; want 9", v, err)
 	}
 	var refused Refused
 	if err := Do(t.Context(), path, "set", view{7}, &v); !errors.As(err, &refused) || refused != "only 8 will do" {
-		t.Errorf("a deed that is refused: %v", err)
+		t.Errorf("refused deed: %v", err)
 	}
 	c, err := net.Dial("unix", path)
 	if err != nil {
@@ -61,15 +63,15 @@
 	c.Write([]byte("POST /v1/status HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n\r\n"))
 	p := make([]byte, 12)
 	if _, err := c.Read(p); err != nil || string(p) != "HTTP/1.1 405" {
-		t.Errorf("a POST: %q, %v", p, err)
+		t.Errorf("POST of a page: %q, %v", p, err)
 	}
 	c.Close()
 	if _, err := Listen(path, pages, deeds); err == nil || !strings.Contains(err.Error(), "another process") {
-		t.Errorf("a socket that is served: %v", err)
+		t.Errorf("Listen on a socket that is served: %v", err)
 	}
-	// Connections that say nothing hold no more than their bound.
+	// Idle connections use up all slots; once the clients close them the server answers.
 	var idle []net.Conn
-	for range 2 * connsMost {
+	for range 2 * maxConns {
 		c, err := net.Dial("unix", path)
 		if err != nil {
 			t.Fatal(err)
@@ -80,43 +82,44 @@
 		c.Close()
 	}
 	if err := Ask(t.Context(), path, "status", &v); err != nil {
-		t.Errorf("behind idle connections: %v", err)
+		t.Errorf("call after idle connections: %v", err)
 	}
 	s.Close()
 	if _, err := os.Lstat(path); !os.IsNotExist(err) {
-		t.Errorf("the socket is left: %v", err)
+		t.Errorf("the socket is left after Close: %v", err)
 	}
 	if left, _ := os.ReadDir(dir); len(left) != 0 {
-		t.Errorf("left: %v", left)
+		t.Errorf("files left after Close: %v", left)
 	}
 	file := filepath.Join(dir, "file")
 	if err := os.WriteFile(file, []byte("x"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := Listen(file, pages, deeds); err == nil {
-		t.Error("a file was taken for a socket's place")
+		t.Error("Listen replaced a file that is not a socket")
 	}
 	if err := Ask(context.Background(), path, "status", &v); err == nil {
-		t.Error("nobody is there, and answers")
+		t.Error("a call succeeded after Close")
 	}
 }
 
-// A text that is longer than any configuration is not held.
-func TestLongText(t *testing.T) {
+// A request body beyond maxRequestBytes is rejected. No configuration is that long, and
+// without the bound a caller could use up the memory.
+func TestRequestTooLong(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "s")
 	s, err := Listen(path, nil, map[string]Deed{"set": func([]byte) (any, error) { return 1, nil }})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer s.Close()
-	if err := Do(t.Context(), path, "set", strings.Repeat("x", askMost), new(int)); err == nil {
-		t.Error("a text without end is taken")
+	if err := Do(t.Context(), path, "set", strings.Repeat("x", maxRequestBytes), new(int)); err == nil {
+		t.Error("a request beyond maxRequestBytes was accepted")
 	}
 }
 
-// A process that follows another takes its place at the path; the end of the one before
-// leaves the socket where it is.
-func TestSucceed(t *testing.T) {
+// A process that takes over replaces the socket at the path, and the previous process must
+// not remove the new socket when it ends.
+func TestSucceedReplacesSocket(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "s")
 	page := func(n int) map[string]func() any { return map[string]func() any{"n": func() any { return n }} }
 	first, err := Listen(path, page(1), nil)
@@ -129,12 +132,12 @@
 	}
 	for _, end := range []*Server{first, second} {
 		var n int
-		if err := Ask(context.Background(), path, "n", &n); err != nil || n != 2 { // beside the first, and after it
-			t.Errorf("%d answers, %v", n, err)
+		if err := Ask(context.Background(), path, "n", &n); err != nil || n != 2 { // before and after the first server is closed
+			t.Errorf("server %d answered, %v; want the second one", n, err)
 		}
 		end.Close()
 	}
 	if _, err := os.Lstat(path); !errors.Is(err, os.ErrNotExist) {
-		t.Errorf("the last one leaves its socket: %v", err)
+		t.Errorf("the socket is left after the last Close: %v", err)
 	}
 }
