--- a/internal/management/management_test.go
+++ b/internal/management/management_test.go
@@ -100,15 +100,15 @@
 }
 
 // serveAfter starts a server that accepts connections only after before has returned. The
-// tests set minEvictAge so that it also holds on a slow machine.
-func serveAfter(t *testing.T, maxConns int, youngest time.Duration, before func(*Server)) *Server {
+// tests set minEvictAge to a value that also works on a slow machine.
+func serveAfter(t *testing.T, maxConns int, minEvictAge time.Duration, before func(*Server)) *Server {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	s := newServer(ln, maxConns, new(stub))
-	s.minEvictAge = youngest
+	s.minEvictAge = minEvictAge
 	before(s)
 	s.wg.Go(s.accept)
 	t.Cleanup(s.Close)
--- a/internal/rooms/operating/handover.go
+++ b/internal/rooms/operating/handover.go
@@ -16,103 +16,107 @@
 )
 
 const (
-	// How long a start waits for what a process that still serves has learnt.
-	learntMost = 700 * time.Millisecond
-	// How often a process looks for others of its sidecar, and for what operators have
-	// told them. Well under the grace that what they tell has.
-	aroundEach = 100 * time.Millisecond
+	// learnedStateTimeout bounds how long a start waits for the learned state of a process
+	// that still serves.
+	learnedStateTimeout = 700 * time.Millisecond
+	// processCheckInterval is how often a process looks for others of its sidecar and for
+	// the changes that operators made there. It is well below the time that operators allow
+	// for a change to take effect.
+	processCheckInterval = 100 * time.Millisecond
 )
 
-// learnt is what goes over to a new process.
-type learnt struct {
+// learnedState is the state that a running process hands to a new one.
+type learnedState struct {
 	Memory chalkrack.Memory       `json:"memory"`
-	List   []membership.Entry     `json:"list"` // as discovery said last
+	List   []membership.Entry     `json:"list"` // the last whole list from discovery
 	Zones  []evacuation.ZoneState `json:"zones,omitempty"`
 }
 
-// done is what operators have done, by calls to any process of the sidecar.
-type done struct {
+// operatorState holds the changes that operators made by calls to any process of the sidecar.
+type operatorState struct {
 	maintenance.State
 	Drain bool          `json:"drain"`
 	Since time.Duration `json:"since"`
 }
 
-// enter opens the folder that the sidecar's processes share, where the platform holds
-// the clients' socket for them, and takes up which servers are out. Without the folder
-// this process serves all the same.
-func (o *Operation) enter() {
+// openFolder opens the folder that the sidecar's processes share if the platform holds the
+// clients' socket for them, and applies the operators' changes. If the folder can't be
+// opened, this process still serves, without a handover.
+func (o *Operation) openFolder() {
 	name := "fawnrock-" + strings.Map(func(r rune) rune {
 		if r == '/' || r == 0 {
 			return '_'
 		}
 		return r
-	}, o.c.Listen)
-	f, err := handover.Open(filepath.Join(o.c.Tmp, name))
+	}, o.config.Listen)
+	f, err := handover.Open(filepath.Join(o.config.Tmp, name))
 	if err != nil {
-		slog.Error("no handover between processes", "err", err)
+		slog.Error("handover folder can't be opened: no handover between processes", "err", err)
 		return
 	}
 	o.folder = f
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.others, _ = f.Processes()
-	o.heed()
+	o.otherProcesses, _ = f.Processes()
+	o.applyOperatorState()
 }
 
-// Inherit takes up what a process that still serves has learnt. It is called before
-// anything else is heard of the servers but the list that the platform gave.
+// Inherit takes over the learned state of a process that still serves, and starts watching
+// the other processes. It blocks for up to learnedStateTimeout. It has to be called before
+// any news of the servers other than the list that the platform gave.
 func (o *Operation) Inherit() {
 	if o.folder == nil {
 		return
 	}
-	if o.others > 0 {
-		var l learnt
+	if o.otherProcesses > 0 {
+		var l learnedState
 		began := time.Now()
-		if err := o.folder.RequestState(&l, learntMost); err != nil {
-			slog.Warn("nothing learnt from the process before", "err", err)
+		if err := o.folder.RequestState(&l, learnedStateTimeout); err != nil {
+			slog.Warn("no learned state from the previous process", "err", err)
 		} else {
 			if len(l.List) > 0 {
 				o.Listed(&membership.List{Whole: true, Entries: l.List})
 			}
-			o.c.Host.Remember(l.Memory)
-			if o.c.Zones != nil {
-				o.c.Zones.Adopt(l.Zones)
+			o.config.Host.Remember(l.Memory)
+			if o.config.Zones != nil {
+				o.config.Zones.Adopt(l.Zones)
 			}
-			slog.Info("learnt from the process before", "servers", len(l.List), "after", time.Since(began))
+			slog.Info("took over the learned state of the previous process", "servers", len(l.List), "after", time.Since(began))
 		}
 	}
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.share(o.others + 1)
-	o.ended = make(chan struct{})
-	go o.attend()
+	o.divideLimits(o.otherProcesses + 1)
+	o.watchDone = make(chan struct{})
+	go o.watchProcesses()
 }
 
-// attend keeps this process in step with others of its sidecar.
-func (o *Operation) attend() {
-	defer close(o.ended)
+// watchProcesses keeps this process in step with the others of its sidecar: it divides the
+// limits, applies the operators' changes and sends the learned state until Close is called.
+func (o *Operation) watchProcesses() {
+	defer close(o.watchDone)
 	for {
-		time.Sleep(aroundEach)
+		time.Sleep(processCheckInterval)
 		o.mu.Lock()
 		if o.closed {
 			o.mu.Unlock()
 			return
 		}
-		others, asking := o.folder.Processes()
-		if others != o.others {
-			slog.Info("processes of this sidecar", "others", others)
-			o.others = others
-			o.share(others + 1)
+		others, requesting := o.folder.Processes()
+		if others != o.otherProcesses {
+			slog.Info("number of other processes of this sidecar changed", "others", others)
+			o.otherProcesses = others
+			o.divideLimits(others + 1)
 		}
-		o.heed()
+		o.applyOperatorState()
 		if o.serving.Load() && !o.quitting {
-			for _, who := range asking {
-				l := learnt{Memory: o.c.Host.Memory(), List: o.set.List()}
-				if o.c.Zones != nil {
-					l.Zones = o.c.Zones.State()
+			for _, id := range requesting {
+				l := learnedState{Memory: o.config.Host.Memory(), List: o.servers.List()}
+				if o.config.Zones != nil {
+					l.Zones = o.config.Zones.State()
 				}
-				if err := o.folder.SendState(who, l); err != nil {
-					slog.Error("what was learnt can't be told", "err", err)
+				if err := o.folder.SendState(id, l); err != nil {
+					slog.Error("learned state can't be sent to a new process", "err", err)
 				}
 			}
 		}
@@ -120,41 +124,42 @@
 	}
 }
 
-// heed takes up what operators told other processes. It is called with the lock held.
-func (o *Operation) heed() {
-	var d done
+// applyOperatorState applies the changes that operators made at other processes. The caller
+// holds o.mu.
+func (o *Operation) applyOperatorState() {
+	var d operatorState
 	if !o.folder.ReadOperatorState(&d) {
 		return
 	}
-	if l := o.set.Adopt(d.State); l != nil {
-		o.c.Tell(l)
+	if l := o.servers.Adopt(d.State); l != nil {
+		o.config.Tell(l)
 	}
 	switch _, on := o.drain.Since(); {
 	case d.Drain && !on:
-		o.begin(d.Since)
+		o.beginDrain(d.Since)
 	case !d.Drain && on:
-		o.end()
+		o.endDrain()
 	}
 }
 
-// record makes a change, and has the other processes hear of it. It is called with the
-// lock held.
-func (o *Operation) record(do func() error) (err error) {
+// updateOperatorState runs do, which makes a change, and writes the new state for the other
+// processes. The caller holds o.mu.
+func (o *Operation) updateOperatorState(do func() error) (err error) {
 	if o.folder == nil {
 		return do()
 	}
-	unwritten := o.folder.UpdateOperatorState(func() (any, bool) {
-		o.heed()
+	writeErr := o.folder.UpdateOperatorState(func() (any, bool) {
+		o.applyOperatorState()
 		if err = do(); err != nil {
 			return nil, false
 		}
-		d := done{State: o.set.State()}
+		d := operatorState{State: o.servers.State()}
 		d.Since, d.Drain = o.drain.Since()
 		return d, true
 	})
-	if unwritten != nil {
-		// It holds here; a process that follows would not know of it.
-		slog.Error("what operators have done can't be written", "err", unwritten)
+	if writeErr != nil {
+		// The change is in force here, but a later process would not know of it.
+		slog.Error("operators' changes can't be written", "err", writeErr)
 		if err == nil {
 			err = errors.New("done here, but not written down: it would not outlive this process")
 		}
@@ -162,29 +167,29 @@
 	return err
 }
 
-// share divides the sidecar's limits among so many processes of it. It is called with
-// the lock held.
-func (o *Operation) share(parts int) {
-	parts = max(1, min(parts, partsMost))
-	debug.SetMemoryLimit(o.c.Limits.Memory / int64(parts))
-	o.c.Pool.Limit(o.c.Limits.Conns / parts)
-	o.srv.LimitBodies(o.c.Limits.Bodies / int64(parts))
+// divideLimits sets this process's limits to one of parts equal shares of the sidecar's
+// limits. The caller holds o.mu.
+func (o *Operation) divideLimits(parts int) {
+	parts = max(1, min(parts, maxParts))
+	debug.SetMemoryLimit(o.config.Limits.Memory / int64(parts))
+	o.config.Pool.Limit(o.config.Limits.Conns / parts)
+	o.srv.LimitBodies(o.config.Limits.Bodies / int64(parts))
 }
 
-// partsMost bounds how small a part gets.
-const partsMost = 4
+// maxParts bounds the number of shares, and so how small a share gets.
+const maxParts = 4
 
-// Limits are the whole sidecar's.
+// Limits are the limits of the whole sidecar, which its processes share.
 type Limits struct {
 	Memory int64 // of the heap, in bytes
 	Conns  int   // to servers
 	Bodies int64 // of requests, in bytes
 }
 
-// leave has the folder forget this process.
-func (o *Operation) leave() {
-	if o.ended != nil {
-		<-o.ended
+// closeFolder waits for watchProcesses and removes this process from the folder.
+func (o *Operation) closeFolder() {
+	if o.watchDone != nil {
+		<-o.watchDone
 	}
 	if o.folder != nil {
 		o.folder.Close()
--- a/internal/rooms/operating/operating.go
+++ b/internal/rooms/operating/operating.go
@@ -1,5 +1,6 @@
-// Package operating carries out what operators call for day by day: servers out by hand, the
-// drain, figures; and keeps the processes of one sidecar in step over an upgrade.
+// Package operating carries out the operators' calls to a sidecar: disabling and enabling
+// servers, draining, reading counters. It also keeps the processes of one sidecar in step
+// during an upgrade.
 package operating
 
 import (
@@ -22,98 +23,100 @@
 	"chalkrack/internal/upstream"
 )
 
-// endEach is how often connections that idle are ended during a drain.
-const endEach = 50 * time.Millisecond
+// idleCloseInterval is how often idle connections are closed during a drain.
+const idleCloseInterval = 50 * time.Millisecond
 
-// Config is what an Operation is told.
+// Config holds the parts of the sidecar that an Operation acts on.
 type Config struct {
 	Host    *core.Host
 	Figures *figures.Figures
 	Pool    *upstream.Pool
-	Tell    func(*membership.List) // takes lists on their way to the core
-	Zones   Zones                  // nil: off
+	Tell    func(*membership.List) // passes lists of servers on to the core
+	Zones   Zones                  // nil if zones are off
 	Limits  Limits
-	// Shared says that the platform holds the clients' socket for several processes of this
-	// sidecar, which share a folder below Tmp by the name of Listen.
+	// Shared is set if the platform holds the clients' socket for several processes of this
+	// sidecar. They share a folder below Tmp that is named after Listen.
 	Shared      bool
 	Tmp, Listen string
 }
 
-// Zones is what goes over of zones in an upgrade.
+// Zones gives access to the state of the zones that a new process takes over in an upgrade.
 type Zones interface {
 	State() []evacuation.ZoneState
 	Adopt([]evacuation.ZoneState)
 }
 
-// Operation carries out what operators call for. It owns the servers out by hand and the
+// Operation carries out the operators' calls. It owns the set of disabled servers and the
 // drain. Its methods may be called from any goroutine.
 type Operation struct {
-	c      Config
-	srv    *front.Server
-	folder *handover.Folder // nil: no other process can be of this sidecar
-	ended  chan struct{}    // closed when attend has ended; nil: it never began
+	config    Config
+	srv       *front.Server
+	folder    *handover.Folder // nil if this sidecar has no other processes
+	watchDone chan struct{}    // closed when watchProcesses has ended; nil if it never began
 
 	serving atomic.Bool
 
-	mu      sync.Mutex // held over a list's way to the host: they arrive there in order
-	set     *maintenance.Set
-	drain   drain.Machine
-	tending bool
-	others  int // processes of this sidecar
+	mu             sync.Mutex // also held while a list is passed to the host, so that lists arrive in order
+	servers        *maintenance.Set
+	drain          drain.Machine
+	closingIdle    bool
+	otherProcesses int // processes of this sidecar
 
-	quitting bool // the clients' connections are on their way out for good
+	quitting bool // the process is shutting down and its clients' connections are being closed
 	closed   bool
 }
 
 var _ management.Deeds = (*Operation)(nil)
 
-// New takes up what other processes of this sidecar know that operators have done.
+// New returns an Operation. If the process shares its sidecar with others, it applies the
+// changes that operators made there.
 func New(c Config) *Operation {
-	o := &Operation{c: c, set: maintenance.New()}
+	o := &Operation{config: c, servers: maintenance.New()}
 	if c.Shared && c.Tmp != "" {
-		o.enter()
+		o.openFolder()
 	}
 	return o
 }
 
-// Serves has it lead the clients of a front from now on.
+// Serves sets the server whose clients are drained. It is called before the process serves.
 func (o *Operation) Serves(srv *front.Server) { o.srv = srv }
 
 func unixNow() time.Duration { return time.Duration(time.Now().UnixNano()) }
 
-// Listed takes a list from discovery.
+// Listed passes a list from discovery on with the operators' changes applied.
 func (o *Operation) Listed(l *membership.List) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.c.Tell(o.set.ApplyList(l))
+	o.config.Tell(o.servers.ApplyList(l))
 }
 
-// Serve says that this process can serve.
+// Serve marks this process as able to serve. A drain that began in another process goes on.
 func (o *Operation) Serve() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.serving.Store(true)
-	if since, on := o.drain.Since(); on { // of the process before
-		o.begin(since)
+	if since, on := o.drain.Since(); on { // began in the previous process
+		o.beginDrain(since)
 		return
 	}
-	o.c.Host.SetReady(true)
+	o.config.Host.SetReady(true)
 }
 
-// Quit says that this process is on its way out: clients are no longer led by what
-// operators call for.
+// Quit marks this process as shutting down. From then on a drain no longer changes the
+// readiness or the clients' connections.
 func (o *Operation) Quit() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.quitting = true
 }
 
-// Close has the other processes know that this one has ended.
+// Close ends the Operation and removes this process from the shared folder, so that the
+// other processes know it has ended.
 func (o *Operation) Close() {
 	o.mu.Lock()
 	o.closed = true
 	o.mu.Unlock()
-	o.leave()
+	o.closeFolder()
 }
 
 // Ready implements management.Deeds.
@@ -122,34 +125,34 @@
 // Figures implements management.Deeds.
 func (o *Operation) Figures(b []byte) []byte {
 	o.mu.Lock()
-	m := figures.ServerCounts{Discovered: o.set.Discovered(), Ejected: o.set.DisabledCount()}
+	m := figures.ServerCounts{Discovered: o.servers.Discovered(), Ejected: o.servers.DisabledCount()}
 	o.mu.Unlock()
-	m.Ejected += o.c.Host.Ejected()
-	return o.c.Figures.Append(b, m)
+	m.Ejected += o.config.Host.Ejected()
+	return o.config.Figures.Append(b, m)
 }
 
 // Disable implements management.Deeds.
 func (o *Operation) Disable(id string) error {
-	return o.change("server out by hand", id, o.set.Disable)
+	return o.changeServer("server disabled by an operator", id, o.servers.Disable)
 }
 
 // Enable implements management.Deeds.
 func (o *Operation) Enable(id string) error {
-	return o.change("server back by hand", id, func(id string) (*membership.List, error) {
-		return o.set.Enable(id, unixNow())
+	return o.changeServer("server enabled by an operator", id, func(id string) (*membership.List, error) {
+		return o.servers.Enable(id, unixNow())
 	})
 }
 
-func (o *Operation) change(what, id string, do func(string) (*membership.List, error)) error {
+func (o *Operation) changeServer(what, id string, do func(string) (*membership.List, error)) error {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.record(func() error {
+	return o.updateOperatorState(func() error {
 		l, err := do(id)
 		if err != nil {
 			return err
 		}
 		if l != nil {
-			o.c.Tell(l)
+			o.config.Tell(l)
 		}
 		slog.Info(what, "server", id)
 		return nil
@@ -160,26 +163,26 @@
 func (o *Operation) Drain() error {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.record(func() error {
+	return o.updateOperatorState(func() error {
 		if _, on := o.drain.Since(); !on {
-			o.begin(unixNow())
+			o.beginDrain(unixNow())
 		}
 		return nil
 	})
 }
 
-// begin drains since a time. It is called with the lock held.
-func (o *Operation) begin(since time.Duration) {
+// beginDrain starts a drain that began at since, in Unix time. The caller holds o.mu.
+func (o *Operation) beginDrain(since time.Duration) {
 	o.drain.Begin(since)
-	if o.quitting || o.srv == nil { // on its way out, or not yet there: serve goes by it
+	if o.quitting || o.srv == nil { // shutting down, or not serving yet: Serve begins the drain then
 		return
 	}
-	o.c.Host.SetReady(false)
+	o.config.Host.SetReady(false)
 	o.srv.SetDraining(true)
 	slog.Info("drain", "clients", o.srv.Conns())
-	if !o.tending {
-		o.tending = true
-		go o.tend()
+	if !o.closingIdle {
+		o.closingIdle = true
+		go o.closeIdleConns()
 	}
 }
 
@@ -187,33 +190,34 @@
 func (o *Operation) Undrain() error {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.record(func() error {
+	return o.updateOperatorState(func() error {
 		if _, on := o.drain.Since(); on {
-			o.end()
+			o.endDrain()
 		}
 		return nil
 	})
 }
 
-// end goes back to work. It is called with the lock held.
-func (o *Operation) end() {
+// endDrain ends the drain and returns to service. The caller holds o.mu.
+func (o *Operation) endDrain() {
 	o.drain.End()
 	if o.quitting || o.srv == nil {
 		return
 	}
 	o.srv.SetDraining(false)
-	o.c.Host.SetReady(o.serving.Load())
-	slog.Info("end of the drain", "clients", o.srv.Conns())
+	o.config.Host.SetReady(o.serving.Load())
+	slog.Info("drain ends", "clients", o.srv.Conns())
 }
 
-// tend ends what idles while a drain lasts.
-func (o *Operation) tend() {
+// closeIdleConns closes idle client connections once the drain has reached ClosingIdle. It
+// returns when the drain ends or the process shuts down.
+func (o *Operation) closeIdleConns() {
 	for {
-		time.Sleep(endEach)
+		time.Sleep(idleCloseInterval)
 		o.mu.Lock()
 		st := o.drain.State(unixNow())
 		if o.closed || o.quitting || st == drain.Serving {
-			o.tending = false
+			o.closingIdle = false
 			o.mu.Unlock()
 			return
 		}
@@ -224,7 +228,8 @@
 	}
 }
 
-// Deed is a call by the operators' socket: a line of the management address, as JSON.
+// Deed carries out a call that came over the admin socket. Its text is a JSON string that
+// holds a line as the management address takes it; the result is the answer to that line.
 func (o *Operation) Deed(text []byte) (any, error) {
 	var line string
 	if err := json.Unmarshal(text, &line); err != nil {
--- a/internal/rooms/operating/shared_test.go
+++ b/internal/rooms/operating/shared_test.go
@@ -13,10 +13,11 @@
 	"chalkrack/internal/upstream"
 )
 
-// A process that starts beside one that serves takes half of the limits, and one that
-// ends before its yes gives them back: the old one is left to serve untouched. That a kill
-// counts as an end is for the test of the folder.
-func TestStartThatDies(t *testing.T) {
+// A process that starts beside a serving one takes half of the limits. If it ends before it
+// is ready, the serving one gets them back and goes on serving; otherwise a failed upgrade
+// would leave it with half its limits. The handover package tests that a killed process
+// counts as ended.
+func TestLimitsReturnAfterFailedStart(t *testing.T) {
 	set, err := settings.Parse([]byte(`{"replicasOfMe":1,"caps":{"attemptsCap":2},"classes":[{"name":"a","effect":"repeatable","promiseUs":1000000,"hardLimitUs":3000000}]}`))
 	if err != nil {
 		t.Fatal(err)
@@ -38,42 +39,42 @@
 	defer o.Close()
 	o.Inherit()
 	o.Serve()
-	others := func(want int) {
+	waitForOthers := func(want int) {
 		t.Helper()
 		for end := time.Now().Add(20 * time.Second); ; time.Sleep(time.Millisecond) {
 			o.mu.Lock()
-			is := o.others
+			is := o.otherProcesses
 			o.mu.Unlock()
 			if is == want {
 				return
 			}
 			if time.Now().After(end) {
-				t.Fatalf("%d others, want %d", is, want)
+				t.Fatalf("%d other processes, want %d", is, want)
 			}
 		}
 	}
-	most := func() int { return pool.Limits() }
-	others(0)
-	if most() != 8 {
-		t.Errorf("alone: %d connections at the most", most())
+	maxConns := func() int { return pool.Limits() }
+	waitForOthers(0)
+	if maxConns() != 8 {
+		t.Errorf("single process: limit of %d connections, want 8", maxConns())
 	}
 	next, err := handover.Open(filepath.Join(tmp, "fawnrock-"+ln.Addr().String()))
 	if err != nil {
 		t.Fatal(err)
 	}
-	others(1)
-	o.mu.Lock() // attend has shared them by when it lets go
-	half := most()
+	waitForOthers(1)
+	o.mu.Lock() // watchProcesses divides the limits before it unlocks
+	half := maxConns()
 	o.mu.Unlock()
 	if half != 4 {
-		t.Errorf("beside another: %d connections at the most", half)
+		t.Errorf("beside another process: limit of %d connections, want 4", half)
 	}
 	next.Close()
-	others(0)
+	waitForOthers(0)
 	o.mu.Lock()
-	whole := most()
+	whole := maxConns()
 	o.mu.Unlock()
 	if whole != 8 || !host.Ready() || !o.Ready() {
-		t.Errorf("after the other's death: %d connections at the most, ready %v", whole, host.Ready())
+		t.Errorf("after the other process ended: limit of %d connections, want 8; ready %v", whole, host.Ready())
 	}
 }
