--- a/internal/daemon/bodies.go
+++ b/internal/daemon/bodies.go
@@ -14,59 +14,60 @@
 	"chalkrack/internal/upstream"
 )
 
-// spoolFiles are the descriptors that a folder of bodies needs beside its files: its
-// lock, and the file of a trial.
-const spoolFiles = 2
+// reservedSpoolFiles is the number of descriptors that a spool folder needs besides its body
+// files: the lock file and the file of a trial write.
+const reservedSpoolFiles = 2
 
-func filesOf(c *Config) int {
+// bodyFileDescriptors returns the descriptors that the files of bodies need.
+func bodyFileDescriptors(c *Config) int {
 	if c.Features.Bodies.Folder == "" {
 		return 0
 	}
-	return c.Features.Bodies.Files + spoolFiles
+	return c.Features.Bodies.Files + reservedSpoolFiles
 }
 
-// newStore is where request bodies are kept, nil if that is off.
-func newStore(c *Config) (*body.Store, error) {
-	b := &c.Features.Bodies
-	if !b.Enabled {
+// newBodyStore returns the store of request bodies, or nil if [bodies] is off.
+func newBodyStore(c *Config) (*body.Store, error) {
+	settings := &c.Features.Bodies
+	if !settings.Enabled {
 		return nil, nil
 	}
 	cfg := body.Config{
 		Limits: keep.Limits{
-			Memory:     int64(b.MemoryKB(c.MemoryMB)-b.OnTheWayKB()) << 10,
-			MemoryMost: int64(b.MemoryLongestKB) << 10,
+			Memory:     int64(settings.MemoryKB(c.MemoryMB)-settings.OnTheWayKB()) << 10,
+			MemoryMost: int64(settings.MemoryLongestKB) << 10,
 			MoveLeast:  spool.PieceMost,
-			Disk:       int64(b.DiskMB) << 20,
-			FileMost:   int64(b.FileLongestMB) << 20,
-			Files:      int64(b.Files),
-			Streams:    int64(b.Streams),
-			Lend:       b.Lend, High: b.High, Low: b.Low,
+			Disk:       int64(settings.DiskMB) << 20,
+			FileMost:   int64(settings.FileLongestMB) << 20,
+			Files:      int64(settings.Files),
+			Streams:    int64(settings.Streams),
+			Lend:       settings.Lend, High: settings.High, Low: settings.Low,
 			Tenants: len(c.Settings.Config.Tenants),
 		},
 		Disk: keep.DiskLimits{
-			SlowAfter: time.Duration(b.SlowAfter), RestLeast: time.Duration(b.RestLeast),
-			RestMost: time.Duration(b.RestMost), Proof: b.Proof,
+			SlowAfter: time.Duration(settings.SlowAfter), RestLeast: time.Duration(settings.RestLeast),
+			RestMost: time.Duration(settings.RestMost), Proof: settings.Proof,
 		},
-		Window:  int64(b.WindowKB) << 10,
+		Window:  int64(settings.WindowKB) << 10,
 		Classes: c.Settings.Names(),
 	}
 	for _, name := range cfg.Classes {
-		cfg.Limits.Shares = append(cfg.Limits.Shares, b.Shares[name])
+		cfg.Limits.Shares = append(cfg.Limits.Shares, settings.Shares[name])
 	}
-	if b.Folder == "" {
-		// Without files nothing longer than memory holds is kept.
+	if settings.Folder == "" {
+		// Without files, no body longer than the memory bound is stored.
 		cfg.Limits.FileMost = cfg.Limits.MemoryMost
 	} else {
 		var err error
 		cfg.Spool, err = spool.New(spool.Config{
-			Folder: b.Folder, Workers: b.Workers, Queue: b.Queue, Classes: len(cfg.Classes),
-			Wait: time.Duration(b.CallWait), Compress: b.Compress, FS: c.Disk,
+			Folder: settings.Folder, Workers: settings.Workers, Queue: settings.Queue, Classes: len(cfg.Classes),
+			Wait: time.Duration(settings.CallWait), Compress: settings.Compress, FS: c.Disk,
 		})
 		if err != nil {
 			return nil, err
 		}
-		if inMemory, err := spool.InMemory(b.Folder); err == nil && inMemory {
-			slog.Warn("the folder of bodies lies in memory: its files count as such", "folder", b.Folder, "disk_mb", b.DiskMB)
+		if inMemory, err := spool.InMemory(settings.Folder); err == nil && inMemory {
+			slog.Warn("the body folder is on a memory file system: its files use memory", "folder", settings.Folder, "disk_mb", settings.DiskMB)
 		}
 	}
 	store, err := body.New(cfg)
@@ -76,97 +77,100 @@
 	return store, nil
 }
 
+// frontBodies returns the front's settings for bodies in store, or nil if store is nil.
 func frontBodies(c *Config, store *body.Store) *front.Bodies {
 	if store == nil {
 		return nil
 	}
-	b := &c.Features.Bodies
+	settings := &c.Features.Bodies
 	return &front.Bodies{
 		Store:  store,
 		Class:  func(name string) int { return c.Settings.Class([]byte(name)) },
 		Tenant: func(name string) int { return c.Settings.Tenant([]byte(name)) },
 
-		Longest: int64(b.LongestMB) << 20, Rate: int64(b.RateKB) << 10, Within: time.Duration(b.Within),
-		ProxyStatus: b.ProxyStatus,
+		Longest: int64(settings.LongestMB) << 20, Rate: int64(settings.RateKB) << 10, Within: time.Duration(settings.Within),
+		ProxyStatus: settings.ProxyStatus,
 	}
 }
 
-// Long bodies, where [bodies] is off: up to longKept each is kept in memory as far as
-// there is room, and the call may be tried again; what is longer goes on to one server as
-// it comes, for its transfer there takes as long as from the client. Of the memory for
-// bodies a quarter is for short ones, a quarter for those kept here, and half for those
-// on their way.
+// Settings for long bodies if [bodies] is off. A body of up to maxStoredLongBodyBytes is stored in
+// memory while there is room, and its call may be retried. A longer one is streamed to a single
+// server as it arrives, because its transfer there takes as long as from the client. A quarter of
+// the memory for bodies is for short ones, a quarter for stored long ones and half for streams.
 const (
-	longKept      = 256 << 10
-	longWindow    = 64 << 10
-	maxLongBodies = 32 << 20
-	longRate      = 32 << 10
-	longWithin    = 10 * time.Minute
-	streamsMax    = 512
+	maxStoredLongBodyBytes = 256 << 10
+	longBodyWindowBytes    = 64 << 10
+	maxLongBodyBytes       = 32 << 20
+	minLongBodyRate        = 32 << 10
+	longBodyTimeout        = 10 * time.Minute
+	maxStreams             = 512
 )
 
-// longStreams is how many bodies may be on their way at once: each has its window, and a
-// piece that is read.
-func longStreams(c *Config) int64 {
-	return min(streamsMax, maxBodies(c)/2/(longWindow+body.StreamPiece))
+// maxLongBodyStreams returns the maximum number of bodies that are streamed at once: each needs
+// its window and one piece for reading.
+func maxLongBodyStreams(c *Config) int64 {
+	return min(maxStreams, maxBodyBytes(c)/2/(longBodyWindowBytes+body.StreamPiece))
 }
 
-func newLong(c *Config) (*body.Store, error) {
+// newLongBodyStore returns the store of long bodies for a sidecar whose [bodies] is off.
+func newLongBodyStore(c *Config) (*body.Store, error) {
 	classes := c.Settings.Names()
-	kept := maxBodies(c) / 4
+	storeBytes := maxBodyBytes(c) / 4
 	cfg := body.Config{
 		Limits: keep.Limits{
-			Memory: kept, MemoryMost: min(longKept, kept), MoveLeast: spool.PieceMost, FileMost: min(longKept, kept),
-			Streams: longStreams(c), Lend: 1, High: 1, Low: 0.9, Shares: make([]float64, len(classes)),
+			Memory: storeBytes, MemoryMost: min(maxStoredLongBodyBytes, storeBytes), MoveLeast: spool.PieceMost, FileMost: min(maxStoredLongBodyBytes, storeBytes),
+			Streams: maxLongBodyStreams(c), Lend: 1, High: 1, Low: 0.9, Shares: make([]float64, len(classes)),
 		},
-		Window: longWindow, Classes: classes,
+		Window: longBodyWindowBytes, Classes: classes,
 	}
 	return body.New(cfg)
 }
 
-func frontLong(c *Config, store *body.Store) *front.Bodies {
+// frontLongBodies returns the front's settings for long bodies in store, or nil if store is nil.
+func frontLongBodies(c *Config, store *body.Store) *front.Bodies {
 	if store == nil {
 		return nil
 	}
 	return &front.Bodies{
-		Store: store, Longest: maxLongBodies, Rate: longRate, Within: longWithin,
+		Store: store, Longest: maxLongBodyBytes, Rate: minLongBodyRate, Within: longBodyTimeout,
 		Class:  func(name string) int { return c.Settings.Class([]byte(name)) },
 		Tenant: func(name string) int { return c.Settings.Tenant([]byte(name)) },
 	}
 }
 
-// Status is what operators see of a daemon.
+// Status is the status page of a daemon on the admin socket.
 type Status struct {
 	PID        int          `json:"pid"`
 	Listen     string       `json:"listen"`
 	Ready      bool         `json:"ready"`
 	Since      time.Time    `json:"since"`
-	Calls      int          `json:"calls"`              // held now
-	Clients    int          `json:"client_connections"` // open now
-	Servers    int          `json:"server_connections"` // open now
-	MemoryMB   int          `json:"memory_mb_limit"`    // of the platform
-	Sockets    int          `json:"sockets_limit"`      // of the platform
-	Bodies     bool         `json:"bodies"`             // kept as [bodies] says
+	Calls      int          `json:"calls"`              // held at present
+	Clients    int          `json:"client_connections"` // open at present
+	Servers    int          `json:"server_connections"` // open at present
+	MemoryMB   int          `json:"memory_mb_limit"`    // set by the platform
+	Sockets    int          `json:"sockets_limit"`      // set by the platform
+	Bodies     bool         `json:"bodies"`             // whether [bodies] is on
 	DiskState  string       `json:"disk_state,omitempty"`
 	MemoryUsed *body.Amount `json:"bodies_memory_bytes,omitempty"`
 }
 
-// pages are what the operators' socket shows.
-func pages(c *Config, host *core.Host, srv *front.Server, pool *upstream.Pool, store *body.Store) map[string]func() any {
-	since := time.Now()
-	all := map[string]func() any{
+// statusPages returns the pages of the admin socket that every sidecar has, and the page of bodies
+// if store is not nil.
+func statusPages(c *Config, host *core.Host, srv *front.Server, pool *upstream.Pool, store *body.Store) map[string]func() any {
+	started := time.Now()
+	pages := map[string]func() any{
 		"status": func() any {
-			s := Status{PID: os.Getpid(), Listen: c.Listen, Ready: host.Ready(), Since: since, Calls: host.Held(),
+			status := Status{PID: os.Getpid(), Listen: c.Listen, Ready: host.Ready(), Since: started, Calls: host.Held(),
 				Clients: srv.Conns(), Servers: pool.Conns(), MemoryMB: c.MemoryMB, Sockets: c.Sockets, Bodies: store != nil}
 			if store != nil {
-				v := store.View()
-				s.DiskState, s.MemoryUsed = v.DiskState, &v.Memory
+				view := store.View()
+				status.DiskState, status.MemoryUsed = view.DiskState, &view.Memory
 			}
-			return s
+			return status
 		},
 	}
 	if store != nil {
-		all["bodies"] = func() any { return store.View() }
+		pages["bodies"] = func() any { return store.View() }
 	}
-	return all
+	return pages
 }
--- a/internal/daemon/left_test.go
+++ b/internal/daemon/client_left_test.go
@@ -15,8 +15,9 @@
 	"chalkrack/internal/standin"
 )
 
-// stall watches how late this process itself is woken, for bounds on what others do in time.
-func stall(t *testing.T) (worst func() time.Duration) {
+// measureWakeupDelay measures by how much this process's own timers are late, as tolerance for
+// bounds on other processes' timing. worst returns the maximum so far.
+func measureWakeupDelay(t *testing.T) (worst func() time.Duration) {
 	var most atomic.Int64
 	quit := make(chan struct{})
 	t.Cleanup(func() { close(quit) })
@@ -36,11 +37,11 @@
 	return func() time.Duration { return time.Duration(most.Load()) }
 }
 
-// Clients leave at any time: while their request is read, while a connection comes up, while
-// an attempt is out, between two, in the delay before a copy, and while the process is stopped;
-// some with bytes ahead. Servers fail, freeze and turn away, so that there is always a reason
-// to go on. No attempt begins more than 0.1 s after its client has closed.
-func TestNothingIsSentForClientsThatLeft(t *testing.T) {
+// Clients close at any time: while their request is read, while a server connection opens, during
+// an attempt, between two, in the delay before a copy, and while the process is stopped; some with
+// pipelined bytes. Servers fail, hang and decline, so there is always a reason for another attempt.
+// No attempt may start more than 0.1 s after its client closed.
+func TestNoAttemptsForClosedClients(t *testing.T) {
 	const clients, bound = 400, 100 * time.Millisecond
 	script := func(seed uint64) standin.Script {
 		r := rand.New(rand.NewPCG(seed, 1))
@@ -64,10 +65,10 @@
 	for n, s := range site.Servers {
 		s.Do(script(uint64(n)))
 	}
-	d := process(t, site, binary)
-	settles(t, "never ready", func() bool { return isReady(d.Addr) })
-	late := stall(t)
-	left := make(map[string]time.Time)
+	d := startProcess(t, site, binary)
+	waitUntil(t, "the daemon is never ready", func() bool { return isReady(d.Addr) })
+	wakeupDelay := measureWakeupDelay(t)
+	closedAt := make(map[string]time.Time)
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	r := rand.New(rand.NewPCG(7, 7))
@@ -86,7 +87,7 @@
 			time.Sleep(wait)
 			c.Close()
 			mu.Lock()
-			left[id] = time.Now()
+			closedAt[id] = time.Now()
 			mu.Unlock()
 		})
 	}
@@ -97,30 +98,30 @@
 		d.Signal(syscall.SIGCONT)
 	}
 	wg.Wait()
-	if err := d.Stop(); err != nil { // with it whatever it would still send
+	if err := d.Stop(); err != nil { // after it, no attempt can follow
 		t.Error(err)
 	}
 	worst, attempts, after := time.Duration(0), 0, 0
-	for _, s := range site.Servers[:1] { // they share one
+	for _, s := range site.Servers[:1] { // all servers share one ledger
 		for _, a := range s.Ledger().Log() {
-			gone, ok := left[a.ID]
+			closed, ok := closedAt[a.ID]
 			if !ok {
 				continue
 			}
-			if attempts++; a.At.After(gone) {
+			if attempts++; a.At.After(closed) {
 				after++
-				if late := a.At.Sub(gone); late > bound/2 {
-					t.Logf("attempt %d of %s came %v after its client had closed, act %v", a.Nth, a.ID, late, a.Act)
+				if wakeupDelay := a.At.Sub(closed); wakeupDelay > bound/2 {
+					t.Logf("attempt %d of %s arrived %v after its client closed, act %v", a.Nth, a.ID, wakeupDelay, a.Act)
 				}
-				worst = max(worst, a.At.Sub(gone))
+				worst = max(worst, a.At.Sub(closed))
 			}
 		}
 	}
-	t.Logf("%d attempts, %d after their client had closed, the last %v after it; bound %v, this process late by %v", attempts, after, worst, bound, late())
+	t.Logf("%d attempts, %d after their client closed, the latest by %v; bound %v, wake-up delay %v", attempts, after, worst, bound, wakeupDelay())
 	if attempts < clients/2 {
-		t.Errorf("only %d attempts", attempts)
+		t.Errorf("only %d attempts: too few for the test", attempts)
 	}
-	if worst > bound+late() {
-		t.Errorf("an attempt %v after its client had closed, %v at the most", worst, bound)
+	if worst > bound+wakeupDelay() {
+		t.Errorf("an attempt %v after its client closed, want at most %v", worst, bound)
 	}
 }
--- a/internal/daemon/cold_test.go
+++ b/internal/daemon/cold_test.go
@@ -11,13 +11,13 @@
 	"chalkrack/internal/standin"
 )
 
-// Thirty processes, of which three bring ten times as much as any other, hear at once that a
-// server has started anew and that three of six are off the list. What all of them send to the
-// cold one, first attempts, further ones and copies, does not push it over: 32 calls within a
-// second do at its start.
-func TestColdServerUnderThirtyProcesses(t *testing.T) {
+// Thirty processes, three with ten times the load of the others, learn at the same time that a
+// server has restarted and that three of six servers are removed. All their attempts at the cold
+// server together, retries and copies included, must not overload it: 32 calls within a second
+// do at its start.
+func TestThirtyProcessesDoNotOverloadColdServer(t *testing.T) {
 	const fleet, servers = 30, 6
-	site, binary := crossingSite(t, rig.SiteConfig{Servers: servers, Fleet: fleet, Warm: true, ColdFrom: 0.2, ColdFor: 8 * time.Second,
+	site, binary := newProcessSite(t, rig.SiteConfig{Servers: servers, Fleet: fleet, Warm: true, ColdFrom: 0.2, ColdFor: 8 * time.Second,
 		Server: standin.ServerConfig{Rate: 40, Cold: 0.2, WarmIn: 8 * time.Second, FallFactor: 4, FallFor: time.Second}})
 	for _, s := range site.Servers {
 		s.Warm()
@@ -56,20 +56,20 @@
 		})
 	}
 	started.Wait()
-	before := len(site.Servers[0].Ledger().Log())
+	logLength := len(site.Servers[0].Ledger().Log())
 	site.Servers[0].Kill()
 	if err := site.Servers[0].Restart(); err != nil {
 		t.Fatal(err)
 	}
-	change := []standin.Endpoint{site.Endpoint(0, "up")}
+	changes := []standin.Endpoint{site.Endpoint(0, "up")}
 	for n := 1; n <= 3; n++ {
-		change = append(change, site.Endpoint(n, "removed"))
+		changes = append(changes, site.Endpoint(n, "removed"))
 	}
-	site.Discovery.Change(change...)
+	site.Discovery.Change(changes...)
 	name, cold := site.Servers[0].Name(), 0
-	settles(t, "the cold server is not used", func() bool {
+	waitUntil(t, "the cold server is not used", func() bool {
 		cold = 0
-		for _, a := range site.Servers[0].Ledger().Log()[before:] {
+		for _, a := range site.Servers[0].Ledger().Log()[logLength:] {
 			if a.Server == name {
 				cold++
 			}
@@ -77,6 +77,6 @@
 		return cold >= 20 || site.Servers[0].Fallen()
 	})
 	if site.Servers[0].Fallen() {
-		t.Errorf("the cold server was pushed over by %d calls", cold)
+		t.Errorf("the cold server was overloaded by %d calls", cold)
 	}
 }
--- a/internal/daemon/sides_test.go
+++ b/internal/daemon/connections_test.go
@@ -11,9 +11,9 @@
 	"chalkrack/internal/standin"
 )
 
-// served is a daemon of so many descriptors (0: the usual) before servers that answer all
-// after a delay.
-func served(t *testing.T, servers, sockets int, delay time.Duration) (*rig.Site, *rig.Daemon) {
+// startDaemon returns a daemon with a descriptor limit, 0 for the default, and its site, whose
+// servers answer after a delay.
+func startDaemon(t *testing.T, servers, sockets int, delay time.Duration) (*rig.Site, *rig.Daemon) {
 	t.Helper()
 	site, err := rig.NewSite(rig.SiteConfig{Servers: servers, Classes: rig.Patient(), NoHedge: true, Sockets: sockets,
 		Server: standin.ServerConfig{Script: standin.Always(standin.Act{Kind: standin.Serve, Delay: delay})}})
@@ -29,11 +29,11 @@
 	return site, d
 }
 
-// A busy sidecar of 256 descriptors before 60 servers keeps its connections to them: with
-// too few places each call threw an idle connection to another server out.
-func TestBusySidecarKeepsConnections(t *testing.T) {
+// A busy sidecar of 256 descriptors reuses its connections to 60 servers: with too low a limit for
+// server connections, each call evicted an idle connection to another server.
+func TestBusySidecarReusesConnections(t *testing.T) {
 	const servers, clients, calls = 60, 40, 80
-	site, d := served(t, servers, 256, 20*time.Millisecond)
+	site, d := startDaemon(t, servers, 256, 20*time.Millisecond)
 	var wg sync.WaitGroup
 	for n := range clients {
 		wg.Go(func() {
@@ -53,6 +53,6 @@
 	}
 	t.Logf("%d connections for %d calls", opened, clients*calls)
 	if opened > clients*calls/8 {
-		t.Errorf("%d connections for %d calls", opened, clients*calls)
+		t.Errorf("%d connections for %d calls, want at most one for 8", opened, clients*calls)
 	}
 }
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -1,5 +1,6 @@
-// Package daemon puts the sidecar's parts together: one process between an
-// application and the servers, which hosts one balancer.
+// Package daemon assembles a sidecar from its parts: a process between an application and its
+// servers that hosts one balancer. Run starts the parts in order, serves until SIGTERM, answers
+// the calls that it holds and stops the parts in reverse order.
 package daemon
 
 import (
@@ -20,73 +21,78 @@
 )
 
 const (
-	socketsSpare = 24
-	// A start that knows a list waits so long for a newer one: what it was told may be old.
-	listFresh = 250 * time.Millisecond
-	// One that knows none waits so long for the first. Nine in ten restarted processes have
-	// to be ready within 10 s, also where discovery is down.
-	listNeeded = 7 * time.Second
-	lameFor    = 700 * time.Millisecond
-	// Where another process takes over, connections that idle are ended so long after
-	// SIGTERM: a request on them must still be answered in time.
-	idleFor = 500 * time.Millisecond
-	// All is answered so long after SIGTERM, beside the longest deadline, of which killAfter
-	// counts at the most. SIGKILL comes 0.7 s after that.
-	quitAfter = 300 * time.Millisecond
-	killAfter = 3 * time.Second
-	sweepEach = 2 * time.Second
-	// How often a trial's judge is asked.
-	ruleEach = 100 * time.Millisecond
+	// reservedSockets is the number of descriptors that are kept free of connections and bodies, for
+	// the process itself.
+	reservedSockets = 24
+	// newerListTimeout bounds a starting process's wait for a newer list if it already has one,
+	// because the list it was given may be outdated.
+	newerListTimeout = 250 * time.Millisecond
+	// firstListTimeout bounds the wait of a process without a list for its first one. Nine in
+	// ten restarted processes have to be ready within 10 s, even while discovery is down.
+	firstListTimeout = 7 * time.Second
+	// lameDuckPeriod is how long after SIGTERM a listener of this process alone stays open.
+	lameDuckPeriod = 700 * time.Millisecond
+	// idleCloseDelay is the time from SIGTERM until idle connections are closed if another
+	// process takes over the listener: a request on them must still be answered in time.
+	idleCloseDelay = 500 * time.Millisecond
+	// All calls are answered within shutdownMargin plus the longest deadline after SIGTERM, of
+	// which at most maxAwaitedDeadline counts. SIGKILL follows 0.7 s later.
+	shutdownMargin     = 300 * time.Millisecond
+	maxAwaitedDeadline = 3 * time.Second
+	// sweepInterval is the interval of sweeps of idle connections and of garbage collections.
+	sweepInterval = 2 * time.Second
+	// trialCheckInterval is the interval at which a configuration on trial is judged.
+	trialCheckInterval = 100 * time.Millisecond
 )
 
-// Config is what a sidecar is told.
+// Config is the configuration of a sidecar.
 type Config = config.Config
 
-// Tune fits the process to its limits.
+// Tune sets the Go runtime's processor count and memory limit from c. It affects the whole process.
 func Tune(c *Config) {
 	runtime.GOMAXPROCS(max(1, int(math.Ceil(c.Cores))))
-	// Requests are short-lived garbage over a small live heap: collecting less
-	// often saves CPU, as far as the memory goes.
+	// Requests are short-lived garbage beside a small live heap: less frequent collections save
+	// CPU, and the memory limit bounds the heap.
 	debug.SetGCPercent(400)
-	debug.SetMemoryLimit(maxHeap(c))
+	debug.SetMemoryLimit(maxHeapBytes(c))
 }
 
-// maxHeap is what the heap may grow to, in bytes.
-func maxHeap(c *Config) int64 { return int64(c.MemoryMB) << 20 * 6 / 10 }
+// maxHeapBytes returns the soft limit of the heap, in bytes.
+func maxHeapBytes(c *Config) int64 { return int64(c.MemoryMB) << 20 * 6 / 10 }
 
-// maxBodies is how much of requests' bodies may be held, in bytes.
-func maxBodies(c *Config) int64 { return int64(c.MemoryMB) << 20 * 3 / 8 }
+// maxBodyBytes returns the limit of memory for request bodies, in bytes.
+func maxBodyBytes(c *Config) int64 { return int64(c.MemoryMB) << 20 * 3 / 8 }
 
-// maxShortBodies is how much of it is for those that the front holds itself.
-func maxShortBodies(c *Config) int64 {
+// maxShortBodyBytes returns the part of maxBodyBytes for the bodies that the front holds itself.
+func maxShortBodyBytes(c *Config) int64 {
 	if c.Features.Bodies.Enabled {
-		return maxBodies(c)
+		return maxBodyBytes(c)
 	}
-	return maxBodies(c) / 4
+	return maxBodyBytes(c) / 4
 }
 
-// Run serves until term, and then until all that was taken is answered. At each hup
-// it reads the configuration anew. ready is told the address once it serves; nil: nobody.
+// Run serves until a signal on term, then answers the calls that it holds and returns. On each
+// signal on hup it reloads the configuration. If ready is not nil, Run calls it with the listen
+// address once the sidecar serves. Run returns an error if a part fails to start.
 //
-// What it is made of stands here in the order in which it starts; it ends the other way
-// round.
+// The parts start in the order of the list below and are closed in reverse order.
 func Run(c *Config, term, hup <-chan os.Signal, ready func(net.Addr)) error {
-	s := &sidecar{c: c, term: term, hup: hup}
+	s := &sidecar{cfg: c, term: term, hup: hup}
 	defer s.close()
 	for _, start := range []func() error{
-		s.bodies,
-		s.core,    // with transport, discovery and figures
-		s.weights, // between discovery and the core, as the next three
-		s.duty,
-		s.zones,
-		s.operation,
-		s.radius,
-		s.routing,
-		s.front,
-		s.management,
-		s.levels,
-		s.changes,
-		s.admin,
+		s.startBodies,
+		s.startCore,    // with the transport, discovery and figures
+		s.startWeights, // this and the next three are between discovery and the core
+		s.startDuties,
+		s.startZones,
+		s.startOperation,
+		s.startRadius,
+		s.startRouting,
+		s.startFront,
+		s.startManagement,
+		s.startLevels,
+		s.startTrials,
+		s.startAdmin,
 	} {
 		if err := start(); err != nil {
 			return err
@@ -95,55 +101,58 @@
 	return s.serve(ready)
 }
 
-// traces is where the traces of calls go, nil if nobody asked for them.
-func traces(c *Config) *slog.Logger {
+// traceLogger returns the logger for call traces, or nil if traces are off.
+func traceLogger(c *Config) *slog.Logger {
 	if !c.Features.Log.Traces {
 		return nil
 	}
 	return slog.New(slog.NewJSONHandler(os.Stderr, nil))
 }
 
-// quit answers what is taken and ends. Where the platform holds the clients' socket,
-// another process takes what comes: this one stops to, and ends connections with an
-// answer, or where nothing has come on them.
-func quit(g *changes.Changes, host *core.Host, srv *front.Server, routes *pools.Routing, terminals *proxy.Proxy) {
-	began, longest := time.Now(), min(g.Longest(), killAfter)
+// drainAndStop answers the held calls and returns once all connections are closed or
+// maxShutdownTime has passed. If the platform holds the listening socket, another process accepts
+// new clients: this one stops accepting at once, closes each connection after its answer, and closes
+// idle ones from idleCloseDelay on.
+func drainAndStop(trials *changes.Changes, host *core.Host, srv *front.Server, routes *pools.Routing, radiusProxy *proxy.Proxy) {
+	started, maxDeadline := time.Now(), min(trials.Longest(), maxAwaitedDeadline)
 	slog.Info("stopping", "held", host.Held())
-	host.QuitAt(longest + quitAfter)
-	routes.QuitAt(longest + quitAfter)
-	handsOver := g.Running().Inherited > 0
-	if handsOver {
-		g.CloseListener()
+	host.QuitAt(maxDeadline + shutdownMargin)
+	routes.QuitAt(maxDeadline + shutdownMargin)
+	hasSharedListener := trials.Running().Inherited > 0
+	if hasSharedListener {
+		trials.CloseListener()
 		srv.SetDraining(true)
 	} else {
 		srv.Drain()
 	}
-	if terminals != nil {
-		terminals.QuitAt(longest + quitAfter)
+	if radiusProxy != nil {
+		radiusProxy.QuitAt(maxDeadline + shutdownMargin)
 	}
-	// A connection counts until it is closed on both sides, or read off for long enough: what
-	// is still written to it when the process ends would be met by a reset.
-	open := func() bool {
-		return srv.Conns() > 0 || terminals != nil && terminals.Held() > 0
+	// A connection counts until both sides have closed it, or until it has been read for long
+	// enough: data that the client still sends when the process exits would cause a reset.
+	hasOpenConns := func() bool {
+		return srv.Conns() > 0 || radiusProxy != nil && radiusProxy.Held() > 0
 	}
-	for listening := !handsOver; ; time.Sleep(10 * time.Millisecond) {
-		since := time.Since(began)
-		if listening && since >= lameFor {
-			g.CloseListener() // who comes now is refused, and not met by the process's end
+	for listening := !hasSharedListener; ; time.Sleep(10 * time.Millisecond) {
+		elapsed := time.Since(started)
+		if listening && elapsed >= lameDuckPeriod {
+			trials.CloseListener() // refuses new clients, which the process's exit would otherwise reset
 			listening = false
 		}
-		if since > maxQuit(longest) || !listening && !open() {
+		if elapsed > maxShutdownTime(maxDeadline) || !listening && !hasOpenConns() {
 			break
 		}
 		switch {
-		case !handsOver:
+		case !hasSharedListener:
 			srv.Drain()
-		case since > idleFor:
+		case elapsed > idleCloseDelay:
 			srv.EndIdle()
 		}
 	}
-	slog.Info("stopped", "busy", srv.Busy(), "held", host.Held(), "after", time.Since(began))
+	slog.Info("stopped", "busy", srv.Busy(), "held", host.Held(), "after", time.Since(started))
 }
 
-// maxQuit is how long a process stays after SIGTERM at the most.
-func maxQuit(longest time.Duration) time.Duration { return longest + quitAfter + 100*time.Millisecond }
+// maxShutdownTime returns the maximum time from SIGTERM until the process exits.
+func maxShutdownTime(maxDeadline time.Duration) time.Duration {
+	return maxDeadline + shutdownMargin + 100*time.Millisecond
+}
--- a/internal/daemon/duties.go
+++ b/internal/daemon/duties.go
@@ -12,16 +12,17 @@
 	"chalkrack/internal/rooms/duties"
 )
 
-// dutyConns are the descriptors that duties may hold.
-func dutyConns(c *Config) int {
+// dutyDescriptors returns the number of descriptors that duties may hold.
+func dutyDescriptors(c *Config) int {
 	if !c.Features.Duty.Enabled {
 		return 0
 	}
 	return duties.Conns
 }
 
-// dutyConfig is package duty's, from the platform's peers and the operators' file.
-func dutyConfig(c *Config, inc uint64) (duty.Config, string, error) {
+// dutyConfig returns the configuration of package duty and the listen address for notes, from the
+// platform's peers and the operators' file. An error names the invalid field.
+func dutyConfig(c *Config, incarnation uint64) (duty.Config, string, error) {
 	var raw struct {
 		PeerListen string `json:"peer_listen"`
 		Peers      []string
@@ -30,22 +31,22 @@
 	if err := json.Unmarshal(c.Platform, &raw); err != nil {
 		return duty.Config{}, "", fmt.Errorf("config: %w", err)
 	}
-	f := &c.Features.Duty
+	settings := &c.Features.Duty
 	if raw.PeerListen == "" || raw.Settings.Rank < 0 || raw.Settings.Rank >= len(raw.Peers) {
-		return duty.Config{}, "", errors.New("features: duty.enabled: the platform's configuration names no peers with this sidecar among them")
+		return duty.Config{}, "", errors.New("features: duty.enabled: the platform's configuration lists no peers that include this sidecar")
 	}
-	cfg := duty.Config{Inc: inc, Seed: c.Seed, Watchers: f.Watchers, Every: time.Duration(f.Every), Step: time.Duration(f.Step), Period: time.Duration(f.Period), AckWait: time.Duration(f.AckWait),
-		Helpers: f.Helpers, Suspect: time.Duration(f.Suspect), Spread: f.Spread, Probes: f.Probes, PerNode: f.PerNode, Notes: f.Notes, Remember: time.Duration(f.Remember), Keyed: f.Key != ""}
-	for n, addr := range raw.Peers {
-		zone, known := f.Zones[addr]
-		if len(f.Zones) > 0 && !known {
-			return cfg, "", fmt.Errorf("features: duty.zones: %s has none", addr)
+	cfg := duty.Config{Inc: incarnation, Seed: c.Seed, Watchers: settings.Watchers, Every: time.Duration(settings.Every), Step: time.Duration(settings.Step), Period: time.Duration(settings.Period), AckWait: time.Duration(settings.AckWait),
+		Helpers: settings.Helpers, Suspect: time.Duration(settings.Suspect), Spread: settings.Spread, Probes: settings.Probes, PerNode: settings.PerNode, Notes: settings.Notes, Remember: time.Duration(settings.Remember), Keyed: settings.Key != ""}
+	for rank, addr := range raw.Peers {
+		zone, known := settings.Zones[addr]
+		if len(settings.Zones) > 0 && !known {
+			return cfg, "", fmt.Errorf("features: duty.zones: no zone for peer %s", addr)
 		}
-		as := duties.As(n)
-		if n == raw.Settings.Rank {
-			cfg.Self, cfg.As, cfg.Zone = addr, as, zone
+		id := duties.As(rank)
+		if rank == raw.Settings.Rank {
+			cfg.Self, cfg.As, cfg.Zone = addr, id, zone
 		} else {
-			cfg.Peers = append(cfg.Peers, duty.Peer{Name: addr, As: as, Zone: zone})
+			cfg.Peers = append(cfg.Peers, duty.Peer{Name: addr, As: id, Zone: zone})
 		}
 	}
 	if err := cfg.Validate(); err != nil {
@@ -54,19 +55,19 @@
 	return cfg, raw.PeerListen, nil
 }
 
-// newDuties returns nil where [duty] is off.
+// newDuties returns the duties of this sidecar, or nil if [duty] is off.
 func newDuties(c *Config, host *core.Host) (*duties.Duties, error) {
 	if !c.Features.Duty.Enabled {
 		return nil, nil
 	}
 	if !c.Settings.Config.Probes && c.Settings.Config.ProbeCost > 0 {
-		slog.Info("duty: the platform prices probes", "probe", c.Settings.Config.ProbeCost)
+		slog.Info("duty: the platform charges for probes", "probe", c.Settings.Config.ProbeCost)
 	}
 	cfg, listen, err := dutyConfig(c, uint64(time.Now().UnixMilli()))
 	if err != nil {
 		return nil, err
 	}
-	f := &c.Features.Duty
-	return duties.New(duties.Config{Duty: cfg, Listen: listen, Inherited: c.Inherited > 0, Key: []byte(f.Key), Path: f.Path,
-		Slow: time.Duration(f.Slow), Timeout: time.Duration(f.Timeout), Probing: f.Probing}, host)
+	settings := &c.Features.Duty
+	return duties.New(duties.Config{Duty: cfg, Listen: listen, Inherited: c.Inherited > 0, Key: []byte(settings.Key), Path: settings.Path,
+		Slow: time.Duration(settings.Slow), Timeout: time.Duration(settings.Timeout), Probing: settings.Probing}, host)
 }
--- a/internal/daemon/duties_test.go
+++ b/internal/daemon/duties_test.go
@@ -20,8 +20,8 @@
 	"chalkrack/internal/upstream"
 )
 
-// peered is a configuration with peers on loopback, this sidecar at a rank.
-func peered(t *testing.T, peers []string, rank int) *Config {
+// configWithPeers returns a configuration with peers on loopback and this sidecar at a rank.
+func configWithPeers(t *testing.T, peers []string, rank int) *Config {
 	t.Helper()
 	p := configtest.New(t)
 	p.Write(t, 5, "[duty]\nenabled = true\nkey = \"hush\"\n")
@@ -39,8 +39,8 @@
 	return c
 }
 
-// 40 sidecars over real sockets, half of them killed and one peer that sends noise: each
-// node is probed on, by a few of them, and its findings reach those that did not probe it.
+// 40 sidecars over real sockets, half of them stopped, and one that receives invalid packets: each
+// node is still probed by a few sidecars, and the results reach those that did not probe it.
 func TestDutiesOverUDP(t *testing.T) {
 	const cars, nodes = 40, 8
 	var mu sync.Mutex
@@ -59,7 +59,7 @@
 		defer srv.Close()
 		list.Entries = append(list.Entries, membership.Entry{Endpoint: chalkrack.Endpoint{Name: name, State: chalkrack.Serving}, Address: srv.Listener.Addr().String()})
 	}
-	// Ports that are free now, at an address that nobody goes out from.
+	// Free ports on an address that no outgoing connection uses.
 	var peers []string
 	var held []*net.UDPConn
 	for range cars {
@@ -75,7 +75,7 @@
 	}
 	var all []*duties.Duties
 	for n := range cars {
-		c := peered(t, peers, n)
+		c := configWithPeers(t, peers, n)
 		host, err := core.New(core.Config{Settings: c.Settings, Seed: uint64(n), Transport: upstream.New(upstream.Config{MaxConns: 1})})
 		if err != nil {
 			t.Fatal(err)
@@ -124,7 +124,7 @@
 	}
 	begun := time.Now()
 	until("each node is probed", func() bool { least, _ := count(begun); return least >= 4 })
-	until("what is found comes to all", func() bool {
+	until("the results reach all sidecars", func() bool {
 		known := 0
 		for _, s := range all {
 			for _, n := range s.View().Nodes {
@@ -136,39 +136,40 @@
 		return known >= cars*nodes*9/10
 	})
 	if v := all[cars-1].View(); v.Unread < 40 {
-		t.Errorf("%d of 50 unreadable notes were counted", v.Unread)
+		t.Errorf("%d of 50 unreadable notes were counted, want at least 40", v.Unread)
 	}
 	for _, s := range all[:cars/2] {
 		s.Close()
 	}
 	killed := time.Now()
-	until("each node is probed after half have died", func() bool { least, _ := count(killed); return least >= 3 })
+	until("each node is probed after half of the sidecars have stopped", func() bool { least, _ := count(killed); return least >= 3 })
 	_, most := count(begun)
 	if limit := 4*time.Since(begun).Seconds() + 8; float64(most) > limit {
-		t.Errorf("a node was probed %d times, %.0f at the most", most, limit)
+		t.Errorf("a node was probed %d times, want at most %.0f", most, limit)
 	}
 }
 
-// A configuration without peers, or with zones for some, is refused by its field.
-func TestDutyConfig(t *testing.T) {
+// A configuration without this sidecar among the peers, with zones for only some, or with an invalid
+// setting is rejected with an error that names the field.
+func TestDutyConfigErrorsNameField(t *testing.T) {
 	peers := []string{"127.0.0.1:1", "127.0.0.1:2"}
-	if c := peered(t, peers, 2); true {
+	if c := configWithPeers(t, peers, 2); true {
 		if _, _, err := dutyConfig(c, 1); err == nil || !strings.Contains(err.Error(), "duty.enabled") {
-			t.Errorf("%v", err)
+			t.Errorf("error %v, want one that names duty.enabled", err)
 		}
 	}
-	c := peered(t, peers, 1)
+	c := configWithPeers(t, peers, 1)
 	c.Features.Duty.Zones = map[string]string{peers[0]: "a"}
 	if _, _, err := dutyConfig(c, 1); err == nil || !strings.Contains(err.Error(), "duty.zones") {
-		t.Errorf("%v", err)
+		t.Errorf("error %v, want one that names duty.zones", err)
 	}
 	c.Features.Duty.Zones[peers[1]] = "b"
 	cfg, listen, err := dutyConfig(c, 1)
 	if err != nil || cfg.Self != peers[1] || cfg.Zone != "b" || len(cfg.Peers) != 1 || cfg.Peers[0].Zone != "a" || listen != peers[1] || !cfg.Keyed {
-		t.Errorf("%+v %q %v", cfg, listen, err)
+		t.Errorf("configuration %+v, listen address %q, error %v", cfg, listen, err)
 	}
 	c.Features.Duty.Every = duration.Duration(time.Millisecond)
 	if _, _, err := dutyConfig(c, 1); err == nil || !strings.Contains(err.Error(), "every") {
-		t.Errorf("%v", err)
+		t.Errorf("error %v, want one that names every", err)
 	}
 }
--- /dev/null
+++ b/internal/daemon/levels.go
@@ -0,0 +1,96 @@
+package daemon
+
+import (
+	"fmt"
+	"maps"
+	"slices"
+	"time"
+
+	"chalkrack/internal/core"
+	"chalkrack/internal/front"
+	"chalkrack/internal/level"
+	"chalkrack/internal/rooms/levels"
+	"chalkrack/internal/upstream"
+)
+
+// levelConfig returns the configuration of package level for the platform's classes, with the
+// settings of the operators' file. An error names the invalid field.
+func levelConfig(c *Config) (level.Config, error) {
+	settings := &c.Features.Level
+	var classes []level.Class
+	for n, name := range c.Settings.Names() {
+		classes = append(classes, level.Class{Name: name, Worth: c.Settings.Config.Classes[n].Worth})
+	}
+	cfg := level.Default(classes)
+	for _, delay := range []struct {
+		to   *time.Duration
+		from time.Duration
+	}{{&cfg.EnterAfter, time.Duration(settings.EnterAfter)}, {&cfg.LeaveAfter, time.Duration(settings.LeaveAfter)}, {&cfg.Proof, time.Duration(settings.Proof)}, {&cfg.MostWait, c.Settings.Config.MaxRetryAfter}} {
+		if delay.from > 0 {
+			*delay.to = delay.from
+		}
+	}
+	if settings.Doublings > 0 {
+		cfg.Doublings = settings.Doublings
+	}
+	if settings.Slope > 0 {
+		cfg.Slope = settings.Slope
+	}
+	if settings.Evidence > 0 {
+		cfg.Evidence = settings.Evidence
+	}
+	for name, step := range map[string]*struct {
+		cut, enter, leave map[string]float64
+		worth             *float64
+		copies, probes    *bool
+	}{
+		"saving":    {settings.Saving.Cut, settings.Saving.Enter, settings.Saving.Leave, settings.Saving.RetryWorth, settings.Saving.NoCopies, settings.Saving.NoProbes},
+		"trimmed":   {settings.Trimmed.Cut, settings.Trimmed.Enter, settings.Trimmed.Leave, settings.Trimmed.RetryWorth, settings.Trimmed.NoCopies, settings.Trimmed.NoProbes},
+		"essential": {settings.Essential.Cut, settings.Essential.Enter, settings.Essential.Leave, settings.Essential.RetryWorth, settings.Essential.NoCopies, settings.Essential.NoProbes},
+		"emergency": {settings.Emergency.Cut, settings.Emergency.Enter, settings.Emergency.Leave, settings.Emergency.RetryWorth, settings.Emergency.NoCopies, settings.Emergency.NoProbes},
+	} {
+		lvl, _ := level.Parse(name)
+		act := &cfg.Acts[lvl]
+		for _, class := range slices.Sorted(maps.Keys(step.cut)) {
+			n := slices.IndexFunc(classes, func(candidate level.Class) bool { return candidate.Name == class })
+			if n < 0 {
+				return cfg, fmt.Errorf("features: level.%s.cut.%s: no such class", name, class)
+			}
+			act.Cut[n] = step.cut[class]
+		}
+		if step.worth != nil {
+			act.RetryWorth = *step.worth
+		}
+		if step.copies != nil {
+			act.NoCopies = *step.copies
+		}
+		if step.probes != nil {
+			act.NoProbes = *step.probes
+		}
+		for _, sensor := range level.Sensors() {
+			if threshold, ok := step.enter[sensor.String()]; ok {
+				cfg.At[lvl].Enter[sensor], cfg.At[lvl].Leave[sensor] = threshold, 0.6*threshold
+			}
+			if threshold, ok := step.leave[sensor.String()]; ok {
+				cfg.At[lvl].Leave[sensor] = threshold
+			}
+		}
+	}
+	if err := cfg.Validate(); err != nil {
+		return cfg, fmt.Errorf("features: %w", err)
+	}
+	return cfg, nil
+}
+
+// newLevels returns the degradation levels, or nil if [level] is off.
+func newLevels(c *Config, host *core.Host, srv *front.Server, pool *upstream.Pool, maxConns int) (*levels.Levels, error) {
+	if !c.Features.Level.Enabled {
+		return nil, nil
+	}
+	cfg, err := levelConfig(c)
+	if err != nil {
+		return nil, err
+	}
+	return levels.New(levels.Config{Level: cfg, Memory: int64(c.MemoryMB) << 20, Conns: maxConns, Sockets: c.Sockets - reservedSockets,
+		Open: func() int { return srv.Conns() + pool.Conns() }}, host)
+}
--- a/internal/daemon/crossings_test.go
+++ b/internal/daemon/processes_test.go
@@ -23,8 +23,8 @@
 	"chalkrack/internal/standin"
 )
 
-// crossingSite is a site for processes of the daemon's own, and the daemon's binary.
-func crossingSite(t *testing.T, cfg rig.SiteConfig) (*rig.Site, string) {
+// newProcessSite returns a site for daemons that run as separate processes, and the daemon's binary.
+func newProcessSite(t *testing.T, cfg rig.SiteConfig) (*rig.Site, string) {
 	t.Helper()
 	cfg.Classes, cfg.NoHedge = rig.Patient(), true
 	site, err := rig.NewSite(cfg)
@@ -39,8 +39,8 @@
 	return site, binary
 }
 
-// limited is a program that runs the daemon with so many descriptors.
-func limited(t *testing.T, binary string, descriptors int) string {
+// limitedBinary returns a script that runs the daemon with a limited number of descriptors.
+func limitedBinary(t *testing.T, binary string, descriptors int) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "limited")
 	text := fmt.Sprintf("#!/bin/sh\nulimit -n %d\nexec %s\n", descriptors, binary)
@@ -50,7 +50,7 @@
 	return path
 }
 
-func process(t *testing.T, site *rig.Site, binary string) *rig.Daemon {
+func startProcess(t *testing.T, site *rig.Site, binary string) *rig.Daemon {
 	t.Helper()
 	d, err := site.StartProcess(binary, 1, "")
 	if err != nil {
@@ -60,7 +60,7 @@
 	return d
 }
 
-func isServed(t *testing.T, addr, id string) {
+func checkServed(t *testing.T, addr, id string) {
 	t.Helper()
 	c := standin.NewClient(addr)
 	defer c.Close()
@@ -78,50 +78,50 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-// An asked list is followed like a pushed one: what changes is heard, and after discovery was
-// down it is heard again before it counts as told.
-func TestAskedListIsFollowed(t *testing.T) {
-	site, binary := crossingSite(t, rig.SiteConfig{Servers: 2, Asked: true})
-	d := process(t, site, binary)
-	settles(t, "nobody watches", func() bool { return site.Discovery.Watching() == 1 })
+// A polled list is followed like a pushed one: changes arrive, and after an outage of discovery
+// the process polls again within discovery.Told.
+func TestPolledListIsFollowed(t *testing.T) {
+	site, binary := newProcessSite(t, rig.SiteConfig{Servers: 2, Asked: true})
+	d := startProcess(t, site, binary)
+	waitUntil(t, "the daemon does not watch discovery", func() bool { return site.Discovery.Watching() == 1 })
 	site.Discovery.Down(true)
-	settles(t, "nobody asks again", func() bool { return site.Discovery.Refused() > 1 })
+	waitUntil(t, "the daemon does not reconnect", func() bool { return site.Discovery.Refused() > 1 })
 	site.Discovery.Change(site.Endpoint(0, "draining"))
 	back := time.Now()
 	site.Discovery.Down(false)
-	settles(t, "nobody watches after the return", func() bool { return site.Discovery.Watching() == 1 })
+	waitUntil(t, "the daemon does not watch discovery after its return", func() bool { return site.Discovery.Watching() == 1 })
 	if took := time.Since(back); took >= discovery.Told {
-		t.Errorf("asked again %v after the return, %v at the most", took, discovery.Told)
+		t.Errorf("polled again %v after discovery returned, want under %v", took, discovery.Told)
 	}
-	isServed(t, d.Addr, "1")
+	checkServed(t, d.Addr, "1")
 }
 
-// A process that knows no list is not ready before discovery has told one, however long calls
-// fail; one that knows a list is, though discovery is down.
-func TestReadyNeedsAList(t *testing.T) {
+// A process without a list is not ready until discovery sends one, however long its requests
+// fail. A process with a known list is ready even while discovery is down.
+func TestReadyNeedsList(t *testing.T) {
 	for _, asked := range []bool{false, true} {
-		site, binary := crossingSite(t, rig.SiteConfig{Servers: 2, Asked: asked, Unlisted: true})
+		site, binary := newProcessSite(t, rig.SiteConfig{Servers: 2, Asked: asked, Unlisted: true})
 		site.Discovery.Down(true)
-		d := process(t, site, binary)
-		settles(t, "nobody asks", func() bool { return site.Discovery.Refused() >= 4 })
+		d := startProcess(t, site, binary)
+		waitUntil(t, "the daemon does not contact discovery", func() bool { return site.Discovery.Refused() >= 4 })
 		if isReady(d.Addr) {
 			t.Error("ready without a list")
 		}
 		site.Discovery.Down(false)
-		settles(t, "never ready", func() bool { return isReady(d.Addr) })
-		isServed(t, d.Addr, "1")
+		waitUntil(t, "the daemon is never ready", func() bool { return isReady(d.Addr) })
+		checkServed(t, d.Addr, "1")
 	}
-	site, binary := crossingSite(t, rig.SiteConfig{Servers: 2})
+	site, binary := newProcessSite(t, rig.SiteConfig{Servers: 2})
 	site.Discovery.Down(true)
-	d := process(t, site, binary)
-	settles(t, "not ready with a list known", func() bool { return isReady(d.Addr) })
-	isServed(t, d.Addr, "1")
+	d := startProcess(t, site, binary)
+	waitUntil(t, "not ready with a known list", func() bool { return isReady(d.Addr) })
+	checkServed(t, d.Addr, "1")
 }
 
-// SIGTERM before a process is ready, twice, and with SIGHUP between: it ends by itself, in
-// good order.
-func TestSignalsCross(t *testing.T) {
-	site, binary := crossingSite(t, rig.SiteConfig{Servers: 2, Unlisted: true})
+// SIGTERM before a process is ready, repeated and combined with SIGHUP, must end it by a normal
+// exit.
+func TestSignalsBeforeReadyStopProcess(t *testing.T) {
+	site, binary := newProcessSite(t, rig.SiteConfig{Servers: 2, Unlisted: true})
 	site.Discovery.Down(true)
 	for _, signals := range [][]syscall.Signal{
 		{syscall.SIGTERM},
@@ -144,7 +144,7 @@
 		if err := cmd.Start(); err != nil {
 			t.Fatal(err)
 		}
-		settles(t, "nobody asks", func() bool { return site.Discovery.Refused() > before })
+		waitUntil(t, "the daemon does not contact discovery", func() bool { return site.Discovery.Refused() > before })
 		for _, s := range signals {
 			if err := cmd.Process.Signal(s); err != nil && !errors.Is(err, os.ErrProcessDone) {
 				t.Fatal(err)
@@ -156,27 +156,27 @@
 	}
 }
 
-// At SIGTERM connections that rest are ended by a close that their clients can read: one that
-// was used, one that never said a thing, one with a pipelined rest. A request that waits then
-// is answered before the process ends.
-func TestTermEndsRestingConnections(t *testing.T) {
-	site, binary := crossingSite(t, rig.SiteConfig{Servers: 2, Server: standin.ServerConfig{
+// At SIGTERM idle connections end with a close that their clients can read as EOF: a used one, one
+// without any request, one with a partial pipelined request. A request in progress is answered
+// before the process exits.
+func TestTermClosesIdleConnections(t *testing.T) {
+	site, binary := newProcessSite(t, rig.SiteConfig{Servers: 2, Server: standin.ServerConfig{
 		Script: standin.Always(standin.Act{Kind: standin.Serve, Delay: 300 * time.Millisecond})}})
-	d := process(t, site, binary)
-	settles(t, "never ready", func() bool { return isReady(d.Addr) })
+	d := startProcess(t, site, binary)
+	waitUntil(t, "the daemon is never ready", func() bool { return isReady(d.Addr) })
 	dial := func() (net.Conn, *bufio.Reader) {
 		c, err := net.Dial("tcp", d.Addr)
 		if err != nil {
 			t.Fatal(err)
 		}
 		t.Cleanup(func() { c.Close() })
-		c.SetDeadline(time.Now().Add(patience))
+		c.SetDeadline(time.Now().Add(testTimeout))
 		return c, bufio.NewReader(c)
 	}
-	ask := func(c net.Conn, id string) {
+	sendRequest := func(c net.Conn, id string) {
 		fmt.Fprintf(c, "GET /%s HTTP/1.1\r\nHost: h\r\nReq-Id: %s\r\nReq-Kind: %s\r\n\r\n", check.Name, id, check.Name)
 	}
-	hear := func(br *bufio.Reader) error {
+	readResponse := func(br *bufio.Reader) error {
 		resp, err := http.ReadResponse(br, nil)
 		if err != nil {
 			return err
@@ -189,34 +189,34 @@
 		return err
 	}
 	used, usedIn := dial()
-	ask(used, "9b1f01")
-	if err := hear(usedIn); err != nil {
+	sendRequest(used, "9b1f01")
+	if err := readResponse(usedIn); err != nil {
 		t.Fatal(err)
 	}
 	_, freshIn := dial()
 	waits, waitsIn := dial()
-	ask(waits, "9b1f02")
+	sendRequest(waits, "9b1f02")
 	fmt.Fprintf(waits, "GET /%s HTTP/1.1\r\nHo", check.Name)
 	half, halfIn := dial()
 	fmt.Fprintf(half, "POST /%s HTTP/1.1\r\nHost: h\r\nReq-Id: 9b1f03\r\nReq-Kind: %s\r\nContent-Length: 2\r\n\r\nh", check.Name, check.Name)
 	ended := make(chan error, 1)
-	settles(t, "the request never came", func() bool { return len(site.Servers[0].Ledger().Log()) >= 2 })
+	waitUntil(t, "no server received the request", func() bool { return len(site.Servers[0].Ledger().Log()) >= 2 })
 	go func() { ended <- d.Stop() }()
-	for name, br := range map[string]*bufio.Reader{"one that was used": usedIn, "one that never said a thing": freshIn} {
+	for name, br := range map[string]*bufio.Reader{"used connection": usedIn, "unused connection": freshIn} {
 		if _, err := br.ReadByte(); err != io.EOF {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
 	fmt.Fprint(half, "i") // its last byte comes after SIGTERM
-	if err := hear(halfIn); err != nil {
-		t.Errorf("one with half a body: %v", err)
+	if err := readResponse(halfIn); err != nil {
+		t.Errorf("request with half a body: %v", err)
 	}
 	half.Close()
-	if err := hear(waitsIn); err != nil {
-		t.Errorf("one that waited: %v", err)
+	if err := readResponse(waitsIn); err != nil {
+		t.Errorf("request in progress: %v", err)
 	}
 	if _, err := waitsIn.ReadByte(); err != io.EOF {
-		t.Errorf("behind its answer: %v", err)
+		t.Errorf("after its answer: %v, want EOF", err)
 	}
 	waits.Close()
 	if err := <-ended; err != nil {
@@ -224,17 +224,17 @@
 	}
 }
 
-// Clients go on coming for 0.4 s after SIGTERM: each that had connected by then is answered,
-// however close to the listener's end.
-func TestTermServesWhoStillComes(t *testing.T) {
-	site, binary := crossingSite(t, rig.SiteConfig{Servers: 2})
-	d := process(t, site, binary)
-	settles(t, "never ready", func() bool { return isReady(d.Addr) })
+// Clients go on connecting for 0.4 s after SIGTERM. Each that connects within that time is
+// answered, even just before the listener closes.
+func TestTermServesClientsThatStillConnect(t *testing.T) {
+	site, binary := newProcessSite(t, rig.SiteConfig{Servers: 2})
+	d := startProcess(t, site, binary)
+	waitUntil(t, "the daemon is never ready", func() bool { return isReady(d.Addr) })
 	began := time.Now()
 	ended := make(chan error, 1)
 	go func() { ended <- d.Stop() }()
-	// come is one client: whether the next may come, and whether this one was in time.
-	come := func(n int64) (more, counts bool) {
+	// connect runs one client: more reports whether another may follow, counts whether it was in time.
+	connect := func(n int64) (more, counts bool) {
 		c, err := net.Dial("tcp", d.Addr)
 		connected := time.Since(began)
 		if err != nil {
@@ -244,10 +244,10 @@
 			return false, false
 		}
 		defer c.Close()
-		if connected > 400*time.Millisecond { // its own trouble
+		if connected > 400*time.Millisecond { // too late to be owed an answer
 			return connected < 650*time.Millisecond, false
 		}
-		c.SetDeadline(time.Now().Add(patience))
+		c.SetDeadline(time.Now().Add(testTimeout))
 		fmt.Fprintf(c, "GET /%s HTTP/1.1\r\nHost: h\r\nReq-Id: 9b1f%04x\r\nReq-Kind: %s\r\n\r\n", check.Name, n, check.Name)
 		resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 		if err != nil || resp.StatusCode != http.StatusOK {
@@ -256,13 +256,13 @@
 		return true, true
 	}
 	var wg sync.WaitGroup
-	var next, came atomic.Int64
-	for range 8 { // one client after the other each: no moment of these 0.4 s is without one that comes
+	var next, answered atomic.Int64
+	for range 8 { // each runs its clients in sequence, so that some client connects at any moment of the 0.4 s
 		wg.Go(func() {
 			for {
-				more, counts := come(next.Add(1))
+				more, counts := connect(next.Add(1))
 				if counts {
-					came.Add(1)
+					answered.Add(1)
 				}
 				if !more {
 					return
@@ -274,27 +274,27 @@
 	if err := <-ended; err != nil {
 		t.Errorf("exit: %v", err)
 	}
-	if came.Load() == 0 {
-		t.Error("nobody came")
+	if answered.Load() == 0 {
+		t.Error("no client connected in time")
 	}
 }
 
-// A deadline later than the kill, at servers that hang: SIGKILL comes 3.7 s after SIGTERM at
-// the soonest, whatever clients wait. By then the request is answered and the process has ended.
-func TestDeadlineLaterThanTheKill(t *testing.T) {
-	site, binary := crossingSite(t, rig.SiteConfig{Servers: 2, Server: standin.ServerConfig{
+// A request to hanging servers with a deadline after SIGKILL, which comes 3.7 s after SIGTERM at
+// the earliest: it is answered and the process has exited by then.
+func TestDeadlineLaterThanKillIsAnswered(t *testing.T) {
+	site, binary := newProcessSite(t, rig.SiteConfig{Servers: 2, Server: standin.ServerConfig{
 		Script: standin.Always(standin.Act{Kind: standin.Silence})}})
-	d := process(t, site, binary)
-	settles(t, "never ready", func() bool { return isReady(d.Addr) })
+	d := startProcess(t, site, binary)
+	waitUntil(t, "the daemon is never ready", func() bool { return isReady(d.Addr) })
 	c, err := net.Dial("tcp", d.Addr)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer c.Close()
-	c.SetDeadline(time.Now().Add(patience))
+	c.SetDeadline(time.Now().Add(testTimeout))
 	fmt.Fprintf(c, "GET /%s HTTP/1.1\r\nHost: h\r\nReq-Id: 9b1f\r\nReq-Kind: %s\r\nReq-Deadline-Ms: 15000\r\n\r\n", check.Name, check.Name)
-	settles(t, "the request never came", func() bool { return len(site.Servers[0].Ledger().Log()) > 0 })
-	late := stall(t)
+	waitUntil(t, "no server received the request", func() bool { return len(site.Servers[0].Ledger().Log()) > 0 })
+	late := measureWakeupDelay(t)
 	began := time.Now()
 	ended := make(chan time.Duration, 1)
 	go func() {
@@ -311,18 +311,18 @@
 	c.Close()
 	const kill = 3700 * time.Millisecond
 	if took := <-ended; answered > kill+late() || took > kill+late() {
-		t.Errorf("answered after %v, ended after %v, killed after %v at the soonest", answered, took, kill)
+		t.Errorf("answered after %v, exited after %v, killed after %v at the earliest", answered, took, kill)
 	}
 }
 
-// Clients that connect and rest, or bring half a head, fill what a process may hold while
-// discovery is down. The watch comes back in time, servers are reached over new connections,
-// and whoever asks is answered.
-func TestDescriptorsFullWhileDiscoveryIsDown(t *testing.T) {
+// While discovery is down, clients that stay idle or send half a head use up the process's
+// descriptors. The watch of discovery must still recover in time, and new connections to servers
+// must be possible, so that calls are served.
+func TestDiscoveryRecoversWithFullDescriptors(t *testing.T) {
 	const descriptors = 128
-	site, binary := crossingSite(t, rig.SiteConfig{Servers: 4, Sockets: descriptors})
-	d := process(t, site, limited(t, binary, descriptors))
-	settles(t, "nobody watches", func() bool { return site.Discovery.Watching() == 1 })
+	site, binary := newProcessSite(t, rig.SiteConfig{Servers: 4, Sockets: descriptors})
+	d := startProcess(t, site, limitedBinary(t, binary, descriptors))
+	waitUntil(t, "the daemon does not watch discovery", func() bool { return site.Discovery.Watching() == 1 })
 	site.Discovery.Down(true)
 	for n := range 3 * descriptors {
 		c, err := net.Dial("tcp", d.Addr)
@@ -335,28 +335,28 @@
 		}
 	}
 	refused := site.Discovery.Refused()
-	settles(t, "nobody asks", func() bool { return site.Discovery.Refused() > refused+1 })
+	waitUntil(t, "the daemon does not contact discovery", func() bool { return site.Discovery.Refused() > refused+1 })
 	back := time.Now()
 	site.Discovery.Down(false)
-	settles(t, "nobody watches after the return", func() bool { return site.Discovery.Watching() == 1 })
+	waitUntil(t, "the daemon does not watch discovery after its return", func() bool { return site.Discovery.Watching() == 1 })
 	if took := time.Since(back); took >= discovery.Told {
-		t.Errorf("the watch came back after %v", took)
+		t.Errorf("the watch recovered after %v", took)
 	}
 	for n := range 8 {
-		isServed(t, d.Addr, fmt.Sprint("9b1f", n))
+		checkServed(t, d.Addr, fmt.Sprint("9b1f", n))
 	}
 }
 
-// Thirty processes start at once, on a list of two hundred: discovery has it at once, or late,
-// or is down and they know an old one, or know none. Nine in ten are ready within 10 s, all
-// within 30 s.
-func TestThirtyStartAtOnce(t *testing.T) {
+// Thirty processes start at the same time with a list of two hundred servers: discovery sends it
+// at once or late, or is down while they know an old list or none. Nine in ten must be ready within
+// 10 s, all within 30 s.
+func TestThirtyProcessesStartTogether(t *testing.T) {
 	const fleet, servers = 30, 200
 	for _, c := range []struct {
 		name string
 		cfg  rig.SiteConfig
 		down bool
-		late time.Duration // discovery is back then
+		late time.Duration // when discovery returns
 	}{
 		{name: "pushed, at once", cfg: rig.SiteConfig{Unlisted: true}},
 		{name: "asked, at once", cfg: rig.SiteConfig{Unlisted: true, Asked: true}},
@@ -366,7 +366,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			c.cfg.Servers = 2
-			site, binary := crossingSite(t, c.cfg)
+			site, binary := newProcessSite(t, c.cfg)
 			var many []standin.Endpoint
 			for n := range servers {
 				e := site.Endpoint(0, "up")
@@ -396,7 +396,7 @@
 					took[n] = time.Since(began)
 					if !ready {
 						d.Kill()
-						t.Errorf("process %d at %s is not ready, its log:\n%s", n, d.Addr, d.Log())
+						t.Errorf("process %d at %s is not ready; log:\n%s", n, d.Addr, d.Log())
 					}
 				})
 			}
--- a/internal/daemon/radius_test.go
+++ b/internal/daemon/radius_test.go
@@ -15,7 +15,7 @@
 	lr "layeh.com/radius"
 )
 
-// freeUDP is a loopback port that is free now.
+// freeUDP returns a loopback address whose UDP port is free.
 func freeUDP(t *testing.T) string {
 	conn, err := net.ListenPacket("udp", "127.0.0.3:0")
 	if err != nil {
@@ -25,10 +25,10 @@
 	return conn.LocalAddr().String()
 }
 
-// Terminals tell of events over a way that loses answers, while the daemon is started
-// again by SIGTERM, twice: each event is answered and counted once, the ones whose answer
-// was lost before a restart too.
-func TestRadiusRestart(t *testing.T) {
+// Terminals send accounting events over a path that loses packets, while the daemon is restarted
+// twice with SIGTERM. Each event must be answered and counted exactly once, also if its answer was
+// lost before a restart.
+func TestRadiusEventsCountOnceOverRestarts(t *testing.T) {
 	binary := filepath.Join(t.TempDir(), "fawnrock")
 	if out, err := exec.Command("go", "build", "-o", binary, "../../cmd/fawnrock").CombinedOutput(); err != nil {
 		t.Fatalf("%v\n%s", err, out)
@@ -42,7 +42,7 @@
 		}
 		defer s.Close()
 		s.Do(func(seen standin.RadiusSeen) standin.RadiusAct {
-			if strings.Contains(seen.Name, "slow") { // beyond what a stop takes at least
+			if strings.Contains(seen.Name, "slow") { // longer than the minimum shutdown time
 				return standin.RadiusAct{Delay: 1200 * time.Millisecond}
 			}
 			return standin.RadiusAct{Delay: 10 * time.Millisecond}
@@ -92,13 +92,13 @@
 	}
 	for n := range 2 {
 		time.Sleep(300 * time.Millisecond)
-		// The terminal whose answers are all lost until the daemon has gone.
+		// A terminal that gets no answer until the daemon has stopped.
 		unlucky := standin.RadiusAsk{NAS: "shop", Session: fmt.Sprint("unlucky-", n), Status: 1, At: began, Tries: 20, Each: time.Second}
 		straight := standin.NewRadiusClient(acct, "of the terminals", "")
 		straight.Throw(straight.Packet(unlucky, 1, [16]byte{}, 0))
 		for end := time.Now().Add(20 * time.Second); ledger.Of(fmt.Sprintf("shop %s 1 %d", unlucky.Session, began.Unix())).Effects == 0; time.Sleep(time.Millisecond) {
 			if time.Now().After(end) {
-				t.Fatal("not counted")
+				t.Fatal("the event is not counted")
 			}
 		}
 		slow := unlucky
@@ -106,7 +106,7 @@
 		straight.Throw(straight.Packet(slow, 2, [16]byte{}, 0))
 		for end := time.Now().Add(20 * time.Second); ledger.Of(fmt.Sprintf("shop %s 1 %d", slow.Session, began.Unix())).Effects == 0; time.Sleep(time.Millisecond) {
 			if time.Now().After(end) {
-				t.Fatal("not counted")
+				t.Fatal("the event is not counted")
 			}
 		}
 		if err := d.Stop(); err != nil {
@@ -129,7 +129,7 @@
 	wg.Wait()
 	access := standin.NewRadiusClient(auth, "of the terminals", "").Do(standin.RadiusAsk{User: "nemo", Password: "1234", NAS: "shop", Tries: 10, Each: time.Second})
 	if access.Code != lr.CodeAccessAccept {
-		t.Errorf("%+v", access)
+		t.Errorf("access request: %+v, want an accept", access)
 	}
 	all := ledger.All()
 	delete(all, "nemo")
@@ -141,10 +141,10 @@
 		}
 	}
 	if silent > 0 || asked == 0 || len(all) != asked {
-		t.Errorf("%d events told, %d without an answer, %d counted", asked, silent, len(all))
+		t.Errorf("%d events sent, %d without an answer, %d counted", asked, silent, len(all))
 	}
 	if !strings.Contains(d.Log(), "radius: remembered from before the start") || strings.Contains(d.Log(), "of the ") {
 		t.Errorf("log:\n%s", d.Log())
 	}
-	t.Logf("%d events, all answered, %d not counted once", asked, twice)
+	t.Logf("%d events, all answered, %d not counted exactly once", asked, twice)
 }
--- a/internal/daemon/second_test.go
+++ b/internal/daemon/second_start_test.go
@@ -19,21 +19,21 @@
 	"chalkrack/internal/standin"
 )
 
-// A second start under the name and address of one that runs ends at once and says why;
-// the first goes on.
-func TestSecondStart(t *testing.T) {
-	site, d := served(t, 2, 0, 0)
-	c := load(t, site.JSON(d.Addr, 1))
+// A second daemon with the name and address of a running one fails at once with an error that names
+// the cause; the first goes on serving.
+func TestSecondStartAtSameAddressFails(t *testing.T) {
+	site, d := startDaemon(t, 2, 0, 0)
+	c := loadConfig(t, site.JSON(d.Addr, 1))
 	if err := daemon.Run(c, make(chan os.Signal), make(chan os.Signal), nil); err == nil || !strings.Contains(err.Error(), "listen") || !strings.Contains(err.Error(), syscall.EADDRINUSE.Error()) {
 		t.Errorf("the second start ended with %v", err)
 	}
-	serves(t, d.Addr)
+	checkServesTwoCalls(t, d.Addr)
 }
 
-// A list service that lost its state before the daemon's start tells it an empty whole
-// list, and nothing else: the list that the daemon was given at its start stays in use.
-func TestListLostBeforeTheStart(t *testing.T) {
-	site, _ := served(t, 2, 0, 0)
+// A discovery service that lost its state before the daemon started sends only an empty complete
+// list. The list that the daemon was configured with must stay in use.
+func TestEmptyFirstListIsRejected(t *testing.T) {
+	site, _ := startDaemon(t, 2, 0, 0)
 	asked := make(chan string, 1000)
 	lost := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		fmt.Fprintln(w, `{"index":9,"snapshot":true,"endpoints":[]}`)
@@ -42,10 +42,10 @@
 		<-r.Context().Done()
 	}))
 	defer lost.Close()
-	c := load(t, bytes.Replace(site.JSON("127.0.0.1:0", 1), []byte(site.Discovery.Addr()), []byte(lost.Listener.Addr().String()), 1))
+	c := loadConfig(t, bytes.Replace(site.JSON("127.0.0.1:0", 1), []byte(site.Discovery.Addr()), []byte(lost.Listener.Addr().String()), 1))
 	term, addr, done := make(chan os.Signal, 1), make(chan string, 1), make(chan error, 1)
 	go func() { done <- daemon.Run(c, term, nil, func(a net.Addr) { addr <- a.String() }) }()
-	// Asked again, it has taken the first answer and refused it.
+	// The second request shows that the daemon has rejected the first answer.
 	for _, want := range []string{"watch=1&after=1", "watch=1"} {
 		select {
 		case got := <-asked:
@@ -56,14 +56,14 @@
 			t.Fatalf("never asked %q", want)
 		}
 	}
-	serves(t, <-addr)
+	checkServesTwoCalls(t, <-addr)
 	term <- syscall.SIGTERM
 	if err := <-done; err != nil {
 		t.Error(err)
 	}
 }
 
-func load(t *testing.T, text []byte) *config.Config {
+func loadConfig(t *testing.T, text []byte) *config.Config {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "config.json")
 	if err := os.WriteFile(path, text, 0o600); err != nil {
@@ -76,7 +76,7 @@
 	return c
 }
 
-func serves(t *testing.T, addr string) {
+func checkServesTwoCalls(t *testing.T, addr string) {
 	t.Helper()
 	client := standin.NewClient(addr)
 	defer client.Close()
--- a/internal/daemon/sidecar.go
+++ b/internal/daemon/sidecar.go
@@ -27,98 +27,100 @@
 	"chalkrack/internal/upstream"
 )
 
-// sidecar is a process's parts, as Run starts them one after the other. What is off is nil.
+// sidecar holds the parts of a process, which Run starts in order. A part that is off is nil.
 type sidecar struct {
-	c         *Config
+	cfg       *Config
 	term, hup <-chan os.Signal
-	closers   []func() // in the order in which what they end was started
+	closers   []func() // in starting order
 
-	store, long *body.Store // where bodies are kept; long is nil where store has the long ones too
-	side        int         // connections of each side
-	fig         *figures.Figures
-	pool        *upstream.Pool
-	watcher     *discovery.Watcher
-	host        *core.Host
-	tell        func(*membership.List) // takes what discovery says, on its way to the core
-	plan        *weighted.Weighted
-	shared      *duties.Duties
-	zoned       *zones.Zones
-	ops         *operating.Operation
-	terminals   *proxy.Proxy
-	routes      *pools.Routing
-	ln          net.Listener
-	srv         *front.Server
-	less        *levels.Levels
-	changing    *changes.Changes
+	store, longStore *body.Store // of request bodies; longStore is nil if store holds long bodies too
+	maxConnsPerSide  int         // limit for clients, and for servers
+	figures          *figures.Figures
+	pool             *upstream.Pool
+	watcher          *discovery.Watcher
+	host             *core.Host
+	applyList        func(*membership.List) // passes a list from discovery on to the core
+	weights          *weighted.Weighted
+	duties           *duties.Duties
+	zones            *zones.Zones
+	operation        *operating.Operation
+	radiusProxy      *proxy.Proxy
+	routes           *pools.Routing
+	ln               net.Listener
+	srv              *front.Server
+	levels           *levels.Levels
+	trials           *changes.Changes
 
-	pages map[string]func() any // for operators
-	deeds map[string]admin.Deed
-	ticks []ticking
+	pages   map[string]func() any // on the admin socket, by name
+	actions map[string]admin.Deed
+	tasks   []periodicTask
 }
 
-// ticking is something that is done at each tick, by the goroutine of serve.
-type ticking struct {
-	t  *time.Ticker
-	do func(now time.Time)
+// periodicTask is a function that the goroutine of serve calls at each tick.
+type periodicTask struct {
+	ticker *time.Ticker
+	run    func(now time.Time)
 }
 
-func (s *sidecar) closes(end func()) { s.closers = append(s.closers, end) }
+// onClose registers a function for close.
+func (s *sidecar) onClose(closer func()) { s.closers = append(s.closers, closer) }
 
+// close stops the started parts in reverse order.
 func (s *sidecar) close() {
-	for _, end := range slices.Backward(s.closers) {
-		end()
+	for _, closer := range slices.Backward(s.closers) {
+		closer()
 	}
 }
 
-// every has something done each so often once the sidecar serves.
-func (s *sidecar) every(d time.Duration, do func(now time.Time)) {
-	t := time.NewTicker(d)
-	s.closes(t.Stop)
-	s.ticks = append(s.ticks, ticking{t, do})
+// addTask registers a task that runs at an interval once the sidecar serves.
+func (s *sidecar) addTask(interval time.Duration, run func(now time.Time)) {
+	ticker := time.NewTicker(interval)
+	s.onClose(ticker.Stop)
+	s.tasks = append(s.tasks, periodicTask{ticker, run})
 }
 
-// shows adds a page for operators.
-func (s *sidecar) shows(name string, page func() any) {
+// addPage adds a page to the admin socket.
+func (s *sidecar) addPage(name string, page func() any) {
 	if s.pages == nil {
-		s.pages, s.deeds = make(map[string]func() any), make(map[string]admin.Deed)
+		s.pages, s.actions = make(map[string]func() any), make(map[string]admin.Deed)
 	}
 	s.pages[name] = page
 }
 
-func (s *sidecar) bodies() (err error) {
-	if s.c.Store != nil {
-		s.closes(func() { s.c.Store.Close() })
+func (s *sidecar) startBodies() (err error) {
+	if s.cfg.Store != nil {
+		s.onClose(func() { s.cfg.Store.Close() })
 	}
-	if s.store, err = newStore(s.c); err == nil && s.store == nil {
-		s.long, err = newLong(s.c)
+	if s.store, err = newBodyStore(s.cfg); err == nil && s.store == nil {
+		s.longStore, err = newLongBodyStore(s.cfg)
 	}
 	if err != nil {
 		return err
 	}
-	conns := s.c.Sockets - socketsSpare - connectionsOf(s.c) - dutyConns(s.c) - managementConns(s.c)
+	conns := s.cfg.Sockets - reservedSockets - maxPoolConns(s.cfg) - dutyDescriptors(s.cfg) - managementDescriptors(s.cfg)
 	if s.store != nil {
-		s.closes(func() { s.store.Close() })
-		conns -= filesOf(s.c)
+		s.onClose(func() { s.store.Close() })
+		conns -= bodyFileDescriptors(s.cfg)
 	} else {
-		s.closes(func() { s.long.Close() })
+		s.onClose(func() { s.longStore.Close() })
 	}
-	// A call holds one connection of each side. With a third for the servers' side a busy
-	// sidecar of 256 descriptors threw idle connections to 60 servers out for new ones.
-	s.side = conns / 2
+	// A call holds one connection on each side. With only a third for the servers' side, a busy
+	// sidecar of 256 descriptors evicted idle connections to 60 servers to open new ones.
+	s.maxConnsPerSide = conns / 2
 	return nil
 }
 
-func (s *sidecar) core() (err error) {
-	c := s.c
-	s.fig = figures.New(c.Settings.Names())
+func (s *sidecar) startCore() (err error) {
+	c := s.cfg
+	s.figures = figures.New(c.Settings.Names())
 	s.pool = upstream.New(upstream.Config{
 		ConnIdle:    c.Settings.ConnIdle,
 		DialTimeout: c.Settings.DialTimeout,
 		DrainGrace:  c.Settings.DrainGrace,
-		MaxConns:    s.side,
-		// Half of the shortest aim is left for another attempt.
+		MaxConns:    s.maxConnsPerSide,
+		// Leaves half of the shortest aim for another attempt.
 		Stall:     c.Settings.ShortestAim() / 2,
-		Forwarded: s.fig.Forwarded,
+		Forwarded: s.figures.Forwarded,
 	})
 	s.watcher = &discovery.Watcher{Addr: c.Discovery, Timing: discovery.Pushed}
 	if c.Asks {
@@ -128,277 +130,279 @@
 		c.Known.Whole = true
 		s.watcher.Track = membership.Holding(c.Known)
 	}
-	if s.zoned, err = newZoned(c); err != nil {
+	if s.zones, err = newZones(c); err != nil {
 		return err
 	}
-	s.host, err = core.New(core.Config{Watch: watchOf(s.zoned), First: c.Generation(c.ID()), Seed: c.Seed, Transport: s.pool, Trace: traces(c)})
+	s.host, err = core.New(core.Config{Watch: zoneObserver(s.zones), First: c.Generation(c.ID()), Seed: c.Seed, Transport: s.pool, Trace: traceLogger(c)})
 	if err != nil {
 		return fmt.Errorf("settings: %w", err)
 	}
-	s.tell = s.host.Listed
+	s.applyList = s.host.Listed
 	return nil
 }
 
-func (s *sidecar) weights() (err error) {
-	if s.plan, err = newWeighted(s.c, s.host); err != nil || s.plan == nil {
+func (s *sidecar) startWeights() (err error) {
+	if s.weights, err = newWeights(s.cfg, s.host); err != nil || s.weights == nil {
 		return err
 	}
-	s.tell = s.plan.Listed
-	s.every(time.Duration(s.c.Features.Weights.Every), s.plan.Tick)
-	s.shows("weights", func() any { return s.plan.View() })
+	s.applyList = s.weights.Listed
+	s.addTask(time.Duration(s.cfg.Features.Weights.Every), s.weights.Tick)
+	s.addPage("weights", func() any { return s.weights.View() })
 	return nil
 }
 
-func (s *sidecar) duty() (err error) {
-	if s.shared, err = newDuties(s.c, s.host); err != nil || s.shared == nil {
+func (s *sidecar) startDuties() (err error) {
+	if s.duties, err = newDuties(s.cfg, s.host); err != nil || s.duties == nil {
 		return err
 	}
-	s.closes(s.shared.Close)
-	next := s.tell
-	s.tell = func(l *membership.List) {
-		s.shared.Listed(l)
+	s.onClose(s.duties.Close)
+	next := s.applyList
+	s.applyList = func(l *membership.List) {
+		s.duties.Listed(l)
 		next(l)
 	}
-	s.shows("duty", func() any { return s.shared.View() })
+	s.addPage("duty", func() any { return s.duties.View() })
 	return nil
 }
 
-func (s *sidecar) zones() error {
-	if s.zoned != nil {
-		s.zoned.Stand(s.host, s.tell, s.shared.TellSome)
-		s.tell = s.zoned.Listed
-		s.shared.Carries(s.zoned.Part, s.zoned.Heard)
-		s.host.SetZones(s.zoned)
-		s.shows("zones", s.zoned.View)
-		s.deeds["zones/order"] = s.zoned.Deed
-	}
-	s.shared.Begin()
+func (s *sidecar) startZones() error {
+	if s.zones != nil {
+		s.zones.Stand(s.host, s.applyList, s.duties.TellSome)
+		s.applyList = s.zones.Listed
+		s.duties.Carries(s.zones.Part, s.zones.Heard)
+		s.host.SetZones(s.zones)
+		s.addPage("zones", s.zones.View)
+		s.actions["zones/order"] = s.zones.Deed
+	}
+	s.duties.Begin()
 	return nil
 }
 
-func (s *sidecar) operation() error {
-	c := s.c
-	s.ops = operating.New(operatingOf(s))
-	s.closes(s.ops.Close)
-	s.watcher.Listed, s.watcher.Failed = s.ops.Listed, s.host.DiscoveryFailed
-	s.closes(s.pool.Close)
-	s.closes(s.host.Close)
-	s.closes(s.watcher.Close)
+func (s *sidecar) startOperation() error {
+	c := s.cfg
+	s.operation = operating.New(operationConfig(s))
+	s.onClose(s.operation.Close)
+	s.watcher.Listed, s.watcher.Failed = s.operation.Listed, s.host.DiscoveryFailed
+	s.onClose(s.pool.Close)
+	s.onClose(s.host.Close)
+	s.onClose(s.watcher.Close)
 	if c.Known != nil {
-		s.ops.Listed(c.Known)
+		s.operation.Listed(c.Known)
 	}
-	if s.zoned != nil {
-		s.zoned.Begin()
-		s.closes(s.zoned.Close)
+	if s.zones != nil {
+		s.zones.Begin()
+		s.onClose(s.zones.Close)
 	}
 	return nil
 }
 
-func (s *sidecar) radius() (err error) {
-	c := s.c
+func (s *sidecar) startRadius() (err error) {
+	c := s.cfg
 	if !c.Features.Radius.Enabled {
 		return nil
 	}
-	s.terminals, err = proxy.New(proxy.Config{Radius: c.Features.Radius, Base: c.Settings.Config, Grace: c.Settings.DrainGrace, Seed: c.Seed})
+	s.radiusProxy, err = proxy.New(proxy.Config{Radius: c.Features.Radius, Base: c.Settings.Config, Grace: c.Settings.DrainGrace, Seed: c.Seed})
 	if err != nil {
 		return err
 	}
-	s.closes(s.terminals.Close)
-	slog.Info("radius", "access", s.terminals.Addr(false), "accounting", s.terminals.Addr(true))
+	s.onClose(s.radiusProxy.Close)
+	slog.Info("radius", "access", s.radiusProxy.Addr(false), "accounting", s.radiusProxy.Addr(true))
 	return nil
 }
 
-func (s *sidecar) routing() (err error) {
-	if s.routes, err = newRouting(s.c); err != nil {
+func (s *sidecar) startRouting() (err error) {
+	if s.routes, err = newRouting(s.cfg); err != nil {
 		return err
 	}
-	s.closes(s.routes.Close)
+	s.onClose(s.routes.Close)
 	if s.routes != nil {
-		s.shows("pools", func() any { return s.routes.Status() })
-		s.shows("listeners", func() any { return s.routes.Addresses() })
+		s.addPage("pools", func() any { return s.routes.Status() })
+		s.addPage("listeners", func() any { return s.routes.Addresses() })
 	}
 	return nil
 }
 
-func (s *sidecar) front() (err error) {
-	c := s.c
-	if s.ln, err = listener(c); err != nil {
+func (s *sidecar) startFront() (err error) {
+	c := s.cfg
+	if s.ln, err = clientListener(c); err != nil {
 		return fmt.Errorf("listen: %w", err)
 	}
-	s.srv = front.New(front.Config{MaxConns: s.side, MaxBodyBytes: maxShortBodies(c), Bodies: frontBodies(c, s.store), Long: frontLong(c, s.long), TellConfig: c.Store != nil, Choose: s.routes.Chooser(), Figures: s.fig}, s.host)
-	s.ops.Serves(s.srv)
+	s.srv = front.New(front.Config{MaxConns: s.maxConnsPerSide, MaxBodyBytes: maxShortBodyBytes(c), Bodies: frontBodies(c, s.store), Long: frontLongBodies(c, s.longStore), TellConfig: c.Store != nil, Choose: s.routes.Chooser(), Figures: s.figures}, s.host)
+	s.operation.Serves(s.srv)
 	return nil
 }
 
-func (s *sidecar) management() error {
-	calls, err := manage(s.c, s.ops)
+func (s *sidecar) startManagement() error {
+	server, err := listenManagement(s.cfg, s.operation)
 	if err != nil {
 		s.ln.Close()
 		return err
 	}
-	if calls != nil {
-		s.closes(func() { calls.Close() })
+	if server != nil {
+		s.onClose(func() { server.Close() })
 	}
-	s.ops.Inherit()
+	s.operation.Inherit()
 	return nil
 }
 
-func (s *sidecar) levels() (err error) {
-	if s.less, err = newReduced(s.c, s.host, s.srv, s.pool, s.side); err != nil || s.less == nil {
+func (s *sidecar) startLevels() (err error) {
+	if s.levels, err = newLevels(s.cfg, s.host, s.srv, s.pool, s.maxConnsPerSide); err != nil || s.levels == nil {
 		return err
 	}
-	s.every(levels.TickEach, s.less.Tick)
+	s.addTask(levels.TickEach, s.levels.Tick)
 	return nil
 }
 
-func (s *sidecar) changes() error {
-	s.changing = changes.New(changes.Config{Running: s.c, Host: s.host, Pool: s.pool, Front: s.srv, Discovery: s.watcher, Listener: s.ln, Figures: s.fig})
-	s.closes(s.changing.Close)
-	if s.changing.On() {
-		s.every(ruleEach, func(time.Time) { s.changing.Watch() })
+func (s *sidecar) startTrials() error {
+	s.trials = changes.New(changes.Config{Running: s.cfg, Host: s.host, Pool: s.pool, Front: s.srv, Discovery: s.watcher, Listener: s.ln, Figures: s.figures})
+	s.onClose(s.trials.Close)
+	if s.trials.On() {
+		s.addTask(trialCheckInterval, func(time.Time) { s.trials.Watch() })
 	}
 	return nil
 }
 
-func (s *sidecar) admin() error {
-	path := s.c.Features.Admin.Socket
+func (s *sidecar) startAdmin() error {
+	path := s.cfg.Features.Admin.Socket
 	if path == "" {
 		return nil
 	}
-	for name, page := range pages(s.c, s.host, s.srv, s.pool, s.store) {
-		s.shows(name, page)
+	for name, page := range statusPages(s.cfg, s.host, s.srv, s.pool, s.store) {
+		s.addPage(name, page)
 	}
-	for name, deed := range s.changing.Pages(s.pages) {
-		s.deeds[name] = deed
+	for name, action := range s.trials.Pages(s.pages) {
+		s.actions[name] = action
 	}
-	s.deeds["operate"] = s.ops.Deed
-	if s.less != nil {
-		s.less.Pages(s.pages, s.deeds)
+	s.actions["operate"] = s.operation.Deed
+	if s.levels != nil {
+		s.levels.Pages(s.pages, s.actions)
 	}
 	listen := admin.Listen
-	if s.c.Inherited > 0 { // the process before may still have it
+	if s.cfg.Inherited > 0 { // the previous process may still hold the socket
 		listen = admin.Succeed
 	}
-	operators, err := listen(path, s.pages, s.deeds)
+	server, err := listen(path, s.pages, s.actions)
 	if err != nil {
 		return err
 	}
-	s.closes(func() { operators.Close() })
+	s.onClose(func() { server.Close() })
 	return nil
 }
 
-// serve serves until term.
+// serve handles calls, tasks and signals until SIGTERM, and then shuts down. It calls ready, unless
+// nil, with the listen address once the sidecar is ready.
 func (s *sidecar) serve(ready func(net.Addr)) error {
-	if s.c.Inherited == 0 {
+	if s.cfg.Inherited == 0 {
 		go s.srv.Serve(s.ln)
 	}
 	s.routes.Serve(s.srv)
-	if !s.follow() {
-		s.quit()
+	if !s.waitForList() {
+		s.shutDown()
 		return nil
 	}
-	if s.c.Inherited > 0 {
-		// Not before: what another process of this sidecar can serve is its.
+	if s.cfg.Inherited > 0 {
+		// Starts accepting only now: until this process has a list, another process of this
+		// sidecar serves the clients.
 		go s.srv.Serve(s.ln)
 	}
-	s.ops.Serve()
-	slog.Info("ready", "listen", s.c.Listen)
+	s.operation.Serve()
+	slog.Info("ready", "listen", s.cfg.Listen)
 	if ready != nil {
 		ready(s.ln.Addr())
 	}
-	s.every(sweepEach, func(now time.Time) {
+	s.addTask(sweepInterval, func(now time.Time) {
 		s.pool.Sweep(now)
 		s.routes.Sweep(now)
-		// Guards against memory that seems to grow for minutes: a quiet sidecar
-		// makes so little garbage that its heap climbs all day to the first collection.
+		// Prevents memory that appears to grow for minutes: a quiet sidecar produces so little
+		// garbage that its heap grows all day until the first collection.
 		runtime.GC()
 	})
-	due := make(chan func())
-	over := make(chan struct{})
-	defer close(over)
-	for _, k := range s.ticks {
-		go k.forward(due, over)
+	runs := make(chan func())
+	done := make(chan struct{})
+	defer close(done)
+	for _, task := range s.tasks {
+		go task.forward(runs, done)
 	}
 	for {
 		select {
-		case do := <-due:
-			do()
+		case run := <-runs:
+			run()
 		case <-s.hup:
-			s.changing.Reload()
-			s.plan.Reload()
-		case a := <-s.changing.Asks():
-			a.Answer()
+			s.trials.Reload()
+			s.weights.Reload()
+		case request := <-s.trials.Asks():
+			request.Answer()
 		case <-s.term:
-			s.quit()
+			s.shutDown()
 			return nil
 		}
 	}
 }
 
-// forward brings ticks to the goroutine of serve, one at a time.
-func (k ticking) forward(due chan<- func(), over <-chan struct{}) {
+// forward sends the task to the goroutine of serve at each tick, one at a time, until done is closed.
+func (task periodicTask) forward(runs chan<- func(), done <-chan struct{}) {
 	for {
 		select {
-		case now := <-k.t.C:
+		case now := <-task.ticker.C:
 			select {
-			case due <- func() { k.do(now) }:
-			case <-over:
+			case runs <- func() { task.run(now) }:
+			case <-done:
 				return
 			}
-		case <-over:
+		case <-done:
 			return
 		}
 	}
 }
 
-// follow watches the list, and waits for a first one as long as firstList says; false: it is
-// told to end. Guards against saying ready where nothing usable is known: each call would be
-// refused.
-func (s *sidecar) follow() bool {
+// waitForList starts the watch of discovery and waits up to firstListWait for a list. It returns
+// false on SIGTERM. A process that reports ready without a usable list would refuse every call.
+func (s *sidecar) waitForList() bool {
 	listed := make(chan struct{}, 1)
 	s.watcher.Listed = func(l *membership.List) {
-		s.ops.Listed(l)
+		s.operation.Listed(l)
 		select {
 		case listed <- struct{}{}:
 		default:
 		}
 	}
 	go s.watcher.Follow()
-	held := s.c.Known != nil && membership.Holding(s.c.Known).Held
-	late := time.NewTimer(firstList(held, s.c.Asks))
-	defer late.Stop()
+	hasList := s.cfg.Known != nil && membership.Holding(s.cfg.Known).Held
+	timeout := time.NewTimer(firstListWait(hasList, s.cfg.Asks))
+	defer timeout.Stop()
 	for {
 		select {
 		case <-listed:
 			return true
-		case <-late.C:
-			if !held {
-				slog.Warn("ready without a list: discovery has told none", "after", listNeeded)
+		case <-timeout.C:
+			if !hasList {
+				slog.Warn("ready without a list: discovery sent none", "after", firstListTimeout)
 			}
 			return true
-		case <-s.hup: // discovery may be elsewhere by now
-			s.changing.Reload()
-			s.plan.Reload()
+		case <-s.hup: // the discovery address may have changed
+			s.trials.Reload()
+			s.weights.Reload()
 		case <-s.term:
 			return false
 		}
 	}
 }
 
-// firstList is how long a start waits for the first list. What was known before may be old,
-// and an agent tells the newest at once; a service of all sidecars tells it in turn, spread
-// over discovery.Asked.Spread, so that who knows a list does not wait for it.
-func firstList(held, asks bool) time.Duration {
+// firstListWait returns how long a starting process waits for the first list. A known list may be
+// outdated, and a local agent pushes the newest at once. A service that all sidecars poll answers
+// them spread over discovery.Asked.Spread, so a process with a known list does not wait for it.
+func firstListWait(hasList, isPolled bool) time.Duration {
 	switch {
-	case !held:
-		return listNeeded
-	case asks:
+	case !hasList:
+		return firstListTimeout
+	case isPolled:
 		return 0
 	}
-	return listFresh
+	return newerListTimeout
 }
 
-func (s *sidecar) quit() {
-	s.ops.Quit()
-	quit(s.changing, s.host, s.srv, s.routes, s.terminals)
+// shutDown ends the handover between processes, then drains and stops.
+func (s *sidecar) shutDown() {
+	s.operation.Quit()
+	drainAndStop(s.trials, s.host, s.srv, s.routes, s.radiusProxy)
 }
--- a/internal/daemon/tier_test.go
+++ b/internal/daemon/tier_test.go
@@ -28,7 +28,7 @@
 	activate = standin.Class{Name: "activate", Effect: standin.Unsafe}
 )
 
-func start(t *testing.T, cfg rig.SiteConfig, daemons int, features string) (*rig.Site, []*rig.Daemon) {
+func startDaemons(t *testing.T, cfg rig.SiteConfig, daemons int, features string) (*rig.Site, []*rig.Daemon) {
 	t.Helper()
 	if cfg.Classes == nil {
 		cfg.Classes = rig.Patient()
@@ -51,13 +51,13 @@
 	return site, all
 }
 
-func always(k standin.Kind) standin.ServerConfig {
+func alwaysServer(k standin.Kind) standin.ServerConfig {
 	return standin.ServerConfig{Script: standin.Always(standin.Act{Kind: k, Status: 404, Body: "why"})}
 }
 
-// A mark leaves the daemon at most the attempts that it names, one where it makes no
-// sense, and never more than the settings. The same mark a second time gets none.
-func TestMarks(t *testing.T) {
+// A Req-Attempts header bounds the daemon's attempts: to one if it is invalid, and never to more
+// than the settings allow. The same header a second time gets no attempt.
+func TestAttemptMarksBoundAttempts(t *testing.T) {
 	for _, m := range []struct {
 		marks []string
 		most  int
@@ -68,7 +68,7 @@
 	} {
 		t.Run(fmt.Sprintf("%q", m.marks), func(t *testing.T) {
 			t.Parallel()
-			site, ds := start(t, rig.SiteConfig{Attempts: 3, Server: always(standin.Decline)}, 1, "")
+			site, ds := startDaemons(t, rig.SiteConfig{Attempts: 3, Server: alwaysServer(standin.Decline)}, 1, "")
 			c := standin.NewClient(ds[0].Addr)
 			defer c.Close()
 			r := c.Do(context.Background(), standin.Ask{ID: "1", Class: activate, Header: http.Header{"Req-Attempts": m.marks}})
@@ -76,13 +76,13 @@
 				t.Errorf("%d attempts, answered %d", n, r.Status)
 			}
 			if told := r.Header.Get("Srv-Declined") == "1"; told != (m.marks != nil) {
-				t.Errorf("told %v that nothing ran", told)
+				t.Errorf("Srv-Declined set: %v", told)
 			}
 		})
 	}
 	t.Run("twice", func(t *testing.T) {
 		t.Parallel()
-		site, ds := start(t, rig.SiteConfig{Attempts: 3, Server: always(standin.Fail)}, 1, "")
+		site, ds := startDaemons(t, rig.SiteConfig{Attempts: 3, Server: alwaysServer(standin.Fail)}, 1, "")
 		c := standin.NewClient(ds[0].Addr)
 		defer c.Close()
 		for n, step := range []struct {
@@ -97,10 +97,10 @@
 	})
 }
 
-// A plug-in whose nodes are daemons: the plug-in decides, each daemon makes one attempt
-// for each of its own. An activation that may have run runs once; one that was turned
-// away goes on at the other daemon; checks are not repeated by both tiers.
-func TestPlugInBeforeDaemons(t *testing.T) {
+// A client plug-in uses daemons as nodes: the plug-in decides on retries, and a daemon makes one
+// attempt for each attempt of the plug-in. An activation that may have run is not repeated, a
+// declined one goes to the other daemon, and safe calls are not retried by both layers.
+func TestPluginWithDaemonsAsNodes(t *testing.T) {
 	for _, c := range []struct {
 		name     string
 		act      standin.Kind
@@ -118,7 +118,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			site, ds := start(t, rig.SiteConfig{Server: always(c.act)}, 2, "")
+			site, ds := startDaemons(t, rig.SiteConfig{Server: alwaysServer(c.act)}, 2, "")
 			tr, err := client.New(client.Config{
 				Classes: []client.Class{
 					{Name: "status-check", Effect: client.Safe, Aim: 10 * time.Second, Deadline: 20 * time.Second},
@@ -146,21 +146,22 @@
 	}
 }
 
-// The operators' own settings: the class of a path, and answers of 4xx.
-func TestFeatures(t *testing.T) {
-	_, ds := start(t, rig.SiteConfig{Server: always(standin.Deny)}, 1, "[answers]\npass_client_errors = true\n[paths]\n\"/sim.v1.Sim/Check\" = \"status-check\"\n")
-	resp, err := http.DefaultClient.Do(withID(t, "GET", "http://"+ds[0].Addr+"/sim.v1.Sim/Check"))
+// The operators' file sets the class of a path and whether 4xx answers are passed on. Errors name
+// the file, line and field.
+func TestPathAndAnswerFeatures(t *testing.T) {
+	_, ds := startDaemons(t, rig.SiteConfig{Server: alwaysServer(standin.Deny)}, 1, "[answers]\npass_client_errors = true\n[paths]\n\"/sim.v1.Sim/Check\" = \"status-check\"\n")
+	resp, err := http.DefaultClient.Do(newRequest(t, "GET", "http://"+ds[0].Addr+"/sim.v1.Sim/Check"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	body, _ := io.ReadAll(resp.Body)
 	resp.Body.Close()
 	if resp.StatusCode != 404 || string(body) != "why" {
-		t.Errorf("%d %q", resp.StatusCode, body)
+		t.Errorf("with pass_client_errors: %d %q, want 404 \"why\"", resp.StatusCode, body)
 	}
-	_, ds = start(t, rig.SiteConfig{Server: always(standin.Deny)}, 1, "")
+	_, ds = startDaemons(t, rig.SiteConfig{Server: alwaysServer(standin.Deny)}, 1, "")
 	for path, want := range map[string]int{"/sim.v1.Sim/Check": 404, "/status-check": 503} {
-		resp, err := http.DefaultClient.Do(withID(t, "GET", "http://"+ds[0].Addr+path))
+		resp, err := http.DefaultClient.Do(newRequest(t, "GET", "http://"+ds[0].Addr+path))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -170,14 +171,14 @@
 		}
 	}
 	for text, want := range map[string]string{"[paths]\n\"/x\" = \"nowhere\"\n": `features.toml:2: paths./x: there is no class "nowhere"`, "nonsense = 1": "features.toml:1: nonsense"} {
-		site, _ := start(t, rig.SiteConfig{}, 0, "")
+		site, _ := startDaemons(t, rig.SiteConfig{}, 0, "")
 		if _, err := site.StartDaemon(1, text); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%q: %v", text, err)
 		}
 	}
 }
 
-func withID(t *testing.T, method, url string) *http.Request {
+func newRequest(t *testing.T, method, url string) *http.Request {
 	t.Helper()
 	r, err := http.NewRequest(method, url, nil)
 	if err != nil {
--- a/internal/daemon/upgrade_test.go
+++ b/internal/daemon/upgrade_test.go
@@ -16,17 +16,18 @@
 	"chalkrack/internal/standin"
 )
 
-// sidecar is a socket that the platform holds, and the folder of the processes.
+// sidecar is a listening socket that the platform holds, and the folder that successive processes
+// share.
 type sidecar struct {
 	site   *rig.Site
 	socket *net.TCPListener
-	shared string
+	duties string
 	seed   uint64
 }
 
 func newSidecar(t *testing.T, servers int) *sidecar {
 	t.Helper()
-	site := managedSite(t, servers, 0, 5*time.Millisecond)
+	site := newManagedSite(t, servers, 0, 5*time.Millisecond)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -38,7 +39,7 @@
 func (s *sidecar) start(t *testing.T) *rig.Daemon {
 	t.Helper()
 	s.seed++
-	d, err := s.site.StartSuccessor(s.seed, s.socket, s.shared)
+	d, err := s.site.StartSuccessor(s.seed, s.socket, s.duties)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -46,9 +47,9 @@
 	return d
 }
 
-// Three upgrades under load: every call of every class has one answer and none runs
-// twice, and what operators do meanwhile, by calls to either process, holds for both.
-func TestUpgradeUnderLoad(t *testing.T) {
+// Three upgrades under load: every call of every class is answered once and none takes effect
+// twice. Management commands to either process during an upgrade apply to both.
+func TestUpgradesUnderLoad(t *testing.T) {
 	s := newSidecar(t, 4)
 	d := s.start(t)
 	quit := make(chan struct{})
@@ -77,47 +78,47 @@
 			}
 		})
 	}
-	settles(t, "s1 is never used", func() bool { return came(s.site, "s1") > 10 })
-	yes(t, d.Management, "DISABLE s1")
+	waitUntil(t, "s1 is never used", func() bool { return receivedAttempts(s.site, "s1") > 10 })
+	requireYes(t, d.Management, "DISABLE s1")
 	out := []string{"s1"}
 	for round := range 3 {
 		next := s.start(t)
-		if got := operate(t, next.Management, "READY"); got != "YES\n" {
+		if got := sendCommand(t, next.Management, "READY"); got != "YES\n" {
 			t.Errorf("READY after the start: %q", got)
 		}
-		// Both serve: one more goes out by a call to the old process or to the new one.
+		// Both processes serve: a command to the old or the new one disables another server.
 		asked := []*rig.Daemon{d, next}[round%2]
 		server := fmt.Sprintf("s%d", round+2)
 		if round < 2 {
-			yes(t, asked.Management, "DISABLE "+server)
+			requireYes(t, asked.Management, "DISABLE "+server)
 			out = append(out, server)
 		}
 		for _, p := range []*rig.Daemon{d, next} {
-			settles(t, "a process did not hear of servers that are out", func() bool { return figure(t, p.Management, "ejected") == len(out) })
+			waitUntil(t, "a process did not learn of the disabled servers", func() bool { return readFigure(t, p.Management, "ejected") == len(out) })
 		}
-		for n := range ended { // what was on its way has ended when the call after it has begun
+		for n := range ended { // once a client's next call ends, its earlier calls have ended
 			had := ended[n].Load()
-			settles(t, "a client's calls don't end", func() bool { return ended[n].Load() > had })
+			waitUntil(t, "a client's calls don't end", func() bool { return ended[n].Load() > had })
 		}
 		before := make(map[string]int)
 		for _, id := range out {
-			before[id] = came(s.site, id)
+			before[id] = receivedAttempts(s.site, id)
 		}
 		if err := d.Stop(); err != nil {
-			t.Errorf("the old process ends with %v", err)
+			t.Errorf("the old process exited with %v", err)
 		}
 		d = next
-		served := figure(t, d.Management, "forwards")
-		settles(t, "the new process does not serve", func() bool { return figure(t, d.Management, "forwards") > served+50 })
+		served := readFigure(t, d.Management, "forwards")
+		waitUntil(t, "the new process does not serve", func() bool { return readFigure(t, d.Management, "forwards") > served+50 })
 		for id, n := range before {
-			if now := came(s.site, id); now != n {
-				t.Errorf("round %d: %s got %d while it was out", round, id, now-n)
+			if now := receivedAttempts(s.site, id); now != n {
+				t.Errorf("round %d: %s got %d attempts while disabled", round, id, now-n)
 			}
 		}
 	}
-	yes(t, d.Management, "ENABLE s1")
-	n := came(s.site, "s1")
-	settles(t, "s1 is not used after the call back", func() bool { return came(s.site, "s1") > n })
+	requireYes(t, d.Management, "ENABLE s1")
+	n := receivedAttempts(s.site, "s1")
+	waitUntil(t, "s1 is not used after ENABLE", func() bool { return receivedAttempts(s.site, "s1") > n })
 	close(quit)
 	wg.Wait()
 	for id, c := range s.site.Ledger.IDs() {
@@ -127,44 +128,45 @@
 	}
 }
 
-// A drain goes on over an upgrade, and so does its end; servers that are out stay out
-// for a process that follows one that was killed.
-func TestDrainOverAnUpgrade(t *testing.T) {
+// A drain continues in the new process of an upgrade until UNDRAIN. Disabled servers stay disabled
+// in a process that starts after the last one has stopped.
+func TestDrainOutlivesUpgrade(t *testing.T) {
 	s := newSidecar(t, 2)
 	d := s.start(t)
-	yes(t, d.Management, "DISABLE s2")
-	yes(t, d.Management, "DRAIN")
+	requireYes(t, d.Management, "DISABLE s2")
+	requireYes(t, d.Management, "DRAIN")
 	next := s.start(t)
-	yes(t, next.Management, "READY")
-	if n := figure(t, next.Management, "ejected"); n != 1 {
-		t.Errorf("%d ejected by the new process", n)
+	requireYes(t, next.Management, "READY")
+	if n := readFigure(t, next.Management, "ejected"); n != 1 {
+		t.Errorf("%d ejected in the new process, want 1", n)
 	}
 	if err := d.Stop(); err != nil {
 		t.Fatal(err)
 	}
-	if got := health(t, next.Addr); got != 503 {
-		t.Errorf("the new process says %d in a drain", got)
+	if got := healthStatus(t, next.Addr); got != 503 {
+		t.Errorf("health check of the new process in a drain: %d", got)
 	}
-	yes(t, next.Management, "UNDRAIN")
-	if got := health(t, next.Addr); got != 200 {
-		t.Errorf("the new process says %d after it", got)
+	requireYes(t, next.Management, "UNDRAIN")
+	if got := healthStatus(t, next.Addr); got != 200 {
+		t.Errorf("health check of the new process after UNDRAIN: %d", got)
 	}
 	if err := next.Stop(); err != nil {
 		t.Fatal(err)
 	}
-	last := s.start(t) // with nobody there to ask
-	if n := figure(t, last.Management, "ejected"); n != 1 {
-		t.Errorf("%d ejected by a process that follows later", n)
+	last := s.start(t) // while no other process runs
+	if n := readFigure(t, last.Management, "ejected"); n != 1 {
+		t.Errorf("%d ejected in a later process, want 1", n)
 	}
 }
 
-// A file that another version wrote, or half of one, leaves a start as it would be.
-func TestSpoiltHandover(t *testing.T) {
+// A handover file that cannot be read, such as a truncated one, is ignored: the process starts as
+// without it.
+func TestTruncatedHandoverIsIgnored(t *testing.T) {
 	s := newSidecar(t, 2)
 	d := s.start(t)
-	yes(t, d.Management, "DISABLE s2")
+	requireYes(t, d.Management, "DISABLE s2")
 	d.Stop()
-	files, err := filepath.Glob(filepath.Join(s.shared, "*", "done"))
+	files, err := filepath.Glob(filepath.Join(s.duties, "*", "done"))
 	if err != nil || len(files) != 1 {
 		t.Fatalf("%q, %v", files, err)
 	}
@@ -176,14 +178,15 @@
 		t.Fatal(err)
 	}
 	d = s.start(t)
-	serves(t, d.Addr)
-	if n := figure(t, d.Management, "ejected"); n != 0 {
-		t.Errorf("%d ejected by half a file", n)
+	checkServesTwoCalls(t, d.Addr)
+	if n := readFigure(t, d.Management, "ejected"); n != 0 {
+		t.Errorf("%d ejected from a truncated file, want 0", n)
 	}
 }
 
-// A descriptor that is none, or does not listen, is refused by its name.
-func TestBadDescriptor(t *testing.T) {
+// An invalid descriptor, or one that does not listen, is rejected with an error that names
+// BALANCER_FD.
+func TestInvalidDescriptorIsRejected(t *testing.T) {
 	s := newSidecar(t, 1)
 	c, err := net.Dial("tcp", s.socket.Addr().String())
 	if err != nil {
--- /dev/null
+++ b/internal/daemon/zones.go
@@ -0,0 +1,74 @@
+package daemon
+
+import (
+	"cmp"
+	"encoding/json"
+	"fmt"
+	"time"
+
+	"chalkrack/internal/core"
+	"chalkrack/internal/evacuation"
+	"chalkrack/internal/features"
+	"chalkrack/internal/rooms/zones"
+)
+
+// evacuationConfig returns the configuration of package evacuation and this sidecar's name, from
+// the platform's peers and the operators' file. An error names the invalid field.
+func evacuationConfig(c *Config, incarnation uint64) (evacuation.Config, string, error) {
+	var raw struct {
+		Name     string
+		Listen   string
+		Peers    []string
+		Settings struct{ Rank int }
+	}
+	if err := json.Unmarshal(c.Platform, &raw); err != nil {
+		return evacuation.Config{}, "", fmt.Errorf("config: %w", err)
+	}
+	cfg := ZonesOf(&c.Features.Zones)
+	cfg.Self, cfg.Peers, cfg.Seed, cfg.Inc = raw.Settings.Rank, len(raw.Peers), c.Seed, incarnation
+	meanWorth := 0.0
+	for _, class := range c.Settings.Config.Classes {
+		meanWorth += class.Worth / float64(len(c.Settings.Config.Classes))
+	}
+	for _, class := range c.Settings.Config.Classes {
+		cfg.Dear = append(cfg.Dear, class.Worth > meanWorth)
+	}
+	if err := cfg.Validate(); err != nil {
+		return cfg, "", fmt.Errorf("features: %w", err)
+	}
+	return cfg, cmp.Or(raw.Name, raw.Listen), nil
+}
+
+// ZonesOf returns the configuration of package evacuation from the operators' file, without the
+// fields that differ between sidecars.
+func ZonesOf(settings *features.Zones) evacuation.Config {
+	cfg := evacuation.Config{Witnesses: settings.Witnesses, Share: settings.Share, Fails: settings.Fails, Limps: settings.Limps, Silence: time.Duration(settings.Silence), Slow: settings.Slow,
+		Window: time.Duration(settings.Window), Settle: time.Duration(settings.Settle), Alone: time.Duration(settings.Alone), Dwell: time.Duration(settings.Dwell), DwellMost: time.Duration(settings.DwellMost),
+		Proof: time.Duration(settings.Proof), Bears: settings.Bears, Spread: settings.Spread, Full: settings.Full, Carried: settings.Carried, Regions: make(map[string]string)}
+	for region, zoneNames := range settings.Regions {
+		for _, zone := range zoneNames {
+			cfg.Regions[zone] = region
+		}
+	}
+	return cfg
+}
+
+// newZones returns the zone evacuation of this sidecar, or nil if [zones] is off.
+func newZones(c *Config) (*zones.Zones, error) {
+	if !c.Features.Zones.Enabled {
+		return nil, nil
+	}
+	cfg, name, err := evacuationConfig(c, uint64(time.Now().UnixMilli()))
+	if err != nil {
+		return nil, err
+	}
+	return zones.New(zones.Config{Machine: cfg, Folder: c.Features.Zones.Folder, Name: name, Regions: c.Features.Zones.Regions})
+}
+
+// zoneObserver returns z as a core.Watch, and a nil interface if z is nil.
+func zoneObserver(z *zones.Zones) core.Watch {
+	if z == nil {
+		return nil
+	}
+	return z
+}
--- a/internal/daemon/zoned_test.go
+++ b/internal/daemon/zones_test.go
@@ -14,23 +14,25 @@
 	"chalkrack/internal/rooms/zones"
 )
 
-// clocked is a core of a clock only.
-type clocked struct{ gave []uint64 }
+// recordingClock stands in for the core: it has a clock and records abandoned attempts.
+type recordingClock struct{ abandoned []uint64 }
 
-func (c *clocked) Now() time.Duration  { return time.Duration(time.Now().UnixNano()) }
-func (c *clocked) GiveUp(all []uint64) { c.gave = append(c.gave, all...) }
+func (c *recordingClock) Now() time.Duration  { return time.Duration(time.Now().UnixNano()) }
+func (c *recordingClock) GiveUp(all []uint64) { c.abandoned = append(c.abandoned, all...) }
 
-func zonedConfig(t *testing.T, folder string) *Config {
+// configWithZones returns a configuration with [zones] on.
+func configWithZones(t *testing.T, folder string) *Config {
 	t.Helper()
-	c := peered(t, []string{"127.0.0.1:1", "127.0.0.1:2"}, 1)
+	c := configWithPeers(t, []string{"127.0.0.1:1", "127.0.0.1:2"}, 1)
 	c.Features.Zones.Enabled, c.Features.Zones.Folder = true, folder
 	return c
 }
 
-// What can't be is refused at the start with the field's name; nothing is there by default.
-func TestZonedConfig(t *testing.T) {
-	if z, err := newZoned(peered(t, []string{"127.0.0.1:1"}, 0)); z != nil || err != nil || watchOf(z) != nil {
-		t.Errorf("%v %v", z, err)
+// Invalid settings are rejected at the start with an error that names the field. By default there is
+// no zone evacuation.
+func TestZonesConfigErrorsNameField(t *testing.T) {
+	if z, err := newZones(configWithPeers(t, []string{"127.0.0.1:1"}, 0)); z != nil || err != nil || zoneObserver(z) != nil {
+		t.Errorf("without [zones]: %v, error %v, want neither", z, err)
 	}
 	for want, spoil := range map[string]func(c *Config){
 		"zones.proof":     func(c *Config) { c.Features.Zones.Proof = duration.Duration(time.Millisecond) },
@@ -38,25 +40,25 @@
 		"zones.witnesses": func(c *Config) { c.Features.Zones.Witnesses = -1 },
 		"zones.self":      func(c *Config) { c.Platform = []byte(`{"peers":["127.0.0.1:1"],"settings":{"rank":4}}`) },
 	} {
-		c := zonedConfig(t, "")
+		c := configWithZones(t, "")
 		spoil(c)
-		if _, err := newZoned(c); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%v, want %s", err, want)
+		if _, err := newZones(c); err == nil || !strings.Contains(err.Error(), want) {
+			t.Errorf("error %v, want one that names %s", err, want)
 		}
 	}
 }
 
-// An order lays a zone's servers out as draining, and back; it and the stage outlive the
-// process by the folder's file; one that can't be read is no reason not to start.
-func TestZonesLayAndRemember(t *testing.T) {
+// An operator's order to leave a zone marks its servers as draining. The order and the stage survive
+// a restart, through the file in the folder. An order for an unknown zone is rejected.
+func TestZoneOrderDrainsAndOutlivesRestart(t *testing.T) {
 	folder := t.TempDir()
 	begin := func() (*zones.Zones, chan map[string]chalkrack.State) {
-		z, err := newZoned(zonedConfig(t, folder))
+		z, err := newZones(configWithZones(t, folder))
 		if err != nil {
 			t.Fatal(err)
 		}
 		told := make(chan map[string]chalkrack.State, 100)
-		z.Stand(new(clocked), func(l *membership.List) {
+		z.Stand(new(recordingClock), func(l *membership.List) {
 			all := make(map[string]chalkrack.State)
 			for _, e := range l.Entries {
 				all[e.Name] = e.State
@@ -78,7 +80,7 @@
 					return
 				}
 			case <-end:
-				t.Fatalf("%s is not told as %v", name, s)
+				t.Fatalf("%s is not listed as %v", name, s)
 			}
 		}
 	}
@@ -96,21 +98,22 @@
 	z, told = begin()
 	until(told, "s1", chalkrack.Draining)
 	if v := z.View().(zones.View); v.Zones[0].Stage != "out" || v.Zones[0].Order == nil || v.Zones[0].Order.Action != evacuation.Leave {
-		t.Errorf("after a start: %+v", v.Zones[0])
+		t.Errorf("after a restart: %+v", v.Zones[0])
 	}
 	z.Close()
 }
 
-// Where another process of this sidecar still has the port for notes, a start waits for it.
-func TestNotesPortOfTheProcessBefore(t *testing.T) {
-	before, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 4)})
+// If another process of this sidecar still holds the port for notes, a starting process waits for
+// it; without an inherited listener the start fails.
+func TestStartWaitsForNotesPort(t *testing.T) {
+	previous, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 4)})
 	if err != nil {
 		t.Fatal(err)
 	}
-	addr := before.LocalAddr().String()
-	c := peered(t, []string{addr, "127.0.0.1:2"}, 0)
+	addr := previous.LocalAddr().String()
+	c := configWithPeers(t, []string{addr, "127.0.0.1:2"}, 0)
 	if _, err := newDuties(c, nil); err == nil || !strings.Contains(err.Error(), "peer_listen") {
-		t.Errorf("a second sidecar at the port: %v", err)
+		t.Errorf("start at the held port without an inherited listener: %v", err)
 	}
 	c.Inherited = 9
 	s, err := newDuties(c, nil)
@@ -120,12 +123,12 @@
 	s.Begin()
 	time.Sleep(150 * time.Millisecond)
 	if s.Bound() {
-		t.Error("it has a port that another has")
+		t.Error("bound to a port that another process holds")
 	}
-	before.Close()
+	previous.Close()
 	for end := time.Now().Add(20 * time.Second); !s.Bound(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("it never has the port")
+			t.Fatal("never bound to the free port")
 		}
 	}
 	s.Close()
