--- a/internal/council/process_test.go
+++ b/internal/council/process_test.go
@@ -105,9 +105,13 @@
 	return fmt.Sprintf("127.%d.%d.%d", 2+n/250%100, 20+os.Getpid()%200, 1+n%250)
 }
 
-// freeAddr returns an address with a port that is currently free.
+// freeAddr returns an address with a port that is currently free. Nothing is forked while the
+// port is held: until a forked child executes its program it has a copy of the listener, and the
+// port stays in use.
 func freeAddr(t *testing.T) string {
 	t.Helper()
+	syscall.ForkLock.RLock()
+	defer syscall.ForkLock.RUnlock()
 	ln, err := net.Listen("tcp", newHost()+":0")
 	if err != nil {
 		t.Fatal(err)
