--- a/client/bench_test.go
+++ b/client/bench_test.go
@@ -15,19 +15,19 @@
 	"chalkrack/internal/standin"
 )
 
-// cpu is what this process has used so far.
-func cpu() time.Duration {
+// processCPU returns the CPU time that this process has used so far.
+func processCPU() time.Duration {
 	var u syscall.Rusage
 	syscall.Getrusage(syscall.RUSAGE_SELF, &u)
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// BenchmarkCall is one call after another through a plain http.Transport, the plug-in,
-// and the daemon as a process of its own. The stand-in servers run in this process in
-// each case, so the differences of CPU are those of the ways; the daemon's own CPU is
-// not in its figure.
+// BenchmarkCall makes sequential calls through a plain http.Transport, through the
+// plug-in, and through the daemon as a separate process. The stand-in servers run in this
+// process in every case, so the CPU figures differ only by the path of the calls; the
+// daemon's own CPU is not included.
 func BenchmarkCall(b *testing.B) {
-	cs := classes(5 * time.Second)
+	cs := rigClassesWithDeadline(5 * time.Second)
 	site := newSite(b, rig.SiteConfig{Classes: cs, Servers: 4, NoHedge: true})
 	plugin := newTransport(b, Config{Platform: site.JSON("127.0.0.1:1", 1), Seed: 1})
 	path, err := rig.Binary()
@@ -60,11 +60,11 @@
 			b.ReportAllocs()
 			var took []time.Duration
 			m := mix(1, cs)
-			before := cpu()
+			before := processCPU()
 			for b.Loop() {
 				a := m.Next()
 				began := time.Now()
-				resp, err := way.rt.RoundTrip(request(context.Background(), standin.Ask{ID: a.ID, Class: a.Class, Key: a.Key, Body: a.Body, Deadline: a.Deadline}))
+				resp, err := way.rt.RoundTrip(newRequest(context.Background(), standin.Ask{ID: a.ID, Class: a.Class, Key: a.Key, Body: a.Body, Deadline: a.Deadline}))
 				if err != nil {
 					b.Fatal(err)
 				}
@@ -72,7 +72,7 @@
 				resp.Body.Close()
 				took = append(took, time.Since(began))
 			}
-			used := cpu() - before
+			used := processCPU() - before
 			slices.Sort(took)
 			b.ReportMetric(float64(took[len(took)/2].Microseconds()), "p50-us")
 			b.ReportMetric(float64(took[len(took)*99/100].Microseconds()), "p99-us")
@@ -81,8 +81,8 @@
 	}
 }
 
-// BenchmarkDaemonCPU is the CPU of the daemon's process for a call, its start and end
-// taken off. DAEMON names another binary, of another tree, to hold it against.
+// BenchmarkDaemonCPU measures the CPU time of the daemon's process per call, without its
+// start and shutdown. The environment variable DAEMON names another binary to compare.
 func BenchmarkDaemonCPU(b *testing.B) {
 	path := os.Getenv("DAEMON")
 	if path == "" {
@@ -91,7 +91,7 @@
 			b.Fatal(err)
 		}
 	}
-	cs := classes(5 * time.Second)
+	cs := rigClassesWithDeadline(5 * time.Second)
 	site := newSite(b, rig.SiteConfig{Classes: cs, Servers: 4, NoHedge: true})
 	run := func(calls int) time.Duration {
 		d, err := site.StartProcess(path, 1, "")
--- a/client/call.go
+++ b/client/call.go
@@ -19,46 +19,49 @@
 	"chalkrack/internal/message"
 )
 
-// call is one call: the core's Caller where the Transport decides on it.
+// call is one request in progress. It implements core.Caller for the calls that the
+// Transport's own core decides.
 type call struct {
 	core.Call
-	t       *Transport
-	r       *http.Request
-	class   *chalkrack.Class
-	keyed   bool // it carries a key
-	msg     message.Request
-	answers chan *http.Response // holds the one answer
-	kept    *body.Body          // nil: none, or msg has it
+	t          *Transport
+	r          *http.Request
+	class      *chalkrack.Class
+	hasKey     bool // the request carries an idempotency key
+	msg        message.Request
+	responseCh chan *http.Response // buffered: receives exactly one response
+	reqBody    *body.Body          // nil: no body, or msg holds it whole
 
-	// Of a body that is not kept:
-	forwarded  chan struct{}
-	forwardErr error // once forwarded is closed
-	closing    sync.Once
+	// Used for a body that is streamed instead of stored:
+	forwardDone chan struct{}
+	forwardErr  error // valid once forwardDone is closed
+	closeOnce   sync.Once
 }
 
-// ErrBodyTooLarge is the error of a call whose body can't be kept for another attempt.
+// ErrBodyTooLarge is the error of a call whose body exceeds the limits for storing it
+// for further attempts.
 var ErrBodyTooLarge = errors.New("client: body too large to keep")
 
-// prepare reads a request whole, but for a body that is not kept. It closes the
-// request's body in any case, or leaves that to the call's forward.
+// prepare classifies and validates a request and reads its body, unless the body is
+// streamed. It closes the request's body in every case except the streamed one, where
+// startForwarding closes it.
 func (t *Transport) prepare(r *http.Request) (c *call, err error) {
 	defer func() {
-		if c == nil || c.kept == nil || !c.kept.Coming() {
+		if c == nil || c.reqBody == nil || !c.reqBody.Coming() {
 			closeBody(r)
 		}
 	}()
-	info, err := t.plan.Classify(r)
+	info, err := t.cfg.Classify(r)
 	if err != nil {
 		return nil, fmt.Errorf("client: %w", err)
 	}
-	c = &call{t: t, r: r, class: t.plan.set.ClassOf(info.Class), keyed: info.Key != "", answers: make(chan *http.Response, 1)}
+	c = &call{t: t, r: r, class: t.cfg.settings.ClassOf(info.Class), hasKey: info.Key != "", responseCh: make(chan *http.Response, 1)}
 	switch {
 	case c.class == nil:
 		return nil, fmt.Errorf("client: there is no class %q", info.Class)
-	case c.class.Effect == chalkrack.Keyed && !c.keyed:
+	case c.class.Effect == chalkrack.Keyed && !c.hasKey:
 		return nil, fmt.Errorf("client: class %q needs an Idempotency-Key", info.Class)
 	case r.URL == nil:
-		return nil, errors.New("client: a request without URL")
+		return nil, errors.New("client: the request has no URL")
 	}
 	h := r.Header.Clone()
 	if h == nil {
@@ -69,31 +72,31 @@
 		id = rand.Text()
 		h.Set("Req-Id", id)
 	}
-	if c.keyed {
+	if c.hasKey {
 		h.Set("Idempotency-Key", info.Key)
 	}
-	wait, err := c.wait(h.Get("Req-Deadline-Ms"))
+	wait, err := c.maxWait(h.Get("Req-Deadline-Ms"))
 	if err != nil {
 		return nil, err
 	}
-	method, host := or(r.Method, http.MethodGet), or(r.Host, r.URL.Host)
-	if err := checkHead(method, host, h); err != nil {
+	method, host := orDefault(r.Method, http.MethodGet), orDefault(r.Host, r.URL.Host)
+	if err := validateHead(method, host, h); err != nil {
 		return nil, err
 	}
 	size := int64(-1)
 	if t.store != nil && r.Body != nil && r.Body != http.NoBody {
-		if size, err = c.keep(info); err != nil {
+		if size, err = c.receiveBody(info); err != nil {
 			return nil, err
 		}
 	} else if r.Body != nil && r.Body != http.NoBody {
-		whole, err := io.ReadAll(io.LimitReader(r.Body, t.plan.MaxBody+1))
+		whole, err := io.ReadAll(io.LimitReader(r.Body, t.cfg.MaxBody+1))
 		switch {
 		case err != nil:
 			return nil, fmt.Errorf("client: reading the body: %w", err)
-		case int64(len(whole)) > t.plan.MaxBody:
-			return nil, fmt.Errorf("%w: over %d bytes", ErrBodyTooLarge, t.plan.MaxBody)
+		case int64(len(whole)) > t.cfg.MaxBody:
+			return nil, fmt.Errorf("%w: over %d bytes", ErrBodyTooLarge, t.cfg.MaxBody)
 		case r.ContentLength > 0 && int64(len(whole)) != r.ContentLength:
-			return nil, fmt.Errorf("client: body of %d bytes, %d are stated", len(whole), r.ContentLength)
+			return nil, fmt.Errorf("client: the body has %d bytes, but %d are stated", len(whole), r.ContentLength)
 		}
 		c.msg.Body = [][]byte{whole}
 		size = int64(len(whole))
@@ -107,25 +110,27 @@
 		ID: id, Class: info.Class, Tenant: info.Tenant, Key: info.About,
 		Wait: wait, Received: time.Now(), Payload: &c.msg, Caller: c,
 	}
-	if c.kept != nil && c.kept.Coming() {
-		c.Limits = &core.Limits{Attempts: 1, Coming: c.t.plan.Keep.Within}
+	if c.reqBody != nil && c.reqBody.Coming() {
+		c.Limits = &core.Limits{Attempts: 1, Coming: c.t.cfg.Keep.Within}
 	}
 	return c, nil
 }
 
-// Left implements message.Client. A context's end may be due and not told yet.
+// Left implements message.Client. It also compares the context's deadline with the
+// clock, because the context may report its end late.
 func (c *call) Left() bool {
 	ctx := c.r.Context()
 	at, timed := ctx.Deadline()
 	return ctx.Err() != nil || timed && time.Now().After(at)
 }
 
-// wait is how long the caller waits: what the context says, or the request, at most.
-func (c *call) wait(field string) (wait time.Duration, err error) {
+// maxWait returns how long the caller waits: the shorter of the context's deadline and the
+// request's Req-Deadline-Ms field, 0 if neither is set.
+func (c *call) maxWait(field string) (wait time.Duration, err error) {
 	if field != "" {
 		ms, err := strconv.ParseInt(field, 10, 32)
 		if err != nil || ms <= 0 {
-			return 0, fmt.Errorf("client: Req-Deadline-Ms: %q is no time in milliseconds", field)
+			return 0, fmt.Errorf("client: Req-Deadline-Ms: %q is not a positive number of milliseconds", field)
 		}
 		wait = time.Duration(ms) * time.Millisecond
 	}
@@ -141,43 +146,44 @@
 	return wait, nil
 }
 
-// checkHead guards against a field that would end its line and begin another, or hide
-// a request behind this one (RFC 9110 section 5.5, RFC 9112 section 11).
-func checkHead(method, host string, h http.Header) error {
-	if !token(method) {
-		return fmt.Errorf("client: method %q", method)
+// validateHead rejects characters that would inject another header line or smuggle a
+// second request behind this one (RFC 9110 section 5.5, RFC 9112 section 11).
+func validateHead(method, host string, h http.Header) error {
+	if !isToken(method) {
+		return fmt.Errorf("client: invalid method %q", method)
 	}
 	if host == "" || strings.ContainsFunc(host, func(r rune) bool { return r <= ' ' || r >= 0x7f }) {
-		return fmt.Errorf("client: host %q", host)
+		return fmt.Errorf("client: invalid host %q", host)
 	}
 	for name, values := range h {
-		if !token(name) {
-			return fmt.Errorf("client: field name %q", name)
+		if !isToken(name) {
+			return fmt.Errorf("client: invalid field name %q", name)
 		}
 		for _, v := range values {
 			if strings.ContainsFunc(v, func(r rune) bool { return r < ' ' && r != '\t' || r == 0x7f }) {
-				return fmt.Errorf("client: value of field %q", name)
+				return fmt.Errorf("client: invalid value of field %q", name)
 			}
 		}
 	}
 	return nil
 }
 
-// token is RFC 9110's.
-func token(s string) bool {
+// isToken reports whether s is a token as defined in RFC 9110.
+func isToken(s string) bool {
 	return s != "" && !strings.ContainsFunc(s, func(r rune) bool {
 		return !(r >= 'a' && r <= 'z' || r >= 'A' && r <= 'Z' || r >= '0' && r <= '9' || strings.ContainsRune("!#$%&'*+-.^_`|~", r))
 	})
 }
 
-// decide has the Transport's own core make the call.
-func (c *call) decide() (*http.Response, error) {
+// runLocally makes the call through the Transport's own core and blocks until it has a
+// response or the request's context ends.
+func (c *call) runLocally() (*http.Response, error) {
 	ctx := c.r.Context()
 	c.t.host.Arrive(&c.Call)
-	forwarded := c.forwarded
+	forwarded := c.forwardDone
 	for waiting := true; waiting; {
 		select {
-		case resp := <-c.answers:
+		case resp := <-c.responseCh:
 			return resp, nil
 		case <-forwarded:
 			forwarded = nil
@@ -193,7 +199,7 @@
 	if c.t.host.Gone(&c.Call) {
 		return nil, ctx.Err()
 	}
-	resp := <-c.answers // it is under way
+	resp := <-c.responseCh // the core has already started to respond
 	resp.Body.Close()
 	return nil, ctx.Err()
 }
@@ -201,61 +207,61 @@
 // Serve implements core.Caller.
 func (c *call) Serve(answer any) {
 	ans := answer.(*message.Answer)
-	c.answers <- c.response(or(ans.Status, http.StatusOK), ans.Header, io.NopCloser(bytes.NewReader(ans.Body)), int64(len(ans.Body)))
+	c.responseCh <- c.newResponse(orDefault(ans.Status, http.StatusOK), ans.Header, io.NopCloser(bytes.NewReader(ans.Body)), int64(len(ans.Body)))
 }
 
 // Refuse implements core.Caller.
 func (c *call) Refuse(after time.Duration, _ bool) {
-	if c.kept != nil {
-		c.kept.Ended(true)
+	if c.reqBody != nil {
+		c.reqBody.Ended(true)
 	}
-	c.answers <- c.answerRefused(after)
+	c.responseCh <- c.refusedResponse(after)
 }
 
 // Fail implements core.Caller.
 func (c *call) Fail() {
-	if c.kept != nil {
-		c.kept.Ended(false)
+	if c.reqBody != nil {
+		c.reqBody.Ended(false)
 	}
-	c.answers <- c.answerFailed()
+	c.responseCh <- c.failedResponse()
 }
 
 // Release implements core.Caller.
 func (c *call) Release() {
-	if c.kept != nil {
-		c.kept.Drop()
+	if c.reqBody != nil {
+		c.reqBody.Drop()
 	}
 }
 
 // Stream implements core.Caller.
 func (c *call) Stream(answer any, abort func()) core.Stream {
-	s, resp := c.stream(answer.(*message.Answer), abort)
-	c.answers <- resp
+	s, resp := c.startStream(answer.(*message.Answer), abort)
+	c.responseCh <- resp
 	return s
 }
 
-func (c *call) answerRefused(after time.Duration) *http.Response {
+func (c *call) refusedResponse(after time.Duration) *http.Response {
 	h := http.Header{VerdictField: {"refused"}}
 	if after > 0 {
 		h.Set("Retry-After", strconv.FormatFloat(after.Seconds(), 'f', 3, 64))
 	}
-	return c.response(http.StatusServiceUnavailable, h, http.NoBody, 0)
+	return c.newResponse(http.StatusServiceUnavailable, h, http.NoBody, 0)
 }
 
-func (c *call) answerFailed() *http.Response {
-	return c.response(http.StatusBadGateway, http.Header{VerdictField: {"failed"}}, http.NoBody, 0)
+func (c *call) failedResponse() *http.Response {
+	return c.newResponse(http.StatusBadGateway, http.Header{VerdictField: {"failed"}}, http.NoBody, 0)
 }
 
-// answerUnanswered is for a call that may have run: only what its class lets run again
-// may be refused.
-func (c *call) answerUnanswered() *http.Response {
+// unansweredResponse returns the response for a call that may have run: a refusal, which
+// invites a repeat, only if the class allows the call to run again, else a failure.
+func (c *call) unansweredResponse() *http.Response {
 	if c.class.Effect == chalkrack.Safe || c.class.Effect == chalkrack.Keyed && c.class.Scope == chalkrack.ScopeAll {
-		return c.answerRefused(c.t.plan.set.Config.MaxRetryAfter / 2)
+		return c.refusedResponse(c.t.cfg.settings.Config.MaxRetryAfter / 2)
 	}
-	return c.answerFailed()
+	return c.failedResponse()
 }
 
-func (c *call) response(status int, h http.Header, body io.ReadCloser, size int64) *http.Response {
+func (c *call) newResponse(status int, h http.Header, body io.ReadCloser, size int64) *http.Response {
 	if h == nil {
 		h = make(http.Header)
 	}
@@ -269,66 +275,67 @@
 	}
 }
 
-// stream is a long answer on its way: its transport writes, the caller reads, and waits
-// for the other. It ends with the caller's Close, with the context and with the
-// Transport's Close at the latest.
+// stream is a response body that is passed on as it arrives. The upstream transport
+// writes and the caller reads; each blocks until the other is ready. It ends at the
+// latest with the caller's Close, the end of the context or the Transport's Close.
 type stream struct {
-	c     *call
-	pipe  *io.PipeWriter
-	abort func()
-	stop  func() bool
-	left  int64 // -1: not stated
+	c         *call
+	pipe      *io.PipeWriter
+	abort     func()
+	stopWatch func() bool
+	remaining int64 // bytes still expected; -1: length not stated
 }
 
-// breakOff ends a long answer from the caller's side. Guards against a server that says
-// nothing: its transport would notice only with the next byte.
-func (s *stream) breakOff(err error) {
+// cancel ends a streamed response from the caller's side. It aborts the attempt as well:
+// if the server sends nothing, the upstream transport would notice the closed pipe only
+// at the next byte.
+func (s *stream) cancel(err error) {
 	s.pipe.CloseWithError(err)
 	s.abort()
 }
 
-// streamBody is the caller's end.
+// streamBody is the response body that the caller reads.
 type streamBody struct {
 	*io.PipeReader
-	s     *stream
-	whole bool
+	s      *stream
+	sawEOF bool
 }
 
 // Read implements io.Reader.
 func (b *streamBody) Read(p []byte) (int, error) {
 	n, err := b.PipeReader.Read(p)
-	b.whole = b.whole || err == io.EOF
+	b.sawEOF = b.sawEOF || err == io.EOF
 	return n, err
 }
 
-// Close implements io.Closer. The connection of an answer that was read to its end
-// goes on.
+// Close implements io.Closer. It aborts the attempt unless the body was read to its
+// end, in which case the connection is reused.
 func (b *streamBody) Close() error {
 	err := b.PipeReader.Close()
-	if !b.whole {
+	if !b.sawEOF {
 		b.s.abort()
 	}
 	return err
 }
 
-func (c *call) stream(ans *message.Answer, abort func()) (*stream, *http.Response) {
+func (c *call) startStream(ans *message.Answer, abort func()) (*stream, *http.Response) {
 	pr, pw := io.Pipe()
-	s := &stream{c: c, pipe: pw, abort: abort, left: ans.Length}
+	s := &stream{c: c, pipe: pw, abort: abort, remaining: ans.Length}
 	ctx := c.r.Context()
-	s.stop = context.AfterFunc(ctx, func() { s.breakOff(ctx.Err()) })
+	s.stopWatch = context.AfterFunc(ctx, func() { s.cancel(ctx.Err()) })
 	t := c.t
 	t.mu.Lock()
-	t.busy++
+	t.active++
 	t.streams[s] = struct{}{}
 	t.mu.Unlock()
-	return s, c.response(or(ans.Status, http.StatusOK), ans.Header, &streamBody{PipeReader: pr, s: s}, ans.Length)
+	return s, c.newResponse(orDefault(ans.Status, http.StatusOK), ans.Header, &streamBody{PipeReader: pr, s: s}, ans.Length)
 }
 
 // Write implements core.Stream.
 func (s *stream) Write(p []byte) (int, error) {
-	if s.left >= 0 {
-		if s.left -= int64(len(p)); s.left < 0 {
-			return 0, errors.New("client: more than the stated length")
+	if s.remaining >= 0 {
+		if s.remaining -= int64(len(p)); s.remaining < 0 {
+			return 0, errors.New("client: the response body exceeds its stated length")
 		}
 	}
 	return s.pipe.Write(p)
@@ -336,8 +343,8 @@
 
 // End implements core.Stream.
 func (s *stream) End(ok bool) {
-	s.stop()
-	if ok && s.left <= 0 {
+	s.stopWatch()
+	if ok && s.remaining <= 0 {
 		s.pipe.Close()
 	} else {
 		s.pipe.CloseWithError(io.ErrUnexpectedEOF)
@@ -345,5 +352,5 @@
 	s.c.t.mu.Lock()
 	delete(s.c.t.streams, s)
 	s.c.t.mu.Unlock()
-	s.c.t.leave()
+	s.c.t.release()
 }
--- a/client/client.go
+++ b/client/client.go
@@ -1,21 +1,22 @@
-// Package client is the sidecar's decisions in the caller's own process: an
-// http.RoundTripper that chooses a server for each call, hedges and retries within the
-// class's rules, and refuses what can't be served in time, exactly as the daemon does,
-// by the same core and the same decision module.
+// Package client runs the load balancer inside the caller's own process. Its Transport
+// is an http.RoundTripper that chooses a server for each call, hedges and retries within
+// the rules of the call's class, and refuses calls that can't be served in time. It uses
+// the same core and the same decision module as the sidecar daemon.
 //
 //	t, err := client.New(client.Config{Classes: classes, Discovery: "10.2.0.1:8500"})
 //	...
 //	defer t.Close(ctx)
 //	c := &http.Client{Transport: t}
 //
-// A call's class is the first part of its path, or what Config.Classify says. One that
-// has no answer ends as the daemon would end it: 503 with Retry-After where trying
-// again is harmless, 502 where the call may have run. The field Fawn-Verdict of these
-// says 'refused' or 'failed', and is set on no answer of a server.
+// A call's class is the first segment of its path, or the result of Config.Classify. A
+// call that no server answered gets the same response as from the daemon: 503 with
+// Retry-After if it is harmless to try again, 502 if the call may have run. The header
+// field Fawn-Verdict of these responses is 'refused' or 'failed'; it is never set on a
+// server's response.
 //
-// One tier decides on each call. What the Transport decides on goes out marked, so that
-// a daemon on the way makes one attempt for it and no further ones of its own. With
-// Config.Daemon the daemon decides while it is there.
+// Only one tier decides each call. Requests of calls that the Transport decides are
+// marked, so that a daemon on the way makes a single attempt and no retries of its own.
+// With Config.Daemon the daemon decides while it is available.
 package client
 
 import (
@@ -36,63 +37,64 @@
 	"chalkrack/internal/upstream"
 )
 
-// VerdictField is the field of an answer that no server made.
+// VerdictField is the header field that marks responses not made by a server.
 const VerdictField = "Fawn-Verdict"
 
-// ErrClosed is the error of calls that come after Close, and of those that it broke off.
+// ErrClosed is the error of calls made after Close and of calls that Close aborted.
 var ErrClosed = errors.New("client: closed")
 
-// sweepEach is how often idle connections are looked through, while there are any.
-const sweepEach = 2 * time.Second
+// sweepInterval is the interval between checks for idle connections, while there are any
+// connections.
+const sweepInterval = 2 * time.Second
 
-// Transport is an http.RoundTripper. It holds MaxCalls calls, MaxConns connections and
-// MaxBody bytes for the body of each call at most. While idle it has one timer, and with
-// Discovery one goroutine and one connection.
+// Transport is an http.RoundTripper. It holds at most MaxCalls calls, MaxConns
+// connections and MaxBody bytes for the body of each call. While idle it has one timer,
+// and with Discovery one goroutine and one connection. It is safe for concurrent use.
 type Transport struct {
-	plan    *plan
-	store   *body.Store // nil: bodies are held in memory, within MaxBody each
-	pool    *upstream.Pool
-	host    *core.Host
-	watcher *discovery.Watcher // nil: a fixed list, or none
-	link    *link              // nil: no daemon
-	nodes   bool               // it has a source of them
-	wg      sync.WaitGroup     // its goroutines
+	cfg      *validConfig
+	store    *body.Store // nil: bodies are held in memory, up to MaxBody each
+	pool     *upstream.Pool
+	host     *core.Host
+	watcher  *discovery.Watcher // nil: nodes are a fixed list, or there are none
+	daemon   *daemonLink        // nil: no daemon is configured
+	hasNodes bool               // Nodes or Discovery is configured
+	wg       sync.WaitGroup     // tracks the Transport's goroutines
 
-	mu       sync.Mutex
-	closed   bool
-	busy     int
-	idle     chan struct{} // closed when busy is 0 after Close
-	quiet    bool          // idle is closed
-	streams  map[*stream]struct{}
-	sweeping *time.Timer // nil: none is due
+	mu           sync.Mutex
+	closed       bool
+	active       int
+	idleCh       chan struct{} // closed when active is 0 after Close
+	isIdleClosed bool          // idleCh is closed
+	streams      map[*stream]struct{}
+	sweepTimer   *time.Timer // nil: no check is scheduled
 }
 
 var _ http.RoundTripper = (*Transport)(nil)
 
-// New returns a Transport. Errors name the field of cfg.
+// New returns a Transport for cfg. Errors name the invalid field of cfg.
 func New(cfg Config) (*Transport, error) {
-	p, err := cfg.check()
+	p, err := cfg.validate()
 	if err != nil {
 		return nil, err
 	}
-	t := &Transport{plan: p, idle: make(chan struct{}), streams: make(map[*stream]struct{})}
+	t := &Transport{cfg: p, idleCh: make(chan struct{}), streams: make(map[*stream]struct{})}
 	t.pool = upstream.New(upstream.Config{
-		ConnIdle:         p.set.ConnIdle,
-		DialTimeout:      p.set.DialTimeout,
-		DrainGrace:       p.set.DrainGrace,
+		ConnIdle:         p.settings.ConnIdle,
+		DialTimeout:      p.settings.DialTimeout,
+		DrainGrace:       p.settings.DrainGrace,
 		MaxConns:         p.MaxConns,
-		Stall:            p.set.ShortestAim() / 2,
+		Stall:            p.settings.ShortestAim() / 2,
 		Lull:             p.Pause,
 		PassClientErrors: p.PassClientErrors,
 	})
-	if t.store, err = p.store(); err != nil {
+	if t.store, err = p.newStore(); err != nil {
 		return nil, err
 	}
-	t.nodes = p.known != nil || p.Discovery != ""
-	coreCfg := core.Config{Settings: p.set, Seed: p.Seed, Transport: t.pool, Log: p.Log}
+	t.hasNodes = p.knownNodes != nil || p.Discovery != ""
+	coreCfg := core.Config{Settings: p.settings, Seed: p.Seed, Transport: t.pool, Log: p.Log}
 	if p.Discovery != "" {
 		t.watcher = &discovery.Watcher{Addr: p.Discovery, Timing: discovery.Pushed}
-		if p.asks {
+		if p.asksDiscovery {
 			t.watcher.Timing = discovery.Asked
 		}
 	}
@@ -102,28 +104,29 @@
 		}
 		return nil, fmt.Errorf("client: %w", err)
 	}
-	if p.known != nil {
-		t.host.Listed(p.known)
+	if p.knownNodes != nil {
+		t.host.Listed(p.knownNodes)
 	}
 	if t.watcher != nil {
 		t.watcher.Listed, t.watcher.Failed = t.host.Listed, t.host.DiscoveryFailed
-		if p.known != nil {
-			t.watcher.Track = membership.Holding(p.known)
+		if p.knownNodes != nil {
+			t.watcher.Track = membership.Holding(p.knownNodes)
 		}
 		t.wg.Go(t.watcher.Follow)
 	}
 	if p.Daemon != "" {
-		t.link = newLink(t)
+		t.daemon = newDaemonLink(t)
 	}
 	return t, nil
 }
 
-// SetNodes replaces a fixed list of nodes. What is not on the new one has gone.
+// SetNodes replaces a fixed list of nodes. Nodes missing from the new list are removed.
+// It returns an error if the Transport has no fixed list or the new list is invalid.
 func (t *Transport) SetNodes(nodes []Node) error {
-	if t.watcher != nil || !t.nodes {
-		return errors.New("client: SetNodes is for a Transport with Nodes")
+	if t.watcher != nil || !t.hasNodes {
+		return errors.New("client: SetNodes needs a Transport with a fixed list of Nodes")
 	}
-	l, err := nodeList(nodes)
+	l, err := newNodeList(nodes)
 	if err != nil {
 		return err
 	}
@@ -131,42 +134,42 @@
 	return nil
 }
 
-// Classify is the platform's form: the class is the first part of the path, or
-// Req-Kind where it is set, the key Idempotency-Key, the tenant Req-Owner, and what a
-// call is about the cookie 'user'.
+// Classify reads a request in the platform's form: the class is the header field
+// Req-Kind or, without it, the first segment of the path; the key is Idempotency-Key,
+// the tenant is Req-Owner, and About is the cookie 'user'.
 func Classify(r *http.Request) (Info, error) {
 	class, _, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, "/"), "/")
-	info := Info{Class: or(r.Header.Get("Req-Kind"), class), Key: r.Header.Get("Idempotency-Key"), Tenant: r.Header.Get("Req-Owner")}
+	info := Info{Class: orDefault(r.Header.Get("Req-Kind"), class), Key: r.Header.Get("Idempotency-Key"), Tenant: r.Header.Get("Req-Owner")}
 	if c, err := r.Cookie("user"); err == nil {
 		info.About = c.Value
 	}
 	return info, nil
 }
 
-// RoundTrip implements http.RoundTripper. An error says that no call was made, that the
-// context ended, or that the Transport is closed; whatever else becomes of a call is an
-// answer. The time that a call may take is the context's, or its class's.
+// RoundTrip implements http.RoundTripper. It returns an error if the request is invalid
+// or its body can't be read, if the context ended, or if the Transport is closed; every
+// other outcome is a response. The call's deadline is the context's or else its class's.
 func (t *Transport) RoundTrip(r *http.Request) (*http.Response, error) {
-	if !t.enter() {
+	if !t.acquire() {
 		closeBody(r)
 		return nil, ErrClosed
 	}
-	defer t.leave()
+	defer t.release()
 	c, err := t.prepare(r)
 	if err != nil {
 		return nil, err
 	}
-	c.forward()
-	defer c.drop()
-	if t.link != nil {
-		if resp, err, past := t.link.roundTrip(c); !past {
+	c.startForwarding()
+	defer c.discardBody()
+	if t.daemon != nil {
+		if resp, err, local := t.daemon.roundTrip(c); !local {
 			return resp, err
 		}
-		if !t.nodes {
-			return c.answerRefused(t.plan.set.Config.MaxRetryAfter/10 + rand.N(t.plan.set.Config.MaxRetryAfter/10+1)), nil
+		if !t.hasNodes {
+			return c.refusedResponse(t.cfg.settings.Config.MaxRetryAfter/10 + rand.N(t.cfg.settings.Config.MaxRetryAfter/10+1)), nil
 		}
 	}
-	return c.decide()
+	return c.runLocally()
 }
 
 func closeBody(r *http.Request) {
@@ -175,55 +178,56 @@
 	}
 }
 
-func (t *Transport) enter() bool {
+func (t *Transport) acquire() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.closed {
 		return false
 	}
-	t.busy++
-	if t.sweeping == nil {
-		t.sweeping = time.AfterFunc(sweepEach, t.sweep)
+	t.active++
+	if t.sweepTimer == nil {
+		t.sweepTimer = time.AfterFunc(sweepInterval, t.sweepIdleConns)
 	}
 	return true
 }
 
-func (t *Transport) leave() {
+func (t *Transport) release() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.busy--
-	t.checkIdle()
+	t.active--
+	t.signalIfIdle()
 }
 
-// checkIdle tells Close that nothing is under way. It is called with the lock held.
-func (t *Transport) checkIdle() {
-	if t.busy == 0 && t.closed && !t.quiet {
-		t.quiet = true
-		close(t.idle)
+// signalIfIdle tells Close that no call is in progress. The caller must hold t.mu.
+func (t *Transport) signalIfIdle() {
+	if t.active == 0 && t.closed && !t.isIdleClosed {
+		t.isIdleClosed = true
+		close(t.idleCh)
 	}
 }
 
-// sweep closes connections that have been idle for too long. It comes again only while
-// there are any: a Transport without traffic costs no CPU.
-func (t *Transport) sweep() {
+// sweepIdleConns closes connections that have been idle for too long. It reschedules
+// itself only while there are connections or calls, so that a Transport without traffic
+// uses no CPU.
+func (t *Transport) sweepIdleConns() {
 	now := time.Now()
 	t.pool.Sweep(now)
 	left := t.pool.Conns()
-	if t.link != nil {
-		t.link.pool.Sweep(now)
-		left += t.link.pool.Conns()
+	if t.daemon != nil {
+		t.daemon.pool.Sweep(now)
+		left += t.daemon.pool.Conns()
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.sweeping = nil
-	if (left > 0 || t.busy > 0) && !t.closed {
-		t.sweeping = time.AfterFunc(sweepEach, t.sweep)
+	t.sweepTimer = nil
+	if (left > 0 || t.active > 0) && !t.closed {
+		t.sweepTimer = time.AfterFunc(sweepInterval, t.sweepIdleConns)
 	}
 }
 
-// Close takes no more calls and waits until those under way, long answers included,
-// have ended. When ctx ends it breaks them off, which ends them at once, and returns
-// the context's error.
+// Close rejects new calls and blocks until the calls in progress, including streamed
+// responses, have ended. If ctx ends first, Close aborts them and returns the context's
+// error. A second Close returns ErrClosed.
 func (t *Transport) Close(ctx context.Context) error {
 	t.mu.Lock()
 	if t.closed {
@@ -231,15 +235,15 @@
 		return ErrClosed
 	}
 	t.closed = true
-	t.checkIdle()
+	t.signalIfIdle()
 	t.mu.Unlock()
 	var err error
 	select {
-	case <-t.idle:
+	case <-t.idleCh:
 	case <-ctx.Done():
 		err = ctx.Err()
-		if t.link != nil {
-			t.link.breakOff()
+		if t.daemon != nil {
+			t.daemon.abortCalls()
 		}
 		t.host.Close()
 		t.mu.Lock()
@@ -249,14 +253,14 @@
 		}
 		t.mu.Unlock()
 		for _, s := range broken {
-			s.breakOff(ErrClosed)
+			s.cancel(ErrClosed)
 		}
-		<-t.idle
+		<-t.idleCh
 	}
 	t.host.Close()
 	t.pool.Close()
-	if t.link != nil {
-		t.link.close()
+	if t.daemon != nil {
+		t.daemon.close()
 	}
 	if t.watcher != nil {
 		t.watcher.Close()
@@ -267,21 +271,21 @@
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.sweeping != nil {
-		t.sweeping.Stop()
+	if t.sweepTimer != nil {
+		t.sweepTimer.Stop()
 	}
 	return err
 }
 
-// ByDaemon says whether a call that begins now goes by way of the daemon.
-func (t *Transport) ByDaemon() bool { return t.link != nil && t.link.here() }
+// ByDaemon reports whether a call that begins now is sent through the daemon.
+func (t *Transport) ByDaemon() bool { return t.daemon != nil && t.daemon.isUp() }
 
-// held is how many calls the core holds.
-func (t *Transport) held() int { return t.host.Held() }
+// heldCalls returns the number of calls that the core holds.
+func (t *Transport) heldCalls() int { return t.host.Held() }
 
-func (t *Transport) log() *slog.Logger {
-	if t.plan.Log != nil {
-		return t.plan.Log
+func (t *Transport) logger() *slog.Logger {
+	if t.cfg.Log != nil {
+		return t.cfg.Log
 	}
 	return slog.Default()
 }
--- a/client/client_test.go
+++ b/client/client_test.go
@@ -16,8 +16,9 @@
 	"go.uber.org/goleak"
 )
 
-// threeClasses have deadlines beyond any test's patience: nothing comes right by them.
-func threeClasses() []Class {
+// longDeadlineClasses have deadlines longer than any test waits, so that no test passes because a
+// deadline ended a call.
+func longDeadlineClasses() []Class {
 	return []Class{
 		{Name: "status-check", Effect: Safe, Aim: 10 * time.Second, Deadline: 5 * time.Minute, Worth: 1},
 		{Name: "id-register", Effect: Keyed, Window: 8 * time.Second, Aim: 10 * time.Second, Deadline: 5 * time.Minute, Worth: 3},
@@ -31,8 +32,8 @@
 	"activate":     {Name: "activate", Effect: standin.Unsafe},
 }
 
-// nodes are the servers of a site as a fixed list.
-func nodes(s *rig.Site) (list []Node) {
+// fixedNodes returns the servers of a site as a fixed list.
+func fixedNodes(s *rig.Site) (list []Node) {
 	for _, server := range s.Servers {
 		list = append(list, Node{Name: server.Name(), Address: server.Addr()})
 	}
@@ -50,15 +51,16 @@
 	return a
 }
 
-// What arrives at a server is what was asked, marked as decided here.
-func TestRequestGoesOnWhole(t *testing.T) {
+// A request reaches the server unchanged, except for the fields of the connection and the
+// mark that the Transport decides the call.
+func TestRequestForwardedUnchanged(t *testing.T) {
 	got := make(chan standin.Request, 1)
 	site := newSite(t, rig.SiteConfig{Servers: 1, Server: standin.ServerConfig{Script: func(r standin.Request) standin.Act {
 		got <- r
 		return standin.Act{}
 	}}})
-	tr := newTransport(t, Config{Classes: threeClasses(), Nodes: nodes(site)})
-	r := request(context.Background(), askOf("id-register", "a1"))
+	tr := newTransport(t, Config{Classes: longDeadlineClasses(), Nodes: fixedNodes(site)})
+	r := newRequest(context.Background(), askOf("id-register", "a1"))
 	r.Header.Set("X-Own", "kept")
 	r.Header.Set("Connection", "x")
 	r.Header.Set("Req-Attempts", "9")
@@ -78,15 +80,15 @@
 		}
 	}
 	if in.Header.Get("Req-Deadline-Ms") == "" {
-		t.Error("the server is not told for how long the caller waits")
+		t.Error("the request to the server has no Req-Deadline-Ms")
 	}
 	if fmt.Sprint(before) != fmt.Sprint(r.Header) {
-		t.Error("the caller's header has changed")
+		t.Error("RoundTrip changed the header of the caller's request")
 	}
-	// Without an id of its own, each call gets one.
+	// A call without Req-Id gets a generated one.
 	ids := make(map[string]bool)
 	for range 3 {
-		r := request(context.Background(), askOf("activate", "x"))
+		r := newRequest(context.Background(), askOf("activate", "x"))
 		r.Header.Del("Req-Id")
 		if _, err := tr.RoundTrip(r); err != nil {
 			t.Fatal(err)
@@ -98,10 +100,10 @@
 	}
 }
 
-// A request that can't be made is an error and reaches no server; its body is closed.
+// An invalid request returns an error and reaches no server; its body is closed.
 func TestBadRequests(t *testing.T) {
 	site := newSite(t, rig.SiteConfig{Servers: 1})
-	tr := newTransport(t, Config{Classes: threeClasses(), Nodes: nodes(site), MaxBody: 100})
+	tr := newTransport(t, Config{Classes: longDeadlineClasses(), Nodes: fixedNodes(site), MaxBody: 100})
 	past, cancel := context.WithDeadline(context.Background(), time.Now().Add(-time.Second))
 	defer cancel()
 	for name, c := range map[string]struct {
@@ -112,7 +114,7 @@
 		"no key":              {func(r *http.Request) { r.URL.Path = "/id-register" }, "Idempotency-Key"},
 		"too large":           {func(r *http.Request) { r.Body = io.NopCloser(strings.NewReader(strings.Repeat("x", 101))) }, "too large"},
 		"other length":        {func(r *http.Request) { r.ContentLength = 99 }, "99 are stated"},
-		"body that breaks":    {func(r *http.Request) { r.Body = io.NopCloser(io.MultiReader(strings.NewReader("x"), broken{})) }, "broken"},
+		"body that breaks":    {func(r *http.Request) { r.Body = io.NopCloser(io.MultiReader(strings.NewReader("x"), failingReader{})) }, "broken"},
 		"a field in a value":  {func(r *http.Request) { r.Header["X"] = []string{"y\r\nContent-Length: 0"} }, `field "X"`},
 		"a field in a name":   {func(r *http.Request) { r.Header["X: y\r\nZ"] = []string{"y"} }, "field name"},
 		"a line in the host":  {func(r *http.Request) { r.Host = "h\r\nX: y" }, "host"},
@@ -120,35 +122,35 @@
 		"nonsense as a limit": {func(r *http.Request) { r.Header.Set("Req-Deadline-Ms", "soon") }, "Req-Deadline-Ms"},
 		"no time left":        {func(r *http.Request) { *r = *r.WithContext(past) }, "deadline"},
 	} {
-		r := request(context.Background(), askOf("activate", "b1"))
+		r := newRequest(context.Background(), askOf("activate", "b1"))
 		c.change(r)
-		closed := &closing{Reader: r.Body}
+		closed := &closeRecorder{Reader: r.Body}
 		r.Body = closed
 		if _, err := tr.RoundTrip(r); err == nil || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%s: %v", name, err)
 		}
-		if !closed.done {
-			t.Errorf("%s: body left open", name)
+		if !closed.closed {
+			t.Errorf("%s: the request body was not closed", name)
 		}
 	}
 	if n := len(site.Ledger.Log()); n != 0 {
-		t.Errorf("%d requests arrived", n)
+		t.Errorf("%d requests reached a server, want none", n)
 	}
 }
 
-type broken struct{}
+type failingReader struct{}
 
-func (broken) Read([]byte) (int, error) { return 0, errors.New("broken") }
+func (failingReader) Read([]byte) (int, error) { return 0, errors.New("broken") }
 
-type closing struct {
+type closeRecorder struct {
 	io.Reader
-	done bool
+	closed bool
 }
 
-func (c *closing) Close() error { c.done = true; return nil }
+func (c *closeRecorder) Close() error { c.closed = true; return nil }
 
 func TestBadConfig(t *testing.T) {
-	ok := func() Config { return Config{Classes: threeClasses(), Nodes: []Node{{Address: "127.0.0.1:1"}}} }
+	ok := func() Config { return Config{Classes: longDeadlineClasses(), Nodes: []Node{{Address: "127.0.0.1:1"}}} }
 	for want, change := range map[string]func(*Config){
 		"Classes must be":     func(c *Config) { c.Classes = nil },
 		"Classes[1].Aim":      func(c *Config) { c.Classes[1].Aim = 0 },
@@ -186,65 +188,65 @@
 	tr.Close(context.Background())
 }
 
-// A long answer is passed on as it comes, and one that breaks off is an error.
-func TestLongAnswer(t *testing.T) {
+// A long response is streamed to the caller; one that ends early returns an error on Read.
+func TestLongAnswerStreamed(t *testing.T) {
 	long := strings.Repeat("long ", 60<<10)
 	kind := standin.Serve
 	site := newSite(t, rig.SiteConfig{Servers: 1, Server: standin.ServerConfig{Script: func(standin.Request) standin.Act {
 		return standin.Act{Kind: kind, Body: long}
 	}}})
-	tr := newTransport(t, Config{Classes: threeClasses(), Nodes: nodes(site)})
-	if r := ask(context.Background(), tr, askOf("activate", "1")); r.Status != 200 || r.Body != long {
+	tr := newTransport(t, Config{Classes: longDeadlineClasses(), Nodes: fixedNodes(site)})
+	if r := send(context.Background(), tr, askOf("activate", "1")); r.Status != 200 || r.Body != long {
 		t.Errorf("%d, %d bytes, %v", r.Status, len(r.Body), r.Err)
 	}
 	kind = standin.ShortBody
-	if r := ask(context.Background(), tr, askOf("activate", "2")); !errors.Is(r.Err, io.ErrUnexpectedEOF) {
-		t.Errorf("broken off: %v", r.Err)
+	if r := send(context.Background(), tr, askOf("activate", "2")); !errors.Is(r.Err, io.ErrUnexpectedEOF) {
+		t.Errorf("response that ends early: %v", r.Err)
 	}
-	settle(t, "still busy", func() bool { tr.mu.Lock(); defer tr.mu.Unlock(); return tr.busy == 0 && len(tr.streams) == 0 })
+	waitUntil(t, "calls or streams remain active", func() bool { tr.mu.Lock(); defer tr.mu.Unlock(); return tr.active == 0 && len(tr.streams) == 0 })
 }
 
-// A caller that closes a long answer ends it, however long its server says nothing; one
-// that has read it to its end leaves the connection for the next call.
-func TestCloseLongAnswer(t *testing.T) {
+// Closing a streamed response closes its connection even while the server sends nothing;
+// reading the response to its end leaves the connection for the next call.
+func TestClosingLongAnswerClosesConnection(t *testing.T) {
 	kind := standin.StopBody
 	site := newSite(t, rig.SiteConfig{Servers: 1, Server: standin.ServerConfig{Script: func(standin.Request) standin.Act {
 		return standin.Act{Kind: kind, Body: strings.Repeat("x", 100<<10)}
 	}}})
-	tr := newTransport(t, Config{Classes: threeClasses(), Nodes: nodes(site), Pause: time.Hour})
-	resp, err := tr.RoundTrip(request(context.Background(), askOf("activate", "1")))
+	tr := newTransport(t, Config{Classes: longDeadlineClasses(), Nodes: fixedNodes(site), Pause: time.Hour})
+	resp, err := tr.RoundTrip(newRequest(context.Background(), askOf("activate", "1")))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := io.ReadFull(resp.Body, make([]byte, 100<<10)); err != nil { // all that ever comes
+	if _, err := io.ReadFull(resp.Body, make([]byte, 100<<10)); err != nil { // the server sends no more than this
 		t.Fatal(err)
 	}
 	resp.Body.Close()
-	settle(t, "its connection stays", func() bool { return tr.pool.Conns() == 0 })
+	waitUntil(t, "the connection is still open after Close", func() bool { return tr.pool.Conns() == 0 })
 	kind = standin.Serve
 	for n := range 3 {
-		if r := ask(context.Background(), tr, askOf("activate", fmt.Sprint("whole", n))); r.Status != 200 {
+		if r := send(context.Background(), tr, askOf("activate", fmt.Sprint("whole", n))); r.Status != 200 {
 			t.Errorf("%+v", r)
 		}
-		settle(t, "still busy", func() bool { tr.mu.Lock(); defer tr.mu.Unlock(); return tr.busy == 0 })
+		waitUntil(t, "calls or streams remain active", func() bool { tr.mu.Lock(); defer tr.mu.Unlock(); return tr.active == 0 })
 	}
 	if n := site.Servers[0].Opened(); n != 2 {
-		t.Errorf("%d connections for 4 calls, one of them closed", n)
+		t.Errorf("%d connections opened for 4 calls, want 2: one was closed early, the other reused", n)
 	}
 }
 
-// The caller leaves in every state of a call: nothing is left of it, and a Transport
-// that is closed leaves nothing at all.
-func TestCallerLeaves(t *testing.T) {
+// The caller cancels a call in each of its states: no call, stream or connection remains,
+// and no goroutine remains after the Transport is closed.
+func TestCallerCancelsInEveryState(t *testing.T) {
 	defer goleak.VerifyNone(t, goleak.IgnoreCurrent())
-	big := strings.Repeat("x", 32<<20) // more than all buffers on the way
+	big := strings.Repeat("x", 32<<20) // larger than all buffers between client and server
 	half := strings.Repeat("y", 300<<10)
 	for name, c := range map[string]struct {
 		act    standin.Act
 		body   string
 		freeze bool
 		down   bool
-		read   int // bytes of the answer before it leaves
+		read   int // bytes of the response to read before cancelling
 		daemon bool
 	}{
 		"before it begins":                {},
@@ -264,7 +266,7 @@
 				t.Fatal(err)
 			}
 			defer site.Close()
-			cfg := Config{Classes: threeClasses(), Nodes: nodes(site), MaxBody: 64 << 20, Pause: time.Hour}
+			cfg := Config{Classes: longDeadlineClasses(), Nodes: fixedNodes(site), MaxBody: 64 << 20, Pause: time.Hour}
 			if c.daemon {
 				cfg.Daemon = site.Servers[0].Addr()
 			}
@@ -285,7 +287,7 @@
 			a.Body = c.body
 			left := make(chan error, 1)
 			go func() {
-				resp, err := tr.RoundTrip(request(ctx, a))
+				resp, err := tr.RoundTrip(newRequest(ctx, a))
 				if err == nil {
 					if c.read > 0 {
 						_, err = io.ReadFull(resp.Body, make([]byte, c.read))
@@ -301,9 +303,9 @@
 			switch {
 			case c.down || c.read > 0:
 			case c.freeze:
-				settle(t, "never connected", func() bool { return site.Servers[0].Opened()+site.Servers[1].Opened() > 0 })
+				waitUntil(t, "no connection to a server was opened", func() bool { return site.Servers[0].Opened()+site.Servers[1].Opened() > 0 })
 			case c.act.Kind != standin.Serve:
-				settle(t, "never arrived", func() bool { return len(site.Ledger.Log()) > 0 })
+				waitUntil(t, "no request reached a server", func() bool { return len(site.Ledger.Log()) > 0 })
 			}
 			if c.read == 0 && !c.down {
 				cancel()
@@ -312,18 +314,18 @@
 			cancel()
 			if c.down {
 				if err != nil {
-					t.Errorf("with nothing to be had: %v", err)
+					t.Errorf("with all servers down: %v", err)
 				}
 			} else if !errors.Is(err, context.Canceled) && name != "before it begins" {
-				t.Errorf("it was told %v", err)
+				t.Errorf("error %v, want context.Canceled", err)
 			}
-			settle(t, "still held", func() bool { return tr.held() == 0 })
-			settle(t, "still busy", func() bool { tr.mu.Lock(); defer tr.mu.Unlock(); return tr.busy == 0 })
+			waitUntil(t, "the core still holds calls", func() bool { return tr.heldCalls() == 0 })
+			waitUntil(t, "calls or streams remain active", func() bool { tr.mu.Lock(); defer tr.mu.Unlock(); return tr.active == 0 })
 			for _, s := range site.Servers {
 				s.Thaw()
 			}
 			if name != "before it begins" {
-				settle(t, "connections stay", func() bool { return tr.pool.Conns() == 0 && (tr.link == nil || tr.link.pool.Conns() == 0) })
+				waitUntil(t, "connections are still open", func() bool { return tr.pool.Conns() == 0 && (tr.daemon == nil || tr.daemon.pool.Conns() == 0) })
 			}
 			if err := tr.Close(context.Background()); err != nil {
 				t.Error(err)
@@ -332,11 +334,11 @@
 	}
 }
 
-// Close waits for what is under way, long answers too, and breaks it off when it may
-// wait no longer. Nothing is taken meanwhile.
-func TestClose(t *testing.T) {
+// Close waits for calls in progress, including streamed responses, and aborts them when its
+// context ends. New calls are rejected meanwhile.
+func TestCloseWaitsThenAborts(t *testing.T) {
 	defer goleak.VerifyNone(t, goleak.IgnoreCurrent())
-	gates := make(chan chan struct{}, 10) // one for each that waits
+	gates := make(chan chan struct{}, 10) // one for each waiting request
 	site, err := rig.NewSite(rig.SiteConfig{Servers: 2, Server: standin.ServerConfig{Script: func(r standin.Request) standin.Act {
 		if r.Class == "status-check" {
 			gate := make(chan struct{})
@@ -351,7 +353,7 @@
 	}
 	defer site.Close()
 	for _, daemon := range []bool{false, true} {
-		cfg := Config{Classes: threeClasses(), Nodes: nodes(site), Pause: time.Hour} // nothing but Close ends a long answer
+		cfg := Config{Classes: longDeadlineClasses(), Nodes: fixedNodes(site), Pause: time.Hour} // only Close ends a streamed response
 		if daemon {
 			cfg.Daemon = site.Servers[0].Addr()
 		}
@@ -360,27 +362,27 @@
 			t.Fatal(err)
 		}
 		replies := make(chan standin.Reply, 1)
-		go func() { replies <- ask(context.Background(), tr, askOf("status-check", fmt.Sprint("wait", daemon))) }()
-		settle(t, "never began", func() bool { tr.mu.Lock(); defer tr.mu.Unlock(); return tr.busy == 1 })
+		go func() { replies <- send(context.Background(), tr, askOf("status-check", fmt.Sprint("wait", daemon))) }()
+		waitUntil(t, "the call did not start", func() bool { tr.mu.Lock(); defer tr.mu.Unlock(); return tr.active == 1 })
 		closed := make(chan error, 1)
 		go func() { closed <- tr.Close(context.Background()) }()
-		settle(t, "not closing", func() bool { tr.mu.Lock(); defer tr.mu.Unlock(); return tr.closed })
-		if r := ask(context.Background(), tr, askOf("status-check", "late")); !errors.Is(r.Err, ErrClosed) {
-			t.Errorf("while it closes: %+v", r)
+		waitUntil(t, "Close did not start", func() bool { tr.mu.Lock(); defer tr.mu.Unlock(); return tr.closed })
+		if r := send(context.Background(), tr, askOf("status-check", "late")); !errors.Is(r.Err, ErrClosed) {
+			t.Errorf("call during Close: %+v, want ErrClosed", r)
 		}
 		select {
 		case <-closed:
-			t.Error("it did not wait")
+			t.Error("Close returned before the call in progress ended")
 		default:
 		}
-		for waiting := true; waiting; { // a copy, or a try again on a slow machine, waits too
+		for waiting := true; waiting; { // a copy, or a retry on a slow machine, waits as well
 			select {
 			case gate := <-gates:
 				close(gate)
 			case r := <-replies:
 				waiting = false
 				if r.Status != 200 {
-					t.Errorf("what was under way: %+v", r)
+					t.Errorf("call in progress during Close: %+v", r)
 				}
 			}
 		}
@@ -391,70 +393,70 @@
 			t.Error(err)
 		}
 		if err := tr.Close(context.Background()); !errors.Is(err, ErrClosed) {
-			t.Errorf("a second time: %v", err)
+			t.Errorf("second Close: %v, want ErrClosed", err)
 		}
 
 		if tr, err = New(cfg); err != nil {
 			t.Fatal(err)
 		}
-		go func() { replies <- ask(context.Background(), tr, askOf("activate", fmt.Sprint("stream", daemon))) }()
-		settle(t, "no long answer", func() bool { tr.mu.Lock(); defer tr.mu.Unlock(); return len(tr.streams) == 1 })
+		go func() { replies <- send(context.Background(), tr, askOf("activate", fmt.Sprint("stream", daemon))) }()
+		waitUntil(t, "no streamed response started", func() bool { tr.mu.Lock(); defer tr.mu.Unlock(); return len(tr.streams) == 1 })
 		ctx, cancel := context.WithCancel(context.Background())
 		cancel()
 		if err := tr.Close(ctx); !errors.Is(err, context.Canceled) {
-			t.Errorf("broken off: %v", err)
+			t.Errorf("Close with a cancelled context: %v", err)
 		}
 		if r := <-replies; !errors.Is(r.Err, ErrClosed) {
-			t.Errorf("what was broken off: %v", r.Err)
+			t.Errorf("streamed response aborted by Close: %v, want ErrClosed", r.Err)
 		}
 
 		if tr, err = New(cfg); err != nil {
 			t.Fatal(err)
 		}
-		go func() { replies <- ask(context.Background(), tr, askOf("status-check", fmt.Sprint("broken", daemon))) }()
-		settle(t, "never arrived", func() bool { return len(gates) == 1 })
+		go func() { replies <- send(context.Background(), tr, askOf("status-check", fmt.Sprint("broken", daemon))) }()
+		waitUntil(t, "no request reached a server", func() bool { return len(gates) == 1 })
 		tr.Close(ctx)
 		if r := <-replies; r.Status != 502 && !errors.Is(r.Err, ErrClosed) {
-			t.Errorf("a call broken off: %+v", r)
+			t.Errorf("call aborted by Close: %+v, want status 502 or ErrClosed", r)
 		}
 		close(<-gates)
 	}
 }
 
-// The list may change: who is off it gets nothing more.
-func TestSetNodes(t *testing.T) {
+// SetNodes replaces the list: a server that is no longer on it gets no more calls.
+func TestSetNodesReplacesList(t *testing.T) {
 	site := newSite(t, rig.SiteConfig{Servers: 2})
-	list := nodes(site)
-	tr := newTransport(t, Config{Classes: threeClasses(), Nodes: list[:1]})
+	list := fixedNodes(site)
+	tr := newTransport(t, Config{Classes: longDeadlineClasses(), Nodes: list[:1]})
 	for n := range 4 {
 		if n == 2 {
 			if err := tr.SetNodes(list[1:]); err != nil {
 				t.Fatal(err)
 			}
 		}
-		ask(context.Background(), tr, askOf("activate", fmt.Sprint(n)))
+		send(context.Background(), tr, askOf("activate", fmt.Sprint(n)))
 	}
 	for n, a := range site.Ledger.Log() {
 		if want := site.Servers[n/2].Name(); a.Server != want {
-			t.Errorf("call %d at %s, want %s", n, a.Server, want)
+			t.Errorf("call %d was sent to %s, want %s", n, a.Server, want)
 		}
 	}
 	if err := tr.SetNodes([]Node{{Address: "x"}}); err == nil {
-		t.Error("a bad list is taken")
+		t.Error("SetNodes accepted an invalid list")
 	}
 }
 
-// A server's 4xx is the caller's answer where the settings say so, and is not retried.
+// With PassClientErrors a server's 4xx response is returned to the caller and not retried.
 func TestPassClientErrors(t *testing.T) {
 	status := 0
 	site := newSite(t, rig.SiteConfig{Servers: 3, Server: standin.ServerConfig{Script: func(standin.Request) standin.Act {
 		return standin.Act{Kind: standin.Deny, Status: status, Body: "why"}
 	}}})
-	tr := newTransport(t, Config{Classes: threeClasses(), Nodes: nodes(site), PassClientErrors: true})
+	tr := newTransport(t, Config{Classes: longDeadlineClasses(), Nodes: fixedNodes(site), PassClientErrors: true})
 	for n, c := range []struct{ status, want, attempts int }{{404, 404, 1}, {409, 409, 1}, {429, 503, 3}, {408, 503, 3}, {500, 503, 3}, {301, 503, 3}} {
 		status = c.status
 		id := fmt.Sprint(n)
-		r := ask(context.Background(), tr, askOf("status-check", id))
+		r := send(context.Background(), tr, askOf("status-check", id))
 		if r.Status != c.want || r.Status == c.status && r.Body != "why" {
 			t.Errorf("%d: %+v", c.status, r)
 		}
@@ -464,9 +466,9 @@
 	}
 }
 
-// Many idle Transports in one process: each costs a timer and some memory, no
+// Many idle Transports in one process: each uses a timer and little memory, but no
 // goroutine and no connection.
-func TestIdleCost(t *testing.T) {
+func TestIdleTransportsAreCheap(t *testing.T) {
 	const many = 2000
 	site := newSite(t, rig.SiteConfig{Servers: 8})
 	heap := func() uint64 {
@@ -477,24 +479,24 @@
 	}
 	before, goroutines := heap(), runtime.NumGoroutine()
 	all := make([]*Transport, many)
-	cfg := Config{Classes: threeClasses(), Nodes: nodes(site), Daemon: site.Servers[0].Addr()}
+	cfg := Config{Classes: longDeadlineClasses(), Nodes: fixedNodes(site), Daemon: site.Servers[0].Addr()}
 	for n := range all {
 		all[n] = newTransport(t, cfg)
 	}
 	each := (heap() - before) / many
 	if n := runtime.NumGoroutine() - goroutines; n > 10 {
-		t.Errorf("%d goroutines more", n)
+		t.Errorf("%d additional goroutines, want at most 10", n)
 	}
 	if each > 32<<10 {
-		t.Errorf("%d bytes each", each)
+		t.Errorf("%d bytes of heap per Transport", each)
 	}
 	opened := 0
 	for _, s := range site.Servers {
 		opened += s.Opened()
 	}
 	if opened > 0 {
-		t.Errorf("%d connections", opened)
+		t.Errorf("%d connections opened, want none", opened)
 	}
-	t.Logf("%d idle: %d bytes of heap each, no goroutine, no connection", many, each)
+	t.Logf("%d idle Transports: %d bytes of heap each, no goroutine, no connection", many, each)
 	runtime.KeepAlive(all)
 }
--- a/client/config.go
+++ b/client/config.go
@@ -17,20 +17,20 @@
 	"chalkrack/internal/settings"
 )
 
-// Effect is what a class of calls allows.
+// Effect says whether calls of a class may run more than once.
 type Effect int
 
 const (
-	// Unsafe calls must not run twice. It is the zero value: a class that says nothing
-	// of repeats has none.
+	// Unsafe calls must not run twice. It is the zero value, so that a class without an
+	// Effect is never repeated.
 	Unsafe Effect = iota
-	// Keyed calls carry an Idempotency-Key, by which servers drop repeats for a window.
+	// Keyed calls carry an Idempotency-Key, which servers use to drop repeats for a window.
 	Keyed
 	// Safe calls may run any number of times.
 	Safe
 )
 
-// Scope is the group of servers that drops the repeats of a keyed call.
+// Scope is the set of servers that share the keys of keyed calls and so drop repeats.
 type Scope int
 
 const (
@@ -39,92 +39,93 @@
 	ScopeGroup
 )
 
-// Class is a class of calls.
+// Class holds the rules and time limits for a class of calls.
 type Class struct {
 	Name     string
 	Effect   Effect
-	Scope    Scope         // for Keyed
-	Window   time.Duration // for Keyed: how long servers drop repeats
-	Aim      time.Duration // an answer is wanted within it
-	Deadline time.Duration // a caller waits no longer, unless its context says so
-	Worth    float64       // beside other classes; 0: 1
+	Scope    Scope         // used if Effect is Keyed
+	Window   time.Duration // used if Effect is Keyed: how long servers drop repeats
+	Aim      time.Duration // target latency
+	Deadline time.Duration // longest wait of a caller that sets no deadline of its own
+	Worth    float64       // weight relative to other classes; 0: 1
 }
 
 // Node is one server of a fixed list.
 type Node struct {
-	Name     string // the same at all callers; empty: the address
+	Name     string // must be the same at all callers; empty: the address
 	Address  string // host:port
 	Zone     string
 	Group    int
 	Draining bool
 }
 
-// Info is what a Transport must know of a request.
+// Info is the result of classifying a request.
 type Info struct {
 	Class  string
 	Key    string // the Idempotency-Key
 	Tenant string
-	About  string // what the call is about: calls on the same may go to the same server
+	About  string // subject of the call: calls with the same subject may go to the same server
 }
 
-// Config is what a Transport is told. Classes and one source of nodes must be set, or
-// Platform. Errors name the field.
+// Config configures a Transport. Either Platform, or Classes and a source of nodes must
+// be set. Errors name the invalid field.
 type Config struct {
 	Classes []Class
 
-	// Nodes is a fixed list of servers, Discovery the address of one that is followed.
+	// Nodes is a fixed list of servers. Discovery is the address of a discovery service
+	// whose list the Transport watches.
 	Nodes     []Node
 	Discovery string
-	// Daemon is the address of the sidecar on this host. Where it is set, calls go by
-	// way of it and it decides on them, as long as it is there. While it is not, the
-	// Transport decides, if it has nodes, and refuses calls if it has none.
+	// Daemon is the address of the sidecar on this host. If it is set, calls are sent
+	// through the sidecar, which decides them, while it is available. While it is not,
+	// the Transport decides if it has nodes, and refuses calls if it has none.
 	Daemon string
 
-	// Platform is a daemon's JSON configuration. Its settings stand in place of
-	// Classes, MaxAttempts, Zone and Instances, its list and its discovery in place of
-	// Nodes and Discovery.
+	// Platform is a daemon's JSON configuration. Its settings replace Classes,
+	// MaxAttempts, Zone and Instances, which must not be set; its list and its discovery
+	// address are used if neither Nodes nor Discovery is set.
 	Platform []byte
 
-	MaxAttempts int    // of one call; 0: 3
-	Zone        string // that of this process
-	Instances   int    // how many processes like this one send to the servers; 0: 1
-	NoCopies    bool   // no second copy before the first attempt has ended
+	MaxAttempts int    // attempts per call; 0: 3
+	Zone        string // zone of this process
+	Instances   int    // number of processes like this one that send to the servers; 0: 1
+	NoCopies    bool   // disables hedging: no copy is sent before the first attempt has ended
 
-	MaxCalls int   // held at once, more are refused; 0: 1024
-	MaxConns int   // to servers at once; 0: 128
-	MaxBody  int64 // of a call's body, in bytes: it is kept for further attempts; 0: 1 MiB
-	// Keep has larger bodies kept for further attempts, by the same rules as the
-	// daemon's; MaxBody does not count then. Its zero value is off.
+	MaxCalls int   // concurrent calls, more are refused; 0: 1024
+	MaxConns int   // concurrent connections to servers; 0: 128
+	MaxBody  int64 // bytes of a call's body, which is held for further attempts; 0: 1 MiB
+	// Keep configures storing larger bodies for further attempts, by the same rules as
+	// the daemon's. MaxBody is ignored then. The zero value turns it off.
 	Keep     Keep
-	ConnIdle time.Duration // servers close a connection that has been idle for so long; 0: 15 s
-	Dial     time.Duration // how long a connection may take to come up; 0: 1 s
+	ConnIdle time.Duration // idle time after which servers close a connection; 0: 15 s
+	Dial     time.Duration // timeout for connecting; 0: 1 s
 
-	// Pause is how long a long answer may say nothing once it has begun; 0: 400 ms. For
-	// streams whose servers speak now and then.
+	// Pause is the longest time without data in a streamed response that has begun;
+	// 0: 400 ms. Raise it for streams whose servers send only now and then.
 	Pause time.Duration
 
-	// PassClientErrors hands a server's 4xx (but for 408 and 429) to the caller as the
-	// answer. Otherwise all but 200 are failed attempts, as the daemon has it.
+	// PassClientErrors returns a server's 4xx response (except 408 and 429) to the
+	// caller. Otherwise every status but 200 is a failed attempt, as in the daemon.
 	PassClientErrors bool
 
-	// Classify says what a request is; nil: Classify of this package.
+	// Classify returns the class and keys of a request; nil: Classify of this package.
 	Classify func(*http.Request) (Info, error)
 
-	Seed uint64       // of all chance; 0: a random one
+	Seed uint64       // seed of all random choices; 0: a random seed
 	Log  *slog.Logger // nil: slog.Default()
 }
 
 const drainGrace = 2 * time.Second
 
-// plan is a Config that has been checked.
-type plan struct {
+// validConfig is a Config that has been validated and completed with defaults.
+type validConfig struct {
 	Config
-	set   *settings.Settings
-	known *membership.List
-	asks  bool
+	settings      *settings.Settings
+	knownNodes    *membership.List
+	asksDiscovery bool
 }
 
-func or[T comparable](v, otherwise T) T {
+func orDefault[T comparable](v, otherwise T) T {
 	var zero T
 	if v == zero {
 		return otherwise
@@ -132,11 +133,11 @@
 	return v
 }
 
-func checkAddress(field, addr string) error {
+func validateAddress(field, addr string) error {
 	host, port, err := net.SplitHostPort(addr)
 	if err == nil {
 		if n, perr := strconv.Atoi(port); perr != nil || n < 1 || n > 65535 || host == "" {
-			err = fmt.Errorf("%q is no address with a port", addr)
+			err = fmt.Errorf("%q is not an address with a host and a port", addr)
 		}
 	}
 	if err != nil {
@@ -145,13 +146,13 @@
 	return nil
 }
 
-func (c Config) check() (*plan, error) {
-	p := &plan{Config: c}
+func (c Config) validate() (*validConfig, error) {
+	p := &validConfig{Config: c}
 	var err error
 	if len(c.Platform) > 0 {
-		err = p.platform()
+		err = p.loadPlatform()
 	} else {
-		p.set, err = c.settings()
+		p.settings, err = c.newSettings()
 	}
 	if err != nil {
 		return nil, err
@@ -176,37 +177,37 @@
 	}
 	for field, addr := range map[string]string{"Discovery": p.Discovery, "Daemon": p.Daemon} {
 		if addr != "" {
-			if err := checkAddress(field, addr); err != nil {
+			if err := validateAddress(field, addr); err != nil {
 				return nil, err
 			}
 		}
 	}
 	if len(p.Nodes) > 0 {
-		if p.known, err = nodeList(p.Nodes); err != nil {
+		if p.knownNodes, err = newNodeList(p.Nodes); err != nil {
 			return nil, err
 		}
 	}
-	p.set.MaxHeld = or(c.MaxCalls, or(p.set.MaxHeld, 1024))
-	p.set.ConnIdle = or(c.ConnIdle, or(p.set.ConnIdle, 15*time.Second))
-	p.set.DialTimeout = or(c.Dial, or(p.set.DialTimeout, time.Second))
-	p.MaxConns = or(c.MaxConns, 128)
-	p.MaxBody = or(c.MaxBody, 1<<20)
-	p.Seed = or(p.Seed, rand.Uint64())
+	p.settings.MaxHeld = orDefault(c.MaxCalls, orDefault(p.settings.MaxHeld, 1024))
+	p.settings.ConnIdle = orDefault(c.ConnIdle, orDefault(p.settings.ConnIdle, 15*time.Second))
+	p.settings.DialTimeout = orDefault(c.Dial, orDefault(p.settings.DialTimeout, time.Second))
+	p.MaxConns = orDefault(c.MaxConns, 128)
+	p.MaxBody = orDefault(c.MaxBody, 1<<20)
+	p.Seed = orDefault(p.Seed, rand.Uint64())
 	if p.Classify == nil {
 		p.Classify = Classify
 	}
 	return p, nil
 }
 
-// settings is what Classes and their company say.
-func (c Config) settings() (*settings.Settings, error) {
+// newSettings builds the settings from Classes and the fields that Platform would replace.
+func (c Config) newSettings() (*settings.Settings, error) {
 	if c.MaxAttempts < 0 || c.Instances < 0 {
 		return nil, errors.New("client: MaxAttempts and Instances must be 0 or more")
 	}
 	cfg := chalkrack.Config{
-		Instances:     or(c.Instances, 1),
+		Instances:     orDefault(c.Instances, 1),
 		Zone:          c.Zone,
-		MaxAttempts:   or(c.MaxAttempts, 3),
+		MaxAttempts:   orDefault(c.MaxAttempts, 3),
 		MayCancel:     true,
 		SecondCopies:  !c.NoCopies,
 		MaxRetryAfter: time.Second,
@@ -214,7 +215,7 @@
 	var names []string
 	var deadlines []time.Duration
 	for n, k := range c.Classes {
-		class := chalkrack.Class{Aim: k.Aim, Worth: or(k.Worth, 1), Scope: chalkrack.Scope(k.Scope), Window: k.Window}
+		class := chalkrack.Class{Aim: k.Aim, Worth: orDefault(k.Worth, 1), Scope: chalkrack.Scope(k.Scope), Window: k.Window}
 		switch k.Effect {
 		case Unsafe:
 			class.Effect = chalkrack.Unsafe
@@ -240,8 +241,8 @@
 	return set, nil
 }
 
-// platform reads a daemon's configuration.
-func (p *plan) platform() error {
+// loadPlatform applies the daemon configuration in Platform.
+func (p *validConfig) loadPlatform() error {
 	var raw struct {
 		Discovery       string
 		Known, Settings json.RawMessage
@@ -250,49 +251,49 @@
 		return fmt.Errorf("client: Platform: %w", err)
 	}
 	if len(p.Classes) > 0 || p.MaxAttempts != 0 || p.Zone != "" || p.Instances != 0 {
-		return errors.New("client: Platform stands in place of Classes, MaxAttempts, Zone and Instances, which are set too")
+		return errors.New("client: Platform stands in place of Classes, MaxAttempts, Zone and Instances, which must not be set")
 	}
 	var err error
-	if p.set, err = settings.Parse(raw.Settings); err != nil {
+	if p.settings, err = settings.Parse(raw.Settings); err != nil {
 		return fmt.Errorf("client: Platform: %w", err)
 	}
-	if err := p.set.Config.Validate(); err != nil {
+	if err := p.settings.Config.Validate(); err != nil {
 		return fmt.Errorf("client: Platform: %w", err)
 	}
-	for n, d := range p.set.Deadlines {
+	for n, d := range p.settings.Deadlines {
 		if d <= 0 {
 			return fmt.Errorf("client: Platform: settings.classes[%d].hardLimitUs must be above 0", n)
 		}
 	}
 	if p.NoCopies {
-		p.set.Config.SecondCopies = false
+		p.settings.Config.SecondCopies = false
 	}
 	if len(p.Nodes) == 0 && p.Discovery == "" {
 		p.Discovery = raw.Discovery
 		if len(raw.Known) > 0 && string(raw.Known) != "null" {
-			if p.known, err = discovery.Parse(raw.Known); err != nil {
+			if p.knownNodes, err = discovery.Parse(raw.Known); err != nil {
 				return fmt.Errorf("client: Platform: known: %w", err)
 			}
-			p.known.Whole = true
+			p.knownNodes.Whole = true
 		}
 	}
-	p.asks = p.set.Config.AskWithin > 0 && p.Discovery != ""
-	if !p.asks {
-		p.set.Config.AskWithin = 0
+	p.asksDiscovery = p.settings.Config.AskWithin > 0 && p.Discovery != ""
+	if !p.asksDiscovery {
+		p.settings.Config.AskWithin = 0
 	}
 	return nil
 }
 
-func nodeList(nodes []Node) (*membership.List, error) {
+func newNodeList(nodes []Node) (*membership.List, error) {
 	l := &membership.List{Whole: true}
 	seen := make(map[string]bool)
 	for n, node := range nodes {
-		if err := checkAddress(fmt.Sprintf("Nodes[%d].Address", n), node.Address); err != nil {
+		if err := validateAddress(fmt.Sprintf("Nodes[%d].Address", n), node.Address); err != nil {
 			return nil, err
 		}
-		e := membership.Entry{Endpoint: chalkrack.Endpoint{Name: or(node.Name, node.Address), Zone: node.Zone, Group: node.Group, Hint: 1}, Address: node.Address}
+		e := membership.Entry{Endpoint: chalkrack.Endpoint{Name: orDefault(node.Name, node.Address), Zone: node.Zone, Group: node.Group, Hint: 1}, Address: node.Address}
 		if seen[e.Name] {
-			return nil, fmt.Errorf("client: Nodes[%d].Name: %q is there twice", n, e.Name)
+			return nil, fmt.Errorf("client: Nodes[%d].Name: %q is used twice", n, e.Name)
 		}
 		seen[e.Name] = true
 		if node.Draining {
--- a/client/keep.go
+++ b/client/keep.go
@@ -10,26 +10,27 @@
 	"chalkrack/internal/spool"
 )
 
-// Keep says how bodies are kept for further attempts: a short one in memory, a longer
-// one in a file, and what is longer still, or finds no room, not at all. Such a call
-// has one attempt, which reads the request's body as it sends it.
+// Keep configures how request bodies are stored for further attempts: short ones in
+// memory and longer ones in files. A body that is longer still, or for which there is no
+// room, is not stored: its call has one attempt, which streams the body as it is read.
 type Keep struct {
-	Memory        int64 // bytes in memory, of all calls; 0: Keep is off
-	MemoryLongest int64 // bytes, of one body; 0: a quarter of Memory
-	// Folder has the files; empty: there are none. Several processes may share it.
+	Memory        int64 // bytes in memory, of all calls; 0: storing is off
+	MemoryLongest int64 // bytes in memory, of one body; 0: a quarter of Memory
+	// Folder holds the files; empty: no files are used. Several processes may share it.
 	Folder      string
-	Disk        int64 // bytes in files; 0: 256 MiB
-	FileLongest int64 // bytes, of one body; 0: a quarter of Disk
-	Files       int64 // open at once; 0: 32
-	Streams     int64 // bodies at once that are not kept; 0: 32
+	Disk        int64 // bytes in files, of all calls; 0: 256 MiB
+	FileLongest int64 // bytes in a file, of one body; 0: a quarter of Disk
+	Files       int64 // open files; 0: 32
+	Streams     int64 // concurrent bodies that are streamed instead of stored; 0: 32
 	Compress    bool
-	Within      time.Duration // how long a body that is not kept may take; 0: a minute
+	Within      time.Duration // timeout for sending a streamed body; 0: a minute
 }
 
-const keepWindow = 64 << 10
+const bodyWindowBytes = 64 << 10
 
-// store is where bodies are kept, nil if that is off. Errors name the field.
-func (p *plan) store() (*body.Store, error) {
+// newStore opens the store for bodies and returns nil if storing is off. Errors name the
+// invalid field.
+func (p *validConfig) newStore() (*body.Store, error) {
 	k := &p.Keep
 	for name, v := range map[string]int64{"Memory": k.Memory, "MemoryLongest": k.MemoryLongest, "Disk": k.Disk, "FileLongest": k.FileLongest,
 		"Files": k.Files, "Streams": k.Streams, "Within": int64(k.Within)} {
@@ -43,18 +44,18 @@
 		}
 		return nil, nil
 	}
-	k.MemoryLongest = or(k.MemoryLongest, max(1, k.Memory/4))
-	k.Disk = or(k.Disk, 256<<20)
-	k.FileLongest = or(k.FileLongest, max(k.MemoryLongest, k.Disk/4))
-	k.Files, k.Streams, k.Within = or(k.Files, 32), or(k.Streams, 32), or(k.Within, time.Minute)
-	names := p.set.Names()
+	k.MemoryLongest = orDefault(k.MemoryLongest, max(1, k.Memory/4))
+	k.Disk = orDefault(k.Disk, 256<<20)
+	k.FileLongest = orDefault(k.FileLongest, max(k.MemoryLongest, k.Disk/4))
+	k.Files, k.Streams, k.Within = orDefault(k.Files, 32), orDefault(k.Streams, 32), orDefault(k.Within, time.Minute)
+	names := p.settings.Names()
 	cfg := body.Config{
 		Limits: keep.Limits{Memory: k.Memory, MemoryMost: k.MemoryLongest, MoveLeast: spool.PieceMost, FileMost: k.MemoryLongest,
-			Streams: k.Streams, Shares: make([]float64, len(names)), High: 0.8, Low: 0.6, Tenants: len(p.set.Config.Tenants)},
+			Streams: k.Streams, Shares: make([]float64, len(names)), High: 0.8, Low: 0.6, Tenants: len(p.settings.Config.Tenants)},
 		Disk:    keep.DiskLimits{SlowAfter: 100 * time.Millisecond, RestLeast: time.Second, RestMost: 30 * time.Second, Proof: 3},
-		Classes: names, Window: keepWindow, Log: p.Log,
+		Classes: names, Window: bodyWindowBytes, Log: p.Log,
 	}
-	for n := range names { // each class is sure of a part: half of all is shared out evenly
+	for n := range names { // half of the capacity is reserved for the classes in equal shares
 		cfg.Limits.Shares[n] = 0.5 / float64(len(names))
 	}
 	cfg.Limits.Lend = 0.5
@@ -79,10 +80,10 @@
 	return s, nil
 }
 
-// BodiesView is where bodies are kept and what became of them, by class.
+// BodiesView reports where bodies are stored and how many were retried, by class.
 type BodiesView = body.View
 
-// Bodies is the state of what Config.Keep set up; false where it is off.
+// Bodies returns the state of the body store; ok is false if Config.Keep is off.
 func (t *Transport) Bodies() (v BodiesView, ok bool) {
 	if t.store == nil {
 		return v, false
@@ -90,60 +91,61 @@
 	return t.store.View(), true
 }
 
-// keep takes the request's body as far as it is kept, and returns its length, -1 where
-// it goes on in chunks.
-func (c *call) keep(info Info) (size int64, err error) {
+// receiveBody stores the request's body, or begins to stream it, and returns its length,
+// -1 if it is sent in chunks.
+func (c *call) receiveBody(info Info) (size int64, err error) {
 	t := c.t
-	in := body.Incoming{Class: t.plan.set.Class([]byte(info.Class)), Tenant: t.plan.set.Tenant([]byte(info.Tenant)), Length: -1, Body: c.r.Body}
+	in := body.Incoming{Class: t.cfg.settings.Class([]byte(info.Class)), Tenant: t.cfg.settings.Tenant([]byte(info.Tenant)), Length: -1, Body: c.r.Body}
 	if c.r.ContentLength > 0 {
 		in.Length = c.r.ContentLength
 	}
-	c.kept, err = t.store.Receive(in)
+	c.reqBody, err = t.store.Receive(in)
 	switch {
 	case errors.Is(err, body.ErrNoRoom):
-		return 0, fmt.Errorf("%w: no room to keep it or to pass it on", ErrBodyTooLarge)
+		return 0, fmt.Errorf("%w: no room to store it or to stream it", ErrBodyTooLarge)
 	case err != nil:
 		return 0, fmt.Errorf("client: reading the body: %w", err)
 	}
-	if pieces := c.kept.Pieces(); pieces != nil {
-		c.msg.Body, c.msg.Again = pieces, c.kept.Retried
+	if pieces := c.reqBody.Pieces(); pieces != nil {
+		c.msg.Body, c.msg.Again = pieces, c.reqBody.Retried
 		size = 0
 		for _, p := range pieces {
 			size += int64(len(p))
 		}
 		return size, nil
 	}
-	size = c.kept.Length()
-	c.msg.Source, c.msg.Chunked = c.kept, size < 0
+	size = c.reqBody.Length()
+	c.msg.Source, c.msg.Chunked = c.reqBody, size < 0
 	return size, nil
 }
 
-// forward passes on the rest of a body that is not kept, beside the attempt that reads
-// it. forwarded is closed when it has ended.
-func (c *call) forward() {
-	if !c.unkept() {
+// startForwarding passes on the rest of a streamed body in a goroutine, concurrently with
+// the attempt that reads it. forwardDone is closed when it has ended.
+func (c *call) startForwarding() {
+	if !c.isBodyStreamed() {
 		return
 	}
-	c.forwarded = make(chan struct{})
-	go func() { // Close does not wait for it: a body whose Close ends no read would hang it
-		defer close(c.forwarded)
-		defer c.closeBody()
-		c.forwardErr = c.kept.Forward()
+	c.forwardDone = make(chan struct{})
+	go func() { // Transport.Close does not wait for this goroutine: a body whose Close does not unblock Read would hang it
+		defer close(c.forwardDone)
+		defer c.closeRequestBody()
+		c.forwardErr = c.reqBody.Forward()
 	}()
 }
 
-// drop ends the body. Attempts that still read it end.
-func (c *call) drop() {
-	if c.kept != nil {
-		c.kept.Break()
-		c.kept.Drop()
+// discardBody releases the body. Attempts that still read it fail.
+func (c *call) discardBody() {
+	if c.reqBody != nil {
+		c.reqBody.Break()
+		c.reqBody.Drop()
 	}
-	if c.unkept() { // guards against a caller that waits for its body to be taken
-		c.closeBody()
+	if c.isBodyStreamed() { // unblocks a caller that waits for its body to be read
+		c.closeRequestBody()
 	}
 }
 
-func (c *call) closeBody() { c.closing.Do(func() { closeBody(c.r) }) }
+func (c *call) closeRequestBody() { c.closeOnce.Do(func() { closeBody(c.r) }) }
 
-// unkept says that the body goes on to one server, or the daemon, and can't again.
-func (c *call) unkept() bool { return c.kept != nil && c.kept.Coming() }
+// isBodyStreamed reports whether the body is streamed to one server, or to the daemon, and
+// so can't be sent again.
+func (c *call) isBodyStreamed() bool { return c.reqBody != nil && c.reqBody.Coming() }
--- a/client/keep_test.go
+++ b/client/keep_test.go
@@ -16,35 +16,35 @@
 	"chalkrack/internal/standin"
 )
 
-// unkept is the length of a body that no socket's buffers hold.
-const unkept = 24 << 20
+// unbufferedBytes is the length of a body that doesn't fit into the sockets' buffers.
+const unbufferedBytes = 24 << 20
 
-func random(seed byte, n int) []byte {
+func randomBytes(seed byte, n int) []byte {
 	p := make([]byte, n)
 	rand.NewChaCha8([32]byte{seed}).Read(p)
 	return p
 }
 
-// upload is a request whose body can be read once.
-func upload(ctx context.Context, class, id string, body io.Reader, size int64) *http.Request {
-	r := request(ctx, askOf(class, id))
+// newUploadRequest returns a request whose body can be read only once.
+func newUploadRequest(ctx context.Context, class, id string, body io.Reader, size int64) *http.Request {
+	r := newRequest(ctx, askOf(class, id))
 	r.Body, r.ContentLength, r.GetBody = io.NopCloser(body), size, nil
 	return r
 }
 
-// Bodies that can be read once are kept as the daemon keeps them: tried again from
-// memory and from a file; not kept, sent once and never again, also where the daemon
-// dies over them and the plug-in would take over.
-func TestBodiesAreKept(t *testing.T) {
+// Bodies that can be read only once are stored as in the daemon and retried from memory or
+// from a file. A body that is not stored is sent only once, even if the daemon dies during
+// the call and the plug-in would take over.
+func TestStoredBodiesAreRetried(t *testing.T) {
 	keep := Keep{Memory: 4 << 20, MemoryLongest: 256 << 10, Folder: t.TempDir(), Disk: 16 << 20, FileLongest: 2 << 20}
-	site := newSite(t, rig.SiteConfig{Servers: 3, Classes: rigClasses()})
-	tr := newTransport(t, Config{Classes: threeClasses(), Nodes: nodes(site), Keep: keep, NoCopies: true})
+	site := newSite(t, rig.SiteConfig{Servers: 3, Classes: longDeadlineRigClasses()})
+	tr := newTransport(t, Config{Classes: longDeadlineClasses(), Nodes: fixedNodes(site), Keep: keep, NoCopies: true})
 	d, err := site.StartDaemon(1, "version = 1\n[bodies]\nenabled = true\nmemory_longest_kb = 1024\n")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer d.Stop()
-	by := newTransport(t, Config{Classes: threeClasses(), Nodes: nodes(site), Daemon: d.Addr, Keep: keep, NoCopies: true})
+	by := newTransport(t, Config{Classes: longDeadlineClasses(), Nodes: fixedNodes(site), Daemon: d.Addr, Keep: keep, NoCopies: true})
 	n := byte(0)
 	for _, c := range []struct {
 		name     string
@@ -53,14 +53,14 @@
 		act      standin.Act
 		status   int
 		attempts int
-		only     bool // without the daemon
+		only     bool // not through the daemon
 	}{
 		{"in memory", "id-register", 100 << 10, standin.Act{Kind: standin.ResetLate}, 200, 2, false},
 		{"in a file", "id-register", 1 << 20, standin.Act{Kind: standin.ResetLate}, 200, 2, true},
 		{"in a file, must not run twice", "activate", 1 << 20, standin.Act{Kind: standin.ResetLate}, 502, 1, false},
 		{"not kept", "activate", 5 << 20, standin.Act{}, 200, 1, false},
 		{"not kept, reset behind its end", "id-register", 5 << 20, standin.Act{Kind: standin.ResetLate}, 503, 1, false},
-		{"not kept, reset in its middle", "activate", unkept, standin.Act{Kind: standin.ResetEarly, Delay: 10 * time.Millisecond}, 503, 0, false},
+		{"not kept, reset in its middle", "activate", unbufferedBytes, standin.Act{Kind: standin.ResetEarly, Delay: 10 * time.Millisecond}, 503, 0, false},
 	} {
 		for via, tr := range map[string]*Transport{"": tr, "by the daemon, ": by} {
 			if via != "" && c.only {
@@ -72,23 +72,23 @@
 				for _, s := range site.Servers {
 					s.Do(standin.Nth(c.act, standin.Act{}))
 				}
-				p := random(n, c.size)
+				p := randomBytes(n, c.size)
 				size := int64(-1)
 				if announced {
 					size = int64(len(p))
 				}
-				resp, err := tr.RoundTrip(upload(t.Context(), c.class, id, bytes.NewReader(p), size))
+				resp, err := tr.RoundTrip(newUploadRequest(t.Context(), c.class, id, bytes.NewReader(p), size))
 				if err != nil {
 					t.Errorf("%s%s: %v", via, c.name, err)
 					continue
 				}
 				resp.Body.Close()
 				if got := site.Ledger.ID(id).Attempts; resp.StatusCode != c.status || got != c.attempts {
-					t.Errorf("%s%s: status %d after %d whole attempts, want %d after %d", via, c.name, resp.StatusCode, got, c.status, c.attempts)
+					t.Errorf("%s%s: status %d after %d complete attempts, want status %d after %d", via, c.name, resp.StatusCode, got, c.status, c.attempts)
 				}
 				for _, a := range site.Ledger.Log() {
 					if a.ID == id && a.Sum != sha256.Sum256(p) {
-						t.Errorf("%s%s: attempt %d is not what was sent", via, c.name, a.Nth)
+						t.Errorf("%s%s: attempt %d has a body other than the one that was sent", via, c.name, a.Nth)
 					}
 				}
 			}
@@ -96,12 +96,12 @@
 	}
 }
 
-// What the plug-in did with bodies is told by class.
-func TestBodiesAreTold(t *testing.T) {
-	site := newSite(t, rig.SiteConfig{Servers: 3, Classes: rigClasses(), Server: standin.ServerConfig{Script: standin.Nth(standin.Act{Kind: standin.Fail}, standin.Act{})}})
-	tr := newTransport(t, Config{Classes: threeClasses(), Nodes: nodes(site), Keep: Keep{Memory: 1 << 20, MemoryLongest: 100 << 10}, NoCopies: true})
+// Bodies counts by class where request bodies were stored and how often they were retried.
+func TestBodiesViewCountsByClass(t *testing.T) {
+	site := newSite(t, rig.SiteConfig{Servers: 3, Classes: longDeadlineRigClasses(), Server: standin.ServerConfig{Script: standin.Nth(standin.Act{Kind: standin.Fail}, standin.Act{})}})
+	tr := newTransport(t, Config{Classes: longDeadlineClasses(), Nodes: fixedNodes(site), Keep: Keep{Memory: 1 << 20, MemoryLongest: 100 << 10}, NoCopies: true})
 	for n, size := range []int{100, 80 << 10, 1 << 20} {
-		resp, err := tr.RoundTrip(upload(t.Context(), "id-register", fmt.Sprint("t", n), bytes.NewReader(random(1, size)), int64(size)))
+		resp, err := tr.RoundTrip(newUploadRequest(t.Context(), "id-register", fmt.Sprint("t", n), bytes.NewReader(randomBytes(1, size)), int64(size)))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -111,14 +111,14 @@
 	if c := v.Classes[1]; !ok || c.Class != "id-register" || c.Memory != 2 || c.Nowhere != 1 || c.RetriedMemory != 2 || c.UnkeptRefused != 1 {
 		t.Errorf("%+v", v)
 	}
-	off := newTransport(t, Config{Classes: threeClasses(), Nodes: nodes(site)})
+	off := newTransport(t, Config{Classes: longDeadlineClasses(), Nodes: fixedNodes(site)})
 	if _, ok := off.Bodies(); ok {
-		t.Error("told where it is off")
+		t.Error("Bodies returned true although Keep is off")
 	}
 }
 
-// rigClasses have deadlines beyond any test's patience, as threeClasses.
-func rigClasses() []rig.Class {
+// longDeadlineRigClasses have deadlines longer than any test waits, as longDeadlineClasses.
+func longDeadlineRigClasses() []rig.Class {
 	classes := rig.Activation()
 	for n := range classes {
 		classes[n].Aim, classes[n].Deadline = 10*time.Second, 5*time.Minute
@@ -129,18 +129,19 @@
 	return classes
 }
 
-// A daemon that dies in the middle of a body that is not kept: the call is refused and
-// goes nowhere else; one that is not there at all costs nothing.
-func TestDaemonDiesUnderABody(t *testing.T) {
+// If the daemon dies in the middle of a streamed body, the call is refused and sent to no
+// server, since the body can't be sent again. If the daemon is already down, the call is
+// served without it.
+func TestDaemonDiesDuringStreamedBody(t *testing.T) {
 	for name, announced := range map[string]bool{"announced": true, "in chunks": false} {
 		got := make(chan struct{}, 100)
-		site := newSite(t, rig.SiteConfig{Servers: 2, Classes: rigClasses()})
+		site := newSite(t, rig.SiteConfig{Servers: 2, Classes: longDeadlineRigClasses()})
 		dead := newSite(t, rig.SiteConfig{Servers: 1, Server: standin.ServerConfig{Script: func(standin.Request) standin.Act {
 			got <- struct{}{}
 			return standin.Act{Kind: standin.ResetEarly}
-		}}}) // answers /_health with a reset too: it is away after the first look
-		tr := newTransport(t, Config{Classes: threeClasses(), Nodes: nodes(site), Daemon: dead.Servers[0].Addr(), Keep: Keep{Memory: 1 << 20, MemoryLongest: 64 << 10}})
-		p := random(1, 3<<20)
+		}}}) // resets /_health as well, so the first probe finds it down
+		tr := newTransport(t, Config{Classes: longDeadlineClasses(), Nodes: fixedNodes(site), Daemon: dead.Servers[0].Addr(), Keep: Keep{Memory: 1 << 20, MemoryLongest: 64 << 10}})
+		p := randomBytes(1, 3<<20)
 		size := int64(-1)
 		if announced {
 			size = int64(len(p))
@@ -148,48 +149,49 @@
 		r, w := io.Pipe()
 		go func() {
 			w.Write(p[:100<<10])
-			<-got // the daemon has its head, and dies
+			<-got // the daemon has received the head and resets the connection
 			w.Write(p[100<<10:])
 			w.Close()
 		}()
-		resp, err := tr.RoundTrip(upload(t.Context(), "id-register", "d1", r, size))
+		resp, err := tr.RoundTrip(newUploadRequest(t.Context(), "id-register", "d1", r, size))
 		if err != nil {
 			t.Fatal(err)
 		}
 		if resp.StatusCode != 503 || resp.Header.Get("Retry-After") == "" || site.Ledger.ID("d1").Attempts != 0 {
-			t.Errorf("%s: %d, %v, %d attempts elsewhere", name, resp.StatusCode, resp.Header, site.Ledger.ID("d1").Attempts)
+			t.Errorf("%s: status %d, header %v, %d attempts at the nodes", name, resp.StatusCode, resp.Header, site.Ledger.ID("d1").Attempts)
 		}
-		resp, err = tr.RoundTrip(upload(t.Context(), "id-register", "d2", bytes.NewReader(p), size))
+		resp, err = tr.RoundTrip(newUploadRequest(t.Context(), "id-register", "d2", bytes.NewReader(p), size))
 		if err != nil || resp.StatusCode != 200 || site.Ledger.ID("d2").Attempts != 1 {
-			t.Errorf("%s, with the daemon away: %v, %v", name, resp, err)
+			t.Errorf("%s, with the daemon down: %v, %v", name, resp, err)
 		}
 	}
 }
 
-// Its caller's body that breaks, a context that ends, and settings that make no sense.
-func TestKeepEdges(t *testing.T) {
-	site := newSite(t, rig.SiteConfig{Servers: 2, Classes: rigClasses()})
-	tr := newTransport(t, Config{Classes: threeClasses(), Nodes: nodes(site), Keep: Keep{Memory: 1 << 20}})
+// A request body that fails and a context that ends return their errors and leave no
+// request at a server; invalid Keep settings are rejected.
+func TestBodyErrorsAndInvalidKeep(t *testing.T) {
+	site := newSite(t, rig.SiteConfig{Servers: 2, Classes: longDeadlineRigClasses()})
+	tr := newTransport(t, Config{Classes: longDeadlineClasses(), Nodes: fixedNodes(site), Keep: Keep{Memory: 1 << 20}})
 	cut := errors.New("cut")
 	for _, at := range []int{0, 1000, 300 << 10, 2 << 20} {
-		body := io.MultiReader(bytes.NewReader(random(2, at)), failing{cut})
-		if _, err := tr.RoundTrip(upload(t.Context(), "activate", fmt.Sprint("c", at), body, 3<<20)); !errors.Is(err, cut) {
-			t.Errorf("a body that breaks at %d: %v", at, err)
+		body := io.MultiReader(bytes.NewReader(randomBytes(2, at)), errorReader{cut})
+		if _, err := tr.RoundTrip(newUploadRequest(t.Context(), "activate", fmt.Sprint("c", at), body, 3<<20)); !errors.Is(err, cut) {
+			t.Errorf("body that fails after %d bytes: %v", at, err)
 		}
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	r, w := io.Pipe()
 	go func() {
-		w.Write(random(3, 1<<20))
-		cancel() // and the pipe stays open: Close of the body must end it
+		w.Write(randomBytes(3, 1<<20))
+		cancel() // the pipe stays open: closing the body must unblock its reader
 	}()
-	req := upload(ctx, "activate", "x", r, 3<<20)
+	req := newUploadRequest(ctx, "activate", "x", r, 3<<20)
 	req.Body = r
 	if _, err := tr.RoundTrip(req); !errors.Is(err, context.Canceled) {
-		t.Errorf("%v", err)
+		t.Errorf("error %v, want context.Canceled", err)
 	}
 	if n := len(site.Ledger.Log()); n != 0 {
-		t.Errorf("%d requests arrived", n)
+		t.Errorf("%d requests reached a server, want none", n)
 	}
 	for name, k := range map[string]Keep{
 		"Memory":        {MemoryLongest: 1},
@@ -198,13 +200,13 @@
 		"FileLongest":   {Memory: 10, Folder: t.TempDir(), Disk: 100, FileLongest: 200},
 		"Folder":        {Memory: 1 << 20, Folder: "/does/not/exist"},
 	} {
-		if tr, err := New(Config{Classes: threeClasses(), Nodes: nodes(site), Keep: k}); err == nil {
+		if tr, err := New(Config{Classes: longDeadlineClasses(), Nodes: fixedNodes(site), Keep: k}); err == nil {
 			tr.Close(t.Context())
-			t.Errorf("%s: taken", name)
+			t.Errorf("invalid Keep.%s was accepted", name)
 		}
 	}
 }
 
-type failing struct{ err error }
+type errorReader struct{ err error }
 
-func (f failing) Read([]byte) (int, error) { return 0, f.err }
+func (f errorReader) Read([]byte) (int, error) { return 0, f.err }
--- a/client/link.go
+++ b/client/link.go
@@ -21,135 +21,136 @@
 
 const (
 	daemonName = "daemon"
-	// suspectAfter is how long the daemon may say nothing on a call before it is asked
-	// whether it is there at all.
-	suspectAfter = 500 * time.Millisecond
-	// probeWait is how long that answer may take.
-	probeWait = 500 * time.Millisecond
+	// probeDelay is the time without an answer to a call after which the daemon's health is
+	// probed.
+	probeDelay = 500 * time.Millisecond
+	// probeTimeout is the timeout of a health probe.
+	probeTimeout = 500 * time.Millisecond
 )
 
-// link is the way to the daemon. Calls on it are the daemon's to decide, but for the
-// last attempt: the daemon is told to leave one, so that the Transport can make it when
-// the daemon dies over a call, and both together stay within the limit.
-type link struct {
+// daemonLink sends calls through the daemon and tracks whether it is available. The
+// daemon decides these calls, but is told to leave the last attempt unused: if the daemon
+// dies during a call, the Transport makes that attempt, and both together stay within the
+// limit.
+type daemonLink struct {
 	t     *Transport
-	pool  *upstream.Pool // its one server is the daemon
+	pool  *upstream.Pool // has the daemon as its only server
 	start time.Time
 
-	mu      sync.Mutex
-	machine *failover.Machine
-	timer   *time.Timer
-	probing bool
-	closed  bool
-	stop    chan struct{} // closed to break off calls
-	wg      sync.WaitGroup
+	mu        sync.Mutex
+	state     *failover.Machine
+	timer     *time.Timer
+	isProbing bool
+	closed    bool
+	abort     chan struct{} // closed to abort calls
+	wg        sync.WaitGroup
 }
 
-func newLink(t *Transport) *link {
-	l := &link{
+func newDaemonLink(t *Transport) *daemonLink {
+	l := &daemonLink{
 		t: t,
 		pool: upstream.New(upstream.Config{
-			ConnIdle:         t.plan.set.ConnIdle,
-			DialTimeout:      t.plan.set.DialTimeout,
-			DrainGrace:       time.Hour, // it never leaves
-			MaxConns:         t.plan.MaxConns,
-			Lull:             t.plan.Pause,
+			ConnIdle:         t.cfg.settings.ConnIdle,
+			DialTimeout:      t.cfg.settings.DialTimeout,
+			DrainGrace:       time.Hour, // unused: the daemon never leaves the pool
+			MaxConns:         t.cfg.MaxConns,
+			Lull:             t.cfg.Pause,
 			PassClientErrors: true,
 		}),
 		start: time.Now().Add(-time.Second),
-		stop:  make(chan struct{}),
+		abort: make(chan struct{}),
 	}
-	l.machine = failover.New(failover.Default(), rand.New(rand.NewPCG(t.plan.Seed, 2)).Float64)
-	l.pool.Serve(daemonName, t.plan.Daemon, 0)
+	l.state = failover.New(failover.Default(), rand.New(rand.NewPCG(t.cfg.Seed, 2)).Float64)
+	l.pool.Serve(daemonName, t.cfg.Daemon, 0)
 	return l
 }
 
-func (l *link) now() time.Duration { return time.Since(l.start) }
+func (l *daemonLink) now() time.Duration { return time.Since(l.start) }
 
-func (l *link) here() bool {
+func (l *daemonLink) isUp() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.machine.Here()
+	return l.state.Here()
 }
 
-// lost takes a daemon that is not there. The budgets of the Transport's own core start
-// empty at each take-over: else each spell without the daemon would bring the retries
-// of another tier.
-func (l *link) lost(why string) {
+// markLost records that the daemon is unavailable. When the Transport takes over, the retry
+// budgets of its own core start empty; otherwise each outage of the daemon would add the
+// retries of a second tier.
+func (l *daemonLink) markLost(reason string) {
 	l.mu.Lock()
-	takeover := l.machine.Lost(l.now())
-	l.wind()
+	takeover := l.state.Lost(l.now())
+	l.resetTimer()
 	l.mu.Unlock()
 	if takeover {
 		l.t.host.EmptyBudgets()
-		l.t.log().Warn("daemon lost: deciding here", "daemon", l.t.plan.Daemon, "why", why)
+		l.t.logger().Warn("daemon unavailable: deciding calls in this process", "daemon", l.t.cfg.Daemon, "why", reason)
 	}
 }
 
-// wind sets the timer for the Machine's next step. It is called with the lock held.
-func (l *link) wind() {
-	next := l.machine.Next()
+// resetTimer sets the timer for the state machine's next step. The caller must hold l.mu.
+func (l *daemonLink) resetTimer() {
+	next := l.state.Next()
 	if next == 0 || l.closed {
 		return
 	}
 	after := max(next-l.now(), 0)
 	if l.timer == nil {
-		l.timer = time.AfterFunc(after, l.due)
+		l.timer = time.AfterFunc(after, l.onTimer)
 	} else {
 		l.timer.Reset(after)
 	}
 }
 
-func (l *link) due() {
+func (l *daemonLink) onTimer() {
 	l.mu.Lock()
-	probe, back := l.machine.Due(l.now())
+	probe, back := l.state.Due(l.now())
 	if !probe {
-		l.wind()
+		l.resetTimer()
 	}
 	l.mu.Unlock()
 	if back {
-		l.t.log().Info("daemon back: it decides again", "daemon", l.t.plan.Daemon)
+		l.t.logger().Info("daemon available again: it decides calls", "daemon", l.t.cfg.Daemon)
 	}
 	if probe {
 		l.probe()
 	}
 }
 
-// probe asks the daemon whether it takes calls, one at a time. What a probe of a daemon
-// that counts as there finds wrong is a loss.
-func (l *link) probe() {
+// probe checks the daemon's health in a goroutine; only one probe runs at a time. If the
+// daemon counts as available and the probe fails, probe records the daemon as lost.
+func (l *daemonLink) probe() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.probing || l.closed {
+	if l.isProbing || l.closed {
 		return
 	}
-	l.probing = true
+	l.isProbing = true
 	l.wg.Go(func() {
-		err := l.health()
+		err := l.checkHealth()
 		l.mu.Lock()
-		l.probing = false
-		here := l.machine.Here()
+		l.isProbing = false
+		here := l.state.Here()
 		if !here {
-			l.machine.Probed(l.now(), err == nil)
-			l.wind()
+			l.state.Probed(l.now(), err == nil)
+			l.resetTimer()
 		}
 		l.mu.Unlock()
 		if here && err != nil {
-			l.lost(err.Error())
+			l.markLost(err.Error())
 		}
 	})
 }
 
-func (l *link) health() error {
-	ctx, cancel := context.WithTimeout(context.Background(), probeWait)
+func (l *daemonLink) checkHealth() error {
+	ctx, cancel := context.WithTimeout(context.Background(), probeTimeout)
 	defer cancel()
 	d := net.Dialer{KeepAlive: -1}
-	c, err := d.DialContext(ctx, "tcp", l.t.plan.Daemon)
+	c, err := d.DialContext(ctx, "tcp", l.t.cfg.Daemon)
 	if err != nil {
 		return err
 	}
 	defer c.Close()
-	c.SetDeadline(time.Now().Add(probeWait))
+	c.SetDeadline(time.Now().Add(probeTimeout))
 	if _, err := io.WriteString(c, "GET /_health HTTP/1.1\r\nHost: daemon\r\nConnection: close\r\n\r\n"); err != nil {
 		return err
 	}
@@ -159,37 +160,38 @@
 	}
 	resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		return fmt.Errorf("daemon says %s", resp.Status)
+		return fmt.Errorf("health check of the daemon returned %s", resp.Status)
 	}
 	return nil
 }
 
-// via is one call's attempt at the daemon.
-type via struct {
-	c    *call
-	a    core.Attempt
-	ends chan end // holds the first one
-	s    *stream  // the transport's goroutine's own
+// daemonAttempt is the attempt to make one call through the daemon. It implements
+// core.Sink.
+type daemonAttempt struct {
+	c       *call
+	attempt core.Attempt
+	results chan attemptResult // buffered: receives only the first result
+	stream  *stream            // used only by the goroutine of the upstream transport
 
-	mu   sync.Mutex
-	over bool // nobody waits for its end
+	mu          sync.Mutex
+	isAbandoned bool // nobody waits for the result
 }
 
-type end struct {
-	o    chalkrack.Outcome
-	resp *http.Response // nil: none
+type attemptResult struct {
+	outcome chalkrack.Outcome
+	resp    *http.Response // nil: no response
 }
 
-// tell hands on how it ended. Guards against an answer that nobody waits for any more:
-// its transport would wait for a reader for ever.
-func (v *via) tell(e end) {
+// deliver passes the first result on to the waiting call. It closes a response that nobody
+// waits for any more, because the upstream transport would wait for a reader forever.
+func (v *daemonAttempt) deliver(e attemptResult) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if !v.over {
+	if !v.isAbandoned {
 		select {
-		case v.ends <- e:
+		case v.results <- e:
 			return
-		default: // only the first counts
+		default: // only the first result counts
 		}
 	}
 	if e.resp != nil {
@@ -197,13 +199,14 @@
 	}
 }
 
-// leave waits no longer. It returns the answer that has come all the same, nil if none.
-func (v *via) leave() *http.Response {
+// abandon stops waiting for the result. It returns a response that has arrived in the
+// meantime, or nil.
+func (v *daemonAttempt) abandon() *http.Response {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.over = true
+	v.isAbandoned = true
 	select {
-	case e := <-v.ends:
+	case e := <-v.results:
 		return e.resp
 	default:
 		return nil
@@ -211,135 +214,137 @@
 }
 
 // Stream implements core.Sink.
-func (v *via) Stream(answer any, _ chalkrack.Report) io.Writer {
-	s, resp := v.c.stream(answer.(*message.Answer), func() {
-		v.a.Abandon()
-		v.a.Close()
+func (v *daemonAttempt) Stream(answer any, _ chalkrack.Report) io.Writer {
+	s, resp := v.c.startStream(answer.(*message.Answer), func() {
+		v.attempt.Abandon()
+		v.attempt.Close()
 	})
-	v.s = s
-	v.tell(end{chalkrack.OK, resp})
+	v.stream = s
+	v.deliver(attemptResult{chalkrack.OK, resp})
 	return s
 }
 
 // Done implements core.Sink.
-func (v *via) Done(o chalkrack.Outcome, answer any, _ chalkrack.Report) {
-	if v.s != nil {
-		v.s.End(o == chalkrack.OK)
+func (v *daemonAttempt) Done(o chalkrack.Outcome, answer any, _ chalkrack.Report) {
+	if v.stream != nil {
+		v.stream.End(o == chalkrack.OK)
 		return
 	}
-	e := end{o: o}
+	e := attemptResult{outcome: o}
 	if ans, _ := answer.(*message.Answer); ans != nil {
-		ans.Header.Del("Srv-Declined") // between tiers
-		switch ans.Status {            // the daemon's own words: servers' answers come as 200 and 4xx only
+		ans.Header.Del("Srv-Declined") // only meant for use between the tiers
+		switch ans.Status {            // the daemon's own responses: it passes on only 200 and 4xx from servers
 		case http.StatusServiceUnavailable:
 			ans.Header.Set(VerdictField, "refused")
 		case http.StatusBadGateway:
 			ans.Header.Set(VerdictField, "failed")
 		}
-		e.resp = v.c.response(or(ans.Status, http.StatusOK), ans.Header, io.NopCloser(bytes.NewReader(ans.Body)), int64(len(ans.Body)))
+		e.resp = v.c.newResponse(orDefault(ans.Status, http.StatusOK), ans.Header, io.NopCloser(bytes.NewReader(ans.Body)), int64(len(ans.Body)))
 	}
-	v.tell(e)
+	v.deliver(e)
 }
 
-// roundTrip makes a call by way of the daemon. past says that the Transport decides on
-// it instead: the daemon is away, nothing of the call has reached it, or it died over
-// a call that may still go on within c.Limits.
-func (l *link) roundTrip(c *call) (resp *http.Response, err error, past bool) {
-	if !l.here() {
+// roundTrip makes a call through the daemon. If local is true, the Transport must decide
+// the call instead: the daemon is unavailable, nothing of the call has reached it, or it
+// died during a call that may still continue within c.Limits.
+func (l *daemonLink) roundTrip(c *call) (resp *http.Response, err error, local bool) {
+	if !l.isUp() {
 		return nil, nil, true
 	}
 	ctx := c.r.Context()
-	most := l.t.plan.set.Config.MaxAttempts
+	maxAttempts := l.t.cfg.settings.Config.MaxAttempts
 	msg := &message.Request{Method: c.msg.Method, Body: c.msg.Body, Source: c.msg.Source, Chunked: c.msg.Chunked}
-	msg.Head = fmt.Appendf(c.msg.Head[:len(c.msg.Head):len(c.msg.Head)], "%s: %d\r\n", message.AttemptsField, max(1, most-1))
+	msg.Head = fmt.Appendf(c.msg.Head[:len(c.msg.Head):len(c.msg.Head)], "%s: %d\r\n", message.AttemptsField, max(1, maxAttempts-1))
 	wait := c.Wait
 	if wait == 0 {
-		wait = l.t.plan.set.DeadlineOf(c.Class)
+		wait = l.t.cfg.settings.DeadlineOf(c.Class)
 	}
 	deadline := c.Received.Add(wait)
-	v := &via{c: c, ends: make(chan end, 1)}
+	attempt := &daemonAttempt{c: c, results: make(chan attemptResult, 1)}
 	began := time.Now()
-	v.a = l.pool.Attempt(core.Order{Payload: msg, Server: daemonName, Deadline: deadline, Once: c.class.Effect == chalkrack.Unsafe, Sink: v})
-	v.a.Start()
-	giveUp := func() *http.Response {
-		v.a.Abandon()
-		v.a.Close()
-		return v.leave()
+	attempt.attempt = l.pool.Attempt(core.Order{Payload: msg, Server: daemonName, Deadline: deadline, Once: c.class.Effect == chalkrack.Unsafe, Sink: attempt})
+	attempt.attempt.Start()
+	abandon := func() *http.Response {
+		attempt.attempt.Abandon()
+		attempt.attempt.Close()
+		return attempt.abandon()
 	}
-	drop := func(err error) (*http.Response, error, bool) {
-		if resp := giveUp(); resp != nil {
+	fail := func(err error) (*http.Response, error, bool) {
+		if resp := abandon(); resp != nil {
 			resp.Body.Close()
 		}
 		return nil, err, false
 	}
-	late := time.NewTimer(time.Until(deadline))
-	defer late.Stop()
-	forwarded := c.forwarded
-	if forwarded != nil { // the time counts from the last byte
-		late.Reset(time.Until(deadline) + l.t.plan.Keep.Within)
+	deadlineTimer := time.NewTimer(time.Until(deadline))
+	defer deadlineTimer.Stop()
+	forwarded := c.forwardDone
+	if forwarded != nil { // the deadline counts from the body's last byte
+		deadlineTimer.Reset(time.Until(deadline) + l.t.cfg.Keep.Within)
 	}
-	suspect := time.NewTimer(suspectAfter)
-	defer suspect.Stop()
+	probeTimer := time.NewTimer(probeDelay)
+	defer probeTimer.Stop()
 	for {
 		select {
-		case e := <-v.ends:
-			return l.ended(c, e, began, most)
+		case e := <-attempt.results:
+			return l.handleResult(c, e, began, maxAttempts)
 		case <-forwarded:
 			forwarded = nil
 			if c.forwardErr != nil {
-				return drop(fmt.Errorf("client: reading the body: %w", c.forwardErr))
+				return fail(fmt.Errorf("client: reading the body: %w", c.forwardErr))
 			}
-			late.Reset(wait)
-		case <-suspect.C:
+			deadlineTimer.Reset(wait)
+		case <-probeTimer.C:
 			l.probe()
 		case <-ctx.Done():
-			return drop(ctx.Err())
-		case <-l.stop:
-			return drop(ErrClosed)
-		case <-late.C:
-			if resp := giveUp(); resp != nil { // it came just now
+			return fail(ctx.Err())
+		case <-l.abort:
+			return fail(ErrClosed)
+		case <-deadlineTimer.C:
+			if resp := abandon(); resp != nil { // it arrived at the last moment
 				return resp, nil, false
 			}
 			l.probe()
-			return c.answerUnanswered(), nil, false
+			return c.unansweredResponse(), nil, false
 		}
 	}
 }
 
-// ended takes what came of a call at the daemon.
-func (l *link) ended(c *call, e end, began time.Time, most int) (resp *http.Response, err error, past bool) {
+// handleResult processes the result of a call through the daemon. Its results are those of
+// roundTrip.
+func (l *daemonLink) handleResult(c *call, e attemptResult, began time.Time, maxAttempts int) (resp *http.Response, err error, local bool) {
 	switch {
 	case e.resp != nil:
 		return e.resp, nil, false
-	case e.o == chalkrack.NotSent: // no connection left here: that is no matter of the daemon's
-		return c.answerRefused(l.t.plan.set.Config.MaxRetryAfter / 2), nil, false
-	case e.o == chalkrack.ConnectFailed:
-		l.lost("no connection")
+	case e.outcome == chalkrack.NotSent: // the pool has no connection left: this says nothing about the daemon
+		return c.refusedResponse(l.t.cfg.settings.Config.MaxRetryAfter / 2), nil, false
+	case e.outcome == chalkrack.ConnectFailed:
+		l.markLost("no connection")
 		return nil, nil, true
 	}
-	// The daemon, or its connection, died over the call, which may have run, with all
-	// attempts that were left to the daemon.
+	// The daemon or its connection died during the call, which may have run and may have
+	// used all the attempts allowed to the daemon.
 	l.probe()
-	if most < 2 || !l.t.nodes {
-		return c.answerUnanswered(), nil, false
+	if maxAttempts < 2 || !l.t.hasNodes {
+		return c.unansweredResponse(), nil, false
 	}
 	switch c.class.Effect {
 	case chalkrack.Safe:
 		c.Limits = &core.Limits{Attempts: 1}
 		return nil, nil, true
 	case chalkrack.Keyed:
-		// Which servers the daemon tried is not known: only a key that all know helps.
+		// It is unknown which servers the daemon tried, so only a key that all servers
+		// share prevents a second run.
 		if c.class.Scope == chalkrack.ScopeAll {
 			c.Limits = &core.Limits{Attempts: 1, NotAfter: began.Add(c.class.Window)}
 			return nil, nil, true
 		}
 	}
-	return c.answerUnanswered(), nil, false
+	return c.unansweredResponse(), nil, false
 }
 
-func (l *link) breakOff() { close(l.stop) }
+func (l *daemonLink) abortCalls() { close(l.abort) }
 
-func (l *link) close() {
+func (l *daemonLink) close() {
 	l.mu.Lock()
 	l.closed = true
 	if l.timer != nil {
--- a/client/link_test.go
+++ b/client/link_test.go
@@ -12,8 +12,8 @@
 	"chalkrack/internal/standin"
 )
 
-// fakeDaemon is a stand-in in the daemon's place, which does with calls as it is told
-// and answers probes well.
+// fakeDaemon starts a stand-in server in place of the daemon. It handles calls by the
+// script and answers health probes with success.
 func fakeDaemon(t *testing.T, script standin.Script) *standin.Server {
 	t.Helper()
 	s, err := standin.NewServer(standin.ServerConfig{Name: "daemon", Script: func(r standin.Request) standin.Act {
@@ -29,14 +29,14 @@
 	return s
 }
 
-// The daemon dies at each stage of a call, or spoils it. What can't have reached it is
-// made here, whole; what may have run goes on only as its class allows, by the one
-// attempt that the daemon was told to leave.
-func TestDaemonDiesOverACall(t *testing.T) {
+// The daemon dies or misbehaves at each stage of a call. If the call can't have reached it,
+// the plug-in makes the whole call; if the call may have run, the plug-in continues only as
+// the class allows, with the one attempt that the daemon was told to leave.
+func TestDaemonDiesDuringCall(t *testing.T) {
 	all := []string{"status-check", "id-register", "activate"}
 	type want struct {
 		verdict string
-		sends   int // to the nodes, by the plug-in
+		sends   int // attempts of the plug-in at the nodes
 	}
 	served, refused, failed := want{"served", 1}, want{"refused", 0}, want{"failed", 0}
 	for _, c := range []struct {
@@ -47,7 +47,7 @@
 		window time.Duration
 		scope  Scope
 		wait   time.Duration
-		want   [3]want // by class, as in all
+		want   [3]want // by class, in the order of all
 	}{
 		{name: "is not there", before: (*standin.Server).Kill, want: [3]want{served, served, served}},
 		{name: "dies before the last byte", act: standin.Act{Kind: standin.ResetEarly}, big: true, want: [3]want{{}, served, served}},
@@ -68,7 +68,7 @@
 				}
 				site := newSite(t, rig.SiteConfig{Servers: 3})
 				d := fakeDaemon(t, standin.Always(c.act))
-				cfg := Config{Classes: threeClasses(), Nodes: nodes(site), Daemon: d.Addr(), MaxBody: 32 << 20, MaxAttempts: 4}
+				cfg := Config{Classes: longDeadlineClasses(), Nodes: fixedNodes(site), Daemon: d.Addr(), MaxBody: 32 << 20, MaxAttempts: 4}
 				cfg.Classes[1].Scope = c.scope
 				if c.window > 0 {
 					cfg.Classes[1].Window = c.window
@@ -82,23 +82,24 @@
 				if c.big {
 					a.Body = strings.Repeat("x", 16<<20)
 				}
-				r := ask(context.Background(), tr, a)
+				r := send(context.Background(), tr, a)
 				if got := (want{r.Verdict(), site.Ledger.ID("1").Attempts}); got != c.want[n] {
 					t.Errorf("%s: %+v (%+v), want %+v", class, got, r, c.want[n])
 				}
 				if v := r.Verdict(); v != "served" && r.Header.Get(VerdictField) != v {
-					t.Errorf("%s: %s is worded %q", class, v, r.Header.Get(VerdictField))
+					t.Errorf("%s: call was %s, but Fawn-Verdict is %q", class, v, r.Header.Get(VerdictField))
 				}
 				if c.before == nil && !c.big && d.Ledger().ID("1").Attempts != 1 {
-					t.Errorf("%s: %+v at the daemon", class, d.Ledger().ID("1"))
+					t.Errorf("%s: want one attempt at the daemon, got %+v", class, d.Ledger().ID("1"))
 				}
 			}
 		})
 	}
 }
 
-// The daemon is told to leave the last attempt, and nothing else of marks.
-func TestWayOfTheDaemon(t *testing.T) {
+// Req-Attempts tells the daemon to leave the last attempt to the plug-in and carries no
+// other mark.
+func TestDaemonLeavesLastAttempt(t *testing.T) {
 	var mu sync.Mutex
 	var fields []string
 	d := fakeDaemon(t, func(r standin.Request) standin.Act {
@@ -108,36 +109,37 @@
 		return standin.Act{}
 	})
 	site := newSite(t, rig.SiteConfig{Servers: 2})
-	tr := newTransport(t, Config{Classes: threeClasses(), Nodes: nodes(site), Daemon: d.Addr(), MaxAttempts: 4})
+	tr := newTransport(t, Config{Classes: longDeadlineClasses(), Nodes: fixedNodes(site), Daemon: d.Addr(), MaxAttempts: 4})
 	for n := range 5 {
-		if r := ask(context.Background(), tr, askOf("activate", fmt.Sprint(n))); r.Verdict() != "served" {
+		if r := send(context.Background(), tr, askOf("activate", fmt.Sprint(n))); r.Verdict() != "served" {
 			t.Errorf("%+v", r)
 		}
 	}
 	if !tr.ByDaemon() || len(site.Ledger.Log()) != 0 {
-		t.Errorf("%d calls went past the daemon", len(site.Ledger.Log()))
+		t.Errorf("%d calls bypassed the daemon", len(site.Ledger.Log()))
 	}
 	if got := fmt.Sprint(fields); got != "[3 3 3 3 3]" {
-		t.Errorf("limits %s", got)
+		t.Errorf("Req-Attempts values %s, want [3 3 3 3 3]", got)
 	}
 }
 
-// The budgets start empty when the plug-in takes over: what it may repeat it earns by
-// the calls that it makes itself.
-func TestBudgetsStartEmpty(t *testing.T) {
+// The retry budgets are empty when the plug-in takes over from the daemon: it earns retries
+// only by the calls that it makes itself. Otherwise each outage of the daemon would add the
+// retries of a second tier.
+func TestRetryBudgetEmptyAfterTakeover(t *testing.T) {
 	const calls = 40
-	site := newSite(t, rig.SiteConfig{Servers: 4, Server: standin.ServerConfig{Script: nth(standin.Fail)}})
+	site := newSite(t, rig.SiteConfig{Servers: 4, Server: standin.ServerConfig{Script: nthScript(standin.Fail)}})
 	d := fakeDaemon(t, standin.Always(standin.Act{}))
-	cs := threeClasses()[:1]
-	tr := newTransport(t, Config{Classes: cs, Nodes: nodes(site), Daemon: d.Addr(), NoCopies: true})
-	for n := range calls { // by way of the daemon: these earn nothing here
-		ask(context.Background(), tr, askOf("status-check", fmt.Sprint("d", n)))
+	cs := longDeadlineClasses()[:1]
+	tr := newTransport(t, Config{Classes: cs, Nodes: fixedNodes(site), Daemon: d.Addr(), NoCopies: true})
+	for n := range calls { // through the daemon: these earn no retries in the plug-in
+		send(context.Background(), tr, askOf("status-check", fmt.Sprint("d", n)))
 	}
 	d.Kill()
 	for n := range calls {
-		ask(context.Background(), tr, askOf("status-check", fmt.Sprint("p", n)))
+		send(context.Background(), tr, askOf("status-check", fmt.Sprint("p", n)))
 	}
-	// Each earns 0.3 further attempts; a full budget would hold 10 more.
+	// Each call earns 0.3 further attempts; a full budget would allow 10 more.
 	n := len(site.Ledger.Log())
 	if n > calls+calls*3/10+1 {
 		t.Errorf("%d attempts for %d calls", n, calls)
@@ -145,33 +147,33 @@
 	t.Logf("%d attempts for %d calls", n, calls)
 }
 
-// Without nodes a call that finds no daemon is refused at once, and told when to come.
-func TestNoDaemonNoNodes(t *testing.T) {
+// A Transport without nodes refuses a call at once, with Retry-After, if the daemon is down.
+func TestRefusesWithoutDaemonAndNodes(t *testing.T) {
 	d := fakeDaemon(t, standin.Always(standin.Act{}))
-	tr := newTransport(t, Config{Classes: threeClasses(), Daemon: d.Addr()})
+	tr := newTransport(t, Config{Classes: longDeadlineClasses(), Daemon: d.Addr()})
 	d.Kill()
-	r := ask(context.Background(), tr, askOf("activate", "1"))
+	r := send(context.Background(), tr, askOf("activate", "1"))
 	if r.Verdict() != "refused" || r.Header.Get("Retry-After") == "" || r.Header.Get(VerdictField) != "refused" {
 		t.Errorf("%+v", r)
 	}
 }
 
-// A daemon that hangs is noticed by a probe, not only by calls that end at their
-// deadlines: later calls go past it.
-func TestFrozenDaemon(t *testing.T) {
+// A daemon that hangs is detected by a probe, not only by calls that reach their deadlines:
+// later calls bypass it.
+func TestProbeDetectsFrozenDaemon(t *testing.T) {
 	site := newSite(t, rig.SiteConfig{Servers: 2})
 	d := fakeDaemon(t, standin.Always(standin.Act{}))
-	tr := newTransport(t, Config{Classes: threeClasses(), Nodes: nodes(site), Daemon: d.Addr()})
+	tr := newTransport(t, Config{Classes: longDeadlineClasses(), Nodes: fixedNodes(site), Daemon: d.Addr()})
 	d.Freeze()
 	ctx, cancel := context.WithCancel(context.Background())
 	hung := make(chan standin.Reply, 1)
-	go func() { hung <- ask(ctx, tr, askOf("activate", "hung")) }()
-	settle(t, "the daemon still counts as there", func() bool { return !tr.ByDaemon() })
-	if r := ask(context.Background(), tr, askOf("activate", "next")); r.Verdict() != "served" || site.Ledger.ID("next").Attempts != 1 {
+	go func() { hung <- send(ctx, tr, askOf("activate", "hung")) }()
+	waitUntil(t, "the hanging daemon still counts as available", func() bool { return !tr.ByDaemon() })
+	if r := send(context.Background(), tr, askOf("activate", "next")); r.Verdict() != "served" || site.Ledger.ID("next").Attempts != 1 {
 		t.Errorf("%+v", r)
 	}
 	cancel()
 	<-hung
 	d.Thaw()
-	settle(t, "it never goes back", tr.ByDaemon)
+	waitUntil(t, "calls never return to the daemon", tr.ByDaemon)
 }
--- a/client/parity_test.go
+++ b/client/parity_test.go
@@ -24,20 +24,21 @@
 
 func TestMain(m *testing.M) {
 	slog.SetDefault(slog.New(slog.NewTextHandler(io.Discard, nil)))
-	flag.Set("rapid.checks", "30") // of real time each; the command line may say otherwise
+	flag.Set("rapid.checks", "30") // each check takes real time; the command line may override this
 	code := m.Run()
-	stops.Wait()
+	pendingStops.Wait()
 	rig.RemoveBinary()
 	os.Exit(code)
 }
 
-// stops are daemons that are told to end and have not yet.
-var stops sync.WaitGroup
+// pendingStops tracks daemons that are shutting down.
+var pendingStops sync.WaitGroup
 
-const patience = 30 * time.Second // far beyond what any step takes
+const waitTimeout = 30 * time.Second // far longer than any step takes
 
-// classes are three with time enough, so that only their rules and the faults count.
-func classes(deadline time.Duration) []rig.Class {
+// rigClassesWithDeadline returns three classes with aims so long that only their rules
+// and the injected faults decide what happens.
+func rigClassesWithDeadline(deadline time.Duration) []rig.Class {
 	return []rig.Class{
 		{Name: "status-check", Effect: standin.Safe, Aim: 10 * time.Second, Deadline: deadline, Worth: 1},
 		{Name: "id-register", Effect: standin.Keyed, Scope: "all", Window: 8 * time.Second, Aim: 10 * time.Second, Deadline: deadline, Worth: 3},
@@ -73,15 +74,15 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() {
-		ctx, cancel := context.WithTimeout(context.Background(), patience)
+		ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 		defer cancel()
 		tr.Close(ctx)
 	})
 	return tr
 }
 
-// request is an Ask as a user of net/http would make it.
-func request(ctx context.Context, a standin.Ask) *http.Request {
+// newRequest converts an Ask to a request as a user of net/http would make it.
+func newRequest(ctx context.Context, a standin.Ask) *http.Request {
 	method, body := "POST", io.Reader(strings.NewReader(a.Body))
 	if a.Class.Effect == standin.Safe {
 		method, body = "GET", nil
@@ -100,9 +101,9 @@
 	return r
 }
 
-// ask makes a call through a Transport.
-func ask(ctx context.Context, rt http.RoundTripper, a standin.Ask) standin.Reply {
-	resp, err := (&http.Client{Transport: rt}).Do(request(ctx, a))
+// send makes a call through rt and reads its whole response.
+func send(ctx context.Context, rt http.RoundTripper, a standin.Ask) standin.Reply {
+	resp, err := (&http.Client{Transport: rt}).Do(newRequest(ctx, a))
 	if err != nil {
 		return standin.Reply{Err: err}
 	}
@@ -114,8 +115,9 @@
 	return standin.Reply{Status: resp.StatusCode, Body: string(body), Header: resp.Header}
 }
 
-// play is what becomes of the same calls, by way of the daemon and through the plug-in.
-type play struct {
+// runResult holds the results of a scenario's calls: attempts and effects by call id, and
+// how each call ended.
+type runResult struct {
 	counts   map[string]standin.Count
 	verdicts map[string]string
 	classOf  map[string]string
@@ -127,15 +129,15 @@
 	before func(*rig.Site)
 	calls  int
 	seed   uint64 // 0: any
-	// picks is set where a call's attempts depend on which server it met first: ties are
-	// broken by measured latency, which no seed settles on a busy machine.
-	picks bool
+	// dependsOnPick is set if a call's attempts depend on which server it met first: ties are
+	// broken by measured latency, which is not reproducible by a seed on a busy machine.
+	dependsOnPick bool
 }
 
-func (sc scenario) play(t testing.TB, seed uint64, plugin bool) play {
+func (sc scenario) run(t testing.TB, seed uint64, plugin bool) runResult {
 	t.Helper()
 	if sc.site.Classes == nil {
-		sc.site.Classes = classes(5 * time.Second)
+		sc.site.Classes = rigClassesWithDeadline(5 * time.Second)
 	}
 	if sc.site.Servers == 0 {
 		sc.site.Servers = 4
@@ -155,7 +157,7 @@
 			t.Fatal(err)
 		}
 		defer tr.Close(context.Background())
-		do = func(a standin.Ask) standin.Reply { return ask(context.Background(), tr, a) }
+		do = func(a standin.Ask) standin.Reply { return send(context.Background(), tr, a) }
 	} else {
 		d, err := site.StartDaemon(seed, "")
 		if err != nil {
@@ -164,21 +166,21 @@
 		c := standin.NewClient(d.Addr)
 		defer func() {
 			c.Close()
-			stops.Go(func() { d.Stop() }) // it takes its time
+			pendingStops.Go(func() { d.Stop() }) // shutdown takes a while
 		}()
 		do = func(a standin.Ask) standin.Reply { return c.Do(context.Background(), a) }
 	}
-	p := play{verdicts: make(map[string]string), classOf: make(map[string]string)}
+	p := runResult{verdicts: make(map[string]string), classOf: make(map[string]string)}
 	m := mix(seed, sc.site.Classes)
 	for range sc.calls {
 		a := m.Next()
 		r := do(a)
 		p.verdicts[a.ID], p.classOf[a.ID] = r.Verdict(), a.Class.Name
 		if r.Verdict() == "served" && !strings.Contains(r.Body, a.ID) {
-			t.Errorf("%s: answered with another's: %.40q", sc.name, r.Body)
+			t.Errorf("%s: call got the response to another call: %.40q", sc.name, r.Body)
 		}
 	}
-	settle(t, "attempts go on arriving", func() bool {
+	waitUntil(t, "attempts still reach the servers", func() bool {
 		before := len(site.Ledger.Log())
 		time.Sleep(5 * time.Millisecond)
 		return len(site.Ledger.Log()) == before
@@ -187,17 +189,17 @@
 	return p
 }
 
-func settle(t testing.TB, what string, ok func() bool) {
+func waitUntil(t testing.TB, what string, ok func() bool) {
 	t.Helper()
-	for end := time.Now().Add(patience); !ok(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(waitTimeout); !ok(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal(what)
 		}
 	}
 }
 
-// row is a play's counts by class: attempts/effects, and how its calls ended.
-func (p play) row(class string) string {
+// summary formats the counts of one class: attempts/effects, and how its calls ended.
+func (p runResult) summary(class string) string {
 	var c standin.Count
 	ends := make(map[string]int)
 	for id, of := range p.classOf {
@@ -214,13 +216,15 @@
 	return fmt.Sprintf("%d/%d  %s", c.Attempts, c.Effects, strings.Join(words, ", "))
 }
 
-// rules says which of the four rules the counts break.
-func (p play) rules(most int) (broken []string) {
+// violations lists the calls that break one of the rules: no unknown calls, no second run
+// unless safe, no more than most attempts, no refusal of an unsafe call that ran, and an
+// answer for every call.
+func (p runResult) violations(most int) (broken []string) {
 	for id, c := range p.counts {
 		class := p.classOf[id]
 		switch {
 		case class == "":
-			broken = append(broken, id+": nobody asked for it")
+			broken = append(broken, id+": no call has this id")
 		case class != "status-check" && c.Effects > 1:
 			broken = append(broken, fmt.Sprintf("%s %s: ran %d times", class, id, c.Effects))
 		case c.Attempts > most:
@@ -237,7 +241,7 @@
 	return broken
 }
 
-func nth(acts ...standin.Kind) standin.Script {
+func nthScript(acts ...standin.Kind) standin.Script {
 	var all []standin.Act
 	for _, k := range acts {
 		all = append(all, standin.Act{Kind: k, Status: 404})
@@ -245,99 +249,99 @@
 	return standin.Nth(all...)
 }
 
-// copiesSeed is one that draws a copy early on.
+// copiesSeed is a seed whose random choices make a hedged copy within few calls.
 const copiesSeed = 105
 
 func scenarios() []scenario {
-	does := func(name string, s standin.Script) scenario {
+	newScenario := func(name string, s standin.Script) scenario {
 		return scenario{name: name, site: rig.SiteConfig{NoHedge: true, Server: standin.ServerConfig{Script: s}}, calls: 12}
 	}
-	silent := does("silent until the deadline", nth(standin.Silence))
-	silent.site.Classes, silent.calls = classes(250*time.Millisecond), 6
-	window := does("broken off after the window", standin.Nth(standin.Act{Kind: standin.ResetLate, Delay: 120 * time.Millisecond}, standin.Act{}))
-	window.site.Classes = classes(5 * time.Second)
+	silent := newScenario("silent until the deadline", nthScript(standin.Silence))
+	silent.site.Classes, silent.calls = rigClassesWithDeadline(250*time.Millisecond), 6
+	window := newScenario("broken off after the window", standin.Nth(standin.Act{Kind: standin.ResetLate, Delay: 120 * time.Millisecond}, standin.Act{}))
+	window.site.Classes = rigClassesWithDeadline(5 * time.Second)
 	window.site.Classes[1].Window = 40 * time.Millisecond
-	zone := does("broken off, keys known in a zone only", nth(standin.ResetLate, standin.Serve))
-	zone.site.Classes = classes(5 * time.Second)
+	zone := newScenario("broken off, keys known in a zone only", nthScript(standin.ResetLate, standin.Serve))
+	zone.site.Classes = rigClassesWithDeadline(5 * time.Second)
 	zone.site.Classes[1].Scope = "cell"
-	down := does("one server down", nil)
-	down.picks = true
+	down := newScenario("one server down", nil)
+	down.dependsOnPick = true
 	down.before = func(s *rig.Site) { s.Servers[1].Kill() }
-	allDown := does("all servers down", nil)
+	allDown := newScenario("all servers down", nil)
 	allDown.before = func(s *rig.Site) {
 		for _, server := range s.Servers {
 			server.Kill()
 		}
 	}
-	draining := does("one server drains, unannounced", nil)
-	draining.picks = true
+	draining := newScenario("one server drains, unannounced", nil)
+	draining.dependsOnPick = true
 	draining.before = func(s *rig.Site) { s.Servers[2].Drain() }
-	copies := does("first attempts slow, copies made", standin.Nth(standin.Act{Delay: 300 * time.Millisecond}, standin.Act{}))
+	copies := newScenario("first attempts slow, copies made", standin.Nth(standin.Act{Delay: 300 * time.Millisecond}, standin.Act{}))
 	copies.site.NoHedge, copies.calls, copies.seed = false, 5, copiesSeed
-	stops := does("an answer that stops", nth(standin.StopBody, standin.Serve))
+	stops := newScenario("an answer that stops", nthScript(standin.StopBody, standin.Serve))
 	stops.calls = 5
-	two := does("two attempts at most, all declined", nth(standin.Decline))
+	two := newScenario("two attempts at most, all declined", nthScript(standin.Decline))
 	two.site.Attempts, two.calls = 2, 1
 	all := []scenario{
-		does("all well", nil),
+		newScenario("all well", nil),
 		two,
-		does("an error once", nth(standin.Fail, standin.Serve)),
-		does("errors always", nth(standin.Fail)),
-		does("not found", nth(standin.Deny)),
-		does("reset behind the last byte, once", nth(standin.ResetLate, standin.Serve)),
-		does("reset behind the last byte, always", nth(standin.ResetLate)),
-		does("closed behind the last byte", nth(standin.CloseLate, standin.Serve)),
+		newScenario("an error once", nthScript(standin.Fail, standin.Serve)),
+		newScenario("errors always", nthScript(standin.Fail)),
+		newScenario("not found", nthScript(standin.Deny)),
+		newScenario("reset behind the last byte, once", nthScript(standin.ResetLate, standin.Serve)),
+		newScenario("reset behind the last byte, always", nthScript(standin.ResetLate)),
+		newScenario("closed behind the last byte", nthScript(standin.CloseLate, standin.Serve)),
 		silent,
-		does("noise", nth(standin.Noise, standin.Serve)),
-		does("a head without end", nth(standin.EndlessHead, standin.Serve)),
-		does("an answer too short", nth(standin.ShortBody, standin.Serve)),
+		newScenario("noise", nthScript(standin.Noise, standin.Serve)),
+		newScenario("a head without end", nthScript(standin.EndlessHead, standin.Serve)),
+		newScenario("an answer too short", nthScript(standin.ShortBody, standin.Serve)),
 		stops,
-		does("more than the answer", nth(standin.Excess)),
-		does("interim answers", nth(standin.Interim)),
-		does("an answer of 3 GB", nth(standin.Oversize, standin.Serve)),
+		newScenario("more than the answer", nthScript(standin.Excess)),
+		newScenario("interim answers", nthScript(standin.Interim)),
+		newScenario("an answer of 3 GB", nthScript(standin.Oversize, standin.Serve)),
 		window, zone, down, allDown, draining, copies,
-		does("declined, then an error, then well", nth(standin.Decline, standin.Fail, standin.Serve)),
-		does("at random", standin.Random(11,
+		newScenario("declined, then an error, then well", nthScript(standin.Decline, standin.Fail, standin.Serve)),
+		newScenario("at random", standin.Random(11,
 			standin.Odd{Share: 0.15, Act: standin.Act{Kind: standin.Decline}},
 			standin.Odd{Share: 0.15, Act: standin.Act{Kind: standin.Fail}},
 			standin.Odd{Share: 0.1, Act: standin.Act{Kind: standin.CloseLate}},
 			standin.Odd{Share: 0.1, Act: standin.Act{Kind: standin.Noise}})),
 	}
-	// Few calls each, of several seeds: after more of them calls are shed on arrival, by
-	// chance and by the rate that the machine gives.
+	// Few calls for each of several seeds: after more of them, calls are shed on arrival,
+	// which depends on chance and on the machine's speed.
 	for seed := range uint64(6) {
-		once, always := does("declined once", nth(standin.Decline, standin.Serve)), does("declined always", nth(standin.Decline))
+		once, always := newScenario("declined once", nthScript(standin.Decline, standin.Serve)), newScenario("declined always", nthScript(standin.Decline))
 		once.seed, always.seed, once.calls, always.calls = 200+seed, 300+seed, 2, 1
 		all = append(all, once, always)
 	}
 	return all
 }
 
-// The same calls meet the same faults, once by way of the daemon and once through the
-// plug-in, with equal seeds: what the servers receive and run is the same, call by call,
-// and so is each call's end.
-func TestDaemonAndPluginAlike(t *testing.T) {
+// Makes the same calls with the same faults and seeds through the daemon and through the
+// plug-in, and checks for each call that the servers receive and run the same and that the
+// call ends the same way.
+func TestDaemonAndPluginEquivalent(t *testing.T) {
 	var table bytes.Buffer
 	w := tabwriter.NewWriter(&table, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "fault\tclass\tdaemon: attempts/effects\tplug-in")
 	for n, sc := range scenarios() {
 		t.Run(sc.name, func(t *testing.T) {
-			seed := or(sc.seed, uint64(100+n))
-			daemon, plugin := sc.play(t, seed, false), sc.play(t, seed, true)
+			seed := orDefault(sc.seed, uint64(100+n))
+			daemon, plugin := sc.run(t, seed, false), sc.run(t, seed, true)
 			for _, class := range []string{"status-check", "id-register", "activate"} {
-				fmt.Fprintf(w, "%s\t%s\t%s\t%s\n", sc.name, class, daemon.row(class), plugin.row(class))
+				fmt.Fprintf(w, "%s\t%s\t%s\t%s\n", sc.name, class, daemon.summary(class), plugin.summary(class))
 			}
 			for id := range daemon.classOf {
 				d, p := daemon.counts[id], plugin.counts[id]
-				if sc.picks {
+				if sc.dependsOnPick {
 					d.Attempts, p.Attempts = 0, 0
 				}
 				if d != p || daemon.verdicts[id] != plugin.verdicts[id] {
-					t.Errorf("seed %d, %s %s: %+v %s by the daemon, %+v %s by the plug-in", seed, daemon.classOf[id], id, d, daemon.verdicts[id], p, plugin.verdicts[id])
+					t.Errorf("seed %d, %s %s: %+v %s through the daemon, %+v %s through the plug-in", seed, daemon.classOf[id], id, d, daemon.verdicts[id], p, plugin.verdicts[id])
 				}
 			}
-			for who, p := range map[string]play{"daemon": daemon, "plug-in": plugin} {
-				if broken := p.rules(5); broken != nil {
+			for who, p := range map[string]runResult{"daemon": daemon, "plug-in": plugin} {
+				if broken := p.violations(5); broken != nil {
 					t.Errorf("%s: %v", who, broken)
 				}
 				if sc.seed == copiesSeed && len(p.counts) == sc.calls {
@@ -346,7 +350,7 @@
 						sum += c.Attempts
 					}
 					if sum == sc.calls {
-						t.Errorf("%s: no copy was made", who)
+						t.Errorf("%s: no hedged copy was made", who)
 					}
 				}
 			}
@@ -356,7 +360,7 @@
 	t.Log("\n" + table.String())
 }
 
-// Whatever the servers do, neither tier breaks a rule.
+// With random server faults and settings, neither the daemon nor the plug-in breaks a rule.
 func TestRulesUnderAnyFaults(t *testing.T) {
 	kinds := []standin.Kind{standin.Serve, standin.Fail, standin.Decline, standin.ResetEarly, standin.ResetLate, standin.CloseLate,
 		standin.Noise, standin.EndlessHead, standin.ShortBody, standin.Excess, standin.Interim, standin.Silence}
@@ -364,16 +368,16 @@
 		script := rapid.SliceOfN(rapid.SampledFrom(kinds), 1, 5).Draw(rt, "script")
 		plugin := rapid.Bool().Draw(rt, "plugin")
 		copies := rapid.Bool().Draw(rt, "copies")
-		cs := classes(150 * time.Millisecond)
+		cs := rigClassesWithDeadline(150 * time.Millisecond)
 		cs[1].Window = time.Duration(rapid.IntRange(5, 400).Draw(rt, "window")) * time.Millisecond
 		sc := scenario{name: "any", calls: 3, site: rig.SiteConfig{
 			Classes: cs, NoHedge: !copies, Attempts: rapid.IntRange(1, 5).Draw(rt, "attempts"),
-			Server: standin.ServerConfig{Script: nth(script...)},
+			Server: standin.ServerConfig{Script: nthScript(script...)},
 		}}
-		// Keys are remembered for a little longer than the window says, as servers
-		// must: what begins within it arrives a moment later.
-		p := sc.play(t, rapid.Uint64().Draw(rt, "seed"), plugin)
-		if broken := p.rules(sc.site.Attempts); broken != nil {
+		// The servers remember keys for a little longer than the window, as they must: an
+		// attempt that begins within the window arrives a moment later.
+		p := sc.run(t, rapid.Uint64().Draw(rt, "seed"), plugin)
+		if broken := p.violations(sc.site.Attempts); broken != nil {
 			rt.Fatalf("%v", broken)
 		}
 	})
--- a/client/process_test.go
+++ b/client/process_test.go
@@ -11,10 +11,10 @@
 	"chalkrack/internal/standin"
 )
 
-// The daemon restarts under load, by SIGTERM and by SIGKILL, a few times: every call
-// has its one answer, nothing that must not runs twice, no call has more attempts than
-// both tiers together may make, the plug-in carries on meanwhile and goes back, and the
-// servers see no burst when it does.
+// Restarts the daemon under load several times, by SIGTERM and by SIGKILL. Every call gets
+// exactly one answer, no call runs twice unless it may, no call has more attempts than both
+// tiers together may make, the plug-in decides calls during the outage and then returns to
+// the daemon, and the servers see no burst of calls on that return.
 func TestDaemonRestartsUnderLoad(t *testing.T) {
 	path, err := rig.Binary()
 	if err != nil {
@@ -27,7 +27,7 @@
 				pace    = 20 * time.Millisecond
 				most    = 4
 			)
-			cs := classes(5 * time.Second)
+			cs := rigClassesWithDeadline(5 * time.Second)
 			site := newSite(t, rig.SiteConfig{Classes: cs, Servers: 4, Attempts: most, Server: standin.ServerConfig{
 				Script: standin.Random(7,
 					standin.Odd{Share: 0.05, Act: standin.Act{Kind: standin.Decline}},
@@ -43,7 +43,7 @@
 			stop := make(chan struct{})
 			var wg sync.WaitGroup
 			var mu sync.Mutex
-			p := play{verdicts: make(map[string]string), classOf: make(map[string]string)}
+			p := runResult{verdicts: make(map[string]string), classOf: make(map[string]string)}
 			for w := range workers {
 				wg.Go(func() {
 					m := mix(uint64(w), cs)
@@ -57,7 +57,7 @@
 						}
 						a := m.Next()
 						a.ID = fmt.Sprint(w, "-", a.ID)
-						r := ask(context.Background(), tr, a)
+						r := send(context.Background(), tr, a)
 						mu.Lock()
 						p.verdicts[a.ID], p.classOf[a.ID] = r.Verdict(), a.Class.Name
 						if r.Verdict() == "none" {
@@ -73,24 +73,24 @@
 				if kill {
 					d.Kill()
 				} else if err := d.Stop(); err != nil {
-					t.Errorf("the daemon's end: %v", err)
+					t.Errorf("stopping the daemon: %v", err)
 				}
-				settle(t, "it never takes over", func() bool { return !tr.ByDaemon() })
+				waitUntil(t, "the plug-in never takes over", func() bool { return !tr.ByDaemon() })
 				before := len(site.Ledger.Log())
-				settle(t, "nothing goes past the daemon", func() bool { return len(site.Ledger.Log()) > before+20 })
+				waitUntil(t, "no calls bypass the stopped daemon", func() bool { return len(site.Ledger.Log()) > before+20 })
 				if err := d.Start(); err != nil {
 					t.Fatal(err)
 				}
-				settle(t, "it never goes back", tr.ByDaemon)
+				waitUntil(t, "calls never return to the daemon", tr.ByDaemon)
 				returns = append(returns, time.Now())
 				time.Sleep(300 * time.Millisecond)
 			}
 			close(stop)
 			wg.Wait()
-			settle(t, "calls are held", func() bool { return tr.held() == 0 })
+			waitUntil(t, "the core still holds calls", func() bool { return tr.heldCalls() == 0 })
 			p.counts = site.Ledger.IDs()
-			if broken := p.rules(most); broken != nil {
-				t.Errorf("%d broken: %.2000v", len(broken), broken)
+			if broken := p.violations(most); broken != nil {
+				t.Errorf("%d rule violations: %.2000v", len(broken), broken)
 			}
 			served := 0
 			for _, v := range p.verdicts {
@@ -99,10 +99,10 @@
 				}
 			}
 			if served < len(p.verdicts)*8/10 {
-				t.Errorf("%d of %d served", served, len(p.verdicts))
+				t.Errorf("only %d of %d calls served, want at least 80%%", served, len(p.verdicts))
 			}
-			// Workers wait for their answers and ticks don't add up: at a return the
-			// servers can see at most one call of each worker beside the usual ones.
+			// Workers wait for their answers and missed ticks don't accumulate: on a return
+			// the servers can see at most one call of each worker beyond the usual ones.
 			usual := float64(workers) / pace.Seconds()
 			for _, at := range returns {
 				n := 0
@@ -112,10 +112,10 @@
 					}
 				}
 				if most := usual*0.1*1.5 + workers; float64(n) > most {
-					t.Errorf("%d arrivals in the 100 ms after a return, usually %.0f", n, usual*0.1)
+					t.Errorf("%d arrivals in the 100 ms after a return to the daemon, usually %.0f", n, usual*0.1)
 				}
 			}
-			t.Logf("%d calls, %d served, %d arrivals", len(p.verdicts), served, len(site.Ledger.Log()))
+			t.Logf("%d calls, %d served, %d attempts reached the servers", len(p.verdicts), served, len(site.Ledger.Log()))
 		})
 	}
 }
