--- a/rpc/connect/connect_test.go
+++ b/rpc/connect/connect_test.go
@@ -35,28 +35,28 @@
 	upload   = "/sim.v1.Sim/Upload"
 )
 
-// fleet is some Connect servers that count what arrives, by procedure, and break the
-// first so many calls off.
-type fleet struct {
-	mu     sync.Mutex
-	got    map[string]int
-	ids    map[string]int
-	last   http.Header
-	breaks int
-	code   connectrpc.Code // of an error answer; 0: none
-	nodes  []client.Node
+// testServers is a set of Connect servers that count requests by procedure and close the
+// connection of the first resetsLeft requests.
+type testServers struct {
+	mu         sync.Mutex
+	requests   map[string]int
+	callIDs    map[string]int
+	lastHeader http.Header
+	resetsLeft int
+	errorCode  connectrpc.Code // code of an error response; 0: none
+	nodes      []client.Node
 }
 
-func newFleet(t *testing.T, servers int) *fleet {
+func newTestServers(t *testing.T, servers int) *testServers {
 	t.Helper()
-	f := &fleet{got: make(map[string]int), ids: make(map[string]int)}
+	f := &testServers{requests: make(map[string]int), callIDs: make(map[string]int)}
 	mux := http.NewServeMux()
 	unary := func(procedure string) {
 		mux.Handle(procedure, connectrpc.NewUnaryHandler(procedure, func(_ context.Context, r *connectrpc.Request[word]) (*connectrpc.Response[word], error) {
 			f.mu.Lock()
 			defer f.mu.Unlock()
-			if f.code != 0 {
-				return nil, connectrpc.NewError(f.code, errors.New("as told"))
+			if f.errorCode != 0 {
+				return nil, connectrpc.NewError(f.errorCode, errors.New("as told"))
 			}
 			return connectrpc.NewResponse(wrapperspb.String("done " + r.Msg.Value)), nil
 		}, connectrpc.WithIdempotency(connectrpc.IdempotencyNoSideEffects)))
@@ -80,11 +80,11 @@
 			body, _ := io.ReadAll(r.Body)
 			r.Body = io.NopCloser(strings.NewReader(string(body)))
 			f.mu.Lock()
-			f.got[r.URL.Path]++
-			f.ids[r.Header.Get("Req-Id")]++
-			f.last = r.Header.Clone()
-			cut := f.breaks > 0
-			f.breaks--
+			f.requests[r.URL.Path]++
+			f.callIDs[r.Header.Get("Req-Id")]++
+			f.lastHeader = r.Header.Clone()
+			cut := f.resetsLeft > 0
+			f.resetsLeft--
 			f.mu.Unlock()
 			if cut {
 				c, _, err := w.(http.Hijacker).Hijack()
@@ -101,20 +101,20 @@
 	return f
 }
 
-func (f *fleet) set(cut int, code connectrpc.Code) {
+func (f *testServers) reset(resets int, code connectrpc.Code) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.breaks, f.code = cut, code
-	f.got, f.ids = make(map[string]int), make(map[string]int)
+	f.resetsLeft, f.errorCode = resets, code
+	f.requests, f.callIDs = make(map[string]int), make(map[string]int)
 }
 
-func (f *fleet) count(procedure string) int {
+func (f *testServers) requestCount(procedure string) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.got[procedure]
+	return f.requests[procedure]
 }
 
-func newDirector(t *testing.T, f *fleet, opts Options) *Director {
+func newDirector(t *testing.T, f *testServers, opts Options) *Director {
 	t.Helper()
 	var classes []client.Class
 	for name, effect := range map[string]client.Effect{"status-check": client.Safe, "id-register": client.Keyed, "activate": client.Unsafe} {
@@ -138,9 +138,9 @@
 	return connectrpc.NewClient[word, word](d.HTTPClient(), "http://sim.svc"+procedure, connectrpc.WithIdempotency(level), connectrpc.WithInterceptors(d.Interceptor()))
 }
 
-// What a procedure allows comes from its level, or from the table: a call that breaks
-// off is made again only where its class lets it.
-func TestLevels(t *testing.T) {
+// The class comes from the procedure's level or from Options.Procedures: a call whose
+// connection breaks is retried only if its class allows it.
+func TestClassFromIdempotencyLevel(t *testing.T) {
 	const none, safe, idempotent = connectrpc.IdempotencyUnknown, connectrpc.IdempotencyNoSideEffects, connectrpc.IdempotencyIdempotent
 	for _, c := range []struct {
 		name      string
@@ -162,11 +162,11 @@
 		{"of no class", check, safe, "", map[string]string{check: "elsewhere"}, connectrpc.CodeUnavailable, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			f := newFleet(t, 3)
+			f := newTestServers(t, 3)
 			opts := options
 			opts.Procedures = c.table
 			d := newDirector(t, f, opts)
-			f.set(1, 0)
+			f.reset(1, 0)
 			r := connectrpc.NewRequest(wrapperspb.String("x"))
 			if c.key != "" {
 				r.Header().Set(KeyField, c.key)
@@ -176,48 +176,48 @@
 			case c.code == 0 && (err != nil || resp.Msg.Value != "done x"):
 				t.Errorf("%v, %v", resp, err)
 			case c.code != 0 && connectrpc.CodeOf(err) != c.code:
-				t.Errorf("%v, want %v", err, c.code)
+				t.Errorf("error %v, want code %v", err, c.code)
 			}
-			if n := f.count(c.procedure); n != c.arrivals {
-				t.Errorf("%d arrivals, want %d", n, c.arrivals)
+			if n := f.requestCount(c.procedure); n != c.arrivals {
+				t.Errorf("%d requests reached the servers, want %d", n, c.arrivals)
 			}
-			if len(f.ids) > 1 {
-				t.Errorf("ids %v", f.ids)
+			if len(f.callIDs) > 1 {
+				t.Errorf("request ids %v, want the same id for all attempts", f.callIDs)
 			}
 		})
 	}
 }
 
-// Errors of the application are answers: they come through as they are, after one
-// arrival. Those of a server are attempts that failed.
-func TestErrors(t *testing.T) {
-	f := newFleet(t, 3)
+// Application errors are answers: they are returned unchanged and not retried. Server
+// errors are failed attempts.
+func TestApplicationErrorsAreAnswers(t *testing.T) {
+	f := newTestServers(t, 3)
 	d := newDirector(t, f, options)
 	c := d.client(check, connectrpc.IdempotencyNoSideEffects)
 	for _, code := range []connectrpc.Code{connectrpc.CodeInvalidArgument, connectrpc.CodeNotFound, connectrpc.CodeAlreadyExists, connectrpc.CodePermissionDenied, connectrpc.CodeFailedPrecondition} {
-		f.set(0, code)
+		f.reset(0, code)
 		_, err := c.CallUnary(context.Background(), connectrpc.NewRequest(wrapperspb.String("x")))
 		var ce *connectrpc.Error
-		if !errors.As(err, &ce) || ce.Code() != code || ce.Message() != "as told" || f.count(check) != 1 {
-			t.Errorf("%v: %v after %d", code, err, f.count(check))
+		if !errors.As(err, &ce) || ce.Code() != code || ce.Message() != "as told" || f.requestCount(check) != 1 {
+			t.Errorf("code %v: got %v after %d requests", code, err, f.requestCount(check))
 		}
 	}
-	f.set(0, connectrpc.CodeInternal)
+	f.reset(0, connectrpc.CodeInternal)
 	_, err := c.CallUnary(context.Background(), connectrpc.NewRequest(wrapperspb.String("x")))
-	if connectrpc.CodeOf(err) != connectrpc.CodeUnavailable || f.count(check) < 2 {
-		t.Errorf("%v after %d", err, f.count(check))
+	if connectrpc.CodeOf(err) != connectrpc.CodeUnavailable || f.requestCount(check) < 2 {
+		t.Errorf("internal error: got %v after %d requests", err, f.requestCount(check))
 	}
 	if after, ok := RetryAfter(err); !ok || after <= 0 || after > time.Second {
-		t.Errorf("may come back after %v, %v", after, ok)
+		t.Errorf("RetryAfter returned %v, %v", after, ok)
 	}
 	if _, ok := RetryAfter(errors.New("x")); ok {
-		t.Error("of any error")
+		t.Error("RetryAfter returned true for an unrelated error")
 	}
 }
 
-// The deadline and the end of a context reach the call.
-func TestContext(t *testing.T) {
-	f := newFleet(t, 2)
+// A context's deadline is sent to the server, and its end cancels the call.
+func TestContextDeadlineAndCancel(t *testing.T) {
+	f := newTestServers(t, 2)
 	d := newDirector(t, f, options)
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
@@ -226,21 +226,21 @@
 		t.Fatal(err)
 	}
 	f.mu.Lock()
-	told := f.last.Get("Req-Deadline-Ms")
+	told := f.lastHeader.Get("Req-Deadline-Ms")
 	f.mu.Unlock()
 	if ms := 0; told == "" || func() bool { fmt.Sscan(told, &ms); return ms < 1 || ms > 5000 }() {
-		t.Errorf("the server is told %q", told)
+		t.Errorf("Req-Deadline-Ms at the server is %q, want 1 to 5000", told)
 	}
 	cancel()
 	if _, err := c.CallUnary(ctx, connectrpc.NewRequest(wrapperspb.String("x"))); connectrpc.CodeOf(err) != connectrpc.CodeCanceled {
-		t.Errorf("a context that has ended: %v", err)
+		t.Errorf("call with an ended context: %v", err)
 	}
 }
 
-// A server's stream comes message by message, also with pauses; one from the client is
-// refused before anything is sent.
-func TestStreams(t *testing.T) {
-	f := newFleet(t, 2)
+// A server stream is received message by message, even with pauses; a client stream is
+// rejected before anything is sent.
+func TestServerStreamsOnly(t *testing.T) {
+	f := newTestServers(t, 2)
 	d := newDirector(t, f, options)
 	s, err := d.client(watch, connectrpc.IdempotencyNoSideEffects).CallServerStream(context.Background(), connectrpc.NewRequest(wrapperspb.String("m")))
 	if err != nil {
@@ -257,20 +257,20 @@
 	up := d.client(upload, connectrpc.IdempotencyUnknown).CallClientStream(context.Background())
 	up.Send(wrapperspb.String("x"))
 	if _, err := up.CloseAndReceive(); connectrpc.CodeOf(err) != connectrpc.CodeUnimplemented {
-		t.Errorf("a stream from the client: %v", err)
+		t.Errorf("client stream: %v, want code unimplemented", err)
 	}
-	if f.count(upload) != 0 {
-		t.Error("it was sent")
+	if f.requestCount(upload) != 0 {
+		t.Error("the client stream reached a server")
 	}
 }
 
-func TestBadOptions(t *testing.T) {
+func TestInvalidOptions(t *testing.T) {
 	if _, err := New(nil, options); err == nil {
-		t.Error("no transport")
+		t.Error("New accepted a nil transport")
 	}
 	for _, procedures := range []map[string]string{{"sim.v1.Sim/Check": "a"}, {"": "a"}, {check: ""}} {
 		if _, err := New(http.DefaultTransport, Options{Procedures: procedures}); err == nil {
-			t.Errorf("%v is taken", procedures)
+			t.Errorf("New accepted the invalid procedures %v", procedures)
 		}
 	}
 	d, err := New(http.DefaultTransport, Options{Safe: "status-check"})
@@ -279,6 +279,6 @@
 	}
 	_, err = d.client(activate, connectrpc.IdempotencyUnknown).CallUnary(context.Background(), connectrpc.NewRequest(wrapperspb.String("x")))
 	if connectrpc.CodeOf(err) != connectrpc.CodeInvalidArgument || !strings.Contains(err.Error(), activate) {
-		t.Errorf("a call of no class: %v", err)
+		t.Errorf("call without a class: %v, want an invalid-argument error that names the procedure", err)
 	}
 }
