--- a/client/client.go
+++ b/client/client.go
@@ -247,12 +247,12 @@
 		}
 		t.host.Close()
 		t.mu.Lock()
-		broken := make([]*stream, 0, len(t.streams))
+		openStreams := make([]*stream, 0, len(t.streams))
 		for s := range t.streams {
-			broken = append(broken, s)
+			openStreams = append(openStreams, s)
 		}
 		t.mu.Unlock()
-		for _, s := range broken {
+		for _, s := range openStreams {
 			s.cancel(ErrClosed)
 		}
 		<-t.idleCh
--- a/client/config.go
+++ b/client/config.go
@@ -214,9 +214,9 @@
 	}
 	var names []string
 	var deadlines []time.Duration
-	for n, k := range c.Classes {
-		class := chalkrack.Class{Aim: k.Aim, Worth: orDefault(k.Worth, 1), Scope: chalkrack.Scope(k.Scope), Window: k.Window}
-		switch k.Effect {
+	for n, classConfig := range c.Classes {
+		class := chalkrack.Class{Aim: classConfig.Aim, Worth: orDefault(classConfig.Worth, 1), Scope: chalkrack.Scope(classConfig.Scope), Window: classConfig.Window}
+		switch classConfig.Effect {
 		case Unsafe:
 			class.Effect = chalkrack.Unsafe
 		case Keyed:
@@ -226,12 +226,12 @@
 		default:
 			return nil, fmt.Errorf("client: Classes[%d].Effect must be Unsafe, Keyed or Safe", n)
 		}
-		if k.Worth < 0 || k.Window < 0 {
+		if classConfig.Worth < 0 || classConfig.Window < 0 {
 			return nil, fmt.Errorf("client: Classes[%d]: Worth and Window must be 0 or more", n)
 		}
 		cfg.Classes = append(cfg.Classes, class)
-		names = append(names, k.Name)
-		deadlines = append(deadlines, k.Deadline)
+		names = append(names, classConfig.Name)
+		deadlines = append(deadlines, classConfig.Deadline)
 	}
 	set, err := settings.New(cfg, names, deadlines)
 	if err != nil {
--- a/client/link.go
+++ b/client/link.go
@@ -33,9 +33,9 @@
 // dies during a call, the Transport makes that attempt, and both together stay within the
 // limit.
 type daemonLink struct {
-	t     *Transport
-	pool  *upstream.Pool // has the daemon as its only server
-	start time.Time
+	t         *Transport
+	pool      *upstream.Pool // has the daemon as its only server
+	startTime time.Time
 
 	mu        sync.Mutex
 	state     *failover.Machine
@@ -57,15 +57,15 @@
 			Lull:             t.cfg.Pause,
 			PassClientErrors: true,
 		}),
-		start: time.Now().Add(-time.Second),
-		abort: make(chan struct{}),
+		startTime: time.Now().Add(-time.Second),
+		abort:     make(chan struct{}),
 	}
 	l.state = failover.New(failover.Default(), rand.New(rand.NewPCG(t.cfg.Seed, 2)).Float64)
 	l.pool.Serve(daemonName, t.cfg.Daemon, 0)
 	return l
 }
 
-func (l *daemonLink) now() time.Duration { return time.Since(l.start) }
+func (l *daemonLink) now() time.Duration { return time.Since(l.startTime) }
 
 func (l *daemonLink) isUp() bool {
 	l.mu.Lock()
@@ -168,10 +168,10 @@
 // daemonAttempt is the attempt to make one call through the daemon. It implements
 // core.Sink.
 type daemonAttempt struct {
-	c       *call
-	attempt core.Attempt
-	results chan attemptResult // buffered: receives only the first result
-	stream  *stream            // used only by the goroutine of the upstream transport
+	c           *call
+	coreAttempt core.Attempt
+	results     chan attemptResult // buffered: receives only the first result
+	stream      *stream            // used only by the goroutine of the upstream transport
 
 	mu          sync.Mutex
 	isAbandoned bool // nobody waits for the result
@@ -216,8 +216,8 @@
 // Stream implements core.Sink.
 func (v *daemonAttempt) Stream(answer any, _ chalkrack.Report) io.Writer {
 	s, resp := v.c.startStream(answer.(*message.Answer), func() {
-		v.attempt.Abandon()
-		v.attempt.Close()
+		v.coreAttempt.Abandon()
+		v.coreAttempt.Close()
 	})
 	v.stream = s
 	v.deliver(attemptResult{chalkrack.OK, resp})
@@ -262,11 +262,11 @@
 	deadline := c.Received.Add(wait)
 	attempt := &daemonAttempt{c: c, results: make(chan attemptResult, 1)}
 	began := time.Now()
-	attempt.attempt = l.pool.Attempt(core.Order{Payload: msg, Server: daemonName, Deadline: deadline, Once: c.class.Effect == chalkrack.Unsafe, Sink: attempt})
-	attempt.attempt.Start()
+	attempt.coreAttempt = l.pool.Attempt(core.Order{Payload: msg, Server: daemonName, Deadline: deadline, Once: c.class.Effect == chalkrack.Unsafe, Sink: attempt})
+	attempt.coreAttempt.Start()
 	abandon := func() *http.Response {
-		attempt.attempt.Abandon()
-		attempt.attempt.Close()
+		attempt.coreAttempt.Abandon()
+		attempt.coreAttempt.Close()
 		return attempt.abandon()
 	}
 	fail := func(err error) (*http.Response, error, bool) {
