--- a/internal/features/bodies_test.go
+++ b/internal/features/bodies_test.go
@@ -6,9 +6,9 @@
 	"testing"
 )
 
-// Each complaint of [bodies] names its field; what must fit the platform is held
-// against it.
-func TestBodies(t *testing.T) {
+// Every error about [bodies] names its field, and the limits that depend on the platform
+// are checked against it.
+func TestBodiesErrorNamesField(t *testing.T) {
 	dir := t.TempDir()
 	for text, want := range map[string]string{
 		"memory_mb = -1":        "bodies.memory_mb",
@@ -36,13 +36,13 @@
 		"colour = 1":                                   "bodies.colour",
 	} {
 		if _, err := Parse("f", []byte("version = 1\n[bodies]\n"+text+"\n")); err == nil || !strings.Contains(err.Error(), want+": ") {
-			t.Errorf("%q: %v, want a complaint of %s", text, err, want)
+			t.Errorf("Parse(%q) = %v, want an error about %s", text, err, want)
 		}
 	}
 	for text, c := range map[string]struct {
 		memory, sockets int
 		inMemory        bool
-		want            string // empty: it is good
+		want            string // substring of the error; empty if the file is valid
 	}{
 		"":                                 {192, 1024, false, ""},
 		"enabled = false\nmemory_mb = 999": {192, 1024, false, ""},
@@ -60,12 +60,12 @@
 		}
 		f, err := Parse("f", []byte(head+text+"\n"))
 		if err != nil {
-			t.Errorf("%q: %v", text, err)
+			t.Errorf("Parse(%q): %v", text, err)
 			continue
 		}
 		err = f.CheckPlatform(c.memory, c.sockets, c.inMemory)
 		if c.want == "" && err != nil || c.want != "" && (err == nil || !strings.Contains(err.Error(), c.want)) {
-			t.Errorf("%q under %d MB, %d sockets: %v, want %q", text, c.memory, c.sockets, err, c.want)
+			t.Errorf("CheckPlatform of %q with %d MB and %d sockets = %v, want %q", text, c.memory, c.sockets, err, c.want)
 		}
 	}
 	f, err := Parse("f", []byte("version = 1\n[bodies.shares]\nnobody = 0.1\n"))
@@ -73,6 +73,6 @@
 		t.Fatal(err)
 	}
 	if err := f.CheckClasses(func(string) bool { return false }); err == nil || !strings.Contains(err.Error(), "bodies.shares.nobody") {
-		t.Errorf("a class that does not exist: %v", err)
+		t.Errorf("CheckClasses with an unknown class = %v, want an error about bodies.shares.nobody", err)
 	}
 }
--- a/internal/features/decode.go
+++ b/internal/features/decode.go
@@ -13,15 +13,16 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// index has the line of each key and table of a file, by its path: parts with dots
-// between, tables of an array with their place in brackets.
-type index map[string]int
+// lineIndex maps the path of each key and table of a file to its line. The parts of a
+// path are separated by dots; a table of an array has its index in brackets.
+type lineIndex map[string]int
 
-// line is that of a field, or of the nearest table round it.
-func (i index) line(field string) int {
+// lineOf returns the line of a field or, if it is not in the file, of the nearest enclosing
+// table; 0 if there is none.
+func (lines lineIndex) lineOf(field string) int {
 	for field != "" {
 		for _, name := range []string{field, field + "[0]"} {
-			if n, ok := i[name]; ok {
+			if n, ok := lines[name]; ok {
 				return n
 			}
 		}
@@ -34,22 +35,22 @@
 	return 0
 }
 
-// scan indexes a text; it stops at what is no TOML, which decoding will complain of.
-func scan(data []byte) index {
-	lines := make(index)
+// indexLines builds the index of a text. It stops at a syntax error, which decode reports.
+func indexLines(data []byte) lineIndex {
+	lines := make(lineIndex)
 	arrays := make(map[string]int)
 	var p unstable.Parser
 	p.Reset(data)
 	table := ""
 	for p.NextExpression() {
 		e := p.Expression()
-		path, at := "", 0
+		path, line := "", 0
 		for keys := e.Key(); keys.Next(); {
 			k := keys.Node()
-			if at == 0 {
-				at = p.Shape(k.Raw).Start.Line
+			if line == 0 {
+				line = p.Shape(k.Raw).Start.Line
 			}
-			path = join(path, string(k.Data))
+			path = joinPath(path, string(k.Data))
 			if e.Kind != unstable.KeyValue {
 				if n, ok := arrays[path]; ok && !keys.IsLast() {
 					path = fmt.Sprintf("%s[%d]", path, n)
@@ -68,55 +69,55 @@
 			table = fmt.Sprintf("%s[%d]", path, n)
 			path = table
 		case unstable.KeyValue:
-			path = join(table, path)
+			path = joinPath(table, path)
 		default:
 			continue
 		}
-		lines[path] = at
+		lines[path] = line
 	}
 	return lines
 }
 
-func join(a, b string) string {
+func joinPath(a, b string) string {
 	if a == "" {
 		return b
 	}
 	return a + "." + b
 }
 
-// decode fills f strictly.
-func (f *File) decode(data []byte) (bad Problems) {
-	f.lines = scan(data)
+// decode parses data into f and reports unknown fields and wrong types.
+func (f *File) decode(data []byte) (problems Problems) {
+	f.lines = indexLines(data)
 	err := toml.NewDecoder(bytes.NewReader(data)).DisallowUnknownFields().Decode(f)
-	var missing *toml.StrictMissingError
-	var wrong *toml.DecodeError
+	var unknownFields *toml.StrictMissingError
+	var decodeErr *toml.DecodeError
 	switch {
 	case err == nil:
 		return nil
-	case errors.As(err, &missing):
-		for n := range missing.Errors {
-			e := &missing.Errors[n]
+	case errors.As(err, &unknownFields):
+		for n := range unknownFields.Errors {
+			e := &unknownFields.Errors[n]
 			line, _ := e.Position()
-			bad = append(bad, &Problem{f.name, line, strings.Join(e.Key(), "."), "there is no such field"})
+			problems = append(problems, &Problem{f.name, line, strings.Join(e.Key(), "."), "there is no such field"})
 		}
-	case errors.As(err, &wrong):
-		line, _ := wrong.Position()
-		field := strings.Join(wrong.Key(), ".")
+	case errors.As(err, &decodeErr):
+		line, _ := decodeErr.Position()
+		field := strings.Join(decodeErr.Key(), ".")
 		if field == "" {
 			field = f.lines.fieldAt(line)
 		}
-		bad = append(bad, &Problem{f.name, line, field, strings.TrimPrefix(wrong.Error(), "toml: ")})
+		problems = append(problems, &Problem{f.name, line, field, strings.TrimPrefix(decodeErr.Error(), "toml: ")})
 	default:
-		bad = append(bad, &Problem{f.name, 0, "", err.Error()})
+		problems = append(problems, &Problem{f.name, 0, "", err.Error()})
 	}
-	bad.sort()
-	return bad
+	problems.sort()
+	return problems
 }
 
-// fieldAt is the field whose value stands in a line.
-func (i index) fieldAt(line int) string {
-	for _, field := range slices.Sorted(maps.Keys(i)) {
-		if i[field] == line {
+// fieldAt returns the field that is set in a line, or "" if there is none.
+func (lines lineIndex) fieldAt(line int) string {
+	for _, field := range slices.Sorted(maps.Keys(lines)) {
+		if lines[field] == line {
 			return field
 		}
 	}
@@ -127,25 +128,26 @@
 	slices.SortStableFunc(p, func(a, b *Problem) int { return cmp.Compare(a.Line, b.Line) })
 }
 
-// checker collects what is out of range.
+// checker collects the problems of a file.
 type checker struct {
-	file *File
-	bad  Problems
+	file     *File
+	problems Problems
 }
 
-func (c *checker) need(ok bool, field, text string, args ...any) {
+// require records a problem with the field unless ok is true.
+func (c *checker) require(ok bool, field, text string, args ...any) {
 	if !ok {
-		c.bad = append(c.bad, &Problem{c.file.name, c.file.lines.line(field), field, fmt.Sprintf(text, args...)})
+		c.problems = append(c.problems, &Problem{c.file.name, c.file.lines.lineOf(field), field, fmt.Sprintf(text, args...)})
 	}
 }
 
-// all is the complaints in the order of their lines, nil if there are none.
-func (c *checker) all() error {
-	if len(c.bad) == 0 {
+// err returns the problems in the order of their lines, or nil if there are none.
+func (c *checker) err() error {
+	if len(c.problems) == 0 {
 		return nil
 	}
-	c.bad.sort()
-	return c.bad
+	c.problems.sort()
+	return c.problems
 }
 
-func sorted[V any](m map[string]V) []string { return slices.Sorted(maps.Keys(m)) }
+func sortedKeys[V any](m map[string]V) []string { return slices.Sorted(maps.Keys(m)) }
--- a/internal/features/features.go
+++ b/internal/features/features.go
@@ -1,6 +1,7 @@
-// Package features reads the operators' own settings, deploy/features.toml: what the
-// platform's configuration does not know. Each subsystem has a section, and everything
-// is off by default. It is strict: what it does not know or can't use stops the start.
+// Package features reads the operators' settings, deploy/features.toml, which cover what
+// the platform's configuration does not. Each subsystem has a section, and everything is
+// disabled by default. Parsing is strict: an unknown field or an invalid value prevents
+// the sidecar from starting.
 package features
 
 import (
@@ -10,76 +11,76 @@
 	"unicode/utf8"
 )
 
-// Version is the only one of the file's form so far.
+// Version is the version of the file format; no other is supported.
 const Version = 1
 
-// fileMost bounds a file: anything longer is no configuration.
-const fileMost = 1 << 20
+// maxFileBytes limits the size of a file; a longer one can't be a configuration.
+const maxFileBytes = 1 << 20
 
-// File is what the file says, its defaults where it says nothing.
+// File holds the settings of a file, and the defaults of those it leaves out.
 type File struct {
 	Version int `toml:"version"`
-	// Answers says what a server's answer is.
+	// Answers configures which responses count as answers.
 	Answers Answers `toml:"answers"`
-	// Paths has the class of requests to exact paths, for clients whose paths do not
-	// begin with their class.
+	// Paths maps exact paths to classes, for clients whose paths do not begin with the
+	// class.
 	Paths map[string]string `toml:"paths"`
-	// Radius takes counter terminals.
+	// Radius configures the RADIUS front for counter terminals.
 	Radius Radius `toml:"radius"`
-	// Bodies keeps request bodies for another attempt.
+	// Bodies configures the buffering of request bodies for further attempts.
 	Bodies Bodies `toml:"bodies"`
-	// Log says what is logged beside the usual.
+	// Log enables additional log output.
 	Log Log `toml:"log"`
-	// Admin is the operators' socket.
+	// Admin configures the socket for operators' commands.
 	Admin Admin `toml:"admin"`
-	// Config takes changes of the configuration while the daemon runs.
+	// Config configures changes of the configuration at run time.
 	Config Config `toml:"config"`
-	// Weights are a plan's, of the platform's servers.
+	// Weights configures weights of the platform's servers that come from a plan.
 	Weights Weights `toml:"weights"`
-	// Level is reduced service.
+	// Level configures the levels of reduced service.
 	Level Level `toml:"level"`
-	// Duty is shared probing.
+	// Duty configures probing that is shared among sidecars.
 	Duty Duty `toml:"duty"`
-	// Zones is leaving zones that fail.
+	// Zones configures the evacuation of failing zones.
 	Zones Zones `toml:"zones"`
-	// Listeners are further addresses for clients.
+	// Listeners are additional addresses at which clients may connect.
 	Listeners []Listener `toml:"listeners"`
-	// Pools are further servers, Routes say which requests go to which of them.
+	// Pools are additional groups of servers; Routes assign requests to them.
 	Pools  []Pool  `toml:"pools"`
 	Routes []Route `toml:"routes"`
 
 	name  string
-	lines index
+	lines lineIndex
 }
 
 // Answers is the section [answers].
 type Answers struct {
-	// PassClientErrors passes answers of 4xx (but for 408 and 429) on as they came.
-	// Otherwise all but 200 are failed attempts, as on the operators' platform.
+	// PassClientErrors passes 4xx responses other than 408 and 429 on to the client.
+	// Otherwise every response but 200 is a failed attempt, as on the operators' platform.
 	PassClientErrors bool `toml:"pass_client_errors"`
 }
 
 // Log is the section [log].
 type Log struct {
-	// Traces writes a line for each call that was not served within its aim, with all
-	// that was known, as JSON to standard error.
+	// Traces writes the trace of each call that was not served within its aim to standard
+	// error, as one line of JSON.
 	Traces bool `toml:"stories"`
 }
 
-// Default is a file that says nothing.
+// Default returns the settings of an empty file.
 func Default() *File {
-	return &File{Version: Version, Radius: radiusDefault(), Bodies: bodiesDefault(), Config: configDefault(), Weights: weightsDefault(), Duty: dutyDefault(), Zones: zonesDefault()}
+	return &File{Version: Version, Radius: defaultRadius(), Bodies: defaultBodies(), Config: defaultConfig(), Weights: defaultWeights(), Duty: defaultDuty(), Zones: defaultZones()}
 }
 
-// Problem is one complaint about a file.
+// Problem is one error in a file.
 type Problem struct {
 	File  string
-	Line  int    // from 1; 0: of the file as a whole
-	Field string // with dots between its parts; empty where the text is no TOML
+	Line  int    // counted from 1; 0: the problem concerns the whole file
+	Field string // path with dots between its parts; empty if the text is not valid TOML
 	Text  string
 }
 
-// Error implements error: one line that names file, line and field.
+// Error implements error. It returns one line that names file, line and field.
 func (p *Problem) Error() string {
 	at := p.File
 	if p.Line > 0 {
@@ -91,13 +92,13 @@
 	return at + ": " + oneLine(p.Text)
 }
 
-// oneLine guards a log that has a complaint a line.
+// oneLine replaces line breaks, so that a problem takes one line of a log.
 func oneLine(text string) string { return strings.Join(strings.Fields(text), " ") }
 
-// Problems is all that is wrong with a file, in the order of its lines.
+// Problems are all errors in a file, in the order of their lines.
 type Problems []*Problem
 
-// Error implements error: the first complaint, and how many more there are.
+// Error implements error. It returns the first problem and the number of the others.
 func (p Problems) Error() string {
 	if len(p) == 1 {
 		return p[0].Error()
@@ -105,7 +106,8 @@
 	return fmt.Sprintf("%v (and %d more: fawnctl check %s)", p[0], len(p)-1, p[0].File)
 }
 
-// Read reads a file. An error is Problems, or says that the file can't be read.
+// Read reads and parses a file. The error is a Problems, or the cause if the file can't be
+// read.
 func Read(path string) (*File, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -114,12 +116,12 @@
 	return Parse(path, data)
 }
 
-// Parse reads the text of a file. An error is Problems.
+// Parse parses the text of a file; name appears in errors. The error is a Problems.
 func Parse(name string, data []byte) (*File, error) {
 	f := Default()
 	f.name = name
-	if len(data) > fileMost {
-		return nil, Problems{{File: name, Text: fmt.Sprintf("over %d bytes long", fileMost)}}
+	if len(data) > maxFileBytes {
+		return nil, Problems{{File: name, Text: fmt.Sprintf("over %d bytes long", maxFileBytes)}}
 	}
 	if !utf8.Valid(data) {
 		return nil, Problems{{File: name, Text: "no UTF-8"}}
@@ -127,22 +129,22 @@
 	if bad := f.decode(data); len(bad) > 0 {
 		return nil, bad
 	}
-	f.poolDefaults()
+	f.setPoolDefaults()
 	c := &checker{file: f}
 	f.check(c)
-	if len(c.bad) > 0 {
-		c.bad.sort()
-		return nil, c.bad
+	if len(c.problems) > 0 {
+		c.problems.sort()
+		return nil, c.problems
 	}
 	return f, nil
 }
 
-// check says which values are out of range.
+// check reports values that are out of range.
 func (f *File) check(c *checker) {
-	c.need(f.Version == Version, "version", "must be %d, not %d", Version, f.Version)
-	for _, path := range sorted(f.Paths) {
-		c.need(strings.HasPrefix(path, "/"), "paths."+path, "the path must begin with '/'")
-		c.need(f.Paths[path] != "", "paths."+path, "names no class")
+	c.require(f.Version == Version, "version", "must be %d, not %d", Version, f.Version)
+	for _, path := range sortedKeys(f.Paths) {
+		c.require(strings.HasPrefix(path, "/"), "paths."+path, "the path must begin with '/'")
+		c.require(f.Paths[path] != "", "paths."+path, "names no class")
 	}
 	f.Radius.check(c)
 	f.Bodies.check(c)
@@ -152,29 +154,32 @@
 	f.Duty.check(c)
 	f.Zones.check(c, f)
 	f.checkRoutes(c)
-	c.need(f.Admin.Socket == "" || len(f.Admin.Socket) <= socketMost, "admin.socket", "must be %d bytes long at most", socketMost)
+	c.require(f.Admin.Socket == "" || len(f.Admin.Socket) <= maxSocketPathBytes, "admin.socket", "must be %d bytes long at most", maxSocketPathBytes)
 }
 
-// socketMost is the longest path of a Unix socket (unix(7)), less what its making adds.
-const socketMost = 90
+// maxSocketPathBytes limits the path of a Unix socket: the limit in unix(7), less the suffix
+// that is added while the socket is created.
+const maxSocketPathBytes = 90
 
-// CheckClasses says which classes are named that the platform's settings do not have.
+// CheckClasses reports classes that the file names and the platform's settings do not have;
+// known reports whether a class exists. The error is a Problems.
 func (f *File) CheckClasses(known func(name string) bool) error {
 	c := &checker{file: f}
-	for _, path := range sorted(f.Paths) {
-		c.need(known(f.Paths[path]), "paths."+path, "there is no class %q", f.Paths[path])
+	for _, path := range sortedKeys(f.Paths) {
+		c.require(known(f.Paths[path]), "paths."+path, "there is no class %q", f.Paths[path])
 	}
 	for n, r := range f.Routes {
-		c.need(r.Class == "" || known(r.Class), fmt.Sprintf("routes[%d].class", n), "there is no class %q", r.Class)
+		c.require(r.Class == "" || known(r.Class), fmt.Sprintf("routes[%d].class", n), "there is no class %q", r.Class)
 	}
-	for _, name := range sorted(f.Bodies.Shares) {
-		c.need(known(name), "bodies.shares."+name, "there is no class %q", name)
+	for _, name := range sortedKeys(f.Bodies.Shares) {
+		c.require(known(name), "bodies.shares."+name, "there is no class %q", name)
 	}
-	return c.all()
+	return c.err()
 }
 
-// CheckPlatform holds the file against the platform's limits. inMemory says that the
-// folder of bodies lies in memory.
+// CheckPlatform checks the file against the platform's limits on memory and sockets.
+// inMemory reports that the folder for bodies is on a memory-backed file system. The error
+// is a Problems.
 func (f *File) CheckPlatform(memoryMB, sockets int, inMemory bool) error {
 	c := &checker{file: f}
 	f.Bodies.checkPlatform(c, memoryMB, sockets, inMemory)
@@ -182,6 +187,6 @@
 	for _, p := range f.Pools {
 		conns += p.MaxConnections
 	}
-	c.need(conns <= sockets/2, "pools", "max_connections add up to %d, over half of the platform's %d sockets", conns, sockets)
-	return c.all()
+	c.require(conns <= sockets/2, "pools", "max_connections add up to %d, over half of the platform's %d sockets", conns, sockets)
+	return c.err()
 }
--- a/internal/features/features_test.go
+++ b/internal/features/features_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// Each complaint is one line that names file, line and field.
-func TestProblems(t *testing.T) {
+// Every problem is reported in one line that names file, line and field.
+func TestProblemNamesFileLineAndField(t *testing.T) {
 	for _, c := range []struct{ name, text, want string }{
 		{"no TOML", "version = 1\n[answers\n", "f.toml:2: "},
 		{"no value", "version =\n", "f.toml:1: "},
@@ -24,24 +24,24 @@
 		{"no class", "[paths]\n\"/x\" = \"\"\n", "f.toml:2: paths./x: names no class"},
 		{"twice", "version = 1\nversion = 1\n", "f.toml:2: "},
 		{"no text", "version = 1 # \xff\n", "f.toml: no UTF-8"},
-		{"long", strings.Repeat("#", fileMost+1), "f.toml: over "},
+		{"long", strings.Repeat("#", maxFileBytes+1), "f.toml: over "},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			_, err := Parse("f.toml", []byte(c.text))
 			if err == nil || !strings.HasPrefix(err.Error(), c.want) || strings.Contains(err.Error(), "\n") {
-				t.Errorf("%v, want %q", err, c.want)
+				t.Errorf("Parse = %v, want an error with prefix %q", err, c.want)
 			}
 		})
 	}
 	_, err := Parse("f.toml", []byte("[paths]\nx = \"\"\n[answers]\n"))
 	if bad, ok := err.(Problems); !ok || len(bad) != 2 || !strings.Contains(err.Error(), "1 more") {
-		t.Errorf("not all of them: %v", err)
+		t.Errorf("Parse = %v, want two problems", err)
 	}
 }
 
-// Each field of [radius] that can't be used is named, with its line, and no complaint
-// shows a secret.
-func TestRadius(t *testing.T) {
+// Every error about [radius] names the field and its line, and no error or dump contains
+// a secret.
+func TestRadiusErrorNamesFieldAndHidesSecrets(t *testing.T) {
 	good := `[radius]
 enabled = true
 auth = "127.0.0.1:1812"
@@ -67,7 +67,7 @@
 		t.Fatal(err)
 	}
 	if text := fmt.Sprintf("%v %+v %#v %v", f.Radius, f.Radius, f.Radius, f.Radius.Clients); strings.Contains(text, "hush") {
-		t.Errorf("a secret shows: %s", text)
+		t.Errorf("formatted settings contain a secret: %s", text)
 	}
 	for _, c := range []struct{ old, new, want string }{
 		{`auth = "127.0.0.1:1812"`, `auth = "here"`, "f.toml:3: radius.auth: "},
@@ -96,12 +96,13 @@
 		text := strings.Replace(good, c.old, c.new, 1)
 		_, err := Parse("f.toml", []byte(text))
 		if err == nil || !strings.Contains(err.Error(), c.want) || strings.Contains(err.Error(), "hush") || strings.Contains(err.Error(), "77001") {
-			t.Errorf("%q: %v, want %q", c.new, err, c.want)
+			t.Errorf("Parse with %q = %v, want an error with %q and no secret", c.new, err, c.want)
 		}
 	}
 }
 
-func TestClasses(t *testing.T) {
+// A path with an unknown class is reported with its line.
+func TestUnknownClassIsReported(t *testing.T) {
 	f, err := Parse("f.toml", []byte("[paths]\n\"/x\" = \"a\"\n\"/y\" = \"nowhere\"\n"))
 	if err != nil {
 		t.Fatal(err)
@@ -115,15 +116,16 @@
 	}
 }
 
-// What the project ships is good and changes nothing, also with its examples taken in.
-func TestShipped(t *testing.T) {
+// The shipped file is valid and enables nothing, and it is still valid with its commented-out
+// examples enabled.
+func TestShippedFileIsValid(t *testing.T) {
 	path := filepath.Join("..", "..", "deploy", "features.toml")
 	f, err := Read(path)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if len(f.Paths) > 0 || f.Answers != (Answers{}) || f.Radius.Enabled {
-		t.Errorf("something is on: %+v", f)
+		t.Errorf("the shipped file enables a feature: %+v", f)
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -137,10 +139,10 @@
 		all = append(all, line)
 	}
 	if f, err = Parse("examples", []byte(strings.Join(all, ""))); err != nil || len(f.Paths) == 0 || !f.Radius.Enabled {
-		t.Errorf("its examples: %v, %+v", err, f)
+		t.Errorf("Parse of the shipped examples = %v, %+v", err, f)
 	}
 	if _, err := Read(filepath.Join(t.TempDir(), "none")); err == nil {
-		t.Error("a file that is not there")
+		t.Error("Read of a missing file succeeded")
 	}
 }
 
@@ -156,7 +158,7 @@
 		}
 		for _, p := range err.(Problems) {
 			if strings.Contains(p.Error(), "\n") || p.Line < 0 || p.Line > strings.Count(text, "\n")+1 {
-				t.Errorf("of %q: %q in line %d", text, p.Error(), p.Line)
+				t.Errorf("Parse(%q) reports %q in line %d", text, p.Error(), p.Line)
 			}
 		}
 	})
--- a/internal/features/level.go
+++ b/internal/features/level.go
@@ -4,8 +4,8 @@
 	"chalkrack/internal/duration"
 )
 
-// Level is the section [level]: reduced service. What is left out is as package level has
-// it for the platform's classes.
+// Level is the section [level]: the levels of reduced service. Package level has the
+// defaults, which depend on the platform's classes.
 type Level struct {
 	Enabled    bool              `toml:"enabled"`
 	EnterAfter duration.Duration `toml:"enter_after"`
@@ -20,8 +20,9 @@
 	Emergency  LevelAt           `toml:"emergency"`
 }
 
-// LevelAt is what one level does and when, as far as it differs: by class, and by sensor
-// (late, full, held, lost, memory, sockets, lag); 0 takes a sensor out.
+// LevelAt overrides what one level does and when it applies. Cut is by class; Enter and
+// Leave are by sensor (late, full, held, lost, memory, sockets, lag), and 0 disables a
+// sensor.
 type LevelAt struct {
 	Cut        map[string]float64 `toml:"cut"`
 	RetryWorth *float64           `toml:"retry_worth"`
@@ -31,27 +32,27 @@
 	Leave      map[string]float64 `toml:"leave"`
 }
 
-// levelWords are the sensors by name.
-var levelWords = map[string]bool{"late": true, "full": true, "held": true, "lost": true, "memory": true, "sockets": true, "lag": true}
+// levelSensors are the names of the sensors.
+var levelSensors = map[string]bool{"late": true, "full": true, "held": true, "lost": true, "memory": true, "sockets": true, "lag": true}
 
 func (l *Level) levels() map[string]*LevelAt {
 	return map[string]*LevelAt{"saving": &l.Saving, "trimmed": &l.Trimmed, "essential": &l.Essential, "emergency": &l.Emergency}
 }
 
 func (l *Level) check(c *checker) {
-	c.need(l.EnterAfter >= 0 && l.LeaveAfter >= 0 && l.Proof >= 0, "level.enter_after", ", leave_after and proof must be 0 or more")
-	c.need(l.Slope == 0 || l.Slope > 1 && l.Slope <= 4, "level.slope", "must be above 1, 4 at most")
-	c.need(l.Doublings >= 0 && l.Doublings <= 10, "level.doublings", "must be within 0 and 10")
-	c.need(l.Evidence >= 0, "level.evidence", "must be 0 or more")
+	c.require(l.EnterAfter >= 0 && l.LeaveAfter >= 0 && l.Proof >= 0, "level.enter_after", ", leave_after and proof must be 0 or more")
+	c.require(l.Slope == 0 || l.Slope > 1 && l.Slope <= 4, "level.slope", "must be above 1, 4 at most")
+	c.require(l.Doublings >= 0 && l.Doublings <= 10, "level.doublings", "must be within 0 and 10")
+	c.require(l.Evidence >= 0, "level.evidence", "must be 0 or more")
 	for name, at := range l.levels() {
 		for field, all := range map[string]map[string]float64{"enter.": at.Enter, "leave.": at.Leave} {
 			for s, x := range all {
-				c.need(levelWords[s], "level."+name+"."+field+s, "there is no such sensor")
-				c.need(x >= 0, "level."+name+"."+field+s, "must be 0 or more")
+				c.require(levelSensors[s], "level."+name+"."+field+s, "there is no such sensor")
+				c.require(x >= 0, "level."+name+"."+field+s, "must be 0 or more")
 			}
 		}
 		for class, x := range at.Cut {
-			c.need(x >= 0 && x <= 1, "level."+name+".cut."+class, "must be within 0 and 1")
+			c.require(x >= 0 && x <= 1, "level."+name+".cut."+class, "must be within 0 and 1")
 		}
 	}
 }
--- a/internal/features/radius.go
+++ b/internal/features/radius.go
@@ -11,7 +11,7 @@
 	"chalkrack/internal/duration"
 )
 
-// Secret is a text that shows nowhere: not in logs, errors or dumps.
+// Secret is a text that is never printed in logs, errors or dumps.
 type Secret string
 
 // String implements fmt.Stringer.
@@ -20,19 +20,19 @@
 // GoString implements fmt.GoStringer.
 func (Secret) GoString() string { return "(secret)" }
 
-// Radius is the section [radius]: counter terminals that check identities over RADIUS.
-// It does nothing unless Enabled.
+// Radius is the section [radius]: the front for counter terminals that check identities
+// over RADIUS. It has no effect unless Enabled is set.
 type Radius struct {
 	Enabled bool `toml:"enabled"`
-	// Auth and Acct are the addresses on which access and accounting are taken; empty:
-	// not at all.
+	// Auth and Acct are the addresses at which access and accounting requests are
+	// received; if empty, they are not.
 	Auth string `toml:"auth"`
 	Acct string `toml:"acct"`
 
 	Clients []RadiusClient `toml:"clients"`
 	Servers []RadiusServer `toml:"servers"`
-	// AuthDiscovery and AcctDiscovery name servers in place of the list, for all realms;
-	// all of these have DiscoverySecret.
+	// AuthDiscovery and AcctDiscovery are addresses of discoveries that replace Servers.
+	// Their servers serve all realms and share DiscoverySecret.
 	AuthDiscovery       string `toml:"auth_discovery"`
 	AcctDiscovery       string `toml:"acct_discovery"`
 	DiscoverySecret     Secret `toml:"discovery_secret"`
@@ -41,29 +41,29 @@
 	Access     RadiusClass `toml:"access"`
 	Accounting RadiusClass `toml:"accounting"`
 
-	Attempts        int               `toml:"attempts"` // servers tried for one call, 1 to 5
-	Sockets         int               `toml:"sockets"`  // of each server, 256 attempts each
+	Attempts        int               `toml:"attempts"` // maximum number of servers tried for one call, 1 to 5
+	Sockets         int               `toml:"sockets"`  // per server; each carries up to 256 attempts
 	UnsignedAnswers bool              `toml:"unsigned_answers"`
-	Rest            duration.Duration `toml:"rest"` // how long a late answer may come
+	Rest            duration.Duration `toml:"rest"` // how long a late answer is still accepted
 
 	RememberFor       duration.Duration `toml:"remember_for"`
 	RememberBytes     int               `toml:"remember_bytes"`
-	RememberBytesEach int               `toml:"remember_bytes_each"` // of one client address
-	// RememberFile keeps what is remembered of accounting over a restart by SIGTERM;
-	// empty: it is forgotten.
+	RememberBytesEach int               `toml:"remember_bytes_each"` // limit per client address
+	// RememberFile keeps the remembered accounting answers across a restart by SIGTERM;
+	// if empty, they are lost.
 	RememberFile    string            `toml:"remember_file"`
-	CallsEach       int               `toml:"calls_each"` // under way, of one client address
+	CallsEach       int               `toml:"calls_each"` // concurrent calls per client address
 	Conversations   int               `toml:"conversations"`
 	ConversationFor duration.Duration `toml:"conversation_for"`
 
-	OnGiveUp   string `toml:"on_give_up"` // reject or silent, for access
+	OnGiveUp   string `toml:"on_give_up"` // reject or silent, for access requests
 	ErrorCause int    `toml:"error_cause"`
 
-	ProbeEvery  duration.Duration `toml:"probe_every"` // Status-Server to each server; 0: never
+	ProbeEvery  duration.Duration `toml:"probe_every"` // interval of Status-Server probes to each server; 0: none
 	ProbeMisses int               `toml:"probe_misses"`
 }
 
-// RadiusClient is [[radius.clients]].
+// RadiusClient is an entry of [[radius.clients]].
 type RadiusClient struct {
 	Name       string `toml:"name"`
 	Range      string `toml:"range"`
@@ -72,7 +72,7 @@
 	Unsigned   bool   `toml:"unsigned"`
 }
 
-// RadiusServer is [[radius.servers]].
+// RadiusServer is an entry of [[radius.servers]].
 type RadiusServer struct {
 	Name       string   `toml:"name"`
 	Auth       string   `toml:"auth"`
@@ -80,60 +80,60 @@
 	Zone       string   `toml:"zone"`
 	Secret     Secret   `toml:"secret"`
 	SecretFile string   `toml:"secret_file"`
-	Realms     []string `toml:"realms"` // that it serves; none: all that no server names
+	Realms     []string `toml:"realms"` // realms it serves; none: all realms that no server names
 }
 
-// RadiusClass is [radius.access] and [radius.accounting].
+// RadiusClass is the section [radius.access] or [radius.accounting].
 type RadiusClass struct {
 	Aim      duration.Duration `toml:"aim"`
 	Deadline duration.Duration `toml:"deadline"`
-	Patience duration.Duration `toml:"patience"` // of one attempt
-	Resend   duration.Duration `toml:"resend"`   // the same packet to the same server again, first after so long
+	Patience duration.Duration `toml:"patience"` // timeout of one attempt
+	Resend   duration.Duration `toml:"resend"`   // delay before the packet is first sent again to the same server
 	Resends  int               `toml:"resends"`
-	Effect   string            `toml:"effect"` // safe: another server may be asked when one says nothing; once: not
+	Effect   string            `toml:"effect"` // safe: another server may be tried if one does not answer; once: it may not
 	Worth    float64           `toml:"worth"`
 }
 
-// radiusDefault is what the section has where it says nothing.
-func radiusDefault() Radius {
+// defaultRadius returns the defaults of the section.
+func defaultRadius() Radius {
 	return Radius{
-		Access:     RadiusClass{Aim: s(2), Deadline: s(4), Patience: s(1), Resend: duration.Duration(300 * time.Millisecond), Resends: 1, Effect: "safe", Worth: 1},
-		Accounting: RadiusClass{Aim: s(5), Deadline: s(20), Patience: s(19), Resend: duration.Duration(500 * time.Millisecond), Resends: 8, Effect: "once", Worth: 1},
-		Attempts:   3, Sockets: 4, Rest: s(10),
-		RememberFor: s(30), RememberBytes: 8 << 20, RememberBytesEach: 1 << 20, CallsEach: 256,
-		Conversations: 4096, ConversationFor: s(120), OnGiveUp: "reject", ErrorCause: 502, ProbeMisses: 3,
+		Access:     RadiusClass{Aim: seconds(2), Deadline: seconds(4), Patience: seconds(1), Resend: duration.Duration(300 * time.Millisecond), Resends: 1, Effect: "safe", Worth: 1},
+		Accounting: RadiusClass{Aim: seconds(5), Deadline: seconds(20), Patience: seconds(19), Resend: duration.Duration(500 * time.Millisecond), Resends: 8, Effect: "once", Worth: 1},
+		Attempts:   3, Sockets: 4, Rest: seconds(10),
+		RememberFor: seconds(30), RememberBytes: 8 << 20, RememberBytesEach: 1 << 20, CallsEach: 256,
+		Conversations: 4096, ConversationFor: seconds(120), OnGiveUp: "reject", ErrorCause: 502, ProbeMisses: 3,
 	}
 }
 
-func s(n int) duration.Duration { return duration.Duration(time.Duration(n) * time.Second) }
+func seconds(n int) duration.Duration { return duration.Duration(time.Duration(n) * time.Second) }
 
 const (
-	radiusServersMost = 256
-	radiusClientsMost = 1024
+	maxRadiusServers = 256
+	maxRadiusClients = 1024
 )
 
 func (r *Radius) check(c *checker) {
-	at := func(field string) string { return "radius." + field }
-	address := func(field, addr string) {
+	fieldName := func(field string) string { return "radius." + field }
+	requireAddress := func(field, addr string) {
 		_, err := netip.ParseAddrPort(addr)
-		c.need(err == nil, field, "must be an IP address with a port, not %q", addr)
+		c.require(err == nil, field, "must be an IP address with a port, not %q", addr)
 	}
-	within := func(field string, d duration.Duration, least, most time.Duration) {
-		c.need(time.Duration(d) >= least && time.Duration(d) <= most, field, "must be within %v and %v, not %v", least, most, time.Duration(d))
+	requireDuration := func(field string, d duration.Duration, lower, upper time.Duration) {
+		c.require(time.Duration(d) >= lower && time.Duration(d) <= upper, field, "must be within %v and %v, not %v", lower, upper, time.Duration(d))
 	}
-	between := func(field string, n, least, most int) {
-		c.need(n >= least && n <= most, field, "must be within %d and %d, not %d", least, most, n)
+	requireInt := func(field string, n, lower, upper int) {
+		c.require(n >= lower && n <= upper, field, "must be within %d and %d, not %d", lower, upper, n)
 	}
 	if r.Auth != "" {
-		address(at("auth"), r.Auth)
+		requireAddress(fieldName("auth"), r.Auth)
 	}
 	if r.Acct != "" {
-		address(at("acct"), r.Acct)
+		requireAddress(fieldName("acct"), r.Acct)
 	}
-	c.need(!r.Enabled || r.Auth != "" || r.Acct != "", at("enabled"), "neither radius.auth nor radius.acct is set")
-	c.need(!r.Enabled || len(r.Clients) > 0, at("clients"), "there is none")
-	c.need(len(r.Clients) <= radiusClientsMost, at("clients"), "%d at most", radiusClientsMost)
-	c.need(len(r.Servers) <= radiusServersMost, at("servers"), "%d at most", radiusServersMost)
+	c.require(!r.Enabled || r.Auth != "" || r.Acct != "", fieldName("enabled"), "neither radius.auth nor radius.acct is set")
+	c.require(!r.Enabled || len(r.Clients) > 0, fieldName("clients"), "there is none")
+	c.require(len(r.Clients) <= maxRadiusClients, fieldName("clients"), "%d at most", maxRadiusClients)
+	c.require(len(r.Servers) <= maxRadiusServers, fieldName("servers"), "%d at most", maxRadiusServers)
 	ranges := make(map[netip.Prefix]bool)
 	for n := range r.Clients {
 		k := &r.Clients[n]
@@ -144,88 +144,90 @@
 				p, err = netip.PrefixFrom(a, a.BitLen()), nil
 			}
 		}
-		c.need(err == nil, name+"range", "must be an address or a range (10.0.0.0/8), not %q", k.Range)
-		c.need(err != nil || !ranges[p.Masked()], name+"range", "is there twice")
+		c.require(err == nil, name+"range", "must be an address or a range (10.0.0.0/8), not %q", k.Range)
+		c.require(err != nil || !ranges[p.Masked()], name+"range", "is there twice")
 		ranges[p.Masked()] = true
-		k.Secret = c.secret(name, "secret", k.Secret, k.SecretFile, r.Enabled)
+		k.Secret = c.loadSecret(name, "secret", k.Secret, k.SecretFile, r.Enabled)
 	}
 	names := make(map[string]bool)
 	anyAuth, anyAcct := r.AuthDiscovery != "", r.AcctDiscovery != ""
 	for n := range r.Servers {
 		k := &r.Servers[n]
 		name := fmt.Sprintf("radius.servers[%d].", n)
-		c.need(k.Name != "" && !names[k.Name], name+"name", "must be set and the only one of its kind")
+		c.require(k.Name != "" && !names[k.Name], name+"name", "must be set and the only one of its kind")
 		names[k.Name] = true
-		c.need(k.Auth != "" || k.Acct != "", name+"auth", "neither auth nor acct is set")
+		c.require(k.Auth != "" || k.Acct != "", name+"auth", "neither auth nor acct is set")
 		if k.Auth != "" {
-			address(name+"auth", k.Auth)
+			requireAddress(name+"auth", k.Auth)
 			anyAuth = true
 		}
 		if k.Acct != "" {
-			address(name+"acct", k.Acct)
+			requireAddress(name+"acct", k.Acct)
 			anyAcct = true
 		}
-		k.Secret = c.secret(name, "secret", k.Secret, k.SecretFile, r.Enabled)
+		k.Secret = c.loadSecret(name, "secret", k.Secret, k.SecretFile, r.Enabled)
 	}
-	c.need(!r.Enabled || r.Auth == "" || anyAuth, at("servers"), "none takes access, which radius.auth brings")
-	c.need(!r.Enabled || r.Acct == "" || anyAcct, at("servers"), "none takes accounting, which radius.acct brings")
+	c.require(!r.Enabled || r.Auth == "" || anyAuth, fieldName("servers"), "none takes access, which radius.auth brings")
+	c.require(!r.Enabled || r.Acct == "" || anyAcct, fieldName("servers"), "none takes accounting, which radius.acct brings")
 	for field, addr := range map[string]string{"auth_discovery": r.AuthDiscovery, "acct_discovery": r.AcctDiscovery} {
 		if addr != "" {
-			address(at(field), addr)
+			requireAddress(fieldName(field), addr)
 		}
 	}
 	if r.AuthDiscovery != "" || r.AcctDiscovery != "" {
-		c.need(len(r.Servers) == 0, at("servers"), "stands beside a discovery")
-		c.need(r.ProbeEvery == 0, at("probe_every"), "stands beside a discovery, which tells who is there")
-		r.DiscoverySecret = c.secret("radius.", "discovery_secret", r.DiscoverySecret, r.DiscoverySecretFile, r.Enabled)
+		c.require(len(r.Servers) == 0, fieldName("servers"), "stands beside a discovery")
+		c.require(r.ProbeEvery == 0, fieldName("probe_every"), "stands beside a discovery, which tells who is there")
+		r.DiscoverySecret = c.loadSecret("radius.", "discovery_secret", r.DiscoverySecret, r.DiscoverySecretFile, r.Enabled)
 	}
 	for name, k := range map[string]*RadiusClass{"radius.access.": &r.Access, "radius.accounting.": &r.Accounting} {
-		within(name+"deadline", k.Deadline, 100*time.Millisecond, 2*time.Minute)
-		within(name+"aim", k.Aim, time.Millisecond, time.Duration(k.Deadline))
-		within(name+"patience", k.Patience, 10*time.Millisecond, time.Duration(k.Deadline))
-		within(name+"resend", k.Resend, 10*time.Millisecond, time.Minute)
-		between(name+"resends", k.Resends, 0, 10)
-		c.need(k.Effect == "safe" || k.Effect == "once", name+"effect", "must be safe or once, not %q", k.Effect)
-		c.need(k.Worth >= 0 && k.Worth < 1e6, name+"worth", "must be 0 or more")
+		requireDuration(name+"deadline", k.Deadline, 100*time.Millisecond, 2*time.Minute)
+		requireDuration(name+"aim", k.Aim, time.Millisecond, time.Duration(k.Deadline))
+		requireDuration(name+"patience", k.Patience, 10*time.Millisecond, time.Duration(k.Deadline))
+		requireDuration(name+"resend", k.Resend, 10*time.Millisecond, time.Minute)
+		requireInt(name+"resends", k.Resends, 0, 10)
+		c.require(k.Effect == "safe" || k.Effect == "once", name+"effect", "must be safe or once, not %q", k.Effect)
+		c.require(k.Worth >= 0 && k.Worth < 1e6, name+"worth", "must be 0 or more")
 	}
-	// Another server counts what the first may have counted: no setting may allow that.
-	c.need(r.Accounting.Effect != "safe", "radius.accounting.effect", "must be once: an event would be counted twice")
-	between(at("attempts"), r.Attempts, 1, 5)
-	between(at("sockets"), r.Sockets, 1, 64)
-	within(at("rest"), r.Rest, time.Second, 5*time.Minute)
-	within(at("remember_for"), r.RememberFor, time.Second, 10*time.Minute)
-	between(at("remember_bytes"), r.RememberBytes, 1<<16, 1<<30)
-	between(at("remember_bytes_each"), r.RememberBytesEach, 1<<14, max(1<<14, r.RememberBytes))
-	if r.Enabled && r.RememberFile != "" { // its end would be too late to notice
+	// A second server could count an event that the first has already counted, so no
+	// setting may allow an attempt at another server.
+	c.require(r.Accounting.Effect != "safe", "radius.accounting.effect", "must be once: an event would be counted twice")
+	requireInt(fieldName("attempts"), r.Attempts, 1, 5)
+	requireInt(fieldName("sockets"), r.Sockets, 1, 64)
+	requireDuration(fieldName("rest"), r.Rest, time.Second, 5*time.Minute)
+	requireDuration(fieldName("remember_for"), r.RememberFor, time.Second, 10*time.Minute)
+	requireInt(fieldName("remember_bytes"), r.RememberBytes, 1<<16, 1<<30)
+	requireInt(fieldName("remember_bytes_each"), r.RememberBytesEach, 1<<14, max(1<<14, r.RememberBytes))
+	if r.Enabled && r.RememberFile != "" { // report a missing folder at startup; the file is only written at shutdown
 		info, err := os.Stat(filepath.Dir(r.RememberFile))
-		c.need(err == nil && info.IsDir(), at("remember_file"), "its folder is not there")
+		c.require(err == nil && info.IsDir(), fieldName("remember_file"), "its folder is not there")
 	}
-	between(at("calls_each"), r.CallsEach, 1, 1<<16)
-	between(at("conversations"), r.Conversations, 1, 1<<20)
-	within(at("conversation_for"), r.ConversationFor, time.Second, time.Hour)
-	c.need(r.OnGiveUp == "reject" || r.OnGiveUp == "silent", at("on_give_up"), "must be reject or silent, not %q", r.OnGiveUp)
-	between(at("error_cause"), r.ErrorCause, 0, 599)
-	c.need(r.ProbeEvery == 0 || time.Duration(r.ProbeEvery) >= 100*time.Millisecond && time.Duration(r.ProbeEvery) <= time.Hour, at("probe_every"), "must be 0 or within 100ms and 1h")
-	between(at("probe_misses"), r.ProbeMisses, 1, 100)
+	requireInt(fieldName("calls_each"), r.CallsEach, 1, 1<<16)
+	requireInt(fieldName("conversations"), r.Conversations, 1, 1<<20)
+	requireDuration(fieldName("conversation_for"), r.ConversationFor, time.Second, time.Hour)
+	c.require(r.OnGiveUp == "reject" || r.OnGiveUp == "silent", fieldName("on_give_up"), "must be reject or silent, not %q", r.OnGiveUp)
+	requireInt(fieldName("error_cause"), r.ErrorCause, 0, 599)
+	c.require(r.ProbeEvery == 0 || time.Duration(r.ProbeEvery) >= 100*time.Millisecond && time.Duration(r.ProbeEvery) <= time.Hour, fieldName("probe_every"), "must be 0 or within 100ms and 1h")
+	requireInt(fieldName("probe_misses"), r.ProbeMisses, 1, 100)
 }
 
-// secretMost bounds a file with a secret.
-const secretMost = 4 << 10
+// maxSecretFileBytes limits the size of a file with a secret.
+const maxSecretFileBytes = 4 << 10
 
-// secret is the one that stands in the file, or in a file of its own.
-func (c *checker) secret(at, field string, given Secret, path string, read bool) Secret {
-	c.need(given == "" || path == "", at+field, "and %s_file are both set", field)
+// loadSecret returns the given secret, or the content of the file at path. The file is not
+// read unless enabled.
+func (c *checker) loadSecret(prefix, field string, secret Secret, path string, enabled bool) Secret {
+	c.require(secret == "" || path == "", prefix+field, "and %s_file are both set", field)
 	if path != "" {
-		if !read { // what is off must not stop a start
-			return given
+		if !enabled { // a disabled section must not prevent the start
+			return secret
 		}
 		text, err := os.ReadFile(path)
-		if err != nil || len(text) > secretMost {
-			c.need(false, at+field+"_file", "can't be read")
-			return given
+		if err != nil || len(text) > maxSecretFileBytes {
+			c.require(false, prefix+field+"_file", "can't be read")
+			return secret
 		}
-		given = Secret(strings.TrimRight(string(text), "\r\n"))
+		secret = Secret(strings.TrimRight(string(text), "\r\n"))
 	}
-	c.need(!read || given != "", at+field, "is not set")
-	return given
+	c.require(!enabled || secret != "", prefix+field, "is not set")
+	return secret
 }
--- a/internal/features/sections_test.go
+++ b/internal/features/sections_test.go
@@ -5,9 +5,9 @@
 	"testing"
 )
 
-// Each field of the sections on weights, levels, duties and queues that can't be used is
-// named, with its line.
-func TestSections(t *testing.T) {
+// Every error about [weights], [level], [duty] and the queues of [[pools]] names the field,
+// and the line where that is known.
+func TestSectionErrorNamesField(t *testing.T) {
 	for _, c := range []struct{ text, want string }{
 		{"[weights]\nfile = \"x\"\nkey = \"short\"\n", "f.toml:3: weights.key: "},
 		{"[weights]\nevery = \"1ms\"\n", "f.toml:2: weights.every: "},
@@ -27,7 +27,7 @@
 		{"[[pools]]\nname = \"p\"\nservers = [{ name = \"a\", address = \"10.0.0.1:1\" }]\nmax_active = 1\nqueue_wait = \"1s\"\n", "pools[0].queue_wait: "},
 	} {
 		if _, err := Parse("f.toml", []byte(c.text)); err == nil || !strings.Contains(err.Error(), c.want) {
-			t.Errorf("%q: %v, want %q", c.text, err, c.want)
+			t.Errorf("Parse(%q) = %v, want an error with %q", c.text, err, c.want)
 		}
 	}
 }
--- a/internal/features/zones_test.go
+++ b/internal/features/zones_test.go
@@ -5,15 +5,16 @@
 	"testing"
 )
 
-// [zones] is off where nothing is said, and refused with the field's name where it can't be.
-func TestZones(t *testing.T) {
+// [zones] is disabled by default, and an invalid section is rejected with the name of the
+// field and without the key.
+func TestZonesDefaultAndErrors(t *testing.T) {
 	f, err := Parse("f.toml", nil)
 	if err != nil || f.Zones.Enabled || f.Duty.Enabled {
-		t.Fatalf("on by default: %v, %+v", err, f)
+		t.Fatalf("Parse of an empty file = %v, %+v, want zones and duty disabled", err, f)
 	}
 	const duty = "[duty]\nenabled = true\nkey = \"hush\"\n"
 	if f, err = Parse("f.toml", []byte(duty+"[zones]\nenabled = true\n[zones.regions]\nwest = [\"a\", \"b\"]\n")); err != nil || !f.Zones.Enabled || len(f.Zones.Regions["west"]) != 2 {
-		t.Errorf("%v, %+v", err, f)
+		t.Errorf("Parse of a valid section = %v, %+v", err, f)
 	}
 	for text, want := range map[string]string{
 		"[zones]\nenabled = true\n":                                    "zones.enabled: needs duty.enabled",
@@ -26,7 +27,7 @@
 		"[zones]\ndwell = \"soon\"\n":                                  "zones.dwell",
 	} {
 		if _, err := Parse("f.toml", []byte(text)); err == nil || !strings.Contains(err.Error(), want) || strings.Contains(err.Error(), "hush") {
-			t.Errorf("%q: %v, want %q", text, err, want)
+			t.Errorf("Parse(%q) = %v, want an error with %q and no key", text, err, want)
 		}
 	}
 }
