--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,5 +1,5 @@
-// Package config is what a sidecar is told at its start: the platform's file, the operators'
-// own, and what is remembered of their changes.
+// Package config loads the configuration of a sidecar at its start: the platform's file,
+// the operators' own file, and the stored history of configuration changes.
 package config
 
 import (
@@ -22,63 +22,66 @@
 	"chalkrack/internal/spool"
 )
 
-// Config is what a sidecar is told at its start.
+// Config is the configuration that a sidecar is started with.
 type Config struct {
 	Features *features.File
-	Disk     spool.FS // where files of bodies are made; nil: the system's
-	// Managed is told where operators call, before the daemon serves; nil: nobody is.
+	Disk     spool.FS // file system for files of bodies; nil: the operating system's
+	// Managed, if not nil, is called with the address of the management listener before the
+	// daemon starts to serve.
 	Managed func(net.Addr)
 
 	Listen, Discovery string
 	Seed              uint64
 	Cores             float64
 	MemoryMB, Sockets int
-	Known             *membership.List // nil: none
+	Known             *membership.List // server list known at the start; nil: none
 	Settings          *settings.Settings
-	Asks              bool   // discovery must be asked
-	Platform          []byte // the file, as read
+	Asks              bool   // discovery sends the server list to subscribers only
+	Platform          []byte // the platform's file, as read
 	Own               []byte // the operators' file, as read; empty: none
 	Getenv            func(string) string
-	Management        string // where operators call; empty: nowhere
-	Inherited         int    // the descriptor of the clients' listening socket; 0: none
+	Management        string // address of the management listener; empty: none
+	Inherited         int    // descriptor of the inherited client listening socket; 0: none
 
-	// Of Recall:
-	Store   *history.Store // nil: not yet
-	Trial   bool           // what runs is on trial since before the start, with nothing beside it
-	Lasting bool           // the store outlives the process
+	// Set by Recall:
+	Store   *history.Store // nil: before Recall, or changes are disabled
+	Trial   bool           // the running configuration was on trial before the start, and none runs beside it
+	Lasting bool           // the store is persistent
 }
 
-// Generation is what calls live under by this configuration.
+// Generation returns the settings that apply to calls under this configuration.
 func (c *Config) Generation(id history.ID) *generation.Generation {
 	return &generation.Generation{ID: int(id), Settings: c.Settings, Paths: c.Features.Paths, PassClientErrors: c.Features.Answers.PassClientErrors}
 }
 
-// Document is the configuration as it was read, for a comparison with another.
+// Document returns the configuration as it was read, for comparison with another one.
 func (c *Config) Document() change.Document {
 	return change.Document{Platform: c.Platform, Features: c.Features}
 }
 
 const (
-	memoryLeast  = 32
-	socketsLeast = 32
-	most         = 1 << 20 // of each limit, in its unit: more is a slip
+	minMemoryMB = 32
+	minSockets  = 32
+	maxLimit    = 1 << 20 // of each limit, in its unit; a higher value is taken for a mistake
 )
 
-// checkAddress wants a host and the number of a port: there is no DNS, and a name
-// that is found nowhere would only show once it is used.
-func checkAddress(addr string, portLeast int) error {
+// checkAddress checks that addr has a host and a numeric port of at least minPort. Names
+// are not accepted as ports: there is no DNS, and a name that can't be resolved would only
+// be noticed when it is used.
+func checkAddress(addr string, minPort int) error {
 	host, port, err := net.SplitHostPort(addr)
 	if err != nil {
 		return err
 	}
-	if n, err := strconv.Atoi(port); err != nil || n < portLeast || n > 65535 || host == "" {
+	if n, err := strconv.Atoi(port); err != nil || n < minPort || n > 65535 || host == "" {
 		return fmt.Errorf("%q is no address with a port", addr)
 	}
 	return nil
 }
 
-// FileFirst hides the address of discovery in the environment, which is that of the
-// start: at a reload the file has the newer one.
+// FileFirst returns a getenv that hides BALANCER_DISCOVERY, so that the address of
+// discovery in the file takes precedence. At a reload the environment still has the
+// address from the start, and the file has the newer one.
 func FileFirst(getenv func(string) string) func(string) string {
 	return func(name string) string {
 		if name == "BALANCER_DISCOVERY" {
@@ -88,12 +91,12 @@
 	}
 }
 
-// FeaturesFile is where the operators' own settings stand, from the folder that the
-// sidecar is started in. FAWN_FEATURES names another file; that one must exist.
+// FeaturesFile is the default path of the operators' settings, relative to the working
+// directory. FAWN_FEATURES sets another path, and then the file must exist.
 const FeaturesFile = "deploy/features.toml"
 
 // Load reads the configuration from the environment and the files it names.
-// Errors name the field.
+// Errors name the invalid field.
 func Load(getenv func(string) string) (*Config, error) {
 	platform, own, name, err := ReadFiles(getenv)
 	if err != nil {
@@ -102,7 +105,8 @@
 	return Parse(platform, own, name, getenv)
 }
 
-// ReadFiles reads the two files. own is empty where the operators have none.
+// ReadFiles reads the platform's and the operators' file. own is nil if the operators
+// have no file; name is the path of that file.
 func ReadFiles(getenv func(string) string) (platform, own []byte, name string, err error) {
 	path := getenv("BALANCER_CONFIG")
 	if path == "" {
@@ -124,11 +128,12 @@
 	return platform, own, name, nil
 }
 
-// SettleWait is how long files must be the same to be read: guards against one that is
-// being replaced, half of which may be good TOML.
+// SettleWait is how long the files must be unchanged before they are used. It guards
+// against a file that is being written: its first half may be valid TOML.
 const SettleWait = 20 * time.Millisecond
 
-// ReadTwice reads the files until two readings agree, with a pause between.
+// ReadTwice reads the files until two consecutive reads return the same content, and calls
+// pause before each further read. It fails if the files still differ after 10 of them.
 func ReadTwice(getenv func(string) string, pause func()) (platform, own []byte, name string, err error) {
 	if platform, own, name, err = ReadFiles(getenv); err != nil {
 		return nil, nil, "", err
@@ -147,7 +152,8 @@
 	return nil, nil, "", errors.New("the files keep changing")
 }
 
-// Parse checks a configuration alone; name is that of the operators' file, for errors.
+// Parse parses and validates a configuration without regard to others. name is the name of
+// the operators' file in errors.
 func Parse(platform, own []byte, name string, getenv func(string) string) (*Config, error) {
 	c, err := parsePlatform(platform, getenv)
 	if err != nil {
@@ -173,6 +179,7 @@
 	return c, c.Features.CheckPlatform(c.MemoryMB, c.Sockets, inMemory)
 }
 
+// parsePlatform parses the platform's file. Environment variables override its addresses.
 func parsePlatform(data []byte, getenv func(string) string) (*Config, error) {
 	var raw struct {
 		Listen, Discovery string
@@ -215,7 +222,7 @@
 	}
 	if v := getenv("BALANCER_FD"); v != "" {
 		n, err := strconv.Atoi(v)
-		if err != nil || n < 3 || n > most {
+		if err != nil || n < 3 || n > maxLimit {
 			return nil, fmt.Errorf("BALANCER_FD: %q is no descriptor from 3 on", v)
 		}
 		c.Inherited = n
@@ -231,12 +238,12 @@
 		return nil, fmt.Errorf("config: seed: %w", err)
 	}
 	switch {
-	case !(c.Cores > 0 && c.Cores <= most):
-		return nil, fmt.Errorf("config: limits.cores must be above 0, %d at most", most)
-	case !(raw.Limits.MemoryMB >= memoryLeast && raw.Limits.MemoryMB <= most):
-		return nil, fmt.Errorf("config: limits.memory_mb must be within %d and %d", memoryLeast, most)
-	case !(raw.Limits.Sockets >= socketsLeast && raw.Limits.Sockets <= most):
-		return nil, fmt.Errorf("config: limits.sockets must be within %d and %d", socketsLeast, most)
+	case !(c.Cores > 0 && c.Cores <= maxLimit):
+		return nil, fmt.Errorf("config: limits.cores must be above 0, %d at most", maxLimit)
+	case !(raw.Limits.MemoryMB >= minMemoryMB && raw.Limits.MemoryMB <= maxLimit):
+		return nil, fmt.Errorf("config: limits.memory_mb must be within %d and %d", minMemoryMB, maxLimit)
+	case !(raw.Limits.Sockets >= minSockets && raw.Limits.Sockets <= maxLimit):
+		return nil, fmt.Errorf("config: limits.sockets must be within %d and %d", minSockets, maxLimit)
 	case len(raw.Settings) == 0:
 		return nil, errors.New("config: settings is missing")
 	}
--- a/internal/config/configtest/configtest.go
+++ b/internal/config/configtest/configtest.go
@@ -1,4 +1,4 @@
-// Package configtest writes a sidecar's files for tests.
+// Package configtest writes and loads the configuration files of a sidecar in tests.
 package configtest
 
 import (
@@ -11,21 +11,22 @@
 	"chalkrack/internal/config"
 )
 
-// Pair is a configuration's two files in a folder.
+// Pair holds the paths of a configuration's two files and of their folder.
 type Pair struct{ Dir, Platform, Own string }
 
-// New is a Pair of names; nothing is written yet.
+// New returns the paths of a Pair in a temporary folder. It does not create the files.
 func New(t *testing.T) *Pair {
 	dir := t.TempDir()
 	return &Pair{dir, filepath.Join(dir, "config.json"), filepath.Join(dir, "features.toml")}
 }
 
-// Getenv names the files as the environment does.
+// Getenv returns the environment variables that name the files.
 func (p *Pair) Getenv(name string) string {
 	return map[string]string{"BALANCER_CONFIG": p.Platform, "FAWN_FEATURES": p.Own}[name]
 }
 
-// Write writes both files, the platform's with so many attempts and a seed of its own.
+// Write writes both files. The platform's file has the given limit of attempts and a new
+// seed, and the port of its discovery is attempts + 1.
 func (p *Pair) Write(t *testing.T, attempts int, own string) {
 	t.Helper()
 	text := fmt.Sprintf(`{"listen":"127.0.0.1:0","discovery":"127.0.0.1:%d","seed":"%016x","limits":{"cores":1,"memory_mb":64,"sockets":256},
@@ -38,7 +39,7 @@
 	}
 }
 
-// Load reads them.
+// Load loads the configuration from the files and fails the test if it is invalid.
 func (p *Pair) Load(t *testing.T) *config.Config {
 	t.Helper()
 	c, err := config.Load(p.Getenv)
--- a/internal/config/recall.go
+++ b/internal/config/recall.go
@@ -8,15 +8,16 @@
 	"chalkrack/internal/history"
 )
 
-// Documents are the files that were read.
+// Documents returns the content of the files that were read.
 func (c *Config) Documents() history.Documents {
 	return history.Documents{Platform: c.Platform, Features: c.Own}
 }
 
-// Recall takes up what was remembered of changes, and returns the configuration to run:
-// what was kept last or is on trial, unless the files say something new. A start takes
-// any configuration that is good alone; one that is new is on trial, so that it is undone
-// if it keeps crashing. Where changes are off it returns c. Call it once for each start.
+// Recall opens the history of configuration changes and returns the configuration to run:
+// the one that was last kept or is on trial, unless the files have changed. A start accepts
+// every configuration that is valid by itself. A new one is on trial, so that it is undone
+// if the process keeps crashing. If changes are disabled, Recall returns c. It must be
+// called once per start.
 func Recall(c *Config) (*Config, error) {
 	f := &c.Features.Config
 	if !f.Enabled {
@@ -28,8 +29,8 @@
 	}
 	if f.Folder == "" {
 		c.Store = history.InMemory()
-		slog.Info("changes of the configuration are remembered in memory only: no [config] folder")
-		return c.first(sum)
+		slog.Info("configuration changes are stored in memory only: [config] names no folder")
+		return c.recordFirst(sum)
 	}
 	if c.Store, err = history.Open(f.Folder); err != nil {
 		return nil, err
@@ -40,22 +41,22 @@
 		return nil, err
 	}
 	if id == 0 {
-		return c.first(sum)
+		return c.recordFirst(sum)
 	}
 	running, err := c.Revive(remembered)
 	if err != nil {
-		return nil, fmt.Errorf("configuration %d, as remembered: %w", id, err)
+		return nil, fmt.Errorf("stored configuration %d: %w", id, err)
 	}
 	switch c.Store.State().Read(sum) {
 	case history.Known:
 	case history.Rejected:
-		slog.Warn("the files hold what was undone: the last good configuration runs", "id", id)
+		slog.Warn("the files contain a configuration that was undone: running the last good one", "id", id)
 	case history.Back:
 		if err := c.Store.Drop("the files held the one before at a start"); err != nil {
 			return nil, err
 		}
 		running = c
-	case history.Waits, history.New: // they were changed while nobody was there to read them
+	case history.Waits, history.New: // the files were changed while the sidecar was not running
 		if c.Store.State().Baking != 0 {
 			if err := c.Store.Drop("the files held another one at a start"); err != nil {
 				return nil, err
@@ -71,7 +72,8 @@
 	return running, c.Store.See(sum)
 }
 
-// ID is the number of the configuration that a start runs.
+// ID returns the number of the configuration on trial or else of the one kept last; 0 if
+// there is no store.
 func (c *Config) ID() history.ID {
 	if c.Store == nil {
 		return 0
@@ -83,18 +85,18 @@
 	return st.Good
 }
 
-// first makes c what is kept in a store that remembers nothing.
-func (c *Config) first(sum string) (*Config, error) {
+// recordFirst stores c in an empty store, as the configuration that is kept.
+func (c *Config) recordFirst(sum string) (*Config, error) {
 	if _, err := c.Store.Apply(c.Documents(), sum, "at the first start"); err != nil {
 		return nil, err
 	}
 	return c, c.Store.See(sum)
 }
 
-// Revive reads documents that were remembered. What is no setting but a fact of this
-// start is c's: where discovery is, what it said last, and the seed.
+// Revive parses stored documents. Values that belong to this start rather than to the
+// settings are taken from c: the address of discovery, its last server list and the seed.
 func (c *Config) Revive(d history.Documents) (*Config, error) {
-	r, err := Parse(d.Platform, d.Features, "the remembered features", c.Getenv)
+	r, err := Parse(d.Platform, d.Features, "the stored features", c.Getenv)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/config/recall_test.go
+++ b/internal/config/recall_test.go
@@ -12,9 +12,9 @@
 	"chalkrack/internal/config/configtest"
 )
 
-// Which configuration a start runs, by what the files say and what is remembered. The
-// address of discovery is the files' always.
-func TestRecall(t *testing.T) {
+// Checks which configuration a start runs, given the files and the stored history. The
+// address of discovery always comes from the files.
+func TestRecallSelectsConfiguration(t *testing.T) {
 	p := configtest.New(t)
 	folder := filepath.Join(p.Dir, "memory")
 	if err := os.Mkdir(folder, 0o700); err != nil {
@@ -25,12 +25,12 @@
 		files, runs int
 		trial       bool
 	}{
-		{5, 5, false}, {5, 5, false}, // the first one is kept
-		{4, 4, true}, {4, 4, true}, {4, 4, true}, {4, 4, true}, // changed while nobody was there, and started again
-		{4, 5, false}, {4, 5, false}, // once too often; the files hold what was undone
-		{3, 3, true}, {2, 2, true}, {3, 3, true}, // what gave way to another was not found bad
-		{5, 5, false}, // back
-		{4, 5, false}, // still what was undone last
+		{5, 5, false}, {5, 5, false}, // the first configuration is kept
+		{4, 4, true}, {4, 4, true}, {4, 4, true}, {4, 4, true}, // changed while the sidecar was not running, then restarted
+		{4, 5, false}, {4, 5, false}, // one restart too many: undone, although the files still contain it
+		{3, 3, true}, {2, 2, true}, {3, 3, true}, // a configuration that was replaced during its trial may be tried again
+		{5, 5, false}, // the files contain the kept configuration again
+		{4, 5, false}, // still the configuration that was undone last
 	} {
 		p.Write(t, c.files, own)
 		got, err := config.Recall(p.Load(t))
@@ -38,11 +38,11 @@
 			t.Fatalf("start %d: %v", n, err)
 		}
 		if got.Settings.Config.MaxAttempts != c.runs || got.Trial != c.trial || got.Discovery != fmt.Sprintf("127.0.0.1:%d", 1+c.files) {
-			t.Errorf("start %d: files say %d: %d attempts, on trial %v, discovery %s", n, c.files, got.Settings.Config.MaxAttempts, got.Trial, got.Discovery)
+			t.Errorf("start %d: files have %d attempts: got %d attempts, on trial %v, discovery %s", n, c.files, got.Settings.Config.MaxAttempts, got.Trial, got.Discovery)
 		}
-		if n == 0 { // two at once
+		if n == 0 { // two processes use the folder at once
 			if _, err := config.Recall(p.Load(t)); err == nil || !strings.Contains(err.Error(), "another process") {
-				t.Errorf("%v", err)
+				t.Errorf("second Recall = %v, want an error about another process", err)
 			}
 		}
 		got.Store.Close()
@@ -56,22 +56,22 @@
 			t.Fatal(err)
 		}
 	}
-	if _, err := config.Recall(p.Load(t)); err == nil || !strings.Contains(err.Error(), "as remembered") {
-		t.Errorf("spoilt documents: %v", err)
+	if _, err := config.Recall(p.Load(t)); err == nil || !strings.Contains(err.Error(), "stored configuration ") {
+		t.Errorf("Recall with corrupt documents = %v", err)
 	}
 	p.Write(t, 3, "[config]\nenabled = true\n")
 	if got, err := config.Recall(p.Load(t)); err != nil || got.Lasting || got.ID() != 1 {
-		t.Errorf("without a folder: %+v, %v", got, err)
+		t.Errorf("Recall without a folder = %+v, %v", got, err)
 	}
 	p.Write(t, 3, "")
 	if got, err := config.Recall(p.Load(t)); err != nil || got.Store != nil {
-		t.Errorf("off: %+v, %v", got, err)
+		t.Errorf("Recall with changes disabled = %+v, %v", got, err)
 	}
 }
 
-// A file that is half written is waited for, also where the half is good by itself; one
-// that never rests is not taken.
-func TestReadTwice(t *testing.T) {
+// A partly written file is read again until it is complete, even if the first part is valid
+// by itself. Files that keep changing or disappear are rejected.
+func TestReadTwiceWaitsForCompleteFiles(t *testing.T) {
 	p := configtest.New(t)
 	const half, whole = "[paths]\n\"/a\" = \"activate\"\n", "[paths]\n\"/a\" = \"activate\"\n\"/b\" = \"activate\"\n"
 	p.Write(t, 5, half)
@@ -82,12 +82,12 @@
 		}
 	})
 	if err != nil || !bytes.Contains(own, []byte(`"/b"`)) || pauses < 2 {
-		t.Errorf("%q after %d pauses, %v", own, pauses, err)
+		t.Errorf("ReadTwice = %q after %d pauses, %v", own, pauses, err)
 	}
 	if _, _, _, err := config.ReadTwice(p.Getenv, func() { p.Write(t, 5, whole) }); err == nil || !strings.Contains(err.Error(), "changing") {
-		t.Errorf("%v", err)
+		t.Errorf("ReadTwice of changing files = %v", err)
 	}
 	if _, _, _, err := config.ReadTwice(p.Getenv, func() { os.Remove(p.Own) }); err == nil {
-		t.Error("a file that goes is taken")
+		t.Error("ReadTwice accepts a file that was removed")
 	}
 }
