--- a/internal/duration/duration.go
+++ b/internal/duration/duration.go
@@ -1,12 +1,13 @@
-// Package duration is a time as all settings here have it in TOML: "1.5s", "200ms".
+// Package duration provides the type of durations in TOML settings, which are written as
+// "1.5s" or "200ms".
 package duration
 
 import "time"
 
-// Duration is a time.Duration that reads and writes itself as text.
+// Duration is a time.Duration that is decoded from and encoded as text.
 type Duration time.Duration
 
-// UnmarshalText implements encoding.TextUnmarshaler.
+// UnmarshalText implements encoding.TextUnmarshaler. It accepts what time.ParseDuration does.
 func (d *Duration) UnmarshalText(text []byte) error {
 	v, err := time.ParseDuration(string(text))
 	*d = Duration(v)
@@ -16,5 +17,5 @@
 // MarshalText implements encoding.TextMarshaler.
 func (d Duration) MarshalText() ([]byte, error) { return []byte(time.Duration(d).String()), nil }
 
-// Seconds is the time in seconds.
+// Seconds returns the duration in seconds.
 func (d Duration) Seconds() float64 { return time.Duration(d).Seconds() }
