--- a/internal/calltrace/calltrace.go
+++ b/internal/calltrace/calltrace.go
@@ -1,5 +1,5 @@
-// Package calltrace reads the traces of calls that were not served within their aim, as
-// the core's log tells them, and groups them by cause. It has no I/O of its own.
+// Package calltrace reads the traces of calls that were not served within their aim from
+// the log of a sidecar, and groups them by cause. It opens no files itself.
 package calltrace
 
 import (
@@ -15,26 +15,27 @@
 	"chalkrack/internal/core"
 )
 
-// lineMost bounds a line of a log; a longer one is passed over and counted.
-const lineMost = 1 << 20
+// maxLineBytes limits the length of a line; Read fails at a longer one.
+const maxLineBytes = 1 << 20
 
-// Log is what was read of one log or several.
+// Log holds the traces read from one or more logs.
 type Log struct {
 	Traces []core.Trace
-	Other  int // lines that are no traces
+	Other  int // number of lines that are not traces
 }
 
-// Read adds the traces of a log in slog's JSON to l.
+// Read adds the traces of a log in slog's JSON format to l. It counts lines without a
+// valid trace in Other, and returns an error if reading fails.
 func (l *Log) Read(r io.Reader) error {
-	s := bufio.NewScanner(r)
-	s.Buffer(make([]byte, 64<<10), lineMost)
-	for s.Scan() {
-		line := s.Bytes()
+	scanner := bufio.NewScanner(r)
+	scanner.Buffer(make([]byte, 64<<10), maxLineBytes)
+	for scanner.Scan() {
+		line := scanner.Bytes()
 		if !bytes.Contains(line, []byte(`"`+core.TraceMessage+`"`)) {
 			l.Other++
 			continue
 		}
-		// What collects logs often writes a time or a name ahead of each line.
+		// Log collectors often write a time or a name before each line.
 		line = line[max(0, bytes.IndexByte(line, '{')):]
 		var entry struct {
 			Msg   string
@@ -46,70 +47,70 @@
 		}
 		l.Traces = append(l.Traces, *entry.Trace)
 	}
-	return s.Err()
+	return scanner.Err()
 }
 
-// Cause says in a few words why a call was not served in time: how its decisive
-// attempt went, and why there was no other. The same trace has the same cause always.
-func Cause(s *core.Trace) string {
-	if s.End == "left" {
-		if len(s.Attempts) == 0 {
+// Cause describes in a few words why a call was not served in time: how its decisive
+// attempt ended, and why there was no further one. It depends on the trace only.
+func Cause(trace *core.Trace) string {
+	if trace.End == "left" {
+		if len(trace.Attempts) == 0 {
 			return "client left before an attempt"
 		}
-		return "client left: " + attempt(s, &s.Attempts[len(s.Attempts)-1])
+		return "client left: " + describeAttempt(trace, &trace.Attempts[len(trace.Attempts)-1])
 	}
-	if len(s.Attempts) == 0 {
+	if len(trace.Attempts) == 0 {
 		switch {
-		case s.State.Members == 0:
+		case trace.State.Members == 0:
 			return "no server is listed"
-		case s.State.Level > 0.06:
+		case trace.State.Level > 0.06:
 			return "shed on arrival"
-		case s.State.Set > 0 && s.State.Ejected >= s.State.Set:
+		case trace.State.Set > 0 && trace.State.Ejected >= trace.State.Set:
 			return "all servers ejected"
 		}
 		return "no server to be had"
 	}
-	if s.End == "served" {
-		if len(s.Attempts) == 1 {
-			return "late: " + slow(s, &s.Attempts[0])
+	if trace.End == "served" {
+		if len(trace.Attempts) == 1 {
+			return "late: " + describeSlowAnswer(trace, &trace.Attempts[0])
 		}
-		return fmt.Sprintf("late after: %s", attempt(s, &s.Attempts[0]))
+		return fmt.Sprintf("late after: %s", describeAttempt(trace, &trace.Attempts[0]))
 	}
-	last := &s.Attempts[len(s.Attempts)-1]
-	return attempt(s, last) + "; " + noMore(s)
+	last := &trace.Attempts[len(trace.Attempts)-1]
+	return describeAttempt(trace, last) + "; " + noRetryReason(trace)
 }
 
-// attempt is how one attempt went.
-func attempt(s *core.Trace, a *core.AttemptTrace) string {
+// describeAttempt describes how an attempt ended.
+func describeAttempt(trace *core.Trace, a *core.AttemptTrace) string {
 	switch a.Outcome {
 	case "ok":
-		return slow(s, a)
+		return describeSlowAnswer(trace, a)
 	case "timed out", "cancelled":
-		where := "no answer"
+		problem := "no answer"
 		switch {
 		case strings.HasPrefix(a.Phase, "connecting"):
-			where = "no connection yet"
+			problem = "no connection yet"
 		case strings.HasPrefix(a.Phase, "writing"):
-			where = "request not written"
+			problem = "request not written"
 		case strings.HasPrefix(a.Phase, "reading"):
-			where = "answer stopped"
+			problem = "answer stopped"
 		}
-		return where + " from " + server(a)
+		return problem + " from " + describeServer(a)
 	case "connect failed":
 		if strings.Contains(a.Phase, "connecting") {
-			return "no connection to " + server(a)
+			return "no connection to " + describeServer(a)
 		}
-		return "connection broke before the request was out, " + connection(a)
+		return "connection broke before the request was out, " + describeConnection(a)
 	case "reset":
-		return "reset behind the request, " + connection(a)
+		return "reset behind the request, " + describeConnection(a)
 	case "full":
-		return "turned away by " + server(a)
+		return "turned away by " + describeServer(a)
 	}
-	return a.Outcome + " from " + server(a)
+	return a.Outcome + " from " + describeServer(a)
 }
 
-// connection is what the connection had behind it.
-func connection(a *core.AttemptTrace) string {
+// describeConnection describes how the connection was used before the attempt.
+func describeConnection(a *core.AttemptTrace) string {
 	if strings.Contains(a.Phase, "on a new connection") {
 		return "new connection"
 	}
@@ -122,8 +123,8 @@
 	return "unknown connection"
 }
 
-// server is a server's state as it was known.
-func server(a *core.AttemptTrace) string {
+// describeServer describes the state of the attempt's server, as far as it was known.
+func describeServer(a *core.AttemptTrace) string {
 	switch b := &a.Before; {
 	case !a.After.Serving && b.Serving:
 		return "a server told to leave meanwhile"
@@ -143,82 +144,84 @@
 	return "a server known as good"
 }
 
-func slow(s *core.Trace, a *core.AttemptTrace) string {
+// describeSlowAnswer describes why an answered attempt took too long.
+func describeSlowAnswer(trace *core.Trace, a *core.AttemptTrace) string {
 	switch {
-	case a.Took < s.Aim && a.Sent > s.Aim/4:
+	case a.Took < trace.Aim && a.Sent > trace.Aim/4:
 		return "sent late"
 	case a.Before.InFlight > 0:
-		return fmt.Sprintf("slow answer beside %s in flight, from %s", few(a.Before.InFlight), server(a))
+		return fmt.Sprintf("slow answer beside %s in flight, from %s", describeCount(a.Before.InFlight), describeServer(a))
 	}
-	return "slow answer from " + server(a)
+	return "slow answer from " + describeServer(a)
 }
 
-func few(n int) string {
+// describeCount returns n as text, or "over 3", so that there are few different causes.
+func describeCount(n int) string {
 	if n > 3 {
 		return "over 3"
 	}
 	return fmt.Sprint(n)
 }
 
-// noMore is why there was no further attempt.
-func noMore(s *core.Trace) string {
-	last := &s.Attempts[len(s.Attempts)-1]
-	ran := false
-	for n := range s.Attempts {
-		switch s.Attempts[n].Outcome {
+// noRetryReason returns why there was no attempt after the last one.
+func noRetryReason(trace *core.Trace) string {
+	last := &trace.Attempts[len(trace.Attempts)-1]
+	mayHaveRun := false
+	for n := range trace.Attempts {
+		switch trace.Attempts[n].Outcome {
 		case "full", "connect failed", "not sent":
 		default:
-			ran = true
+			mayHaveRun = true
 		}
 	}
 	switch end := last.Sent + last.Took; {
-	case len(s.Attempts) >= 5:
+	case len(trace.Attempts) >= 5:
 		return "all attempts used"
-	case end >= s.Aim:
+	case end >= trace.Aim:
 		return "past its aim"
-	case s.Effect == "once" && ran:
+	case trace.Effect == "once" && mayHaveRun:
 		return "may not run twice"
-	case s.StateEnd.Retries < 1:
+	case trace.StateEnd.Retries < 1:
 		return "no retries left in the budget"
-	case s.Effect == "keyed" && ran:
+	case trace.Effect == "keyed" && mayHaveRun:
 		return "its window or group over"
 	}
 	return "no other server to be had"
 }
 
-// Group is all traces of one cause.
+// Group summarizes the traces with the same cause.
 type Group struct {
 	Cause   string         `json:"cause"`
 	Calls   int            `json:"calls"`
 	Worth   float64        `json:"worth"`
-	Share   float64        `json:"share"` // of the lost worth
+	Share   float64        `json:"share"` // fraction of the worth of all traces
 	Classes map[string]int `json:"classes"`
 	Example *core.Trace    `json:"example"`
 }
 
-// Groups are the causes of a log, the dearest first. only, where set, keeps the traces
-// of one class.
-func (l *Log) Groups(only string) []Group {
-	by := make(map[string]*Group)
+// Groups returns the traces grouped by cause, in descending order of worth. If class is
+// not empty, it only takes the traces of that class.
+func (l *Log) Groups(class string) []Group {
+	byCause := make(map[string]*Group)
 	total := 0.0
 	for n := range l.Traces {
-		s := &l.Traces[n]
-		if only != "" && s.Class != only {
+		trace := &l.Traces[n]
+		if class != "" && trace.Class != class {
 			continue
 		}
-		c := Cause(s)
-		g := by[c]
+		c := Cause(trace)
+		g := byCause[c]
 		if g == nil {
-			g = &Group{Cause: c, Classes: make(map[string]int), Example: s}
-			by[c] = g
+			g = &Group{Cause: c, Classes: make(map[string]int), Example: trace}
+			byCause[c] = g
 		}
 		g.Calls++
-		g.Worth += s.Worth
-		g.Classes[s.Class]++
-		total += s.Worth
+		g.Worth += trace.Worth
+		g.Classes[trace.Class]++
+		total += trace.Worth
 	}
 	var all []Group
-	for _, g := range by {
+	for _, g := range byCause {
 		g.Share = g.Worth / max(total, 1e-9)
 		all = append(all, *g)
 	}
@@ -226,34 +229,34 @@
 	return all
 }
 
-// Row is one cause in two logs.
+// Row compares one cause in two logs.
 type Row struct {
 	Cause  string  `json:"cause"`
-	A, B   int     // calls
+	A, B   int     // number of calls in each log
 	WorthA float64 `json:"worth_a"`
 	WorthB float64 `json:"worth_b"`
 }
 
-// Compare sets the causes of two logs side by side, those that differ most in worth
-// first.
-func Compare(a, b *Log, only string) []Row {
-	by := make(map[string]*Row)
+// Compare returns the causes of two logs, in descending order of the difference in worth.
+// If class is not empty, it only takes the traces of that class.
+func Compare(a, b *Log, class string) []Row {
+	byCause := make(map[string]*Row)
 	row := func(cause string) *Row {
-		if by[cause] == nil {
-			by[cause] = &Row{Cause: cause}
+		if byCause[cause] == nil {
+			byCause[cause] = &Row{Cause: cause}
 		}
-		return by[cause]
+		return byCause[cause]
 	}
-	for _, g := range a.Groups(only) {
+	for _, g := range a.Groups(class) {
 		r := row(g.Cause)
 		r.A, r.WorthA = g.Calls, g.Worth
 	}
-	for _, g := range b.Groups(only) {
+	for _, g := range b.Groups(class) {
 		r := row(g.Cause)
 		r.B, r.WorthB = g.Calls, g.Worth
 	}
 	var all []Row
-	for _, r := range by {
+	for _, r := range byCause {
 		all = append(all, *r)
 	}
 	diff := func(r Row) float64 { return max(r.WorthA-r.WorthB, r.WorthB-r.WorthA) }
--- a/internal/calltrace/calltrace_test.go
+++ b/internal/calltrace/calltrace_test.go
@@ -13,13 +13,13 @@
 
 func good() chalkrack.ServerView { return chalkrack.ServerView{Serving: true, Latency: 1, Warmth: 1} }
 
-func one(end string, took float64, a ...core.AttemptTrace) core.Trace {
+func newTrace(end string, took float64, a ...core.AttemptTrace) core.Trace {
 	return core.Trace{Class: "activate", Effect: "once", Worth: 10, Aim: 100, End: end, Took: took, Attempts: a,
 		State: chalkrack.StateView{Members: 5, Set: 5, Retries: 5}, StateEnd: chalkrack.StateView{Retries: 5}}
 }
 
-// Each trace has one cause, named from what its attempts met.
-func TestCauses(t *testing.T) {
+// Cause describes each trace by the outcome of its attempts.
+func TestCauseDescribesAttempts(t *testing.T) {
 	at := func(outcome, phase string, took float64) core.AttemptTrace {
 		return core.AttemptTrace{Server: "s", Took: took, Outcome: outcome, Phase: phase, Before: good(), After: good()}
 	}
@@ -27,62 +27,61 @@
 	cold.Before.Warmth = 0.3
 	left := at("timed out", "waiting on a connection idle for 20ms after 3 requests", 300)
 	left.After.Serving = false
-	shed := one("refused", 0)
+	shed := newTrace("refused", 0)
 	shed.State.Level = 0.4
-	empty := one("refused", 0)
+	empty := newTrace("refused", 0)
 	empty.State.Members = 0
-	poor := one("refused", 20, at("full", "reading on a new connection", 20))
+	poor := newTrace("refused", 20, at("full", "reading on a new connection", 20))
 	poor.Effect, poor.StateEnd.Retries = "safe", 0
 	for want, s := range map[string]core.Trace{
 		"shed on arrival":                      shed,
 		"no server is listed":                  empty,
-		"no server to be had":                  one("refused", 0),
-		"late: slow answer from a cold server": one("served", 150, cold),
-		"no answer from a server told to leave meanwhile; past its aim":                    one("failed", 300, left),
-		"reset behind the request, connection in use; may not run twice":                   one("failed", 20, at("reset", "waiting on a connection idle for 20ms after 3 requests", 20)),
-		"reset behind the request, connection that idled over a second; may not run twice": one("failed", 20, at("reset", "waiting on a connection idle for 2.5s after 3 requests", 20)),
-		"no connection to a server known as good; no other server to be had":               one("refused", 20, at("connect failed", "connecting", 20)),
+		"no server to be had":                  newTrace("refused", 0),
+		"late: slow answer from a cold server": newTrace("served", 150, cold),
+		"no answer from a server told to leave meanwhile; past its aim":                    newTrace("failed", 300, left),
+		"reset behind the request, connection in use; may not run twice":                   newTrace("failed", 20, at("reset", "waiting on a connection idle for 20ms after 3 requests", 20)),
+		"reset behind the request, connection that idled over a second; may not run twice": newTrace("failed", 20, at("reset", "waiting on a connection idle for 2.5s after 3 requests", 20)),
+		"no connection to a server known as good; no other server to be had":               newTrace("refused", 20, at("connect failed", "connecting", 20)),
 		"turned away by a server known as good; no retries left in the budget":             poor,
-		"client left: no answer from a server known as good":                               one("left", 90, at("cancelled", "waiting on a new connection", 90)),
-		"late after: turned away by a server known as good":                                one("served", 150, at("full", "reading", 5), at("ok", "reading", 140)),
+		"client left: no answer from a server known as good":                               newTrace("left", 90, at("cancelled", "waiting on a new connection", 90)),
+		"late after: turned away by a server known as good":                                newTrace("served", 150, at("full", "reading", 5), at("ok", "reading", 140)),
 	} {
 		if got := Cause(&s); got != want {
-			t.Errorf("%q, want %q", got, want)
+			t.Errorf("Cause = %q, want %q", got, want)
 		}
 	}
 }
 
-// What the core's log writes is read again, other lines are counted, and two logs stand
-// side by side.
-func TestReadAndCompare(t *testing.T) {
+// Traces written by slog are read, other lines are counted, and two logs are compared.
+func TestReadGroupAndCompareTraces(t *testing.T) {
 	var b bytes.Buffer
 	log := slog.New(slog.NewJSONHandler(&b, nil))
-	s := one("refused", 0)
+	s := newTrace("refused", 0)
 	log.Info(core.TraceMessage, "story", &s)
 	log.Info("another line")
 	b.WriteString("{\"msg\":\"story\",\"story\":7}\nnonsense \"story\"\n")
-	dear := one("failed", 20, core.AttemptTrace{Outcome: "reset", Phase: "waiting on a new connection", Before: good(), After: good()})
-	b.WriteString("[3.45] ") // of what collects logs
-	log.Info(core.TraceMessage, "story", &dear)
-	log.Info(core.TraceMessage, "story", &dear)
+	costly := newTrace("failed", 20, core.AttemptTrace{Outcome: "reset", Phase: "waiting on a new connection", Before: good(), After: good()})
+	b.WriteString("[3.45] ") // prefix of a log collector
+	log.Info(core.TraceMessage, "story", &costly)
+	log.Info(core.TraceMessage, "story", &costly)
 	l, none := new(Log), new(Log)
 	if err := l.Read(&b); err != nil || len(l.Traces) != 3 || l.Other != 3 {
-		t.Fatalf("%d traces, %d others, %v", len(l.Traces), l.Other, err)
+		t.Fatalf("read %d traces, %d other lines, error %v; want 3, 3 and no error", len(l.Traces), l.Other, err)
 	}
 	g := l.Groups("")
 	if len(g) != 2 || g[0].Calls != 2 || g[0].Worth != 20 || g[0].Share < 0.66 || g[0].Share > 0.67 {
-		t.Errorf("%+v", g)
+		t.Errorf("Groups = %+v", g)
 	}
 	if rows := Compare(l, none, "activate"); len(rows) != 2 || rows[0].A != 2 || rows[0].B != 0 {
-		t.Errorf("%+v", rows)
+		t.Errorf("Compare = %+v", rows)
 	}
 	if len(l.Groups("status-check")) != 0 {
-		t.Error("another class")
+		t.Error("Groups returned traces of another class")
 	}
 }
 
 func FuzzRead(f *testing.F) {
-	s := one("refused", 0)
+	s := newTrace("refused", 0)
 	text, _ := json.Marshal(map[string]any{"msg": core.TraceMessage, "story": s})
 	f.Add(text)
 	f.Add([]byte(`{"msg":"story","story":{"attempts":[{}],"end":"served"}}`))
@@ -93,7 +92,7 @@
 		}
 		for _, g := range l.Groups("") {
 			if strings.TrimSpace(g.Cause) == "" {
-				t.Fatalf("no cause: %+v", g.Example)
+				t.Fatalf("Cause is empty for %+v", g.Example)
 			}
 		}
 	})
