--- a/internal/calltrace/calltrace.go
+++ b/internal/calltrace/calltrace.go
@@ -25,7 +25,7 @@
 }
 
 // Read adds the traces of a log in slog's JSON format to l. It counts lines without a
-// valid trace in Other, and returns an error if reading fails.
+// valid trace, and returns an error if reading fails.
 func (l *Log) Read(r io.Reader) error {
 	scanner := bufio.NewScanner(r)
 	scanner.Buffer(make([]byte, 64<<10), maxLineBytes)
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -43,8 +43,8 @@
 	Management        string // address of the management listener; empty: none
 	Inherited         int    // descriptor of the inherited client listening socket; 0: none
 
-	// Set by Recall:
-	Store   *history.Store // nil: before Recall, or changes are disabled
+	// Set when the history of changes is opened:
+	Store   *history.Store // nil: not opened yet, or changes are disabled
 	Trial   bool           // the running configuration was on trial before the start, and none runs beside it
 	Lasting bool           // the store is persistent
 }
--- a/internal/config/configtest/configtest.go
+++ b/internal/config/configtest/configtest.go
@@ -14,7 +14,7 @@
 // Pair holds the paths of a configuration's two files and of their folder.
 type Pair struct{ Dir, Platform, Own string }
 
-// New returns the paths of a Pair in a temporary folder. It does not create the files.
+// New returns the paths of both files in a temporary folder. It does not create the files.
 func New(t *testing.T) *Pair {
 	dir := t.TempDir()
 	return &Pair{dir, filepath.Join(dir, "config.json"), filepath.Join(dir, "features.toml")}
--- a/internal/config/recall.go
+++ b/internal/config/recall.go
@@ -16,8 +16,8 @@
 // Recall opens the history of configuration changes and returns the configuration to run:
 // the one that was last kept or is on trial, unless the files have changed. A start accepts
 // every configuration that is valid by itself. A new one is on trial, so that it is undone
-// if the process keeps crashing. If changes are disabled, Recall returns c. It must be
-// called once per start.
+// if the process keeps crashing. If changes are disabled, it returns c. Call it once
+// per start.
 func Recall(c *Config) (*Config, error) {
 	f := &c.Features.Config
 	if !f.Enabled {
--- a/internal/features/config.go
+++ b/internal/features/config.go
@@ -14,14 +14,14 @@
 	Enabled bool `toml:"enabled"`
 	// Folder stores the configurations across restarts; if empty, they are lost.
 	Folder string `toml:"folder"`
-	// Bake is the duration of a trial, Share the fraction of calls that use the change
-	// during its trial.
-	Bake  duration.Duration `toml:"bake"`
-	Share float64           `toml:"share"`
-	// FalseUndo is the accepted probability that a good change is undone. Notice is the
-	// smallest fraction of one class's calls whose failure has to be detected.
+	// Bake is the duration of a trial.
+	Bake duration.Duration `toml:"bake"`
+	// Share is the fraction of calls that use the change during its trial.
+	Share float64 `toml:"share"`
+	// FalseUndo is the accepted probability that a good change is undone.
 	FalseUndo float64 `toml:"false_undo"`
-	Notice    float64 `toml:"notice"`
+	// Notice is the smallest fraction of one class's calls whose failure has to be detected.
+	Notice float64 `toml:"notice"`
 	// Thin decides about a change that too few calls have tried: keep or undo.
 	Thin string `toml:"thin"`
 }
--- a/internal/features/level.go
+++ b/internal/features/level.go
@@ -20,11 +20,11 @@
 	Emergency  LevelAt           `toml:"emergency"`
 }
 
-// LevelAt overrides what one level does and when it applies. Cut is by class; Enter and
-// Leave are by sensor (late, full, held, lost, memory, sockets, lag), and 0 disables a
+// LevelAt overrides what one level does and when it applies. The thresholds for entering
+// and leaving it are by sensor (late, full, held, lost, memory, sockets, lag); 0 disables a
 // sensor.
 type LevelAt struct {
-	Cut        map[string]float64 `toml:"cut"`
+	Cut        map[string]float64 `toml:"cut"` // by class
 	RetryWorth *float64           `toml:"retry_worth"`
 	NoCopies   *bool              `toml:"no_copies"`
 	NoProbes   *bool              `toml:"no_probes"`
--- a/internal/features/routes.go
+++ b/internal/features/routes.go
@@ -18,10 +18,10 @@
 	Servers   []PoolServer `toml:"servers,omitempty"`
 	Discovery string       `toml:"discovery,omitempty"`
 	Checks    PoolChecks   `toml:"checks,omitempty"` // only with a fixed list
-	// SlowStart is how long a server that came up takes to reach its full share; it starts
-	// with the fraction Cold of it.
+	// SlowStart is how long a server that came up takes to reach its full share.
 	SlowStart duration.Duration `toml:"slow_start,omitempty"`
-	Cold      float64           `toml:"cold,omitempty"`
+	// Cold is the fraction of its share that such a server starts with.
+	Cold float64 `toml:"cold,omitempty"`
 	// MaxConnections limits the concurrent connections to the servers, MaxHeld the pending
 	// calls. Calls above MaxHeld are refused.
 	MaxConnections int `toml:"max_connections,omitempty"`
@@ -85,7 +85,7 @@
 	Body     string `toml:"body,omitempty"`
 }
 
-// RouteHeader is a header field that a route requires or, with Not, excludes.
+// RouteHeader is a header field that a route requires or, if negated, excludes.
 type RouteHeader struct {
 	Name  string `toml:"name"`
 	Value string `toml:"value,omitempty"`
--- a/internal/features/weights.go
+++ b/internal/features/weights.go
@@ -13,20 +13,22 @@
 	File string `toml:"file"` // written by 'fawnctl plan --weights'
 	Key  string `toml:"key"`  // Ed25519 public key of the plan's signer, in base64
 	Zone string `toml:"zone"` // zone of this sidecar; empty: the platform's
-	// Every is the interval between two steps, Step the largest factor by which a server's
-	// hint changes in one step.
+	// Every is the interval between two steps.
 	Every duration.Duration `toml:"every"`
-	Step  float64           `toml:"step"`
+	// Step is the largest factor by which a server's hint changes in one step.
+	Step float64 `toml:"step"`
 	// Fade is how long an expired plan keeps half of its influence; after that it has none.
 	Fade duration.Duration `toml:"fade"`
 	// Strangers is the share of servers that the plan may not know: above it the plan loses
-	// half of its influence, above twice of it all. Off is the factor by which measurements
-	// of a server may differ from the plan, OffShare the share of servers that may differ by
-	// more. If more do in Proof consecutive steps, the plan's influence is halved.
+	// half of its influence, above twice of it all.
 	Strangers float64 `toml:"strangers"`
-	Off       float64 `toml:"off"`
-	OffShare  float64 `toml:"off_share"`
-	Proof     int     `toml:"proof"`
+	// Off is the factor by which measurements of a server may differ from the plan.
+	Off float64 `toml:"off"`
+	// OffShare is the share of servers that may differ by more than that factor.
+	OffShare float64 `toml:"off_share"`
+	// Proof is the number of consecutive steps with more differing servers after which the
+	// plan's influence is halved.
+	Proof int `toml:"proof"`
 }
 
 func defaultWeights() Weights {
