--- a/admit_test.go
+++ b/admit_test.go
@@ -50,7 +50,7 @@
 		b.admitter.arrivalShares = []float64{0.5, 0, 0.3, 0, 0.2, 0} // a mean worth of 3.8
 		b.Arrive(0, Request{ID: 1, Class: c.class, Deadline: 2 * time.Second})
 		b.retryTokens = c.left
-		b.Done(ms, 1, 0, ConnectFailed, false, Report{})
+		b.AttemptDone(ms, 1, 0, ConnectFailed, false, LoadReport{})
 		if len(r.servers) != c.sends {
 			t.Errorf("class %d with %v retry tokens left: %d sends, want %d", c.class, c.left, len(r.servers), c.sends)
 		}
--- a/balancer.go
+++ b/balancer.go
@@ -149,13 +149,13 @@
 	Tenant   int // index into Config.Tenants, -1: none
 	Key      string
 	Deadline time.Duration
-	// Attempts lowers Config.MaxAttempts for this request; 0 leaves it. 1 means
+	// MaxAttempts lowers Config.MaxAttempts for this request; 0 leaves it. 1 means
 	// that an upstream tier retries: the request neither earns nor spends retry
 	// and copy budget here.
-	Attempts int
-	Only     string  // the one server that may take the request; empty: any
-	Under    *Config // configuration that holds for the request until it ends, its Classes included; nil: the Balancer's current one
-	Coming   bool    // the body is not buffered and still arriving; the request has 1 attempt, and the host reports the end of the body
+	MaxAttempts int
+	Server      string  // the one server that may take the request; empty: any
+	Config      *Config // configuration that holds for the request until it ends, its Classes included; nil: the Balancer's current one
+	BodyPending bool    // the body is not buffered and still arriving; the request has 1 attempt, and the host reports the end of the body
 }
 
 // Outcome is how an attempt ended.
@@ -175,8 +175,8 @@
 // NeverRan reports whether the outcome proves that the attempt had no effect.
 func (o Outcome) NeverRan() bool { return o == Full || o == ConnectFailed || o == NotSent }
 
-// Report is a server's load report, with the fields that it contained.
-type Report struct {
+// LoadReport is a server's load report, with the fields that it contained.
+type LoadReport struct {
 	HasInFlight, HasUtil bool
 	InFlight             float64
 	Util                 float64
@@ -248,7 +248,7 @@
 		restrictions: restrictions{unrestricted{}, unrestricted{}},
 	}
 	b.fleet = fleet{cfg: &b.cfg, acceptedShare: 1, byName: make(map[string]*server), rand: b.rng.Float64}
-	if err := b.Adopt(cfg); err != nil {
+	if err := b.SetConfig(cfg); err != nil {
 		return nil, err
 	}
 	if cfg.AskWithin > 0 {
@@ -257,10 +257,10 @@
 	return b, nil
 }
 
-// Adopt replaces the configuration and keeps everything learned so far. Classes
+// SetConfig replaces the configuration and keeps everything learned so far. Classes
 // and Tenants may be appended, but not removed or moved. It returns an error and
 // changes nothing if cfg is invalid.
-func (b *Balancer) Adopt(cfg Config) error {
+func (b *Balancer) SetConfig(cfg Config) error {
 	if err := cfg.Validate(); err != nil {
 		return err
 	}
@@ -308,25 +308,25 @@
 	if b.requests[r.ID] != nil {
 		return
 	}
-	if r.Under == nil {
-		r.Under = &b.cfg
+	if r.Config == nil {
+		r.Config = &b.cfg
 	}
-	if r.Class < 0 || r.Class >= len(r.Under.Classes) {
+	if r.Class < 0 || r.Class >= len(r.Config.Classes) {
 		b.host.Refuse(r.ID, 0)
 		return
 	}
-	req := &request{Request: r, class: &r.Under.Classes[r.Class], arrivedAt: now}
-	req.Attempts = min(cmp.Or(max(r.Attempts, 0), r.Under.MaxAttempts), r.Under.MaxAttempts)
-	if r.Under.WarmKeys {
+	req := &request{Request: r, class: &r.Config.Classes[r.Class], arrivedAt: now}
+	req.MaxAttempts = min(cmp.Or(max(r.MaxAttempts, 0), r.Config.MaxAttempts), r.Config.MaxAttempts)
+	if r.Config.WarmKeys {
 		req.keyHash = hashName(r.Key)
 	}
 	b.requests[r.ID] = req
 	req.rank = b.admitter.recordArrival(r.Class, r.Tenant, now)
-	if probability := b.admitter.shedProbability(req.rank, now); b.restrictions.Turn(now, r.Class) || b.rng.Float64() < probability {
+	if probability := b.admitter.shedProbability(req.rank, now); b.restrictions.ShouldRefuse(now, r.Class) || b.rng.Float64() < probability {
 		b.endUnanswered(req)
 		return
 	}
-	if b.cfg.Probes && b.restrictions.Probes() {
+	if b.cfg.Probes && b.restrictions.AllowsProbes() {
 		b.fleet.refreshWeights(now)
 		for range probesPerRequest {
 			if s := b.fleet.drawServer(); s != nil {
@@ -346,7 +346,7 @@
 		b.endUnanswered(req)
 		return
 	}
-	if req.Attempts > 1 {
+	if req.MaxAttempts > 1 {
 		b.reissuer.tokens = min(b.reissuer.tokens+b.reissuer.budget, maxHedgeTokens)
 		b.retryTokens = min(b.retryTokens+retryTokensPerRequest, maxRetryTokens)
 	}
@@ -363,7 +363,7 @@
 // copy, or for the aim if there is none.
 func (b *Balancer) planCopy(req *request, now time.Duration) {
 	after := req.arrivedAt + req.class.Aim - now
-	if req.class.Effect != Unsafe && req.Attempts > 1 {
+	if req.class.Effect != Unsafe && req.MaxAttempts > 1 {
 		b.reissuer.recompute(now, b.rng.Float64())
 		delay := time.Duration(b.reissuer.delay * float64(req.class.Aim))
 		if req.copyPlanned = b.rng.Float64() < b.reissuer.probability && delay < after; req.copyPlanned {
@@ -385,7 +385,7 @@
 		switch {
 		case len(req.attempts) == 0:
 			b.sendFirst(req, now)
-		case req.Coming: // a server cannot be late before it has the whole request
+		case req.BodyPending: // a server cannot be late before it has the whole request
 		case req.copyPlanned:
 			req.copyPlanned = false
 			b.sendCopy(req, now)
@@ -400,7 +400,7 @@
 // sendCopy sends a copy of req if the policy and the budget allow it and the
 // Balancer does not shed.
 func (b *Balancer) sendCopy(req *request, now time.Duration) {
-	if req.outstanding == 1 && b.restrictions.Copies() && b.reissuer.tokens >= 1 && b.admitter.currentLevel(now) < minShedLevel && b.sendAttempt(req, now, true) {
+	if req.outstanding == 1 && b.restrictions.AllowsCopies() && b.reissuer.tokens >= 1 && b.admitter.currentLevel(now) < minShedLevel && b.sendAttempt(req, now, true) {
 		b.reissuer.tokens--
 		req.observesPair = b.rng.Float64() < observedPairShare
 	}
@@ -420,8 +420,8 @@
 // scope.
 func (b *Balancer) mayAttempt(req *request, anchor *attempt, now time.Duration) bool {
 	switch {
-	case req.ended || req.streamed || len(req.attempts) >= req.Attempts || now >= req.Deadline,
-		req.outstanding > 0 && !req.Under.SecondCopies:
+	case req.ended || req.streamed || len(req.attempts) >= req.MaxAttempts || now >= req.Deadline,
+		req.outstanding > 0 && !req.Config.SecondCopies:
 		return false
 	case req.class.Effect == Safe || anchor == nil:
 		return true
@@ -438,10 +438,10 @@
 		return false
 	}
 	isAllowed := func(s *server) bool {
-		return (req.Only == "" || req.Only == s.name) && b.restrictions.Room(now, s.zone, req.Class) && !slices.ContainsFunc(req.attempts, func(a attempt) bool { return a.server == s }) &&
+		return (req.Server == "" || req.Server == s.name) && b.restrictions.HasRoom(now, s.zone, req.Class) && !slices.ContainsFunc(req.attempts, func(a attempt) bool { return a.server == s }) &&
 			(anchor == nil || req.class.Effect != Keyed || inSameScope(req.class.Scope, anchor.server, s))
 	}
-	preferredZone, s := b.restrictions.Due(now, req.class.Effect != Unsafe), (*server)(nil)
+	preferredZone, s := b.restrictions.PreferredZone(now, req.class.Effect != Unsafe), (*server)(nil)
 	for pass := 1 - min(len(preferredZone), 1); s == nil && pass < 3; pass++ {
 		// Unsafe requests go to suspect servers only in the last pass, because
 		// they cannot be retried if the server fails.
@@ -470,37 +470,37 @@
 }
 
 // Probed applies the load report that a probe returned.
-func (b *Balancer) Probed(now time.Duration, server string, rep Report) {
+func (b *Balancer) Probed(now time.Duration, server string, rep LoadReport) {
 	if s := b.fleet.byName[server]; s != nil && now >= s.loadAt { // a report received by other balancers may be older than the last one
 		s.applyReport(rep, now)
 	}
 }
 
-// Started tells the Balancer that the answer of attempt n has begun to stream to
+// AnswerStarted tells the Balancer that the answer of attempt n has begun to stream to
 // the client. It cancels the other attempts.
-func (b *Balancer) Started(now time.Duration, id RequestID, n int) {
+func (b *Balancer) AnswerStarted(now time.Duration, id RequestID, n int) {
 	if req := b.requests[id]; req != nil && n >= 0 && n < len(req.attempts) {
 		req.streamed = true
 		b.cancelOthers(req, n)
 	}
 }
 
-// Whole tells the Balancer that a body that was still arriving is complete. The
+// BodyReceived tells the Balancer that a body that was still arriving is complete. The
 // aim and the given deadline count from now.
-func (b *Balancer) Whole(now time.Duration, id RequestID, deadline time.Duration) {
-	if req := b.requests[id]; req != nil && req.Coming && req.outstanding > 0 {
-		req.Coming, req.arrivedAt, req.attempts[0].sentAt, req.Deadline = false, now, now, deadline
+func (b *Balancer) BodyReceived(now time.Duration, id RequestID, deadline time.Duration) {
+	if req := b.requests[id]; req != nil && req.BodyPending && req.outstanding > 0 {
+		req.BodyPending, req.arrivedAt, req.attempts[0].sentAt, req.Deadline = false, now, now, deadline
 		delete(b.timers, req.timerCookie)
 		b.planCopy(req, now)
 	}
 }
 
-// EmptyBudgets sets the budgets for retries and copies to zero; first attempts
+// ClearBudgets sets the budgets for retries and copies to zero; first attempts
 // earn them again.
-func (b *Balancer) EmptyBudgets() { b.retryTokens, b.reissuer.tokens = 0, 0 }
+func (b *Balancer) ClearBudgets() { b.retryTokens, b.reissuer.tokens = 0, 0 }
 
-// Done records the outcome o of attempt n. over says that the request has ended.
-func (b *Balancer) Done(now time.Duration, id RequestID, n int, o Outcome, over bool, rep Report) {
+// AttemptDone records the outcome o of attempt n. over says that the request has ended.
+func (b *Balancer) AttemptDone(now time.Duration, id RequestID, n int, o Outcome, over bool, rep LoadReport) {
 	req := b.requests[id]
 	if req == nil || n < 0 || n >= len(req.attempts) || req.attempts[n].done {
 		return
@@ -525,7 +525,7 @@
 	case req.outstanding > 0: // another attempt may still answer
 	case req.class.LateWorth == 0 && now >= req.arrivedAt+req.class.Aim: // a late answer is worth nothing
 		b.endUnanswered(req)
-	case req.Attempts == 1 || !b.mayRetry(req) || !b.sendAttempt(req, now, false):
+	case req.MaxAttempts == 1 || !b.mayRetry(req) || !b.sendAttempt(req, now, false):
 		b.endUnanswered(req)
 	case b.retryTokens >= 1: // only an attempt that was sent costs a token
 		b.retryTokens--
@@ -537,14 +537,14 @@
 func (b *Balancer) mayRetry(req *request) bool {
 	worth, mean := b.admitter.worth(req.rank), b.admitter.meanWorth()
 	neededTokens := 1 + maxRetryTokens/2*max(0, 1-worth/max(mean, 1e-9))
-	return b.restrictions.Retries(req.Class) && b.retryTokens >= neededTokens || worth >= highWorthFactor*mean
+	return b.restrictions.AllowsRetries(req.Class) && b.retryTokens >= neededTokens || worth >= highWorthFactor*mean
 }
 
 // recordOutcome updates the shed level, the server's state and the response time
 // samples with the outcome of an attempt.
-func (b *Balancer) recordOutcome(req *request, a *attempt, outcome Outcome, now time.Duration, loadReport Report) {
+func (b *Balancer) recordOutcome(req *request, a *attempt, outcome Outcome, now time.Duration, loadReport LoadReport) {
 	s, responseTime := a.server, float64(now-a.sentAt)/float64(req.class.Aim)
-	if outcome != Cancelled && outcome != NotSent && !req.isOverdue && !req.Coming {
+	if outcome != Cancelled && outcome != NotSent && !req.isOverdue && !req.BodyPending {
 		b.admitter.recordOutcome(outcome == Full, now-req.arrivedAt > req.class.Aim, b.fleet.sendRate(now), now)
 	}
 	if b.fleet.acceptedShare *= 1 - runningMeanStep; outcome != Full {
@@ -560,7 +560,7 @@
 		b.fleet.recordFailure(s, now)
 	}
 	switch {
-	case req.Coming: // the time that a client takes for its body says nothing about the server
+	case req.BodyPending: // the time that a client takes for its body says nothing about the server
 	case outcome == OK || outcome == TimedOut:
 		b.fleet.recordLatency(s, outcome, loadReport, responseTime, a.serverHeld, now)
 	case outcome == ServerError: // its response time is not recorded: a server that fails fast would get more requests
@@ -571,7 +571,7 @@
 	if b.cfg.ConnectionCost > 0 && !s.inWorkingSet && s.inFlight == 0 {
 		b.host.CloseIdle(s.name) // a connection to a server outside the working set would stay open unused
 	}
-	if req.class.Effect == Unsafe || req.Coming || (outcome != OK && outcome != Cancelled && outcome != TimedOut) {
+	if req.class.Effect == Unsafe || req.BodyPending || (outcome != OK && outcome != Cancelled && outcome != TimedOut) {
 		return
 	}
 	a.responseTime, a.censored = responseTime, outcome != OK
@@ -592,7 +592,7 @@
 // cancelOthers cancels all attempts of req without an outcome except attempt n,
 // if attempts may be cancelled.
 func (b *Balancer) cancelOthers(req *request, n int) {
-	if !req.Under.MayCancel || req.outstanding == 0 {
+	if !req.Config.MayCancel || req.outstanding == 0 {
 		return
 	}
 	for i := range req.attempts {
@@ -616,7 +616,7 @@
 	b.closeRequest(req)
 	if e := req.class.Effect; e == Safe || e == Keyed && req.class.Scope == ScopeAll || req.anchor() == nil {
 		part := b.rng.Float64()
-		b.host.Refuse(req.ID, max(b.restrictions.Wait(req.Class, part), time.Duration((0.5+part/2)*float64(req.Under.MaxRetryAfter))))
+		b.host.Refuse(req.ID, max(b.restrictions.MinRetryAfter(req.Class, part), time.Duration((0.5+part/2)*float64(req.Config.MaxRetryAfter))))
 	} else {
 		b.host.Fail(req.ID)
 	}
--- a/balancer_attempts_test.go
+++ b/balancer_attempts_test.go
@@ -41,9 +41,9 @@
 func TestRequestLowersMaxAttempts(t *testing.T) {
 	for _, c := range []struct{ attempts, want int }{{0, 3}, {1, 1}, {2, 2}, {3, 3}, {99, 3}, {-5, 3}} {
 		b, h := fourServers(t)
-		b.Arrive(0, Request{ID: 1, Tenant: -1, Deadline: time.Second, Attempts: c.attempts})
+		b.Arrive(0, Request{ID: 1, Tenant: -1, Deadline: time.Second, MaxAttempts: c.attempts})
 		for n := 0; n < h.sends; n++ {
-			b.Done(time.Millisecond, 1, n, Full, false, Report{})
+			b.AttemptDone(time.Millisecond, 1, n, Full, false, LoadReport{})
 		}
 		if h.sends != c.want || h.refused != 1 {
 			t.Errorf("with a limit of %d: %d sends and %d refusals, want at most the configured sends and 1 refusal", c.attempts, h.sends, h.refused)
@@ -55,9 +55,9 @@
 // budget. Otherwise the retries of that tier would make this tier retry more too.
 func TestSingleAttemptRequestsLeaveBudgetsUnchanged(t *testing.T) {
 	b, h := fourServers(t)
-	b.EmptyBudgets()
+	b.ClearBudgets()
 	for id := range RequestID(500) {
-		b.Arrive(time.Duration(id)*time.Millisecond, Request{ID: id, Tenant: -1, Deadline: time.Hour, Attempts: 1})
+		b.Arrive(time.Duration(id)*time.Millisecond, Request{ID: id, Tenant: -1, Deadline: time.Hour, MaxAttempts: 1})
 	}
 	if b.retryTokens != 0 || b.reissuer.tokens != 0 || h.sends != 500 {
 		t.Errorf("earned %v retry and %v copy tokens by %d sends, want no tokens and 500 sends", b.retryTokens, b.reissuer.tokens, h.sends)
@@ -67,7 +67,7 @@
 		b.Timer(600*time.Millisecond, cookie)
 	}
 	for id := range RequestID(500) {
-		b.Done(700*time.Millisecond, id, 0, Full, false, Report{})
+		b.AttemptDone(700*time.Millisecond, id, 0, Full, false, LoadReport{})
 	}
 	if b.retryTokens != maxRetryTokens || b.reissuer.tokens != maxHedgeTokens || h.sends != 500 || h.refused != 500 {
 		t.Errorf("%v retry and %v copy tokens left, %d sends, %d refused, want all tokens, 500 sends and 500 refused", b.retryTokens, b.reissuer.tokens, h.sends, h.refused)
@@ -79,9 +79,9 @@
 func TestRequestBoundToServer(t *testing.T) {
 	for id := range RequestID(40) {
 		b, h := fourServers(t)
-		b.Arrive(0, Request{ID: id, Tenant: -1, Deadline: time.Second, Only: "c"})
+		b.Arrive(0, Request{ID: id, Tenant: -1, Deadline: time.Second, Server: "c"})
 		for n := 0; n < h.sends; n++ {
-			b.Done(time.Millisecond, id, n, Full, false, Report{})
+			b.AttemptDone(time.Millisecond, id, n, Full, false, LoadReport{})
 		}
 		for _, cookie := range h.timers {
 			b.Timer(600*time.Millisecond, cookie)
@@ -97,7 +97,7 @@
 			only = "c"
 			b.ServersListed(0, []Endpoint{{Name: "a"}, {Name: "b"}, {Name: "d"}})
 		}
-		b.Arrive(time.Minute, Request{ID: 1, Tenant: -1, Deadline: time.Minute + time.Second, Only: only})
+		b.Arrive(time.Minute, Request{ID: 1, Tenant: -1, Deadline: time.Minute + time.Second, Server: only})
 		for _, cookie := range h.timers {
 			b.Timer(time.Minute+2*time.Second, cookie)
 		}
@@ -128,7 +128,7 @@
 		b, r := newTestBalancer(t, testConfig(), Endpoint{Name: "a", Zone: "z"}, Endpoint{Name: "b", Zone: "z"})
 		b.reissuer.probability = 1 // each safe request would get a copy
 		level := b.admitter.level
-		b.Arrive(0, Request{ID: 1, Class: c.class, Deadline: time.Hour, Attempts: 1, Coming: true})
+		b.Arrive(0, Request{ID: 1, Class: c.class, Deadline: time.Hour, MaxAttempts: 1, BodyPending: true})
 		for _, cookie := range r.timers {
 			b.Timer(10*time.Second, cookie) // long after the aim
 		}
@@ -137,9 +137,9 @@
 		}
 		at := 20 * time.Second
 		if c.whole {
-			b.Whole(at, 1, at+300*ms)
+			b.BodyReceived(at, 1, at+300*ms)
 		}
-		b.Done(at+ms, 1, 0, c.o, false, Report{})
+		b.AttemptDone(at+ms, 1, 0, c.o, false, LoadReport{})
 		for _, cookie := range r.timers {
 			b.Timer(at+2*ms, cookie)
 		}
@@ -148,17 +148,17 @@
 		}
 	}
 	b, r := newTestBalancer(t, testConfig(), Endpoint{Name: "a"})
-	b.Arrive(0, Request{ID: 1, Deadline: time.Hour, Attempts: 1, Coming: true})
-	b.Done(50*time.Second, 1, 0, OK, true, Report{}) // answered before the end of the body
+	b.Arrive(0, Request{ID: 1, Deadline: time.Hour, MaxAttempts: 1, BodyPending: true})
+	b.AttemptDone(50*time.Second, 1, 0, OK, true, LoadReport{}) // answered before the end of the body
 	if s := b.fleet.byName["a"]; s.latencyWeight != 0 || b.reissuer.newSamples != 0 || b.admitter.level != 0 {
 		t.Errorf("an answer before the end of the body was recorded as a response time: %+v", s)
 	}
-	b.Arrive(0, Request{ID: 2, Deadline: time.Hour, Attempts: 1, Coming: true})
-	b.Whole(60*time.Second, 2, 61*time.Second)
+	b.Arrive(0, Request{ID: 2, Deadline: time.Hour, MaxAttempts: 1, BodyPending: true})
+	b.BodyReceived(60*time.Second, 2, 61*time.Second)
 	if n := len(r.delays); r.delays[n-1] != 100*ms {
 		t.Errorf("the timer for the aim is set to %v at the last byte, want 100ms", r.delays[n-1])
 	}
-	b.Done(60*time.Second+10*ms, 2, 0, OK, true, Report{})
+	b.AttemptDone(60*time.Second+10*ms, 2, 0, OK, true, LoadReport{})
 	if s := b.fleet.byName["a"]; s.latencyWeight == 0 || b.fleet.meanLatency > 0.11 {
 		t.Errorf("the response time does not count from the last byte: mean %v of the aim, want 0.1", b.fleet.meanLatency)
 	}
@@ -178,12 +178,12 @@
 		"no server is left":    {Class{Aim: time.Second, Worth: 1}, "a", Full, 1},
 	} {
 		b, h := fourServers(t)
-		if err := b.Adopt(Config{Instances: 1, MaxAttempts: 3, Classes: []Class{c.class}}); err != nil {
+		if err := b.SetConfig(Config{Instances: 1, MaxAttempts: 3, Classes: []Class{c.class}}); err != nil {
 			t.Fatal(err)
 		}
-		b.Arrive(0, Request{ID: 1, Tenant: -1, Deadline: time.Second, Only: c.only})
+		b.Arrive(0, Request{ID: 1, Tenant: -1, Deadline: time.Second, Server: c.only})
 		for n := 0; n < h.sends; n++ {
-			b.Done(time.Millisecond, 1, n, c.outcome, false, Report{})
+			b.AttemptDone(time.Millisecond, 1, n, c.outcome, false, LoadReport{})
 		}
 		if want := maxRetryTokens - float64(c.sends-1); h.sends != c.sends || h.refused+h.failed != 1 || b.retryTokens != want {
 			t.Errorf("%s: %d sends, %v retries left, want %v", name, h.sends, b.retryTokens, want)
@@ -199,9 +199,9 @@
 		t.Fatal(err)
 	}
 	b.ServersListed(0, []Endpoint{{Name: "a"}})
-	b.Probed(10*time.Second, "a", Report{HasInFlight: true, InFlight: 8})
-	b.Probed(9*time.Second, "a", Report{HasInFlight: true})
-	if got := b.ViewServer(10*time.Second, "a", 0).Load; got != 9 {
+	b.Probed(10*time.Second, "a", LoadReport{HasInFlight: true, InFlight: 8})
+	b.Probed(9*time.Second, "a", LoadReport{HasInFlight: true})
+	if got := b.ViewServer(10*time.Second, "a", 0).HeldRequests; got != 9 {
 		t.Errorf("load %v after an older report without load, want 9", got)
 	}
 }
--- a/balancer_test.go
+++ b/balancer_test.go
@@ -97,7 +97,7 @@
 			b, r := newTestBalancer(t, testConfig(), c.servers...)
 			b.disableCopies()
 			b.Arrive(0, Request{ID: 1, Class: c.class, Deadline: 300 * ms})
-			b.Done(c.at, 1, 0, c.o, false, Report{})
+			b.AttemptDone(c.at, 1, 0, c.o, false, LoadReport{})
 			if !slices.Equal(r.decisions, c.want) {
 				t.Errorf("got %v, want %v", r.decisions, c.want)
 			}
@@ -123,9 +123,9 @@
 		if len(r.decisions) != probesPerRequest {
 			t.Fatalf("got %v on arrival, want %d probes", r.decisions, probesPerRequest)
 		}
-		b.Probed(0, "a", Report{HasInFlight: true, InFlight: a})
-		b.Probed(0, "b", Report{HasInFlight: true, InFlight: bb})
-		b.Probed(0, "gone", Report{})
+		b.Probed(0, "a", LoadReport{HasInFlight: true, InFlight: a})
+		b.Probed(0, "b", LoadReport{HasInFlight: true, InFlight: bb})
+		b.Probed(0, "gone", LoadReport{})
 		r.decisions = nil
 		b.Timer(0, r.timers[len(r.timers)-1])
 	}
@@ -134,7 +134,7 @@
 		if got := r.servers[id-1]; got != "b" {
 			t.Errorf("request %d went to the loaded %s", id, got)
 		}
-		b.Done(20*ms, id, 0, OK, true, Report{})
+		b.AttemptDone(20*ms, id, 0, OK, true, LoadReport{})
 	}
 	arrive(11, 300*ms, 90, 90)
 	if !slices.Equal(r.decisions, []string{"refuse 11"}) {
@@ -166,8 +166,8 @@
 	}
 	b.Timer(50*ms, r.timers[0])
 	b.requests[1].observesPair = false
-	b.Done(60*ms, 1, 1, OK, true, Report{})
-	b.Done(60*ms, 1, 0, Cancelled, true, Report{})
+	b.AttemptDone(60*ms, 1, 1, OK, true, LoadReport{})
+	b.AttemptDone(60*ms, 1, 0, Cancelled, true, LoadReport{})
 	if want := []string{"send 1", "send 1", "cancel 1/0"}; !slices.Equal(r.decisions, want) {
 		t.Errorf("got %v, want %v", r.decisions, want)
 	}
@@ -193,7 +193,7 @@
 		b.admitter.level = 0
 		b.Arrive(now, Request{ID: id, Class: int(id%10/9) * 2, Tenant: -1, Deadline: now + 300*ms})
 		for n := 0; b.requests[id] != nil; n++ {
-			b.Done(now, id, n, Full, false, Report{})
+			b.AttemptDone(now, id, n, Full, false, LoadReport{})
 		}
 	}
 	for _, decision := range r.decisions {
@@ -252,7 +252,7 @@
 	if level <= 0 {
 		t.Error("the shed level did not rise for a request unanswered at its aim")
 	}
-	b.Done(150*ms, 1, 0, OK, true, Report{})
+	b.AttemptDone(150*ms, 1, 0, OK, true, LoadReport{})
 	if b.admitter.level != level {
 		t.Errorf("shed level %v after the late answer, want %v as before it", b.admitter.level, level)
 	}
@@ -283,14 +283,14 @@
 	old, strict := cfg, cfg
 	old.MaxAttempts, strict.MaxAttempts = 3, 1
 	strict.Classes = append(slices.Clone(cfg.Classes), Class{Aim: 50 * ms, Worth: 2, Effect: Unsafe})
-	b.Arrive(0, Request{ID: 1, Class: 2, Tenant: -1, Deadline: time.Second, Under: &old})
+	b.Arrive(0, Request{ID: 1, Class: 2, Tenant: -1, Deadline: time.Second, Config: &old})
 	for n := range 3 * ejectThreshold { // one server fails
 		b.fleet.recordFailure(b.fleet.byName["s1"], time.Duration(n)*ms)
 	}
 	b.admitter.level, b.admitter.tenantBuckets[0].tokens = 0.4, 0.25
 	share, rank := b.admitter.arrivalShares[4], b.admitter.recordArrival(2, 0, 0)
 	strict.ColdFor = 30 * time.Second
-	if err := b.Adopt(strict); err != nil {
+	if err := b.SetConfig(strict); err != nil {
 		t.Fatal(err)
 	}
 	if s := b.fleet.byName["s1"]; s.ejection.until == 0 || b.admitter.level != 0.4 || b.admitter.tenantBuckets[0].tokens != 0.25 && rank != 5 || len(b.admitter.arrivalShares) != 8 || b.admitter.arrivalShares[4] > share {
@@ -300,11 +300,11 @@
 	if s := b.fleet.byName["cold"]; b.fleet.warmth(s, 20*time.Second) == 1 {
 		t.Error("a server counts as warm by the previous configuration")
 	}
-	b.Arrive(ms, Request{ID: 2, Class: 3, Tenant: -1, Deadline: time.Second, Under: &strict})
-	b.Arrive(ms, Request{ID: 3, Class: 3, Tenant: -1, Deadline: time.Second, Under: &old}) // a class that this configuration lacks
+	b.Arrive(ms, Request{ID: 2, Class: 3, Tenant: -1, Deadline: time.Second, Config: &strict})
+	b.Arrive(ms, Request{ID: 3, Class: 3, Tenant: -1, Deadline: time.Second, Config: &old}) // a class that this configuration lacks
 	for id := range RequestID(2) {
 		for n := range 3 {
-			b.Done(2*ms, id+1, n, Full, false, Report{})
+			b.AttemptDone(2*ms, id+1, n, Full, false, LoadReport{})
 		}
 	}
 	sends := make(map[string]int)
@@ -318,9 +318,9 @@
 	// requests may have none.
 	b.admitter.level, b.reissuer.probability, b.reissuer.delay, b.reissuer.tokens = 0, 1, 0.1, 2
 	strict.SecondCopies, strict.MaxAttempts = false, 2
-	b.Arrive(3*ms, Request{ID: 4, Tenant: -1, Deadline: time.Second, Under: &old})
-	b.Arrive(3*ms, Request{ID: 5, Tenant: -1, Deadline: time.Second, Under: &strict})
-	if err := b.Adopt(strict); err != nil {
+	b.Arrive(3*ms, Request{ID: 4, Tenant: -1, Deadline: time.Second, Config: &old})
+	b.Arrive(3*ms, Request{ID: 5, Tenant: -1, Deadline: time.Second, Config: &strict})
+	if err := b.SetConfig(strict); err != nil {
 		t.Fatal(err)
 	}
 	for _, timer := range r.timers[len(r.timers)-2:] {
@@ -334,7 +334,7 @@
 		t.Errorf("got %v, want a copy of request 4 and none of request 5", sends)
 	}
 	b.fleet.recordClassFailure(b.fleet.byName["s2"], 3, 0) // a class that the change added
-	if bad := strict; b.Adopt(func() Config { bad.MaxAttempts = 0; return bad }()) == nil || b.cfg.MaxAttempts != 2 {
+	if bad := strict; b.SetConfig(func() Config { bad.MaxAttempts = 0; return bad }()) == nil || b.cfg.MaxAttempts != 2 {
 		t.Error("an invalid configuration was taken in whole or in part")
 	}
 }
@@ -356,7 +356,7 @@
 	now.Classes[1].Effect = Unsafe
 	now.WasteCost = 1
 	b, r := newTestBalancer(t, old, servers...)
-	if err := b.Adopt(now); err != nil {
+	if err := b.SetConfig(now); err != nil {
 		t.Fatal(err)
 	}
 	if want := newReissuer(now.WasteCost).budget; b.reissuer.budget != want {
@@ -364,13 +364,13 @@
 	}
 	both := func(r Request, do func(id RequestID)) {
 		for n, under := range []*Config{&old, &now} {
-			r.ID, r.Under, r.Tenant, r.Deadline = RequestID(10*r.Class+n+1), under, -1, time.Minute
+			r.ID, r.Config, r.Tenant, r.Deadline = RequestID(10*r.Class+n+1), under, -1, time.Minute
 			b.Arrive(0, r)
 			do(r.ID)
 		}
 	}
 	// A keyed request that may have run is retried; an unsafe one is not.
-	both(Request{Class: 1}, func(id RequestID) { b.Done(ms, id, 0, Reset, false, Report{}) })
+	both(Request{Class: 1}, func(id RequestID) { b.AttemptDone(ms, id, 0, Reset, false, LoadReport{}) })
 	if got := fmt.Sprint(r.decisions); !strings.Contains(got, "send 11 send 11 send 12 fail 12") {
 		t.Error(got)
 	}
@@ -379,21 +379,21 @@
 	r.decisions, b.reissuer.probability, b.reissuer.delay, b.reissuer.tokens = nil, 1, 0, maxHedgeTokens
 	both(Request{Class: 0}, func(id RequestID) {
 		b.Timer(ms, r.timers[len(r.timers)-1])
-		b.Done(2*ms, id, 0, OK, true, Report{})
+		b.AttemptDone(2*ms, id, 0, OK, true, LoadReport{})
 	})
 	if got := fmt.Sprint(r.decisions); !strings.Contains(got, "cancel 1/1") || strings.Contains(got, "cancel 2") || strings.Count(got, "send") != 4 {
 		t.Error(got)
 	}
 	r.retryDelays = nil
-	both(Request{Class: 2, Attempts: 1}, func(id RequestID) { b.Done(3*ms, id, 0, Full, false, Report{}) })
+	both(Request{Class: 2, MaxAttempts: 1}, func(id RequestID) { b.AttemptDone(3*ms, id, 0, Full, false, LoadReport{}) })
 	if len(r.retryDelays) != 2 || r.retryDelays[0] > time.Second || r.retryDelays[1] < time.Minute {
 		t.Errorf("retry delays %v, want at most 1s and at least 1m", r.retryDelays)
 	}
 	// Requests go to their key's server where the configuration has WarmKeys.
 	r.servers = nil
 	for n := range 30 {
-		b.Arrive(10*ms, Request{ID: RequestID(100 + n), Class: 2, Key: "k", Tenant: -1, Deadline: time.Minute, Under: &old})
-		b.Done(10*ms, RequestID(100+n), 0, OK, true, Report{})
+		b.Arrive(10*ms, Request{ID: RequestID(100 + n), Class: 2, Key: "k", Tenant: -1, Deadline: time.Minute, Config: &old})
+		b.AttemptDone(10*ms, RequestID(100+n), 0, OK, true, LoadReport{})
 	}
 	if all := slices.Compact(slices.Sorted(slices.Values(r.servers))); len(all) > 2 {
 		t.Errorf("requests of one key went to %v, want at most 2 servers", all)
@@ -406,7 +406,7 @@
 	zone string
 }
 
-func (d *preferredZone) Due(_ time.Duration, repeats bool) string {
+func (d *preferredZone) PreferredZone(_ time.Duration, repeats bool) string {
 	if !repeats {
 		return ""
 	}
@@ -419,7 +419,7 @@
 func TestPreferredZoneIsTriedFirst(t *testing.T) {
 	b, r := newTestBalancer(t, testConfig(), Endpoint{Name: "a1", Zone: "a"}, Endpoint{Name: "a2", Zone: "a"}, Endpoint{Name: "a3", Zone: "a"}, Endpoint{Name: "b1", Zone: "b"})
 	b.disableCopies()
-	b.SetZones(&preferredZone{zone: "b"})
+	b.SetZonePolicy(&preferredZone{zone: "b"})
 	slow, now := b.fleet.byName["b1"], time.Duration(0)
 	for id := range RequestID(20) {
 		now += 20 * ms
@@ -429,12 +429,12 @@
 			if got := r.servers[len(r.servers)-1]; len(r.servers) != int(2*id)+n+1 || (got == "b1") != (class == 0) {
 				t.Fatalf("class %d went to %s, want b1 for class 0 only: %v", class, got, r.decisions)
 			}
-			b.Done(now+ms, 2*id+RequestID(n), 0, OK, true, Report{})
+			b.AttemptDone(now+ms, 2*id+RequestID(n), 0, OK, true, LoadReport{})
 		}
 	}
 	now += 20 * ms
 	b.Arrive(now, Request{ID: 100, Class: 0, Deadline: now + 300*ms})
-	b.Done(now+ms, 100, 0, Full, false, Report{})
+	b.AttemptDone(now+ms, 100, 0, Full, false, LoadReport{})
 	if got := r.servers[len(r.servers)-2:]; got[0] != "b1" || got[1] == "b1" {
 		t.Errorf("a call turned away in the zone went to %v, want b1 and then another", got)
 	}
--- a/client/link.go
+++ b/client/link.go
@@ -214,7 +214,7 @@
 }
 
 // Stream implements core.Sink.
-func (v *daemonAttempt) Stream(answer any, _ chalkrack.Report) io.Writer {
+func (v *daemonAttempt) Stream(answer any, _ chalkrack.LoadReport) io.Writer {
 	s, resp := v.c.startStream(answer.(*message.Answer), func() {
 		v.coreAttempt.Abandon()
 		v.coreAttempt.Close()
@@ -225,7 +225,7 @@
 }
 
 // Done implements core.Sink.
-func (v *daemonAttempt) Done(o chalkrack.Outcome, answer any, _ chalkrack.Report) {
+func (v *daemonAttempt) Done(o chalkrack.Outcome, answer any, _ chalkrack.LoadReport) {
 	if v.stream != nil {
 		v.stream.End(o == chalkrack.OK)
 		return
--- a/cmd/drill/instance.go
+++ b/cmd/drill/instance.go
@@ -42,13 +42,13 @@
 			Deadline: micros(e.Deadline),
 		})
 	case wire.HeadReceived:
-		i.b.Started(now, id, e.Copy)
+		i.b.AnswerStarted(now, id, e.Copy)
 	case wire.Finished:
 		o, ok := outcomes[e.Ending]
 		if !ok {
 			return fmt.Errorf("unknown ending %d", e.Ending)
 		}
-		i.b.Done(now, id, e.Copy, o, e.Over, report(e.Load))
+		i.b.AttemptDone(now, id, e.Copy, o, e.Over, report(e.Load))
 	case wire.Checked:
 		i.b.Probed(now, string(e.Server), report(e.Load))
 	case wire.TimedOutClient:
@@ -70,8 +70,8 @@
 	409: chalkrack.NotSent,
 }
 
-func report(l wire.Load) chalkrack.Report {
-	return chalkrack.Report{HasInFlight: l.HasBusyReqs, InFlight: l.BusyReqs, HasUtil: l.HasCPUShare, Util: l.CPUShare}
+func report(l wire.Load) chalkrack.LoadReport {
+	return chalkrack.LoadReport{HasInFlight: l.HasBusyReqs, InFlight: l.BusyReqs, HasUtil: l.HasCPUShare, Util: l.CPUShare}
 }
 
 // Send implements chalkrack.Host.
--- a/example_test.go
+++ b/example_test.go
@@ -50,8 +50,8 @@
 	b.Timer(now, host.timers[0]) // the copy's delay is over
 
 	now += 30 * time.Millisecond
-	b.Done(now, 7, 1, chalkrack.OK, true, chalkrack.Report{}) // the copy answers first
-	b.Done(now, 7, 0, chalkrack.Cancelled, true, chalkrack.Report{})
+	b.AttemptDone(now, 7, 1, chalkrack.OK, true, chalkrack.LoadReport{}) // the copy answers first
+	b.AttemptDone(now, 7, 0, chalkrack.Cancelled, true, chalkrack.LoadReport{})
 
 	_, err = chalkrack.New(chalkrack.Config{Instances: 1, MaxAttempts: 3}, 1, host)
 	fmt.Println(err)
--- a/internal/calltrace/calltrace.go
+++ b/internal/calltrace/calltrace.go
@@ -61,11 +61,11 @@
 	}
 	if len(trace.Attempts) == 0 {
 		switch {
-		case trace.State.Members == 0:
+		case trace.State.ServingServers == 0:
 			return "no server is listed"
-		case trace.State.Level > 0.06:
+		case trace.State.ShedLevel > 0.06:
 			return "shed on arrival"
-		case trace.State.Set > 0 && trace.State.Ejected >= trace.State.Set:
+		case trace.State.WorkingSet > 0 && trace.State.Ejected >= trace.State.WorkingSet:
 			return "all servers ejected"
 		}
 		return "no server to be had"
@@ -138,7 +138,7 @@
 		return "a server that failed before"
 	case b.Latency > 1.7:
 		return "a server known as slow"
-	case b.UpFor > 0 && b.UpFor < 60:
+	case b.UptimeSeconds > 0 && b.UptimeSeconds < 60:
 		return "a young server"
 	}
 	return "a server known as good"
@@ -181,7 +181,7 @@
 		return "past its aim"
 	case trace.Effect == "once" && mayHaveRun:
 		return "may not run twice"
-	case trace.StateEnd.Retries < 1:
+	case trace.StateEnd.RetryTokens < 1:
 		return "no retries left in the budget"
 	case trace.Effect == "keyed" && mayHaveRun:
 		return "its window or group over"
--- a/internal/calltrace/calltrace_test.go
+++ b/internal/calltrace/calltrace_test.go
@@ -15,7 +15,7 @@
 
 func newTrace(end string, took float64, a ...core.AttemptTrace) core.Trace {
 	return core.Trace{Class: "activate", Effect: "once", Worth: 10, Aim: 100, End: end, Took: took, Attempts: a,
-		State: chalkrack.StateView{Members: 5, Set: 5, Retries: 5}, StateEnd: chalkrack.StateView{Retries: 5}}
+		State: chalkrack.StateView{ServingServers: 5, WorkingSet: 5, RetryTokens: 5}, StateEnd: chalkrack.StateView{RetryTokens: 5}}
 }
 
 // Cause describes each trace by the outcome of its attempts.
@@ -28,11 +28,11 @@
 	left := at("timed out", "waiting on a connection idle for 20ms after 3 requests", 300)
 	left.After.Serving = false
 	shed := newTrace("refused", 0)
-	shed.State.Level = 0.4
+	shed.State.ShedLevel = 0.4
 	empty := newTrace("refused", 0)
-	empty.State.Members = 0
+	empty.State.ServingServers = 0
 	poor := newTrace("refused", 20, at("full", "reading on a new connection", 20))
-	poor.Effect, poor.StateEnd.Retries = "safe", 0
+	poor.Effect, poor.StateEnd.RetryTokens = "safe", 0
 	for want, s := range map[string]core.Trace{
 		"shed on arrival":                      shed,
 		"no server is listed":                  empty,
--- a/internal/core/action.go
+++ b/internal/core/action.go
@@ -56,7 +56,7 @@
 		// The outcome is reported before the connection is closed. Otherwise the
 		// connection's reader would report the close as a reset, and the cancellation
 		// would count as a failure of the server.
-		a.attempt.Done(chalkrack.Cancelled, nil, chalkrack.Report{})
+		a.attempt.Done(chalkrack.Cancelled, nil, chalkrack.LoadReport{})
 		a.attempt.handle.Close()
 	case actCloseAttempt:
 		a.attempt.handle.Close()
@@ -72,7 +72,7 @@
 		h.transport.CloseIdle(a.server)
 	case actProbe:
 		server := a.server
-		h.transport.Probe(server, probeTimeout, func(rep chalkrack.Report) {
+		h.transport.Probe(server, probeTimeout, func(rep chalkrack.LoadReport) {
 			h.handleEvent(func(now time.Duration) { h.balancer.Probed(now, server, rep) })
 		})
 	case actTrace:
--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -74,7 +74,7 @@
 // Stream implements Sink. A streamed answer is reported to the Balancer as served when it
 // begins. If it were reported at its end, the time that a slow client takes to read it
 // would count as latency of the server, and the Balancer would shed load.
-func (a *attempt) Stream(answer any, rep chalkrack.Report) (w io.Writer) {
+func (a *attempt) Stream(answer any, rep chalkrack.LoadReport) (w io.Writer) {
 	a.host.handleEvent(func(now time.Duration) {
 		call := a.call
 		if call.ended || a.ended {
@@ -89,7 +89,7 @@
 		a.stream = call.details.Caller.Stream(answer, a.abort)
 		w = a.stream
 		defer a.host.removeIfDone(call)
-		a.host.balancer.Done(now, call.id, a.index, chalkrack.OK, true, rep)
+		a.host.balancer.AttemptDone(now, call.id, a.index, chalkrack.OK, true, rep)
 	})
 	return w
 }
@@ -101,7 +101,7 @@
 }
 
 // Done implements Sink.
-func (a *attempt) Done(outcome chalkrack.Outcome, answer any, rep chalkrack.Report) {
+func (a *attempt) Done(outcome chalkrack.Outcome, answer any, rep chalkrack.LoadReport) {
 	if a.stream != nil {
 		if outcome != chalkrack.OK {
 			a.host.log().Info("streamed answer ended early", "server", a.server, "by", outcomeNames[outcome])
@@ -114,7 +114,7 @@
 
 // endAttempt records the outcome of an attempt and passes it to the Balancer. It is called with
 // the lock held.
-func (h *Host) endAttempt(now time.Duration, a *attempt, outcome chalkrack.Outcome, answer any, rep chalkrack.Report) {
+func (h *Host) endAttempt(now time.Duration, a *attempt, outcome chalkrack.Outcome, answer any, rep chalkrack.LoadReport) {
 	if a.ended {
 		return
 	}
@@ -136,7 +136,7 @@
 		h.log().Info("attempt ended: "+outcomeNames[outcome], "id", call.id, "class", call.details.Class, "attempt", a.index, "server", a.server, "after", now-a.sentAt, "phase", a.handle.Phase())
 	}
 	callEnded := call.ended
-	h.balancer.Done(now, call.id, a.index, outcome, callEnded, rep)
+	h.balancer.AttemptDone(now, call.id, a.index, outcome, callEnded, rep)
 	h.removeIfDone(call)
 }
 
@@ -170,7 +170,7 @@
 				outcome = chalkrack.ConnectFailed
 			}
 			h.queueAction(action{kind: actCloseAttempt, attempt: a})
-			h.endAttempt(now, a, outcome, nil, chalkrack.Report{})
+			h.endAttempt(now, a, outcome, nil, chalkrack.LoadReport{})
 		}
 	})
 }
@@ -193,7 +193,7 @@
 			}
 		}
 		h.queueAction(action{kind: actCloseAttempt, attempt: a})
-		h.endAttempt(now, a, outcome, nil, chalkrack.Report{})
+		h.endAttempt(now, a, outcome, nil, chalkrack.LoadReport{})
 	}
 	if !call.ended {
 		h.log().Error("call not answered by its deadline", "class", call.details.Class)
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -108,10 +108,10 @@
 type Sink interface {
 	// Stream reports that a streamed answer has begun. It returns the writer for the
 	// rest of the body, or nil if the call has already ended.
-	Stream(answer any, rep chalkrack.Report) io.Writer
+	Stream(answer any, rep chalkrack.LoadReport) io.Writer
 	// Done reports the outcome; answer is set for a complete answer. Only the first
 	// call has an effect.
-	Done(o chalkrack.Outcome, answer any, rep chalkrack.Report)
+	Done(o chalkrack.Outcome, answer any, rep chalkrack.LoadReport)
 }
 
 // Transport sends attempts to servers. It sends each attempt at most once and never
@@ -130,7 +130,7 @@
 	CloseIdle(server string)
 	// Probe requests a server's load report. told is called at most once, from any
 	// goroutine, and not at all if the report takes longer than wait.
-	Probe(server string, wait time.Duration, told func(chalkrack.Report))
+	Probe(server string, wait time.Duration, told func(chalkrack.LoadReport))
 }
 
 // Attempt is one send of a call to one server. It has begun once the server may act on it.
--- a/internal/core/gate.go
+++ b/internal/core/gate.go
@@ -14,10 +14,10 @@
 }
 
 // SetGate makes the Balancer ask g, which the Host's lock guards from now on.
-func (h *Host) SetGate(g chalkrack.Gate) {
+func (h *Host) SetGate(g chalkrack.DegradationPolicy) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.balancer.SetGate(g)
+	h.balancer.SetDegradationPolicy(g)
 }
 
 // With calls do with the lock that guards the gate held. It passes the current time, the
@@ -28,7 +28,7 @@
 	defer h.mu.Unlock()
 	now := h.now()
 	state := h.balancer.ViewState(now)
-	do(now, h.tally, state.Members, state.Ejected)
+	do(now, h.tally, state.ServingServers, state.Ejected)
 }
 
 // countOutcome adds the outcome of an attempt to the counts.
@@ -46,7 +46,7 @@
 }
 
 // Reported passes a server's load report that is of the given age to the Balancer.
-func (h *Host) Reported(server string, age time.Duration, rep chalkrack.Report) {
+func (h *Host) Reported(server string, age time.Duration, rep chalkrack.LoadReport) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.balancer.Probed(h.now()-age, server, rep)
--- a/internal/core/host.go
+++ b/internal/core/host.go
@@ -142,8 +142,8 @@
 }
 
 // SetZones makes the Balancer ask z whether zones have capacity for calls.
-func (h *Host) SetZones(z chalkrack.Zones) {
-	h.handleEvent(func(time.Duration) { h.balancer.SetZones(z) })
+func (h *Host) SetZones(z chalkrack.ZonePolicy) {
+	h.handleEvent(func(time.Duration) { h.balancer.SetZonePolicy(z) })
 }
 
 // Now returns the Balancer's time, as the time since the Unix epoch.
@@ -231,15 +231,15 @@
 		h.addTimer(timerEntry{at: deadline, call: call})
 		h.traceArrival(now, call)
 		h.balancer.Arrive(now, chalkrack.Request{
-			ID:       call.id,
-			Class:    classIndex,
-			Tenant:   gen.Tenant(c.Tenant),
-			Key:      c.Key,
-			Deadline: deadline,
-			Attempts: limits.maxAttempts(),
-			Only:     limits.Only,
-			Coming:   call.bodyPending,
-			Under:    gen.Rules(),
+			ID:          call.id,
+			Class:       classIndex,
+			Tenant:      gen.Tenant(c.Tenant),
+			Key:         c.Key,
+			Deadline:    deadline,
+			MaxAttempts: limits.maxAttempts(),
+			Server:      limits.Only,
+			BodyPending: call.bodyPending,
+			Config:      gen.Rules(),
 		})
 	})
 }
@@ -274,7 +274,7 @@
 		call.bodyPending, call.arrivedAt = false, now
 		call.deadline = min(call.deadline, now+callTimeout(wait))
 		h.addTimer(timerEntry{at: call.deadline, call: call})
-		h.balancer.Whole(now, call.id, call.deadline)
+		h.balancer.BodyReceived(now, call.id, call.deadline)
 	})
 }
 
@@ -315,7 +315,7 @@
 
 // EmptyBudgets sets the budgets of retries and copies to zero. Later calls add to them
 // again.
-func (h *Host) EmptyBudgets() { h.handleEvent(func(time.Duration) { h.balancer.EmptyBudgets() }) }
+func (h *Host) EmptyBudgets() { h.handleEvent(func(time.Duration) { h.balancer.ClearBudgets() }) }
 
 // QuitAt limits the deadline of all current and future calls to the given time from now,
 // so that every call is answered by then.
@@ -334,21 +334,21 @@
 func (h *Host) Ejected() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.balancer.Ejected(h.now())
+	return h.balancer.EjectedCount(h.now())
 }
 
 // Memory returns the state that the Balancer has learned, for another process of the same
 // sidecar.
-func (h *Host) Memory() chalkrack.Memory {
+func (h *Host) Memory() chalkrack.LearnedState {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.balancer.Memory(h.now())
+	return h.balancer.LearnedState(h.now())
 }
 
 // Remember restores the state that another process has learned about the servers that are
 // listed.
-func (h *Host) Remember(m chalkrack.Memory) {
-	h.handleEvent(func(now time.Duration) { h.balancer.Remember(now, m) })
+func (h *Host) Remember(m chalkrack.LearnedState) {
+	h.handleEvent(func(now time.Duration) { h.balancer.RestoreState(now, m) })
 }
 
 // Close fails all calls that are still held and stops the timer. Calls that arrive later
--- a/internal/core/races_test.go
+++ b/internal/core/races_test.go
@@ -34,14 +34,14 @@
 	stopped   bool      // by Attempt.Abandon or Attempt.Forgo
 }
 
-func (m *memTransport) Attempt(o core.Order) core.Attempt                   { return &memAttempt{owner: m, order: o} }
-func (m *memTransport) Serve(string, string, time.Duration)                 {}
-func (m *memTransport) Leave(string, bool)                                  {}
-func (m *memTransport) Keep(map[string]bool)                                {}
-func (m *memTransport) CloseIdle(string)                                    {}
-func (m *memTransport) Probe(string, time.Duration, func(chalkrack.Report)) {}
-func (a *memAttempt) Close()                                                {}
-func (a *memAttempt) Phase() string                                         { return "sent" }
+func (m *memTransport) Attempt(o core.Order) core.Attempt                       { return &memAttempt{owner: m, order: o} }
+func (m *memTransport) Serve(string, string, time.Duration)                     {}
+func (m *memTransport) Leave(string, bool)                                      {}
+func (m *memTransport) Keep(map[string]bool)                                    {}
+func (m *memTransport) CloseIdle(string)                                        {}
+func (m *memTransport) Probe(string, time.Duration, func(chalkrack.LoadReport)) {}
+func (a *memAttempt) Close()                                                    {}
+func (a *memAttempt) Phase() string                                             { return "sent" }
 func (a *memAttempt) Abandon() bool {
 	a.owner.mu.Lock()
 	defer a.owner.mu.Unlock()
@@ -68,7 +68,7 @@
 	}
 	a.owner.mu.Unlock()
 	if stopped {
-		a.order.Sink.Done(chalkrack.NotSent, nil, chalkrack.Report{})
+		a.order.Sink.Done(chalkrack.NotSent, nil, chalkrack.LoadReport{})
 		return
 	}
 	a.owner.onStart(a)
@@ -137,9 +137,9 @@
 						answer = nil
 					}
 					transport := &memTransport{onStart: func(a *memAttempt) {
-						time.AfterFunc(time.Until(at), func() { a.order.Sink.Done(outcome, answer, chalkrack.Report{}) })
+						time.AfterFunc(time.Until(at), func() { a.order.Sink.Done(outcome, answer, chalkrack.LoadReport{}) })
 						if n%3 == 0 { // reported twice
-							time.AfterFunc(time.Until(at), func() { a.order.Sink.Done(outcome, answer, chalkrack.Report{}) })
+							time.AfterFunc(time.Until(at), func() { a.order.Sink.Done(outcome, answer, chalkrack.LoadReport{}) })
 						}
 					}}
 					h := newQuietHost(t, transport, config, 3)
@@ -189,7 +189,7 @@
 			draw := func(n int) int { mu.Lock(); defer mu.Unlock(); return r.IntN(n) }
 			transport.onStart = func(a *memAttempt) {
 				o := []chalkrack.Outcome{chalkrack.Reset, chalkrack.Full, chalkrack.ConnectFailed, chalkrack.ServerError}[draw(4)]
-				time.AfterFunc(time.Duration(draw(150))*time.Millisecond, func() { a.order.Sink.Done(o, nil, chalkrack.Report{}) })
+				time.AfterFunc(time.Duration(draw(150))*time.Millisecond, func() { a.order.Sink.Done(o, nil, chalkrack.LoadReport{}) })
 			}
 			h := newQuietHost(t, transport, shortSettings(), 4)
 			c := new(recordingCaller)
@@ -260,7 +260,7 @@
 		transport := &memTransport{}
 		transport.onStart = func(a *memAttempt) {
 			if a.order.N == 0 {
-				time.AfterFunc(100*time.Millisecond, func() { a.order.Sink.Done(chalkrack.Reset, nil, chalkrack.Report{}) })
+				time.AfterFunc(100*time.Millisecond, func() { a.order.Sink.Done(chalkrack.Reset, nil, chalkrack.LoadReport{}) })
 			}
 		}
 		h := newQuietHost(t, transport, shortSettings(), 4)
@@ -288,7 +288,7 @@
 			transport := &memTransport{}
 			transport.onStart = func(a *memAttempt) {
 				if n%2 == 0 { // otherwise they are never answered
-					time.AfterFunc(time.Duration(n)*3*time.Millisecond, func() { a.order.Sink.Done(chalkrack.Full, nil, chalkrack.Report{}) })
+					time.AfterFunc(time.Duration(n)*3*time.Millisecond, func() { a.order.Sink.Done(chalkrack.Full, nil, chalkrack.LoadReport{}) })
 				}
 			}
 			config := testSettings() // with deadlines of 20 s
@@ -349,7 +349,7 @@
 		}
 		a.owner.mu.Unlock()
 		if stopped {
-			a.order.Sink.Done(chalkrack.ConnectFailed, nil, chalkrack.Report{})
+			a.order.Sink.Done(chalkrack.ConnectFailed, nil, chalkrack.LoadReport{})
 		} else {
 			then()
 		}
@@ -369,14 +369,14 @@
 					copies++
 					time.AfterFunc(time.Millisecond, func() {
 						if streamed {
-							a.order.Sink.Stream("hi", chalkrack.Report{}) // returns nil if the call has ended
+							a.order.Sink.Stream("hi", chalkrack.LoadReport{}) // returns nil if the call has ended
 						}
-						a.order.Sink.Done(chalkrack.OK, "hi", chalkrack.Report{})
+						a.order.Sink.Done(chalkrack.OK, "hi", chalkrack.LoadReport{})
 					})
 					return
 				}
 				a.connect(100*time.Millisecond, func() {
-					time.AfterFunc(time.Millisecond, func() { a.order.Sink.Done(chalkrack.OK, "hi", chalkrack.Report{}) })
+					time.AfterFunc(time.Millisecond, func() { a.order.Sink.Done(chalkrack.OK, "hi", chalkrack.LoadReport{}) })
 				})
 			}
 			h := newQuietHost(t, transport, shortSettings(), 6)
--- a/internal/core/trace.go
+++ b/internal/core/trace.go
@@ -114,8 +114,8 @@
 	now := h.now()
 	corrections := make([]float64, len(servers))
 	for n, name := range servers {
-		if view := h.balancer.ViewServer(now, name, -1); view.Learned != 1 {
-			corrections[n] = view.Learned
+		if view := h.balancer.ViewServer(now, name, -1); view.LearnedWeight != 1 {
+			corrections[n] = view.LearnedWeight
 		}
 	}
 	return corrections
--- a/internal/core/trace_test.go
+++ b/internal/core/trace_test.go
@@ -78,7 +78,7 @@
 				t.Fatalf("%v in %q", err, text)
 			}
 			trace := line.Trace
-			if line.Msg != core.TraceMessage || trace.Class != "u" || trace.End != "failed" || !trace.Retry || len(trace.Attempts) != 1 || trace.Attempts[0].Outcome != "reset" || !trace.Attempts[0].Before.Serving || trace.State.Members != 1 {
+			if line.Msg != core.TraceMessage || trace.Class != "u" || trace.End != "failed" || !trace.Retry || len(trace.Attempts) != 1 || trace.Attempts[0].Outcome != "reset" || !trace.Attempts[0].Before.Serving || trace.State.ServingServers != 1 {
 				t.Errorf("unexpected trace: %s", text)
 			}
 			return
--- a/internal/core/trial.go
+++ b/internal/core/trial.go
@@ -41,7 +41,7 @@
 	h.handleEvent(func(now time.Duration) {
 		rules, e := h.generations.Begin(now, next, cfg, seed)
 		if err = e; err == nil {
-			if err = h.balancer.Adopt(rules); err != nil {
+			if err = h.balancer.SetConfig(rules); err != nil {
 				h.generations.End(false)
 			}
 		}
@@ -67,7 +67,7 @@
 	h.handleEvent(func(time.Duration) {
 		rules, e := h.generations.End(keep)
 		if err = e; err == nil {
-			err = h.balancer.Adopt(rules)
+			err = h.balancer.SetConfig(rules)
 		}
 		h.generationView.Store(h.generations.View())
 	})
--- a/internal/core/trial_test.go
+++ b/internal/core/trial_test.go
@@ -29,7 +29,7 @@
 // failAll ends all attempts so far as attempts that never ran, so that their calls may be retried.
 func (o *recordingTransport) failAll() {
 	for _, order := range o.orders {
-		order.Sink.Done(chalkrack.ConnectFailed, nil, chalkrack.Report{})
+		order.Sink.Done(chalkrack.ConnectFailed, nil, chalkrack.LoadReport{})
 	}
 }
 
@@ -191,17 +191,17 @@
 		{"served in time", [2]string{}, func(h *core.Host, c *core.Call, last func() core.Sink) {
 			h.Arrive(c)
 			time.Sleep(aim - time.Millisecond)
-			last().Done(chalkrack.OK, "", chalkrack.Report{})
+			last().Done(chalkrack.OK, "", chalkrack.LoadReport{})
 		}, 60, false, 0},
 		{"served late", [2]string{}, func(h *core.Host, c *core.Call, last func() core.Sink) {
 			h.Arrive(c)
 			time.Sleep(aim + time.Millisecond)
-			last().Done(chalkrack.OK, "", chalkrack.Report{})
+			last().Done(chalkrack.OK, "", chalkrack.LoadReport{})
 		}, 60, true, bake.Late},
 		{"failed", [2]string{}, func(h *core.Host, c *core.Call, last func() core.Sink) {
 			c.Class = "u"
 			h.Arrive(c)
-			last().Done(chalkrack.Reset, nil, chalkrack.Report{})
+			last().Done(chalkrack.Reset, nil, chalkrack.LoadReport{})
 		}, 60, true, bake.Failed},
 		{"left in time", [2]string{}, func(h *core.Host, c *core.Call, _ func() core.Sink) {
 			h.Arrive(c)
@@ -218,7 +218,7 @@
 			h.Arrive(c)
 			time.Sleep(2 * aim)
 			h.Whole(c)
-			last().Done(chalkrack.OK, "", chalkrack.Report{})
+			last().Done(chalkrack.OK, "", chalkrack.LoadReport{})
 		}, 60, false, 0},
 		{"no room", [2]string{`"mostHeld":1000`, `"mostHeld":1`}, func(h *core.Host, c *core.Call, last func() core.Sink) {
 			other := &core.Call{ID: c.ID + "x", Class: "a", Received: time.Now(), Caller: new(countingCaller), Under: c.Under}
--- a/internal/evacuation/cases_test.go
+++ b/internal/evacuation/cases_test.go
@@ -294,7 +294,7 @@
 			t.Errorf("planned %v: sidecars by stage of zone a: %v, want at least 20 at part, none out", planned, at)
 		}
 		for _, c := range f.Sidecars {
-			if rec, _ := c.RecordAndOrder("a"); rec.Stage == evacuation.StagePart && (!c.Room(f.Now, "a", 0) || c.Room(f.Now, "a", 1) || !c.Room(f.Now, "b", 1)) {
+			if rec, _ := c.RecordAndOrder("a"); rec.Stage == evacuation.StagePart && (!c.HasRoom(f.Now, "a", 0) || c.HasRoom(f.Now, "a", 1) || !c.HasRoom(f.Now, "b", 1)) {
 				t.Errorf("planned %v: want only class 1 to leave zone a", planned)
 			}
 		}
--- a/internal/evacuation/evidence_test.go
+++ b/internal/evacuation/evidence_test.go
@@ -75,8 +75,8 @@
 	m.Servers(0, []Server{{Name: "s1", Zone: "a"}, {Name: "s2", Zone: "b"}})
 	due := func(now time.Duration, want string) {
 		t.Helper()
-		if got := m.Due(now, true); got != want || m.Due(now, false) != "" {
-			t.Errorf("at %v: zone %q is due, want %q; for a call that must not run twice: %q, want none", now, got, want, m.Due(now, false))
+		if got := m.PreferredZone(now, true); got != want || m.PreferredZone(now, false) != "" {
+			t.Errorf("at %v: zone %q is due, want %q; for a call that must not run twice: %q, want none", now, got, want, m.PreferredZone(now, false))
 		}
 	}
 	due(time.Second, "")
--- a/internal/evacuation/stages.go
+++ b/internal/evacuation/stages.go
@@ -263,10 +263,10 @@
 	return z == nil || m.usesZone(z)
 }
 
-// Room reports whether a call of the given class may be sent to a zone now. In a return stage it
+// HasRoom reports whether a call of the given class may be sent to a zone now. In a return stage it
 // enforces the rate limit: the total of all sidecars that send stays below the stage's share of
 // what the zone's servers can take, whatever the traffic of a single sidecar.
-func (m *Machine) Room(now time.Duration, name string, class int) bool {
+func (m *Machine) HasRoom(now time.Duration, name string, class int) bool {
 	z := m.findZone(name)
 	if z == nil {
 		return true
@@ -286,10 +286,10 @@
 	return z.tokens >= 1
 }
 
-// Due returns a zone whose return waits for this sidecar's first call in the current stage, or ""
+// PreferredZone returns a zone whose return waits for this sidecar's first call in the current stage, or ""
 // if there is none. Without it the return would depend on chance: what a zone's servers did before
 // the departure keeps them a bad choice for long, and some are in no working set.
-func (m *Machine) Due(now time.Duration, repeats bool) string {
+func (m *Machine) PreferredZone(now time.Duration, repeats bool) string {
 	if !repeats { // a call that must not run twice is no test
 		return ""
 	}
--- a/internal/failover/failover.go
+++ b/internal/failover/failover.go
@@ -71,7 +71,7 @@
 	return d/2 + time.Duration(m.random()*float64(d))
 }
 
-// Next returns the time at which Machine.Due must be called, or 0 if there is none.
+// Next returns the time at which Machine.PreferredZone must be called, or 0 if there is none.
 func (m *Machine) Next() time.Duration {
 	switch {
 	case !m.lost:
--- a/internal/lab/lab.go
+++ b/internal/lab/lab.go
@@ -277,7 +277,7 @@
 			}
 			s.ended(id, 0, false)
 		}
-		s.Done(l.Now, id, n, o, q.over, chalkrack.Report{})
+		s.AttemptDone(l.Now, id, n, o, q.over, chalkrack.LoadReport{})
 	}
 	work := time.Duration((0.2 + 0.8*l.Rand.ExpFloat64()) * float64(class.Work))
 	l.After(onWire, func() {
--- a/internal/lab/zonal/world.go
+++ b/internal/lab/zonal/world.go
@@ -104,10 +104,10 @@
 	c := w.Sidecars[n]
 	allowed := make(map[string]bool, len(w.Zones))
 	for _, z := range w.Zones {
-		allowed[z] = c.Uses(z) && c.Room(w.Now, z, 0)
+		allowed[z] = c.Uses(z) && c.HasRoom(w.Now, z, 0)
 	}
 	eligible := w.eligible[:0]
-	due := c.Due(w.Now, true)
+	due := c.PreferredZone(w.Now, true)
 	if !allowed[due] {
 		due = ""
 	}
--- a/internal/lab/zones_test.go
+++ b/internal/lab/zones_test.go
@@ -41,7 +41,7 @@
 		}
 		m.Servers(0, servers)
 		z.all, z.out = append(z.all, m), append(z.out, map[string]bool{})
-		s.SetZones(m)
+		s.SetZonePolicy(m)
 		z.Put(n, m)
 	}
 }
--- a/internal/level/lab_test.go
+++ b/internal/level/lab_test.go
@@ -58,7 +58,7 @@
 		cfg.Begin = func(s *lab.Sidecar) {
 			machine := newTestMachine(t, nil)
 			result.machines = append(result.machines, machine)
-			s.SetGate(machine)
+			s.SetDegradationPolicy(machine)
 			var ended, late, full float64
 			s.Lab.Every(100*time.Millisecond, func() {
 				const fade = 0.98 // a time constant of five seconds
--- a/internal/level/level_test.go
+++ b/internal/level/level_test.go
@@ -169,7 +169,7 @@
 	if v := m.View(); v.Level != "emergency" || v.Free != "saving" || v.Pinned != "emergency" || v.PinLeft <= 0 {
 		t.Errorf("view with a pin: %+v, want emergency, and saving by the conditions", v)
 	}
-	if !m.Turn(10*time.Second, 0) || m.Turn(10*time.Second, 2) {
+	if !m.ShouldRefuse(10*time.Second, 0) || m.ShouldRefuse(10*time.Second, 2) {
 		t.Error("a pinned emergency must shed class 0 and admit class 2")
 	}
 	m.Tick(11*time.Second, lateReading(0.2))
@@ -190,15 +190,15 @@
 		m.Pin(0, l, time.Hour)
 		var got [3]int
 		for n := range 3000 {
-			if m.Turn(time.Duration(n)*time.Millisecond, n%3) {
+			if m.ShouldRefuse(time.Duration(n)*time.Millisecond, n%3) {
 				got[n%3]++
 			}
 		}
 		if got != want {
 			t.Errorf("level %v sheds %v of 1000 calls per class, want %v", l, got, want)
 		}
-		if m.Copies() != (l == Normal) || m.Probes() != (l == Normal) || !m.Retries(2) || m.Retries(0) != (l == Normal) {
-			t.Errorf("level %v: copies %v, probes %v, retries of class 0 %v, of class 2 %v", l, m.Copies(), m.Probes(), m.Retries(0), m.Retries(2))
+		if m.AllowsCopies() != (l == Normal) || m.AllowsProbes() != (l == Normal) || !m.AllowsRetries(2) || m.AllowsRetries(0) != (l == Normal) {
+			t.Errorf("level %v: copies %v, probes %v, retries of class 0 %v, of class 2 %v", l, m.AllowsCopies(), m.AllowsProbes(), m.AllowsRetries(0), m.AllowsRetries(2))
 		}
 	}
 }
@@ -310,7 +310,7 @@
 				n = 200
 			}
 			for range n {
-				if m.Turn(now, 0) {
+				if m.ShouldRefuse(now, 0) {
 					shed[ms/1000]++
 				} else {
 					admitted[ms/1000]++
@@ -344,19 +344,19 @@
 // than the maximum.
 func TestWaitsAreSpreadOverRamp(t *testing.T) {
 	m := newTestMachine(t, func(c *Config) { c.MostWait, c.LeaveAfter = time.Minute, 10*time.Second })
-	if w := m.Wait(0, 0.5); w != 0 {
+	if w := m.MinRetryAfter(0, 0.5); w != 0 {
 		t.Errorf("wait %v at normal, want 0", w)
 	}
 	m.Pin(0, Emergency, time.Hour)
 	shortest, longest := time.Hour, time.Duration(0)
 	for n := range 100 {
-		w := m.Wait(0, float64(n)/100)
+		w := m.MinRetryAfter(0, float64(n)/100)
 		shortest, longest = min(shortest, w), max(longest, w)
 	}
 	if shortest > 12*time.Second || longest < 2*shortest || longest > time.Minute {
 		t.Errorf("waits from %v to %v, want at most 12s for the shortest, twice that or more and at most 1m for the longest", shortest, longest)
 	}
-	if w := m.Wait(2, 0.5); w != 0 {
+	if w := m.MinRetryAfter(2, 0.5); w != 0 {
 		t.Errorf("wait %v for a class that is not shed, want 0", w)
 	}
 }
--- a/internal/level/machine.go
+++ b/internal/level/machine.go
@@ -244,10 +244,10 @@
 	return r.rate * math.Pow(m.cfg.Slope, (m.now-r.startedAt).Seconds())
 }
 
-// Turn counts an arrival of a class and reports whether it is to be shed. Shares are exact:
+// ShouldRefuse counts an arrival of a class and reports whether it is to be shed. Shares are exact:
 // of a class that is shed by half every second arrival is shed. On a ramp a token bucket
 // bounds the admitted arrivals, so that synchronized clients cannot cause a burst.
-func (m *Machine) Turn(now time.Duration, class int) (shed bool) {
+func (m *Machine) ShouldRefuse(now time.Duration, class int) (shed bool) {
 	if class < 0 || class >= len(m.arrivals) {
 		return false
 	}
@@ -282,21 +282,21 @@
 	return true
 }
 
-// Copies reports whether copies of slow requests may be sent.
-func (m *Machine) Copies() bool { return !m.cfg.Acts[m.Level()].NoCopies }
+// AllowsCopies reports whether copies of slow requests may be sent.
+func (m *Machine) AllowsCopies() bool { return !m.cfg.Acts[m.Level()].NoCopies }
 
-// Probes reports whether servers may be probed.
-func (m *Machine) Probes() bool { return !m.cfg.Acts[m.Level()].NoProbes }
+// AllowsProbes reports whether servers may be probed.
+func (m *Machine) AllowsProbes() bool { return !m.cfg.Acts[m.Level()].NoProbes }
 
-// Retries reports whether calls of a class may have further attempts.
-func (m *Machine) Retries(class int) bool {
+// AllowsRetries reports whether calls of a class may have further attempts.
+func (m *Machine) AllowsRetries(class int) bool {
 	return class < 0 || class >= len(m.cfg.Classes) || m.cfg.Classes[class].Worth >= m.cfg.Acts[m.Level()].RetryWorth
 }
 
-// Wait returns how long a shed client of a class is told to wait, given a random number u
+// MinRetryAfter returns how long a shed client of a class is told to wait, given a random number u
 // from 0 to 1. The waits are spread over the ramp that follows the rest of the dwell time, so
 // that clients which honour them return gradually.
-func (m *Machine) Wait(class int, u float64) time.Duration {
+func (m *Machine) MinRetryAfter(class int, u float64) time.Duration {
 	l := m.Level()
 	if class < 0 || class >= len(m.ramps) || m.cfg.Acts[l].Cut[class] == 0 && !m.ramps[class].active {
 		return 0
--- a/internal/radius/proxy/proxy.go
+++ b/internal/radius/proxy/proxy.go
@@ -286,10 +286,10 @@
 type status struct{ told func(ok bool) }
 
 // Stream implements core.Sink.
-func (*status) Stream(any, chalkrack.Report) io.Writer { return nil }
+func (*status) Stream(any, chalkrack.LoadReport) io.Writer { return nil }
 
 // Done implements core.Sink.
-func (s *status) Done(o chalkrack.Outcome, _ any, _ chalkrack.Report) {
+func (s *status) Done(o chalkrack.Outcome, _ any, _ chalkrack.LoadReport) {
 	if o != chalkrack.NotSent { // that is this side's own trouble
 		s.told(o == chalkrack.OK)
 	}
--- a/internal/radius/transport/socket.go
+++ b/internal/radius/transport/socket.go
@@ -78,7 +78,7 @@
 	over := a != nil && string(packet[:20]) == string(a.wire[:20]) && a.refusal()
 	k.t.mu.Unlock()
 	if over {
-		a.order.Sink.Done(chalkrack.ConnectFailed, nil, chalkrack.Report{})
+		a.order.Sink.Done(chalkrack.ConnectFailed, nil, chalkrack.LoadReport{})
 	}
 }
 
@@ -128,8 +128,8 @@
 	switch {
 	case over:
 	case err != nil:
-		a.order.Sink.Done(chalkrack.Reset, nil, chalkrack.Report{})
+		a.order.Sink.Done(chalkrack.Reset, nil, chalkrack.LoadReport{})
 	default:
-		a.order.Sink.Done(chalkrack.OK, &Answer{back, k.server.name}, chalkrack.Report{})
+		a.order.Sink.Done(chalkrack.OK, &Answer{back, k.server.name}, chalkrack.LoadReport{})
 	}
 }
--- a/internal/radius/transport/transport.go
+++ b/internal/radius/transport/transport.go
@@ -245,7 +245,7 @@
 func (t *Transport) CloseIdle(string) {}
 
 // Probe implements core.Transport: RADIUS has no load reports.
-func (t *Transport) Probe(string, time.Duration, func(chalkrack.Report)) {}
+func (t *Transport) Probe(string, time.Duration, func(chalkrack.LoadReport)) {}
 
 // Close ends all attempts, as timed out or never sent, and its goroutines.
 func (t *Transport) Close() {
@@ -325,7 +325,7 @@
 // Start implements core.Attempt.
 func (a *attempt) Start() {
 	if o, failed := a.start(); failed {
-		a.order.Sink.Done(o, nil, chalkrack.Report{})
+		a.order.Sink.Done(o, nil, chalkrack.LoadReport{})
 	}
 }
 
@@ -407,7 +407,7 @@
 		a.request.late = nil
 		a.ended, a.answered = true, true
 		a.release(true)
-		go a.order.Sink.Done(chalkrack.OK, ans, chalkrack.Report{})
+		go a.order.Sink.Done(chalkrack.OK, ans, chalkrack.LoadReport{})
 		return
 	}
 	a.send()
@@ -482,7 +482,7 @@
 	a.ended = true
 	a.free(false)
 	a.t.mu.Unlock()
-	a.order.Sink.Done(chalkrack.TimedOut, nil, chalkrack.Report{})
+	a.order.Sink.Done(chalkrack.TimedOut, nil, chalkrack.LoadReport{})
 }
 
 // free gives its identifier back, or keeps it for a call that may come again.
--- a/internal/radius/transport/transport_test.go
+++ b/internal/radius/transport/transport_test.go
@@ -112,8 +112,8 @@
 	got  any
 }
 
-func (*sink) Stream(any, chalkrack.Report) io.Writer { return nil }
-func (s *sink) Done(o chalkrack.Outcome, answer any, _ chalkrack.Report) {
+func (*sink) Stream(any, chalkrack.LoadReport) io.Writer { return nil }
+func (s *sink) Done(o chalkrack.Outcome, answer any, _ chalkrack.LoadReport) {
 	s.got = answer
 	s.done <- o
 }
--- a/internal/rooms/duties/duties.go
+++ b/internal/rooms/duties/duties.go
@@ -37,7 +37,7 @@
 
 // Reporter receives findings as load reports.
 type Reporter interface {
-	Reported(name string, age time.Duration, r chalkrack.Report)
+	Reported(name string, age time.Duration, r chalkrack.LoadReport)
 }
 
 // Config holds the settings of the notes and probes of a sidecar.
@@ -339,7 +339,7 @@
 	}
 	s.mu.Unlock()
 	for _, finding := range findings {
-		s.host.Reported(finding.name, finding.age, chalkrack.Report{HasInFlight: true, InFlight: finding.load})
+		s.host.Reported(finding.name, finding.age, chalkrack.LoadReport{HasInFlight: true, InFlight: finding.load})
 	}
 }
 
--- a/internal/rooms/operating/handover.go
+++ b/internal/rooms/operating/handover.go
@@ -27,7 +27,7 @@
 
 // learnedState is the state that a running process hands to a new one.
 type learnedState struct {
-	Memory chalkrack.Memory       `json:"memory"`
+	Memory chalkrack.LearnedState `json:"memory"`
 	List   []membership.Entry     `json:"list"` // the last whole list from discovery
 	Zones  []evacuation.ZoneState `json:"zones,omitempty"`
 }
--- a/internal/rooms/zones/zones.go
+++ b/internal/rooms/zones/zones.go
@@ -280,18 +280,18 @@
 	z.machine.Ended(now, ticket, result, !isEvidence)
 }
 
-// Room implements chalkrack.Zones.
-func (z *Zones) Room(now time.Duration, zone string, class int) bool {
+// HasRoom implements chalkrack.ZonePolicy.
+func (z *Zones) HasRoom(now time.Duration, zone string, class int) bool {
 	z.mu.Lock()
 	defer z.mu.Unlock()
-	return z.machine.Room(now, zone, class)
+	return z.machine.HasRoom(now, zone, class)
 }
 
-// Due implements chalkrack.Zones.
-func (z *Zones) Due(now time.Duration, repeats bool) string {
+// PreferredZone implements chalkrack.ZonePolicy.
+func (z *Zones) PreferredZone(now time.Duration, repeats bool) string {
 	z.mu.Lock()
 	defer z.mu.Unlock()
-	return z.machine.Due(now, repeats)
+	return z.machine.PreferredZone(now, repeats)
 }
 
 // Part returns this sidecar's part of a note, at most room bytes long.
--- a/internal/upstream/answer.go
+++ b/internal/upstream/answer.go
@@ -256,7 +256,7 @@
 
 // stream passes a long answer on while it arrives. It returns true if the connection can be
 // reused.
-func (a *Attempt) stream(c *conn, resp *http.Response, answer *message.Answer, report chalkrack.Report) bool {
+func (a *Attempt) stream(c *conn, resp *http.Response, answer *message.Answer, report chalkrack.LoadReport) bool {
 	w := a.Sink.Stream(answer, report)
 	if w == nil { // the request is over; the rest of the answer is not needed
 		a.Sink.Done(chalkrack.OK, nil, report)
@@ -301,7 +301,7 @@
 
 // ParseLoad parses a load report, a list of name=value fields separated by commas. Unknown and
 // invalid fields are ignored.
-func ParseLoad(text string) (report chalkrack.Report) {
+func ParseLoad(text string) (report chalkrack.LoadReport) {
 	for text != "" {
 		var field string
 		field, text, _ = strings.Cut(text, ",")
--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -163,7 +163,9 @@
 	}
 }
 
-func (a *Attempt) finish(outcome chalkrack.Outcome) { a.Sink.Done(outcome, nil, chalkrack.Report{}) }
+func (a *Attempt) finish(outcome chalkrack.Outcome) {
+	a.Sink.Done(outcome, nil, chalkrack.LoadReport{})
+}
 
 // recoverPanic contains a panic in the attempt's own goroutine and ends the attempt.
 func (a *Attempt) recoverPanic() {
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -66,7 +66,7 @@
 type result struct {
 	outcome chalkrack.Outcome
 	body    string
-	report  chalkrack.Report
+	report  chalkrack.LoadReport
 }
 
 // sink records an attempt's outcomes and the bytes that it streams.
@@ -78,13 +78,13 @@
 
 func newSink() *sink { return &sink{done: make(chan result, 10)} }
 
-func (s *sink) Stream(any, chalkrack.Report) io.Writer {
+func (s *sink) Stream(any, chalkrack.LoadReport) io.Writer {
 	if s.onStream != nil {
 		s.onStream()
 	}
 	return &s.streamed
 }
-func (s *sink) Done(outcome chalkrack.Outcome, answer any, report chalkrack.Report) {
+func (s *sink) Done(outcome chalkrack.Outcome, answer any, report chalkrack.LoadReport) {
 	r := result{outcome: outcome, report: report}
 	if ans, _ := answer.(*message.Answer); ans != nil && outcome == chalkrack.OK {
 		r.body = string(ans.Body)
--- a/internal/weights/fleet_test.go
+++ b/internal/weights/fleet_test.go
@@ -37,7 +37,7 @@
 			h.SetPlan(newPlan(noon, plan))
 			nodes := func() (all []Node) {
 				for _, n := range cfg.Nodes {
-					m := s.ViewServer(s.Lab.Now, n.Name, -1).Learned
+					m := s.ViewServer(s.Lab.Now, n.Name, -1).LearnedWeight
 					if m == 1 {
 						m = 0
 					}
@@ -146,7 +146,7 @@
 			now := time.Minute + time.Duration(n)*5*time.Millisecond
 			id := chalkrack.RequestID(n + 1)
 			b.Arrive(now, chalkrack.Request{ID: id, Tenant: -1, Deadline: now + time.Second})
-			b.Done(now+time.Millisecond, id, 0, chalkrack.OK, true, chalkrack.Report{})
+			b.AttemptDone(now+time.Millisecond, id, 0, chalkrack.OK, true, chalkrack.LoadReport{})
 		}
 		sent[hint] = h.sent["cold"]
 	}
--- a/learned_state.go
+++ b/learned_state.go
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// Memory is the state that a Balancer has learned and that its successor in the
+// LearnedState is the state that a Balancer has learned and that its successor in the
 // same sidecar starts from. It holds no requests: a request ends in the Balancer
 // in which it began. Times are the host's.
-type Memory struct {
+type LearnedState struct {
 	ShedLevel        float64              `json:"level"`
 	ShedLevelAt      time.Duration        `json:"level_at"`
 	ArrivalShares    []float64            `json:"shares"`  // of arrivals, by rank
@@ -58,9 +58,9 @@
 // export returns e in the form that is stored.
 func (e ejection) export() Ejection { return Ejection{e.failures, e.ejections, e.errorAt, e.until} }
 
-// Memory returns a copy of the state learned so far.
-func (b *Balancer) Memory(now time.Duration) Memory {
-	m := Memory{
+// LearnedState returns a copy of the state learned so far.
+func (b *Balancer) LearnedState(now time.Duration) LearnedState {
+	m := LearnedState{
 		ShedLevel: b.admitter.level, ShedLevelAt: b.admitter.levelAt, ArrivalShares: slices.Clone(b.admitter.arrivalShares),
 		RetryTokens: b.retryTokens, HedgeTokens: b.reissuer.tokens, HedgeDelay: b.reissuer.delay, HedgeProbability: b.reissuer.probability,
 		Sends: b.fleet.sends, SendsAt: b.fleet.sendsAt, AcceptedSends: b.fleet.acceptedSends, AcceptedShare: b.fleet.acceptedShare, MeanLatency: b.fleet.meanLatency, LatencyPerHeld: b.fleet.latencyPerHeld,
@@ -107,10 +107,10 @@
 // clock gave may lie in the future.
 func clampToPast(t, now time.Duration) time.Duration { return max(0, min(t, now)) }
 
-// Remember takes over the state that another Balancer has learned, for servers
+// RestoreState takes over the state that another Balancer has learned, for servers
 // that are listed and have not restarted since. Values out of range are clamped,
 // because m may come from a file.
-func (b *Balancer) Remember(now time.Duration, m Memory) {
+func (b *Balancer) RestoreState(now time.Duration, m LearnedState) {
 	const maxValue = 1e9
 	b.admitter.level, b.admitter.levelAt = clamp(m.ShedLevel, 0, 1), clampToPast(m.ShedLevelAt, now)
 	if len(m.ArrivalShares) == len(b.admitter.arrivalShares) {
--- a/learned_state_test.go
+++ b/learned_state_test.go
@@ -25,7 +25,7 @@
 			if s.server == "b" && n%3 != 0 {
 				o = ServerError
 			}
-			b.Done(now+time.Duration(3+n%20)*time.Millisecond, s.id, s.n, o, o == OK, Report{})
+			b.AttemptDone(now+time.Duration(3+n%20)*time.Millisecond, s.id, s.n, o, o == OK, LoadReport{})
 		}
 		h.sends = h.sends[:0]
 	}
@@ -85,18 +85,18 @@
 // failed requests.
 func TestRestoreLearnedState(t *testing.T) {
 	old, _, now := usedBalancer(t)
-	encoded, err := json.Marshal(old.Memory(now))
+	encoded, err := json.Marshal(old.LearnedState(now))
 	if err != nil {
 		t.Fatal(err)
 	}
-	var m Memory
+	var m LearnedState
 	if err := json.Unmarshal(encoded, &m); err != nil {
 		t.Fatal(err)
 	}
 	b, _ := eightServers(t, 2)
 	now += time.Millisecond
-	b.Remember(now, m)
-	if got := b.Memory(now); !reflect.DeepEqual(got, m) {
+	b.RestoreState(now, m)
+	if got := b.LearnedState(now); !reflect.DeepEqual(got, m) {
 		t.Errorf("restored state %.200q..., want %.200q...", fmt.Sprint(got), fmt.Sprint(m))
 	}
 	old.fleet.dirty = true
@@ -105,8 +105,8 @@
 	if got, want := b.ViewState(now), old.ViewState(now); got != want {
 		t.Errorf("view after restoring %+v, want %+v", got, want)
 	}
-	if b.Ejected(now) != 1 {
-		t.Errorf("%d servers ejected, want 1", b.Ejected(now))
+	if b.EjectedCount(now) != 1 {
+		t.Errorf("%d servers ejected, want 1", b.EjectedCount(now))
 	}
 	for _, name := range []string{"a", "b", "e", "h"} {
 		got, want := b.ViewServer(now, name, 0), old.ViewServer(now, name, 0)
@@ -117,7 +117,7 @@
 	// The state of a server that has restarted since is not restored.
 	b, _ = eightServers(t, 3)
 	b.ServersChanged(now, []Endpoint{{Name: "b", Zone: "z", Hint: 1, Started: now - 1}})
-	b.Remember(now, m)
+	b.RestoreState(now, m)
 	if v := b.ViewServer(now, "b", 0); v.Ejected || v.Failures != 0 || v.Warmth > 0.3 {
 		t.Errorf("restarted server has %+v, want a cold one without failures", v)
 	}
@@ -129,7 +129,7 @@
 	big := math.MaxFloat64
 	b, h := eightServers(t, 1)
 	now := 5 * time.Second
-	b.Remember(now, Memory{
+	b.RestoreState(now, LearnedState{
 		ShedLevel: 40, ShedLevelAt: math.MaxInt64, ArrivalShares: []float64{big, -big, 1, 1}, RetryTokens: big, HedgeTokens: -5, HedgeDelay: -1, HedgeProbability: 9,
 		PrimarySamples: make([]float64, 10000), Pairs: make([][2]float64, 10000), Sends: -big, SendsAt: -1, AcceptedSends: -big, AcceptedShare: big, MeanLatency: -3,
 		Servers: []LearnedServerState{
@@ -137,7 +137,7 @@
 			{Name: "nobody"},
 		},
 	})
-	m := b.Memory(now)
+	m := b.LearnedState(now)
 	if m.ShedLevel > 1 || m.RetryTokens > maxRetryTokens || m.HedgeTokens < 0 || m.Sends < 0 || m.AcceptedSends < 0 || len(m.PrimarySamples) > primaryWindowSize || len(m.Pairs) > pairWindowSize {
 		t.Errorf("restored values out of bounds: %+v", m)
 	}
--- a/pick.go
+++ b/pick.go
@@ -334,7 +334,7 @@
 // needed where capacity hints are missing or wrong: with equal shares the slower
 // type of server fills up first. held is the number of requests that the server
 // held when it was chosen.
-func (f *fleet) recordLatency(s *server, outcome Outcome, loadReport Report, took, held float64, now time.Duration) {
+func (f *fleet) recordLatency(s *server, outcome Outcome, loadReport LoadReport, took, held float64, now time.Duration) {
 	took = max(took, 1e-6)
 	f.meanLatency = cmp.Or(f.meanLatency, took) // the mean starts at the first sample
 	f.meanLatency += runningMeanStep * (took - f.meanLatency)
@@ -359,7 +359,7 @@
 }
 
 // applyReport takes the server's load from a load report, if it has one.
-func (s *server) applyReport(loadReport Report, now time.Duration) {
+func (s *server) applyReport(loadReport LoadReport, now time.Duration) {
 	switch {
 	case loadReport.HasInFlight:
 		s.load, s.loadAt = loadReport.InFlight, now
--- a/pick_test.go
+++ b/pick_test.go
@@ -76,7 +76,7 @@
 		if r.servers[id-1] == "s000" {
 			cold++
 		}
-		b.Done(now, id, 0, OK, true, Report{})
+		b.AttemptDone(now, id, 0, OK, true, LoadReport{})
 	}
 	// The run lasts 2 s and a quarter of the sends would be 100; the server has 0.2 to 0.36 of its capacity.
 	if cold == 0 || cold > 60 {
@@ -256,7 +256,7 @@
 	used := map[string]bool{}
 	for id := RequestID(1); id <= 200; id++ {
 		b.Arrive(0, Request{ID: id, Deadline: 300 * ms})
-		b.Done(0, id, 0, OK, true, Report{})
+		b.AttemptDone(0, id, 0, OK, true, LoadReport{})
 		used[r.servers[id-1]] = true
 	}
 	if len(used) > 4 {
@@ -279,7 +279,7 @@
 		for _, b := range []*Balancer{one, two} {
 			b.disableCopies()
 			b.Arrive(0, Request{ID: id, Key: fmt.Sprint(id % 7), Deadline: 300 * ms})
-			b.Done(0, id, 0, OK, true, Report{})
+			b.AttemptDone(0, id, 0, OK, true, LoadReport{})
 		}
 		if a, b := r1.servers[id-1], r2.servers[id-1]; a != b {
 			t.Errorf("key %d went to %s and %s", id%7, a, b)
@@ -343,7 +343,7 @@
 		t.Errorf("send rate %v after 20 time constants without a send, want 0", got)
 	}
 	for id := RequestID(1); id <= 3; id++ {
-		b.Done(now, id, 0, OK, true, Report{})
+		b.AttemptDone(now, id, 0, OK, true, LoadReport{})
 	}
 	if s.inFlight != 0 {
 		t.Errorf("%d in flight after all outcomes", s.inFlight)
@@ -390,7 +390,7 @@
 		if r.servers[len(r.servers)-1] == "s000" {
 			o, took = ServerError, ms
 		}
-		b.Done(now+took, id, 0, o, o == OK, Report{})
+		b.AttemptDone(now+took, id, 0, o, o == OK, LoadReport{})
 	}
 	failing, working := b.fleet.byName["s000"], b.fleet.byName["s001"]
 	if failing.learnedWeight > working.learnedWeight || failing.relativeLatency(20*time.Second) < working.relativeLatency(20*time.Second) {
@@ -417,7 +417,7 @@
 			} else {
 				otherCalls++
 			}
-			b.Done(now+50*ms, id, 0, o, o == OK, Report{})
+			b.AttemptDone(now+50*ms, id, 0, o, o == OK, LoadReport{})
 		}
 		ratio := float64(failingServerCalls) / (float64(otherCalls) / (minWorkingSet - 1)) // share of what each of the others gets
 		if ratio > maxRatio || ratio < 0.01 || every == 50 && ratio < 0.3 {
@@ -442,7 +442,7 @@
 		if isFailing(to) {
 			o = ServerError
 		}
-		b.Done(now, id, 0, o, o == OK, Report{})
+		b.AttemptDone(now, id, 0, o, o == OK, LoadReport{})
 		return to
 	}
 	isFirstServer := func(to string) bool { return to == "s000" }
@@ -512,7 +512,7 @@
 		case failing[to]:
 			served++
 		}
-		b.Done(now, id, 0, o, o == OK, Report{})
+		b.AttemptDone(now, id, 0, o, o == OK, LoadReport{})
 	}
 	for id := RequestID(1); id <= 1000; id++ { // 20 s
 		serve(id)
--- a/rules_test.go
+++ b/rules_test.go
@@ -132,8 +132,8 @@
 	if o == OK {
 		r.ended = true
 	}
-	rep := Report{HasInFlight: c.rng.IntN(2) == 0, InFlight: float64(c.rng.IntN(9)), HasUtil: c.rng.IntN(2) == 0, Util: c.rng.Float64()}
-	b.Done(c.now, r.ID, n, o, r.ended, rep)
+	rep := LoadReport{HasInFlight: c.rng.IntN(2) == 0, InFlight: float64(c.rng.IntN(9)), HasUtil: c.rng.IntN(2) == 0, Util: c.rng.Float64()}
+	b.AttemptDone(c.now, r.ID, n, o, r.ended, rep)
 	if !r.ended && c.now > r.Deadline+deadlineTolerance {
 		c.reportViolation("request %d unanswered after its deadline", r.ID)
 	}
