--- a/client/call.go
+++ b/client/call.go
@@ -54,7 +54,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("client: %w", err)
 	}
-	c = &call{t: t, r: r, class: t.cfg.settings.ClassOf(info.Class), hasKey: info.Key != "", responseCh: make(chan *http.Response, 1)}
+	c = &call{t: t, r: r, class: t.cfg.settings.ClassByName(info.Class), hasKey: info.Key != "", responseCh: make(chan *http.Response, 1)}
 	switch {
 	case c.class == nil:
 		return nil, fmt.Errorf("client: there is no class %q", info.Class)
@@ -108,17 +108,17 @@
 	c.msg.Marked, c.msg.Client = true, c
 	c.Call = core.Call{
 		ID: id, Class: info.Class, Tenant: info.Tenant, Key: info.About,
-		Wait: wait, Received: time.Now(), Payload: &c.msg, Caller: c,
+		Timeout: wait, Received: time.Now(), Payload: &c.msg, Caller: c,
 	}
 	if c.reqBody != nil && c.reqBody.Coming() {
-		c.Limits = &core.Limits{Attempts: 1, Coming: c.t.cfg.Keep.Within}
+		c.Limits = &core.Limits{MaxAttempts: 1, BodyTimeout: c.t.cfg.Keep.Within}
 	}
 	return c, nil
 }
 
-// Left implements message.Client. It also compares the context's deadline with the
+// HasLeft implements message.Client. It also compares the context's deadline with the
 // clock, because the context may report its end late.
-func (c *call) Left() bool {
+func (c *call) HasLeft() bool {
 	ctx := c.r.Context()
 	at, timed := ctx.Deadline()
 	return ctx.Err() != nil || timed && time.Now().After(at)
@@ -188,15 +188,15 @@
 		case <-forwarded:
 			forwarded = nil
 			if c.forwardErr == nil {
-				c.t.host.Whole(&c.Call)
-			} else if c.t.host.Gone(&c.Call) {
+				c.t.host.BodyComplete(&c.Call)
+			} else if c.t.host.ClientGone(&c.Call) {
 				return nil, fmt.Errorf("client: reading the body: %w", c.forwardErr)
 			}
 		case <-ctx.Done():
 			waiting = false
 		}
 	}
-	if c.t.host.Gone(&c.Call) {
+	if c.t.host.ClientGone(&c.Call) {
 		return nil, ctx.Err()
 	}
 	resp := <-c.responseCh // the core has already started to respond
--- a/client/client.go
+++ b/client/client.go
@@ -110,7 +110,7 @@
 	if t.watcher != nil {
 		t.watcher.Listed, t.watcher.Failed = t.host.Listed, t.host.DiscoveryFailed
 		if p.knownNodes != nil {
-			t.watcher.Track = membership.Holding(p.knownNodes)
+			t.watcher.Track = membership.NewTracker(p.knownNodes)
 		}
 		t.wg.Go(t.watcher.Follow)
 	}
--- a/client/config.go
+++ b/client/config.go
@@ -274,7 +274,7 @@
 			if p.knownNodes, err = discovery.Parse(raw.Known); err != nil {
 				return fmt.Errorf("client: Platform: known: %w", err)
 			}
-			p.knownNodes.Whole = true
+			p.knownNodes.Complete = true
 		}
 	}
 	p.asksDiscovery = p.settings.Config.AskWithin > 0 && p.Discovery != ""
@@ -285,7 +285,7 @@
 }
 
 func newNodeList(nodes []Node) (*membership.List, error) {
-	l := &membership.List{Whole: true}
+	l := &membership.List{Complete: true}
 	seen := make(map[string]bool)
 	for n, node := range nodes {
 		if err := validateAddress(fmt.Sprintf("Nodes[%d].Address", n), node.Address); err != nil {
--- a/client/keep.go
+++ b/client/keep.go
@@ -48,7 +48,7 @@
 	k.Disk = orDefault(k.Disk, 256<<20)
 	k.FileLongest = orDefault(k.FileLongest, max(k.MemoryLongest, k.Disk/4))
 	k.Files, k.Streams, k.Within = orDefault(k.Files, 32), orDefault(k.Streams, 32), orDefault(k.Within, time.Minute)
-	names := p.settings.Names()
+	names := p.settings.ClassNames()
 	cfg := body.Config{
 		Limits: keep.Limits{Memory: k.Memory, MemoryMost: k.MemoryLongest, MoveLeast: spool.PieceMost, FileMost: k.MemoryLongest,
 			Streams: k.Streams, Shares: make([]float64, len(names)), High: 0.8, Low: 0.6, Tenants: len(p.settings.Config.Tenants)},
@@ -95,7 +95,7 @@
 // -1 if it is sent in chunks.
 func (c *call) receiveBody(info Info) (size int64, err error) {
 	t := c.t
-	in := body.Incoming{Class: t.cfg.settings.Class([]byte(info.Class)), Tenant: t.cfg.settings.Tenant([]byte(info.Tenant)), Length: -1, Body: c.r.Body}
+	in := body.Incoming{Class: t.cfg.settings.ClassIndex([]byte(info.Class)), Tenant: t.cfg.settings.TenantIndex([]byte(info.Tenant)), Length: -1, Body: c.r.Body}
 	if c.r.ContentLength > 0 {
 		in.Length = c.r.ContentLength
 	}
@@ -107,7 +107,7 @@
 		return 0, fmt.Errorf("client: reading the body: %w", err)
 	}
 	if pieces := c.reqBody.Pieces(); pieces != nil {
-		c.msg.Body, c.msg.Again = pieces, c.reqBody.Retried
+		c.msg.Body, c.msg.OnRetry = pieces, c.reqBody.Retried
 		size = 0
 		for _, p := range pieces {
 			size += int64(len(p))
--- a/client/link.go
+++ b/client/link.go
@@ -61,7 +61,7 @@
 		abort:     make(chan struct{}),
 	}
 	l.state = failover.New(failover.Default(), rand.New(rand.NewPCG(t.cfg.Seed, 2)).Float64)
-	l.pool.Serve(daemonName, t.cfg.Daemon, 0)
+	l.pool.AddServer(daemonName, t.cfg.Daemon, 0)
 	return l
 }
 
@@ -70,7 +70,7 @@
 func (l *daemonLink) isUp() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.state.Here()
+	return l.state.UsesDaemon()
 }
 
 // markLost records that the daemon is unavailable. When the Transport takes over, the retry
@@ -78,7 +78,7 @@
 // retries of a second tier.
 func (l *daemonLink) markLost(reason string) {
 	l.mu.Lock()
-	takeover := l.state.Lost(l.now())
+	takeover := l.state.RecordLoss(l.now())
 	l.resetTimer()
 	l.mu.Unlock()
 	if takeover {
@@ -89,7 +89,7 @@
 
 // resetTimer sets the timer for the state machine's next step. The caller must hold l.mu.
 func (l *daemonLink) resetTimer() {
-	next := l.state.Next()
+	next := l.state.NextDue()
 	if next == 0 || l.closed {
 		return
 	}
@@ -103,7 +103,7 @@
 
 func (l *daemonLink) onTimer() {
 	l.mu.Lock()
-	probe, back := l.state.Due(l.now())
+	probe, back := l.state.Advance(l.now())
 	if !probe {
 		l.resetTimer()
 	}
@@ -129,9 +129,9 @@
 		err := l.checkHealth()
 		l.mu.Lock()
 		l.isProbing = false
-		here := l.state.Here()
+		here := l.state.UsesDaemon()
 		if !here {
-			l.state.Probed(l.now(), err == nil)
+			l.state.RecordProbe(l.now(), err == nil)
 			l.resetTimer()
 		}
 		l.mu.Unlock()
@@ -255,14 +255,14 @@
 	maxAttempts := l.t.cfg.settings.Config.MaxAttempts
 	msg := &message.Request{Method: c.msg.Method, Body: c.msg.Body, Source: c.msg.Source, Chunked: c.msg.Chunked}
 	msg.Head = fmt.Appendf(c.msg.Head[:len(c.msg.Head):len(c.msg.Head)], "%s: %d\r\n", message.AttemptsField, max(1, maxAttempts-1))
-	wait := c.Wait
+	wait := c.Timeout
 	if wait == 0 {
 		wait = l.t.cfg.settings.DeadlineOf(c.Class)
 	}
 	deadline := c.Received.Add(wait)
 	attempt := &daemonAttempt{c: c, results: make(chan attemptResult, 1)}
 	began := time.Now()
-	attempt.coreAttempt = l.pool.Attempt(core.Order{Payload: msg, Server: daemonName, Deadline: deadline, Once: c.class.Effect == chalkrack.Unsafe, Sink: attempt})
+	attempt.coreAttempt = l.pool.NewAttempt(core.Order{Payload: msg, Server: daemonName, Deadline: deadline, AtMostOnce: c.class.Effect == chalkrack.Unsafe, Sink: attempt})
 	attempt.coreAttempt.Start()
 	abandon := func() *http.Response {
 		attempt.coreAttempt.Abandon()
@@ -329,13 +329,13 @@
 	}
 	switch c.class.Effect {
 	case chalkrack.Safe:
-		c.Limits = &core.Limits{Attempts: 1}
+		c.Limits = &core.Limits{MaxAttempts: 1}
 		return nil, nil, true
 	case chalkrack.Keyed:
 		// It is unknown which servers the daemon tried, so only a key that all servers
 		// share prevents a second run.
 		if c.class.Scope == chalkrack.ScopeAll {
-			c.Limits = &core.Limits{Attempts: 1, NotAfter: began.Add(c.class.Window)}
+			c.Limits = &core.Limits{MaxAttempts: 1, NotAfter: began.Add(c.class.Window)}
 			return nil, nil, true
 		}
 	}
--- a/cmd/drill/instance.go
+++ b/cmd/drill/instance.go
@@ -36,8 +36,8 @@
 	case wire.Knock:
 		i.b.Arrive(now, chalkrack.Request{
 			ID:       id,
-			Class:    i.set.Class(e.Class),
-			Tenant:   i.set.Tenant(e.Tenant),
+			Class:    i.set.ClassIndex(e.Class),
+			Tenant:   i.set.TenantIndex(e.Tenant),
 			Key:      string(e.Key),
 			Deadline: micros(e.Deadline),
 		})
--- a/internal/body/body.go
+++ b/internal/body/body.go
@@ -10,7 +10,7 @@
 	"chalkrack/internal/spool"
 )
 
-// Body is the body of one call. It implements message.Source: any number of attempts read it,
+// Body is the body of one call. It implements message.BodySource: any number of attempts read it,
 // concurrently or one after another, each from the beginning. A body that is not kept can be
 // read only once.
 type Body struct {
@@ -44,7 +44,7 @@
 	isBooked bool // of a segment in memory: whether the Keeper has booked it
 }
 
-var _ message.Source = (*Body)(nil)
+var _ message.BodySource = (*Body)(nil)
 
 // Coming reports whether the body is not kept but streamed to one server.
 func (b *Body) Coming() bool {
@@ -67,7 +67,7 @@
 	return b.record.Place()
 }
 
-// Length implements message.Source. It returns the announced length, or the received length of
+// Length implements message.BodySource. It returns the announced length, or the received length of
 // a complete body, or -1 if neither is known.
 func (b *Body) Length() int64 {
 	b.store.mu.Lock()
@@ -385,8 +385,8 @@
 	b.store.keeper.RecordEnd(b.record, refused)
 }
 
-// Open implements message.Source.
-func (b *Body) Open() (message.Reading, error) {
+// Open implements message.BodySource.
+func (b *Body) Open() (message.BodyReader, error) {
 	s := b.store
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -402,7 +402,7 @@
 	return &reading{body: b, segments: b.segments, file: b.file, isStreamed: b.isStreamed}, nil
 }
 
-// reading is the message.Reading of one attempt. Next and Close may be called from different
+// reading is the message.BodyReader of one attempt. Next and Close may be called from different
 // goroutines.
 type reading struct {
 	body       *Body
@@ -417,7 +417,7 @@
 	lastSegment segment // the last segment returned, of a body that is not kept
 }
 
-// Next implements message.Reading.
+// Next implements message.BodyReader.
 func (r *reading) Next() ([]byte, error) {
 	seg, err := r.next()
 	if err != nil {
@@ -498,7 +498,7 @@
 	}
 }
 
-// Close implements message.Reading.
+// Close implements message.BodyReader.
 func (r *reading) Close() {
 	s := r.body.store
 	s.mu.Lock()
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -167,7 +167,7 @@
 	if c.Features, err = features.Parse(name, own); err != nil {
 		return nil, err
 	}
-	if err := c.Features.CheckClasses(func(name string) bool { return c.Settings.Class([]byte(name)) >= 0 }); err != nil {
+	if err := c.Features.CheckClasses(func(name string) bool { return c.Settings.ClassIndex([]byte(name)) >= 0 }); err != nil {
 		return nil, err
 	}
 	inMemory := false
--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -34,24 +34,24 @@
 	now := time.Now()
 	a := &attempt{host: h, call: call, index: len(call.attempts), server: server, sentAt: h.startUnix + now.Sub(h.start)}
 	order := Order{
-		Payload:  call.details.Payload,
-		Server:   server,
-		N:        a.index,
-		Deadline: now.Add(timeout),
-		Once:     call.class != nil && call.class.Effect == chalkrack.Unsafe,
-		Pass:     call.details.Under.Gen.PassClientErrors,
-		Sink:     a,
+		Payload:          call.details.Payload,
+		Server:           server,
+		Index:            a.index,
+		Deadline:         now.Add(timeout),
+		AtMostOnce:       call.class != nil && call.class.Effect == chalkrack.Unsafe,
+		PassClientErrors: call.details.Generation.Gen.PassClientErrors,
+		Sink:             a,
 	}
 	if limits := call.details.Limits; limits != nil {
 		order.NotAfter = limits.NotAfter
-		order.Deadline = order.Deadline.Add(-limits.Coming) // the server's time also begins with the last byte of the body
+		order.Deadline = order.Deadline.Add(-limits.BodyTimeout) // the server's time also begins with the last byte of the body
 	}
 	if end := call.repeatDeadline(); end > 0 {
 		if at := now.Add(end - a.sentAt); order.NotAfter.IsZero() || at.Before(order.NotAfter) {
 			order.NotAfter = at
 		}
 	}
-	a.handle = h.transport.Attempt(order)
+	a.handle = h.transport.NewAttempt(order)
 	if h.watch != nil {
 		a.ticket = h.watch.Sent(a.sentAt, server)
 		h.watchedAttempts[a.ticket] = a
@@ -146,16 +146,16 @@
 // would then be sent although nobody waits for it.
 func (h *Host) cancelUnsent(call *callState) {
 	for _, a := range call.attempts {
-		if !a.ended && a.handle.Forgo() {
+		if !a.ended && a.handle.CancelUnsent() {
 			h.queueAction(action{kind: actCancel, attempt: a})
 		}
 	}
 }
 
-// GiveUp stops waiting for the attempts with the given tickets of the observer, so that their
+// AbandonAttempts stops waiting for the attempts with the given tickets of the observer, so that their
 // calls can be attempted again. Attempts of calls that must not run twice go on: those calls
 // cannot be attempted again, and the attempt may still be answered.
-func (h *Host) GiveUp(tickets []uint64) {
+func (h *Host) AbandonAttempts(tickets []uint64) {
 	if len(tickets) == 0 {
 		return
 	}
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -17,7 +17,7 @@
 
 // Caller receives the result of one call on behalf of its client. The core ends each
 // call that has arrived exactly once, with Serve, Refuse, Fail or Stream, unless
-// Host.Gone withdrew it first, and calls Release exactly once, when no attempt needs the
+// Host.ClientGone withdrew it first, and calls Release exactly once, when no attempt needs the
 // payload any more. Serve, Refuse, Fail and Release are called without the core's lock,
 // from any goroutine. An implementation must bound the time for which a method waits for
 // the client.
@@ -52,16 +52,16 @@
 	Class    string
 	Tenant   string
 	Key      string
-	Wait     time.Duration // how long the caller waits, from Received on; 0: the class's deadline
+	Timeout  time.Duration // how long the caller waits, from Received on; 0: the class's deadline
 	Received time.Time
 	Limits   *Limits // nil: only the limits of the settings apply
-	// Under is the configuration generation that applies to the call until its end, as
+	// Generation is the configuration generation that applies to the call until its end, as
 	// returned by Host.Stamp or Host.Route when the call began to be read. The zero value
 	// selects the generation that is current when the call arrives.
-	Under   generation.Stamp
-	Payload any // passed to the transport
-	Caller  Caller
-	Retry   bool // the client marked the call as a retry; recorded in the trace
+	Generation generation.Stamp
+	Payload    any // passed to the transport
+	Caller     Caller
+	IsRetry    bool // the client marked the call as a retry; recorded in the trace
 
 	state *callState
 }
@@ -69,24 +69,24 @@
 // Limits restricts a call further than the settings do. It is set by the listener, also
 // on behalf of the previous tier.
 type Limits struct {
-	// Attempts is the maximum number of attempts; 0: the number in the settings. 1 also
+	// MaxAttempts is the maximum number of attempts; 0: the number in the settings. 1 also
 	// means that the previous tier decides on retries: the call gets one attempt, and
 	// neither adds to the retry budget here nor spends from it.
-	Attempts int
-	Mark     string    // with Limits.Attempts at 1: the ID of this attempt in the previous tier; empty: no duplicate is expected
-	NotAfter time.Time // no attempt begins later; zero: no such limit
-	Only     string    // the only server that the call may go to; empty: any
-	// Coming is the maximum time for the rest of the body of a call that arrives before
+	MaxAttempts int
+	Mark        string    // with Limits.MaxAttempts at 1: the ID of this attempt in the previous tier; empty: no duplicate is expected
+	NotAfter    time.Time // no attempt begins later; zero: no such limit
+	OnlyServer  string    // the only server that the call may go to; empty: any
+	// BodyTimeout is the maximum time for the rest of the body of a call that arrives before
 	// its body is complete. As such a body is not stored and cannot be sent again, the
-	// call gets one attempt. Its time counts from Host.Whole on. 0: the body is complete.
-	Coming time.Duration
+	// call gets one attempt. Its time counts from Host.BodyComplete on. 0: the body is complete.
+	BodyTimeout time.Duration
 }
 
-// Watch observes each attempt. Its methods are called with the core's lock held, so they
+// AttemptObserver observes each attempt. Its methods are called with the core's lock held, so they
 // must neither block nor call the Host.
-type Watch interface {
+type AttemptObserver interface {
 	// Sent reports that an attempt is sent to a server. The ticket that it returns
-	// identifies the attempt in Ended and in Host.GiveUp.
+	// identifies the attempt in Ended and in Host.AbandonAttempts.
 	Sent(now time.Duration, server string) (ticket uint64)
 	// Ended reports the outcome of an attempt, once for each.
 	Ended(now time.Duration, ticket uint64, o chalkrack.Outcome)
@@ -94,14 +94,14 @@
 
 // Order describes one attempt to a transport.
 type Order struct {
-	Payload  any // of the call
-	Server   string
-	N        int       // the attempt's index within the call, from 0
-	Deadline time.Time // when the core stops waiting
-	NotAfter time.Time // the attempt must not begin later; zero: no such limit
-	Once     bool      // the call must not run twice
-	Pass     bool      // a 4xx response is passed on as the call's answer
-	Sink     Sink
+	Payload          any // of the call
+	Server           string
+	Index            int       // the attempt's index within the call, from 0
+	Deadline         time.Time // when the core stops waiting
+	NotAfter         time.Time // the attempt must not begin later; zero: no such limit
+	AtMostOnce       bool      // the call must not run twice
+	PassClientErrors bool      // a 4xx response is passed on as the call's answer
+	Sink             Sink
 }
 
 // Sink receives the result of an attempt.
@@ -117,15 +117,15 @@
 // Transport sends attempts to servers. It sends each attempt at most once and never
 // selects a server.
 type Transport interface {
-	// Attempt prepares an attempt. Nothing is sent before Attempt.Start.
-	Attempt(o Order) Attempt
-	// Serve sets a server's address and the time at which it last started.
-	Serve(server, address string, started time.Duration)
-	// Leave reports that a server is draining or, with gone, has been removed. No attempt
+	// NewAttempt prepares an attempt. Nothing is sent before Attempt.Start.
+	NewAttempt(o Order) Attempt
+	// AddServer sets a server's address and the time at which it last started.
+	AddServer(server, address string, started time.Duration)
+	// RetireServer reports that a server is draining or, with gone, has been removed. No attempt
 	// begins there after the drain grace period, not even one that was already queued.
-	Leave(server string, gone bool)
-	// Keep removes all servers except those listed.
-	Keep(listed map[string]bool)
+	RetireServer(server string, gone bool)
+	// RetainServers removes all servers except those listed.
+	RetainServers(listed map[string]bool)
 	// CloseIdle closes a server's idle connections.
 	CloseIdle(server string)
 	// Probe requests a server's load report. told is called at most once, from any
@@ -139,9 +139,9 @@
 	Start()
 	// Abandon stops the attempt without I/O and reports whether it may have begun.
 	Abandon() (began bool)
-	// Forgo stops the attempt without I/O unless it has begun, and reports whether it was
+	// CancelUnsent stops the attempt without I/O unless it has begun, and reports whether it was
 	// stopped.
-	Forgo() bool
+	CancelUnsent() bool
 	// Close frees the resources of an abandoned attempt, for example its connection, by
 	// which the server can notice that the attempt was cancelled.
 	Close()
--- a/internal/core/gate.go
+++ b/internal/core/gate.go
@@ -6,8 +6,8 @@
 	"chalkrack"
 )
 
-// Tally counts attempts that have ended.
-type Tally struct {
+// AttemptCounts counts attempts that have ended.
+type AttemptCounts struct {
 	Ended uint64 // all except those that were cancelled or not sent
 	Late  uint64 // those of Ended, not declined, that timed out or ended after the aim of their call
 	Full  uint64 // those of Ended that the server declined
@@ -20,10 +20,10 @@
 	h.balancer.SetDegradationPolicy(g)
 }
 
-// With calls do with the lock that guards the gate held. It passes the current time, the
+// WithGate calls do with the lock that guards the gate held. It passes the current time, the
 // counts of attempts, the number of serving servers and the number of those that are
 // ejected. do must not call the Host.
-func (h *Host) With(do func(now time.Duration, seen Tally, members, ejected int)) {
+func (h *Host) WithGate(do func(now time.Duration, seen AttemptCounts, members, ejected int)) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	now := h.now()
@@ -45,8 +45,8 @@
 	}
 }
 
-// Reported passes a server's load report that is of the given age to the Balancer.
-func (h *Host) Reported(server string, age time.Duration, rep chalkrack.LoadReport) {
+// RecordReport passes a server's load report that is of the given age to the Balancer.
+func (h *Host) RecordReport(server string, age time.Duration, rep chalkrack.LoadReport) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.balancer.Probed(h.now()-age, server, rep)
--- a/internal/core/host.go
+++ b/internal/core/host.go
@@ -29,8 +29,8 @@
 type Host struct {
 	transport Transport
 	log       func() *slog.Logger
-	traceLog  *slog.Logger // nil: off
-	watch     Watch        // nil: none
+	traceLog  *slog.Logger    // nil: off
+	watch     AttemptObserver // nil: none
 
 	start     time.Time
 	startUnix time.Duration // the Unix time at start
@@ -49,25 +49,25 @@
 	timer           *time.Timer
 	timerAt         time.Duration // when timer fires; 0: not set
 	actions         *[]action     // nil: none
-	quitAt          time.Duration // 0: QuitAt was not called
+	quitAt          time.Duration // 0: ShutDownWithin was not called
 	// listedAt is the time of the last list or change received from discovery.
 	listedAt time.Duration
 	ready    bool
 	closed   bool
-	tally    Tally
+	tally    AttemptCounts
 }
 
 // Config configures a Host.
 type Config struct {
-	Settings  *settings.Settings
-	First     *generation.Generation // the initial configuration; if set, Settings is ignored
-	Seed      uint64
-	Transport Transport
-	Log       *slog.Logger // nil: the default one
-	// Trace logs the trace of each call that was not served within its aim; nil: off.
-	Trace *slog.Logger
-	// Watch observes each attempt; nil: none.
-	Watch Watch
+	Settings   *settings.Settings
+	Generation *generation.Generation // the initial configuration; if set, Settings is ignored
+	Seed       uint64
+	Transport  Transport
+	Log        *slog.Logger // nil: the default one
+	// TraceLog logs the trace of each call that was not served within its aim; nil: off.
+	TraceLog *slog.Logger
+	// Observer observes each attempt; nil: none.
+	Observer AttemptObserver
 }
 
 // noLimits stands for a nil Call.Limits.
@@ -108,7 +108,7 @@
 // Listed and reports errors to DiscoveryFailed.
 func New(cfg Config) (*Host, error) {
 	start := time.Now()
-	first := cfg.First
+	first := cfg.Generation
 	if first == nil {
 		first = &generation.Generation{Settings: cfg.Settings}
 	}
@@ -123,8 +123,8 @@
 		start:       start,
 		startUnix:   time.Duration(start.UnixNano()),
 		held:        make(map[chalkrack.RequestID]*callState),
-		traceLog:    cfg.Trace,
-		watch:       cfg.Watch,
+		traceLog:    cfg.TraceLog,
+		watch:       cfg.Observer,
 	}
 	if cfg.Log != nil {
 		h.log = func() *slog.Logger { return cfg.Log }
@@ -184,21 +184,21 @@
 	defer func() {
 		if p := recover(); p != nil {
 			h.log().Error("panic", "at", "call arrival", "panic", p, "stack", string(debug.Stack()))
-			if h.Gone(c) {
+			if h.ClientGone(c) {
 				c.Caller.Fail()
 			}
 		}
 	}()
-	if c.Under.Gen == nil {
-		c.Under = h.Stamp()
+	if c.Generation.Gen == nil {
+		c.Generation = h.Stamp()
 	}
-	gen := c.Under.Gen
+	gen := c.Generation.Gen
 	callSettings := gen.Settings
 	h.handleEvent(func(now time.Duration) {
 		classIndex := gen.Class(c.Class)
 		if h.closed || callSettings.MaxHeld > 0 && len(h.held) >= callSettings.MaxHeld {
 			h.log().Warn("call refused: call limit reached or closed", "held", len(h.held), "closed", h.closed)
-			h.generations.Bad(c.Under, classIndex, bake.Refused)
+			h.generations.Bad(c.Generation, classIndex, bake.Refused)
 			h.queueAction(action{kind: actRefuse, caller: c.Caller, retryAfter: callSettings.Config.MaxRetryAfter / 10, unsent: true})
 			h.queueAction(action{kind: actRelease, caller: c.Caller})
 			return
@@ -207,22 +207,22 @@
 		if limits == nil {
 			limits = &noLimits
 		}
-		if limits.Attempts == 1 && limits.Mark != "" && h.marks.seenBefore(c.ID, limits.Mark, now) {
+		if limits.MaxAttempts == 1 && limits.Mark != "" && h.marks.seenBefore(c.ID, limits.Mark, now) {
 			h.log().Warn("duplicate of a marked attempt: not attempted again", "class", c.Class)
 			h.queueAction(action{kind: actFail, caller: c.Caller})
 			h.queueAction(action{kind: actRelease, caller: c.Caller})
 			return
 		}
-		wait := c.Wait
+		wait := c.Timeout
 		if wait == 0 {
 			wait = callSettings.DeadlineOf(c.Class)
 		}
-		deadline := now - time.Since(c.Received) + limits.Coming + callTimeout(wait)
+		deadline := now - time.Since(c.Received) + limits.BodyTimeout + callTimeout(wait)
 		if h.quitAt > 0 {
 			deadline = min(deadline, h.quitAt)
 		}
 		h.lastID++
-		call := &callState{id: h.lastID, details: c, deadline: deadline, classIndex: classIndex, arrivedAt: now, bodyPending: limits.Coming > 0}
+		call := &callState{id: h.lastID, details: c, deadline: deadline, classIndex: classIndex, arrivedAt: now, bodyPending: limits.BodyTimeout > 0}
 		if classIndex >= 0 {
 			call.class = &gen.Rules().Classes[classIndex]
 		}
@@ -237,7 +237,7 @@
 			Key:         c.Key,
 			Deadline:    deadline,
 			MaxAttempts: limits.maxAttempts(),
-			Server:      limits.Only,
+			Server:      limits.OnlyServer,
 			BodyPending: call.bodyPending,
 			Config:      gen.Rules(),
 		})
@@ -253,23 +253,23 @@
 // maxAttempts returns the maximum number of attempts, 0 if it is not limited. It is one while
 // the body is still arriving, since the body is not stored.
 func (l *Limits) maxAttempts() int {
-	if l.Coming > 0 {
+	if l.BodyTimeout > 0 {
 		return 1
 	}
-	return l.Attempts
+	return l.MaxAttempts
 }
 
-// Whole reports that the last byte of a call with Limits.Coming has been received.
-func (h *Host) Whole(c *Call) {
+// BodyComplete reports that the last byte of a call with Limits.BodyTimeout has been received.
+func (h *Host) BodyComplete(c *Call) {
 	defer h.logPanic("complete body")
 	h.handleEvent(func(now time.Duration) {
 		call := c.state
 		if call == nil || call.ended || !call.bodyPending {
 			return
 		}
-		wait := c.Wait
+		wait := c.Timeout
 		if wait == 0 {
-			wait = c.Under.Gen.Settings.DeadlineOf(c.Class)
+			wait = c.Generation.Gen.Settings.DeadlineOf(c.Class)
 		}
 		call.bodyPending, call.arrivedAt = false, now
 		call.deadline = min(call.deadline, now+callTimeout(wait))
@@ -278,11 +278,11 @@
 	})
 }
 
-// Gone reports that a call's caller has left, and returns whether that ended the call. If
+// ClientGone reports that a call's caller has left, and returns whether that ended the call. If
 // not, the Caller has received or will receive an answer nevertheless. The result is valid
-// even if the Balancer panics, since the caller's side uses Host.Gone to end a call that a panic
+// even if the Balancer panics, since the caller's side uses Host.ClientGone to end a call that a panic
 // has left open.
-func (h *Host) Gone(c *Call) (taken bool) {
+func (h *Host) ClientGone(c *Call) (taken bool) {
 	defer h.logPanic("departed caller")
 	h.handleEvent(func(now time.Duration) {
 		call := c.state
@@ -292,7 +292,7 @@
 		call.ended, taken = true, true
 		h.cancelUnsent(call)
 		h.recordEnd(now, call, "left")
-		h.log().Info("client left", "id", call.id, "class", c.Class, "after", time.Since(c.Received), "attempts", len(call.attempts), "wait", c.Wait)
+		h.log().Info("client left", "id", call.id, "class", c.Class, "after", time.Since(c.Received), "attempts", len(call.attempts), "wait", c.Timeout)
 		defer h.removeIfDone(call)
 		h.balancer.ClientGone(now, call.id)
 	})
@@ -317,9 +317,9 @@
 // again.
 func (h *Host) EmptyBudgets() { h.handleEvent(func(time.Duration) { h.balancer.ClearBudgets() }) }
 
-// QuitAt limits the deadline of all current and future calls to the given time from now,
+// ShutDownWithin limits the deadline of all current and future calls to the given time from now,
 // so that every call is answered by then.
-func (h *Host) QuitAt(in time.Duration) {
+func (h *Host) ShutDownWithin(in time.Duration) {
 	h.handleEvent(func(now time.Duration) {
 		h.quitAt = now + in
 		for _, call := range h.held {
@@ -385,13 +385,13 @@
 			endpoints[n] = e.Endpoint
 			listed[e.Name] = true
 			if e.State == chalkrack.Serving {
-				h.transport.Serve(e.Name, e.Address, e.Started)
+				h.transport.AddServer(e.Name, e.Address, e.Started)
 			} else {
-				h.transport.Leave(e.Name, e.State == chalkrack.Gone)
+				h.transport.RetireServer(e.Name, e.State == chalkrack.Gone)
 			}
 		}
-		if list.Whole {
-			h.transport.Keep(listed)
+		if list.Complete {
+			h.transport.RetainServers(listed)
 			h.balancer.ServersListed(now, endpoints)
 		} else {
 			h.balancer.ServersChanged(now, endpoints)
--- a/internal/core/host_test.go
+++ b/internal/core/host_test.go
@@ -123,7 +123,7 @@
 	if err != nil {
 		tb.Fatal(err)
 	}
-	list := &membership.List{Whole: true}
+	list := &membership.List{Complete: true}
 	for n, s := range servers {
 		list.Entries = append(list.Entries, membership.Entry{Endpoint: chalkrack.Endpoint{Name: fmt.Sprint("s", n), Zone: "z", Hint: 1}, Address: s.addr})
 	}
@@ -285,9 +285,9 @@
 	orders chan core.Order
 }
 
-func (r *forwardingTransport) Attempt(o core.Order) core.Attempt {
+func (r *forwardingTransport) NewAttempt(o core.Order) core.Attempt {
 	r.orders <- o
-	return r.Transport.Attempt(o)
+	return r.Transport.NewAttempt(o)
 }
 
 // A repeat of a keyed request that may have run must begin within the window or not at all, however
@@ -334,7 +334,7 @@
 			t.Errorf("got status %d without a serving server, want 503", status)
 		}
 	}
-	h.Listed(&membership.List{Whole: true, Entries: []membership.Entry{{Endpoint: chalkrack.Endpoint{Name: "s1", Hint: 1}, Address: next.addr}}})
+	h.Listed(&membership.List{Complete: true, Entries: []membership.Entry{{Endpoint: chalkrack.Endpoint{Name: "s1", Hint: 1}, Address: next.addr}}})
 	if _, answer := request(t, addr, "a", "", ""); answer != "new" {
 		t.Errorf("answered %q", answer)
 	}
--- a/internal/core/races_test.go
+++ b/internal/core/races_test.go
@@ -31,13 +31,13 @@
 	startedAt time.Time // zero: not started
 	dials     bool      // it has to connect before it writes
 	writtenAt time.Time // with dials: zero: not written
-	stopped   bool      // by Attempt.Abandon or Attempt.Forgo
+	stopped   bool      // by Attempt.Abandon or Attempt.CancelUnsent
 }
 
-func (m *memTransport) Attempt(o core.Order) core.Attempt                       { return &memAttempt{owner: m, order: o} }
-func (m *memTransport) Serve(string, string, time.Duration)                     {}
-func (m *memTransport) Leave(string, bool)                                      {}
-func (m *memTransport) Keep(map[string]bool)                                    {}
+func (m *memTransport) NewAttempt(o core.Order) core.Attempt                    { return &memAttempt{owner: m, order: o} }
+func (m *memTransport) AddServer(string, string, time.Duration)                 {}
+func (m *memTransport) RetireServer(string, bool)                               {}
+func (m *memTransport) RetainServers(map[string]bool)                           {}
 func (m *memTransport) CloseIdle(string)                                        {}
 func (m *memTransport) Probe(string, time.Duration, func(chalkrack.LoadReport)) {}
 func (a *memAttempt) Close()                                                    {}
@@ -49,7 +49,7 @@
 	return !a.startedAt.IsZero()
 }
 
-func (a *memAttempt) Forgo() bool {
+func (a *memAttempt) CancelUnsent() bool {
 	a.owner.mu.Lock()
 	defer a.owner.mu.Unlock()
 	if !a.dials || !a.writtenAt.IsZero() {
@@ -105,7 +105,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	list := &membership.List{Whole: true}
+	list := &membership.List{Complete: true}
 	for n := range servers {
 		list.Entries = append(list.Entries, membership.Entry{Endpoint: chalkrack.Endpoint{Name: fmt.Sprint("s", n), Zone: "z", Hint: 1}, Address: "127.0.0.1:1"})
 	}
@@ -149,7 +149,7 @@
 					left := n%5 == 4
 					gone := false
 					if left {
-						time.AfterFunc(time.Until(at), func() { gone = h.Gone(call) })
+						time.AfterFunc(time.Until(at), func() { gone = h.ClientGone(call) })
 					}
 					time.Sleep(3 * time.Second)
 					synctest.Wait()
@@ -197,7 +197,7 @@
 			h.Arrive(call)
 			time.Sleep(time.Duration(draw(300)) * time.Millisecond)
 			left := time.Now()
-			gone := h.Gone(call)
+			gone := h.ClientGone(call)
 			time.Sleep(2 * time.Second)
 			synctest.Wait()
 			for _, a := range transport.attempts {
@@ -232,7 +232,7 @@
 			call := &core.Call{ID: "1", Class: []string{"a", "k", "u"}[n%3], Received: time.Now(), Caller: c}
 			h.Arrive(call)
 			time.Sleep(time.Duration(n) * 2 * time.Millisecond)
-			if !h.Gone(call) {
+			if !h.ClientGone(call) {
 				t.Error("Gone returned false for a call without an answer")
 			}
 			time.Sleep(2 * time.Second)
@@ -259,7 +259,7 @@
 		arrivedAt := time.Now()
 		transport := &memTransport{}
 		transport.onStart = func(a *memAttempt) {
-			if a.order.N == 0 {
+			if a.order.Index == 0 {
 				time.AfterFunc(100*time.Millisecond, func() { a.order.Sink.Done(chalkrack.Reset, nil, chalkrack.LoadReport{}) })
 			}
 		}
@@ -279,7 +279,7 @@
 	})
 }
 
-// Guards against calls that stay unanswered when the process ends. QuitAt is called while copies,
+// Guards against calls that stay unanswered when the process ends. ShutDownWithin is called while copies,
 // further attempts and deadlines are due. Every call must be answered once by the given time,
 // nothing may be sent later, and calls that arrive afterwards must be answered too.
 func TestQuitAtAnswersAllCallsInTime(t *testing.T) {
@@ -305,12 +305,12 @@
 			}
 			time.Sleep(time.Duration(n) * 7 * time.Millisecond)
 			quitCalled := time.Now()
-			h.QuitAt(quit)
+			h.ShutDownWithin(quit)
 			arrive("a")
 			time.Sleep(quit / 2)
 			arrive("u")
 			time.Sleep(quit)
-			arrive("a") // after the time given to QuitAt
+			arrive("a") // after the time given to ShutDownWithin
 			time.Sleep(time.Second)
 			synctest.Wait()
 			for k, c := range callers {
@@ -365,7 +365,7 @@
 			copies, late := 0, 0
 			transport := &memTransport{}
 			transport.onStart = func(a *memAttempt) {
-				if a.order.N == 1 {
+				if a.order.Index == 1 {
 					copies++
 					time.AfterFunc(time.Millisecond, func() {
 						if streamed {
--- a/internal/core/trace.go
+++ b/internal/core/trace.go
@@ -95,7 +95,7 @@
 		return
 	}
 	trace.Class, trace.Effect, trace.Worth = call.details.Class, effectNames[call.class.Effect], call.class.Worth
-	trace.Aim, trace.Wait, trace.Retry = millis(call.class.Aim), millis(call.details.Wait), call.details.Retry
+	trace.Aim, trace.Wait, trace.Retry = millis(call.class.Aim), millis(call.details.Timeout), call.details.IsRetry
 	if trace.End != "served" || trace.Took > trace.Aim {
 		h.queueAction(action{kind: actTrace, answer: trace})
 	}
@@ -106,9 +106,9 @@
 	h.traceLog.LogAttrs(context.Background(), slog.LevelInfo, TraceMessage, slog.Any("story", trace))
 }
 
-// Measured returns the factor by which the Balancer corrects each server's hint according
+// HintCorrections returns the factor by which the Balancer corrects each server's hint according
 // to its measurements; 0 for a server without measurements.
-func (h *Host) Measured(servers []string) []float64 {
+func (h *Host) HintCorrections(servers []string) []float64 {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	now := h.now()
--- a/internal/core/trace_test.go
+++ b/internal/core/trace_test.go
@@ -36,7 +36,7 @@
 	config := testSettings()
 	pool := upstream.New(upstream.Config{ConnIdle: config.ConnIdle, DialTimeout: config.DialTimeout, DrainGrace: config.DrainGrace, MaxConns: 10})
 	var log lockedBuffer
-	h, err := core.New(core.Config{Settings: config, Seed: 1, Transport: pool, Trace: slog.New(slog.NewJSONHandler(&log, nil))})
+	h, err := core.New(core.Config{Settings: config, Seed: 1, Transport: pool, TraceLog: slog.New(slog.NewJSONHandler(&log, nil))})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -47,7 +47,7 @@
 		}
 		return "close"
 	})
-	h.Listed(&membership.List{Whole: true, Entries: []membership.Entry{{Endpoint: chalkrack.Endpoint{Name: "s0", Zone: "z", Hint: 1}, Address: s.addr}}})
+	h.Listed(&membership.List{Complete: true, Entries: []membership.Entry{{Endpoint: chalkrack.Endpoint{Name: "s0", Zone: "z", Hint: 1}, Address: s.addr}}})
 	h.SetReady(true)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -89,14 +89,14 @@
 // inertTransport is a transport, and an attempt, that never begins or ends.
 type inertTransport struct{ core.Transport }
 
-func (inertTransport) Serve(string, string, time.Duration) {}
-func (inertTransport) Keep(map[string]bool)                {}
-func (inertTransport) Attempt(core.Order) core.Attempt     { return inertTransport{} }
-func (inertTransport) Start()                              {}
-func (inertTransport) Abandon() bool                       { return false }
-func (inertTransport) Forgo() bool                         { return true }
-func (inertTransport) Close()                              {}
-func (inertTransport) Phase() string                       { return "writing" }
+func (inertTransport) AddServer(string, string, time.Duration) {}
+func (inertTransport) RetainServers(map[string]bool)           {}
+func (inertTransport) NewAttempt(core.Order) core.Attempt      { return inertTransport{} }
+func (inertTransport) Start()                                  {}
+func (inertTransport) Abandon() bool                           { return false }
+func (inertTransport) CancelUnsent() bool                      { return true }
+func (inertTransport) Close()                                  {}
+func (inertTransport) Phase() string                           { return "writing" }
 
 // refusableCaller is a caller that reports a refusal on a channel.
 type refusableCaller struct {
@@ -112,14 +112,14 @@
 // for the server.
 func TestSlowBodyIsNoServerFailure(t *testing.T) {
 	var log lockedBuffer
-	h, err := core.New(core.Config{Settings: testSettings(), Seed: 1, Transport: inertTransport{}, Trace: slog.New(slog.NewJSONHandler(&log, nil))})
+	h, err := core.New(core.Config{Settings: testSettings(), Seed: 1, Transport: inertTransport{}, TraceLog: slog.New(slog.NewJSONHandler(&log, nil))})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer h.Close()
-	h.Listed(&membership.List{Whole: true, Entries: []membership.Entry{{Endpoint: chalkrack.Endpoint{Name: "s0", Zone: "z", Hint: 1}, Address: "x"}}})
+	h.Listed(&membership.List{Complete: true, Entries: []membership.Entry{{Endpoint: chalkrack.Endpoint{Name: "s0", Zone: "z", Hint: 1}, Address: "x"}}})
 	c := refusableCaller{refused: make(chan bool, 1)}
-	h.Arrive(&core.Call{ID: "1", Class: "u", Wait: 20 * time.Millisecond, Received: time.Now(), Limits: &core.Limits{Coming: 20 * time.Millisecond}, Caller: c})
+	h.Arrive(&core.Call{ID: "1", Class: "u", Timeout: 20 * time.Millisecond, Received: time.Now(), Limits: &core.Limits{BodyTimeout: 20 * time.Millisecond}, Caller: c})
 	select {
 	case unsent := <-c.refused:
 		if !unsent {
--- a/internal/core/trial.go
+++ b/internal/core/trial.go
@@ -34,10 +34,10 @@
 // Generations returns the configuration generations that currently take calls.
 func (h *Host) Generations() *generation.View { return h.generationView.Load() }
 
-// Try starts a trial of next beside the current generation, atomically. The Balancer keeps
+// StartTrial starts a trial of next beside the current generation, atomically. The Balancer keeps
 // everything that it has learned, and calls in progress keep their generation. On an error
 // nothing changes.
-func (h *Host) Try(next *generation.Generation, cfg bake.Config, seed uint64) (err error) {
+func (h *Host) StartTrial(next *generation.Generation, cfg bake.Config, seed uint64) (err error) {
 	h.handleEvent(func(now time.Duration) {
 		rules, e := h.generations.Begin(now, next, cfg, seed)
 		if err = e; err == nil {
@@ -50,9 +50,9 @@
 	return err
 }
 
-// Rule returns the ruling on the trial so far, the name of the class that weighs most in it,
+// TrialRuling returns the ruling on the trial so far, the name of the class that weighs most in it,
 // and for how long the trial has run. It returns an error if there is no trial.
-func (h *Host) Rule() (ruling bake.Ruling, class string, since time.Duration, err error) {
+func (h *Host) TrialRuling() (ruling bake.Ruling, class string, since time.Duration, err error) {
 	h.handleEvent(func(now time.Duration) {
 		if ruling, since, err = h.generations.Rule(now); err == nil {
 			class = h.generations.Classes()[ruling.Class]
@@ -61,9 +61,9 @@
 	return ruling, class, since, err
 }
 
-// Settle ends the trial, atomically. With keep, the new generation serves all later calls,
+// EndTrial ends the trial, atomically. With keep, the new generation serves all later calls,
 // otherwise the previous one does. It returns an error if there is no trial.
-func (h *Host) Settle(keep bool) (err error) {
+func (h *Host) EndTrial(keep bool) (err error) {
 	h.handleEvent(func(time.Duration) {
 		rules, e := h.generations.End(keep)
 		if err = e; err == nil {
@@ -83,12 +83,12 @@
 	late := call.class != nil && now-call.arrivedAt > call.class.Aim
 	switch {
 	case end == "failed":
-		h.generations.Bad(call.details.Under, call.classIndex, bake.Failed)
+		h.generations.Bad(call.details.Generation, call.classIndex, bake.Failed)
 	case end == "refused":
-		h.generations.Bad(call.details.Under, call.classIndex, bake.Refused)
+		h.generations.Bad(call.details.Generation, call.classIndex, bake.Refused)
 	case late:
-		h.generations.Bad(call.details.Under, call.classIndex, bake.Late)
+		h.generations.Bad(call.details.Generation, call.classIndex, bake.Late)
 	case end == "served":
-		h.generations.Good(call.details.Under)
+		h.generations.Good(call.details.Generation)
 	}
 }
--- a/internal/core/trial_test.go
+++ b/internal/core/trial_test.go
@@ -21,7 +21,7 @@
 	orders []core.Order
 }
 
-func (o *recordingTransport) Attempt(order core.Order) core.Attempt {
+func (o *recordingTransport) NewAttempt(order core.Order) core.Attempt {
 	o.orders = append(o.orders, order)
 	return inertTransport{}
 }
@@ -65,19 +65,19 @@
 func TestCallsKeepTheirGeneration(t *testing.T) {
 	for _, keep := range []bool{false, true} {
 		transport := new(recordingTransport)
-		h, err := core.New(core.Config{First: newGeneration(t, 1, `"attemptsCap":4`, `"attemptsCap":2`), Seed: 1, Transport: transport})
+		h, err := core.New(core.Config{Generation: newGeneration(t, 1, `"attemptsCap":4`, `"attemptsCap":2`), Seed: 1, Transport: transport})
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer h.Close()
-		l := &membership.List{Whole: true}
+		l := &membership.List{Complete: true}
 		for _, name := range []string{"s0", "s1", "s2", "s3", "s4", "s5"} {
 			l.Entries = append(l.Entries, membership.Entry{Endpoint: chalkrack.Endpoint{Name: name, Zone: "z", Hint: 1}, Address: "x"})
 		}
 		h.Listed(l)
 		arrive := func(id string, under generation.Stamp) *countingCaller {
 			c := new(countingCaller)
-			h.Arrive(&core.Call{ID: id, Class: "a", Under: under, Received: time.Now(), Caller: c})
+			h.Arrive(&core.Call{ID: id, Class: "a", Generation: under, Received: time.Now(), Caller: c})
 			return c
 		}
 		// ends returns the number of the call's attempts until its answer.
@@ -97,10 +97,10 @@
 		}
 		next := newGeneration(t, 2, `"attemptsCap":4`, `"attemptsCap":1`)
 		next = &generation.Generation{ID: 2, Settings: next.Settings, Paths: map[string]string{"/b": "a"}}
-		if err := h.Try(next, bake.Config{Share: 0.5, FalseUndo: 0.01, Notice: 0.5, Bake: time.Minute}, 1); err != nil {
+		if err := h.StartTrial(next, bake.Config{Share: 0.5, FalseUndo: 0.01, Notice: 0.5, Bake: time.Minute}, 1); err != nil {
 			t.Fatal(err)
 		}
-		if err := h.Try(newGeneration(t, 3, "", ""), bake.Config{}, 1); err == nil {
+		if err := h.StartTrial(newGeneration(t, 3, "", ""), bake.Config{}, 1); err == nil {
 			t.Error("a second trial was started during the first")
 		}
 		seen := make(map[int]generation.Stamp)
@@ -116,7 +116,7 @@
 			t.Errorf("keep %v: call of the new generation: %d attempts, want 1", keep, n)
 		}
 		late := arrive("stamped in the trial", seen[1])
-		if err := h.Settle(keep); err != nil {
+		if err := h.EndTrial(keep); err != nil {
 			t.Fatal(err)
 		}
 		if n := ends(late); n != 2 {
@@ -132,7 +132,7 @@
 		if _, _, known := h.Route("/b"); known != keep {
 			t.Errorf("keep %v: the path of the new generation is known: %v", keep, known)
 		}
-		if _, _, _, err := h.Rule(); err == nil {
+		if _, _, _, err := h.TrialRuling(); err == nil {
 			t.Error("Rule returned no error after the trial had ended")
 		}
 	}
@@ -142,19 +142,19 @@
 // calls of this class under the new one must count against it.
 func TestDroppedClassCountsAgainstTrial(t *testing.T) {
 	transport := new(recordingTransport)
-	h, err := core.New(core.Config{First: newGeneration(t, 1, "", ""), Seed: 1, Transport: transport})
+	h, err := core.New(core.Config{Generation: newGeneration(t, 1, "", ""), Seed: 1, Transport: transport})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer h.Close()
-	h.Listed(&membership.List{Whole: true, Entries: []membership.Entry{{Endpoint: chalkrack.Endpoint{Name: "s0", Zone: "z", Hint: 1}, Address: "x"}}})
+	h.Listed(&membership.List{Complete: true, Entries: []membership.Entry{{Endpoint: chalkrack.Endpoint{Name: "s0", Zone: "z", Hint: 1}, Address: "x"}}})
 	_, early, _ := h.Route("/u")
-	if err := h.Try(newGeneration(t, 2, `"name":"u"`, `"name":"v"`), bake.Config{Share: 0.5, FalseUndo: 0.01, Notice: 0.5, Bake: time.Minute}, 1); err != nil {
+	if err := h.StartTrial(newGeneration(t, 2, `"name":"u"`, `"name":"v"`), bake.Config{Share: 0.5, FalseUndo: 0.01, Notice: 0.5, Bake: time.Minute}, 1); err != nil {
 		t.Fatal(err)
 	}
 	c := new(countingCaller)
-	h.Arrive(&core.Call{ID: "1", Class: "u", Under: early, Received: time.Now(), Caller: c})
-	if len(transport.orders) != 1 || !transport.orders[0].Once {
+	h.Arrive(&core.Call{ID: "1", Class: "u", Generation: early, Received: time.Now(), Caller: c})
+	if len(transport.orders) != 1 || !transport.orders[0].AtMostOnce {
 		t.Errorf("orders %+v, want one with Once set", transport.orders)
 	}
 	unknown := 0
@@ -163,11 +163,11 @@
 			unknown++
 		}
 	}
-	r, class, _, err := h.Rule()
+	r, class, _, err := h.TrialRuling()
 	if err != nil || r.Verdict != bake.Undo || class != "u" || r.Calls != unknown {
 		t.Errorf("ruling %+v, class %q, %d calls of an unknown class, error %v", r, class, unknown, err)
 	}
-	if err := h.Settle(false); err != nil {
+	if err := h.EndTrial(false); err != nil {
 		t.Fatal(err)
 	}
 	if _, _, known := h.Route("/u"); !known {
@@ -206,37 +206,37 @@
 		{"left in time", [2]string{}, func(h *core.Host, c *core.Call, _ func() core.Sink) {
 			h.Arrive(c)
 			time.Sleep(aim / 2)
-			h.Gone(c)
+			h.ClientGone(c)
 		}, 0, false, 0},
 		{"left late", [2]string{}, func(h *core.Host, c *core.Call, _ func() core.Sink) {
 			h.Arrive(c)
 			time.Sleep(aim + time.Millisecond)
-			h.Gone(c)
+			h.ClientGone(c)
 		}, 60, true, bake.Late},
 		{"body that takes long", [2]string{}, func(h *core.Host, c *core.Call, last func() core.Sink) {
-			c.Limits = &core.Limits{Coming: time.Minute}
+			c.Limits = &core.Limits{BodyTimeout: time.Minute}
 			h.Arrive(c)
 			time.Sleep(2 * aim)
-			h.Whole(c)
+			h.BodyComplete(c)
 			last().Done(chalkrack.OK, "", chalkrack.LoadReport{})
 		}, 60, false, 0},
 		{"no room", [2]string{`"mostHeld":1000`, `"mostHeld":1`}, func(h *core.Host, c *core.Call, last func() core.Sink) {
-			other := &core.Call{ID: c.ID + "x", Class: "a", Received: time.Now(), Caller: new(countingCaller), Under: c.Under}
+			other := &core.Call{ID: c.ID + "x", Class: "a", Received: time.Now(), Caller: new(countingCaller), Generation: c.Generation}
 			h.Arrive(other) // uses the only place
 			h.Arrive(c)
-			h.Gone(other)
+			h.ClientGone(other)
 		}, 60, true, bake.Refused},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				transport := new(recordingTransport)
-				h, err := core.New(core.Config{First: newGeneration(t, 1, "", ""), Seed: 1, Transport: transport})
+				h, err := core.New(core.Config{Generation: newGeneration(t, 1, "", ""), Seed: 1, Transport: transport})
 				if err != nil {
 					t.Fatal(err)
 				}
 				defer h.Close()
-				h.Listed(&membership.List{Whole: true, Entries: []membership.Entry{{Endpoint: chalkrack.Endpoint{Name: "s0", Zone: "z", Hint: 1}, Address: "x"}}})
-				if err := h.Try(newGeneration(t, 2, c.next[0], c.next[1]), bake.Config{Share: 0.5, FalseUndo: 0.01, Notice: 0.5, Bake: time.Hour}, 1); err != nil {
+				h.Listed(&membership.List{Complete: true, Entries: []membership.Entry{{Endpoint: chalkrack.Endpoint{Name: "s0", Zone: "z", Hint: 1}, Address: "x"}}})
+				if err := h.StartTrial(newGeneration(t, 2, c.next[0], c.next[1]), bake.Config{Share: 0.5, FalseUndo: 0.01, Notice: 0.5, Bake: time.Hour}, 1); err != nil {
 					t.Fatal(err)
 				}
 				var under generation.Stamp
@@ -244,9 +244,9 @@
 					under = h.Stamp()
 				}
 				for n := range 60 {
-					c.call(h, &core.Call{ID: fmt.Sprint(n), Class: "a", Under: under, Received: time.Now(), Caller: new(countingCaller)}, func() core.Sink { return transport.orders[len(transport.orders)-1].Sink })
+					c.call(h, &core.Call{ID: fmt.Sprint(n), Class: "a", Generation: under, Received: time.Now(), Caller: new(countingCaller)}, func() core.Sink { return transport.orders[len(transport.orders)-1].Sink })
 				}
-				r, _, _, err := h.Rule()
+				r, _, _, err := h.TrialRuling()
 				if err != nil || r.Calls != c.calls || (r.Verdict == bake.Undo) != c.undo || c.undo && r.Kind != c.kind {
 					t.Errorf("ruling %+v, error %v", r, err)
 				}
--- a/internal/core/watch_test.go
+++ b/internal/core/watch_test.go
@@ -58,15 +58,15 @@
 }
 
 // startWatchedHost runs a host with an observer in front of the given servers and returns its address.
-func startWatchedHost(tb testing.TB, watch core.Watch, servers ...*fakeServer) (*core.Host, string) {
+func startWatchedHost(tb testing.TB, watch core.AttemptObserver, servers ...*fakeServer) (*core.Host, string) {
 	tb.Helper()
 	config := testSettings()
 	pool := upstream.New(upstream.Config{ConnIdle: config.ConnIdle, DialTimeout: config.DialTimeout, DrainGrace: config.DrainGrace, MaxConns: 100})
-	h, err := core.New(core.Config{Settings: config, Seed: 1, Transport: pool, Watch: watch})
+	h, err := core.New(core.Config{Settings: config, Seed: 1, Transport: pool, Observer: watch})
 	if err != nil {
 		tb.Fatal(err)
 	}
-	list := &membership.List{Whole: true}
+	list := &membership.List{Complete: true}
 	for n, s := range servers {
 		list.Entries = append(list.Entries, membership.Entry{Endpoint: chalkrack.Endpoint{Name: fmt.Sprint("s", n), Zone: string(rune('a' + n)), Hint: 1}, Address: s.addr})
 	}
@@ -108,8 +108,8 @@
 		}()
 		tickets := watch.tickets(t)
 		<-arrived // if it were given up earlier, the next attempt would be the one that gets no answer
-		h.GiveUp(append(tickets, 9999))
-		h.GiveUp(tickets)
+		h.AbandonAttempts(append(tickets, 9999))
+		h.AbandonAttempts(tickets)
 		if again {
 			if status := <-answered; status != 200 {
 				t.Errorf("class %s: answered %d, want 200", class, status)
--- a/internal/daemon/bodies.go
+++ b/internal/daemon/bodies.go
@@ -49,7 +49,7 @@
 			RestMost: time.Duration(settings.RestMost), Proof: settings.Proof,
 		},
 		Window:  int64(settings.WindowKB) << 10,
-		Classes: c.Settings.Names(),
+		Classes: c.Settings.ClassNames(),
 	}
 	for _, name := range cfg.Classes {
 		cfg.Limits.Shares = append(cfg.Limits.Shares, settings.Shares[name])
@@ -85,8 +85,8 @@
 	settings := &c.Features.Bodies
 	return &front.Bodies{
 		Store:  store,
-		Class:  func(name string) int { return c.Settings.Class([]byte(name)) },
-		Tenant: func(name string) int { return c.Settings.Tenant([]byte(name)) },
+		Class:  func(name string) int { return c.Settings.ClassIndex([]byte(name)) },
+		Tenant: func(name string) int { return c.Settings.TenantIndex([]byte(name)) },
 
 		Longest: int64(settings.LongestMB) << 20, Rate: int64(settings.RateKB) << 10, Within: time.Duration(settings.Within),
 		ProxyStatus: settings.ProxyStatus,
@@ -114,7 +114,7 @@
 
 // newLongBodyStore returns the store of long bodies for a sidecar whose [bodies] is off.
 func newLongBodyStore(c *Config) (*body.Store, error) {
-	classes := c.Settings.Names()
+	classes := c.Settings.ClassNames()
 	storeBytes := maxBodyBytes(c) / 4
 	cfg := body.Config{
 		Limits: keep.Limits{
@@ -133,8 +133,8 @@
 	}
 	return &front.Bodies{
 		Store: store, Longest: maxLongBodyBytes, Rate: minLongBodyRate, Within: longBodyTimeout,
-		Class:  func(name string) int { return c.Settings.Class([]byte(name)) },
-		Tenant: func(name string) int { return c.Settings.Tenant([]byte(name)) },
+		Class:  func(name string) int { return c.Settings.ClassIndex([]byte(name)) },
+		Tenant: func(name string) int { return c.Settings.TenantIndex([]byte(name)) },
 	}
 }
 
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -116,7 +116,7 @@
 func drainAndStop(trials *changes.Changes, host *core.Host, srv *front.Server, routes *pools.Routing, radiusProxy *proxy.Proxy) {
 	started, maxDeadline := time.Now(), min(trials.Longest(), maxAwaitedDeadline)
 	slog.Info("stopping", "held", host.Held())
-	host.QuitAt(maxDeadline + shutdownMargin)
+	host.ShutDownWithin(maxDeadline + shutdownMargin)
 	routes.QuitAt(maxDeadline + shutdownMargin)
 	hasSharedListener := trials.Running().Inherited > 0
 	if hasSharedListener {
--- a/internal/daemon/duties_test.go
+++ b/internal/daemon/duties_test.go
@@ -45,7 +45,7 @@
 	const cars, nodes = 40, 8
 	var mu sync.Mutex
 	probes := make(map[string][]time.Time)
-	list := &membership.List{Whole: true}
+	list := &membership.List{Complete: true}
 	for n := range nodes {
 		name := fmt.Sprint("n", n)
 		srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
--- a/internal/daemon/levels.go
+++ b/internal/daemon/levels.go
@@ -18,7 +18,7 @@
 func levelConfig(c *Config) (level.Config, error) {
 	settings := &c.Features.Level
 	var classes []level.Class
-	for n, name := range c.Settings.Names() {
+	for n, name := range c.Settings.ClassNames() {
 		classes = append(classes, level.Class{Name: name, Worth: c.Settings.Config.Classes[n].Worth})
 	}
 	cfg := level.Default(classes)
--- a/internal/daemon/pools_test.go
+++ b/internal/daemon/pools_test.go
@@ -72,7 +72,7 @@
 	defer r.Close()
 	how := make(chan string, 10)
 	for n := range 5 {
-		r.Handler("p").Arrive(&core.Call{ID: fmt.Sprint(n), Class: "activate", Wait: time.Hour, Received: time.Now(), Caller: recordingCaller{result: how},
+		r.Handler("p").Arrive(&core.Call{ID: fmt.Sprint(n), Class: "activate", Timeout: time.Hour, Received: time.Now(), Caller: recordingCaller{result: how},
 			Payload: &message.Request{Method: "POST", Head: []byte("POST /activate HTTP/1.1\r\nHost: h\r\nContent-Length: 0\r\n")}})
 	}
 	for end := time.Now().Add(20 * time.Second); (opened.Load() < 2 || len(how) < 3) && time.Now().Before(end); time.Sleep(time.Millisecond) {
@@ -89,7 +89,7 @@
 	defer line.Close()
 	told := make(chan string, 10)
 	for n := range 3 {
-		line.Handler("q").Arrive(&core.Call{ID: fmt.Sprint("l", n), Class: "activate", Wait: time.Hour, Received: time.Now(), Caller: recordingCaller{result: told},
+		line.Handler("q").Arrive(&core.Call{ID: fmt.Sprint("l", n), Class: "activate", Timeout: time.Hour, Received: time.Now(), Caller: recordingCaller{result: told},
 			Payload: &message.Request{Method: "POST", Head: []byte("POST /activate HTTP/1.1\r\nHost: h\r\nContent-Length: 0\r\n")}})
 	}
 	if v := line.Status()[0].Queue; v.Active != 1 || v.Waiting != 2 {
--- a/internal/daemon/sidecar.go
+++ b/internal/daemon/sidecar.go
@@ -112,7 +112,7 @@
 
 func (s *sidecar) startCore() (err error) {
 	c := s.cfg
-	s.figures = figures.New(c.Settings.Names())
+	s.figures = figures.New(c.Settings.ClassNames())
 	s.pool = upstream.New(upstream.Config{
 		ConnIdle:    c.Settings.ConnIdle,
 		DialTimeout: c.Settings.DialTimeout,
@@ -127,13 +127,13 @@
 		s.watcher.Timing = discovery.Asked
 	}
 	if c.Known != nil {
-		c.Known.Whole = true
-		s.watcher.Track = membership.Holding(c.Known)
+		c.Known.Complete = true
+		s.watcher.Track = membership.NewTracker(c.Known)
 	}
 	if s.zones, err = newZones(c); err != nil {
 		return err
 	}
-	s.host, err = core.New(core.Config{Watch: zoneObserver(s.zones), First: c.Generation(c.ID()), Seed: c.Seed, Transport: s.pool, Trace: traceLogger(c)})
+	s.host, err = core.New(core.Config{Observer: zoneObserver(s.zones), Generation: c.Generation(c.ID()), Seed: c.Seed, Transport: s.pool, TraceLog: traceLogger(c)})
 	if err != nil {
 		return fmt.Errorf("settings: %w", err)
 	}
@@ -367,7 +367,7 @@
 		}
 	}
 	go s.watcher.Follow()
-	hasList := s.cfg.Known != nil && membership.Holding(s.cfg.Known).Held
+	hasList := s.cfg.Known != nil && membership.NewTracker(s.cfg.Known).HasServers
 	timeout := time.NewTimer(firstListWait(hasList, s.cfg.Asks))
 	defer timeout.Stop()
 	for {
--- a/internal/daemon/zones.go
+++ b/internal/daemon/zones.go
@@ -65,8 +65,8 @@
 	return zones.New(zones.Config{Machine: cfg, Folder: c.Features.Zones.Folder, Name: name, Regions: c.Features.Zones.Regions})
 }
 
-// zoneObserver returns z as a core.Watch, and a nil interface if z is nil.
-func zoneObserver(z *zones.Zones) core.Watch {
+// zoneObserver returns z as a core.AttemptObserver, and a nil interface if z is nil.
+func zoneObserver(z *zones.Zones) core.AttemptObserver {
 	if z == nil {
 		return nil
 	}
--- a/internal/daemon/zones_test.go
+++ b/internal/daemon/zones_test.go
@@ -17,8 +17,8 @@
 // recordingClock stands in for the core: it has a clock and records abandoned attempts.
 type recordingClock struct{ abandoned []uint64 }
 
-func (c *recordingClock) Now() time.Duration  { return time.Duration(time.Now().UnixNano()) }
-func (c *recordingClock) GiveUp(all []uint64) { c.abandoned = append(c.abandoned, all...) }
+func (c *recordingClock) Now() time.Duration           { return time.Duration(time.Now().UnixNano()) }
+func (c *recordingClock) AbandonAttempts(all []uint64) { c.abandoned = append(c.abandoned, all...) }
 
 // configWithZones returns a configuration with [zones] on.
 func configWithZones(t *testing.T, folder string) *Config {
@@ -65,7 +65,7 @@
 			}
 			told <- all
 		}, func(int, []int) {})
-		z.Listed(&membership.List{Whole: true, Entries: []membership.Entry{
+		z.Listed(&membership.List{Complete: true, Entries: []membership.Entry{
 			{Endpoint: chalkrack.Endpoint{Name: "s1", Zone: "a"}}, {Endpoint: chalkrack.Endpoint{Name: "s2", Zone: "b"}}}})
 		z.Begin()
 		return z, told
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -30,7 +30,7 @@
 	if raw.Index == nil {
 		return nil, errors.New("discovery: list has no index")
 	}
-	l := &membership.List{Index: *raw.Index, Whole: raw.Snapshot, Entries: make([]membership.Entry, 0, len(raw.Endpoints))}
+	l := &membership.List{Version: *raw.Index, Complete: raw.Snapshot, Entries: make([]membership.Entry, 0, len(raw.Endpoints))}
 	for _, r := range raw.Endpoints {
 		e, err := parseEntry(r)
 		if err != nil {
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -29,7 +29,7 @@
 
 func TestParse(t *testing.T) {
 	l, err := Parse([]byte(list(7, true, entry("s"), `{"name":"t","status":"removed"}`)))
-	if err != nil || l.Index != 7 || !l.Whole || len(l.Entries) != 2 {
+	if err != nil || l.Version != 7 || !l.Complete || len(l.Entries) != 2 {
 		t.Fatalf("Parse = %+v, %v", l, err)
 	}
 	want := chalkrack.Endpoint{Name: "s", Zone: "a", Group: 3, Hint: 1.5, Started: 2 * time.Millisecond}
@@ -228,7 +228,7 @@
 func TestUnusableListsAreRequestedWithBackoff(t *testing.T) {
 	for _, bad := range []string{"nonsense\n", list(3, true)} {
 		asked := make(chan string, 1000)
-		w := &Watcher{Addr: startAgent(t, "", bad, asked), Timing: patientTiming, Track: membership.Track{Index: 5, Held: true}}
+		w := &Watcher{Addr: startAgent(t, "", bad, asked), Timing: patientTiming, Track: membership.ListTracker{Version: 5, HasServers: true}}
 		failed := make(chan error, 1000)
 		w.Failed = func(err error) { failed <- err }
 		w.Listed = func(l *membership.List) { t.Errorf("unusable list %q was handed on: %+v", bad, l) }
--- a/internal/discovery/races_test.go
+++ b/internal/discovery/races_test.go
@@ -61,8 +61,8 @@
 	w.Listed = func(l *membership.List) {
 		d.mu.Lock()
 		defer d.mu.Unlock()
-		if _, ok := d.receivedAt[l.Index]; !ok {
-			d.receivedAt[l.Index] = time.Now()
+		if _, ok := d.receivedAt[l.Version]; !ok {
+			d.receivedAt[l.Version] = time.Now()
 		}
 	}
 	w.Failed = func(err error) {
@@ -376,7 +376,7 @@
 					writeChunk(c, list(3, true, entry("b")))
 					waitForClose(c)
 				}
-				w := &Watcher{Addr: "old", Timing: timing, Track: membership.Track{Index: 50, Held: true}}
+				w := &Watcher{Addr: "old", Timing: timing, Track: membership.ListTracker{Version: 50, HasServers: true}}
 				w.Dial = func(ctx context.Context, addr string) (net.Conn, error) {
 					switch {
 					case addr == "next":
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -54,7 +54,7 @@
 type Watcher struct {
 	Addr   string // address of the next watch
 	Timing Timing
-	Track  membership.Track // state of the list already held at the start
+	Track  membership.ListTracker // state of the list already held at the start
 	Listed func(*membership.List)
 	Failed func(error)
 	// Dial opens a connection; nil means TCP.
@@ -93,7 +93,7 @@
 	}
 	ctx, w.cancel = context.WithCancel(context.Background())
 	if moved = w.moved; moved {
-		w.moved, w.Track.Index = false, 0
+		w.moved, w.Track.Version = false, 0
 	}
 	return ctx, w.Addr, moved, !w.closed
 }
@@ -162,8 +162,8 @@
 	defer conn.Close()
 	defer context.AfterFunc(ctx, func() { conn.Close() })()
 	path := "/catalog/members?watch=1"
-	if w.Track.Index > 0 {
-		path += fmt.Sprintf("&after=%d", w.Track.Index)
+	if w.Track.Version > 0 {
+		path += fmt.Sprintf("&after=%d", w.Track.Version)
 	}
 	conn.SetDeadline(deadline)
 	if _, err := fmt.Fprintf(conn, "GET %s HTTP/1.1\r\nHost: discovery\r\n\r\n", path); err != nil {
@@ -179,7 +179,7 @@
 	}
 	limited.remaining = -1
 	extendDeadline := func() {
-		if w.Track.Index > 0 { // without a held list, empty lines do not extend the deadline for the first one
+		if w.Track.Version > 0 { // without a held list, empty lines do not extend the deadline for the first one
 			conn.SetDeadline(time.Now().Add(w.Timing.SilenceTimeout))
 		}
 	}
@@ -189,7 +189,7 @@
 		if err == nil {
 			err = w.handleList(text)
 		} else if errors.As(err, new(*json.SyntaxError)) {
-			w.Track.Index = 0 // the text after the last list is invalid, so the next watch cannot continue from it
+			w.Track.Version = 0 // the text after the last list is invalid, so the next watch cannot continue from it
 		}
 		if err != nil {
 			return listed, err
@@ -223,10 +223,10 @@
 func (w *Watcher) handleList(text []byte) error {
 	list, err := Parse(text)
 	if err != nil {
-		w.Track.Index = 0
+		w.Track.Version = 0
 		return err
 	}
-	if err := w.Track.Take(list); err != nil {
+	if err := w.Track.Accept(list); err != nil {
 		return fmt.Errorf("discovery: %w", err)
 	}
 	w.Listed(list)
--- a/internal/failover/failover.go
+++ b/internal/failover/failover.go
@@ -44,12 +44,12 @@
 	return &Machine{cfg: cfg, random: random, spread: cfg.ReturnSpread}
 }
 
-// Here reports whether calls go through the daemon.
-func (m *Machine) Here() bool { return !m.lost }
+// UsesDaemon reports whether calls go through the daemon.
+func (m *Machine) UsesDaemon() bool { return !m.lost }
 
-// Lost reports that the daemon could not be reached or does not answer. It returns whether
+// RecordLoss reports that the daemon could not be reached or does not answer. It returns whether
 // the caller takes over from the daemon with this event.
-func (m *Machine) Lost(now time.Duration) (takeover bool) {
+func (m *Machine) RecordLoss(now time.Duration) (takeover bool) {
 	m.goodProbes, m.returnAt = 0, 0
 	if m.lost {
 		return false
@@ -71,8 +71,8 @@
 	return d/2 + time.Duration(m.random()*float64(d))
 }
 
-// Next returns the time at which Machine.PreferredZone must be called, or 0 if there is none.
-func (m *Machine) Next() time.Duration {
+// NextDue returns the time at which Machine.PreferredZone must be called, or 0 if there is none.
+func (m *Machine) NextDue() time.Duration {
 	switch {
 	case !m.lost:
 		return 0
@@ -82,9 +82,9 @@
 	return m.probeAt
 }
 
-// Due returns what is due at a time: a probe to make, whose result must be passed to
-// Machine.Probed, or the caller's return to the daemon.
-func (m *Machine) Due(now time.Duration) (probe, back bool) {
+// Advance returns what is due at a time: a probe to make, whose result must be passed to
+// Machine.RecordProbe, or the caller's return to the daemon.
+func (m *Machine) Advance(now time.Duration) (probe, back bool) {
 	switch {
 	case !m.lost:
 		return false, false
@@ -98,8 +98,8 @@
 	return false, false
 }
 
-// Probed records the result of a probe.
-func (m *Machine) Probed(now time.Duration, ok bool) {
+// RecordProbe records the result of a probe.
+func (m *Machine) RecordProbe(now time.Duration, ok bool) {
 	if !m.lost {
 		return
 	}
--- a/internal/failover/failover_test.go
+++ b/internal/failover/failover_test.go
@@ -16,14 +16,14 @@
 // which answers probes from the time up on.
 func runUntilReturn(m *Machine, answersFrom time.Duration) (back time.Duration, probes int) {
 	for {
-		now := m.Next()
-		probe, returned := m.Due(now)
+		now := m.NextDue()
+		probe, returned := m.Advance(now)
 		if returned {
 			return now, probes
 		}
 		if probe {
 			probes++
-			m.Probed(now, now >= answersFrom)
+			m.RecordProbe(now, now >= answersFrom)
 		}
 	}
 }
@@ -32,14 +32,14 @@
 // only after it answers probes.
 func TestReturnsAfterDaemonAnswers(t *testing.T) {
 	m := New(testConfig(), rand.New(rand.NewPCG(1, 1)).Float64)
-	if !m.Here() || m.Next() != 0 {
+	if !m.UsesDaemon() || m.NextDue() != 0 {
 		t.Fatal("a new machine does not use the daemon")
 	}
-	if !m.Lost(time.Second) || m.Lost(time.Second) || m.Here() {
+	if !m.RecordLoss(time.Second) || m.RecordLoss(time.Second) || m.UsesDaemon() {
 		t.Fatal("the first loss is not a take-over, or the second one is")
 	}
 	back, probes := runUntilReturn(m, 11*time.Second)
-	if back < 11*time.Second || !m.Here() {
+	if back < 11*time.Second || !m.UsesDaemon() {
 		t.Errorf("returned at %v, want 11s or later", back)
 	}
 	if probes > 20 {
@@ -54,7 +54,7 @@
 	var returns []time.Duration
 	for n := range uint64(callers) {
 		m := New(testConfig(), rand.New(rand.NewPCG(n, 2)).Float64)
-		m.Lost(time.Second)
+		m.RecordLoss(time.Second)
 		back, _ := runUntilReturn(m, time.Second)
 		returns = append(returns, back)
 	}
@@ -76,7 +76,7 @@
 	now := time.Second
 	var delays []time.Duration
 	for range 7 {
-		m.Lost(now)
+		m.RecordLoss(now)
 		back, _ := runUntilReturn(m, now)
 		delays = append(delays, back-now)
 		now = back + time.Millisecond
@@ -90,7 +90,7 @@
 		t.Errorf("returns after %v, want the last one within 17s", delays)
 	}
 	now += time.Hour
-	m.Lost(now)
+	m.RecordLoss(now)
 	if back, _ := runUntilReturn(m, now); back-now > delays[0]+time.Second {
 		t.Errorf("return after %v once an hour has passed, want the initial %v", back-now, delays[0])
 	}
@@ -99,12 +99,12 @@
 // A failed probe before a scheduled return must cancel the return.
 func TestFailedProbeCancelsReturn(t *testing.T) {
 	m := New(testConfig(), func() float64 { return 0.5 })
-	m.Lost(time.Second)
-	m.Probed(2*time.Second, true)
-	m.Probed(2*time.Second, true)
+	m.RecordLoss(time.Second)
+	m.RecordProbe(2*time.Second, true)
+	m.RecordProbe(2*time.Second, true)
 	scheduled := m.returnAt
-	m.Probed(2*time.Second, false)
-	if _, back := m.Due(scheduled); back || m.Here() {
+	m.RecordProbe(2*time.Second, false)
+	if _, back := m.Advance(scheduled); back || m.UsesDaemon() {
 		t.Error("returned to the daemon after a failed probe")
 	}
 }
@@ -120,27 +120,27 @@
 			now += time.Duration(rapid.Int64Range(0, int64(3*time.Second)).Draw(t, "after"))
 			switch rapid.IntRange(0, 3).Draw(t, "what") {
 			case 0:
-				m.Lost(now)
+				m.RecordLoss(now)
 				good = 0
 			case 1:
 				if ok := rapid.Bool().Draw(t, "ok"); ok {
 					good++
-					m.Probed(now, true)
+					m.RecordProbe(now, true)
 				} else {
 					good = 0
-					m.Probed(now, false)
+					m.RecordProbe(now, false)
 				}
 			default:
-				if _, back := m.Due(now); back && good < c.MinGoodProbes {
+				if _, back := m.Advance(now); back && good < c.MinGoodProbes {
 					t.Fatalf("returned after %d successful probes", good)
 				} else if back {
 					good = 0
 				}
 			}
-			if !m.Here() && m.Next() == 0 {
+			if !m.UsesDaemon() && m.NextDue() == 0 {
 				t.Fatal("the daemon is lost and there is no due time")
 			}
-			if m.Here() {
+			if m.UsesDaemon() {
 				good = 0
 			}
 			if m.spread > c.MaxReturnSpread || m.probeInterval > c.MaxProbeInterval {
--- a/internal/front/conn.go
+++ b/internal/front/conn.go
@@ -59,7 +59,7 @@
 			c.srv.mu.Lock()
 			x := c.current
 			c.srv.mu.Unlock()
-			if x != nil && x.handler.Gone(&x.Call) {
+			if x != nil && x.handler.ClientGone(&x.Call) {
 				x.Fail()
 			}
 		}
@@ -172,7 +172,7 @@
 	if err != nil && c.current != nil {
 		x := c.current
 		s.mu.Unlock()
-		if x.handler.Gone(&x.Call) {
+		if x.handler.ClientGone(&x.Call) {
 			return false
 		}
 		s.mu.Lock()
--- a/internal/front/exchange.go
+++ b/internal/front/exchange.go
@@ -59,7 +59,7 @@
 	// The class decides what may be repeated, and servers act by the path. So a class that
 	// does not exist, or a Req-Kind that differs from the class of the path, is an error.
 	var known bool
-	if x.Class, x.Under, known = x.handler.Route(r.URL.Path); class != "" {
+	if x.Class, x.Generation, known = x.handler.Route(r.URL.Path); class != "" {
 		x.Class = class // routes name known classes only
 	} else if !known {
 		return http.StatusNotFound
@@ -77,13 +77,13 @@
 		if err != nil || ms < 0 {
 			return http.StatusBadRequest
 		}
-		x.Wait = max(time.Duration(ms)*time.Millisecond, 1)
+		x.Timeout = max(time.Duration(ms)*time.Millisecond, 1)
 	}
 	if mark := r.Header[message.AttemptsField]; mark != nil {
 		x.Limits, x.isBehindTier = tierLimits(mark), true
 	}
 	x.Tenant = r.Header.Get("Req-Owner")
-	x.Retry = r.Header.Get("Req-Retry") != ""
+	x.IsRetry = r.Header.Get("Req-Retry") != ""
 	if r.Header.Get("Cookie") != "" {
 		if c, err := r.Cookie("user"); err == nil {
 			x.Key = c.Value
@@ -92,9 +92,9 @@
 	return 0
 }
 
-// Left implements message.Client. It reports whether the client has closed its connection,
+// HasLeft implements message.Client. It reports whether the client has closed its connection,
 // also if the end of the stream has not been read yet.
-func (x *Exchange) Left() bool { return x.conn.peeker.remoteClosed() }
+func (x *Exchange) HasLeft() bool { return x.conn.peeker.remoteClosed() }
 
 // clientAddr returns the address of the client, or the zero Addr if it is not a TCP address.
 func clientAddr(nc net.Conn) netip.Addr {
@@ -147,10 +147,10 @@
 	if len(values) == 1 {
 		number, _, _ := strings.Cut(mark, ";")
 		if n, err := strconv.Atoi(strings.TrimSpace(number)); err == nil && n > 1 {
-			return &core.Limits{Attempts: n}
+			return &core.Limits{MaxAttempts: n}
 		}
 	}
-	return &core.Limits{Attempts: 1, Mark: "=" + mark}
+	return &core.Limits{MaxAttempts: 1, Mark: "=" + mark}
 }
 
 // Refuse implements core.Caller: it answers with 503, which tells the client that it may safely
@@ -243,8 +243,8 @@
 	b = append(b, http.StatusText(status)...)
 	b = append(b, "\r\n"...)
 	b = append(b, field...)
-	if x.conn.srv.cfg.TellConfig && x.Under.Gen != nil {
-		b = append(strconv.AppendInt(append(b, "Fawn-Config: "...), int64(x.Under.Gen.ID), 10), "\r\n"...)
+	if x.conn.srv.cfg.TellConfig && x.Generation.Gen != nil {
+		b = append(strconv.AppendInt(append(b, "Fawn-Config: "...), int64(x.Generation.Gen.ID), 10), "\r\n"...)
 	}
 	b = message.AppendFields(b, h)
 	if !x.keepAlive {
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -49,17 +49,17 @@
 type Handler interface {
 	// Arrive starts a call. The handler ends it once, through c.Caller.
 	Arrive(c *core.Call)
-	// Gone reports to the handler that the client has closed its connection. It returns
+	// ClientGone reports to the handler that the client has closed its connection. It returns
 	// false if an answer has begun or was given.
-	Gone(c *core.Call) bool
+	ClientGone(c *core.Call) bool
 	// Ready reports whether calls are accepted.
 	Ready() bool
 	// Route returns the class that a request path names, the stamp of the configuration
 	// generation that the call runs under, and whether that generation knows the class.
 	Route(path string) (class string, under generation.Stamp, known bool)
-	// Whole reports that the body of a call that arrived before the end of its body is now
+	// BodyComplete reports that the body of a call that arrived before the end of its body is now
 	// complete.
-	Whole(c *core.Call)
+	BodyComplete(c *core.Call)
 }
 
 // Config is the configuration of a Server.
--- a/internal/front/front_test.go
+++ b/internal/front/front_test.go
@@ -31,7 +31,7 @@
 
 func (f *fake) Arrive(c *core.Call) { f.handle(c.Caller.(*Exchange)) }
 
-func (f *fake) Gone(c *core.Call) bool {
+func (f *fake) ClientGone(c *core.Call) bool {
 	x := c.Caller.(*Exchange)
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -44,8 +44,8 @@
 	return true
 }
 
-func (f *fake) Whole(*core.Call) {}
-func (f *fake) Ready() bool      { return true }
+func (f *fake) BodyComplete(*core.Call) {}
+func (f *fake) Ready() bool             { return true }
 func (f *fake) Route(path string) (class string, under generation.Stamp, known bool) {
 	class = new(generation.Generation).ClassOfPath(path)
 	return class, under, class == "a"
@@ -197,7 +197,7 @@
 	dial().send(request("POST /a/b?c=d", idFields+field("Req-Owner", "acme")+field("Cookie", "x=1; user=7f3a")+field("Req-Deadline-Ms", "480")+
 		field("Idempotency-Key", "k")+field("Connection", "keep-alive")+field("Content-Length", "2")) + "hi").receive()
 	x := <-got
-	if x.Class != "a" || x.Tenant != "acme" || x.Key != "7f3a" || x.Wait != 480*time.Millisecond {
+	if x.Class != "a" || x.Tenant != "acme" || x.Key != "7f3a" || x.Timeout != 480*time.Millisecond {
 		t.Errorf("call %+v, want class a, tenant acme, key 7f3a, timeout 480ms", x)
 	}
 	head := string(x.Request.Head)
--- a/internal/front/min_rate_test.go
+++ b/internal/front/min_rate_test.go
@@ -84,7 +84,7 @@
 	part := strings.Repeat("x", 64<<10)
 	c := dial().send(request("POST /a", idFields+field("Content-Length", fmt.Sprint(size))) + part)
 	x := <-arrived
-	if x.Limits == nil || x.Limits.Coming == 0 {
+	if x.Limits == nil || x.Limits.BodyTimeout == 0 {
 		t.Fatalf("long body arrived with limits %+v, want Coming set", x.Limits)
 	}
 	other := dial().send(request("POST /a", strings.Replace(idFields, "9b1f", "other", 1)+field("Content-Length", fmt.Sprint(size))) + part)
--- a/internal/front/stored_body.go
+++ b/internal/front/stored_body.go
@@ -66,7 +66,7 @@
 		return x, 0
 	}
 	in := body.Incoming{Class: store.Class(x.Class), Tenant: store.Tenant(x.Tenant), Length: r.ContentLength, Body: c.newMinRateReader(r.Body, float64(store.Rate), store.Within)}
-	in.Once = x.isBehindTier && x.Limits.Attempts == 1
+	in.Once = x.isBehindTier && x.Limits.MaxAttempts == 1
 	if expectsContinue {
 		in.Body = &continueReader{c: c, r: in.Body}
 	}
@@ -79,7 +79,7 @@
 	x.Received = time.Now()
 	if pieces := kept.Pieces(); pieces != nil {
 		x.composeRequest(r, pieces)
-		x.Request.Again = kept.Retried
+		x.Request.OnRetry = kept.Retried
 	} else {
 		x.composeHead(r, kept.Length())
 		x.Request.Source, x.Request.Chunked = kept, kept.Length() < 0
@@ -88,13 +88,13 @@
 		c.nc.SetReadDeadline(time.Time{})
 		return x, 0
 	}
-	// Limits.Coming allows the call one attempt, whatever its class: what has been forwarded of
+	// Limits.BodyTimeout allows the call one attempt, whatever its class: what has been forwarded of
 	// a body that is not kept cannot be sent again.
 	limits := core.Limits{}
 	if x.Limits != nil {
 		limits = *x.Limits
 	}
-	limits.Coming = store.Within
+	limits.BodyTimeout = store.Within
 	x.Limits, x.bodyUnread = &limits, true
 	return x, 0
 }
@@ -162,13 +162,13 @@
 		s.mu.Unlock()
 		if !answered {
 			s.cfg.Figures.Take(&x.counter, x.Class)
-			x.handler.Whole(&x.Call)
+			x.handler.BodyComplete(&x.Call)
 			return true
 		}
 		c.linger()
 		return false
 	}
-	gone := err != nil && x.handler.Gone(&x.Call)
+	gone := err != nil && x.handler.ClientGone(&x.Call)
 	if err != nil {
 		x.keptBody.Break()
 	}
--- a/internal/generation/generation.go
+++ b/internal/generation/generation.go
@@ -86,7 +86,7 @@
 	next := nameTable{slices.Clone(t.classes), slices.Clone(t.tenants), slices.Clone(t.lastClasses)}
 	g.rules = set.Config
 	g.classes, g.tenants = make(map[string]int), make(map[string]int)
-	for n, name := range set.Names() {
+	for n, name := range set.ClassNames() {
 		i := slices.Index(next.classes, name)
 		if i < 0 {
 			i = len(next.classes)
--- a/internal/generation/generation_test.go
+++ b/internal/generation/generation_test.go
@@ -108,7 +108,7 @@
 				t.Fatalf("rules of generation %d changed", g.ID)
 			}
 			for name, index := range indexByClass {
-				isKnown := g.Settings.Class([]byte(name)) >= 0
+				isKnown := g.Settings.ClassIndex([]byte(name)) >= 0
 				if got := g.Class(name); isKnown && (got != index || g.Rules().Classes[index].Worth != float64(g.ID)) || !isKnown && got >= 0 {
 					t.Fatalf("generation %d has class %s at index %d, the process at %d", g.ID, name, got, index)
 				}
--- a/internal/lab/lab.go
+++ b/internal/lab/lab.go
@@ -49,7 +49,7 @@
 	Ahead    time.Duration                  // that sidecars' clocks are ahead of the one that starts are told by
 	Begin    func(*Sidecar)                 // told of each before it hears of servers
 	Discover func(*Sidecar)                 // told of each call for the list; nil: nobody is
-	// Sent and Ended are told of each attempt, as core.Watch is; nil: nobody is.
+	// Sent and Ended are told of each attempt, as core.AttemptObserver is; nil: nobody is.
 	Sent  func(s *Sidecar, node string) (ticket uint64)
 	Ended func(s *Sidecar, ticket uint64, o chalkrack.Outcome)
 }
--- a/internal/maintenance/maintenance.go
+++ b/internal/maintenance/maintenance.go
@@ -46,7 +46,7 @@
 // ApplyList takes a list from discovery and returns a copy with the operators' changes
 // applied.
 func (s *Set) ApplyList(l *membership.List) *membership.List {
-	if l.Whole {
+	if l.Complete {
 		clear(s.listed)
 	}
 	overlaid := *l
--- a/internal/maintenance/maintenance_test.go
+++ b/internal/maintenance/maintenance_test.go
@@ -18,7 +18,7 @@
 }
 
 func wholeList(names ...string) *membership.List {
-	l := &membership.List{Whole: true}
+	l := &membership.List{Complete: true}
 	for _, n := range names {
 		l.Entries = append(l.Entries, entry(n, chalkrack.Serving))
 	}
@@ -98,7 +98,7 @@
 			if l == nil {
 				return
 			}
-			if l.Whole {
+			if l.Complete {
 				clear(used[n])
 			}
 			for _, e := range l.Entries {
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -17,22 +17,22 @@
 
 // List is a complete list of servers, or a list of the servers that changed.
 type List struct {
-	Index   int64 // the version that the source assigned
-	Whole   bool  // the list is complete: servers that it does not name have been removed
-	Entries []Entry
+	Version  int64 // the version that the source assigned
+	Complete bool  // the list is complete: servers that it does not name have been removed
+	Entries  []Entry
 }
 
-// Track follows the lists of one source. It decides which lists are used, and after which
+// ListTracker follows the lists of one source. It decides which lists are used, and after which
 // version the source is asked for changes. It belongs to the client of the source and must
 // not be used concurrently.
-type Track struct {
-	Index int64 // the last version used; 0: the complete list must be requested
-	Held  bool  // the list in use names at least one server
+type ListTracker struct {
+	Version    int64 // the last version used; 0: the complete list must be requested
+	HasServers bool  // the list in use names at least one server
 }
 
-// Holding returns the state of a client that already uses l.
-func Holding(l *List) Track {
-	return Track{Index: l.Index, Held: l.hasServers()}
+// NewTracker returns the state of a client that already uses l.
+func NewTracker(l *List) ListTracker {
+	return ListTracker{Version: l.Version, HasServers: l.hasServers()}
 }
 
 // hasServers reports whether l names a server that has not been removed.
@@ -40,20 +40,20 @@
 	return slices.ContainsFunc(l.Entries, func(e Entry) bool { return e.State != chalkrack.Gone })
 }
 
-// Take decides whether l is used and returns an error if it is not. In that case the previous
+// Accept decides whether l is used and returns an error if it is not. In that case the previous
 // list stays in use and the complete list must be requested, since further changes cannot be
 // based on l. It rejects changes whose version went backwards, and a complete list without
 // a server: a source that lost its state may send one, and using it would stop all service.
 // The first list may be empty, as no server is lost by it.
-func (t *Track) Take(l *List) error {
-	previous := t.Index
-	t.Index = 0
+func (t *ListTracker) Accept(l *List) error {
+	previous := t.Version
+	t.Version = 0
 	switch {
-	case !l.Whole && l.Index < previous:
-		return fmt.Errorf("server list: changes of version %d after version %d, versions must not decrease", l.Index, previous)
-	case l.Whole && t.Held && !l.hasServers():
-		return fmt.Errorf("server list: complete list of version %d names no server, the previous one does", l.Index)
+	case !l.Complete && l.Version < previous:
+		return fmt.Errorf("server list: changes of version %d after version %d, versions must not decrease", l.Version, previous)
+	case l.Complete && t.HasServers && !l.hasServers():
+		return fmt.Errorf("server list: complete list of version %d names no server, the previous one does", l.Version)
 	}
-	t.Index, t.Held = l.Index, t.Held || l.hasServers()
+	t.Version, t.HasServers = l.Version, t.HasServers || l.hasServers()
 	return nil
 }
--- a/internal/message/message.go
+++ b/internal/message/message.go
@@ -11,11 +11,11 @@
 // Request is a client's request in the form that each attempt sends.
 type Request struct {
 	Method string
-	Head   []byte   // request line and header fields, without the deadline field and the final empty line
-	Body   [][]byte // in pieces
-	Source Source   // the body if Body does not hold it; nil: Body holds the complete body
-	// Again is called when a further attempt is made with Body; nil: not called.
-	Again func()
+	Head   []byte     // request line and header fields, without the deadline field and the final empty line
+	Body   [][]byte   // in pieces
+	Source BodySource // the body if Body does not hold it; nil: Body holds the complete body
+	// OnRetry is called when a further attempt is made with Body; nil: not called.
+	OnRetry func()
 	// Chunked reports that Source is sent with the chunked transfer coding (RFC 9112
 	// section 7.1), as Head states no length.
 	Chunked bool
@@ -26,9 +26,9 @@
 
 // Client is the client that waits for a call's answer.
 type Client interface {
-	// Left reports whether the client has left, even if that has not been reported yet. It
+	// HasLeft reports whether the client has left, even if that has not been reported yet. It
 	// may make a system call, does not block, and may be called from any goroutine.
-	Left() bool
+	HasLeft() bool
 }
 
 // Answer is a server's answer.
@@ -93,17 +93,17 @@
 	return append(b, "\r\n"...)
 }
 
-// Source is a request body that each attempt reads from its beginning.
-type Source interface {
+// BodySource is a request body that each attempt reads from its beginning.
+type BodySource interface {
 	// Open returns a reader that starts at the beginning. It returns an error if the body cannot be read, or not
 	// once more.
-	Open() (Reading, error)
+	Open() (BodyReader, error)
 	// Length returns the length in bytes, or -1 while it is unknown.
 	Length() int64
 }
 
-// Reading reads a body for one attempt. Close may be called concurrently with Next.
-type Reading interface {
+// BodyReader reads a body for one attempt. Close may be called concurrently with Next.
+type BodyReader interface {
 	// Next returns the next piece, which is valid until the following call. It blocks until
 	// a piece is available. After the last piece it returns io.EOF; any other error means
 	// that the rest of the body is not available.
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -127,7 +127,7 @@
 // that their calls in progress can finish. A member that came up by its checks counts as
 // just started.
 func (p *Pool) List() *membership.List {
-	l := &membership.List{Whole: true}
+	l := &membership.List{Complete: true}
 	serving := 0
 	for _, backup := range []bool{false, true} {
 		for _, s := range p.members {
--- a/internal/pool/pool_test.go
+++ b/internal/pool/pool_test.go
@@ -93,7 +93,7 @@
 				t.Fatal("the serving members changed although RecordResult reported no change")
 			}
 			l := p.List()
-			if len(l.Entries) != n || !l.Whole {
+			if len(l.Entries) != n || !l.Complete {
 				t.Fatalf("the list has %d entries of %d members, or is not whole", len(l.Entries), n)
 			}
 			first, backups, up := 0, 0, 0
--- a/internal/radius/listener/listener.go
+++ b/internal/radius/listener/listener.go
@@ -300,9 +300,9 @@
 		x.giveUp("")
 		return
 	}
-	x.Call = core.Call{Class: l.cfg.Class, Wait: l.cfg.Wait, Received: time.Now(), Payload: x.request, Caller: x}
+	x.Call = core.Call{Class: l.cfg.Class, Timeout: l.cfg.Wait, Received: time.Now(), Payload: x.request, Caller: x}
 	if only != "" {
-		x.Limits = &core.Limits{Only: only}
+		x.Limits = &core.Limits{OnlyServer: only}
 	}
 	host.Arrive(&x.Call)
 }
--- a/internal/radius/proxy/proxy.go
+++ b/internal/radius/proxy/proxy.go
@@ -230,7 +230,7 @@
 
 // list tells the core of a fixed list, with what probes have found.
 func (pl *pool) list(unix time.Duration) {
-	l := &membership.List{Whole: true, Entries: slices.Clone(pl.servers)}
+	l := &membership.List{Complete: true, Entries: slices.Clone(pl.servers)}
 	for n := range l.Entries {
 		e := &l.Entries[n]
 		down, upAt := pl.health.of(e.Name)
@@ -251,7 +251,7 @@
 		return
 	}
 	for _, e := range pl.servers {
-		pl.probes.Serve(e.Name, e.Address, 0)
+		pl.probes.AddServer(e.Name, e.Address, 0)
 	}
 	start := time.Now()
 	unix := time.Duration(start.UnixNano())
@@ -273,7 +273,7 @@
 				pl.list(unix)
 			}
 		}}
-		pl.probes.Attempt(o).Start()
+		pl.probes.NewAttempt(o).Start()
 	}
 }
 
@@ -343,7 +343,7 @@
 	for _, s := range p.sides {
 		s.listener.Drain()
 		for _, pl := range s.pools {
-			pl.host.QuitAt(in)
+			pl.host.ShutDownWithin(in)
 		}
 	}
 }
--- a/internal/radius/transport/transport.go
+++ b/internal/radius/transport/transport.go
@@ -167,8 +167,8 @@
 	return t.counts
 }
 
-// Serve implements core.Transport.
-func (t *Transport) Serve(name, address string, _ time.Duration) {
+// AddServer implements core.Transport.
+func (t *Transport) AddServer(name, address string, _ time.Duration) {
 	addr, err := netip.ParseAddrPort(address)
 	if err != nil {
 		slog.Warn("radius: server without a usable address", "server", name, "err", err)
@@ -186,8 +186,8 @@
 	t.servers[name] = &server{name: name, addr: addr, ids: ident.New(t.cfg.Sockets, t.cfg.Rest)}
 }
 
-// Leave implements core.Transport.
-func (t *Transport) Leave(name string, gone bool) {
+// RetireServer implements core.Transport.
+func (t *Transport) RetireServer(name string, gone bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	s := t.servers[name]
@@ -202,8 +202,8 @@
 	}
 }
 
-// Keep implements core.Transport.
-func (t *Transport) Keep(listed map[string]bool) {
+// RetainServers implements core.Transport.
+func (t *Transport) RetainServers(listed map[string]bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for name, s := range t.servers {
@@ -265,7 +265,7 @@
 	for _, a := range all {
 		a.timedOut()
 	}
-	t.Keep(nil)
+	t.RetainServers(nil)
 	t.wg.Wait()
 }
 
@@ -287,8 +287,8 @@
 	}
 }
 
-// Attempt implements core.Transport. The payload is a *Request.
-func (t *Transport) Attempt(o core.Order) core.Attempt {
+// NewAttempt implements core.Transport. The payload is a *Request.
+func (t *Transport) NewAttempt(o core.Order) core.Attempt {
 	r := o.Payload.(*Request)
 	r.mu.Lock()
 	r.t = t
@@ -527,8 +527,8 @@
 	return a.sent > a.refused
 }
 
-// Forgo implements core.Attempt.
-func (a *attempt) Forgo() bool {
+// CancelUnsent implements core.Attempt.
+func (a *attempt) CancelUnsent() bool {
 	a.t.mu.Lock()
 	defer a.t.mu.Unlock()
 	if a.sent > 0 {
--- a/internal/radius/transport/transport_test.go
+++ b/internal/radius/transport/transport_test.go
@@ -127,7 +127,7 @@
 
 func begin(tr *Transport, r *Request) (core.Attempt, *sink) {
 	s := &sink{done: make(chan chalkrack.Outcome, 2)}
-	a := tr.Attempt(core.Order{Payload: r, Server: "r1", Sink: s})
+	a := tr.NewAttempt(core.Order{Payload: r, Server: "r1", Sink: s})
 	a.Start()
 	return a, s
 }
@@ -148,7 +148,7 @@
 func TestResume(t *testing.T) {
 	p := newPeer(t, "127.0.0.2:0")
 	tr := newTransport(t, func(c *Config) { c.Patience = 50 * time.Millisecond })
-	tr.Serve("r1", p.addr(), 0)
+	tr.AddServer("r1", p.addr(), 0)
 	r := event()
 	a, s := begin(tr, r)
 	first := p.get()
@@ -177,14 +177,14 @@
 	for _, moved := range []bool{false, true} {
 		p, other := newPeer(t, "127.0.0.2:0"), newPeer(t, "127.0.0.2:0")
 		tr := newTransport(t, func(c *Config) { c.Patience = 50 * time.Millisecond })
-		tr.Serve("r1", p.addr(), 0)
+		tr.AddServer("r1", p.addr(), 0)
 		r := event()
 		a, s := begin(tr, r)
 		wire := p.get()
 		s.want(t, "nothing came", chalkrack.TimedOut)
 		a.Close()
 		if moved {
-			tr.Serve("r1", other.addr(), 0)
+			tr.AddServer("r1", other.addr(), 0)
 		}
 		p.answer(wire, radius.AccountingResponse, true)
 		for end := time.Now().Add(patience); tr.Counts().Answers == 0 && time.Now().Before(end); {
@@ -204,13 +204,13 @@
 func TestMoved(t *testing.T) {
 	p, other := newPeer(t, "127.0.0.2:0"), newPeer(t, "127.0.0.2:0")
 	tr := newTransport(t, func(c *Config) { c.Patience = 50 * time.Millisecond })
-	tr.Serve("r1", p.addr(), 0)
+	tr.AddServer("r1", p.addr(), 0)
 	r := event()
 	a, s := begin(tr, r)
 	p.get()
 	s.want(t, "nothing came", chalkrack.TimedOut)
 	a.Close()
-	tr.Serve("r1", other.addr(), 0)
+	tr.AddServer("r1", other.addr(), 0)
 	_, s = begin(tr, r)
 	s.want(t, "moved", chalkrack.NotSent)
 	other.nothing(20 * time.Millisecond)
@@ -295,7 +295,7 @@
 			c.Patience, c.Resend, c.Resends = time.Second, 100*time.Millisecond, 10
 			c.Dial = func(netip.AddrPort) (Conn, error) { return l, nil }
 		})
-		tr.Serve("r1", "127.0.0.2:1", 0)
+		tr.AddServer("r1", "127.0.0.2:1", 0)
 		r := event()
 		a, s := begin(tr, r)
 		time.Sleep(101 * time.Millisecond)
@@ -321,7 +321,7 @@
 		l := newLine()
 		l.owed = 2
 		tr := newTransport(t, func(c *Config) { c.Dial = func(netip.AddrPort) (Conn, error) { return l, nil } })
-		tr.Serve("r1", "127.0.0.2:1", 0)
+		tr.AddServer("r1", "127.0.0.2:1", 0)
 		begin(tr, event())
 		if n := len(l.packets()); n != 1 {
 			t.Errorf("%d packets", n)
@@ -339,7 +339,7 @@
 			c.Dial = func(netip.AddrPort) (Conn, error) { return l, nil }
 			c.Secret = func(string) []byte { return secret }
 		})
-		tr.Serve("r1", "127.0.0.2:1", 0)
+		tr.AddServer("r1", "127.0.0.2:1", 0)
 		a, s := begin(tr, event())
 		if !a.Abandon() {
 			t.Error("it had begun")
@@ -373,7 +373,7 @@
 			c.Patience, c.Resend, c.Resends = 5*time.Second, 100*time.Millisecond, 5
 			c.Dial = func(netip.AddrPort) (Conn, error) { return l, nil }
 		})
-		tr.Serve("r1", "127.0.0.2:1", 0)
+		tr.AddServer("r1", "127.0.0.2:1", 0)
 		began := time.Now()
 		a, s := begin(tr, event())
 		at := time.Duration(0)
@@ -404,12 +404,12 @@
 			c.Patience = time.Minute
 			c.Dial = func(netip.AddrPort) (Conn, error) { return l, nil }
 		})
-		tr.Serve("r1", "127.0.0.2:1", 0)
+		tr.AddServer("r1", "127.0.0.2:1", 0)
 		r := event()
 		for range 2 {
 			began := time.Now()
 			s := &sink{done: make(chan chalkrack.Outcome, 2)}
-			a := tr.Attempt(core.Order{Payload: r, Server: "r1", Sink: s, Deadline: began.Add(2 * time.Second)})
+			a := tr.NewAttempt(core.Order{Payload: r, Server: "r1", Sink: s, Deadline: began.Add(2 * time.Second)})
 			a.Start()
 			s.want(t, "nothing came", chalkrack.TimedOut)
 			if took := time.Since(began); took != 2*time.Second {
@@ -420,7 +420,7 @@
 		if n := len(l.packets()); n != 2 {
 			t.Errorf("%d packets", n)
 		}
-		late := tr.Attempt(core.Order{Payload: event(), Server: "r1", Sink: &sink{done: make(chan chalkrack.Outcome, 2)}, NotAfter: time.Now().Add(-1)})
+		late := tr.NewAttempt(core.Order{Payload: event(), Server: "r1", Sink: &sink{done: make(chan chalkrack.Outcome, 2)}, NotAfter: time.Now().Add(-1)})
 		late.Start()
 		if n := len(l.packets()); n != 2 || late.Phase() != "not sent" {
 			t.Errorf("too late to begin, and sent: %d packets", n)
@@ -432,7 +432,7 @@
 func TestRefused(t *testing.T) {
 	p := newPeer(t, "127.0.0.2:0")
 	tr := newTransport(t, nil)
-	tr.Serve("r1", p.addr(), 0)
+	tr.AddServer("r1", p.addr(), 0)
 	p.conn.Close()
 	r := event()
 	a, s := begin(tr, r)
@@ -447,7 +447,7 @@
 func TestRefusalOfAnother(t *testing.T) {
 	p := newPeer(t, "127.0.0.2:0")
 	tr := newTransport(t, nil)
-	tr.Serve("r1", p.addr(), 0)
+	tr.AddServer("r1", p.addr(), 0)
 	_, s := begin(tr, event())
 	wire := p.get()
 	tr.mu.Lock()
@@ -474,7 +474,7 @@
 func TestAnswers(t *testing.T) {
 	p := newPeer(t, "127.0.0.2:0")
 	tr := newTransport(t, nil)
-	tr.Serve("r1", p.addr(), 0)
+	tr.AddServer("r1", p.addr(), 0)
 	r := event()
 	_, s := begin(tr, r)
 	wire := p.get()
@@ -494,9 +494,9 @@
 			c.Grace, c.Resend, c.Resends, c.Patience = 250*time.Millisecond, 100*time.Millisecond, 10, 5*time.Second
 			c.Dial = func(netip.AddrPort) (Conn, error) { return l, nil }
 		})
-		tr.Serve("r1", "127.0.0.2:1", 0)
+		tr.AddServer("r1", "127.0.0.2:1", 0)
 		_, s := begin(tr, event())
-		tr.Leave("r1", false)
+		tr.RetireServer("r1", false)
 		time.Sleep(200 * time.Millisecond)
 		begin(tr, event()) // within the grace
 		if n := len(l.packets()); n != 3 {
@@ -510,7 +510,7 @@
 		if n := len(l.packets()); n != before {
 			t.Errorf("%d packets after the grace", n-before)
 		}
-		tr.Serve("r1", "127.0.0.2:1", 0)
+		tr.AddServer("r1", "127.0.0.2:1", 0)
 		begin(tr, event()) // it is back
 		if n := len(l.packets()); n != before+1 {
 			t.Errorf("%d packets, and it is back", n-before)
@@ -523,7 +523,7 @@
 func TestIdentifiersRest(t *testing.T) {
 	p := newPeer(t, "127.0.0.2:0")
 	tr := newTransport(t, func(c *Config) { c.Patience = 50 * time.Millisecond })
-	tr.Serve("r1", p.addr(), 0)
+	tr.AddServer("r1", p.addr(), 0)
 	for n := range 256 {
 		r := event()
 		r.Resumes = false
@@ -546,7 +546,7 @@
 func TestParkedMost(t *testing.T) {
 	p := newPeer(t, "127.0.0.2:0")
 	tr := newTransport(t, func(c *Config) { c.Patience, c.Sockets = time.Microsecond, 4 })
-	tr.Serve("r1", p.addr(), 0)
+	tr.AddServer("r1", p.addr(), 0)
 	var all []*Request
 	for range parkedMost + 1 {
 		r := event()
--- a/internal/rooms/changes/admin.go
+++ b/internal/rooms/changes/admin.go
@@ -149,7 +149,7 @@
 	s := &Status{Running: st.Good, Trial: st.Baking, Alone: g.current.Trial, Bake: time.Duration(g.current.Features.Config.Bake).Seconds(),
 		Pending: g.reloadPending, Lasting: g.current.Lasting, Problem: g.storeError, Events: st.Events}
 	if g.trial != nil {
-		r, _, since, _ := g.host.Rule()
+		r, _, since, _ := g.host.TrialRuling()
 		s.Since, s.Calls, s.Needed = since.Seconds(), r.Calls, r.Needed
 	} else if g.current.Trial {
 		s.Since = time.Since(g.startTime).Seconds()
--- a/internal/rooms/changes/changes.go
+++ b/internal/rooms/changes/changes.go
@@ -228,7 +228,7 @@
 	f := &g.current.Features.Config
 	g.trialCount++
 	began := time.Now()
-	err := g.host.Try(next.Generation(id), bake.Config{
+	err := g.host.StartTrial(next.Generation(id), bake.Config{
 		Share: f.Share, FalseUndo: f.FalseUndo, Notice: f.Notice, Bake: time.Duration(f.Bake), ThinUndo: f.Thin == "undo",
 	}, g.current.Seed^g.trialCount)
 	if err != nil {
@@ -298,7 +298,7 @@
 			g.runPendingReload()
 		}
 	case g.trial != nil:
-		r, class, _, err := g.host.Rule()
+		r, class, _, err := g.host.TrialRuling()
 		if err != nil || r.Verdict == bake.Watching {
 			return
 		}
@@ -341,7 +341,7 @@
 // switchFromTrial makes one of the two configurations the current one and ends the other.
 func (g *Changes) switchFromTrial(keep bool) {
 	began := time.Now()
-	if err := g.host.Settle(keep); err != nil { // both sets of rules were checked
+	if err := g.host.EndTrial(keep); err != nil { // both sets of rules were checked
 		slog.Error("a trial could not be ended", "err", err)
 	}
 	winner, old := g.current, g.trialListener
@@ -361,9 +361,9 @@
 // Longest returns the longest time that a client waits for a response under any
 // configuration that serves.
 func (g *Changes) Longest() time.Duration {
-	d := g.current.Settings.Longest()
+	d := g.current.Settings.MaxDeadline()
 	if g.trial != nil {
-		d = max(d, g.trial.Settings.Longest())
+		d = max(d, g.trial.Settings.MaxDeadline())
 	}
 	return d
 }
--- a/internal/rooms/changes/changes_test.go
+++ b/internal/rooms/changes/changes_test.go
@@ -29,7 +29,7 @@
 	}
 	ts := connTimes(c)
 	pool := upstream.New(upstream.Config{ConnIdle: ts.ConnIdle, DialTimeout: ts.DialTimeout, DrainGrace: ts.DrainGrace, MaxConns: 10})
-	host, err := core.New(core.Config{First: c.Generation(c.ID()), Seed: 1, Transport: pool})
+	host, err := core.New(core.Config{Generation: c.Generation(c.ID()), Seed: 1, Transport: pool})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/rooms/duties/duties.go
+++ b/internal/rooms/duties/duties.go
@@ -37,7 +37,7 @@
 
 // Reporter receives findings as load reports.
 type Reporter interface {
-	Reported(name string, age time.Duration, r chalkrack.LoadReport)
+	RecordReport(name string, age time.Duration, r chalkrack.LoadReport)
 }
 
 // Config holds the settings of the notes and probes of a sidecar.
@@ -189,7 +189,7 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if list.Whole {
+	if list.Complete {
 		clear(s.servers)
 	}
 	for _, entry := range list.Entries {
@@ -339,7 +339,7 @@
 	}
 	s.mu.Unlock()
 	for _, finding := range findings {
-		s.host.Reported(finding.name, finding.age, chalkrack.LoadReport{HasInFlight: true, InFlight: finding.load})
+		s.host.RecordReport(finding.name, finding.age, chalkrack.LoadReport{HasInFlight: true, InFlight: finding.load})
 	}
 }
 
--- a/internal/rooms/levels/levels.go
+++ b/internal/rooms/levels/levels.go
@@ -42,7 +42,7 @@
 	machine           *level.Machine
 	ended, late, full float64   // decayed counts of outcomes
 	lastTick          time.Time // of the last Tick
-	lastTally         core.Tally
+	lastTally         core.AttemptCounts
 	lastLevel         level.Level
 	memorySamples     []metrics.Sample
 }
@@ -67,7 +67,7 @@
 	r.lastTick = now
 	metrics.Read(r.memorySamples)
 	held := r.host.Held()
-	r.host.With(func(at time.Duration, tally core.Tally, members, ejected int) {
+	r.host.WithGate(func(at time.Duration, tally core.AttemptCounts, members, ejected int) {
 		r.ended = r.ended*outcomeDecay + float64(tally.Ended-r.lastTally.Ended)
 		r.late = r.late*outcomeDecay + float64(tally.Late-r.lastTally.Late)
 		r.full = r.full*outcomeDecay + float64(tally.Full-r.lastTally.Full)
@@ -92,12 +92,12 @@
 }
 
 func (r *Levels) currentLevel() (l level.Level) {
-	r.host.With(func(time.Duration, core.Tally, int, int) { l = r.machine.Level() })
+	r.host.WithGate(func(time.Duration, core.AttemptCounts, int, int) { l = r.machine.Level() })
 	return l
 }
 
 func (r *Levels) currentView() (v level.View) {
-	r.host.With(func(time.Duration, core.Tally, int, int) { v = r.machine.View() })
+	r.host.WithGate(func(time.Duration, core.AttemptCounts, int, int) { v = r.machine.View() })
 	return v
 }
 
@@ -120,7 +120,7 @@
 	if request.For < 0 || request.For > MaxPinDuration {
 		return nil, fmt.Errorf("level: a pin must have an end within %v", MaxPinDuration)
 	}
-	r.host.With(func(now time.Duration, _ core.Tally, _, _ int) { r.machine.Pin(now, l, now+request.For) })
+	r.host.WithGate(func(now time.Duration, _ core.AttemptCounts, _, _ int) { r.machine.Pin(now, l, now+request.For) })
 	return r.currentView(), nil
 }
 
--- a/internal/rooms/operating/handover.go
+++ b/internal/rooms/operating/handover.go
@@ -75,7 +75,7 @@
 			slog.Warn("no learned state from the previous process", "err", err)
 		} else {
 			if len(l.List) > 0 {
-				o.Listed(&membership.List{Whole: true, Entries: l.List})
+				o.Listed(&membership.List{Complete: true, Entries: l.List})
 			}
 			o.config.Host.Remember(l.Memory)
 			if o.config.Zones != nil {
--- a/internal/rooms/pools/pools.go
+++ b/internal/rooms/pools/pools.go
@@ -83,8 +83,8 @@
 	})
 	var err error
 	s.host, err = core.New(core.Config{
-		First: &generation.Generation{Settings: set, Paths: c.Features.Paths, PassClientErrors: c.Features.Answers.PassClientErrors},
-		Seed:  seed, Transport: s.conns, Trace: c.Trace,
+		Generation: &generation.Generation{Settings: set, Paths: c.Features.Paths, PassClientErrors: c.Features.Answers.PassClientErrors},
+		Seed:       seed, Transport: s.conns, TraceLog: c.Trace,
 	})
 	if err != nil {
 		return nil, fmt.Errorf("pool %q: %w", p.Name, err)
@@ -92,14 +92,14 @@
 	if p.MaxActive > 0 {
 		s.queue, err = newQueuedHandler(s.host, queue.Limits{MaxActive: p.MaxActive, MaxWaiting: p.MaxWaiting, MaxWait: time.Duration(p.QueueWait)},
 			func(class string) float64 {
-				if k := set.ClassOf(class); k != nil {
+				if k := set.ClassByName(class); k != nil {
 					return k.Worth
 				}
 				return 0
 			},
 			func(c *core.Call) time.Duration {
-				if c.Wait > 0 {
-					return c.Wait
+				if c.Timeout > 0 {
+					return c.Timeout
 				}
 				return set.DeadlineOf(c.Class)
 			}, set.Config.MaxRetryAfter)
@@ -374,7 +374,7 @@
 			if p.queue != nil {
 				p.queue.stop()
 			}
-			p.host.QuitAt(in)
+			p.host.ShutDownWithin(in)
 		}
 	}
 }
--- a/internal/rooms/pools/queued.go
+++ b/internal/rooms/pools/queued.go
@@ -58,7 +58,7 @@
 	t := &trackedCall{Caller: c.Caller, handler: s, id: s.lastID, call: c, pending: 1}
 	deadline := c.Received.Add(s.maxDuration(c)).Sub(s.start)
 	// A call whose body is still being sent by its client, and is not stored, can't wait.
-	mayWait := c.Limits == nil || c.Limits.Coming == 0
+	mayWait := c.Limits == nil || c.Limits.BodyTimeout == 0
 	decision, change := s.queue.Arrive(s.now(), t.id, s.worth(c.Class), deadline, mayWait)
 	if decision != queue.Admit { // also a refused call: applyChange looks it up here
 		s.waiting[t.id] = t
@@ -111,8 +111,8 @@
 	s.applyChange(change)
 }
 
-// Gone implements front.Handler. It removes a waiting call itself and passes on any other.
-func (s *queuedHandler) Gone(c *core.Call) bool {
+// ClientGone implements front.Handler. It removes a waiting call itself and passes on any other.
+func (s *queuedHandler) ClientGone(c *core.Call) bool {
 	s.mu.Lock()
 	t := s.tracked[c]
 	waits := t != nil && s.waiting[t.id] != nil
@@ -123,7 +123,7 @@
 	}
 	s.mu.Unlock()
 	if !waits {
-		return s.Handler.Gone(c)
+		return s.Handler.ClientGone(c)
 	}
 	t.Caller.Release()
 	return true
--- a/internal/rooms/pools/queued_test.go
+++ b/internal/rooms/pools/queued_test.go
@@ -30,9 +30,9 @@
 		c.Caller.Release()
 	}
 }
-func (h *fakeCore) Gone(*core.Call) bool { h.goneCount++; return false }
-func (h *fakeCore) Ready() bool          { return true }
-func (h *fakeCore) Whole(*core.Call)     {}
+func (h *fakeCore) ClientGone(*core.Call) bool { h.goneCount++; return false }
+func (h *fakeCore) Ready() bool                { return true }
+func (h *fakeCore) BodyComplete(*core.Call)    {}
 func (h *fakeCore) Route(string) (string, generation.Stamp, bool) {
 	return "", generation.Stamp{}, true
 }
@@ -73,13 +73,13 @@
 func newTestQueue(t *testing.T, l queue.Limits) (*queuedHandler, *fakeCore, func(id, class string, wait time.Duration) *fakeCaller) {
 	t.Helper()
 	h := new(fakeCore)
-	s, err := newQueuedHandler(h, l, func(class string) float64 { return float64(len(class)) }, func(c *core.Call) time.Duration { return c.Wait }, 3*time.Second)
+	s, err := newQueuedHandler(h, l, func(class string) float64 { return float64(len(class)) }, func(c *core.Call) time.Duration { return c.Timeout }, 3*time.Second)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return s, h, func(id, class string, wait time.Duration) *fakeCaller {
 		c := &fakeCaller{}
-		s.Arrive(&core.Call{ID: id, Class: class, Wait: wait, Received: time.Now(), Caller: c})
+		s.Arrive(&core.Call{ID: id, Class: class, Timeout: wait, Received: time.Now(), Caller: c})
 		return c
 	}
 }
@@ -123,13 +123,13 @@
 		d.Caller.Release()
 		says(highWorth, "[served released]")
 		b := check("[b]")[0]
-		if s.Gone(b) || held.goneCount != 1 {
+		if s.ClientGone(b) || held.goneCount != 1 {
 			t.Error("Gone for an admitted call was not passed to the core")
 		}
 		left := &fakeCaller{}
-		w := &core.Call{ID: "e", Class: "x", Wait: time.Minute, Received: time.Now(), Caller: left}
+		w := &core.Call{ID: "e", Class: "x", Timeout: time.Minute, Received: time.Now(), Caller: left}
 		s.Arrive(w)
-		if !s.Gone(w) || held.goneCount != 1 {
+		if !s.ClientGone(w) || held.goneCount != 1 {
 			t.Error("Gone for a waiting call returned false or was passed to the core")
 		}
 		says(left, "[released]")
--- a/internal/rooms/weighted/weighted.go
+++ b/internal/rooms/weighted/weighted.go
@@ -16,7 +16,7 @@
 // Core receives server lists and reports the measured correction of each named server.
 type Core interface {
 	Listed(*membership.List)
-	Measured(names []string) []float64
+	HintCorrections(names []string) []float64
 }
 
 // Weighted receives server lists from discovery, multiplies their hints by the plan's
@@ -71,7 +71,7 @@
 func (w *Weighted) Listed(l *membership.List) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if l.Whole {
+	if l.Complete {
 		clear(w.entries)
 	}
 	if !w.hasStarted && len(w.entries) == 0 && len(l.Entries) > 0 {
@@ -84,7 +84,7 @@
 		}
 		w.controller.Start(time.Now(), nodes)
 	}
-	out := &membership.List{Index: l.Index, Whole: l.Whole, Entries: make([]membership.Entry, 0, len(l.Entries))}
+	out := &membership.List{Version: l.Version, Complete: l.Complete, Entries: make([]membership.Entry, 0, len(l.Entries))}
 	for _, e := range l.Entries {
 		if e.State == chalkrack.Gone {
 			delete(w.entries, e.Name)
@@ -117,7 +117,7 @@
 			names = append(names, name)
 		}
 	}
-	measured := w.host.Measured(names)
+	measured := w.host.HintCorrections(names)
 	nodes := make([]weights.Node, 0, len(names))
 	for n, name := range names {
 		nodes = append(nodes, weights.Node{Name: name, Measured: measured[n]})
--- a/internal/rooms/weighted/weighted_test.go
+++ b/internal/rooms/weighted/weighted_test.go
@@ -22,7 +22,7 @@
 	}
 }
 
-func (recordedHints) Measured(names []string) []float64 { return make([]float64, len(names)) }
+func (recordedHints) HintCorrections(names []string) []float64 { return make([]float64, len(names)) }
 
 // A signed plan applies to the hints from the first list on. A plan that is signed by
 // another key, or older, changes nothing; a newer one applies in steps. A server that has
@@ -44,7 +44,7 @@
 	write(now, key, 3, 1)
 	hints := make(recordedHints)
 	w := New(hints, file, key.Public().(ed25519.PublicKey), weights.Config{Zone: "z", Every: 2 * time.Second, Step: 1.25, Fade: time.Hour, Strangers: 0.2, Off: 1.8, OffShare: 0.3, Proof: 5})
-	list := &membership.List{Whole: true}
+	list := &membership.List{Complete: true}
 	for _, name := range []string{"a", "b", "c"} {
 		list.Entries = append(list.Entries, membership.Entry{Endpoint: chalkrack.Endpoint{Name: name, Hint: 2, State: chalkrack.Serving}, Address: "127.0.0.1:1"})
 	}
--- a/internal/rooms/zones/zones.go
+++ b/internal/rooms/zones/zones.go
@@ -27,8 +27,8 @@
 type Core interface {
 	// Now returns the time on the clock that the core uses.
 	Now() time.Duration
-	// GiveUp cancels attempts, identified by the tickets that Sent returned.
-	GiveUp(tickets []uint64)
+	// AbandonAttempts cancels attempts, identified by the tickets that Sent returned.
+	AbandonAttempts(tickets []uint64)
 }
 
 // Config holds the parameters of a Zones.
@@ -181,7 +181,7 @@
 	if out.UsesChanged {
 		z.forwardChangedZones()
 	}
-	z.core.GiveUp(out.HopelessAttempts)
+	z.core.AbandonAttempts(out.HopelessAttempts)
 	if out.RandomNotes > 0 || len(out.Recipients) > 0 {
 		z.sendNotes(out.RandomNotes, out.Recipients)
 	}
@@ -223,7 +223,7 @@
 	z.forwardMu.Lock()
 	defer z.forwardMu.Unlock()
 	z.mu.Lock()
-	if list.Whole {
+	if list.Complete {
 		clear(z.entries)
 	}
 	for _, e := range list.Entries {
@@ -256,7 +256,7 @@
 	z.forward(&filtered)
 }
 
-// Sent implements core.Watch.
+// Sent implements core.AttemptObserver.
 func (z *Zones) Sent(now time.Duration, server string) uint64 {
 	z.mu.Lock()
 	defer z.mu.Unlock()
@@ -272,7 +272,7 @@
 	chalkrack.TimedOut: evacuation.Late, chalkrack.ConnectFailed: evacuation.NoConn, chalkrack.Reset: evacuation.Broken,
 }
 
-// Ended implements core.Watch.
+// Ended implements core.AttemptObserver.
 func (z *Zones) Ended(now time.Duration, ticket uint64, o chalkrack.Outcome) {
 	result, isEvidence := resultByOutcome[o]
 	z.mu.Lock()
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -120,16 +120,16 @@
 	return s, nil
 }
 
-// ClassOf returns the class with a name, or nil if there is none.
-func (s *Settings) ClassOf(name string) *chalkrack.Class {
-	if n := s.Class([]byte(name)); n >= 0 {
+// ClassByName returns the class with a name, or nil if there is none.
+func (s *Settings) ClassByName(name string) *chalkrack.Class {
+	if n := s.ClassIndex([]byte(name)); n >= 0 {
 		return &s.Config.Classes[n]
 	}
 	return nil
 }
 
-// Longest returns the longest deadline of any class.
-func (s *Settings) Longest() (d time.Duration) {
+// MaxDeadline returns the longest deadline of any class.
+func (s *Settings) MaxDeadline() (d time.Duration) {
 	for _, deadline := range s.Deadlines {
 		d = max(d, deadline)
 	}
@@ -216,10 +216,10 @@
 // DeadlineOf returns the deadline of a class. For an unknown class it returns the longest
 // deadline of any class, at least one second.
 func (s *Settings) DeadlineOf(name string) time.Duration {
-	if n := s.Class([]byte(name)); n >= 0 {
+	if n := s.ClassIndex([]byte(name)); n >= 0 {
 		return s.Deadlines[n]
 	}
-	return max(s.Longest(), time.Second)
+	return max(s.MaxDeadline(), time.Second)
 }
 
 // ShortestAim returns the shortest target latency of any class.
@@ -233,11 +233,11 @@
 	return d
 }
 
-// Class returns the index of a class in Config.Classes, or -1 if there is none of that name.
-func (s *Settings) Class(name []byte) int { return indexOf(s.classes, name) }
+// ClassIndex returns the index of a class in Config.Classes, or -1 if there is none of that name.
+func (s *Settings) ClassIndex(name []byte) int { return indexOf(s.classes, name) }
 
-// Names returns the names of the classes, by index.
-func (s *Settings) Names() []string { return namesByIndex(s.classes) }
+// ClassNames returns the names of the classes, by index.
+func (s *Settings) ClassNames() []string { return namesByIndex(s.classes) }
 
 // namesByIndex returns the keys of indexes, ordered by their values.
 func namesByIndex(indexes map[string]int) []string {
@@ -251,9 +251,9 @@
 // TenantNames returns the names of the tenants, by index.
 func (s *Settings) TenantNames() []string { return namesByIndex(s.tenants) }
 
-// Tenant returns the index of a tenant in Config.Tenants, or -1 if there is none of that
+// TenantIndex returns the index of a tenant in Config.Tenants, or -1 if there is none of that
 // name.
-func (s *Settings) Tenant(name []byte) int { return indexOf(s.tenants, name) }
+func (s *Settings) TenantIndex(name []byte) int { return indexOf(s.tenants, name) }
 
 // indexOf returns the index of a name, or -1 if it is unknown.
 func indexOf(indexes map[string]int, name []byte) int {
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -32,7 +32,7 @@
 	if d := s.ShortestAim(); d != 4*time.Microsecond {
 		t.Errorf("ShortestAim returned %v, want 4µs", d)
 	}
-	if s.Class([]byte("b")) != 1 || s.Class([]byte("c")) != -1 || s.Tenant([]byte("p")) != 0 || s.Tenant(nil) != -1 {
+	if s.ClassIndex([]byte("b")) != 1 || s.ClassIndex([]byte("c")) != -1 || s.TenantIndex([]byte("p")) != 0 || s.TenantIndex(nil) != -1 {
 		t.Error("Class or Tenant returned a wrong index")
 	}
 	if _, err := Parse([]byte(`[]`)); err == nil {
--- a/internal/settings/sites_test.go
+++ b/internal/settings/sites_test.go
@@ -148,13 +148,13 @@
 				want.Window = time.Duration(c.WindowMs) * ms
 				want.Scope = map[string]chalkrack.Scope{"all": chalkrack.ScopeAll, "zone": chalkrack.ScopeZone, "cell": chalkrack.ScopeGroup}[c.Group]
 			}
-			if s.Class([]byte(c.Name)) != n || got != want || s.DeadlineOf(c.Name) != time.Duration(c.DeadlineMs)*ms {
+			if s.ClassIndex([]byte(c.Name)) != n || got != want || s.DeadlineOf(c.Name) != time.Duration(c.DeadlineMs)*ms {
 				t.Errorf("%s: class %s parsed as %+v, deadline %v", file.Name, c.Name, got, s.DeadlineOf(c.Name))
 			}
 		}
 		for n, tenant := range file.Tenant {
-			if s.Tenant([]byte(tenant.Name)) != n {
-				t.Errorf("%s: tenant %s has index %d", file.Name, tenant.Name, s.Tenant([]byte(tenant.Name)))
+			if s.TenantIndex([]byte(tenant.Name)) != n {
+				t.Errorf("%s: tenant %s has index %d", file.Name, tenant.Name, s.TenantIndex([]byte(tenant.Name)))
 			}
 		}
 		config := s.Config
--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -48,12 +48,12 @@
 	ended           bool // abandoned, or its connection is unusable
 	began           bool // the first byte may have been written
 	written         bool
-	readFailed      bool            // the connection broke before the write was complete
-	writerDone      chan struct{}   // closed when the goroutine that writes a Source has finished
-	sendFailed      bool            // the request can no longer be written; the reader reports the outcome
-	reading         message.Reading // open reader of the request's Source while it is sent
-	lastByteSent    bool            // the last byte of a Source may have been written
-	lastBytePending bool            // the last byte of a long body is not yet written
+	readFailed      bool               // the connection broke before the write was complete
+	writerDone      chan struct{}      // closed when the goroutine that writes a Source has finished
+	sendFailed      bool               // the request can no longer be written; the reader reports the outcome
+	reading         message.BodyReader // open reader of the request's Source while it is sent
+	lastByteSent    bool               // the last byte of a Source may have been written
+	lastBytePending bool               // the last byte of a long body is not yet written
 
 	sentAt time.Time
 
@@ -64,20 +64,20 @@
 	answering bool // an answer has begun; only for Phase
 }
 
-// Attempt implements core.Transport. The payload must be a *message.Request.
-func (p *Pool) Attempt(o core.Order) core.Attempt {
+// NewAttempt implements core.Transport. The payload must be a *message.Request.
+func (p *Pool) NewAttempt(o core.Order) core.Attempt {
 	r := o.Payload.(*message.Request)
-	if o.N > 0 && r.Again != nil {
-		r.Again()
+	if o.Index > 0 && r.OnRetry != nil {
+		r.OnRetry()
 	}
 	return &Attempt{
 		Request:          r,
 		Server:           o.Server,
-		Index:            o.N,
+		Index:            o.Index,
 		Deadline:         o.Deadline,
 		NotAfter:         o.NotAfter,
-		AtMostOnce:       o.Once,
-		PassClientErrors: o.Pass,
+		AtMostOnce:       o.AtMostOnce,
+		PassClientErrors: o.PassClientErrors,
 		Sink:             o.Sink,
 		pool:             p,
 	}
@@ -111,10 +111,10 @@
 	return a.began && (a.Request.Source == nil || a.lastByteSent)
 }
 
-// Forgo implements core.Attempt. It stops the attempt unless the server may have begun it. A
+// CancelUnsent implements core.Attempt. It stops the attempt unless the server may have begun it. A
 // server begins a request when it has the last byte, so an attempt whose last byte is unwritten
 // has not begun.
-func (a *Attempt) Forgo() bool {
+func (a *Attempt) CancelUnsent() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.began && a.Request.Source == nil && !a.lastBytePending || a.lastByteSent {
--- a/internal/upstream/departed_client_test.go
+++ b/internal/upstream/departed_client_test.go
@@ -21,7 +21,7 @@
 	onCheck func()       // called after each call of Left; may be nil
 }
 
-func (g *leaver) Left() bool {
+func (g *leaver) HasLeft() bool {
 	left := g.polls.Add(-1) < 0
 	if g.onCheck != nil {
 		g.onCheck()
@@ -56,7 +56,7 @@
 		}, chalkrack.NotSent},
 	} {
 		p := newPool(10)
-		p.Serve("s", addr, 0)
+		p.AddServer("s", addr, 0)
 		s, g := newSink(), new(leaver)
 		a := newGetAttempt(s)
 		a.Request.Client = g
@@ -77,7 +77,7 @@
 	}
 	// The same holds for a first attempt on an existing connection.
 	p := newPool(10)
-	p.Serve("s", addr, 0)
+	p.AddServer("s", addr, 0)
 	if r := runAttempt(t, p); r.outcome != chalkrack.OK {
 		t.Fatal(r.outcome)
 	}
@@ -139,7 +139,7 @@
 		for what, m := range meanwhile {
 			t.Run(form+", "+what, func(t *testing.T) {
 				p := newPool(10)
-				p.Serve("s", addr, 0)
+				p.AddServer("s", addr, 0)
 				s := newSink()
 				a := newGetAttempt(s)
 				g := &leaver{}
@@ -178,7 +178,7 @@
 func TestSuspensionDuringSendCheckRepeatsCheck(t *testing.T) {
 	addr, heard := startRecordingServer(t)
 	p := newPool(1)
-	p.Serve("s", addr, 0)
+	p.AddServer("s", addr, 0)
 	s, g := newSink(), new(leaver)
 	g.polls.Store(1)
 	g.onCheck = sync.OnceFunc(func() {
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -162,9 +162,9 @@
 	}
 }
 
-// Serve adds a server, or updates its address and start time. Idle connections to another
+// AddServer adds a server, or updates its address and start time. Idle connections to another
 // address or to an earlier process are closed, because requests on them would end in resets.
-func (p *Pool) Serve(name, addr string, started time.Duration) {
+func (p *Pool) AddServer(name, addr string, started time.Duration) {
 	p.mu.Lock()
 	s := p.servers[name]
 	if s == nil {
@@ -180,9 +180,9 @@
 	closeAll(toClose)
 }
 
-// Leave records that a server is draining, or that it is gone, and closes the idle connections
+// RetireServer records that a server is draining, or that it is gone, and closes the idle connections
 // to it.
-func (p *Pool) Leave(name string, gone bool) {
+func (p *Pool) RetireServer(name string, gone bool) {
 	p.mu.Lock()
 	var toClose []*conn
 	if s := p.servers[name]; s != nil {
@@ -198,8 +198,8 @@
 	closeAll(toClose)
 }
 
-// Keep removes all servers that are not listed.
-func (p *Pool) Keep(listed map[string]bool) {
+// RetainServers removes all servers that are not listed.
+func (p *Pool) RetainServers(listed map[string]bool) {
 	var unlisted []string
 	p.mu.Lock()
 	for name := range p.servers {
@@ -209,7 +209,7 @@
 	}
 	p.mu.Unlock()
 	for _, name := range unlisted {
-		p.Leave(name, true)
+		p.RetireServer(name, true)
 	}
 }
 
@@ -262,7 +262,7 @@
 
 // Close closes all idle connections. Connections in use are closed when their attempts end. All
 // servers are removed, so nothing new is sent.
-func (p *Pool) Close() { p.Keep(nil) }
+func (p *Pool) Close() { p.RetainServers(nil) }
 
 // Limits returns the maximum number of connections.
 func (p *Pool) Limits() int {
--- a/internal/upstream/races_test.go
+++ b/internal/upstream/races_test.go
@@ -28,7 +28,7 @@
 		}
 	})
 	p := newPool(10)
-	p.Serve("s", addr, 0)
+	p.AddServer("s", addr, 0)
 	if r := runAttempt(t, p); r.body != "hi" {
 		t.Fatal(r)
 	}
@@ -80,7 +80,7 @@
 			heard <- line
 		})
 		p := newPool(1)
-		p.Serve("s", addr, 0)
+		p.AddServer("s", addr, 0)
 		s := newSink()
 		a := newGetAttempt(s)
 		if c, _, err := p.acquire(a); c != nil || err != nil {
@@ -115,7 +115,7 @@
 	addr, conns := startFakeServer(t, answerEach("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi"))
 	for _, unasked := range []bool{false, true} {
 		p := newPool(10)
-		p.Serve("s", addr, 0)
+		p.AddServer("s", addr, 0)
 		if unasked {
 			p.recordUnsolicited("s")
 		}
@@ -155,7 +155,7 @@
 		said <- int(n)
 	})
 	p := newPool(1)
-	p.Serve("s", addr, 0)
+	p.AddServer("s", addr, 0)
 	s := newSink()
 	a := newGetAttempt(s)
 	if c, _, err := p.acquire(a); c != nil || err != nil { // as Start does before it dials
@@ -201,7 +201,7 @@
 			nc.Close()
 		})
 		p := newPool(1)
-		p.Serve("s", addr, 0)
+		p.AddServer("s", addr, 0)
 		s := newSink()
 		a := newGetAttempt(s)
 		p.Start(a)
@@ -228,7 +228,7 @@
 		c.Close()
 	})
 	p := newPool(1)
-	p.Serve("s", addr, 0)
+	p.AddServer("s", addr, 0)
 	if r := runAttempt(t, p); r.outcome != chalkrack.OK || r.body != "hi" {
 		t.Fatal(r)
 	}
@@ -242,7 +242,7 @@
 func TestDeclinedAfterBodyNeverRan(t *testing.T) {
 	addr, _ := startFakeServer(t, answerEach("HTTP/1.1 503 No\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n"))
 	p := newPool(9) // the previous connection may not be idle yet
-	p.Serve("s", addr, 0)
+	p.AddServer("s", addr, 0)
 	for _, size := range []int{0, 100, 200 << 10} {
 		s := newSink()
 		a := newGetAttempt(s)
@@ -259,7 +259,7 @@
 func TestConnectionsSetNoDelay(t *testing.T) {
 	addr, _ := startFakeServer(t, answerEach("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi"))
 	p := newPool(1)
-	p.Serve("s", addr, 0)
+	p.AddServer("s", addr, 0)
 	if r := runAttempt(t, p); r.outcome != chalkrack.OK {
 		t.Fatal(r)
 	}
@@ -291,14 +291,14 @@
 	})
 	const size = 30 << 20
 	p := newPool(1)
-	p.Serve("s", addr, 0)
+	p.AddServer("s", addr, 0)
 	s := newSink()
 	a := newGetAttempt(s)
 	a.Request = &message.Request{Method: "POST", Head: []byte(fmt.Sprintf("POST /x HTTP/1.1\r\nHost: h\r\nContent-Length: %d\r\n", size)),
 		Body: [][]byte{make([]byte, size-7), make([]byte, 7), nil}}
 	p.Start(a)
 	waitUntil(t, "request is not being written", func() bool { a.mu.Lock(); defer a.mu.Unlock(); return a.lastBytePending })
-	if !a.Forgo() {
+	if !a.CancelUnsent() {
 		t.Fatal("attempt counts as begun before its last byte is written")
 	}
 	close(read) // everything but the last byte is written now
@@ -316,15 +316,15 @@
 func TestOnlyUnsentAttemptsAreCancelled(t *testing.T) {
 	addr, _ := startFakeServer(t, func(c net.Conn, br *bufio.Reader) { readRequest(br); io.Copy(io.Discard, br) })
 	p := newPool(9)
-	p.Serve("s", addr, 0)
+	p.AddServer("s", addr, 0)
 	a := newGetAttempt(newSink())
-	if !a.Forgo() {
+	if !a.CancelUnsent() {
 		t.Error("attempt that was not started counts as begun")
 	}
 	b := newGetAttempt(newSink())
 	p.Start(b)
 	waitUntil(t, "attempt does not begin", b.hasBegun)
-	if b.Forgo() {
+	if b.CancelUnsent() {
 		t.Error("attempt that has begun was stopped as unsent")
 	}
 	b.Close()
@@ -334,7 +334,7 @@
 	c.AtMostOnce = true
 	p.Start(c)
 	waitUntil(t, "last byte is not held back", func() bool { c.mu.Lock(); defer c.mu.Unlock(); return c.heldBack })
-	if !c.Forgo() {
+	if !c.CancelUnsent() {
 		t.Error("attempt whose last byte is held back counts as begun")
 	}
 	c.Close()
--- a/internal/upstream/send.go
+++ b/internal/upstream/send.go
@@ -154,7 +154,7 @@
 // isUnwanted reports whether nobody waits for the answer any more, including cases that have not
 // been reported to the attempt yet.
 func (a *Attempt) isUnwanted(now time.Time) bool {
-	return a.Request.Source == nil && !a.Deadline.IsZero() && now.After(a.Deadline) || a.Request.Client != nil && a.Request.Client.Left()
+	return a.Request.Source == nil && !a.Deadline.IsZero() && now.After(a.Deadline) || a.Request.Client != nil && a.Request.Client.HasLeft()
 }
 
 func (a *Attempt) appendHead(head []byte) []byte {
--- a/internal/upstream/source.go
+++ b/internal/upstream/source.go
@@ -108,7 +108,7 @@
 	}
 }
 
-func (a *Attempt) copySource(c *conn, reading message.Reading, hold bool) error {
+func (a *Attempt) copySource(c *conn, reading message.BodyReader, hold bool) error {
 	remaining := a.Request.Source.Length()
 	chunked := a.Request.Chunked
 	buf := buffers.Get().(*[]byte)
--- a/internal/upstream/source_test.go
+++ b/internal/upstream/source_test.go
@@ -36,7 +36,7 @@
 
 func (s *pieceSource) Length() int64 { return s.length }
 
-func (s *pieceSource) Open() (message.Reading, error) {
+func (s *pieceSource) Open() (message.BodyReader, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.opened++
@@ -106,7 +106,7 @@
 	addr, conns := startFakeServer(t, echoBodies(got))
 	for _, hold := range []bool{false, true} {
 		p := newPool(10)
-		p.Serve("s", addr, 0)
+		p.AddServer("s", addr, 0)
 		for _, chunked := range []bool{false, true} {
 			s, k := newPieceSource(3, "a"), newSink()
 			a := newPostAttempt(s, k, chunked)
@@ -163,7 +163,7 @@
 		"it ends too early":     {nil, func(_ *Pool, _ *Attempt, s *pieceSource, _ chan string) { close(s.pieces) }, time.Minute, chalkrack.NotSent},
 		"it is too long":        {nil, func(_ *Pool, _ *Attempt, s *pieceSource, _ chan string) { s.pieces <- "123456789" }, time.Minute, chalkrack.NotSent},
 		"the server's grace ends": {nil, func(p *Pool, _ *Attempt, s *pieceSource, _ chan string) {
-			p.Leave("s", false)
+			p.RetireServer("s", false)
 			time.Sleep(20 * time.Millisecond)
 			s.pieces <- "bc"
 		}, 10 * time.Millisecond, chalkrack.ConnectFailed},
@@ -192,7 +192,7 @@
 			}
 			addr, _ := startFakeServer(t, server)
 			p := New(Config{ConnIdle: time.Minute, DialTimeout: 5 * time.Second, DrainGrace: c.grace, MaxConns: 10})
-			p.Serve("s", addr, 0)
+			p.AddServer("s", addr, 0)
 			s, k := newPieceSource(3, "a"), newSink()
 			if c.act == nil {
 				s.err = errors.New("lost")
@@ -245,7 +245,7 @@
 	})
 	for _, whole := range []bool{false, true} {
 		p := newPool(10)
-		p.Serve("s", addr, 0)
+		p.AddServer("s", addr, 0)
 		s := newPieceSource(3, "ab")
 		a := newPostAttempt(s, newSink(), false)
 		p.Start(a)
@@ -272,7 +272,7 @@
 	})
 	p := newPool(9)
 	p.sendTimeout = 50 * time.Millisecond
-	p.Serve("s", addr, 0)
+	p.AddServer("s", addr, 0)
 	src := newPieceSource(64 << 20)
 	go func() {
 		part := strings.Repeat("x", 1<<20)
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -156,7 +156,7 @@
 			t.Parallel()
 			addr, _ := startFakeServer(t, answerEach(c.answer))
 			p := newPool(9)
-			p.Serve("s", addr, 0)
+			p.AddServer("s", addr, 0)
 			s := newSink()
 			p.Start(newGetAttempt(s))
 			r := s.wait(t)
@@ -180,7 +180,7 @@
 	})
 	p := newPool(9)
 	p.stallTimeout = stall
-	p.Serve("s", addr, 0)
+	p.AddServer("s", addr, 0)
 	if r := runAttempt(t, p); r.outcome != chalkrack.OK || r.body != "hi" {
 		t.Errorf("outcome %d, body %q", r.outcome, r.body)
 	}
@@ -204,7 +204,7 @@
 	})
 	p := New(Config{ConnIdle: time.Minute, DialTimeout: 5 * time.Second, DrainGrace: time.Minute, MaxConns: 9, Stall: defaultStallTimeout})
 	p.streamStallTimeout = testTimeout
-	p.Serve("s", addr, 0)
+	p.AddServer("s", addr, 0)
 	s := newSink()
 	p.Start(newGetAttempt(s))
 	if r := s.wait(t); r.outcome != chalkrack.OK || s.streamed.String() != long+"yz" {
@@ -226,7 +226,7 @@
 		io.WriteString(c, "0\r\n\r\n")
 	})
 	p := newPool(9)
-	p.Serve("s", addr, 0)
+	p.AddServer("s", addr, 0)
 	s := newSink()
 	p.Start(newGetAttempt(s))
 	if r := s.wait(t); r.outcome != chalkrack.Reset || s.streamed.Len() > maxAnswerBytes+maxHeadBytes {
@@ -253,7 +253,7 @@
 		if !stops {
 			p.stallTimeout, p.streamStallTimeout = testTimeout, testTimeout
 		}
-		p.Serve("s", addr, 0)
+		p.AddServer("s", addr, 0)
 		s := newSink()
 		p.Start(newGetAttempt(s))
 		r := s.wait(t)
@@ -273,7 +273,7 @@
 	}
 	ln.Close()
 	p := newPool(9)
-	p.Serve("s", ln.Addr().String(), 0)
+	p.AddServer("s", ln.Addr().String(), 0)
 	if r := runAttempt(t, p); r.outcome != chalkrack.ConnectFailed {
 		t.Errorf("outcome %d", r.outcome)
 	}
@@ -294,12 +294,12 @@
 	silent, _ := startFakeServer(t, func(_ net.Conn, br *bufio.Reader) { readRequest(br); br.ReadByte() })
 	quick, _ := startFakeServer(t, answerEach(okResponse))
 	p := newPool(2)
-	p.Serve("s", quick, 0)
+	p.AddServer("s", quick, 0)
 	if r := runAttempt(t, p); r.outcome != chalkrack.OK {
 		t.Fatalf("outcome %d", r.outcome)
 	}
 	waitUntil(t, "connection is not idle", func() bool { return p.idleCount("s") == 1 })
-	p.Serve("silent", silent, 0)
+	p.AddServer("silent", silent, 0)
 	for range 2 {
 		a := newGetAttempt(newSink())
 		a.Server = "silent"
@@ -322,7 +322,7 @@
 		c.Close()
 	})
 	p := newPool(9)
-	p.Serve("s", addr, 0)
+	p.AddServer("s", addr, 0)
 	s := newSink()
 	a := newGetAttempt(s)
 	a.Request.Body = [][]byte{make([]byte, 16<<20)} // more than all socket buffers hold
@@ -361,14 +361,14 @@
 		{"closed by the server", func(_ *Pool, c net.Conn, _ string) { c.Close() }, 2},
 		{"half-closed by the server", func(_ *Pool, c net.Conn, _ string) { c.(*net.TCPConn).CloseWrite() }, 2},
 		{"bytes that nobody asked for", func(_ *Pool, c net.Conn, _ string) { io.WriteString(c, okResponse) }, 2},
-		{"a restarted server", func(p *Pool, _ net.Conn, addr string) { p.Serve("s", addr, 5) }, 2},
+		{"a restarted server", func(p *Pool, _ net.Conn, addr string) { p.AddServer("s", addr, 5) }, 2},
 		{"idle for long", func(p *Pool, _ net.Conn, _ string) { p.Sweep(time.Now().Add(time.Minute)) }, 2},
 		{"told to close", func(p *Pool, _ net.Conn, _ string) { p.CloseIdle("s") }, 2},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			addr, conns := startFakeServer(t, answerEach(okResponse))
 			p := newPool(9)
-			p.Serve("s", addr, 0)
+			p.AddServer("s", addr, 0)
 			if r := runAttempt(t, p); r.outcome != chalkrack.OK {
 				t.Fatalf("first attempt: outcome %d", r.outcome)
 			}
@@ -401,7 +401,7 @@
 	})
 	p := newPool(9)
 	p.earlyBreakWindow = testTimeout
-	p.Serve("s", addr, 0)
+	p.AddServer("s", addr, 0)
 	resets := 0
 	for range 3 {
 		if r := runAttempt(t, p); r.outcome == chalkrack.Reset {
@@ -438,7 +438,7 @@
 		})
 		p := newPool(9)
 		p.earlyBreakWindow = testTimeout
-		p.Serve("s", addr, 0)
+		p.AddServer("s", addr, 0)
 		for n, wait := range []time.Duration{idle, idled, 0} {
 			answers <- n < 2
 			if r := runAttempt(t, p); (r.outcome == chalkrack.OK) != (n < 2) {
@@ -485,7 +485,7 @@
 			if c.want == chalkrack.ConnectFailed {
 				p.holdBackDelay = testTimeout // the news of the break may arrive late
 			}
-			p.Serve("s", addr, 0)
+			p.AddServer("s", addr, 0)
 			for range 5 {
 				if p.mu.Lock(); c.brittle {
 					p.lastBreakAt = time.Now()
@@ -516,7 +516,7 @@
 	addr, _ := startFakeServer(t, func(c net.Conn, br *bufio.Reader) { heard <- readRequest(br) })
 	p := newPool(9)
 	p.lastBreakAt = time.Now().Add(time.Hour) // in the future, so that it counts as recent for the whole test
-	p.Serve("s", addr, 0)
+	p.AddServer("s", addr, 0)
 	s := newSink()
 	a := newGetAttempt(s)
 	a.AtMostOnce, a.pool = true, p
@@ -550,10 +550,10 @@
 	old, _ := startFakeServer(t, answerEach(okResponse))
 	next, _ := startFakeServer(t, answerEach("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nnew"))
 	p := newPool(9)
-	p.Serve("s", old, 0)
+	p.AddServer("s", old, 0)
 	runAttempt(t, p)
 	waitUntil(t, "connection is not idle", func() bool { return p.idleCount("s") == 1 })
-	p.Serve("s", next, 0)
+	p.AddServer("s", next, 0)
 	if r := runAttempt(t, p); r.body != "new" {
 		t.Errorf("answer %q", r.body)
 	}
@@ -576,7 +576,7 @@
 func TestNothingIsSentAfterDrainGrace(t *testing.T) {
 	addr, heard := startRecordingServer(t)
 	p := New(Config{ConnIdle: time.Minute, DialTimeout: 5 * time.Second, MaxConns: 9}) // no drain grace
-	p.Serve("s", addr, 0)
+	p.AddServer("s", addr, 0)
 	s := newSink()
 	a := newGetAttempt(s)
 	a.pool = p
@@ -584,7 +584,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	p.Leave("s", false)
+	p.RetireServer("s", false)
 	time.Sleep(time.Millisecond)
 	a.dial(to) // returns when the connection is closed
 	if r := s.wait(t); r.outcome != chalkrack.ConnectFailed {
@@ -599,7 +599,7 @@
 func TestNothingIsSentPastNotAfter(t *testing.T) {
 	addr, heard := startRecordingServer(t)
 	p := newPool(9)
-	p.Serve("s", addr, 0)
+	p.AddServer("s", addr, 0)
 	s := newSink()
 	a := newGetAttempt(s)
 	a.NotAfter = time.Now()
@@ -616,7 +616,7 @@
 func TestAbandonBeforeConnectNeverBegins(t *testing.T) {
 	addr, heard := startRecordingServer(t)
 	p := newPool(9)
-	p.Serve("s", addr, 0)
+	p.AddServer("s", addr, 0)
 	s := newSink()
 	a := newGetAttempt(s)
 	a.pool = p
@@ -643,7 +643,7 @@
 		ended <- err
 	})
 	p := newPool(9)
-	p.Serve("s", addr, 0)
+	p.AddServer("s", addr, 0)
 	s := newSink()
 	a := newGetAttempt(s)
 	p.Start(a)
@@ -657,7 +657,7 @@
 	}
 
 	addr, conns := startFakeServer(t, answerEach(okResponse))
-	p.Serve("s", addr, 0)
+	p.AddServer("s", addr, 0)
 	s = newSink()
 	a = newGetAttempt(s)
 	p.Start(a)
@@ -716,7 +716,7 @@
 		if !stops {
 			p.stallTimeout, p.streamStallTimeout = testTimeout, testTimeout
 		}
-		p.Serve("s", addr, 0)
+		p.AddServer("s", addr, 0)
 		s := newSink()
 		s.onStream = sync.OnceFunc(func() { close(begun) })
 		p.Start(newGetAttempt(s))
@@ -745,7 +745,7 @@
 	})
 	p := newPool(9)
 	p.streamStallTimeout = testTimeout
-	p.Serve("s", addr, 0)
+	p.AddServer("s", addr, 0)
 	s := newSink()
 	p.Start(newGetAttempt(s))
 	if r := s.wait(t); r.outcome != chalkrack.OK || s.streamed.Len() != maxAnswerBytes {
