--- a/cmd/fawnctl/rehearse_zones.go
+++ b/cmd/fawnctl/rehearse_zones.go
@@ -65,14 +65,14 @@
 		room <- struct{}{}
 		all.Go(func() {
 			defer func() { <-room }()
-			o, faults, err := zonal.Rehearse(cfg, seed, c.Sidecars, c.Servers, c.Zones...)
+			o, faults, err := zonal.RunRandomFaults(cfg, seed, c.Sidecars, c.Servers, c.Zones...)
 			mu.Lock()
 			defer mu.Unlock()
 			if err != nil {
 				fail = err
 				return
 			}
-			for _, d := range o.Left {
+			for _, d := range o.LeaveTimes {
 				if d < 0 {
 					never++
 				} else {
@@ -82,11 +82,11 @@
 			for n := range maps.Values(o.Departures) {
 				departed += int(n)
 			}
-			settled = append(settled, o.Settled)
-			notes, bytes, away = notes+o.Notes, bytes+o.Bytes, away+1
-			if len(o.Broken) > 0 {
+			settled = append(settled, o.SettleTime)
+			notes, bytes, away = notes+o.NotesPerSecond, bytes+o.BytesPerSecond, away+1
+			if len(o.Violations) > 0 {
 				broken++
-				fmt.Fprintf(s.out, "seed %d: %v by %v\n", seed, o.Broken, faults)
+				fmt.Fprintf(s.out, "seed %d: %v by %v\n", seed, o.Violations, faults)
 			}
 		})
 	}
--- a/cmd/fawnctl/zone.go
+++ b/cmd/fawnctl/zone.go
@@ -52,7 +52,7 @@
 	who := c.Who
 	if who == "" {
 		if u, err := user.Current(); err == nil {
-			who = u.Username[:min(len(u.Username), evacuation.WhoMost)]
+			who = u.Username[:min(len(u.Username), evacuation.MaxWhoBytes)]
 		}
 	}
 	var v zones.View
@@ -78,32 +78,32 @@
 
 func zoneText(s *streams, v *zones.View, changes bool) error {
 	w := tabwriter.NewWriter(s.out, 0, 0, 2, ' ', 0)
-	fmt.Fprintf(w, "heard\t%d of %d other sidecars lately\n", v.Heard, v.Peers)
+	fmt.Fprintf(w, "heard\t%d of %d other sidecars lately\n", v.RecentPeers, v.Peers)
 	fmt.Fprintln(w, "zone\tstage\tsince\tseen here\tfailing/fine\tservers\tnext\tby")
 	for _, z := range v.Zones {
 		name, stage := z.Zone, z.Stage
 		if z.Region != "" {
 			name += " (" + z.Region + ")"
 		}
-		if z.Alone {
+		if z.LeftLocally {
 			stage = "left alone"
-		} else if z.Uses && z.Pace > 0 {
+		} else if z.InUse && z.StageRate > 0 {
 			stage += ", this one goes first"
 		}
 		var seen []string
-		for _, k := range sortedKeys(z.Kinds) {
-			seen = append(seen, fmt.Sprintf("%.1f %s", z.Kinds[k], k))
+		for _, k := range sortedKeys(z.Results) {
+			seen = append(seen, fmt.Sprintf("%.1f %s", z.Results[k], k))
 		}
 		evidence := z.Verdict
 		if len(seen) > 0 {
 			evidence += ": " + strings.Join(seen, ", ")
 		}
 		next := "-"
-		if z.Next > 0 {
-			next = z.Next.Round(100 * time.Millisecond).String()
+		if z.NextStageIn > 0 {
+			next = z.NextStageIn.Round(100 * time.Millisecond).String()
 		}
 		by := "evidence"
-		if z.Order != nil && z.Order.Action != evacuation.Auto {
+		if z.Order != nil && z.Order.Action != evacuation.ActionAuto {
 			by = fmt.Sprintf("order %d, %s: %s (%s)", z.Order.Version, z.Order.Action, z.Order.Reason, z.Order.Who)
 		}
 		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%d/%d\t%d\t%s\t%s\n", name, stage, z.Since.Round(100*time.Millisecond), evidence, z.Failing, z.Fine, z.Servers, next, by)
@@ -113,7 +113,7 @@
 	}
 	for _, z := range v.Zones {
 		for _, c := range z.Changes {
-			fmt.Fprintf(s.out, "%s: %s to %s: %s\n", c.Zone, c.From, c.To, c.Why)
+			fmt.Fprintf(s.out, "%s: %s to %s: %s\n", c.Zone, c.From, c.To, c.Reason)
 		}
 	}
 	return nil
--- a/internal/core/watch_test.go
+++ b/internal/core/watch_test.go
@@ -71,9 +71,9 @@
 		list.Entries = append(list.Entries, membership.Entry{Endpoint: chalkrack.Endpoint{Name: fmt.Sprint("s", n), Zone: string(rune('a' + n)), Hint: 1}, Address: s.addr})
 	}
 	if z, ok := watch.(*zones.Zones); ok {
-		z.Stand(h, h.Listed, func(int, []int) {})
+		z.Connect(h, h.Listed, func(int, []int) {})
 		h.SetZones(z)
-		z.Listed(list)
+		z.ApplyList(list)
 	} else {
 		h.Listed(list)
 	}
@@ -151,7 +151,7 @@
 	}
 	s := newFakeServer(b, fixed(okAnswer("hi")))
 	_, addr := startWatchedHost(b, z, s)
-	z.Begin()
+	z.Start()
 	defer z.Close()
 	benchmarkRequests(b, addr)
 }
--- a/internal/daemon/sidecar.go
+++ b/internal/daemon/sidecar.go
@@ -167,12 +167,12 @@
 
 func (s *sidecar) startZones() error {
 	if s.zones != nil {
-		s.zones.Stand(s.host, s.applyList, s.duties.TellSome)
-		s.applyList = s.zones.Listed
-		s.duties.Carries(s.zones.Part, s.zones.Heard)
+		s.zones.Connect(s.host, s.applyList, s.duties.TellSome)
+		s.applyList = s.zones.ApplyList
+		s.duties.Carries(s.zones.NotePart, s.zones.ReceiveNote)
 		s.host.SetZones(s.zones)
 		s.addPage("zones", s.zones.View)
-		s.actions["zones/order"] = s.zones.Deed
+		s.actions["zones/order"] = s.zones.ExecuteOrder
 	}
 	s.duties.Begin()
 	return nil
@@ -190,7 +190,7 @@
 		s.operation.Listed(c.Known)
 	}
 	if s.zones != nil {
-		s.zones.Begin()
+		s.zones.Start()
 		s.onClose(s.zones.Close)
 	}
 	return nil
--- a/internal/daemon/zones.go
+++ b/internal/daemon/zones.go
@@ -25,13 +25,13 @@
 		return evacuation.Config{}, "", fmt.Errorf("config: %w", err)
 	}
 	cfg := ZonesOf(&c.Features.Zones)
-	cfg.Self, cfg.Peers, cfg.Seed, cfg.Inc = raw.Settings.Rank, len(raw.Peers), c.Seed, incarnation
+	cfg.Self, cfg.Peers, cfg.Seed, cfg.Incarnation = raw.Settings.Rank, len(raw.Peers), c.Seed, incarnation
 	meanWorth := 0.0
 	for _, class := range c.Settings.Config.Classes {
 		meanWorth += class.Worth / float64(len(c.Settings.Config.Classes))
 	}
 	for _, class := range c.Settings.Config.Classes {
-		cfg.Dear = append(cfg.Dear, class.Worth > meanWorth)
+		cfg.HighWorthClasses = append(cfg.HighWorthClasses, class.Worth > meanWorth)
 	}
 	if err := cfg.Validate(); err != nil {
 		return cfg, "", fmt.Errorf("features: %w", err)
@@ -42,12 +42,12 @@
 // ZonesOf returns the configuration of package evacuation from the operators' file, without the
 // fields that differ between sidecars.
 func ZonesOf(settings *features.Zones) evacuation.Config {
-	cfg := evacuation.Config{Witnesses: settings.Witnesses, Share: settings.Share, Fails: settings.Fails, Limps: settings.Limps, Silence: time.Duration(settings.Silence), Slow: settings.Slow,
-		Window: time.Duration(settings.Window), Settle: time.Duration(settings.Settle), Alone: time.Duration(settings.Alone), Dwell: time.Duration(settings.Dwell), DwellMost: time.Duration(settings.DwellMost),
-		Proof: time.Duration(settings.Proof), Bears: settings.Bears, Spread: settings.Spread, Full: settings.Full, Carried: settings.Carried, Regions: make(map[string]string)}
+	cfg := evacuation.Config{MinWitnesses: settings.Witnesses, MinFailingShare: settings.Share, FailingRatio: settings.Fails, DegradedRatio: settings.Limps, ResponseTimeout: time.Duration(settings.Silence), SlowFactor: settings.Slow,
+		EvidenceWindow: time.Duration(settings.Window), SettleDelay: time.Duration(settings.Settle), LocalDepartureDelay: time.Duration(settings.Alone), MinDwell: time.Duration(settings.Dwell), MaxDwell: time.Duration(settings.DwellMost),
+		MinStageDuration: time.Duration(settings.Proof), ServerCapacity: settings.Bears, Fanout: settings.Spread, MaxRefusalShare: settings.Full, CapacityWithoutZone: settings.Carried, RegionByZone: make(map[string]string)}
 	for region, zoneNames := range settings.Regions {
 		for _, zone := range zoneNames {
-			cfg.Regions[zone] = region
+			cfg.RegionByZone[zone] = region
 		}
 	}
 	return cfg
--- a/internal/daemon/zones_test.go
+++ b/internal/daemon/zones_test.go
@@ -58,16 +58,16 @@
 			t.Fatal(err)
 		}
 		told := make(chan map[string]chalkrack.State, 100)
-		z.Stand(new(recordingClock), func(l *membership.List) {
+		z.Connect(new(recordingClock), func(l *membership.List) {
 			all := make(map[string]chalkrack.State)
 			for _, e := range l.Entries {
 				all[e.Name] = e.State
 			}
 			told <- all
 		}, func(int, []int) {})
-		z.Listed(&membership.List{Complete: true, Entries: []membership.Entry{
+		z.ApplyList(&membership.List{Complete: true, Entries: []membership.Entry{
 			{Endpoint: chalkrack.Endpoint{Name: "s1", Zone: "a"}}, {Endpoint: chalkrack.Endpoint{Name: "s2", Zone: "b"}}}})
-		z.Begin()
+		z.Start()
 		return z, told
 	}
 	until := func(told chan map[string]chalkrack.State, name string, s chalkrack.State) {
@@ -87,17 +87,17 @@
 	z, told := begin()
 	until(told, "s1", chalkrack.Serving)
 	text, _ := json.Marshal(zones.Order{Zone: "a", Action: "leave", Who: "kim", Reason: "a test"})
-	if _, err := z.Deed(text); err != nil {
+	if _, err := z.ExecuteOrder(text); err != nil {
 		t.Fatal(err)
 	}
 	until(told, "s1", chalkrack.Draining)
-	if _, err := z.Deed([]byte(`{"zone":"x","action":"leave","who":"a","reason":"b"}`)); err == nil || !strings.Contains(err.Error(), `zone "x"`) {
+	if _, err := z.ExecuteOrder([]byte(`{"zone":"x","action":"leave","who":"a","reason":"b"}`)); err == nil || !strings.Contains(err.Error(), `zone "x"`) {
 		t.Error(err)
 	}
 	z.Close()
 	z, told = begin()
 	until(told, "s1", chalkrack.Draining)
-	if v := z.View().(zones.View); v.Zones[0].Stage != "out" || v.Zones[0].Order == nil || v.Zones[0].Order.Action != evacuation.Leave {
+	if v := z.View().(zones.View); v.Zones[0].Stage != "out" || v.Zones[0].Order == nil || v.Zones[0].Order.Action != evacuation.ActionLeave {
 		t.Errorf("after a restart: %+v", v.Zones[0])
 	}
 	z.Close()
--- a/internal/evacuation/cases_test.go
+++ b/internal/evacuation/cases_test.go
@@ -16,7 +16,7 @@
 // have calls.
 func TestFleetLeavesFailingZoneInTime(t *testing.T) {
 	for _, sidecars := range []int{12, 40, 300} {
-		for _, k := range []evacuation.Kind{evacuation.NoConn, evacuation.Broken, evacuation.Late, evacuation.Errored} {
+		for _, k := range []evacuation.ResultKind{evacuation.ResultConnectFailed, evacuation.ResultReset, evacuation.ResultLate, evacuation.ResultError} {
 			t.Run(fmt.Sprint(sidecars, " ", k), func(t *testing.T) {
 				f := newFleet(t, 7, sidecars)
 				f.Rate = func(n int) float64 { return map[bool]float64{true: 0.5, false: 12}[n%3 == 0] }
@@ -46,7 +46,7 @@
 		f.failZone("a")
 		f.waitUntilLeft("a", 4*sec)
 		f.Run(f.Now + 2*sec)
-		f.results["a"] = evacuation.Good
+		f.results["a"] = evacuation.ResultGood
 		seen := map[evacuation.Stage]bool{}
 		limit := func() (most float64) { // of the stage that allows the most calls
 			for _, c := range f.Sidecars {
@@ -87,37 +87,43 @@
 	f.failZone("a")
 	f.waitUntilLeft("a", 2*sec)
 	f.Run(f.Now + sec)
-	allOut := func() bool { return f.CountByStage("a")[evacuation.Out] == len(f.Sidecars) }
+	allOut := func() bool { return f.CountByStage("a")[evacuation.StageOut] == len(f.Sidecars) }
 	var outs []time.Duration
 	for range 5 {
 		outs = append(outs, f.waitFor("the start of a return", 3*time.Minute, func() bool { return !allOut() }))
 		f.waitFor("departure of all sidecars again", 3*time.Minute, allOut)
 	}
 	for n := range outs[1:] {
-		if n > 0 && outs[n+1] < outs[n] || outs[n+1] > evacuation.Default().DwellMost+10*sec {
+		if n > 0 && outs[n+1] < outs[n] || outs[n+1] > evacuation.Default().MaxDwell+10*sec {
 			t.Errorf("zone a stayed out for %v, want increasing times below the maximum dwell time", outs)
 		}
 	}
-	if last := outs[len(outs)-1]; last < 8*evacuation.Default().Dwell {
+	if last := outs[len(outs)-1]; last < 8*evacuation.Default().MinDwell {
 		t.Errorf("zone a stayed out for %v after five relapses, want at least 8 times the dwell time", last)
 	}
 	if n := f.MaxDepartures("a"); n != 1 {
 		t.Errorf("%d departures of the whole fleet, want 1: only the first sidecars should see a relapse", n)
 	}
-	f.results["a"] = evacuation.Good
+	f.results["a"] = evacuation.ResultGood
 	f.waitUntilReturned("a", 3*time.Minute)
 }
 
 // None of these is a failing zone: all zones fail alike, one server is gone, one sidecar has a bad
 // link, or servers refuse calls.
 func TestHealthyZoneIsNotLeft(t *testing.T) {
-	when := func(is bool, k evacuation.Kind) evacuation.Kind { return map[bool]evacuation.Kind{true: k}[is] }
-	for name, up := range map[string]func(int, evacuation.Server) evacuation.Kind{
-		"all alike":   func(int, evacuation.Server) evacuation.Kind { return evacuation.Errored },
-		"turned away": func(_ int, s evacuation.Server) evacuation.Kind { return when(s.Zone == "a", evacuation.Full) },
-		"one server":  func(_ int, s evacuation.Server) evacuation.Kind { return when(s.Name == "s0", evacuation.NoConn) },
-		"a bad link": func(n int, s evacuation.Server) evacuation.Kind {
-			return when(n == 1 && s.Zone == "a", evacuation.NoConn)
+	when := func(is bool, k evacuation.ResultKind) evacuation.ResultKind {
+		return map[bool]evacuation.ResultKind{true: k}[is]
+	}
+	for name, up := range map[string]func(int, evacuation.Server) evacuation.ResultKind{
+		"all alike": func(int, evacuation.Server) evacuation.ResultKind { return evacuation.ResultError },
+		"turned away": func(_ int, s evacuation.Server) evacuation.ResultKind {
+			return when(s.Zone == "a", evacuation.ResultRefused)
+		},
+		"one server": func(_ int, s evacuation.Server) evacuation.ResultKind {
+			return when(s.Name == "s0", evacuation.ResultConnectFailed)
+		},
+		"a bad link": func(n int, s evacuation.Server) evacuation.ResultKind {
+			return when(n == 1 && s.Zone == "a", evacuation.ResultConnectFailed)
 		},
 	} {
 		for seed := range uint64(5) {
@@ -140,7 +146,7 @@
 // All zones fail alike and recover together. The first zone that is seen to work says nothing about
 // those without attempts since the failure, so no sidecar may leave them.
 func TestNoDepartureWhenAllZonesRecover(t *testing.T) {
-	for _, k := range []evacuation.Kind{evacuation.Errored, evacuation.NoConn, evacuation.Broken} {
+	for _, k := range []evacuation.ResultKind{evacuation.ResultError, evacuation.ResultConnectFailed, evacuation.ResultReset} {
 		for seed := range uint64(20) {
 			f := newFleet(t, seed, 12)
 			f.Rate = func(n int) float64 { return map[bool]float64{true: 12, false: 0.6}[n < 8] }
@@ -169,10 +175,10 @@
 	faulty := f.Sidecars[9]
 	for f.Now < 20*sec {
 		rec, _ := faulty.RecordAndOrder("a")
-		faulty.SetState(f.Now, "a", evacuation.Record{Gen: rec.Gen + 7, Stage: evacuation.Out}, evacuation.VoteFailing)
+		faulty.SetState(f.Now, "a", evacuation.Record{Gen: rec.Gen + 7, Stage: evacuation.StageOut}, evacuation.VoteFailing)
 		for to := range f.Sidecars {
 			if to != 9 && f.Rand.IntN(2) == 0 {
-				f.DeliverNote(9, to, f.Notes.Incarnation(9), faulty.Note(f.Now, 150))
+				f.DeliverNote(9, to, f.NoteNetwork.Incarnation(9), faulty.EncodeNote(f.Now, 150))
 			}
 		}
 		f.Run(f.Now + 100*ms)
@@ -190,15 +196,15 @@
 	f.failZone("a")
 	f.Run(9 * sec) // some sidecars have few calls for that zone
 	for n, c := range f.Sidecars {
-		if c.Uses("a") != (n >= 20) {
-			t.Errorf("sidecar %d uses zone a: %v, want the opposite", n, c.Uses("a"))
+		if c.UsesZone("a") != (n >= 20) {
+			t.Errorf("sidecar %d uses zone a: %v, want the opposite", n, c.UsesZone("a"))
 		}
 	}
 	if f.MaxDepartures("a") > 0 {
 		t.Error("the fleet left zone a")
 	}
 	f.Run(18 * sec)
-	f.results["a"] = evacuation.Good
+	f.results["a"] = evacuation.ResultGood
 	f.Run(45 * sec)
 	f.requireUsers("a", 40)
 }
@@ -216,7 +222,7 @@
 		f.Run(12 * sec)
 		if f.MaxDepartures("a") > 0 {
 			departedSeeds = append(departedSeeds, seed)
-		} else if !f.Sidecars[7].Uses("a") || !f.Sidecars[10].Uses("a") || f.Sidecars[0].Uses("a") {
+		} else if !f.Sidecars[7].UsesZone("a") || !f.Sidecars[10].UsesZone("a") || f.Sidecars[0].UsesZone("a") {
 			t.Errorf("seed %d: want zone a used by sidecars 7 and 10 and not by 0", seed)
 		}
 	}
@@ -235,7 +241,7 @@
 			f.failZone("a")
 			f.waitUntilLeft("a", 4*sec)
 			f.LossRate = loss
-			f.results["a"] = evacuation.Good
+			f.results["a"] = evacuation.ResultGood
 			f.waitUntilReturned("a", 9500*ms) // the dwell time and three stages take 8 s
 		}
 	}
@@ -260,7 +266,7 @@
 	f.failZone("a")
 	f.waitUntilLeft("a", 3*sec)
 	f.Run(f.Now + sec)
-	f.results["a"] = evacuation.Good
+	f.results["a"] = evacuation.ResultGood
 	f.waitUntilReturned("a", 25*sec)
 }
 
@@ -270,27 +276,27 @@
 func TestPartialDepartureWhenCapacityIsShort(t *testing.T) {
 	for _, planned := range []bool{false, true} {
 		cfg := evacuation.Default()
-		cfg.Dear = []bool{false, true} // calls of the simulated fleet are of class 0
+		cfg.HighWorthClasses = []bool{false, true} // calls of the simulated fleet are of class 0
 		if planned {
-			cfg.Carried = map[string]float64{"a": 0.7}
+			cfg.CapacityWithoutZone = map[string]float64{"a": 0.7}
 		}
 		f := newFleetWithConfig(t, 43, cfg, 24)
 		bad, full := false, false
-		f.CallResult = func(_ int, s evacuation.Server) evacuation.Kind {
+		f.CallResult = func(_ int, s evacuation.Server) evacuation.ResultKind {
 			switch {
 			case bad && s.Zone == "a" && f.Rand.IntN(4) > 0:
-				return evacuation.Errored
+				return evacuation.ResultError
 			case full && s.Zone != "a" && f.Rand.IntN(3) == 0:
-				return evacuation.Full
+				return evacuation.ResultRefused
 			}
-			return evacuation.Good
+			return evacuation.ResultGood
 		}
 		f.Run(3 * sec)
 		full = !planned
 		f.Run(8 * sec)
 		bad = true
 		f.Run(15 * sec)
-		if at := f.CountByStage("a"); at[evacuation.StagePart] < 20 || at[evacuation.Out] > 0 || f.MaxDepartures("a") > 0 {
+		if at := f.CountByStage("a"); at[evacuation.StagePart] < 20 || at[evacuation.StageOut] > 0 || f.MaxDepartures("a") > 0 {
 			t.Errorf("planned %v: sidecars by stage of zone a: %v, want at least 20 at part, none out", planned, at)
 		}
 		for _, c := range f.Sidecars {
@@ -311,14 +317,14 @@
 func TestRegionOutageNeedsOneVote(t *testing.T) {
 	for _, region := range []string{"west", ""} {
 		cfg := evacuation.Default()
-		cfg.Dwell, cfg.DwellMost = time.Hour, time.Hour
-		cfg.Regions = map[string]string{"a": region, "b": region, "c": region}
+		cfg.MinDwell, cfg.MaxDwell = time.Hour, time.Hour
+		cfg.RegionByZone = map[string]string{"a": region, "b": region, "c": region}
 		w, err := zonal.New(51, cfg, 12, 2, "a", "b", "c", "d")
 		if err != nil {
 			t.Fatal(err)
 		}
-		f := &fleet{World: w, t: t, results: make(map[string]evacuation.Kind)}
-		f.CallResult = func(_ int, s evacuation.Server) evacuation.Kind { return f.results[s.Zone] }
+		f := &fleet{World: w, t: t, results: make(map[string]evacuation.ResultKind)}
+		f.CallResult = func(_ int, s evacuation.Server) evacuation.ResultKind { return f.results[s.Zone] }
 		quiet := false
 		f.Rate = func(n int) float64 { return map[bool]float64{true: 0.01, false: 12}[quiet && n > 0] }
 		f.failZone("a")
@@ -340,7 +346,7 @@
 func TestDivergedSidecarRejoins(t *testing.T) {
 	for _, proof := range []time.Duration{time.Second, 500 * ms} { // its own steps come every 4 s and every 2 s
 		cfg := evacuation.Default()
-		cfg.Proof = proof
+		cfg.MinStageDuration = proof
 		f := newFleetWithConfig(t, 41, cfg, 12)
 		f.Rate = func(n int) float64 { return map[bool]float64{true: 0.001, false: 12}[n == 4] }
 		f.Run(3 * sec)
@@ -362,7 +368,7 @@
 		f.Sidecars[4].SetState(f.Now, "a", evacuation.Record{Gen: 1, Step: 70, Stage: evacuation.StageOneIn4}, evacuation.VoteUnknown)
 		f.Run(f.Now + 8*sec)
 		f.requireUsers("a", 12)
-		f.results["a"] = evacuation.NoConn
+		f.results["a"] = evacuation.ResultConnectFailed
 		f.Run(f.Now + 3*sec)
 		f.requireUsers("a", 0)
 		for n, c := range f.Sidecars {
@@ -385,13 +391,13 @@
 // late. They must get the full stage time, with few stages failing for want of evidence.
 func TestSlowNotesDoNotCutStagesShort(t *testing.T) {
 	cfg, steps := evacuation.Default(), 0
-	cfg.Proof = 500 * ms
+	cfg.MinStageDuration = 500 * ms
 	for seed := range uint64(8) {
 		f := newFleetWithConfig(t, seed, cfg, 12)
 		f.ExtraDelay = 50 * ms
 		f.failZone("a")
 		f.waitUntilLeft("a", 4*sec)
-		f.results["a"] = evacuation.Good
+		f.results["a"] = evacuation.ResultGood
 		f.Rate = func(int) float64 { return 4 }
 		f.waitUntilReturned("a", 60*sec)
 		rec, _ := f.Sidecars[0].RecordAndOrder("a")
@@ -416,13 +422,13 @@
 	f.Run(f.Now + 100*ms)
 	f.start(3)
 	f.Run(f.Now + 250*ms) // it asks peers; random notes alone would reach it later
-	if rec, _ := f.Sidecars[3].RecordAndOrder("a"); rec.Stage != evacuation.Out {
+	if rec, _ := f.Sidecars[3].RecordAndOrder("a"); rec.Stage != evacuation.StageOut {
 		t.Errorf("record %v 250 ms after the restart, want stage out", rec)
 	}
 	// Suspended while the zone fails; the zone is in use again before it resumes.
 	f.World.SetStopped(7, true)
 	f.Run(f.Now + sec)
-	f.results["a"] = evacuation.Good
+	f.results["a"] = evacuation.ResultGood
 	f.waitUntilReturned("a", 2*time.Minute)
 	f.Run(f.Now + 20*sec)
 	f.World.SetStopped(7, false)
@@ -448,18 +454,18 @@
 // link, must return there instead of staying with a zone that has failed.
 func TestLocallyLeftLastZoneIsRejoined(t *testing.T) {
 	f := newFleet(t, 61, 12)
-	f.CallResult = func(n int, s evacuation.Server) evacuation.Kind {
+	f.CallResult = func(n int, s evacuation.Server) evacuation.ResultKind {
 		unreachable := s.Zone == "a" && f.Now > 3*sec || s.Zone == "b" && f.Now > 8*sec || n == 2 && s.Zone == "c" && f.Now > 5*sec && f.Now < 7500*ms
-		return map[bool]evacuation.Kind{true: evacuation.NoConn}[unreachable]
+		return map[bool]evacuation.ResultKind{true: evacuation.ResultConnectFailed}[unreachable]
 	}
 	f.Run(7500 * ms)
-	if f.Sidecars[2].Uses("c") {
+	if f.Sidecars[2].UsesZone("c") {
 		t.Fatal("sidecar 2 still uses zone c")
 	}
 	f.Run(10 * sec)
 	for n, c := range f.Sidecars {
-		if c.Uses("b") || !c.Uses("c") {
-			t.Errorf("sidecar %d uses zone b: %v, zone c: %v, want only c", n, c.Uses("b"), c.Uses("c"))
+		if c.UsesZone("b") || !c.UsesZone("c") {
+			t.Errorf("sidecar %d uses zone b: %v, zone c: %v, want only c", n, c.UsesZone("b"), c.UsesZone("c"))
 		}
 	}
 }
@@ -493,8 +499,8 @@
 	f.Run(f.Now + 2*sec)
 	f.waitFor("agreed", 20*sec, func() bool { return f.IsAgreed("a") })
 	for n, c := range f.Sidecars {
-		if _, o := c.RecordAndOrder("a"); o.Author != 30 || c.Uses("a") {
-			t.Errorf("sidecar %d has order %+v, want author 30; uses zone a: %v, want false", n, o, c.Uses("a"))
+		if _, o := c.RecordAndOrder("a"); o.Author != 30 || c.UsesZone("a") {
+			t.Errorf("sidecar %d has order %+v, want author 30; uses zone a: %v, want false", n, o, c.UsesZone("a"))
 		}
 	}
 	f.order(30, "a", "return", "now")
--- a/internal/evacuation/config.go
+++ b/internal/evacuation/config.go
@@ -23,60 +23,60 @@
 
 // Config holds the parameters of a Machine.
 type Config struct {
-	Self  int    // number of this sidecar
-	Peers int    // number of sidecars, including this one
-	Seed  uint64 // seeds the choice of peers that notes go to
-	Inc   uint64 // incarnation number, increases with each start
+	Self        int    // number of this sidecar
+	Peers       int    // number of sidecars, including this one
+	Seed        uint64 // seeds the choice of peers that notes go to
+	Incarnation uint64 // incarnation number, increases with each start
 
-	// Witnesses is the number of sidecars that must report a failure before the fleet leaves a
+	// MinWitnesses is the number of sidecars that must report a failure before the fleet leaves a
 	// zone. A fleet too small for it needs half of its sidecars, rounded up.
-	Witnesses int
-	// Share is the least share of the sidecars with an opinion that must vote that the zone fails.
-	Share float64
-	// Fails is the ratio of bad results to all results at which a zone fails.
-	Fails float64
-	// Limps is the ratio of bad results at which a zone is degraded.
-	Limps float64
-	// Silence is the least time without a response after which an attempt counts as late.
-	Silence time.Duration
-	// Slow is the factor over the response time of the fastest zone above which an attempt counts
+	MinWitnesses int
+	// MinFailingShare is the least share of the sidecars with an opinion that must vote that the zone fails.
+	MinFailingShare float64
+	// FailingRatio is the ratio of bad results to all results at which a zone fails.
+	FailingRatio float64
+	// DegradedRatio is the ratio of bad results at which a zone is degraded.
+	DegradedRatio float64
+	// ResponseTimeout is the least time without a response after which an attempt counts as late.
+	ResponseTimeout time.Duration
+	// SlowFactor is the factor over the response time of the fastest zone above which an attempt counts
 	// as late.
-	Slow float64
-	// Window is the time constant with which evidence decays.
-	Window time.Duration
-	// Settle is how long peers have to contradict before the fleet leaves a zone.
-	Settle time.Duration
-	// Alone is how long a sidecar sees a zone fail, without agreement of its peers, before it
+	SlowFactor float64
+	// EvidenceWindow is the time constant with which evidence decays.
+	EvidenceWindow time.Duration
+	// SettleDelay is how long peers have to contradict before the fleet leaves a zone.
+	SettleDelay time.Duration
+	// LocalDepartureDelay is how long a sidecar sees a zone fail, without agreement of its peers, before it
 	// leaves the zone by itself.
-	Alone time.Duration
-	// Dwell is how long a zone stays out before its first return.
-	Dwell time.Duration
-	// DwellMost bounds the dwell time, which doubles with each relapse.
-	DwellMost time.Duration
-	// Proof is the least duration of each stage of a return.
-	Proof time.Duration
-	// Bears is the number of calls per second that one server of a zone can take.
-	Bears float64
-	// Spread is the number of peers that are notified at once of a change.
-	Spread int
-	// Full is the share of refusals in the other zones above which a zone is left only in part.
-	Full float64
-	// Dear marks the classes, by index, that are worth more than the mean. Only they leave a zone
+	LocalDepartureDelay time.Duration
+	// MinDwell is how long a zone stays out before its first return.
+	MinDwell time.Duration
+	// MaxDwell bounds the dwell time, which doubles with each relapse.
+	MaxDwell time.Duration
+	// MinStageDuration is the least duration of each stage of a return.
+	MinStageDuration time.Duration
+	// ServerCapacity is the number of calls per second that one server of a zone can take.
+	ServerCapacity float64
+	// Fanout is the number of peers that are notified at once of a change.
+	Fanout int
+	// MaxRefusalShare is the share of refusals in the other zones above which a zone is left only in part.
+	MaxRefusalShare float64
+	// HighWorthClasses marks the classes, by index, that are worth more than the mean. Only they leave a zone
 	// that is left in part.
-	Dear []bool
-	// Regions maps a zone to its region. Once more than half of a region's zones are out, the vote
+	HighWorthClasses []bool
+	// RegionByZone maps a zone to its region. Once more than half of a region's zones are out, the vote
 	// of a single sidecar is enough to leave another of them.
-	Regions map[string]string
-	// Carried maps a zone to the share of the fleet's calls that the other zones can carry without
+	RegionByZone map[string]string
+	// CapacityWithoutZone maps a zone to the share of the fleet's calls that the other zones can carry without
 	// it, as 'fawnctl plan' computes it for the loss of that zone. A zone without an entry counts
 	// as 1. Below 1, a zone that still serves some calls is left only in part.
-	Carried map[string]float64
+	CapacityWithoutZone map[string]float64
 }
 
 // Default returns a Config with the defaults that are documented for operators.
 func Default() Config {
-	return Config{Peers: 1, Witnesses: 3, Share: 0.6, Fails: 0.6, Limps: 0.2, Silence: 400 * time.Millisecond, Slow: 4, Window: 1500 * time.Millisecond,
-		Settle: 150 * time.Millisecond, Alone: time.Second, Dwell: 5 * time.Second, DwellMost: time.Minute, Proof: time.Second, Bears: 20, Spread: 4, Full: 0.1}
+	return Config{Peers: 1, MinWitnesses: 3, MinFailingShare: 0.6, FailingRatio: 0.6, DegradedRatio: 0.2, ResponseTimeout: 400 * time.Millisecond, SlowFactor: 4, EvidenceWindow: 1500 * time.Millisecond,
+		SettleDelay: 150 * time.Millisecond, LocalDepartureDelay: time.Second, MinDwell: 5 * time.Second, MaxDwell: time.Minute, MinStageDuration: time.Second, ServerCapacity: 20, Fanout: 4, MaxRefusalShare: 0.1}
 }
 
 // Validate returns an error for the first invalid field, under the name that the field has in the
@@ -90,24 +90,24 @@
 	}
 	require(c.Peers >= 1 && c.Peers <= MaxPeers, "peers", "within 1 and %d", MaxPeers)
 	require(c.Self >= 0 && c.Self < c.Peers, "self", "one of the peers")
-	require(c.Witnesses >= 1 && c.Witnesses <= 64, "witnesses", "within 1 and 64")
-	require(c.Share >= 0.5 && c.Share <= 1, "share", "within 0.5 and 1")
-	require(c.Fails > 0 && c.Fails <= 1, "fails", "above 0, 1 at most")
-	require(c.Limps > 0 && c.Limps < c.Fails, "limps", "above 0 and below fails")
-	require(c.Silence >= 50*time.Millisecond && c.Silence <= 10*time.Second, "silence", "within 50ms and 10s")
-	require(c.Slow >= 1.5 && c.Slow <= 100, "slow", "within 1.5 and 100")
-	require(c.Window >= c.Silence && c.Window <= time.Minute, "window", "silence at least, 1m at most")
-	require(c.Settle >= 0 && c.Settle < c.Window, "settle", "0 or more, and below window")
-	require(c.Alone >= c.Settle && c.Alone <= time.Minute, "alone", "settle at least, 1m at most")
-	require(c.Proof >= c.Silence && c.Proof <= time.Hour, "proof", "silence at least, 1h at most: a stage is judged by what has had time to fail")
-	require(c.Dwell >= c.Proof && c.Dwell <= time.Hour, "dwell", "proof at least, 1h at most")
-	require(c.DwellMost >= c.Dwell && c.DwellMost <= 24*time.Hour, "dwell_most", "dwell at least, 24h at most")
-	require(c.Bears > 0 && c.Bears <= 1e6, "bears", "above 0, 1000000 at most")
-	require(c.Spread >= 1 && c.Spread <= 16, "spread", "within 1 and 16")
-	for zone, share := range c.Carried {
+	require(c.MinWitnesses >= 1 && c.MinWitnesses <= 64, "witnesses", "within 1 and 64")
+	require(c.MinFailingShare >= 0.5 && c.MinFailingShare <= 1, "share", "within 0.5 and 1")
+	require(c.FailingRatio > 0 && c.FailingRatio <= 1, "fails", "above 0, 1 at most")
+	require(c.DegradedRatio > 0 && c.DegradedRatio < c.FailingRatio, "limps", "above 0 and below fails")
+	require(c.ResponseTimeout >= 50*time.Millisecond && c.ResponseTimeout <= 10*time.Second, "silence", "within 50ms and 10s")
+	require(c.SlowFactor >= 1.5 && c.SlowFactor <= 100, "slow", "within 1.5 and 100")
+	require(c.EvidenceWindow >= c.ResponseTimeout && c.EvidenceWindow <= time.Minute, "window", "silence at least, 1m at most")
+	require(c.SettleDelay >= 0 && c.SettleDelay < c.EvidenceWindow, "settle", "0 or more, and below window")
+	require(c.LocalDepartureDelay >= c.SettleDelay && c.LocalDepartureDelay <= time.Minute, "alone", "settle at least, 1m at most")
+	require(c.MinStageDuration >= c.ResponseTimeout && c.MinStageDuration <= time.Hour, "proof", "silence at least, 1h at most: a stage is judged by what has had time to fail")
+	require(c.MinDwell >= c.MinStageDuration && c.MinDwell <= time.Hour, "dwell", "proof at least, 1h at most")
+	require(c.MaxDwell >= c.MinDwell && c.MaxDwell <= 24*time.Hour, "dwell_most", "dwell at least, 24h at most")
+	require(c.ServerCapacity > 0 && c.ServerCapacity <= 1e6, "bears", "above 0, 1000000 at most")
+	require(c.Fanout >= 1 && c.Fanout <= 16, "spread", "within 1 and 16")
+	for zone, share := range c.CapacityWithoutZone {
 		require(share >= 0 && share <= 1, "carried."+zone, "within 0 and 1")
 	}
-	require(c.Full > 0 && c.Full <= 1, "full", "above 0, 1 at most")
+	require(c.MaxRefusalShare > 0 && c.MaxRefusalShare <= 1, "full", "above 0, 1 at most")
 	return err
 }
 
@@ -127,8 +127,8 @@
 
 const (
 	StageAll     Stage = iota // all sidecars send
-	StagePart                 // all sidecars send, except calls of classes marked in Config.Dear
-	Out                       // no sidecar sends
+	StagePart                 // all sidecars send, except calls of classes marked in Config.HighWorthClasses
+	StageOut                  // no sidecar sends
 	StageOneIn64              // 1/64 of the sidecars send, rate limited
 	StageOneIn16              // 1/16 of the sidecars send, rate limited
 	StageOneIn4               // 1/4 of the sidecars send, rate limited
@@ -143,7 +143,7 @@
 // relapseStage is the stage that follows a relapse, nextStage the one that follows a successful
 // stage, and sendingShare the share of the sidecars that send.
 var (
-	relapseStage = [stageCount]Stage{Out, Out, Out, Out, StageOneIn64, StageOneIn16}
+	relapseStage = [stageCount]Stage{StageOut, StageOut, StageOut, StageOut, StageOneIn64, StageOneIn16}
 	nextStage    = [stageCount]Stage{StageAll, StageAll, StageOneIn64, StageOneIn16, StageOneIn4, StageAll}
 	sendingShare = [stageCount]float64{1, 1, 0, 1.0 / 64, 1.0 / 16, 1.0 / 4}
 	// restrictiveness orders the stages of records with equal Gen and Step: of two concurrent
@@ -176,9 +176,9 @@
 type Action uint8
 
 const (
-	Auto       Action = iota // no order: evidence decides
-	Leave                    // keep the zone out, whatever the evidence
-	ActionHold               // keep the current stage
+	ActionAuto  Action = iota // no order: evidence decides
+	ActionLeave               // keep the zone out, whatever the evidence
+	ActionHold                // keep the current stage
 	actionCount
 )
 
@@ -192,13 +192,13 @@
 	Author  uint16 // number of the sidecar that accepted it
 	Action  Action
 	Stage   Stage  // stage that ActionHold keeps
-	Who     string // name of the operator, at most WhoMost bytes
+	Who     string // name of the operator, at most MaxWhoBytes bytes
 	Reason  string // at most MaxReasonBytes bytes
 }
 
 // Maximum lengths of an order's texts, in bytes.
 const (
-	WhoMost        = 16
+	MaxWhoBytes    = 16
 	MaxReasonBytes = 40
 )
 
@@ -232,5 +232,5 @@
 var (
 	ErrUnknownZone = errors.New("there is no such zone")
 	ErrLastZone    = errors.New("it is all there is")
-	ErrOrderText   = fmt.Errorf("the reason may have %d bytes, the name %d, and neither may be empty", MaxReasonBytes, WhoMost)
+	ErrOrderText   = fmt.Errorf("the reason may have %d bytes, the name %d, and neither may be empty", MaxReasonBytes, MaxWhoBytes)
 )
--- a/internal/evacuation/evidence.go
+++ b/internal/evacuation/evidence.go
@@ -6,26 +6,26 @@
 	"time"
 )
 
-// Kind is the result of an attempt.
-type Kind uint8
+// ResultKind is the result of an attempt.
+type ResultKind uint8
 
 const (
-	Good    Kind = iota
-	NoConn       // no connection was established
-	Broken       // the connection was reset or closed
-	Late         // no response in time, or one that took far longer than in other zones
-	Errored      // the response is an error
-	Full         // refused: the server is up and busy, which is no sign of failure
+	ResultGood          ResultKind = iota
+	ResultConnectFailed            // no connection was established
+	ResultReset                    // the connection was reset or closed
+	ResultLate                     // no response in time, or one that took far longer than in other zones
+	ResultError                    // the response is an error
+	ResultRefused                  // refused: the server is up and busy, which is no sign of failure
 	resultKindCount
 )
 
 // String returns the name of the result as shown to operators.
-func (k Kind) String() string {
+func (k ResultKind) String() string {
 	return [...]string{"good", "no connection", "broken", "late", "error", "turned away"}[k]
 }
 
 // isFailure reports whether the result counts as a failure of the zone.
-func (k Kind) isFailure() bool { return k != Good && k != Full }
+func (k ResultKind) isFailure() bool { return k != ResultGood && k != ResultRefused }
 
 // resultCounts holds exponentially decaying counts by result. Operators see them in View.
 type resultCounts struct {
@@ -47,7 +47,7 @@
 type server struct {
 	name         string
 	zone         *zone
-	lastResult   Kind
+	lastResult   ResultKind
 	lastResultAt time.Duration // negative: never
 }
 
@@ -83,7 +83,7 @@
 	goodWeight    float64 // weight of good results
 }
 
-// resultWindows is the time constant of the result counts, in multiples of Config.Window.
+// resultWindows is the time constant of the result counts, in multiples of Config.EvidenceWindow.
 const resultWindows = 3
 
 // minEvidenceWeight is the evidence weight below which no conclusion is drawn.
@@ -104,7 +104,7 @@
 		case s.lastResult.isFailure():
 			badWeight += weight
 			e.badServers++
-		case s.lastResult == Good:
+		case s.lastResult == ResultGood:
 			e.goodWeight += weight
 		}
 		e.recentServers++
@@ -119,14 +119,14 @@
 		total += x
 	}
 	if total > minEvidenceWeight {
-		e.refusalShare = z.results.counts[Full] / total
+		e.refusalShare = z.results.counts[ResultRefused] / total
 	}
 	return e
 }
 
-// Sent records that an attempt was sent to a server. It returns the ticket that identifies the
+// RecordSend records that an attempt was sent to a server. It returns the ticket that identifies the
 // attempt in Ended.
-func (m *Machine) Sent(now time.Duration, name string) uint64 {
+func (m *Machine) RecordSend(now time.Duration, name string) uint64 {
 	m.lastTicket++
 	if s := m.servers[name]; s != nil && len(m.openAttempts) < maxOpenAttempts {
 		m.openAttempts[m.lastTicket] = attempt{server: s, sentAt: now}
@@ -134,8 +134,8 @@
 	return m.lastTicket
 }
 
-// Ended records the result of an attempt. A cancelled attempt is no evidence.
-func (m *Machine) Ended(now time.Duration, ticket uint64, k Kind, calledOff bool) {
+// RecordEnd records the result of an attempt. A cancelled attempt is no evidence.
+func (m *Machine) RecordEnd(now time.Duration, ticket uint64, k ResultKind, calledOff bool) {
 	a, ok := m.openAttempts[ticket]
 	if !ok {
 		return
@@ -144,9 +144,9 @@
 	if calledOff || a.countedLate || m.servers[a.server.name] != a.server {
 		return
 	}
-	if k == Good {
+	if k == ResultGood {
 		if took := now - a.sentAt; took > m.lateThreshold() {
-			k = Late
+			k = ResultLate
 		} else {
 			a.server.zone.responseTimes.add(float64(took))
 		}
@@ -155,16 +155,16 @@
 }
 
 // recordResult records the result of an attempt as evidence.
-func (m *Machine) recordResult(now time.Duration, a attempt, k Kind) {
+func (m *Machine) recordResult(now time.Duration, a attempt, k ResultKind) {
 	z := a.server.zone
-	z.results.decay(now, resultWindows*m.cfg.Window)
+	z.results.decay(now, resultWindows*m.cfg.EvidenceWindow)
 	z.results.counts[k]++
-	if k == Full {
+	if k == ResultRefused {
 		return
 	}
 	a.server.lastResult, a.server.lastResultAt = k, now
 	switch {
-	case k == Good:
+	case k == ResultGood:
 		z.lastGoodSent = max(z.lastGoodSent, a.sentAt)
 		if a.sentAt >= z.firstBadSent {
 			z.firstBadSent = -1
@@ -172,11 +172,11 @@
 	case z.firstBadSent < 0:
 		z.firstBadSent = a.sentAt
 	}
-	if k != Good {
+	if k != ResultGood {
 		z.lastBadSent = max(z.lastBadSent, a.sentAt)
 	}
 	if z.record.Stage >= StageOneIn64 && a.sentAt >= z.stageSince {
-		if k == Good {
+		if k == ResultGood {
 			z.stageGood++
 		} else {
 			z.stageBad++
@@ -193,7 +193,7 @@
 			fastest = v
 		}
 	}
-	return max(m.cfg.Silence, time.Duration(m.cfg.Slow*fastest))
+	return max(m.cfg.ResponseTimeout, time.Duration(m.cfg.SlowFactor*fastest))
 }
 
 // recordOverdueAttempts records each attempt that has exceeded the time limit as late, once.
@@ -206,7 +206,7 @@
 		a.countedLate = true
 		m.openAttempts[ticket] = a
 		if m.servers[a.server.name] == a.server {
-			m.recordResult(m.now, a, Late)
+			m.recordResult(m.now, a, ResultLate)
 		}
 	}
 }
@@ -218,7 +218,7 @@
 	bound := m.lateThreshold()
 	for ticket, a := range m.openAttempts {
 		z := a.server.zone
-		if a.reportedHopeless || z.vote != VoteFailing && z.vote != VoteCutOff && (z.record.Stage != Out || z.order.Action != Auto) || m.now-a.sentAt <= bound/2 {
+		if a.reportedHopeless || z.vote != VoteFailing && z.vote != VoteCutOff && (z.record.Stage != StageOut || z.order.Action != ActionAuto) || m.now-a.sentAt <= bound/2 {
 			continue
 		}
 		a.reportedHopeless = true
@@ -241,13 +241,13 @@
 		}
 		return VoteUnknown
 	}
-	evidence := z.evidence(m.now, m.cfg.Window)
+	evidence := z.evidence(m.now, m.cfg.EvidenceWindow)
 	switch {
 	case evidence.weight < minEvidenceWeight:
 		return VoteUnknown
-	case evidence.badRatio < m.cfg.Limps:
+	case evidence.badRatio < m.cfg.DegradedRatio:
 		return VoteFine
-	case evidence.badRatio < m.cfg.Fails || evidence.badServers < min(2, len(z.servers)):
+	case evidence.badRatio < m.cfg.FailingRatio || evidence.badServers < min(2, len(z.servers)):
 		return VoteDegraded
 	}
 	z.lastFailingAt = m.now
@@ -258,7 +258,7 @@
 	better, worse := false, false
 	for _, other := range m.zones {
 		switch {
-		case other == z || other.record.Stage == Out:
+		case other == z || other.record.Stage == StageOut:
 		case other.lastGoodSent >= z.firstBadSent && other.lastGoodSent >= 0 && other.lastFailingAt <= z.lastBadSent:
 			better = true
 		case other.firstBadSent >= 0:
--- a/internal/evacuation/evidence_test.go
+++ b/internal/evacuation/evidence_test.go
@@ -10,9 +10,9 @@
 func TestAttemptsToFailingZoneAreAbandoned(t *testing.T) {
 	a, _ := pair(t)
 	at := sec
-	expected := map[uint64]bool{a.Sent(at, "s1"): true, a.Sent(at, "s2"): true}
-	elsewhere := a.Sent(at, "s3")
-	a.Ended(at+20*time.Millisecond, a.Sent(at+10*time.Millisecond, "s4"), Good, false)
+	expected := map[uint64]bool{a.RecordSend(at, "s1"): true, a.RecordSend(at, "s2"): true}
+	elsewhere := a.RecordSend(at, "s3")
+	a.RecordEnd(at+20*time.Millisecond, a.RecordSend(at+10*time.Millisecond, "s4"), ResultGood, false)
 	var reported []uint64
 	for at < 2*sec {
 		at += 40 * time.Millisecond
@@ -30,7 +30,7 @@
 		t.Errorf("reported attempts %v, want 2", reported)
 	}
 	_, b := pair(t)
-	b.Sent(sec, "s3")
+	b.RecordSend(sec, "s3")
 	if err := b.SubmitOrder(sec, "b", "leave", "x", "y"); err != nil {
 		t.Fatal(err)
 	}
@@ -48,8 +48,8 @@
 			if n < 20 {
 				took = 60 * time.Millisecond
 			}
-			ticket := a.Sent(now, name)
-			a.Ended(now+took, ticket, Good, false)
+			ticket := a.RecordSend(now, name)
+			a.RecordEnd(now+took, ticket, ResultGood, false)
 		}
 		now += 100 * time.Millisecond
 		a.Tick(now)
@@ -72,7 +72,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	m.Servers(0, []Server{{Name: "s1", Zone: "a"}, {Name: "s2", Zone: "b"}})
+	m.SetServers(0, []Server{{Name: "s1", Zone: "a"}, {Name: "s2", Zone: "b"}})
 	due := func(now time.Duration, want string) {
 		t.Helper()
 		if got := m.PreferredZone(now, true); got != want || m.PreferredZone(now, false) != "" {
@@ -81,16 +81,16 @@
 	}
 	due(time.Second, "")
 	m.SetState(time.Second, "a", Record{Gen: 1, Step: 1, Stage: StageOneIn4}, VoteUnknown)
-	for step := uint16(1); m.Uses("a"); step++ { // until another sidecar is chosen
+	for step := uint16(1); m.UsesZone("a"); step++ { // until another sidecar is chosen
 		m.SetState(time.Second, "a", Record{Gen: 1, Step: step, Stage: StageOneIn4}, VoteUnknown)
 	}
 	due(time.Second, "")
-	for step := uint16(1); !m.Uses("a"); step++ { // until this sidecar is chosen
+	for step := uint16(1); !m.UsesZone("a"); step++ { // until this sidecar is chosen
 		m.SetState(time.Second, "a", Record{Gen: 1, Step: step, Stage: StageOneIn4}, VoteUnknown)
 	}
 	due(2*time.Second, "a")
-	m.Booked(2*time.Second, "b")
+	m.TakeToken(2*time.Second, "b")
 	due(2*time.Second, "a")
-	m.Booked(2*time.Second, "a")
+	m.TakeToken(2*time.Second, "a")
 	due(20*time.Second, "")
 }
--- a/internal/evacuation/fleet_test.go
+++ b/internal/evacuation/fleet_test.go
@@ -17,8 +17,8 @@
 type fleet struct {
 	*zonal.World
 	t       testing.TB
-	results map[string]evacuation.Kind // result of calls by zone; default Good
-	affects func(n int) bool           // sidecars that the failures affect; nil: all
+	results map[string]evacuation.ResultKind // result of calls by zone; default Good
+	affects func(n int) bool                 // sidecars that the failures affect; nil: all
 }
 
 func newFleet(t testing.TB, seed uint64, sidecars int) *fleet {
@@ -32,10 +32,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	f := &fleet{World: w, t: t, results: make(map[string]evacuation.Kind)}
-	w.CallResult = func(n int, s evacuation.Server) evacuation.Kind {
+	f := &fleet{World: w, t: t, results: make(map[string]evacuation.ResultKind)}
+	w.CallResult = func(n int, s evacuation.Server) evacuation.ResultKind {
 		if f.affects != nil && !f.affects(n) {
-			return evacuation.Good
+			return evacuation.ResultGood
 		}
 		return f.results[s.Zone]
 	}
@@ -47,7 +47,7 @@
 	if f.Now < 3*sec {
 		f.Run(3 * sec)
 	}
-	f.results[zone] = evacuation.NoConn
+	f.results[zone] = evacuation.ResultConnectFailed
 }
 
 // waitFor runs the fleet until holds returns true. It fails the test if that takes longer than
--- a/internal/evacuation/machine.go
+++ b/internal/evacuation/machine.go
@@ -116,11 +116,11 @@
 
 // Change is a stage change of a zone, as shown to operators.
 type Change struct {
-	At   time.Duration `json:"at_ns"`
-	Zone string        `json:"zone"`
-	From string        `json:"from"`
-	To   string        `json:"to"`
-	Why  string        `json:"why"`
+	At     time.Duration `json:"at_ns"`
+	Zone   string        `json:"zone"`
+	From   string        `json:"from"`
+	To     string        `json:"to"`
+	Reason string        `json:"why"`
 }
 
 // Machine decides for one sidecar which zones it uses. It is not safe for concurrent use. The times
@@ -162,9 +162,9 @@
 // Server is a server that takes calls.
 type Server struct{ Name, Zone string }
 
-// Servers replaces the list of servers. The state of a zone is kept while none of its servers is
+// SetServers replaces the list of servers. The state of a zone is kept while none of its servers is
 // listed, since it may return with others.
-func (m *Machine) Servers(now time.Duration, list []Server) {
+func (m *Machine) SetServers(now time.Duration, list []Server) {
 	m.now = now
 	old := m.servers
 	m.servers = make(map[string]*server, len(list))
@@ -233,13 +233,13 @@
 		m.resumedAt = now
 	}
 	m.now, m.lastTick, m.repliesSinceTick = max(now, m.now), now, 0
-	m.dropPeerReports(func(p *peer) bool { return now-p.heardAt >= max(heardTimeout, 2*m.cfg.Window) })
+	m.dropPeerReports(func(p *peer) bool { return now-p.heardAt >= max(heardTimeout, 2*m.cfg.EvidenceWindow) })
 	m.recordOverdueAttempts()
 	usesBefore := m.zoneUses()
 	for _, z := range m.zones {
 		m.updateVote(z)
 		m.adoptPeerRecord(z)
-		if z.order.Action != Auto {
+		if z.order.Action != ActionAuto {
 			m.enforceOrder(z)
 			continue
 		}
@@ -252,14 +252,14 @@
 	}
 	if m.helloPending { // asks once: peers reply to the note of a sidecar that has just started
 		m.helloPending = false
-		out.RandomNotes = m.cfg.Spread
+		out.RandomNotes = m.cfg.Fanout
 	}
 	out.NextTick = idleTickInterval
 	due := now-m.lastAnnouncement >= activeTickInterval
 	for _, z := range m.zones {
 		switch {
 		case now < z.announceUntil && due:
-			out.RandomNotes = m.cfg.Spread
+			out.RandomNotes = m.cfg.Fanout
 		case z.record.Stage >= StageOneIn64 && due && m.isCanary(z, m.cfg.Self): // the other sidecars wait for its result
 			out.RandomNotes = max(out.RandomNotes, 1)
 		}
@@ -336,21 +336,21 @@
 }
 
 // requiredVotes returns the number of sidecars whose votes a decision of the fleet requires.
-func (m *Machine) requiredVotes() int { return max(1, min(m.cfg.Witnesses, (m.cfg.Peers+1)/2)) }
+func (m *Machine) requiredVotes() int { return max(1, min(m.cfg.MinWitnesses, (m.cfg.Peers+1)/2)) }
 
 // requiredVotesFor returns the number of votes required to leave a zone. It is 1 if most of the
 // zone's region is already out.
 func (m *Machine) requiredVotesFor(z *zone) int {
-	region := m.cfg.Regions[z.name]
+	region := m.cfg.RegionByZone[z.name]
 	if region == "" {
 		return m.requiredVotes()
 	}
 	all, out := 0, 0
 	for _, o := range m.zones {
-		if m.cfg.Regions[o.name] != region || len(o.servers) == 0 {
+		if m.cfg.RegionByZone[o.name] != region || len(o.servers) == 0 {
 			continue
 		}
-		if all++; o != z && o.record.Stage == Out && o.order.Action == Auto {
+		if all++; o != z && o.record.Stage == StageOut && o.order.Action == ActionAuto {
 			out++
 		}
 	}
@@ -368,7 +368,7 @@
 func (m *Machine) forEachReport(z *zone, do func(n int, w peerReport)) {
 	for _, n := range m.recentPeers {
 		p := &m.peers[n]
-		if w, ok := p.reportOn(z.id); ok && m.now-p.heardAt < 2*m.cfg.Window && (w.vote == VoteFailing || m.now-w.evidenceAt < 2*m.cfg.Window) {
+		if w, ok := p.reportOn(z.id); ok && m.now-p.heardAt < 2*m.cfg.EvidenceWindow && (w.vote == VoteFailing || m.now-w.evidenceAt < 2*m.cfg.EvidenceWindow) {
 			do(n, w)
 		}
 	}
@@ -406,7 +406,7 @@
 // have been sent to contradict the failure: of the attempts in flight at that time some still
 // succeed.
 func (m *Machine) contradictionMargin(z *zone) time.Duration {
-	return min(max(50*time.Millisecond, time.Duration(2*z.responseTimes.value())), m.cfg.Silence/2)
+	return min(max(50*time.Millisecond, time.Duration(2*z.responseTimes.value())), m.cfg.ResponseTimeout/2)
 }
 
 // updateSuspectSince updates the time of the earliest evidence behind a vote that a zone fails.
@@ -431,7 +431,7 @@
 // isLastZone reports whether no other zone with servers is in use.
 func (m *Machine) isLastZone(z *zone) bool {
 	for _, o := range m.zones {
-		if o != z && len(o.servers) > 0 && !o.leftLocally && (o.record.Stage == StageAll || o.record.Stage == StagePart) && o.order.Action != Leave {
+		if o != z && len(o.servers) > 0 && !o.leftLocally && (o.record.Stage == StageAll || o.record.Stage == StagePart) && o.order.Action != ActionLeave {
 			return false
 		}
 	}
@@ -447,10 +447,10 @@
 	failing, against := m.countVotes(z)
 	// A single sidecar that sees the zone work may be wrong. If two do, the zone itself works, and
 	// the connection between it and some sidecars is broken. Those leave it by themselves.
-	isDue := failing >= m.requiredVotesFor(z) && against < min(2, m.requiredVotes()) && float64(failing) >= m.cfg.Share*float64(failing+against) && (z.vote == VoteFailing || z.vote == VoteDegraded) && !m.isLastZone(z)
+	isDue := failing >= m.requiredVotesFor(z) && against < min(2, m.requiredVotes()) && float64(failing) >= m.cfg.MinFailingShare*float64(failing+against) && (z.vote == VoteFailing || z.vote == VoteDegraded) && !m.isLastZone(z)
 	if !isDue {
 		z.departureDueSince = -1
-		if z.record.Stage == StagePart && z.vote == VoteFine && m.now-z.stageSince > m.cfg.Dwell {
+		if z.record.Stage == StagePart && z.vote == VoteFine && m.now-z.stageSince > m.cfg.MinDwell {
 			m.stepToStage(z, StageAll, "it is fine again")
 		}
 		return
@@ -458,21 +458,21 @@
 	if z.departureDueSince < 0 {
 		z.departureDueSince = m.now
 	}
-	if m.now-z.departureDueSince < m.cfg.Settle {
+	if m.now-z.departureDueSince < m.cfg.SettleDelay {
 		return // peers have time to contradict
 	}
 	why := fmt.Sprintf("%d say that it fails, %d speak against that", failing, against)
 	// If the other zones already refuse calls, or can't carry all of them, and this zone still
-	// serves some, only the calls of classes in Config.Dear move.
+	// serves some, only the calls of classes in Config.HighWorthClasses move.
 	refused, carried := m.refusalShareElsewhere(z), m.capacityWithout(z)
-	if (refused > m.cfg.Full || carried < 1) && z.isServing() {
+	if (refused > m.cfg.MaxRefusalShare || carried < 1) && z.isServing() {
 		if z.record.Stage == StageAll {
 			m.stepToStage(z, StagePart, fmt.Sprintf("%s; the others turn away %.0f%% and carry %.0f%%", why, 100*refused, 100*carried))
 		}
 		return
 	}
 	z.record = Record{Gen: z.record.Gen + 1, Fails: z.record.Fails, Stage: z.record.Stage}
-	m.enterStage(z, Out, why)
+	m.enterStage(z, StageOut, why)
 }
 
 // isServing reports whether a zone has served some calls recently. It looks at a longer time than
@@ -482,13 +482,13 @@
 	for _, x := range z.results.counts {
 		total += x
 	}
-	return z.results.counts[Good] > 0.03*(total-z.results.counts[Full])
+	return z.results.counts[ResultGood] > 0.03*(total-z.results.counts[ResultRefused])
 }
 
 // capacityWithout returns the share of the calls that the other zones can carry without z; 1 if
 // none is configured.
 func (m *Machine) capacityWithout(z *zone) float64 {
-	if share, ok := m.cfg.Carried[z.name]; ok {
+	if share, ok := m.cfg.CapacityWithoutZone[z.name]; ok {
 		return share
 	}
 	return 1
@@ -499,7 +499,7 @@
 	n := 0.0
 	for _, o := range m.zones {
 		if o != z && o.record.Stage == StageAll {
-			share += o.evidence(m.now, m.cfg.Window).refusalShare
+			share += o.evidence(m.now, m.cfg.EvidenceWindow).refusalShare
 			n++
 		}
 	}
@@ -523,7 +523,7 @@
 		z.locallyFailingSince = -1
 	case z.locallyFailingSince < 0:
 		z.locallyFailingSince = m.now
-	case m.now-z.locallyFailingSince >= m.cfg.Alone:
+	case m.now-z.locallyFailingSince >= m.cfg.LocalDepartureDelay:
 		z.leftLocally, z.locallyFailingSince = true, -1
 		z.localRetryAt = m.now + m.dwellTime(z.localDepartures)
 		z.localDepartures = min(z.localDepartures+1, 30)
@@ -537,9 +537,9 @@
 
 // dwellTime returns how long a zone stays out after the given number of relapses.
 func (m *Machine) dwellTime(fails int) time.Duration {
-	d := m.cfg.Dwell << min(fails, 20)
-	if d > m.cfg.DwellMost || d <= 0 {
-		return m.cfg.DwellMost
+	d := m.cfg.MinDwell << min(fails, 20)
+	if d > m.cfg.MaxDwell || d <= 0 {
+		return m.cfg.MaxDwell
 	}
 	return d
 }
--- a/internal/evacuation/note.go
+++ b/internal/evacuation/note.go
@@ -24,9 +24,9 @@
 // holds more zones.
 const MinNoteBytes = headerLen + zoneEntryLen + 1
 
-// Note returns this sidecar's part of a note, at most room bytes long. It returns nil if room is
+// EncodeNote returns this sidecar's part of a note, at most room bytes long. It returns nil if room is
 // below MinNoteBytes or no zone is known.
-func (m *Machine) Note(now time.Duration, room int) []byte {
+func (m *Machine) EncodeNote(now time.Duration, room int) []byte {
 	if room < MinNoteBytes || len(m.zones) == 0 {
 		return nil
 	}
@@ -122,9 +122,9 @@
 		if z == nil {
 			continue
 		}
-		leaves := entry.record.Stage == Out && z.record.Stage <= StagePart && entry.record.IsLater(z.record)
+		leaves := entry.record.Stage == StageOut && z.record.Stage <= StagePart && entry.record.IsLater(z.record)
 		urgent = urgent || entry.vote == VoteFailing || leaves
-		if (entry.vote == VoteFailing || leaves) && z.vote == VoteFine && m.now-z.lastGoodSent < m.cfg.Window {
+		if (entry.vote == VoteFailing || leaves) && z.vote == VoteFine && m.now-z.lastGoodSent < m.cfg.EvidenceWindow {
 			// A sidecar that sees the zone work says so at once, first to the peer that does not.
 			z.announceUntil = max(z.announceUntil, m.now+announcementPeriod)
 			replyDue = replyDue || z.lastGoodSent >= now-delay-entry.age+m.contradictionMargin(z)
@@ -211,7 +211,7 @@
 	if len(b) == 0 {
 		return note, true
 	}
-	if len(b) < 4 || int(b[2]) > WhoMost || int(b[3]) > MaxReasonBytes || len(b) != 4+int(b[2])+int(b[3]) {
+	if len(b) < 4 || int(b[2]) > MaxWhoBytes || int(b[3]) > MaxReasonBytes || len(b) != 4+int(b[2])+int(b[3]) {
 		return note, false
 	}
 	note.hasText, note.textZone = true, ZoneID(binary.BigEndian.Uint16(b))
--- a/internal/evacuation/note_test.go
+++ b/internal/evacuation/note_test.go
@@ -14,12 +14,12 @@
 	t.Helper()
 	for n := range 2 {
 		cfg := Default()
-		cfg.Self, cfg.Peers, cfg.Inc = n, 2, 5
+		cfg.Self, cfg.Peers, cfg.Incarnation = n, 2, 5
 		m, err := New(cfg)
 		if err != nil {
 			t.Fatal(err)
 		}
-		m.Servers(sec, []Server{{"s1", "a"}, {"s2", "a"}, {"s3", "b"}, {"s4", "b"}})
+		m.SetServers(sec, []Server{{"s1", "a"}, {"s2", "a"}, {"s3", "b"}, {"s4", "b"}})
 		m.Tick(sec)
 		if n == 0 {
 			a = m
@@ -33,7 +33,7 @@
 // An order must not make the fleet leave the last zone in use either.
 func TestOrderCannotLeaveLastZone(t *testing.T) {
 	a, _ := pair(t)
-	a.Servers(sec, []Server{{"s1", "a"}})
+	a.SetServers(sec, []Server{{"s1", "a"}})
 	if err := a.SubmitOrder(sec, "a", "leave", "x", "y"); err == nil || err.Error() != `zone "a": it is all there is` {
 		t.Error(err)
 	}
@@ -47,7 +47,7 @@
 	if err := a.SubmitOrder(sec, "a", "leave", "kim", "a test"); err != nil {
 		t.Fatal(err)
 	}
-	valid := a.Note(sec, 150)
+	valid := a.EncodeNote(sec, 150)
 	for name, corrupt := range map[string]func(b []byte) (from int, bytes []byte){
 		"empty":           func([]byte) (int, []byte) { return 0, nil },
 		"cut in the head": func(b []byte) (int, []byte) { return 0, b[:headerLen-1] },
@@ -66,13 +66,13 @@
 		before, _ := b.NoteErrors()
 		from, text := corrupt(bytes.Clone(valid))
 		out := b.ReceiveNote(sec, from, 5, text)
-		if after, _ := b.NoteErrors(); after != before+1 || len(out.Recipients)+len(out.Changes) > 0 || !b.Uses("a") || b.RecentPeers() > 0 {
+		if after, _ := b.NoteErrors(); after != before+1 || len(out.Recipients)+len(out.Changes) > 0 || !b.UsesZone("a") || b.RecentPeers() > 0 {
 			t.Errorf("%s: %d notes counted as invalid, want 1; result %+v, want none; %d peers heard, want 0", name, after-before, out, b.RecentPeers())
 		}
 	}
 	b.ReceiveNote(sec, 0, 5, valid)
-	if b.Uses("a") || b.RecentPeers() != 1 {
-		t.Fatalf("valid note: uses zone a: %v, want false; %d peers heard, want 1", b.Uses("a"), b.RecentPeers())
+	if b.UsesZone("a") || b.RecentPeers() != 1 {
+		t.Fatalf("valid note: uses zone a: %v, want false; %d peers heard, want 1", b.UsesZone("a"), b.RecentPeers())
 	}
 	// A duplicate, and a note from an earlier incarnation.
 	for _, inc := range []uint64{5, 4} {
@@ -83,7 +83,7 @@
 			}
 		}
 	}
-	if n := len(a.Note(sec, MinNoteBytes-1)); n > 0 {
+	if n := len(a.EncodeNote(sec, MinNoteBytes-1)); n > 0 {
 		t.Errorf("note of %d bytes without room for a zone, want none", n)
 	}
 }
@@ -92,7 +92,7 @@
 func TestDelayedNoteCountsAsOld(t *testing.T) {
 	a, b := pair(t)
 	a.zones[0].vote, a.zones[0].firstBadSent = VoteFailing, sec
-	fast, delayed := a.Note(sec, 150), a.Note(sec, 150)
+	fast, delayed := a.EncodeNote(sec, 150), a.EncodeNote(sec, 150)
 	b.ReceiveNote(sec, 0, 5, fast)
 	b.Tick(sec)
 	if failing, _ := b.countVotes(b.zones[0]); failing != 1 {
@@ -110,7 +110,7 @@
 	for s := range 600 {
 		at := time.Duration(s+1) * sec
 		b2.Tick(at + at/101)
-		b2.ReceiveNote(at+at/101, 0, 5, a2.Note(at, 150))
+		b2.ReceiveNote(at+at/101, 0, 5, a2.EncodeNote(at, 150))
 	}
 	if b2.RecentPeers() != 1 {
 		t.Error("a peer whose clock is slower by one percent is not heard after ten minutes")
@@ -121,11 +121,11 @@
 // stage by the time spent suspended.
 func TestSuspensionDiscardsEvidence(t *testing.T) {
 	a, b := pair(t)
-	b.ReceiveNote(sec, 0, 5, a.Note(sec, 150))
+	b.ReceiveNote(sec, 0, 5, a.EncodeNote(sec, 150))
 	for n, name := range []string{"s1", "s2", "s1", "s2"} {
-		b.Ended(sec+time.Duration(n)*time.Millisecond, b.Sent(sec, name), NoConn, false)
+		b.RecordEnd(sec+time.Duration(n)*time.Millisecond, b.RecordSend(sec, name), ResultConnectFailed, false)
 	}
-	b.Ended(sec, b.Sent(sec+time.Millisecond, "s3"), Good, false)
+	b.RecordEnd(sec, b.RecordSend(sec+time.Millisecond, "s3"), ResultGood, false)
 	b.Tick(sec + 100*time.Millisecond)
 	if v := b.zones[0].vote; v != VoteFailing {
 		t.Fatalf("vote on zone a is %v, want failing", v)
@@ -134,17 +134,17 @@
 		t.Fatal(err)
 	}
 	b.SubmitOrder(sec+100*time.Millisecond, "a", "auto", "x", "y")
-	open := b.Sent(sec+100*time.Millisecond, "s1")
+	open := b.RecordSend(sec+100*time.Millisecond, "s1")
 	out := b.Tick(20 * sec)
-	if v := b.zones[0].vote; v != VoteUnknown || b.RecentPeers() != 0 || out.RandomNotes == 0 || b.zones[0].record.Stage != Out {
+	if v := b.zones[0].vote; v != VoteUnknown || b.RecentPeers() != 0 || out.RandomNotes == 0 || b.zones[0].record.Stage != StageOut {
 		t.Errorf("after a suspension of 19 s: vote %v, want unknown; %d peers heard, want 0; %d notes to send, want some; record %v, want stage out", v, b.RecentPeers(), out.RandomNotes, b.zones[0].record)
 	}
-	b.Ended(20*sec, open, Late, false)
+	b.RecordEnd(20*sec, open, ResultLate, false)
 	b.Tick(20*sec + 50*time.Millisecond)
 	if v := b.zones[0].vote; v != VoteUnknown {
 		t.Errorf("vote %v by an attempt from before the suspension, want unknown", v)
 	}
-	if n := b.Note(20*sec, 150); n[11]&flagHello == 0 {
+	if n := b.EncodeNote(20*sec, 150); n[11]&flagHello == 0 {
 		t.Error("note has no hello flag")
 	}
 }
@@ -157,7 +157,7 @@
 		a.lastTick, b.lastTick, b.now = 10*sec, 10*sec+500*time.Millisecond, 10*sec+500*time.Millisecond
 		a.zones[0].vote, a.zones[0].lastGoodSent = VoteFine, sent
 		b.zones[0].suspectSince = 10 * sec
-		b.ReceiveNote(b.now, 0, 5, a.Note(b.now, 150))
+		b.ReceiveNote(b.now, 0, 5, a.EncodeNote(b.now, 150))
 		if _, against := b.countVotes(b.zones[0]); against != want {
 			t.Errorf("success sent %v after the first failure: %d contradict", sent-10*sec, against)
 		}
@@ -166,21 +166,21 @@
 
 func TestConfigValidation(t *testing.T) {
 	for want, invalidate := range map[string]func(c *Config){
-		"zones.witnesses":  func(c *Config) { c.Witnesses = 0 },
-		"zones.share":      func(c *Config) { c.Share = 0.4 },
-		"zones.fails":      func(c *Config) { c.Fails = 1.1 },
-		"zones.limps":      func(c *Config) { c.Limps = c.Fails },
-		"zones.silence":    func(c *Config) { c.Silence = time.Millisecond },
-		"zones.slow":       func(c *Config) { c.Slow = 1 },
-		"zones.window":     func(c *Config) { c.Window = c.Silence - 1 },
-		"zones.settle":     func(c *Config) { c.Settle = c.Window },
-		"zones.alone":      func(c *Config) { c.Alone = c.Settle - 1 },
-		"zones.proof":      func(c *Config) { c.Proof = c.Silence - 1 },
-		"zones.dwell:":     func(c *Config) { c.Dwell = c.Proof - 1 },
-		"zones.dwell_most": func(c *Config) { c.DwellMost = c.Dwell - 1 },
-		"zones.bears":      func(c *Config) { c.Bears = 0 },
-		"zones.spread":     func(c *Config) { c.Spread = 17 },
-		"zones.full":       func(c *Config) { c.Full = 0 },
+		"zones.witnesses":  func(c *Config) { c.MinWitnesses = 0 },
+		"zones.share":      func(c *Config) { c.MinFailingShare = 0.4 },
+		"zones.fails":      func(c *Config) { c.FailingRatio = 1.1 },
+		"zones.limps":      func(c *Config) { c.DegradedRatio = c.FailingRatio },
+		"zones.silence":    func(c *Config) { c.ResponseTimeout = time.Millisecond },
+		"zones.slow":       func(c *Config) { c.SlowFactor = 1 },
+		"zones.window":     func(c *Config) { c.EvidenceWindow = c.ResponseTimeout - 1 },
+		"zones.settle":     func(c *Config) { c.SettleDelay = c.EvidenceWindow },
+		"zones.alone":      func(c *Config) { c.LocalDepartureDelay = c.SettleDelay - 1 },
+		"zones.proof":      func(c *Config) { c.MinStageDuration = c.ResponseTimeout - 1 },
+		"zones.dwell:":     func(c *Config) { c.MinDwell = c.MinStageDuration - 1 },
+		"zones.dwell_most": func(c *Config) { c.MaxDwell = c.MinDwell - 1 },
+		"zones.bears":      func(c *Config) { c.ServerCapacity = 0 },
+		"zones.spread":     func(c *Config) { c.Fanout = 17 },
+		"zones.full":       func(c *Config) { c.MaxRefusalShare = 0 },
 		"zones.peers":      func(c *Config) { c.Peers = 0 },
 		"zones.self":       func(c *Config) { c.Self = 1 },
 	} {
@@ -202,26 +202,26 @@
 	cfg := Default()
 	cfg.Peers = 4
 	m, _ := New(cfg)
-	m.Servers(sec, []Server{{"s1", "a"}, {"s2", "b"}})
+	m.SetServers(sec, []Server{{"s1", "a"}, {"s2", "b"}})
 	m.Tick(sec)
-	f.Add(m.Note(sec, 150))
+	f.Add(m.EncodeNote(sec, 150))
 	m.SubmitOrder(sec, "a", "hold", "kim", "why not")
-	f.Add(m.Note(sec, 150))
+	f.Add(m.EncodeNote(sec, 150))
 	f.Add([]byte{1})
 	f.Fuzz(func(t *testing.T, b []byte) {
 		n, ok := parseNote(b)
 		if !ok {
 			return
 		}
-		if len(n.who) > WhoMost || len(n.reason) > MaxReasonBytes || len(n.zones) > maxNoteZones {
+		if len(n.who) > MaxWhoBytes || len(n.reason) > MaxReasonBytes || len(n.zones) > maxNoteZones {
 			t.Errorf("note exceeds the limits: %+v", n)
 		}
 		cfg.Self = 3
 		m, _ := New(cfg)
-		m.Servers(sec, []Server{{"s1", "a"}, {"s2", "b"}})
+		m.SetServers(sec, []Server{{"s1", "a"}, {"s2", "b"}})
 		m.ReceiveNote(2*sec, int(n.from), 1, b)
 		m.Tick(3 * sec)
-		if m.Note(3*sec, 150) == nil {
+		if m.EncodeNote(3*sec, 150) == nil {
 			t.Error("no note after receiving one")
 		}
 	})
--- a/internal/evacuation/partition_test.go
+++ b/internal/evacuation/partition_test.go
@@ -17,10 +17,10 @@
 	f.Run(6 * sec)
 	first, _ := f.Sidecars[0].RecordAndOrder("a")
 	last, _ := f.Sidecars[39].RecordAndOrder("a")
-	if first.Stage != evacuation.Out || last.Stage != evacuation.StageAll {
+	if first.Stage != evacuation.StageOut || last.Stage != evacuation.StageAll {
 		t.Fatalf("during the partition: sidecars by stage: %v, want the first half out", f.CountByStage("a"))
 	}
-	parted, f.results["a"] = false, evacuation.Good
+	parted, f.results["a"] = false, evacuation.ResultGood
 	f.Run(9 * sec)
 	f.waitFor("agreed", 60*sec, func() bool { return f.IsAgreed("a") })
 	for n, c := range f.Sidecars {
@@ -55,7 +55,7 @@
 	for end := f.Now + period; f.Now < end; {
 		f.Run(f.Now + 50*ms)
 		for n, c := range f.Sidecars[few:] {
-			if !c.Uses("a") {
+			if !c.UsesZone("a") {
 				f.t.Fatalf("at %v: sidecar %d left zone a: %+v", f.Now, n+few, c.ZoneViews(f.Now)[0].Changes)
 			}
 		}
@@ -66,7 +66,7 @@
 // must not follow.
 func TestMajorityDoesNotFollowMinority(t *testing.T) {
 	f, parted := newFleetWithMinorityOut(t)
-	*parted, f.results["a"] = false, evacuation.Good
+	*parted, f.results["a"] = false, evacuation.ResultGood
 	f.requireUnaffected(8, 6*sec)
 	f.waitUntilReturned("a", time.Minute)
 }
@@ -77,7 +77,7 @@
 	for _, stage := range []evacuation.Stage{evacuation.StageOneIn64, evacuation.StageOneIn16, evacuation.StageOneIn4} {
 		t.Run(stage.String(), func(t *testing.T) {
 			f, parted := newFleetWithMinorityOut(t)
-			f.results["a"] = evacuation.Good
+			f.results["a"] = evacuation.ResultGood
 			f.waitFor("change of sidecar 0 to the expected stage", time.Minute, func() bool {
 				rec, _ := f.Sidecars[0].RecordAndOrder("a")
 				return rec.Stage == stage
@@ -93,32 +93,32 @@
 // fails for it too. Sidecars whose last zone is a must stay there, even if the first part is on its
 // way back to it.
 func TestLastZoneStaysInUseAfterPartition(t *testing.T) {
-	for _, stage := range []evacuation.Stage{evacuation.Out, evacuation.StageOneIn64} {
+	for _, stage := range []evacuation.Stage{evacuation.StageOut, evacuation.StageOneIn64} {
 		t.Run(stage.String(), func(t *testing.T) {
 			f := newFleet(t, 53, 12)
 			parted := true
 			f.partition(6, &parted)
 			f.Run(3 * sec)
-			f.CallResult = func(n int, s evacuation.Server) evacuation.Kind {
+			f.CallResult = func(n int, s evacuation.Server) evacuation.ResultKind {
 				lost := s.Zone == "a" && f.Now < 7*sec
 				if n >= 6 {
 					lost = s.Zone != "a" || !parted
 				}
-				return map[bool]evacuation.Kind{true: evacuation.NoConn}[lost]
+				return map[bool]evacuation.ResultKind{true: evacuation.ResultConnectFailed}[lost]
 			}
 			f.waitFor("change of sidecar 0 to the expected stage", time.Minute, func() bool {
 				rec, _ := f.Sidecars[0].RecordAndOrder("a")
 				return rec.Stage == stage
 			})
 			f.Run(max(f.Now, 8*sec))
-			if c := f.Sidecars[8]; c.Uses("b") || c.Uses("c") || !c.Uses("a") {
+			if c := f.Sidecars[8]; c.UsesZone("b") || c.UsesZone("c") || !c.UsesZone("a") {
 				t.Fatalf("sidecar 8 uses other zones than a: %+v", c.ZoneViews(f.Now))
 			}
 			parted = false
 			for to := f.Now + 6*sec; f.Now < to; {
 				f.Run(f.Now + 50*ms)
 				for n, c := range f.Sidecars {
-					if !c.Uses("a") && !c.Uses("b") && !c.Uses("c") {
+					if !c.UsesZone("a") && !c.UsesZone("b") && !c.UsesZone("c") {
 						t.Fatalf("at %v: sidecar %d uses no zone: %+v", f.Now, n, c.ZoneViews(f.Now)[0].Changes)
 					}
 				}
--- a/internal/evacuation/random_test.go
+++ b/internal/evacuation/random_test.go
@@ -19,8 +19,8 @@
 	from, _ := strconv.Atoi(os.Getenv("FAWN_ZONES_FROM"))
 	for seed := uint64(from); seed < uint64(from+schedules); seed++ {
 		sidecars := 3 + int(seed*7%14)
-		if outcome, faults, err := zonal.Rehearse(evacuation.Default(), seed, sidecars, 2, "a", "b", "c"); err != nil || len(outcome.Broken) > 0 {
-			t.Errorf("seed %d, %d sidecars: error %v, violations %v, faults %v", seed, sidecars, err, outcome.Broken, faults)
+		if outcome, faults, err := zonal.RunRandomFaults(evacuation.Default(), seed, sidecars, 2, "a", "b", "c"); err != nil || len(outcome.Violations) > 0 {
+			t.Errorf("seed %d, %d sidecars: error %v, violations %v, faults %v", seed, sidecars, err, outcome.Violations, faults)
 		}
 	}
 }
--- a/internal/evacuation/stages.go
+++ b/internal/evacuation/stages.go
@@ -40,7 +40,7 @@
 		z.unconfirmedSince = -1
 	}
 	required := m.requiredVotesFor(z)
-	if m.now-m.resumedAt > m.cfg.Alone { // peers have had time to answer: require no more than were heard
+	if m.now-m.resumedAt > m.cfg.LocalDepartureDelay { // peers have had time to answer: require no more than were heard
 		required = max(1, min(required, heard))
 	}
 	if len(held) < required {
@@ -58,11 +58,11 @@
 	best := held[required-1] // the latest record that at least required peers have reached
 	// For a sidecar that sends all calls, a return stage is a departure as well: its peers may have
 	// left the zone and be on their way back.
-	leaves := z.record.Stage <= StagePart && best.Stage >= Out
+	leaves := z.record.Stage <= StagePart && best.Stage >= StageOut
 	if leaves && (m.isUnconfirmed(z) || (m.hasSeenRecovery(z) || best.Stage >= StageOneIn64) && 2*len(held) < heard) {
 		return // a zone that works is left only together with most of the fleet
 	}
-	if (leaves || best.Stage == Out) && m.isLastZone(z) && !m.rejoinLocallyLeftZones(z) {
+	if (leaves || best.Stage == StageOut) && m.isLastZone(z) && !m.rejoinLocallyLeftZones(z) {
 		return
 	}
 	from := z.record.Stage
@@ -109,7 +109,7 @@
 			fine++
 		}
 	})
-	return fine >= min(2, m.requiredVotes()) || m.now-z.unconfirmedSince < 2*m.cfg.Settle
+	return fine >= min(2, m.requiredVotes()) || m.now-z.unconfirmedSince < 2*m.cfg.SettleDelay
 }
 
 // canaryWeight ranks the sidecars for the return to a zone: those with the highest weights send
@@ -155,7 +155,7 @@
 		m.stepToStage(z, StageAll, "the others are all back")
 		return
 	}
-	if z.record.Stage == Out {
+	if z.record.Stage == StageOut {
 		if len(z.servers) > 0 && m.now-z.stageSince >= m.dwellTime(int(z.record.Fails)) {
 			m.stepToStage(z, StageOneIn64, "it has been out for long enough")
 		}
@@ -224,21 +224,21 @@
 }
 
 // minStageDuration returns the minimum duration of a stage. It grows with relapses, up to
-// Config.DwellMost.
+// Config.MaxDwell.
 func (m *Machine) minStageDuration(z *zone) time.Duration {
-	return min(m.cfg.Proof<<min(z.record.Fails/2, 6), m.cfg.DwellMost)
+	return min(m.cfg.MinStageDuration<<min(z.record.Fails/2, 6), m.cfg.MaxDwell)
 }
 
 // enforceOrder brings a zone to the stage that an operator's order demands.
 func (m *Machine) enforceOrder(z *zone) {
 	want := z.order.Stage
-	if z.order.Action == Leave {
-		want = Out
+	if z.order.Action == ActionLeave {
+		want = StageOut
 	}
-	if z.record.Stage == want || want == Out && m.isLastZone(z) {
+	if z.record.Stage == want || want == StageOut && m.isLastZone(z) {
 		return
 	}
-	if z.order.Action == Leave {
+	if z.order.Action == ActionLeave {
 		z.record.Gen++
 		z.record.Step = 0
 	}
@@ -250,15 +250,15 @@
 	switch z.record.Stage {
 	case StageAll, StagePart:
 		return !z.leftLocally
-	case Out:
+	case StageOut:
 		return false
 	}
 	return m.isCanary(z, m.cfg.Self)
 }
 
-// Uses reports whether this sidecar sends to the named zone. It is true for a zone that is not
+// UsesZone reports whether this sidecar sends to the named zone. It is true for a zone that is not
 // known.
-func (m *Machine) Uses(name string) bool {
+func (m *Machine) UsesZone(name string) bool {
 	z := m.findZone(name)
 	return z == nil || m.usesZone(z)
 }
@@ -274,10 +274,10 @@
 	switch z.record.Stage {
 	case StageAll:
 		return !z.leftLocally
-	case Out:
+	case StageOut:
 		return false
 	case StagePart:
-		return class >= len(m.cfg.Dear) || class < 0 || !m.cfg.Dear[class]
+		return class >= len(m.cfg.HighWorthClasses) || class < 0 || !m.cfg.HighWorthClasses[class]
 	}
 	if !m.isCanary(z, m.cfg.Self) {
 		return false
@@ -304,8 +304,8 @@
 	return ""
 }
 
-// Booked takes a token for a call that is sent to a zone for which Room returned true.
-func (m *Machine) Booked(now time.Duration, name string) {
+// TakeToken takes a token for a call that is sent to a zone for which Room returned true.
+func (m *Machine) TakeToken(now time.Duration, name string) {
 	if z := m.findZone(name); z != nil && z.record.Stage >= StageOneIn64 {
 		m.refillTokens(z, now)
 		z.tokens--
@@ -316,7 +316,7 @@
 // stageRate returns the rate limit of a zone's stage, in calls per second to all its servers, over
 // the whole fleet. In any second, up to two calls more for each sending sidecar are possible.
 func (m *Machine) stageRate(z *zone) float64 {
-	return sendingShare[z.record.Stage] * m.cfg.Bears * float64(len(z.servers))
+	return sendingShare[z.record.Stage] * m.cfg.ServerCapacity * float64(len(z.servers))
 }
 
 // refillTokens adds the tokens earned since the last refill.
@@ -337,26 +337,26 @@
 	if z == nil || len(z.servers) == 0 && z.record == (Record{}) && z.order == (Order{}) {
 		return fmt.Errorf("zone %q: %w", name, ErrUnknownZone)
 	}
-	if who == "" || reason == "" || len(who) > WhoMost || len(reason) > MaxReasonBytes {
+	if who == "" || reason == "" || len(who) > MaxWhoBytes || len(reason) > MaxReasonBytes {
 		return ErrOrderText
 	}
 	m.now = now
 	order := Order{Version: z.order.Version + 1, Author: uint16(m.cfg.Self), Who: who, Reason: reason}
 	switch action {
 	case "leave":
-		if m.isLastZone(z) && z.record.Stage != Out {
+		if m.isLastZone(z) && z.record.Stage != StageOut {
 			return fmt.Errorf("zone %q: %w", name, ErrLastZone)
 		}
-		order.Action = Leave
+		order.Action = ActionLeave
 	case "hold":
 		order.Action, order.Stage = ActionHold, z.record.Stage
 	case "return", "auto":
-		order.Action = Auto
+		order.Action = ActionAuto
 	default:
 		return fmt.Errorf("zones: %q is no order: leave, return, hold or auto", action)
 	}
 	m.setOrder(z, order)
-	if action == "return" && z.record.Stage == Out {
+	if action == "return" && z.record.Stage == StageOut {
 		z.record.Fails = 0
 		m.stepToStage(z, StageOneIn64, fmt.Sprintf("%s ordered its return: %s", who, reason))
 	}
@@ -368,7 +368,7 @@
 	z.order = o
 	z.announceUntil = m.now + announcementPeriod
 	m.recordChange(z, z.record.Stage.String(), z.record.Stage.String(), fmt.Sprintf("order %d of sidecar %d, %s: %s, %s", o.Version, o.Author, o.Who, o.Action, o.Reason))
-	if o.Action != Auto {
+	if o.Action != ActionAuto {
 		m.enforceOrder(z)
 	}
 }
@@ -390,12 +390,12 @@
 	return all
 }
 
-// Adopt restores the state that another process of the same sidecar held. Invalid entries are
+// RestoreState restores the state that another process of the same sidecar held. Invalid entries are
 // skipped and counted.
-func (m *Machine) Adopt(now time.Duration, states []ZoneState) {
+func (m *Machine) RestoreState(now time.Duration, states []ZoneState) {
 	m.now = now
 	for _, s := range states {
-		if s.Record.Stage >= stageCount || s.Order.Action >= actionCount || s.Order.Stage >= stageCount || len(s.Order.Who) > WhoMost || len(s.Order.Reason) > MaxReasonBytes {
+		if s.Record.Stage >= stageCount || s.Order.Action >= actionCount || s.Order.Stage >= stageCount || len(s.Order.Who) > MaxWhoBytes || len(s.Order.Reason) > MaxReasonBytes {
 			m.invalidNotes++
 			continue
 		}
@@ -417,47 +417,47 @@
 
 // View is the state of a zone as shown to operators.
 type View struct {
-	Zone     string             `json:"zone"`
-	Region   string             `json:"region,omitempty"`
-	Stage    string             `json:"stage"`
-	Uses     bool               `json:"uses"` // by this sidecar
-	Since    time.Duration      `json:"since_ns"`
-	Verdict  string             `json:"verdict"` // vote by this sidecar's own evidence
-	Failing  int                `json:"failing"` // sidecars that vote that the zone fails
-	Fine     int                `json:"fine"`
-	Servers  int                `json:"servers"`
-	BadRatio float64            `json:"bad"` // ratio of bad results in this sidecar's recent evidence
-	Kinds    map[string]float64 `json:"kinds"`
-	Next     time.Duration      `json:"next_ns"` // earliest time until the next stage; 0: none is due
-	Pace     float64            `json:"pace"`    // rate limit of the fleet, in calls per second; 0: none
-	Record   Record             `json:"record"`
-	Order    *Order             `json:"order,omitempty"`
-	Alone    bool               `json:"alone"`
-	Changes  []Change           `json:"changes"`
+	Zone        string             `json:"zone"`
+	Region      string             `json:"region,omitempty"`
+	Stage       string             `json:"stage"`
+	InUse       bool               `json:"uses"` // by this sidecar
+	Since       time.Duration      `json:"since_ns"`
+	Verdict     string             `json:"verdict"` // vote by this sidecar's own evidence
+	Failing     int                `json:"failing"` // sidecars that vote that the zone fails
+	Fine        int                `json:"fine"`
+	Servers     int                `json:"servers"`
+	BadRatio    float64            `json:"bad"` // ratio of bad results in this sidecar's recent evidence
+	Results     map[string]float64 `json:"kinds"`
+	NextStageIn time.Duration      `json:"next_ns"` // earliest time until the next stage; 0: none is due
+	StageRate   float64            `json:"pace"`    // rate limit of the fleet, in calls per second; 0: none
+	Record      Record             `json:"record"`
+	Order       *Order             `json:"order,omitempty"`
+	LeftLocally bool               `json:"alone"`
+	Changes     []Change           `json:"changes"`
 }
 
 // ZoneViews returns the state of all zones at the given time.
 func (m *Machine) ZoneViews(now time.Duration) (views []View) {
 	m.now = max(now, m.now)
 	for _, z := range m.zones {
-		evidence := z.evidence(m.now, m.cfg.Window)
+		evidence := z.evidence(m.now, m.cfg.EvidenceWindow)
 		failing, fine := m.countVotes(z)
-		view := View{Zone: z.name, Stage: z.record.Stage.String(), Uses: m.usesZone(z), Since: m.now - z.stageSince, Verdict: z.vote.String(), Failing: failing, Fine: fine, Servers: len(z.servers),
-			BadRatio: evidence.badRatio, Kinds: make(map[string]float64), Record: z.record, Alone: z.leftLocally, Changes: slices.Clone(z.changes)}
+		view := View{Zone: z.name, Stage: z.record.Stage.String(), InUse: m.usesZone(z), Since: m.now - z.stageSince, Verdict: z.vote.String(), Failing: failing, Fine: fine, Servers: len(z.servers),
+			BadRatio: evidence.badRatio, Results: make(map[string]float64), Record: z.record, LeftLocally: z.leftLocally, Changes: slices.Clone(z.changes)}
 		for k, count := range z.results.counts {
 			if count >= 0.05 {
-				view.Kinds[Kind(k).String()] = count
+				view.Results[ResultKind(k).String()] = count
 			}
 		}
 		switch {
-		case z.order.Action != Auto:
-		case z.record.Stage == Out:
-			view.Next = max(0, m.dwellTime(int(z.record.Fails))-view.Since)
+		case z.order.Action != ActionAuto:
+		case z.record.Stage == StageOut:
+			view.NextStageIn = max(0, m.dwellTime(int(z.record.Fails))-view.Since)
 		case z.record.Stage >= StageOneIn64:
-			view.Next = max(0, m.minStageDuration(z)-view.Since)
+			view.NextStageIn = max(0, m.minStageDuration(z)-view.Since)
 		}
 		if z.record.Stage >= StageOneIn64 {
-			view.Pace = m.stageRate(z)
+			view.StageRate = m.stageRate(z)
 		}
 		if z.order != (Order{}) {
 			order := z.order
--- a/internal/fleet/cases_test.go
+++ b/internal/fleet/cases_test.go
@@ -259,16 +259,16 @@
 		all = append(all, evacuation.Server{Name: serverName(i), Zone: f.s.zoneOf(i)})
 	}
 	began, inc := time.Now(), uint64(time.Now().Add(time.Hour).UnixMilli())
-	m.Servers(0, all)
-	m.Adopt(0, []evacuation.ZoneState{{Zone: "a", Record: evacuation.Record{Gen: 1000, Stage: evacuation.Out}}})
+	m.SetServers(0, all)
+	m.RestoreState(0, []evacuation.ZoneState{{Zone: "a", Record: evacuation.Record{Gen: 1000, Stage: evacuation.StageOut}}})
 	for ctx.Err() == nil {
 		now := time.Since(began)
 		for _, s := range all {
-			kind := evacuation.Good
+			kind := evacuation.ResultGood
 			if s.Zone == "a" {
-				kind = evacuation.NoConn
+				kind = evacuation.ResultConnectFailed
 			}
-			m.Ended(now, m.Sent(now, s.Name), kind, false)
+			m.RecordEnd(now, m.RecordSend(now, s.Name), kind, false)
 		}
 		m.Tick(now)
 		for _, l := range f.notes {
@@ -279,7 +279,7 @@
 			if err != nil {
 				return 0
 			}
-			x := duty.Note{Kind: duty.Ping, From: duty.IDOf(fmt.Sprint("sidecar ", self)), Inc: inc, Seq: uint32(n), Sent: uint32(now.Milliseconds()), Part: m.Note(now, duty.PartMost)}
+			x := duty.Note{Kind: duty.Ping, From: duty.IDOf(fmt.Sprint("sidecar ", self)), Inc: inc, Seq: uint32(n), Sent: uint32(now.Milliseconds()), Part: m.EncodeNote(now, duty.PartMost)}
 			conn.WriteToUDP(x.Append(nil, []byte("of the fleet")), to)
 			n++
 		}
--- a/internal/lab/zonal/notes.go
+++ b/internal/lab/zonal/notes.go
@@ -22,19 +22,19 @@
 	transitTimeRange  = 32600 * time.Microsecond
 )
 
-// Notes simulates the network that carries notes between machines, with the limits of package duty.
-type Notes struct {
-	Clock       *virtual.Clock
-	Rand        *rand.Rand
-	LossRate    float64                 // share of notes that are lost
-	ExtraDelay  time.Duration           // additional transit time
-	IsReachable func(from, to int) bool // whether a note arrives; nil: always
-	OnHopeless  func(n int, l []uint64) // receives the attempts that machine n gives up; nil: ignored
-	Moved       func(n int)             // called when the zones that machine n uses have changed; nil: ignored
-	Count       int                     // notes sent
-	Bytes       int                     // total length of the notes' parts for zones
-	Most        int                     // maximum number of regular notes of one machine in one second
-	senders     []*sender
+// NoteNetwork simulates the network that carries notes between machines, with the limits of package duty.
+type NoteNetwork struct {
+	Clock            *virtual.Clock
+	Rand             *rand.Rand
+	LossRate         float64                 // share of notes that are lost
+	ExtraDelay       time.Duration           // additional transit time
+	IsReachable      func(from, to int) bool // whether a note arrives; nil: always
+	OnHopeless       func(n int, l []uint64) // receives the attempts that machine n gives up; nil: ignored
+	OnUsesChanged    func(n int)             // called when the zones that machine n uses have changed; nil: ignored
+	NoteCount        int                     // notes sent
+	NoteBytes        int                     // total length of the notes' parts for zones
+	MaxNotesInSecond int                     // maximum number of regular notes of one machine in one second
+	senders          []*sender
 }
 
 // sender is the sender state of one incarnation of a sidecar.
@@ -47,9 +47,9 @@
 	notesThisSecond int // notes sent in the current second
 }
 
-// Put sets the machine of sidecar n and starts a new incarnation of it. A nil machine stands for a
+// SetMachine sets the machine of sidecar n and starts a new incarnation of it. A nil machine stands for a
 // dead process.
-func (s *Notes) Put(n int, m *evacuation.Machine) {
+func (s *NoteNetwork) SetMachine(n int, m *evacuation.Machine) {
 	for len(s.senders) <= n {
 		s.senders = append(s.senders, &sender{})
 	}
@@ -79,7 +79,7 @@
 		for range notesPerSecond {
 			s.SendNote(n, s.randomOther(n))
 		}
-		s.Most, current.notesThisSecond = max(s.Most, current.notesThisSecond), 0
+		s.MaxNotesInSecond, current.notesThisSecond = max(s.MaxNotesInSecond, current.notesThisSecond), 0
 		s.Clock.After(time.Second, sendNotes)
 	}
 	s.Clock.After(time.Duration(s.Rand.Int64N(int64(100*time.Millisecond))), tick)
@@ -87,10 +87,10 @@
 }
 
 // SetStopped suspends or resumes sidecar n. A suspended sidecar does nothing, and notes to it wait.
-func (s *Notes) SetStopped(n int, stopped bool) { s.senders[n].stopped = stopped }
+func (s *NoteNetwork) SetStopped(n int, stopped bool) { s.senders[n].stopped = stopped }
 
 // randomOther returns the number of a random sidecar other than n, or n if there is none.
-func (s *Notes) randomOther(n int) int {
+func (s *NoteNetwork) randomOther(n int) int {
 	if len(s.senders) < 2 {
 		return n
 	}
@@ -102,7 +102,7 @@
 }
 
 // Execute carries out the actions that the machine of sidecar n has returned.
-func (s *Notes) Execute(n int, out evacuation.Output) {
+func (s *NoteNetwork) Execute(n int, out evacuation.Output) {
 	for _, to := range out.Recipients {
 		s.SendNote(n, to)
 	}
@@ -112,27 +112,27 @@
 	if s.OnHopeless != nil && len(out.HopelessAttempts) > 0 {
 		s.OnHopeless(n, out.HopelessAttempts)
 	}
-	if s.Moved != nil && out.UsesChanged {
-		s.Moved(n)
+	if s.OnUsesChanged != nil && out.UsesChanged {
+		s.OnUsesChanged(n)
 	}
 }
 
 // SendNote sends a note from sidecar n to another if its rate limit allows it.
-func (s *Notes) SendNote(n, to int) {
+func (s *NoteNetwork) SendNote(n, to int) {
 	from := s.senders[n]
 	from.tokens = min(2*maxNotesPerSecond, from.tokens+maxNotesPerSecond*(s.Clock.Now-from.refilledAt).Seconds())
 	from.refilledAt = s.Clock.Now
 	if n == to || from.machine == nil || from.stopped || from.tokens < 1 {
 		return
 	}
-	part := from.machine.Note(s.Clock.Now, maxNoteBytes)
+	part := from.machine.EncodeNote(s.Clock.Now, maxNoteBytes)
 	if part == nil {
 		return
 	}
 	from.tokens--
 	from.notesThisSecond++
-	s.Count++
-	s.Bytes += len(part)
+	s.NoteCount++
+	s.NoteBytes += len(part)
 	if s.Rand.Float64() < s.LossRate || s.IsReachable != nil && !s.IsReachable(n, to) {
 		return
 	}
@@ -143,7 +143,7 @@
 const resumeCheckInterval = 50 * time.Millisecond
 
 // DeliverNote passes a note from an incarnation of a sidecar to another sidecar.
-func (s *Notes) DeliverNote(from, to int, incarnation uint64, part []byte) {
+func (s *NoteNetwork) DeliverNote(from, to int, incarnation uint64, part []byte) {
 	switch p := s.senders[to]; {
 	case p.machine == nil:
 	case p.stopped:
@@ -154,4 +154,4 @@
 }
 
 // Incarnation returns the current incarnation of sidecar n.
-func (s *Notes) Incarnation(n int) uint64 { return s.senders[n].incarnation }
+func (s *NoteNetwork) Incarnation(n int) uint64 { return s.senders[n].incarnation }
--- a/internal/lab/zonal/rehearse.go
+++ b/internal/lab/zonal/rehearse.go
@@ -31,7 +31,7 @@
 	Zone     string
 	From, To time.Duration
 	Target   int // number of a sidecar; for FaultPartition, the size of the first part
-	Result   evacuation.Kind
+	Result   evacuation.ResultKind
 }
 
 // String describes the fault in one line.
@@ -53,7 +53,7 @@
 func DrawFaults(rng *rand.Rand, sidecars int, zones []string) (all []Fault) {
 	for range 1 + rng.IntN(5) {
 		f := Fault{Kind: FaultKind(rng.IntN(int(faultKindCount))), Zone: zones[rng.IntN(len(zones))], From: warmup + time.Duration(rng.Int64N(int64(20*time.Second))), Target: rng.IntN(sidecars),
-			Result: []evacuation.Kind{evacuation.NoConn, evacuation.Broken, evacuation.Late, evacuation.Errored}[rng.IntN(4)]}
+			Result: []evacuation.ResultKind{evacuation.ResultConnectFailed, evacuation.ResultReset, evacuation.ResultLate, evacuation.ResultError}[rng.IntN(4)]}
 		f.To = f.From + 300*time.Millisecond + time.Duration(rng.Int64N(int64(10*time.Second)))
 		if f.Kind == FaultPartition {
 			f.Target = 1 + rng.IntN(max(1, sidecars-1))
@@ -65,17 +65,19 @@
 
 // Outcome is the result of a run.
 type Outcome struct {
-	Broken     []string          // violated invariants
+	Violations []string          // violated invariants
 	Departures map[string]uint32 // of the fleet, by zone
-	Settled    time.Duration     // time from the end of the last fault until all sidecars used all zones
-	// Left maps zones that failed for all sidecars to the time until all had left them; -1: never.
-	Left  map[string]time.Duration
-	Notes float64 // per sidecar and second
-	Bytes float64 // length of the notes' parts for zones, per sidecar and second
+	SettleTime time.Duration     // time from the end of the last fault until all sidecars used all zones
+	// LeaveTimes maps zones that failed for all sidecars to the time until all had left them; -1: never.
+	LeaveTimes     map[string]time.Duration
+	NotesPerSecond float64 // per sidecar and second
+	BytesPerSecond float64 // length of the notes' parts for zones, per sidecar and second
 }
 
 // minVotes returns the number of sidecars whose votes are required for a departure.
-func minVotes(c evacuation.Config, sidecars int) int { return max(1, min(c.Witnesses, (sidecars+1)/2)) }
+func minVotes(c evacuation.Config, sidecars int) int {
+	return max(1, min(c.MinWitnesses, (sidecars+1)/2))
+}
 
 // RunFaults runs the fleet with the given faults and reports violations: a departure of the fleet
 // without a cause, or zones that are not in use again by all sidecars after the end of the last
@@ -84,13 +86,13 @@
 	sidecars := len(w.Sidecars)
 	cfg := w.Sidecars[0].Config
 	isActive := func(f Fault, k FaultKind) bool { return f.Kind == k && w.Now >= f.From && w.Now < f.To }
-	w.CallResult = func(n int, s evacuation.Server) evacuation.Kind {
+	w.CallResult = func(n int, s evacuation.Server) evacuation.ResultKind {
 		for _, f := range faults {
 			if f.Zone == s.Zone && (isActive(f, FaultZoneFails) || isActive(f, FaultCutOff) && n == f.Target || isActive(f, FaultHalfCutOff) && n < sidecars/2) {
 				return f.Result
 			}
 		}
-		return evacuation.Good
+		return evacuation.ResultGood
 	}
 	w.IsReachable = func(from, to int) bool {
 		for _, f := range faults {
@@ -101,7 +103,7 @@
 		return true
 	}
 	caused, cutOff, lastEnd := make(map[string]bool), make(map[string]map[int]bool), warmup
-	outcome.Left, outcome.Departures = make(map[string]time.Duration), make(map[string]uint32)
+	outcome.LeaveTimes, outcome.Departures = make(map[string]time.Duration), make(map[string]uint32)
 	for _, f := range faults {
 		lastEnd = max(lastEnd, f.To)
 		switch f.Kind {
@@ -119,28 +121,28 @@
 	w.Run(lastEnd)
 	for _, z := range w.Zones {
 		if outcome.Departures[z] = w.MaxDepartures(z); !caused[z] && outcome.Departures[z] > 0 {
-			outcome.Broken = append(outcome.Broken, fmt.Sprintf("zone %s was left with no cause", z))
+			outcome.Violations = append(outcome.Violations, fmt.Sprintf("zone %s was left with no cause", z))
 		}
 	}
 	// An order to return may not have reached the sidecar that holds the order to leave. It is
 	// repeated, as an operator would do after a look at the status.
 	w.Run(lastEnd + 10*time.Second)
 	for _, z := range w.Zones {
-		w.giveOrder(z, "return", func(c *Sidecar) bool { _, order := c.RecordAndOrder(z); return order.Action == evacuation.Leave })
+		w.giveOrder(z, "return", func(c *Sidecar) bool { _, order := c.RecordAndOrder(z); return order.Action == evacuation.ActionLeave })
 	}
-	_, settled := w.RunUntil(3*cfg.DwellMost, time.Second, func() bool {
+	_, settled := w.RunUntil(3*cfg.MaxDwell, time.Second, func() bool {
 		return !slices.ContainsFunc(w.Zones, func(z string) bool {
 			n, _ := w.CountUsing(z)
 			return n < sidecars || w.CountByStage(z)[evacuation.StageAll] < sidecars
 		})
 	})
-	outcome.Settled = w.Now - lastEnd
-	outcome.Notes = float64(w.Count) / float64(sidecars) / w.Now.Seconds()
-	outcome.Bytes = float64(w.Bytes) / float64(sidecars) / w.Now.Seconds()
+	outcome.SettleTime = w.Now - lastEnd
+	outcome.NotesPerSecond = float64(w.NoteCount) / float64(sidecars) / w.Now.Seconds()
+	outcome.BytesPerSecond = float64(w.NoteBytes) / float64(sidecars) / w.Now.Seconds()
 	if !settled {
 		for _, z := range w.Zones {
 			n, _ := w.CountUsing(z)
-			outcome.Broken = append(outcome.Broken, fmt.Sprintf("zone %s: %v, used by %d of %d, %v after the last fault", z, w.CountByStage(z), n, sidecars, outcome.Settled))
+			outcome.Violations = append(outcome.Violations, fmt.Sprintf("zone %s: %v, used by %d of %d, %v after the last fault", z, w.CountByStage(z), n, sidecars, outcome.SettleTime))
 		}
 	}
 	return outcome, err
@@ -186,21 +188,21 @@
 // measureDeparture measures how long all sidecars take to leave a zone that fails.
 func (w *World) measureDeparture(f Fault, outcome *Outcome) {
 	if n, of := w.CountUsing(f.Zone); n == 0 && of > 0 {
-		outcome.Left[f.Zone] = max(outcome.Left[f.Zone], w.Now-f.From)
+		outcome.LeaveTimes[f.Zone] = max(outcome.LeaveTimes[f.Zone], w.Now-f.From)
 		return
 	}
 	if w.Now >= f.To {
-		if _, known := outcome.Left[f.Zone]; !known {
-			outcome.Left[f.Zone] = -1
+		if _, known := outcome.LeaveTimes[f.Zone]; !known {
+			outcome.LeaveTimes[f.Zone] = -1
 		}
 		return
 	}
 	w.After(watchInterval, func() { w.measureDeparture(f, outcome) })
 }
 
-// Rehearse runs a fleet with random faults, determined by seed. If an invariant is violated it
+// RunRandomFaults runs a fleet with random faults, determined by seed. If an invariant is violated it
 // drops faults while the violation remains, and returns the outcome with the remaining faults.
-func Rehearse(cfg evacuation.Config, seed uint64, sidecars, serversPerZone int, zones ...string) (Outcome, []Fault, error) {
+func RunRandomFaults(cfg evacuation.Config, seed uint64, sidecars, serversPerZone int, zones ...string) (Outcome, []Fault, error) {
 	faults := DrawFaults(rand.New(rand.NewPCG(seed, 9)), sidecars, zones)
 	run := func(faults []Fault) (Outcome, error) {
 		w, err := New(seed, cfg, sidecars, serversPerZone, zones...)
@@ -216,9 +218,9 @@
 		return w.RunFaults(faults)
 	}
 	outcome, err := run(faults)
-	for n := 0; n < len(faults) && len(outcome.Broken) > 0 && err == nil; {
+	for n := 0; n < len(faults) && len(outcome.Violations) > 0 && err == nil; {
 		fewer := slices.Delete(slices.Clone(faults), n, n+1)
-		if fewerOutcome, e := run(fewer); e == nil && len(fewerOutcome.Broken) > 0 {
+		if fewerOutcome, e := run(fewer); e == nil && len(fewerOutcome.Violations) > 0 {
 			faults, outcome = fewer, fewerOutcome
 		} else {
 			n++
--- a/internal/lab/zonal/world.go
+++ b/internal/lab/zonal/world.go
@@ -13,13 +13,13 @@
 // calls.
 type World struct {
 	virtual.Clock
-	Notes
+	NoteNetwork
 	Zones        []string
 	Servers      []evacuation.Server
-	Rate         func(n int) float64                              // calls per second of sidecar n; nil: 12
-	CallResult   func(n int, s evacuation.Server) evacuation.Kind // result of a call of sidecar n; nil: Good
-	CallDuration time.Duration                                    // mean duration of a successful call
-	SendTimes    map[string][]time.Duration                       // send times by zone
+	Rate         func(n int) float64                                    // calls per second of sidecar n; nil: 12
+	CallResult   func(n int, s evacuation.Server) evacuation.ResultKind // result of a call of sidecar n; nil: Good
+	CallDuration time.Duration                                          // mean duration of a successful call
+	SendTimes    map[string][]time.Duration                             // send times by zone
 	Sidecars     []*Sidecar
 	rng          *rand.Rand
 	eligible     []evacuation.Server // reused list of servers that a call may go to
@@ -38,7 +38,7 @@
 // serversPerZone servers in each zone. It returns an error if cfg is invalid.
 func New(seed uint64, cfg evacuation.Config, sidecars, serversPerZone int, zones ...string) (*World, error) {
 	w := &World{Zones: zones, CallDuration: 40 * time.Millisecond, SendTimes: make(map[string][]time.Duration), rng: rand.New(rand.NewPCG(seed, 3))}
-	w.Notes = Notes{Clock: &w.Clock, Rand: w.rng}
+	w.NoteNetwork = NoteNetwork{Clock: &w.Clock, Rand: w.rng}
 	for n := range serversPerZone * len(zones) {
 		w.Servers = append(w.Servers, evacuation.Server{Name: fmt.Sprint("s", n), Zone: zones[n%len(zones)]})
 	}
@@ -62,8 +62,8 @@
 	}
 	c.Machine, c.Dead, c.Stopped = m, false, false
 	c.callLoop++
-	m.Servers(w.Now, w.Servers)
-	w.Put(n, m)
+	m.SetServers(w.Now, w.Servers)
+	w.SetMachine(n, m)
 	loop := c.callLoop
 	gap := func() time.Duration {
 		rate := 12.0
@@ -90,13 +90,13 @@
 func (w *World) Kill(n int) {
 	w.Sidecars[n].Dead = true
 	w.Sidecars[n].callLoop++
-	w.Put(n, nil)
+	w.SetMachine(n, nil)
 }
 
 // SetStopped suspends or resumes sidecar n.
 func (w *World) SetStopped(n int, stopped bool) {
 	w.Sidecars[n].Stopped = stopped
-	w.Notes.SetStopped(n, stopped)
+	w.NoteNetwork.SetStopped(n, stopped)
 }
 
 // makeCall makes one call of sidecar n to a random server of the zones that it may use.
@@ -104,7 +104,7 @@
 	c := w.Sidecars[n]
 	allowed := make(map[string]bool, len(w.Zones))
 	for _, z := range w.Zones {
-		allowed[z] = c.Uses(z) && c.HasRoom(w.Now, z, 0)
+		allowed[z] = c.UsesZone(z) && c.HasRoom(w.Now, z, 0)
 	}
 	eligible := w.eligible[:0]
 	due := c.PreferredZone(w.Now, true)
@@ -121,20 +121,20 @@
 		return
 	}
 	s := eligible[w.rng.IntN(len(eligible))]
-	ticket := c.Sent(w.Now, s.Name)
-	c.Booked(w.Now, s.Zone)
+	ticket := c.RecordSend(w.Now, s.Name)
+	c.TakeToken(w.Now, s.Zone)
 	w.SendTimes[s.Zone] = append(w.SendTimes[s.Zone], w.Now)
-	result := evacuation.Good
+	result := evacuation.ResultGood
 	if w.CallResult != nil {
 		result = w.CallResult(n, s)
 	}
 	took := time.Duration(float64(w.CallDuration) * (0.2 + 0.8*w.rng.ExpFloat64()))
 	switch result {
-	case evacuation.NoConn:
+	case evacuation.ResultConnectFailed:
 		took = 250 * time.Millisecond
-	case evacuation.Late:
+	case evacuation.ResultLate:
 		took = 2500 * time.Millisecond
-	case evacuation.Broken, evacuation.Errored, evacuation.Full:
+	case evacuation.ResultReset, evacuation.ResultError, evacuation.ResultRefused:
 		took = 2 * time.Millisecond
 	}
 	w.scheduleEnd(took, c, c.callLoop, ticket, result)
@@ -142,14 +142,14 @@
 
 // scheduleEnd reports the end of an attempt to a sidecar after the given time, or once the sidecar
 // resumes.
-func (w *World) scheduleEnd(after time.Duration, c *Sidecar, loop int, ticket uint64, k evacuation.Kind) {
+func (w *World) scheduleEnd(after time.Duration, c *Sidecar, loop int, ticket uint64, k evacuation.ResultKind) {
 	w.After(after, func() {
 		switch {
 		case c.callLoop != loop:
 		case c.Stopped:
 			w.scheduleEnd(resumeCheckInterval, c, loop, ticket, k)
 		default:
-			c.Ended(w.Now, ticket, k, false)
+			c.RecordEnd(w.Now, ticket, k, false)
 		}
 	})
 }
@@ -183,7 +183,7 @@
 		if c.Dead || c.Stopped {
 			continue
 		}
-		if of++; c.Uses(zone) {
+		if of++; c.UsesZone(zone) {
 			n++
 		}
 	}
--- a/internal/lab/zones_test.go
+++ b/internal/lab/zones_test.go
@@ -15,7 +15,7 @@
 
 // zoned gives each sidecar of a Lab an evacuation.Machine.
 type zoned struct {
-	zonal.Notes
+	zonal.NoteNetwork
 	l    *Lab
 	all  []*evacuation.Machine
 	out  []map[string]bool               // zones that a sidecar was told to be out, by sidecar
@@ -24,7 +24,7 @@
 }
 
 func (z *zoned) begin(cfg Config) {
-	z.Notes = zonal.Notes{Clock: &z.l.Clock, Rand: z.l.Rand, Moved: z.tell}
+	z.NoteNetwork = zonal.NoteNetwork{Clock: &z.l.Clock, Rand: z.l.Rand, OnUsesChanged: z.tell}
 	z.list, z.zone = make(map[string][]chalkrack.Endpoint), make(map[string]string)
 	var servers []evacuation.Server
 	for _, n := range cfg.Nodes {
@@ -34,22 +34,22 @@
 	}
 	for n, s := range z.l.Sidecars {
 		c := evacuation.Default()
-		c.Self, c.Peers, c.Seed, c.Inc = n, cfg.Sidecars, cfg.Seed, 1
+		c.Self, c.Peers, c.Seed, c.Incarnation = n, cfg.Sidecars, cfg.Seed, 1
 		m, err := evacuation.New(c)
 		if err != nil {
 			panic(err) // of constants
 		}
-		m.Servers(0, servers)
+		m.SetServers(0, servers)
 		z.all, z.out = append(z.all, m), append(z.out, map[string]bool{})
 		s.SetZonePolicy(m)
-		z.Put(n, m)
+		z.SetMachine(n, m)
 	}
 }
 
 // tell has a sidecar's module know which zones it sends to.
 func (z *zoned) tell(n int) {
 	for zone, list := range z.list {
-		out := !z.all[n].Uses(zone)
+		out := !z.all[n].UsesZone(zone)
 		if z.out[n][zone] == out {
 			continue
 		}
@@ -64,8 +64,8 @@
 	}
 }
 
-var evidence = map[chalkrack.Outcome]evacuation.Kind{chalkrack.OK: evacuation.Good, chalkrack.ServerError: evacuation.Errored, chalkrack.Full: evacuation.Full,
-	chalkrack.TimedOut: evacuation.Late, chalkrack.ConnectFailed: evacuation.NoConn, chalkrack.Reset: evacuation.Broken}
+var evidence = map[chalkrack.Outcome]evacuation.ResultKind{chalkrack.OK: evacuation.ResultGood, chalkrack.ServerError: evacuation.ResultError, chalkrack.Full: evacuation.ResultRefused,
+	chalkrack.TimedOut: evacuation.ResultLate, chalkrack.ConnectFailed: evacuation.ResultConnectFailed, chalkrack.Reset: evacuation.ResultReset}
 
 // inZones is a fleet at 0.6 of what its nodes can do, a third of which lie in each zone.
 func inZones(sidecars int, z *zoned) Config {
@@ -81,12 +81,12 @@
 	cfg.Rate = func(time.Duration) float64 { return rate }
 	if z != nil {
 		cfg.Sent = func(s *Sidecar, node string) uint64 {
-			z.all[s.Index].Booked(z.l.Now, z.zone[node])
-			return z.all[s.Index].Sent(z.l.Now, node)
+			z.all[s.Index].TakeToken(z.l.Now, z.zone[node])
+			return z.all[s.Index].RecordSend(z.l.Now, node)
 		}
 		cfg.Ended = func(s *Sidecar, ticket uint64, o chalkrack.Outcome) {
 			k, tells := evidence[o]
-			z.all[s.Index].Ended(z.l.Now, ticket, k, !tells)
+			z.all[s.Index].RecordEnd(z.l.Now, ticket, k, !tells)
 		}
 	}
 	return cfg
@@ -120,7 +120,7 @@
 			l.Run(l.Now + 20*time.Millisecond)
 			left := 0
 			for _, m := range z.all {
-				if !m.Uses("a") {
+				if !m.UsesZone("a") {
 					left++
 				}
 			}
@@ -161,9 +161,9 @@
 	var per []float64
 	for i, n := range sizes {
 		z, with, without, out := all[i].z, all[i].with, all[i].without, all[i].out
-		notes := float64(z.Count) / float64(n) / length.Seconds()
+		notes := float64(z.NoteCount) / float64(n) / length.Seconds()
 		per = append(per, notes)
-		t.Logf("%d sidecars, %v: out after %v; worth %.4f with, %.4f without; %.2f notes and %.0f bytes a sidecar a second, %d notes in the busiest second of one", n, length, out, with, without, notes, float64(z.Bytes)/float64(n)/length.Seconds(), z.Most)
+		t.Logf("%d sidecars, %v: out after %v; worth %.4f with, %.4f without; %.2f notes and %.0f bytes a sidecar a second, %d notes in the busiest second of one", n, length, out, with, without, notes, float64(z.NoteBytes)/float64(n)/length.Seconds(), z.MaxNotesInSecond)
 		for _, d := range out {
 			if d > 2*time.Second {
 				t.Errorf("%d sidecars: all out after %v", n, d)
@@ -175,8 +175,8 @@
 		if with < without-0.005 {
 			t.Errorf("%d sidecars: worth %.4f, %.4f without", n, with, without)
 		}
-		if z.Most > 61 { // a full budget, and a second of it
-			t.Errorf("%d sidecars: %d notes in one second", n, z.Most)
+		if z.MaxNotesInSecond > 61 { // a full budget, and a second of it
+			t.Errorf("%d sidecars: %d notes in one second", n, z.MaxNotesInSecond)
 		}
 		for c := range per {
 			if per[c] > 1.3*per[0] {
--- a/internal/rooms/zones/zones.go
+++ b/internal/rooms/zones/zones.go
@@ -75,15 +75,15 @@
 	return z, nil
 }
 
-// Stand connects z to its neighbours and must be called before any other method. core provides the
+// Connect connects z to its neighbours and must be called before any other method. core provides the
 // clock, forward receives the server lists after filtering, and sendNotes sends notes at once to n
 // random peers and to the peers with the given numbers.
-func (z *Zones) Stand(core Core, forward func(*membership.List), sendNotes func(n int, numbers []int)) {
+func (z *Zones) Connect(core Core, forward func(*membership.List), sendNotes func(n int, numbers []int)) {
 	z.core, z.forward, z.sendNotes = core, forward, sendNotes
 }
 
-// Begin loads the stored state and starts the ticks.
-func (z *Zones) Begin() {
+// Start loads the stored state and starts the ticks.
+func (z *Zones) Start() {
 	z.loadState()
 	z.running.Go(z.run)
 }
@@ -112,7 +112,7 @@
 // Adopt restores the state that another process of the same sidecar held.
 func (z *Zones) Adopt(states []evacuation.ZoneState) {
 	z.update(func(now time.Duration) evacuation.Output {
-		z.machine.Adopt(now, states)
+		z.machine.RestoreState(now, states)
 		return evacuation.Output{UsesChanged: true}
 	})
 }
@@ -176,7 +176,7 @@
 	out := do(now)
 	z.mu.Unlock()
 	for _, c := range out.Changes {
-		slog.Warn("zone", "zone", c.Zone, "from", c.From, "to", c.To, "why", c.Why)
+		slog.Warn("zone", "zone", c.Zone, "from", c.From, "to", c.To, "why", c.Reason)
 	}
 	if out.UsesChanged {
 		z.forwardChangedZones()
@@ -194,7 +194,7 @@
 	list := &membership.List{}
 	z.mu.Lock()
 	for name, used := range z.zoneUses {
-		if is := z.machine.Uses(name); is != used {
+		if is := z.machine.UsesZone(name); is != used {
 			z.zoneUses[name] = is
 			for _, e := range z.entries {
 				if e.Zone == name {
@@ -218,8 +218,8 @@
 	return e
 }
 
-// Listed applies a list from discovery and passes it on with the servers of unused zones draining.
-func (z *Zones) Listed(list *membership.List) {
+// ApplyList applies a list from discovery and passes it on with the servers of unused zones draining.
+func (z *Zones) ApplyList(list *membership.List) {
 	z.forwardMu.Lock()
 	defer z.forwardMu.Unlock()
 	z.mu.Lock()
@@ -245,11 +245,11 @@
 		}
 		return 1
 	})
-	z.machine.Servers(z.core.Now(), servers)
+	z.machine.SetServers(z.core.Now(), servers)
 	filtered := *list
 	filtered.Entries = make([]membership.Entry, len(list.Entries))
 	for n, e := range list.Entries {
-		z.zoneUses[e.Zone] = z.machine.Uses(e.Zone)
+		z.zoneUses[e.Zone] = z.machine.UsesZone(e.Zone)
 		filtered.Entries[n] = z.effectiveEntry(e)
 	}
 	z.mu.Unlock()
@@ -261,15 +261,15 @@
 	z.mu.Lock()
 	defer z.mu.Unlock()
 	if e, ok := z.entries[server]; ok {
-		z.machine.Booked(now, e.Zone)
+		z.machine.TakeToken(now, e.Zone)
 	}
-	return z.machine.Sent(now, server)
+	return z.machine.RecordSend(now, server)
 }
 
 // resultByOutcome maps outcomes to evidence. Outcomes without an entry are no evidence.
-var resultByOutcome = map[chalkrack.Outcome]evacuation.Kind{
-	chalkrack.OK: evacuation.Good, chalkrack.ServerError: evacuation.Errored, chalkrack.Full: evacuation.Full,
-	chalkrack.TimedOut: evacuation.Late, chalkrack.ConnectFailed: evacuation.NoConn, chalkrack.Reset: evacuation.Broken,
+var resultByOutcome = map[chalkrack.Outcome]evacuation.ResultKind{
+	chalkrack.OK: evacuation.ResultGood, chalkrack.ServerError: evacuation.ResultError, chalkrack.Full: evacuation.ResultRefused,
+	chalkrack.TimedOut: evacuation.ResultLate, chalkrack.ConnectFailed: evacuation.ResultConnectFailed, chalkrack.Reset: evacuation.ResultReset,
 }
 
 // Ended implements core.AttemptObserver.
@@ -277,7 +277,7 @@
 	result, isEvidence := resultByOutcome[o]
 	z.mu.Lock()
 	defer z.mu.Unlock()
-	z.machine.Ended(now, ticket, result, !isEvidence)
+	z.machine.RecordEnd(now, ticket, result, !isEvidence)
 }
 
 // HasRoom implements chalkrack.ZonePolicy.
@@ -294,22 +294,22 @@
 	return z.machine.PreferredZone(now, repeats)
 }
 
-// Part returns this sidecar's part of a note, at most room bytes long.
-func (z *Zones) Part(room int) []byte {
+// NotePart returns this sidecar's part of a note, at most room bytes long.
+func (z *Zones) NotePart(room int) []byte {
 	now := z.core.Now()
 	z.mu.Lock()
 	defer z.mu.Unlock()
-	return z.machine.Note(now, room)
+	return z.machine.EncodeNote(now, room)
 }
 
-// Heard handles the part of a note from the peer with the given number, in incarnation inc.
-func (z *Zones) Heard(number int, inc uint64, part []byte) {
+// ReceiveNote handles the part of a note from the peer with the given number, in incarnation inc.
+func (z *Zones) ReceiveNote(number int, inc uint64, part []byte) {
 	z.update(func(now time.Duration) evacuation.Output { return z.machine.ReceiveNote(now, number, inc, part) })
 }
 
 // View is the state of all zones as shown to operators.
 type View struct {
-	Heard         int               `json:"heard"` // peers heard recently
+	RecentPeers   int               `json:"heard"` // peers heard recently
 	Peers         int               `json:"peers"` // other sidecars configured
 	InvalidNotes  uint64            `json:"strange_notes"`
 	OutdatedNotes uint64            `json:"old_notes"`
@@ -321,7 +321,7 @@
 	now := z.core.Now()
 	z.mu.Lock()
 	defer z.mu.Unlock()
-	view := View{Heard: z.machine.RecentPeers(), Peers: z.cfg.Machine.Peers - 1, Zones: z.machine.ZoneViews(now)}
+	view := View{RecentPeers: z.machine.RecentPeers(), Peers: z.cfg.Machine.Peers - 1, Zones: z.machine.ZoneViews(now)}
 	view.InvalidNotes, view.OutdatedNotes = z.machine.NoteErrors()
 	for n := range view.Zones {
 		for region, zones := range z.cfg.Regions {
@@ -341,9 +341,9 @@
 	Reason string `json:"reason"`
 }
 
-// Deed executes an Order given as JSON and returns the resulting View. It returns the first error
+// ExecuteOrder executes an Order given as JSON and returns the resulting View. It returns the first error
 // of any zone; the order still applies to the other zones of the region.
-func (z *Zones) Deed(text []byte) (any, error) {
+func (z *Zones) ExecuteOrder(text []byte) (any, error) {
 	var order Order
 	if err := json.Unmarshal(text, &order); err != nil {
 		return nil, fmt.Errorf("zones: %w", err)
@@ -359,7 +359,7 @@
 				err = orderErr
 			}
 		}
-		return evacuation.Output{UsesChanged: true, RandomNotes: z.cfg.Machine.Spread}
+		return evacuation.Output{UsesChanged: true, RandomNotes: z.cfg.Machine.Fanout}
 	})
 	if err != nil {
 		return nil, err
