--- a/client/call.go
+++ b/client/call.go
@@ -46,7 +46,7 @@
 // startForwarding closes it.
 func (t *Transport) prepare(r *http.Request) (c *call, err error) {
 	defer func() {
-		if c == nil || c.reqBody == nil || !c.reqBody.Coming() {
+		if c == nil || c.reqBody == nil || !c.reqBody.IsStreamed() {
 			closeBody(r)
 		}
 	}()
@@ -110,7 +110,7 @@
 		ID: id, Class: info.Class, Tenant: info.Tenant, Key: info.About,
 		Timeout: wait, Received: time.Now(), Payload: &c.msg, Caller: c,
 	}
-	if c.reqBody != nil && c.reqBody.Coming() {
+	if c.reqBody != nil && c.reqBody.IsStreamed() {
 		c.Limits = &core.Limits{MaxAttempts: 1, BodyTimeout: c.t.cfg.Keep.Within}
 	}
 	return c, nil
@@ -213,7 +213,7 @@
 // Refuse implements core.Caller.
 func (c *call) Refuse(after time.Duration, _ bool) {
 	if c.reqBody != nil {
-		c.reqBody.Ended(true)
+		c.reqBody.RecordEnd(true)
 	}
 	c.responseCh <- c.refusedResponse(after)
 }
@@ -221,7 +221,7 @@
 // Fail implements core.Caller.
 func (c *call) Fail() {
 	if c.reqBody != nil {
-		c.reqBody.Ended(false)
+		c.reqBody.RecordEnd(false)
 	}
 	c.responseCh <- c.failedResponse()
 }
--- a/client/keep.go
+++ b/client/keep.go
@@ -50,21 +50,21 @@
 	k.Files, k.Streams, k.Within = orDefault(k.Files, 32), orDefault(k.Streams, 32), orDefault(k.Within, time.Minute)
 	names := p.settings.ClassNames()
 	cfg := body.Config{
-		Limits: keep.Limits{Memory: k.Memory, MemoryMost: k.MemoryLongest, MoveLeast: spool.PieceMost, FileMost: k.MemoryLongest,
+		Limits: keep.Limits{Memory: k.Memory, MemoryMost: k.MemoryLongest, MoveLeast: spool.MaxPieceBytes, FileMost: k.MemoryLongest,
 			Streams: k.Streams, Shares: make([]float64, len(names)), High: 0.8, Low: 0.6, Tenants: len(p.settings.Config.Tenants)},
-		Disk:    keep.DiskLimits{SlowAfter: 100 * time.Millisecond, RestLeast: time.Second, RestMost: 30 * time.Second, Proof: 3},
+		Disk:    keep.DiskLimits{SlowAfter: 100 * time.Millisecond, MinTrialDelay: time.Second, MaxTrialDelay: 30 * time.Second, RequiredTrials: 3},
 		Classes: names, Window: bodyWindowBytes, Log: p.Log,
 	}
 	for n := range names { // half of the capacity is reserved for the classes in equal shares
 		cfg.Limits.Shares[n] = 0.5 / float64(len(names))
 	}
 	cfg.Limits.Lend = 0.5
-	if err := cfg.Limits.Check(); err != nil {
+	if err := cfg.Limits.Validate(); err != nil {
 		return nil, fmt.Errorf("client: Keep: %w", err)
 	}
 	if k.Folder != "" {
 		cfg.Limits.Disk, cfg.Limits.FileMost, cfg.Limits.Files = k.Disk, k.FileLongest, k.Files
-		if err := cfg.Limits.Check(); err != nil {
+		if err := cfg.Limits.Validate(); err != nil {
 			return nil, fmt.Errorf("client: Keep: %w", err)
 		}
 		var err error
@@ -107,7 +107,7 @@
 		return 0, fmt.Errorf("client: reading the body: %w", err)
 	}
 	if pieces := c.reqBody.Pieces(); pieces != nil {
-		c.msg.Body, c.msg.OnRetry = pieces, c.reqBody.Retried
+		c.msg.Body, c.msg.OnRetry = pieces, c.reqBody.RecordRetry
 		size = 0
 		for _, p := range pieces {
 			size += int64(len(p))
@@ -136,7 +136,7 @@
 // discardBody releases the body. Attempts that still read it fail.
 func (c *call) discardBody() {
 	if c.reqBody != nil {
-		c.reqBody.Break()
+		c.reqBody.Abort()
 		c.reqBody.Drop()
 	}
 	if c.isBodyStreamed() { // unblocks a caller that waits for its body to be read
@@ -148,4 +148,4 @@
 
 // isBodyStreamed reports whether the body is streamed to one server, or to the daemon, and
 // so can't be sent again.
-func (c *call) isBodyStreamed() bool { return c.reqBody != nil && c.reqBody.Coming() }
+func (c *call) isBodyStreamed() bool { return c.reqBody != nil && c.reqBody.IsStreamed() }
--- a/client/keep_test.go
+++ b/client/keep_test.go
@@ -108,7 +108,7 @@
 		resp.Body.Close()
 	}
 	v, ok := tr.Bodies()
-	if c := v.Classes[1]; !ok || c.Class != "id-register" || c.Memory != 2 || c.Nowhere != 1 || c.RetriedMemory != 2 || c.UnkeptRefused != 1 {
+	if c := v.Classes[1]; !ok || c.Class != "id-register" || c.Memory != 2 || c.NotKept != 1 || c.RetriedMemory != 2 || c.UnkeptRefused != 1 {
 		t.Errorf("%+v", v)
 	}
 	off := newTransport(t, Config{Classes: longDeadlineClasses(), Nodes: fixedNodes(site)})
--- a/cmd/fawnctl/duty.go
+++ b/cmd/fawnctl/duty.go
@@ -30,22 +30,22 @@
 		fmt.Fprintf(w, "dead\t%s\n", strings.Join(v.Dead, " "))
 	}
 	k := v.Counts
-	fmt.Fprintf(w, "probes\t%d, of them %d in others' place; %d put off by the budget\n", k.Probes, k.Takeovers, k.Held)
-	fmt.Fprintf(w, "notes\t%d sent, %d heard, %d not sent by the budget, %d of strangers, %d unreadable\n", k.Notes, k.Heard, k.Unsent, k.Strange, v.Unread)
+	fmt.Fprintf(w, "probes\t%d, of them %d in others' place; %d put off by the budget\n", k.Probes, k.Takeovers, k.Deferred)
+	fmt.Fprintf(w, "notes\t%d sent, %d heard, %d not sent by the budget, %d of strangers, %d unreadable\n", k.Notes, k.Received, k.Dropped, k.UnknownSender, v.Unread)
 	fmt.Fprintln(w, "node\tstate\tage\tseen by\tplace")
-	for _, n := range v.Nodes {
-		if c.Mine && !n.Watch {
+	for _, n := range v.Servers {
+		if c.Mine && !n.IsWatcher {
 			continue
 		}
 		by := "others"
-		if n.Own {
+		if n.IsOwn {
 			by = "this one"
 		}
 		if n.State == "unknown" {
 			by = "nobody"
 		}
-		place := fmt.Sprint(n.Place)
-		if n.Watch {
+		place := fmt.Sprint(n.Rank)
+		if n.IsWatcher {
 			place += ", watches"
 		}
 		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\n", n.Name, n.State, n.Age.Round(10*time.Millisecond), by, place)
--- a/cmd/fawnctl/level.go
+++ b/cmd/fawnctl/level.go
@@ -38,7 +38,7 @@
 	case c.Pin != "" && c.Unpin:
 		return errors.New("--pin and --unpin exclude each other")
 	case c.Pin != "" || c.Unpin:
-		ask := levels.PinAsk{Level: c.Pin, For: c.For}
+		ask := levels.PinRequest{Level: c.Pin, For: c.For}
 		if c.Unpin {
 			ask.For = 0
 		}
@@ -130,7 +130,7 @@
 	free, _ := level.Parse(v.Free)
 	gauge(levelDesc, prometheus.GaugeValue, float64(now))
 	gauge(freeDesc, prometheus.GaugeValue, float64(free))
-	gauge(changesDesc, prometheus.CounterValue, float64(v.Count))
+	gauge(changesDesc, prometheus.CounterValue, float64(v.ChangeCount))
 	for _, k := range v.Conditions {
 		if k.Counts {
 			gauge(sensorDesc, prometheus.GaugeValue, k.Value, k.Sensor)
--- a/cmd/fawnctl/status.go
+++ b/cmd/fawnctl/status.go
@@ -110,7 +110,7 @@
 }
 
 func amount(a body.Amount) string {
-	return fmt.Sprintf("%s of %s (most %s)", size(a.Now), size(a.Limit), size(a.Most))
+	return fmt.Sprintf("%s of %s (most %s)", size(a.Now), size(a.Limit), size(a.Max))
 }
 
 // bar is an amount as a picture, with a mark at the most that it was.
@@ -120,7 +120,7 @@
 	}
 	at := func(n int64) int { return min(int(n*int64(width)/a.Limit), width) }
 	b := []byte(strings.Repeat("#", at(a.Now)) + strings.Repeat(".", width-at(a.Now)))
-	if m := at(a.Most); m > at(a.Now) {
+	if m := at(a.Max); m > at(a.Now) {
 		b[m-1] = '|'
 	}
 	return string(b)
@@ -134,15 +134,15 @@
 	fmt.Fprintf(w, "memory\t%s\t%s\n", bar(v.Memory, 30), amount(v.Memory))
 	if v.DiskState != "off" {
 		fmt.Fprintf(w, "files\t%s\t%s\n", bar(v.Disk, 30), amount(v.Disk))
-		fmt.Fprintf(w, "open\t%s\t%d of %d (most %d)\n", bar(v.Files, 30), v.Files.Now, v.Files.Limit, v.Files.Most)
+		fmt.Fprintf(w, "open\t%s\t%d of %d (most %d)\n", bar(v.Files, 30), v.Files.Now, v.Files.Limit, v.Files.Max)
 	}
-	fmt.Fprintf(w, "passing\t%s\t%d of %d (most %d)\n", bar(v.Streams, 30), v.Streams.Now, v.Streams.Limit, v.Streams.Most)
+	fmt.Fprintf(w, "passing\t%s\t%d of %d (most %d)\n", bar(v.Streams, 30), v.Streams.Now, v.Streams.Limit, v.Streams.Max)
 	w.Flush()
 	switch {
 	case v.DiskState == "off":
 		b.WriteString("disk: no files are set\n")
 	default:
-		fmt.Fprintf(&b, "disk: %s since %s, changed %d times\n", v.DiskState, v.DiskSince.Format(time.DateTime), v.DiskMoves)
+		fmt.Fprintf(&b, "disk: %s since %s, changed %d times\n", v.DiskState, v.DiskSince.Format(time.DateTime), v.DiskChanges)
 	}
 	if v.Tight {
 		b.WriteString("memory is tight: nothing is borrowed, long bodies move to files\n")
@@ -153,10 +153,10 @@
 		rate := ""
 		if before != nil && n < len(before.Classes) && between > 0 {
 			o := before.Classes[n]
-			came := c.Memory + c.File + c.Nowhere + c.Refused - o.Memory - o.File - o.Nowhere - o.Refused
+			came := c.Memory + c.File + c.NotKept + c.Refused - o.Memory - o.File - o.NotKept - o.Refused
 			rate = fmt.Sprintf(" (%.0f/s)", float64(came)/between.Seconds())
 		}
-		fmt.Fprintf(w, "%s%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%s\t%s\n", c.Class, rate, c.Memory, c.File, c.Nowhere, c.Refused, c.Moved,
+		fmt.Fprintf(w, "%s%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%s\t%s\n", c.Class, rate, c.Memory, c.File, c.NotKept, c.Refused, c.Moved,
 			c.RetriedMemory, c.RetriedFile, c.UnkeptRefused, c.UnkeptFailed, size(c.Bytes), size(c.DiskBytes))
 	}
 	w.Flush()
--- a/internal/body/body.go
+++ b/internal/body/body.go
@@ -46,15 +46,15 @@
 
 var _ message.BodySource = (*Body)(nil)
 
-// Coming reports whether the body is not kept but streamed to one server.
-func (b *Body) Coming() bool {
+// IsStreamed reports whether the body is not kept but streamed to one server.
+func (b *Body) IsStreamed() bool {
 	b.store.mu.Lock()
 	defer b.store.mu.Unlock()
 	return b.isStreamed
 }
 
-// Whole reports whether the body has been received completely.
-func (b *Body) Whole() bool {
+// IsComplete reports whether the body has been received completely.
+func (b *Body) IsComplete() bool {
 	b.store.mu.Lock()
 	defer b.store.mu.Unlock()
 	return b.isComplete
@@ -107,7 +107,7 @@
 	switch place {
 	case keep.Refused:
 		return ErrNoRoom
-	case keep.Nowhere:
+	case keep.NotKept:
 		b.startStreaming()
 		if len(b.segments) == 0 {
 			_, err := b.receiveStreamed(size)
@@ -158,7 +158,7 @@
 	switch place {
 	case keep.Refused:
 		return ErrNoRoom
-	case keep.Nowhere:
+	case keep.NotKept:
 		b.startStreaming()
 	}
 	return nil
@@ -294,7 +294,7 @@
 // more is false when the body is complete.
 func (b *Body) receiveStreamed(size int64) (more bool, err error) {
 	if b.buf == nil {
-		b.buf = make([]byte, StreamPiece)
+		b.buf = make([]byte, MaxStreamPieceBytes)
 	}
 	n, err := io.ReadAtLeast(b.incoming.Body, b.buf[:min(size, int64(len(b.buf)))], 1) // return what is available instead of filling the buffer
 	b.releaseUnreceived(size - int64(n))
@@ -304,7 +304,7 @@
 	if err = b.handleReadError(err); err != nil {
 		return false, err
 	}
-	return !b.Whole(), nil
+	return !b.IsComplete(), nil
 }
 
 // Forward receives the rest of a body that is not kept, no faster than its server reads it. It
@@ -340,9 +340,9 @@
 	}
 }
 
-// Break aborts the body: a reading gets ErrBroken after the bytes received so far. It must be
+// Abort aborts the body: a reading gets ErrBroken after the bytes received so far. It must be
 // called after the end of the call, so that the error is not attributed to the attempt.
-func (b *Body) Break() {
+func (b *Body) Abort() {
 	b.store.mu.Lock()
 	defer b.store.mu.Unlock()
 	b.err = ErrBroken
@@ -371,15 +371,15 @@
 	}
 }
 
-// Retried records a further attempt that uses the result of Pieces.
-func (b *Body) Retried() {
+// RecordRetry records a further attempt that uses the result of Pieces.
+func (b *Body) RecordRetry() {
 	b.store.mu.Lock()
 	defer b.store.mu.Unlock()
 	b.store.keeper.CountRetry(b.record)
 }
 
-// Ended records that the call ended without an answer, refused or failed.
-func (b *Body) Ended(refused bool) {
+// RecordEnd records that the call ended without an answer, refused or failed.
+func (b *Body) RecordEnd(refused bool) {
 	b.store.mu.Lock()
 	defer b.store.mu.Unlock()
 	b.store.keeper.RecordEnd(b.record, refused)
--- a/internal/body/body_test.go
+++ b/internal/body/body_test.go
@@ -30,7 +30,7 @@
 func newTestStore(tb testing.TB, disk *standin.Disk, lim keep.Limits, wait time.Duration) *Store {
 	tb.Helper()
 	cfg := Config{Limits: lim, Classes: []string{"a", "b"}, Window: maxPieceBytes,
-		Disk: keep.DiskLimits{SlowAfter: testTimeout, RestLeast: 5 * time.Millisecond, RestMost: 20 * time.Millisecond, Proof: 1}}
+		Disk: keep.DiskLimits{SlowAfter: testTimeout, MinTrialDelay: 5 * time.Millisecond, MaxTrialDelay: 20 * time.Millisecond, RequiredTrials: 1}}
 	if disk != nil {
 		s, err := spool.New(spool.Config{Folder: tb.TempDir(), Workers: 2, Queue: 16, Classes: 2, Wait: wait, FS: disk})
 		if err != nil {
@@ -116,14 +116,14 @@
 		s := newTestStore(t, disk, testLimits(), testTimeout)
 		for _, announced := range []bool{true, false} {
 			for size, want := range map[int]keep.Place{0: keep.Memory, 1: keep.Memory, 300: keep.Memory, 70 << 10: keep.Memory, 1 << 20: keep.Memory,
-				1<<20 + 1: keep.File, 5 << 20: keep.File, 8 << 20: keep.File, 8<<20 + 1: keep.Nowhere, 20 << 20: keep.Nowhere} {
+				1<<20 + 1: keep.File, 5 << 20: keep.File, 8 << 20: keep.File, 8<<20 + 1: keep.NotKept, 20 << 20: keep.NotKept} {
 				p := randomBytes(uint64(size), size)
 				b, err := s.Receive(incoming(0, p, announced))
 				if err != nil {
 					t.Fatal(err)
 				}
 				forwarded := make(chan error, 1)
-				if b.Coming() {
+				if b.IsStreamed() {
 					go func() { forwarded <- b.Forward() }()
 				}
 				if !announced && (size == 1<<20 || size == 8<<20) {
@@ -135,12 +135,12 @@
 				if got, err := readAll(b); err != nil || sha256.Sum256(got) != sha256.Sum256(p) {
 					t.Errorf("%d bytes: first reading got %d, error %v", size, len(got), err)
 				}
-				if got, err := readAll(b); want != keep.Nowhere && (err != nil || !bytes.Equal(got, p)) {
+				if got, err := readAll(b); want != keep.NotKept && (err != nil || !bytes.Equal(got, p)) {
 					t.Errorf("%d bytes: second reading got %d, error %v", size, len(got), err)
-				} else if want == keep.Nowhere && !errors.Is(err, ErrOnce) {
+				} else if want == keep.NotKept && !errors.Is(err, ErrOnce) {
 					t.Errorf("%d bytes, not kept: second reading got error %v, want ErrOnce", size, err)
 				}
-				if want == keep.Nowhere {
+				if want == keep.NotKept {
 					if err := <-forwarded; err != nil {
 						t.Error(err)
 					}
@@ -240,7 +240,7 @@
 			place   keep.Place
 		}{
 			"memory":  {4 << 20, 1, keep.File}, // the place stays File, though the rest is held in memory
-			"nowhere": {2<<20 + 100, 1, keep.Nowhere},
+			"nowhere": {2<<20 + 100, 1, keep.NotKept},
 			"no room": {2<<20 + 100, 0, keep.Refused},
 		} {
 			t.Run(name+"/"+where, func(t *testing.T) {
@@ -261,7 +261,7 @@
 						if err != nil {
 							t.Fatal(err)
 						}
-						if b.Coming() {
+						if b.IsStreamed() {
 							go b.Forward()
 						}
 						if got, err := readAll(b); err != nil || !bytes.Equal(got, p) {
@@ -340,7 +340,7 @@
 						var wg sync.WaitGroup
 						wg.Go(func() { got, err = readAll(b) })
 						ferr := b.Forward()
-						b.Break()
+						b.Abort()
 						wg.Wait()
 						if !errors.Is(err, ErrBroken) || len(got) > at {
 							t.Errorf("aborted at %d of %d: reading got %d bytes, error %v, want ErrBroken", at, size, len(got), err)
@@ -376,7 +376,7 @@
 		in.Length = 100 << 20
 		in.Body = readFunc(func(p []byte) (int, error) { sent <- len(p); return len(p), nil })
 		b, err := s.Receive(in)
-		if err != nil || !b.Coming() {
+		if err != nil || !b.IsStreamed() {
 			t.Fatalf("%v", err)
 		}
 		done := make(chan error, 1)
@@ -462,7 +462,7 @@
 						t.Error(err)
 						continue
 					}
-					if b.Coming() {
+					if b.IsStreamed() {
 						go b.Forward()
 					}
 					got, err := readAll(b)
--- a/internal/body/store.go
+++ b/internal/body/store.go
@@ -15,12 +15,12 @@
 	"chalkrack/internal/spool"
 )
 
-// StreamPiece is the maximum number of bytes per read of a body that is not kept.
-const StreamPiece = 32 << 10
+// MaxStreamPieceBytes is the maximum number of bytes per read of a body that is not kept.
+const MaxStreamPieceBytes = 32 << 10
 
 const (
 	firstPieceBytes = 4 << 10
-	maxPieceBytes   = spool.PieceMost
+	maxPieceBytes   = spool.MaxPieceBytes
 )
 
 // Errors of receiving and reading bodies.
@@ -108,7 +108,7 @@
 		fault = keep.None
 	case errors.Is(err, spool.ErrClosed):
 		return
-	case errors.Is(err, spool.ErrLate), errors.Is(err, spool.ErrBusy):
+	case errors.Is(err, spool.ErrTimeout), errors.Is(err, spool.ErrBusy):
 		fault = keep.Late
 	case spool.NoRoom(err):
 		fault = keep.NoRoom
@@ -147,7 +147,7 @@
 // is not good. Both run in this one goroutine, one at a time, since moving is less urgent than
 // the file calls made for attempts.
 func (s *Store) runBackground() {
-	trial := time.NewTicker(s.cfg.Disk.RestLeast)
+	trial := time.NewTicker(s.cfg.Disk.MinTrialDelay)
 	defer trial.Stop()
 	for {
 		select {
@@ -160,7 +160,7 @@
 			s.mu.Unlock()
 			if due {
 				began := time.Now()
-				err := s.cfg.Spool.Try()
+				err := s.cfg.Spool.TestDisk()
 				s.mu.Lock()
 				s.recordFileCall(err, time.Since(began), true)
 				s.mu.Unlock()
@@ -229,7 +229,7 @@
 type Incoming struct {
 	Class, Tenant int
 	Length        int64 // announced length; -1: none
-	Once          bool  // the previous tier keeps it
+	KeptElsewhere bool  // the previous tier keeps it
 	Body          io.Reader
 }
 
@@ -240,7 +240,7 @@
 	b := &Body{store: s, class: in.Class, length: in.Length, incoming: in}
 	b.changed.L = &s.mu
 	s.mu.Lock()
-	b.record = s.keeper.Begin(in.Class, in.Tenant, in.Length, in.Once, s.canCreateFile())
+	b.record = s.keeper.Begin(in.Class, in.Tenant, in.Length, in.KeptElsewhere, s.canCreateFile())
 	s.mu.Unlock()
 	b.record.Owner = b
 	for {
--- a/internal/body/view.go
+++ b/internal/body/view.go
@@ -11,7 +11,7 @@
 	Class         string `json:"class"`
 	Memory        int64  `json:"kept_in_memory"`
 	File          int64  `json:"kept_in_file"`
-	Nowhere       int64  `json:"not_kept"`
+	NotKept       int64  `json:"not_kept"`
 	Refused       int64  `json:"no_room"`
 	Moved         int64  `json:"moved_to_file"`
 	RetriedMemory int64  `json:"retried_from_memory"`
@@ -26,21 +26,21 @@
 // the limit.
 type Amount struct {
 	Now   int64 `json:"now"`
-	Most  int64 `json:"most"`
+	Max   int64 `json:"most"`
 	Limit int64 `json:"limit"`
 }
 
 // View is the state of a Store as shown to operators.
 type View struct {
-	Classes   []ClassView `json:"classes"`
-	Memory    Amount      `json:"memory_bytes"`
-	Disk      Amount      `json:"disk_bytes"`
-	Files     Amount      `json:"files"`
-	Streams   Amount      `json:"streams"`
-	Tight     bool        `json:"memory_tight"`
-	DiskState string      `json:"disk_state"` // off: files are not used
-	DiskSince time.Time   `json:"disk_since"`
-	DiskMoves int         `json:"disk_changes"`
+	Classes     []ClassView `json:"classes"`
+	Memory      Amount      `json:"memory_bytes"`
+	Disk        Amount      `json:"disk_bytes"`
+	Files       Amount      `json:"files"`
+	Streams     Amount      `json:"streams"`
+	Tight       bool        `json:"memory_tight"`
+	DiskState   string      `json:"disk_state"` // off: files are not used
+	DiskSince   time.Time   `json:"disk_since"`
+	DiskChanges int         `json:"disk_changes"`
 }
 
 // View returns the current state.
@@ -49,7 +49,7 @@
 	defer s.mu.Unlock()
 	u := s.keeper.Usage()
 	v := View{Memory: Amount(u.Memory), Disk: Amount(u.Disk), Files: Amount(u.Files), Streams: Amount(u.Streams),
-		Tight: s.keeper.IsTight(), DiskState: "off", DiskSince: s.diskSince, DiskMoves: s.disk.Changes()}
+		Tight: s.keeper.IsTight(), DiskState: "off", DiskSince: s.diskSince, DiskChanges: s.disk.Changes()}
 	if s.cfg.Spool != nil {
 		state, _ := s.disk.State()
 		v.DiskState = state.String()
@@ -61,5 +61,5 @@
 }
 
 func classView(name string, c keep.Count) ClassView {
-	return ClassView{name, c.Memory, c.File, c.Nowhere, c.Refused, c.Moved, c.RetriedMemory, c.RetriedFile, c.UnkeptRefused, c.UnkeptFailed, c.Bytes, c.DiskBytes}
+	return ClassView{name, c.Memory, c.File, c.NotKept, c.Refused, c.Moved, c.RetriedMemory, c.RetriedFile, c.UnkeptRefused, c.UnkeptFailed, c.Bytes, c.DiskBytes}
 }
--- a/internal/daemon/bodies.go
+++ b/internal/daemon/bodies.go
@@ -36,7 +36,7 @@
 		Limits: keep.Limits{
 			Memory:     int64(settings.MemoryKB(c.MemoryMB)-settings.OnTheWayKB()) << 10,
 			MemoryMost: int64(settings.MemoryLongestKB) << 10,
-			MoveLeast:  spool.PieceMost,
+			MoveLeast:  spool.MaxPieceBytes,
 			Disk:       int64(settings.DiskMB) << 20,
 			FileMost:   int64(settings.FileLongestMB) << 20,
 			Files:      int64(settings.Files),
@@ -45,8 +45,8 @@
 			Tenants: len(c.Settings.Config.Tenants),
 		},
 		Disk: keep.DiskLimits{
-			SlowAfter: time.Duration(settings.SlowAfter), RestLeast: time.Duration(settings.RestLeast),
-			RestMost: time.Duration(settings.RestMost), Proof: settings.Proof,
+			SlowAfter: time.Duration(settings.SlowAfter), MinTrialDelay: time.Duration(settings.RestLeast),
+			MaxTrialDelay: time.Duration(settings.RestMost), RequiredTrials: settings.Proof,
 		},
 		Window:  int64(settings.WindowKB) << 10,
 		Classes: c.Settings.ClassNames(),
@@ -109,7 +109,7 @@
 // maxLongBodyStreams returns the maximum number of bodies that are streamed at once: each needs
 // its window and one piece for reading.
 func maxLongBodyStreams(c *Config) int64 {
-	return min(maxStreams, maxBodyBytes(c)/2/(longBodyWindowBytes+body.StreamPiece))
+	return min(maxStreams, maxBodyBytes(c)/2/(longBodyWindowBytes+body.MaxStreamPieceBytes))
 }
 
 // newLongBodyStore returns the store of long bodies for a sidecar whose [bodies] is off.
@@ -118,7 +118,7 @@
 	storeBytes := maxBodyBytes(c) / 4
 	cfg := body.Config{
 		Limits: keep.Limits{
-			Memory: storeBytes, MemoryMost: min(maxStoredLongBodyBytes, storeBytes), MoveLeast: spool.PieceMost, FileMost: min(maxStoredLongBodyBytes, storeBytes),
+			Memory: storeBytes, MemoryMost: min(maxStoredLongBodyBytes, storeBytes), MoveLeast: spool.MaxPieceBytes, FileMost: min(maxStoredLongBodyBytes, storeBytes),
 			Streams: maxLongBodyStreams(c), Lend: 1, High: 1, Low: 0.9, Shares: make([]float64, len(classes)),
 		},
 		Window: longBodyWindowBytes, Classes: classes,
--- a/internal/daemon/duties.go
+++ b/internal/daemon/duties.go
@@ -17,7 +17,7 @@
 	if !c.Features.Duty.Enabled {
 		return 0
 	}
-	return duties.Conns
+	return duties.MaxConns
 }
 
 // dutyConfig returns the configuration of package duty and the listen address for notes, from the
@@ -35,18 +35,18 @@
 	if raw.PeerListen == "" || raw.Settings.Rank < 0 || raw.Settings.Rank >= len(raw.Peers) {
 		return duty.Config{}, "", errors.New("features: duty.enabled: the platform's configuration lists no peers that include this sidecar")
 	}
-	cfg := duty.Config{Inc: incarnation, Seed: c.Seed, Watchers: settings.Watchers, Every: time.Duration(settings.Every), Step: time.Duration(settings.Step), Period: time.Duration(settings.Period), AckWait: time.Duration(settings.AckWait),
-		Helpers: settings.Helpers, Suspect: time.Duration(settings.Suspect), Spread: settings.Spread, Probes: settings.Probes, PerNode: settings.PerNode, Notes: settings.Notes, Remember: time.Duration(settings.Remember), Keyed: settings.Key != ""}
+	cfg := duty.Config{Incarnation: incarnation, Seed: c.Seed, Watchers: settings.Watchers, ProbeInterval: time.Duration(settings.Every), TakeoverStep: time.Duration(settings.Step), PingInterval: time.Duration(settings.Period), AckTimeout: time.Duration(settings.AckWait),
+		IndirectPings: settings.Helpers, SuspectTimeout: time.Duration(settings.Suspect), Fanout: settings.Spread, MaxProbeRate: settings.Probes, MaxServerProbeRate: settings.PerNode, MaxNoteRate: settings.Notes, DeadPingInterval: time.Duration(settings.Remember), Authenticated: settings.Key != ""}
 	for rank, addr := range raw.Peers {
 		zone, known := settings.Zones[addr]
 		if len(settings.Zones) > 0 && !known {
 			return cfg, "", fmt.Errorf("features: duty.zones: no zone for peer %s", addr)
 		}
-		id := duties.As(rank)
+		id := duties.PeerAlias(rank)
 		if rank == raw.Settings.Rank {
-			cfg.Self, cfg.As, cfg.Zone = addr, id, zone
+			cfg.Self, cfg.Alias, cfg.Zone = addr, id, zone
 		} else {
-			cfg.Peers = append(cfg.Peers, duty.Peer{Name: addr, As: id, Zone: zone})
+			cfg.Peers = append(cfg.Peers, duty.Peer{Name: addr, Alias: id, Zone: zone})
 		}
 	}
 	if err := cfg.Validate(); err != nil {
@@ -56,7 +56,7 @@
 }
 
 // newDuties returns the duties of this sidecar, or nil if [duty] is off.
-func newDuties(c *Config, host *core.Host) (*duties.Duties, error) {
+func newDuties(c *Config, host *core.Host) (*duties.Runner, error) {
 	if !c.Features.Duty.Enabled {
 		return nil, nil
 	}
@@ -68,6 +68,6 @@
 		return nil, err
 	}
 	settings := &c.Features.Duty
-	return duties.New(duties.Config{Duty: cfg, Listen: listen, Inherited: c.Inherited > 0, Key: []byte(settings.Key), Path: settings.Path,
-		Slow: time.Duration(settings.Slow), Timeout: time.Duration(settings.Timeout), Probing: settings.Probing}, host)
+	return duties.New(duties.Config{Duty: cfg, Listen: listen, PortInherited: c.Inherited > 0, Key: []byte(settings.Key), Path: settings.Path,
+		SlowAfter: time.Duration(settings.Slow), ProbeTimeout: time.Duration(settings.Timeout), ProbingEnabled: settings.Probing}, host)
 }
--- a/internal/daemon/duties_test.go
+++ b/internal/daemon/duties_test.go
@@ -73,7 +73,7 @@
 	for _, c := range held {
 		c.Close()
 	}
-	var all []*duties.Duties
+	var all []*duties.Runner
 	for n := range cars {
 		c := configWithPeers(t, peers, n)
 		host, err := core.New(core.Config{Settings: c.Settings, Seed: uint64(n), Transport: upstream.New(upstream.Config{MaxConns: 1})})
@@ -83,12 +83,12 @@
 		defer host.Close()
 		host.Listed(list)
 		s, err := newDuties(c, host)
-		s.Begin()
+		s.Start()
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer s.Close()
-		s.Listed(list)
+		s.UpdateServers(list)
 		all = append(all, s)
 	}
 	noise, err := net.Dial("udp", peers[cars-1])
@@ -127,7 +127,7 @@
 	until("the results reach all sidecars", func() bool {
 		known := 0
 		for _, s := range all {
-			for _, n := range s.View().Nodes {
+			for _, n := range s.View().Servers {
 				if n.State != "unknown" && (n.Name == "n0") == (n.State == "refusing") {
 					known++
 				}
@@ -165,7 +165,7 @@
 	}
 	c.Features.Duty.Zones[peers[1]] = "b"
 	cfg, listen, err := dutyConfig(c, 1)
-	if err != nil || cfg.Self != peers[1] || cfg.Zone != "b" || len(cfg.Peers) != 1 || cfg.Peers[0].Zone != "a" || listen != peers[1] || !cfg.Keyed {
+	if err != nil || cfg.Self != peers[1] || cfg.Zone != "b" || len(cfg.Peers) != 1 || cfg.Peers[0].Zone != "a" || listen != peers[1] || !cfg.Authenticated {
 		t.Errorf("configuration %+v, listen address %q, error %v", cfg, listen, err)
 	}
 	c.Features.Duty.Every = duration.Duration(time.Millisecond)
--- a/internal/daemon/levels.go
+++ b/internal/daemon/levels.go
@@ -25,19 +25,19 @@
 	for _, delay := range []struct {
 		to   *time.Duration
 		from time.Duration
-	}{{&cfg.EnterAfter, time.Duration(settings.EnterAfter)}, {&cfg.LeaveAfter, time.Duration(settings.LeaveAfter)}, {&cfg.Proof, time.Duration(settings.Proof)}, {&cfg.MostWait, c.Settings.Config.MaxRetryAfter}} {
+	}{{&cfg.EnterAfter, time.Duration(settings.EnterAfter)}, {&cfg.LeaveAfter, time.Duration(settings.LeaveAfter)}, {&cfg.ProofTime, time.Duration(settings.Proof)}, {&cfg.MaxWait, c.Settings.Config.MaxRetryAfter}} {
 		if delay.from > 0 {
 			*delay.to = delay.from
 		}
 	}
 	if settings.Doublings > 0 {
-		cfg.Doublings = settings.Doublings
+		cfg.MaxDoublings = settings.Doublings
 	}
 	if settings.Slope > 0 {
-		cfg.Slope = settings.Slope
+		cfg.RampGrowth = settings.Slope
 	}
 	if settings.Evidence > 0 {
-		cfg.Evidence = settings.Evidence
+		cfg.MinOutcomes = settings.Evidence
 	}
 	for name, step := range map[string]*struct {
 		cut, enter, leave map[string]float64
@@ -50,16 +50,16 @@
 		"emergency": {settings.Emergency.Cut, settings.Emergency.Enter, settings.Emergency.Leave, settings.Emergency.RetryWorth, settings.Emergency.NoCopies, settings.Emergency.NoProbes},
 	} {
 		lvl, _ := level.Parse(name)
-		act := &cfg.Acts[lvl]
+		act := &cfg.Measures[lvl]
 		for _, class := range slices.Sorted(maps.Keys(step.cut)) {
 			n := slices.IndexFunc(classes, func(candidate level.Class) bool { return candidate.Name == class })
 			if n < 0 {
 				return cfg, fmt.Errorf("features: level.%s.cut.%s: no such class", name, class)
 			}
-			act.Cut[n] = step.cut[class]
+			act.ShedShare[n] = step.cut[class]
 		}
 		if step.worth != nil {
-			act.RetryWorth = *step.worth
+			act.MinRetryWorth = *step.worth
 		}
 		if step.copies != nil {
 			act.NoCopies = *step.copies
@@ -69,10 +69,10 @@
 		}
 		for _, sensor := range level.Sensors() {
 			if threshold, ok := step.enter[sensor.String()]; ok {
-				cfg.At[lvl].Enter[sensor], cfg.At[lvl].Leave[sensor] = threshold, 0.6*threshold
+				cfg.Thresholds[lvl].Enter[sensor], cfg.Thresholds[lvl].Leave[sensor] = threshold, 0.6*threshold
 			}
 			if threshold, ok := step.leave[sensor.String()]; ok {
-				cfg.At[lvl].Leave[sensor] = threshold
+				cfg.Thresholds[lvl].Leave[sensor] = threshold
 			}
 		}
 	}
@@ -83,7 +83,7 @@
 }
 
 // newLevels returns the degradation levels, or nil if [level] is off.
-func newLevels(c *Config, host *core.Host, srv *front.Server, pool *upstream.Pool, maxConns int) (*levels.Levels, error) {
+func newLevels(c *Config, host *core.Host, srv *front.Server, pool *upstream.Pool, maxConns int) (*levels.Controller, error) {
 	if !c.Features.Level.Enabled {
 		return nil, nil
 	}
@@ -91,6 +91,6 @@
 	if err != nil {
 		return nil, err
 	}
-	return levels.New(levels.Config{Level: cfg, Memory: int64(c.MemoryMB) << 20, Conns: maxConns, Sockets: c.Sockets - reservedSockets,
-		Open: func() int { return srv.Conns() + pool.Conns() }}, host)
+	return levels.New(levels.Config{Level: cfg, MemoryLimit: int64(c.MemoryMB) << 20, MaxConns: maxConns, MaxSockets: c.Sockets - reservedSockets,
+		OpenSockets: func() int { return srv.Conns() + pool.Conns() }}, host)
 }
--- a/internal/daemon/sidecar.go
+++ b/internal/daemon/sidecar.go
@@ -41,14 +41,14 @@
 	host             *core.Host
 	applyList        func(*membership.List) // passes a list from discovery on to the core
 	weights          *weighted.Weighted
-	duties           *duties.Duties
+	duties           *duties.Runner
 	zones            *zones.Zones
 	operation        *operating.Operation
 	radiusProxy      *proxy.Proxy
 	routes           *pools.Routing
 	ln               net.Listener
 	srv              *front.Server
-	levels           *levels.Levels
+	levels           *levels.Controller
 	trials           *changes.Changes
 
 	pages   map[string]func() any // on the admin socket, by name
@@ -158,7 +158,7 @@
 	s.onClose(s.duties.Close)
 	next := s.applyList
 	s.applyList = func(l *membership.List) {
-		s.duties.Listed(l)
+		s.duties.UpdateServers(l)
 		next(l)
 	}
 	s.addPage("duty", func() any { return s.duties.View() })
@@ -167,14 +167,14 @@
 
 func (s *sidecar) startZones() error {
 	if s.zones != nil {
-		s.zones.Connect(s.host, s.applyList, s.duties.TellSome)
+		s.zones.Connect(s.host, s.applyList, s.duties.SendNotes)
 		s.applyList = s.zones.ApplyList
-		s.duties.Carries(s.zones.NotePart, s.zones.ReceiveNote)
+		s.duties.SetPayload(s.zones.NotePart, s.zones.ReceiveNote)
 		s.host.SetZones(s.zones)
 		s.addPage("zones", s.zones.View)
 		s.actions["zones/order"] = s.zones.ExecuteOrder
 	}
-	s.duties.Begin()
+	s.duties.Start()
 	return nil
 }
 
@@ -249,7 +249,7 @@
 	if s.levels, err = newLevels(s.cfg, s.host, s.srv, s.pool, s.maxConnsPerSide); err != nil || s.levels == nil {
 		return err
 	}
-	s.addTask(levels.TickEach, s.levels.Tick)
+	s.addTask(levels.TickInterval, s.levels.Tick)
 	return nil
 }
 
@@ -275,7 +275,7 @@
 	}
 	s.actions["operate"] = s.operation.Deed
 	if s.levels != nil {
-		s.levels.Pages(s.pages, s.actions)
+		s.levels.AddPages(s.pages, s.actions)
 	}
 	listen := admin.Listen
 	if s.cfg.Inherited > 0 { // the previous process may still hold the socket
--- a/internal/daemon/zones_test.go
+++ b/internal/daemon/zones_test.go
@@ -120,13 +120,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.Begin()
+	s.Start()
 	time.Sleep(150 * time.Millisecond)
-	if s.Bound() {
+	if s.IsBound() {
 		t.Error("bound to a port that another process holds")
 	}
 	previous.Close()
-	for end := time.Now().Add(20 * time.Second); !s.Bound(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(20 * time.Second); !s.IsBound(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("never bound to the free port")
 		}
--- a/internal/duty/config.go
+++ b/internal/duty/config.go
@@ -17,12 +17,12 @@
 // Peer is another sidecar, which may or may not be running.
 type Peer struct {
 	Name, Zone string
-	As         string // the name under which all sidecars know it; empty: Name
+	Alias      string // the name under which all sidecars know it; empty: Name
 }
 
-func (p *Peer) id() ID { return IDOf(cmp.Or(p.As, p.Name)) }
+func (p *Peer) id() ID { return IDOf(cmp.Or(p.Alias, p.Name)) }
 
-func (c *Config) id() ID { return IDOf(cmp.Or(c.As, c.Self)) }
+func (c *Config) id() ID { return IDOf(cmp.Or(c.Alias, c.Self)) }
 
 // Server is a server of this sidecar's list.
 type Server struct {
@@ -31,36 +31,36 @@
 
 // Config holds the settings of a Detector.
 type Config struct {
-	Self  string
-	As    string // the name under which all sidecars know this one; empty: Self
-	Peers []Peer // without Self
-	Zone  string // of Self
-	Inc   uint64 // incarnation of this start; must exceed those of earlier starts, for instance the time
-	Seed  uint64
+	Self        string
+	Alias       string // the name under which all sidecars know this one; empty: Self
+	Peers       []Peer // without Self
+	Zone        string // of Self
+	Incarnation uint64 // incarnation of this start; must exceed those of earlier starts, for instance the time
+	Seed        uint64
 
-	Watchers int           // sidecars that regularly probe each server
-	Every    time.Duration // interval at which a watcher probes a server
-	// Step is the additional delay per rank in a server's order before a sidecar takes over
+	Watchers      int           // sidecars that regularly probe each server
+	ProbeInterval time.Duration // interval at which a watcher probes a server
+	// TakeoverStep is the additional delay per rank in a server's order before a sidecar takes over
 	// probing, beyond two probe intervals without a finding.
-	Step time.Duration
+	TakeoverStep time.Duration
 
-	Period   time.Duration // interval between pings; each goes to one peer
-	AckWait  time.Duration // timeout of a direct ping, after which others are asked to ping
-	Helpers  int           // number of peers asked to ping
-	Suspect  time.Duration // how long a peer is suspected before it is declared dead
-	Spread   int           // peers that get findings in each ping interval
-	Probes   float64       // maximum probes per second by this sidecar
-	PerNode  float64       // maximum probes per second of one server by all sidecars together
-	Notes    float64       // maximum notes per second from this sidecar
-	Remember time.Duration // minimum interval between pings of a dead peer
-	Keyed    bool          // notes carry an authentication tag
+	PingInterval       time.Duration // interval between pings; each goes to one peer
+	AckTimeout         time.Duration // timeout of a direct ping, after which others are asked to ping
+	IndirectPings      int           // number of peers asked to ping
+	SuspectTimeout     time.Duration // how long a peer is suspected before it is declared dead
+	Fanout             int           // peers that get findings in each ping interval
+	MaxProbeRate       float64       // maximum probes per second by this sidecar
+	MaxServerProbeRate float64       // maximum probes per second of one server by all sidecars together
+	MaxNoteRate        float64       // maximum notes per second from this sidecar
+	DeadPingInterval   time.Duration // minimum interval between pings of a dead peer
+	Authenticated      bool          // notes carry an authentication tag
 }
 
 // Default returns the default settings. The caller sets those of the individual sidecar: its
 // name, zone, peers, incarnation and seed.
 func Default() Config {
-	return Config{Watchers: 2, Every: 2 * time.Second, Step: 500 * time.Millisecond, Period: time.Second, AckWait: 200 * time.Millisecond, Helpers: 3,
-		Suspect: 4 * time.Second, Spread: 3, Probes: 20, PerNode: 4, Notes: 20, Remember: 10 * time.Second}
+	return Config{Watchers: 2, ProbeInterval: 2 * time.Second, TakeoverStep: 500 * time.Millisecond, PingInterval: time.Second, AckTimeout: 200 * time.Millisecond, IndirectPings: 3,
+		SuspectTimeout: 4 * time.Second, Fanout: 3, MaxProbeRate: 20, MaxServerProbeRate: 4, MaxNoteRate: 20, DeadPingInterval: 10 * time.Second}
 }
 
 // Validate returns the joined errors of all invalid fields, each with the name of its setting.
@@ -80,29 +80,29 @@
 		seen[id] = cmp.Or(p.Name, "?")
 	}
 	require(c.Watchers >= 1 && c.Watchers <= 16, "watchers", "must be within 1 and 16")
-	require(c.Every >= 50*time.Millisecond && c.Every <= time.Hour, "every", "must be within 50ms and 1h")
-	require(c.Step > 0, "step", "must be above 0")
-	require(c.Period >= 50*time.Millisecond, "period", "must be 50ms at least")
-	require(c.AckWait > 0 && 2*c.AckWait < c.Period, "ack_wait", "must be above 0, and twice of it below period")
-	require(c.Helpers >= 0 && c.Helpers <= 16, "helpers", "must be within 0 and 16")
-	require(c.Suspect >= c.Period, "suspect", "must be period at the least")
-	require(c.Spread >= 1 && c.Spread <= 16, "spread", "must be within 1 and 16")
-	require(c.Probes > 0, "probes", "must be above 0")
-	require(c.PerNode > 0 && c.PerNode >= 2*float64(c.Watchers)/c.Every.Seconds(), "per_node", "must be twice what %d watchers probe each %v, or more", c.Watchers, c.Every)
-	require(c.Notes >= float64(c.Spread+c.Helpers+2)/c.Period.Seconds(), "notes", "must be enough for spread, helpers and signs in a period")
-	require(c.Remember > 0, "remember", "must be above 0")
+	require(c.ProbeInterval >= 50*time.Millisecond && c.ProbeInterval <= time.Hour, "every", "must be within 50ms and 1h")
+	require(c.TakeoverStep > 0, "step", "must be above 0")
+	require(c.PingInterval >= 50*time.Millisecond, "period", "must be 50ms at least")
+	require(c.AckTimeout > 0 && 2*c.AckTimeout < c.PingInterval, "ack_wait", "must be above 0, and twice of it below period")
+	require(c.IndirectPings >= 0 && c.IndirectPings <= 16, "helpers", "must be within 0 and 16")
+	require(c.SuspectTimeout >= c.PingInterval, "suspect", "must be period at the least")
+	require(c.Fanout >= 1 && c.Fanout <= 16, "spread", "must be within 1 and 16")
+	require(c.MaxProbeRate > 0, "probes", "must be above 0")
+	require(c.MaxServerProbeRate > 0 && c.MaxServerProbeRate >= 2*float64(c.Watchers)/c.ProbeInterval.Seconds(), "per_node", "must be twice what %d watchers probe each %v, or more", c.Watchers, c.ProbeInterval)
+	require(c.MaxNoteRate >= float64(c.Fanout+c.IndirectPings+2)/c.PingInterval.Seconds(), "notes", "must be enough for spread, helpers and signs in a period")
+	require(c.DeadPingInterval > 0, "remember", "must be above 0")
 	return errors.Join(errs...)
 }
 
 // MaxWatchedGap returns the maximum time between probes of a server while one of its watchers is
 // alive.
-func (c *Config) MaxWatchedGap() time.Duration { return c.Every + maxTickDelay }
+func (c *Config) MaxWatchedGap() time.Duration { return c.ProbeInterval + maxTickDelay }
 
 // minTakeoverInterval returns the minimum time between two takeovers of a server by the same
 // sidecar, for a total number of sidecars. If all of them were isolated, a server would get
 // half of its maximum probe rate on average.
 func (c *Config) minTakeoverInterval(sidecars int) time.Duration {
-	return time.Duration(2 * float64(sidecars) / c.PerNode * float64(time.Second))
+	return time.Duration(2 * float64(sidecars) / c.MaxServerProbeRate * float64(time.Second))
 }
 
 // MaxTakeoverGap returns the maximum time between probes of a server whose watchers are all dead
@@ -112,9 +112,9 @@
 // g = 2 probe interval + step (minTakeoverInterval/g + 1) all/alive.
 func (c *Config) MaxTakeoverGap(all, alive int) time.Duration {
 	interval := 1.25 * c.minTakeoverInterval(all).Seconds()
-	probeInterval, stepSeconds := c.Every.Seconds(), c.Step.Seconds()*float64(all)/float64(max(1, alive))
+	probeInterval, stepSeconds := c.ProbeInterval.Seconds(), c.TakeoverStep.Seconds()*float64(all)/float64(max(1, alive))
 	gap := probeInterval + stepSeconds/2 + math.Sqrt((probeInterval+stepSeconds/2)*(probeInterval+stepSeconds/2)+stepSeconds*interval)
-	return time.Duration(max(gap, interval/float64(max(1, alive)))*float64(time.Second)) + 2*c.Step + maxTickDelay
+	return time.Duration(max(gap, interval/float64(max(1, alive)))*float64(time.Second)) + 2*c.TakeoverStep + maxTickDelay
 }
 
 // maxTickDelay is the maximum delay of a Tick after the time that NextTick returned.
--- a/internal/duty/duty.go
+++ b/internal/duty/duty.go
@@ -118,15 +118,15 @@
 
 // Counts holds the totals of a Detector since its start.
 type Counts struct {
-	Probes    uint64 `json:"probes"`
-	Takeovers uint64 `json:"takeovers"` // probes of servers that this sidecar does not watch
-	Notes     uint64 `json:"notes"`
-	Heard     uint64 `json:"heard"`
-	Strange   uint64 `json:"strange"`  // notes from unknown senders
-	Held      uint64 `json:"held"`     // probes deferred by a budget
-	Unsent    uint64 `json:"unsent"`   // notes dropped by a budget
-	Refuted   uint64 `json:"refuted"`  // suspicions of this sidecar that it refuted
-	Suspected uint64 `json:"suspects"` // suspicions of others by this sidecar
+	Probes        uint64 `json:"probes"`
+	Takeovers     uint64 `json:"takeovers"` // probes of servers that this sidecar does not watch
+	Notes         uint64 `json:"notes"`
+	Received      uint64 `json:"heard"`
+	UnknownSender uint64 `json:"strange"`  // notes from unknown senders
+	Deferred      uint64 `json:"held"`     // probes deferred by a budget
+	Dropped       uint64 `json:"unsent"`   // notes dropped by a budget
+	Refuted       uint64 `json:"refuted"`  // suspicions of this sidecar that it refuted
+	Suspected     uint64 `json:"suspects"` // suspicions of others by this sidecar
 }
 
 // New returns a Detector that assumes all peers to be alive, or the error of Config.Validate.
@@ -134,7 +134,7 @@
 	if err := cfg.Validate(); err != nil {
 		return nil, err
 	}
-	d := &Detector{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, uint64(cfg.id()))), self: cfg.id(), incarnation: max(cfg.Inc, 1), peersByID: make(map[ID]*peer), serversByID: make(map[ID]*server), ranksOutdated: true}
+	d := &Detector{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, uint64(cfg.id()))), self: cfg.id(), incarnation: max(cfg.Incarnation, 1), peersByID: make(map[ID]*peer), serversByID: make(map[ID]*server), ranksOutdated: true}
 	for _, p := range cfg.Peers {
 		added := &peer{Peer: p, id: p.id()}
 		d.peers = append(d.peers, added)
@@ -142,7 +142,7 @@
 	}
 	slices.SortFunc(d.peers, func(a, b *peer) int { return cmp.Compare(a.id, b.id) })
 	d.pingOrder = slices.Clone(d.peers)
-	d.takeoverRate = initialRampShare * cfg.Probes
+	d.takeoverRate = initialRampShare * cfg.MaxProbeRate
 	return d, nil
 }
 
@@ -275,7 +275,7 @@
 		since = d.now - srv.probedAt
 	}
 	if srv.fixedRank < d.cfg.Watchers {
-		return since >= d.cfg.Every, false
+		return since >= d.cfg.ProbeInterval, false
 	}
 	// Any number of the other sidecars may be isolated and consider the rest dead. Whatever a
 	// sidecar believes, it therefore takes over no more than an equal share of the server's
@@ -283,7 +283,7 @@
 	if d.now < srv.takeoverFrom {
 		return false, false
 	}
-	return d.age(srv) >= 2*d.cfg.Every+time.Duration(max(0, srv.rank-d.cfg.Watchers+1))*d.cfg.Step, true
+	return d.age(srv) >= 2*d.cfg.ProbeInterval+time.Duration(max(0, srv.rank-d.cfg.Watchers+1))*d.cfg.TakeoverStep, true
 }
 
 // Tick returns the probes and notes that are due. It must be called no later than NextTick.
@@ -304,12 +304,12 @@
 	}
 	elapsed := (now - d.takeoverRateAt).Seconds()
 	d.takeoverRateAt = now
-	minRate := initialRampShare * d.cfg.Probes
+	minRate := initialRampShare * d.cfg.MaxProbeRate
 	if takeovers == 0 {
 		d.takeoverRate = max(minRate, d.takeoverRate-elapsed*minRate)
 	} else {
 		for ; elapsed > 0; elapsed-- {
-			d.takeoverRate = min(d.takeoverRate*(1+(rampGrowth-1)*min(elapsed, 1)), d.cfg.Probes)
+			d.takeoverRate = min(d.takeoverRate*(1+(rampGrowth-1)*min(elapsed, 1)), d.cfg.MaxProbeRate)
 		}
 	}
 	// Watched servers first by rank, then the others by the age of their finding.
@@ -317,12 +317,12 @@
 		return cmp.Or(cmp.Compare(min(a.fixedRank, d.cfg.Watchers), min(b.fixedRank, d.cfg.Watchers)), cmp.Compare(d.age(b), d.age(a)))
 	})
 	for _, srv := range due {
-		rate := d.cfg.Probes
+		rate := d.cfg.MaxProbeRate
 		if srv.fixedRank >= d.cfg.Watchers {
 			rate = d.takeoverRate
 		}
 		if !d.probeBudget.take(now, rate, rate/4) {
-			d.counts.Held++
+			d.counts.Deferred++
 			continue
 		}
 		srv.probedAt = now
@@ -353,18 +353,18 @@
 	Alive    int          `json:"alive"` // including this one
 	Suspects []string     `json:"suspects,omitempty"`
 	Dead     []string     `json:"dead,omitempty"`
-	Nodes    []ServerView `json:"nodes"`
+	Servers  []ServerView `json:"nodes"`
 	Counts   Counts       `json:"counts"`
 }
 
 // ServerView is the state of one server.
 type ServerView struct {
-	Name  string        `json:"name"`
-	State string        `json:"state"`
-	Age   time.Duration `json:"age_ns"` // of the finding, or of the listing if there is none
-	Own   bool          `json:"own"`    // found by this sidecar
-	Place int           `json:"place"`  // rank of this sidecar for the server
-	Watch bool          `json:"watch"`  // whether the rank makes this sidecar a watcher
+	Name      string        `json:"name"`
+	State     string        `json:"state"`
+	Age       time.Duration `json:"age_ns"` // of the finding, or of the listing if there is none
+	IsOwn     bool          `json:"own"`    // found by this sidecar
+	Rank      int           `json:"place"`  // rank of this sidecar for the server
+	IsWatcher bool          `json:"watch"`  // whether the rank makes this sidecar a watcher
 }
 
 // View returns the current state.
@@ -387,7 +387,7 @@
 		if srv.foundAt >= 0 {
 			state = srv.state.String()
 		}
-		v.Nodes = append(v.Nodes, ServerView{srv.Name, state, d.age(srv), srv.isOwn, srv.rank, srv.rank < d.cfg.Watchers})
+		v.Servers = append(v.Servers, ServerView{srv.Name, state, d.age(srv), srv.isOwn, srv.rank, srv.rank < d.cfg.Watchers})
 	}
 	return v
 }
--- a/internal/duty/duty_test.go
+++ b/internal/duty/duty_test.go
@@ -75,7 +75,7 @@
 func (w *sim) start(c *sidecar) {
 	w.starts++
 	cfg := w.cfg
-	cfg.Self, cfg.Zone, cfg.Seed, cfg.Inc = c.name, c.zone, w.starts, w.starts<<20
+	cfg.Self, cfg.Zone, cfg.Seed, cfg.Incarnation = c.name, c.zone, w.starts, w.starts<<20
 	for _, p := range w.peers {
 		if p != c {
 			cfg.Peers = append(cfg.Peers, Peer{Name: p.name, Zone: p.zone})
@@ -286,7 +286,7 @@
 	}{{40, 40, 2 * time.Second}, {210, 200, 10 * time.Second}, {2000, 400, 30 * time.Second}} {
 		b.Run(fmt.Sprintf("sidecars=%d/nodes=%d", size.sidecars, size.servers), func(b *testing.B) {
 			for b.Loop() {
-				w := newSim(1, size.sidecars, size.servers, func(c *Config) { c.Every = size.every })
+				w := newSim(1, size.sidecars, size.servers, func(c *Config) { c.ProbeInterval = size.every })
 				w.states = make(map[string]State)
 				settle := 3 * size.every
 				w.Run(settle)
@@ -332,8 +332,8 @@
 func TestDeathMovesOnlyOwnWatches(t *testing.T) {
 	w := newSim(2, 40, 100, nil)
 	watch := func(c *sidecar) (all []string) {
-		for _, n := range c.duty.View().Nodes {
-			if n.Watch {
+		for _, n := range c.duty.View().Servers {
+			if n.IsWatcher {
 				all = append(all, n.Name)
 			}
 		}
@@ -382,11 +382,11 @@
 		if v.Alive != 40 || v.Counts.Refuted > 0 {
 			t.Errorf("%s: counts %+v, want 40 sidecars alive and no refuted suspicion", c.name, v.Counts)
 		}
-		for _, n := range v.Nodes {
-			if n.Watch {
+		for _, n := range v.Servers {
+			if n.IsWatcher {
 				watchers[n.Name]++
 			}
-			if n.Age > 3*w.cfg.Every {
+			if n.Age > 3*w.cfg.ProbeInterval {
 				t.Errorf("%s: the latest finding of %s is %v old, want at most 3 probe intervals", c.name, n.Name, n.Age)
 			}
 		}
@@ -416,12 +416,12 @@
 func TestNoteRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		key := rapid.SliceOfN(rapid.Byte(), 0, 32).Draw(t, "key")
-		note := &Note{Kind: Kind(rapid.IntRange(0, int(kindCount)-1).Draw(t, "kind")), From: ID(rapid.Uint32().Draw(t, "from")), Inc: rapid.Uint64().Draw(t, "inc"), Seq: rapid.Uint32().Draw(t, "seq"), Target: ID(rapid.Uint32().Draw(t, "whom"))}
+		note := &Note{Kind: Kind(rapid.IntRange(0, int(kindCount)-1).Draw(t, "kind")), From: ID(rapid.Uint32().Draw(t, "from")), Incarnation: rapid.Uint64().Draw(t, "inc"), Seq: rapid.Uint32().Draw(t, "seq"), Target: ID(rapid.Uint32().Draw(t, "whom"))}
 		for range rapid.IntRange(0, maxUpdates).Draw(t, "news") {
 			note.Updates = append(note.Updates, Update{ID(rapid.Uint32().Draw(t, "who")), rapid.Uint64().Draw(t, "inc"), PeerState(rapid.IntRange(0, 2).Draw(t, "life"))})
 		}
-		if maxPayload := min(PartMost, freeBytes(len(note.Updates), len(key) > 0)-1); rapid.Bool().Draw(t, "part") {
-			note.Part = rapid.SliceOfN(rapid.Byte(), 1, maxPayload).Draw(t, "bytes")
+		if maxPayload := min(MaxPayloadBytes, freeBytes(len(note.Updates), len(key) > 0)-1); rapid.Bool().Draw(t, "part") {
+			note.Payload = rapid.SliceOfN(rapid.Byte(), 1, maxPayload).Draw(t, "bytes")
 		}
 		for range rapid.IntRange(0, note.maxFindings(len(key) > 0)).Draw(t, "found") {
 			note.Findings = append(note.Findings, Finding{ID(rapid.Uint32().Draw(t, "node")), State(rapid.IntRange(0, 3).Draw(t, "state")), time.Duration(rapid.IntRange(0, maxAgeUnits).Draw(t, "age")) * ageUnit})
@@ -440,9 +440,9 @@
 }
 
 func FuzzParse(f *testing.F) {
-	n := Note{Kind: Ping, From: 1, Inc: 2, Seq: 3, Updates: []Update{{1, 2, Dead}}, Findings: []Finding{{1, Silent, time.Second}}}
+	n := Note{Kind: Ping, From: 1, Incarnation: 2, Seq: 3, Updates: []Update{{1, 2, Dead}}, Findings: []Finding{{1, Silent, time.Second}}}
 	f.Add(n.Append(nil, nil))
-	n.Part = []byte("of others")
+	n.Payload = []byte("of others")
 	f.Add(n.Append(nil, nil))
 	f.Add([]byte{1, 0})
 	f.Fuzz(func(t *testing.T, b []byte) {
@@ -464,14 +464,14 @@
 // delayed note.
 func TestIncarnationsOrderUpdates(t *testing.T) {
 	cfg := Default()
-	cfg.Self, cfg.Peers, cfg.Inc = "a", []Peer{{Name: "b"}, {Name: "c"}}, 100
+	cfg.Self, cfg.Peers, cfg.Incarnation = "a", []Peer{{Name: "b"}, {Name: "c"}}, 100
 	d, err := New(cfg)
 	if err != nil {
 		t.Fatal(err)
 	}
 	b, c := IDOf("b"), IDOf("c")
 	note := func(from ID, inc uint64, news ...Update) {
-		d.Receive(time.Second, &Note{From: from, Inc: inc, Updates: news})
+		d.Receive(time.Second, &Note{From: from, Incarnation: inc, Updates: news})
 	}
 	state := func() string {
 		v := d.View()
@@ -499,11 +499,11 @@
 		}
 	}
 	note(c, 7, Update{IDOf("a"), 100, Dead})
-	out := d.Receive(2*time.Second, &Note{Kind: Ping, From: c, Inc: 7, Seq: 1})
-	if len(out.Notes) != 1 || out.Notes[0].Note.Inc != 101 || out.Notes[0].Note.Kind != Ack {
+	out := d.Receive(2*time.Second, &Note{Kind: Ping, From: c, Incarnation: 7, Seq: 1})
+	if len(out.Notes) != 1 || out.Notes[0].Note.Incarnation != 101 || out.Notes[0].Note.Kind != Ack {
 		t.Errorf("ping after an update that declares this sidecar dead: answered with %+v, want an Ack of incarnation 101", out.Notes)
 	}
-	if d.Receive(2*time.Second, &Note{Kind: Ping, From: 99, Inc: 1}); d.View().Counts.Strange != 1 {
+	if d.Receive(2*time.Second, &Note{Kind: Ping, From: 99, Incarnation: 1}); d.View().Counts.UnknownSender != 1 {
 		t.Error("a note of an unknown sender must be counted as strange")
 	}
 }
@@ -519,7 +519,7 @@
 	d.SetServers(hour, []Server{{"n", ""}})
 	b := IDOf("b")
 	note := func(now, sent time.Duration, inc uint64, age time.Duration) time.Duration {
-		d.Receive(now, &Note{From: b, Inc: inc, Sent: millis(sent), Findings: []Finding{{IDOf("n"), Answering, age}}})
+		d.Receive(now, &Note{From: b, Incarnation: inc, SentMillis: millis(sent), Findings: []Finding{{IDOf("n"), Answering, age}}})
 		_, known, _, _ := d.Lookup("n")
 		return known
 	}
@@ -550,14 +550,14 @@
 	cfg.Self, cfg.Peers = "a", []Peer{{Name: "b", Zone: ""}}
 	d, _ := New(cfg)
 	d.SetServers(10*time.Second, []Server{{"n", ""}})
-	d.Receive(20*time.Second, &Note{From: IDOf("b"), Inc: 1, Findings: []Finding{{IDOf("n"), Silent, 3 * time.Second}, {IDOf("other"), Silent, 0}}})
+	d.Receive(20*time.Second, &Note{From: IDOf("b"), Incarnation: 1, Findings: []Finding{{IDOf("n"), Silent, 3 * time.Second}, {IDOf("other"), Silent, 0}}})
 	if s, age, own, ok := d.Lookup("n"); s != Silent || age != 3*time.Second || own || !ok {
 		t.Errorf("known of n: state %v, age %v, own %v, ok %v; want silent, 3s, false, true", s, age, own, ok)
 	}
-	if _, _, _, ok := d.Lookup("other"); ok || len(d.View().Nodes) != 1 {
+	if _, _, _, ok := d.Lookup("other"); ok || len(d.View().Servers) != 1 {
 		t.Error("a server that is not on the list is known")
 	}
-	d.Receive(20*time.Second, &Note{From: IDOf("b"), Inc: 1, Findings: []Finding{{IDOf("n"), Answering, 4 * time.Second}}})
+	d.Receive(20*time.Second, &Note{From: IDOf("b"), Incarnation: 1, Findings: []Finding{{IDOf("n"), Answering, 4 * time.Second}}})
 	if s, _, _, _ := d.Lookup("n"); s != Silent {
 		t.Error("an older finding replaces a newer one")
 	}
@@ -578,9 +578,9 @@
 		change func(*Config)
 	}{
 		{"self", func(c *Config) { c.Self = "" }}, {"peers", func(c *Config) { c.Peers = append(c.Peers, c.Peers[0]) }}, {"watchers", func(c *Config) { c.Watchers = 0 }},
-		{"every", func(c *Config) { c.Every = 0 }}, {"step", func(c *Config) { c.Step = 0 }}, {"period", func(c *Config) { c.Period = 0 }}, {"ack_wait", func(c *Config) { c.AckWait = c.Period }},
-		{"helpers", func(c *Config) { c.Helpers = 99 }}, {"suspect", func(c *Config) { c.Suspect = 1 }}, {"spread", func(c *Config) { c.Spread = 0 }}, {"probes", func(c *Config) { c.Probes = 0 }},
-		{"per_node", func(c *Config) { c.PerNode = 1 }}, {"notes", func(c *Config) { c.Notes = 1 }}, {"remember", func(c *Config) { c.Remember = 0 }},
+		{"every", func(c *Config) { c.ProbeInterval = 0 }}, {"step", func(c *Config) { c.TakeoverStep = 0 }}, {"period", func(c *Config) { c.PingInterval = 0 }}, {"ack_wait", func(c *Config) { c.AckTimeout = c.PingInterval }},
+		{"helpers", func(c *Config) { c.IndirectPings = 99 }}, {"suspect", func(c *Config) { c.SuspectTimeout = 1 }}, {"spread", func(c *Config) { c.Fanout = 0 }}, {"probes", func(c *Config) { c.MaxProbeRate = 0 }},
+		{"per_node", func(c *Config) { c.MaxServerProbeRate = 1 }}, {"notes", func(c *Config) { c.MaxNoteRate = 1 }}, {"remember", func(c *Config) { c.DeadPingInterval = 0 }},
 	} {
 		cfg := Default()
 		cfg.Self, cfg.Peers = "a", []Peer{{Name: "b", Zone: ""}}
@@ -665,7 +665,7 @@
 		at := time.Duration(w.rng.Int64N(int64(9 * time.Second)))
 		w.After(at, func() {
 			c.duty.SetServers(w.Now+c.clockOffset, next)
-			for _, n := range c.duty.View().Nodes {
+			for _, n := range c.duty.View().Servers {
 				if slices.Contains(old[:5], Server{n.Name, zones[0]}) {
 					t.Errorf("%s still has %s, which its list no longer has", c.name, n.Name)
 				}
@@ -706,8 +706,8 @@
 	}
 	mean, maxPerSecond, gap := w.probeStats(time.Minute, 2*time.Minute)
 	t.Logf("probes per server and second: mean %.2f, maximum %d; longest gap: %v", mean, maxPerSecond, gap)
-	if mean > w.cfg.PerNode || gap > w.cfg.MaxWatchedGap() {
-		t.Errorf("%v probes per server and second, want at most %v; longest gap %v, want at most MaxWatchedGap", mean, w.cfg.PerNode, gap)
+	if mean > w.cfg.MaxServerProbeRate || gap > w.cfg.MaxWatchedGap() {
+		t.Errorf("%v probes per server and second, want at most %v; longest gap %v, want at most MaxWatchedGap", mean, w.cfg.MaxServerProbeRate, gap)
 	}
 }
 
--- a/internal/duty/membership.go
+++ b/internal/duty/membership.go
@@ -13,20 +13,20 @@
 		return
 	}
 	d.pendingPings = slices.DeleteFunc(d.pendingPings, func(ping pendingPing) bool {
-		return d.now-ping.sentAt > 2*d.cfg.Period
+		return d.now-ping.sentAt > 2*d.cfg.PingInterval
 	})
 	for i := range d.pendingPings {
 		ping := &d.pendingPings[i]
-		if ping.requester != 0 || ping.askedOthers || d.now-ping.sentAt < d.cfg.AckWait {
+		if ping.requester != 0 || ping.askedOthers || d.now-ping.sentAt < d.cfg.AckTimeout {
 			continue
 		}
 		ping.askedOthers = true
-		for _, helper := range d.randomPeers(d.cfg.Helpers, ping.target) {
+		for _, helper := range d.randomPeers(d.cfg.IndirectPings, ping.target) {
 			d.send(out, helper, Note{Kind: PingRequest, Seq: ping.seq, Target: ping.target.id})
 		}
 	}
 	for _, p := range d.peers {
-		if p.state == Suspect && d.now-p.changedAt >= d.cfg.Suspect {
+		if p.state == Suspect && d.now-p.changedAt >= d.cfg.SuspectTimeout {
 			d.setPeerState(p, p.incarnation, Dead)
 		}
 	}
@@ -41,13 +41,13 @@
 		}
 	}
 	d.pendingPings = slices.DeleteFunc(d.pendingPings, func(ping pendingPing) bool { return ping.requester == 0 })
-	d.nextPeriod = d.now + d.cfg.Period
+	d.nextPeriod = d.now + d.cfg.PingInterval
 	if p := d.nextPingTarget(); p != nil {
 		d.seq++
 		d.pendingPings = append(d.pendingPings, pendingPing{seq: d.seq, target: p, sentAt: d.now})
 		d.send(out, p, Note{Kind: Ping, Seq: d.seq})
 	}
-	for _, p := range d.randomPeers(d.cfg.Spread, nil) {
+	for _, p := range d.randomPeers(d.cfg.Fanout, nil) {
 		d.send(out, p, Note{Kind: Gossip})
 	}
 }
@@ -61,7 +61,7 @@
 		}
 		p := d.pingOrder[d.nextPing]
 		d.nextPing = (d.nextPing + 1) % len(d.pingOrder)
-		if p.state != Dead || d.now-p.changedAt >= d.cfg.Remember {
+		if p.state != Dead || d.now-p.changedAt >= d.cfg.DeadPingInterval {
 			if p.state == Dead {
 				p.changedAt = d.now
 			}
@@ -90,11 +90,11 @@
 
 // send adds updates, payload and findings to a note and appends it to out, if the budget allows.
 func (d *Detector) send(out *Actions, to *peer, note Note) {
-	if !d.noteBudget.take(d.now, d.cfg.Notes, 2*d.cfg.Notes) {
-		d.counts.Unsent++
+	if !d.noteBudget.take(d.now, d.cfg.MaxNoteRate, 2*d.cfg.MaxNoteRate) {
+		d.counts.Dropped++
 		return
 	}
-	note.From, note.Inc, note.Sent = d.self, d.incarnation, millis(d.now)
+	note.From, note.Incarnation, note.SentMillis = d.self, d.incarnation, millis(d.now)
 	// The receiver's own state comes first: only the receiver can refute it.
 	if to.state == Suspect || to.state == Dead {
 		note.Updates = append(note.Updates, Update{to.id, to.incarnation, to.state})
@@ -111,9 +111,9 @@
 		note.Updates = append(note.Updates, Update{p.id, p.incarnation, p.state})
 	}
 	if d.payload != nil {
-		note.Part = d.payload(d.now, min(PartMost, freeBytes(len(note.Updates), d.cfg.Keyed)-1))
+		note.Payload = d.payload(d.now, min(MaxPayloadBytes, freeBytes(len(note.Updates), d.cfg.Authenticated)-1))
 	}
-	note.Findings = d.nextFindings(note.maxFindings(d.cfg.Keyed))
+	note.Findings = d.nextFindings(note.maxFindings(d.cfg.Authenticated))
 	d.counts.Notes++
 	out.Notes = append(out.Notes, OutgoingNote{to.Name, note})
 }
@@ -122,7 +122,7 @@
 // sent least often, then all others in turn. Those too old to defer anybody's probe are left
 // out.
 func (d *Detector) nextFindings(capacity int) (findings []Finding) {
-	isRecent := func(srv *server) bool { return srv.foundAt >= 0 && d.now-srv.foundAt < 4*d.cfg.Every }
+	isRecent := func(srv *server) bool { return srv.foundAt >= 0 && d.now-srv.foundAt < 4*d.cfg.ProbeInterval }
 	var ownFindings []*server
 	for _, srv := range d.servers {
 		if srv.isOwn && isRecent(srv) && srv.sends < d.sendLimit() {
@@ -189,8 +189,8 @@
 // excessTransitTime returns how much longer a note was in transit than the fastest one from p.
 // Notes that the network delays or repeats would otherwise present old findings as current.
 func (d *Detector) excessTransitTime(p *peer, n *Note) time.Duration {
-	offset := millis(d.now) - n.Sent
-	if excess := int32(offset - p.clockOffsetMillis); p.hasClockOffset && n.Inc <= p.incarnation && excess >= 0 {
+	offset := millis(d.now) - n.SentMillis
+	if excess := int32(offset - p.clockOffsetMillis); p.hasClockOffset && n.Incarnation <= p.incarnation && excess >= 0 {
 		return time.Duration(excess) * time.Millisecond
 	}
 	p.clockOffsetMillis, p.hasClockOffset = offset, true
@@ -203,16 +203,16 @@
 	d.now = now
 	p := d.peersByID[n.From]
 	if p == nil {
-		d.counts.Strange++
+		d.counts.UnknownSender++
 		return out
 	}
-	d.counts.Heard++
+	d.counts.Received++
 	excess := d.excessTransitTime(p, n)
 	// A note is a sign of life, unless it is from an earlier incarnation than the known one.
-	if n.Inc >= p.incarnation {
+	if n.Incarnation >= p.incarnation {
 		p.lastSign = max(p.lastSign, now-excess)
-		if n.Inc > p.incarnation {
-			d.setPeerState(p, n.Inc, Alive)
+		if n.Incarnation > p.incarnation {
+			d.setPeerState(p, n.Incarnation, Alive)
 		}
 	}
 	for _, update := range n.Updates {
@@ -226,7 +226,7 @@
 	case Ping:
 		d.send(&out, p, Note{Kind: Ack, Seq: n.Seq})
 	case PingRequest:
-		if target := d.peersByID[n.Target]; target != nil && target != p && len(d.pendingPings) < 4*d.cfg.Helpers+8 {
+		if target := d.peersByID[n.Target]; target != nil && target != p && len(d.pendingPings) < 4*d.cfg.IndirectPings+8 {
 			d.seq++
 			d.pendingPings = append(d.pendingPings, pendingPing{seq: d.seq, target: target, sentAt: now, requester: p.id, requesterSeq: n.Seq})
 			d.send(&out, target, Note{Kind: Ping, Seq: d.seq})
@@ -246,8 +246,8 @@
 				if requester := d.peersByID[ping.requester]; requester != nil {
 					d.send(&out, requester, Note{Kind: Ack, Seq: ping.requesterSeq, Target: ping.target.id})
 				}
-			} else if ping.target.state == Suspect && n.Target == 0 && n.Inc > ping.target.incarnation {
-				d.setPeerState(ping.target, n.Inc, Alive)
+			} else if ping.target.state == Suspect && n.Target == 0 && n.Incarnation > ping.target.incarnation {
+				d.setPeerState(ping.target, n.Incarnation, Alive)
 			}
 			break
 		}
--- a/internal/duty/note.go
+++ b/internal/duty/note.go
@@ -102,19 +102,19 @@
 
 // Note is a message from one sidecar to another.
 type Note struct {
-	Kind     Kind
-	From     ID
-	Inc      uint64 // incarnation of the sender: grows with each start and to refute a suspicion
-	Seq      uint32 // number of a Ping, and of its Ack
-	Target   ID     // target of a PingRequest, or of an Ack on behalf of another sidecar; 0: none
-	Sent     uint32 // time of sending, in milliseconds of the sender's clock, modulo 2^32
-	Updates  []Update
-	Findings []Finding
-	Part     []byte // payload of another package; empty: none
+	Kind        Kind
+	From        ID
+	Incarnation uint64 // incarnation of the sender: grows with each start and to refute a suspicion
+	Seq         uint32 // number of a Ping, and of its Ack
+	Target      ID     // target of a PingRequest, or of an Ack on behalf of another sidecar; 0: none
+	SentMillis  uint32 // time of sending, in milliseconds of the sender's clock, modulo 2^32
+	Updates     []Update
+	Findings    []Finding
+	Payload     []byte // payload of another package; empty: none
 }
 
-// PartMost is the maximum length of a payload, in bytes; it leaves space for findings.
-const PartMost = 150
+// MaxPayloadBytes is the maximum length of a payload, in bytes; it leaves space for findings.
+const MaxPayloadBytes = 150
 
 // Errors of Parse. They are not reported to the sender of the note.
 var (
@@ -138,8 +138,8 @@
 // maxFindings returns the number of findings that fit into the note.
 func (n *Note) maxFindings(tagged bool) int {
 	free := freeBytes(min(len(n.Updates), maxUpdates), tagged)
-	if len(n.Part) > 0 {
-		free -= 1 + len(n.Part)
+	if len(n.Payload) > 0 {
+		free -= 1 + len(n.Payload)
 	}
 	return max(0, free/findingBytes)
 }
@@ -151,15 +151,15 @@
 	updates := n.Updates[:min(len(n.Updates), maxUpdates)]
 	findings := n.Findings[:min(len(n.Findings), n.maxFindings(len(key) > 0))]
 	version := byte(noteVersion)
-	if len(n.Part) > 0 {
+	if len(n.Payload) > 0 {
 		version = payloadVersion
 	}
 	b = append(b, version, byte(n.Kind))
 	b = binary.BigEndian.AppendUint32(b, uint32(n.From))
-	b = binary.BigEndian.AppendUint64(b, n.Inc)
+	b = binary.BigEndian.AppendUint64(b, n.Incarnation)
 	b = binary.BigEndian.AppendUint32(b, n.Seq)
 	b = binary.BigEndian.AppendUint32(b, uint32(n.Target))
-	b = binary.BigEndian.AppendUint32(b, n.Sent)
+	b = binary.BigEndian.AppendUint32(b, n.SentMillis)
 	b = append(b, byte(len(updates)), byte(len(findings)))
 	for _, update := range updates {
 		b = binary.BigEndian.AppendUint32(b, uint32(update.ID))
@@ -171,8 +171,8 @@
 		age := min(max((finding.Age+ageUnit-1)/ageUnit, 0), maxAgeUnits) // rounded up, so that a finding never appears newer
 		b = binary.BigEndian.AppendUint16(b, uint16(finding.State)<<13|uint16(age))
 	}
-	if len(n.Part) > 0 {
-		b = append(append(b, byte(len(n.Part))), n.Part...)
+	if len(n.Payload) > 0 {
+		b = append(append(b, byte(len(n.Payload))), n.Payload...)
 	}
 	if len(key) > 0 {
 		b = append(b, computeTag(b[start:], key)...)
@@ -203,17 +203,17 @@
 	if b[0] != noteVersion && b[0] != payloadVersion || b[1] >= byte(kindCount) {
 		return nil, ErrMalformed
 	}
-	note := &Note{Kind: Kind(b[1]), From: ID(binary.BigEndian.Uint32(b[2:])), Inc: binary.BigEndian.Uint64(b[6:]), Seq: binary.BigEndian.Uint32(b[14:]), Target: ID(binary.BigEndian.Uint32(b[18:])), Sent: binary.BigEndian.Uint32(b[22:])}
+	note := &Note{Kind: Kind(b[1]), From: ID(binary.BigEndian.Uint32(b[2:])), Incarnation: binary.BigEndian.Uint64(b[6:]), Seq: binary.BigEndian.Uint32(b[14:]), Target: ID(binary.BigEndian.Uint32(b[18:])), SentMillis: binary.BigEndian.Uint32(b[22:])}
 	updateCount, findingCount := int(b[26]), int(b[27])
 	size := headerBytes + updateCount*updateBytes + findingCount*findingBytes
 	if updateCount > maxUpdates || len(b) < size {
 		return nil, ErrMalformed
 	}
 	switch payload := b[size:]; {
-	case b[0] == noteVersion && len(payload) > 0, b[0] == payloadVersion && (len(payload) < 2 || len(payload) > PartMost+1 || int(payload[0]) != len(payload)-1):
+	case b[0] == noteVersion && len(payload) > 0, b[0] == payloadVersion && (len(payload) < 2 || len(payload) > MaxPayloadBytes+1 || int(payload[0]) != len(payload)-1):
 		return nil, ErrMalformed
 	case b[0] == payloadVersion:
-		note.Part = payload[1:]
+		note.Payload = payload[1:]
 	}
 	b = b[headerBytes:]
 	for range updateCount {
--- a/internal/fleet/cases_test.go
+++ b/internal/fleet/cases_test.go
@@ -279,7 +279,7 @@
 			if err != nil {
 				return 0
 			}
-			x := duty.Note{Kind: duty.Ping, From: duty.IDOf(fmt.Sprint("sidecar ", self)), Inc: inc, Seq: uint32(n), Sent: uint32(now.Milliseconds()), Part: m.EncodeNote(now, duty.PartMost)}
+			x := duty.Note{Kind: duty.Ping, From: duty.IDOf(fmt.Sprint("sidecar ", self)), Incarnation: inc, Seq: uint32(n), SentMillis: uint32(now.Milliseconds()), Payload: m.EncodeNote(now, duty.MaxPayloadBytes)}
 			conn.WriteToUDP(x.Append(nil, []byte("of the fleet")), to)
 			n++
 		}
--- a/internal/front/conn.go
+++ b/internal/front/conn.go
@@ -74,7 +74,7 @@
 			return
 		case x == nil:
 		default:
-			if x.keptBody == nil || !x.keptBody.Coming() { // else its body is not complete yet; forwardBody counts it
+			if x.keptBody == nil || !x.keptBody.IsStreamed() { // else its body is not complete yet; forwardBody counts it
 				c.srv.cfg.Figures.Take(&x.counter, x.Class)
 			}
 			if !c.openExchange(x) {
@@ -96,7 +96,7 @@
 				return
 			}
 			x.handler.Arrive(&x.Call)
-			if x.keptBody != nil && x.keptBody.Coming() && !c.forwardBody(x) {
+			if x.keptBody != nil && x.keptBody.IsStreamed() && !c.forwardBody(x) {
 				return
 			}
 		}
--- a/internal/front/min_rate_test.go
+++ b/internal/front/min_rate_test.go
@@ -127,7 +127,7 @@
 			status, body, _ := c.receive()
 			t.Fatalf("%s: request did not arrive, answered %d %q", name, status, body)
 		}
-		if x.Limits != nil || x.keptBody.Coming() || x.keptBody.Length() != 100000 {
+		if x.Limits != nil || x.keptBody.IsStreamed() || x.keptBody.Length() != 100000 {
 			t.Errorf("%s: limits %+v, length %d", name, x.Limits, x.keptBody.Length())
 		}
 		answerWith(x, "hi")
--- a/internal/front/stored_body.go
+++ b/internal/front/stored_body.go
@@ -66,7 +66,7 @@
 		return x, 0
 	}
 	in := body.Incoming{Class: store.Class(x.Class), Tenant: store.Tenant(x.Tenant), Length: r.ContentLength, Body: c.newMinRateReader(r.Body, float64(store.Rate), store.Within)}
-	in.Once = x.isBehindTier && x.Limits.MaxAttempts == 1
+	in.KeptElsewhere = x.isBehindTier && x.Limits.MaxAttempts == 1
 	if expectsContinue {
 		in.Body = &continueReader{c: c, r: in.Body}
 	}
@@ -79,12 +79,12 @@
 	x.Received = time.Now()
 	if pieces := kept.Pieces(); pieces != nil {
 		x.composeRequest(r, pieces)
-		x.Request.OnRetry = kept.Retried
+		x.Request.OnRetry = kept.RecordRetry
 	} else {
 		x.composeHead(r, kept.Length())
 		x.Request.Source, x.Request.Chunked = kept, kept.Length() < 0
 	}
-	if !kept.Coming() {
+	if !kept.IsStreamed() {
 		c.nc.SetReadDeadline(time.Time{})
 		return x, 0
 	}
@@ -154,7 +154,7 @@
 	s := c.srv
 	err := x.keptBody.Forward()
 	c.nc.SetReadDeadline(time.Time{})
-	complete := err == nil && x.keptBody.Whole()
+	complete := err == nil && x.keptBody.IsComplete()
 	if complete {
 		s.mu.Lock()
 		answered := c.current == nil // before the end of the body: the answer told the client that the connection closes
@@ -170,7 +170,7 @@
 	}
 	gone := err != nil && x.handler.ClientGone(&x.Call)
 	if err != nil {
-		x.keptBody.Break()
+		x.keptBody.Abort()
 	}
 	if gone {
 		// The server has not received the last byte, so it has not started the request.
@@ -192,10 +192,10 @@
 // unkeptBodyField returns the header line that tells the client how a body that was not kept
 // limited its call, which ends without an answer of a server. It is empty for other bodies.
 func (x *Exchange) unkeptBodyField(refused bool) string {
-	if x.keptBody == nil || !x.keptBody.Coming() {
+	if x.keptBody == nil || !x.keptBody.IsStreamed() {
 		return ""
 	}
-	x.keptBody.Ended(refused)
+	x.keptBody.RecordEnd(refused)
 	if refused {
 		return x.conn.srv.bodyStore().proxyStatusField("destination_unavailable", "body not kept: one attempt, which did not run")
 	}
--- a/internal/keep/disk.go
+++ b/internal/keep/disk.go
@@ -29,10 +29,10 @@
 
 // DiskLimits holds the settings of a Disk.
 type DiskLimits struct {
-	SlowAfter time.Duration // mean call duration above which the disk is slow
-	RestLeast time.Duration // initial delay before a trial
-	RestMost  time.Duration // maximum of the delay, which doubles with each failed trial
-	Proof     int           // consecutive trials that must succeed before the disk is good again
+	SlowAfter      time.Duration // mean call duration above which the disk is slow
+	MinTrialDelay  time.Duration // initial delay before a trial
+	MaxTrialDelay  time.Duration // maximum of the delay, which doubles with each failed trial
+	RequiredTrials int           // consecutive trials that must succeed before the disk is good again
 }
 
 const (
@@ -61,7 +61,7 @@
 
 // NewDisk returns a Disk in the state Good.
 func NewDisk(l DiskLimits, now time.Duration) Disk {
-	return Disk{limits: l, since: now, trialDelay: l.RestLeast}
+	return Disk{limits: l, since: now, trialDelay: l.MinTrialDelay}
 }
 
 // State returns the state and the time since when it holds.
@@ -114,13 +114,13 @@
 func (d *Disk) RecordTrial(f Fault, took, now time.Duration) {
 	d.isTrying = false
 	if f == None && took <= d.limits.SlowAfter {
-		d.trialDelay, d.nextTrial = d.limits.RestLeast, now+d.limits.RestLeast
-		if d.goodTrials++; d.goodTrials >= d.limits.Proof {
+		d.trialDelay, d.nextTrial = d.limits.MinTrialDelay, now+d.limits.MinTrialDelay
+		if d.goodTrials++; d.goodTrials >= d.limits.RequiredTrials {
 			d.setState(Good, now)
 		}
 		return
 	}
-	d.trialDelay = min(2*d.trialDelay, d.limits.RestMost)
+	d.trialDelay = min(2*d.trialDelay, d.limits.MaxTrialDelay)
 	switch f {
 	case NoRoom:
 		d.setState(Full, now)
--- a/internal/keep/keep.go
+++ b/internal/keep/keep.go
@@ -6,7 +6,7 @@
 const (
 	Memory  Place = iota
 	File          // in a file, or on the way there from memory
-	Nowhere       // not kept: streamed to one server
+	NotKept       // not kept: streamed to one server
 	Refused       // no capacity even for streaming it
 )
 
@@ -42,7 +42,7 @@
 
 // Count holds the totals of the bodies of a class.
 type Count struct {
-	Memory, File, Nowhere, Refused int64 // bodies by their final place
+	Memory, File, NotKept, Refused int64 // bodies by their final place
 	Moved                          int64 // bodies moved from memory to a file after they were complete
 	RetriedMemory, RetriedFile     int64 // further attempts by where the body was read from
 	UnkeptRefused, UnkeptFailed    int64 // calls limited to one attempt because the body was not kept, that got no answer
@@ -51,7 +51,7 @@
 }
 
 // Use describes one amount: the current use, its maximum so far, and the limit.
-type Use struct{ Now, Most, Limit int64 }
+type Use struct{ Now, Max, Limit int64 }
 
 // Usage holds the use of all amounts.
 type Usage struct{ Memory, Disk, Files, Streams Use }
@@ -71,7 +71,7 @@
 
 // New returns a Keeper, or an error that names the invalid limit.
 func New(l Limits) (*Keeper, error) {
-	if err := l.Check(); err != nil {
+	if err := l.Validate(); err != nil {
 		return nil, err
 	}
 	return &Keeper{
@@ -91,9 +91,9 @@
 	b := &Body{class: class, tenant: tenant, movableIndex: -1, keptElsewhere: keptElsewhere}
 	switch {
 	case keptElsewhere && announced > k.limits.MoveLeast:
-		b.place = Nowhere
+		b.place = NotKept
 	case announced > k.limits.FileMost || announced > k.limits.MemoryMost && !k.canCreateFile(canCreate):
-		b.place = Nowhere
+		b.place = NotKept
 	case announced > k.limits.MemoryMost:
 		b.place = File
 	}
@@ -109,7 +109,7 @@
 // booked.
 func (k *Keeper) Put(b *Body, n int64, canCreate bool) Place {
 	if b.keptElsewhere && b.size+n > k.limits.MoveLeast {
-		b.place = Nowhere
+		b.place = NotKept
 	}
 	if b.place == Memory && (b.size+n > k.limits.MemoryMost || !k.mem.book(b.class, b.tenant, n)) {
 		b.place = File
@@ -117,7 +117,7 @@
 		b.memBytes += n
 	}
 	if b.place == File && !k.bookInFile(b, n, canCreate) {
-		b.place = Nowhere
+		b.place = NotKept
 		// The file cannot take more. Continue in memory if possible, so that a body that is
 		// nearly complete does not lose its retries.
 		if b.fileFailed && b.size+n <= k.limits.FileMost && k.mem.book(b.class, b.tenant, n) {
@@ -125,7 +125,7 @@
 			b.memBytes += n
 		}
 	}
-	if b.place == Nowhere && !b.hasStream {
+	if b.place == NotKept && !b.hasStream {
 		if b.hasStream = k.streams.book(b.class, b.tenant, 1); !b.hasStream {
 			b.place = Refused
 			return Refused
@@ -229,8 +229,8 @@
 		c.Memory++
 	case File:
 		c.File++
-	case Nowhere:
-		c.Nowhere++
+	case NotKept:
+		c.NotKept++
 	case Refused:
 		c.Refused++
 	}
@@ -357,7 +357,7 @@
 // RecordEnd records that a call ended without an answer, refused or failed, if its body was not
 // kept.
 func (k *Keeper) RecordEnd(b *Body, refused bool) {
-	if b.place != Nowhere && b.place != Refused {
+	if b.place != NotKept && b.place != Refused {
 		return
 	}
 	if refused {
--- a/internal/keep/keep_test.go
+++ b/internal/keep/keep_test.go
@@ -75,7 +75,7 @@
 			}
 			l.hasFile = true
 		}
-	case Nowhere:
+	case NotKept:
 		l.hasStream = true
 	}
 	l.place = p
@@ -355,7 +355,7 @@
 // trials leads back to good.
 func TestDiskFaultsAndRecovery(t *testing.T) {
 	const ms = time.Millisecond
-	lim := DiskLimits{SlowAfter: 100 * ms, RestLeast: time.Second, RestMost: 4 * time.Second, Proof: 2}
+	lim := DiskLimits{SlowAfter: 100 * ms, MinTrialDelay: time.Second, MaxTrialDelay: 4 * time.Second, RequiredTrials: 2}
 	for name, fault := range map[State]Fault{Slow: Late, Full: NoRoom, Failing: Broken} {
 		d := NewDisk(lim, 0)
 		d.RecordCall(None, ms, 0)
@@ -426,7 +426,7 @@
 	if !k.IsTight() {
 		t.Fatalf("memory is not tight: %+v", k.Usage().Memory)
 	}
-	if p := put(1, 100); p != Nowhere {
+	if p := put(1, 100); p != NotKept {
 		t.Errorf("a class above its share while memory is tight: body went to %v, want not kept", p)
 	}
 	if p := put(2, 100); p != Memory {
--- a/internal/keep/limits.go
+++ b/internal/keep/limits.go
@@ -26,8 +26,8 @@
 	Tenants    int       // number of tenants; 0: none
 }
 
-// Check returns an error that names the first invalid limit.
-func (l *Limits) Check() error {
+// Validate returns an error that names the first invalid limit.
+func (l *Limits) Validate() error {
 	var err error
 	require := func(valid bool, field, want string) {
 		if !valid && err == nil {
--- a/internal/level/config.go
+++ b/internal/level/config.go
@@ -74,11 +74,11 @@
 	Worth float64
 }
 
-// Act holds the load reduction measures of one level.
-type Act struct {
+// Measures holds the load reduction measures of one level.
+type Measures struct {
 	NoCopies, NoProbes bool
-	RetryWorth         float64   // classes of less worth get no retries
-	Cut                []float64 // share of each class that is shed, 0 to 1
+	MinRetryWorth      float64   // classes of less worth get no retries
+	ShedShare          []float64 // share of each class that is shed, 0 to 1
 }
 
 // Thresholds holds the thresholds of one level by sensor. The level is entered when any
@@ -90,40 +90,40 @@
 
 // Config holds the settings of a Machine.
 type Config struct {
-	Classes    []Class
-	Acts       [levelCount]Act        // the zero value for Normal
-	At         [levelCount]Thresholds // the zero value for Normal
-	EnterAfter time.Duration          // how long a condition must hold before its level is entered
-	LeaveAfter time.Duration          // how long all conditions must be absent before a level is left
-	Proof      time.Duration          // a level entered again within this time after it was left dwells longer
-	Doublings  int                    // maximum number of doublings of the dwell time
-	Slope      float64                // growth factor per second of the admitted rate while a level is left
-	Evidence   float64                // minimum number of outcomes for Late and Full to count
-	MostWait   time.Duration          // maximum wait suggested to a client
+	Classes      []Class
+	Measures     [levelCount]Measures   // the zero value for Normal
+	Thresholds   [levelCount]Thresholds // the zero value for Normal
+	EnterAfter   time.Duration          // how long a condition must hold before its level is entered
+	LeaveAfter   time.Duration          // how long all conditions must be absent before a level is left
+	ProofTime    time.Duration          // a level entered again within this time after it was left dwells longer
+	MaxDoublings int                    // maximum number of doublings of the dwell time
+	RampGrowth   float64                // growth factor per second of the admitted rate while a level is left
+	MinOutcomes  float64                // minimum number of outcomes for Late and Full to count
+	MaxWait      time.Duration          // maximum wait suggested to a client
 }
 
 // Default returns the default configuration for the given classes: the class of least worth
 // is shed first, the class of most worth never.
 func Default(classes []Class) Config {
-	cfg := Config{Classes: classes, EnterAfter: 500 * time.Millisecond, LeaveAfter: 20 * time.Second, Proof: time.Minute, Doublings: 5, Slope: 1.15, Evidence: 20, MostWait: 2 * time.Second}
+	cfg := Config{Classes: classes, EnterAfter: 500 * time.Millisecond, LeaveAfter: 20 * time.Second, ProofTime: time.Minute, MaxDoublings: 5, RampGrowth: 1.15, MinOutcomes: 20, MaxWait: 2 * time.Second}
 	minWorth, maxWorth := math.Inf(1), 0.0
 	for _, class := range classes {
 		minWorth, maxWorth = min(minWorth, class.Worth), max(maxWorth, class.Worth)
 	}
 	for l := Normal; l < levelCount; l++ {
-		act := &cfg.Acts[l]
-		act.Cut = make([]float64, len(classes))
+		act := &cfg.Measures[l]
+		act.ShedShare = make([]float64, len(classes))
 		if l == Normal {
 			continue
 		}
-		act.NoCopies, act.NoProbes, act.RetryWorth = true, true, maxWorth
+		act.NoCopies, act.NoProbes, act.MinRetryWorth = true, true, maxWorth
 		for i, class := range classes {
 			switch {
 			case class.Worth == maxWorth: // also when all classes have equal worth
 			case class.Worth == minWorth:
-				act.Cut[i] = [levelCount]float64{0, 0, 0.5, 1, 1}[l]
+				act.ShedShare[i] = [levelCount]float64{0, 0, 0.5, 1, 1}[l]
 			default:
-				act.Cut[i] = [levelCount]float64{0, 0, 0, 0.5, 1}[l]
+				act.ShedShare[i] = [levelCount]float64{0, 0, 0, 0.5, 1}[l]
 			}
 		}
 	}
@@ -135,9 +135,9 @@
 	}
 	for l, thresholds := range enterAt {
 		for s, threshold := range thresholds {
-			cfg.At[l].Enter[s], cfg.At[l].Leave[s] = threshold, threshold*0.6
+			cfg.Thresholds[l].Enter[s], cfg.Thresholds[l].Leave[s] = threshold, threshold*0.6
 			if s == Memory || s == Sockets {
-				cfg.At[l].Leave[s] = threshold - 0.08
+				cfg.Thresholds[l].Leave[s] = threshold - 0.08
 			}
 		}
 	}
@@ -154,11 +154,11 @@
 	}
 	require(len(c.Classes) > 0, "classes", "there must be one")
 	require(c.EnterAfter >= 0 && c.EnterAfter < c.LeaveAfter, "leave_after", "must be above enter_after: entering is faster than leaving")
-	require(c.Proof >= c.LeaveAfter, "proof", "must be leave_after or more")
-	require(c.Doublings >= 0 && c.Doublings <= 10, "doublings", "must be within 0 and 10")
-	require(c.Slope > 1 && c.Slope <= 4, "slope", "must be above 1, 4 at most")
-	require(c.Evidence >= 1, "evidence", "must be 1 or more")
-	require(c.MostWait > 0, "most_wait", "must be above 0")
+	require(c.ProofTime >= c.LeaveAfter, "proof", "must be leave_after or more")
+	require(c.MaxDoublings >= 0 && c.MaxDoublings <= 10, "doublings", "must be within 0 and 10")
+	require(c.RampGrowth > 1 && c.RampGrowth <= 4, "slope", "must be above 1, 4 at most")
+	require(c.MinOutcomes >= 1, "evidence", "must be 1 or more")
+	require(c.MaxWait > 0, "most_wait", "must be above 0")
 	mostWorth := 0
 	for i, class := range c.Classes {
 		if class.Worth > c.Classes[mostWorth].Worth {
@@ -167,30 +167,30 @@
 	}
 	for l := Saving; l < levelCount; l++ {
 		prefix := l.String() + "."
-		act, below := &c.Acts[l], &c.Acts[l-1]
-		require(len(act.Cut) == len(c.Classes), prefix+"cut", "must name the platform's classes")
-		if len(act.Cut) != len(c.Classes) || len(below.Cut) != len(c.Classes) {
+		act, below := &c.Measures[l], &c.Measures[l-1]
+		require(len(act.ShedShare) == len(c.Classes), prefix+"cut", "must name the platform's classes")
+		if len(act.ShedShare) != len(c.Classes) || len(below.ShedShare) != len(c.Classes) {
 			continue
 		}
-		require((act.NoCopies || !below.NoCopies) && (act.NoProbes || !below.NoProbes) && act.RetryWorth >= below.RetryWorth, prefix+"no_copies", ", no_probes and retry_worth must do what "+below.levelName(l-1)+" does, or more")
+		require((act.NoCopies || !below.NoCopies) && (act.NoProbes || !below.NoProbes) && act.MinRetryWorth >= below.MinRetryWorth, prefix+"no_copies", ", no_probes and retry_worth must do what "+below.levelName(l-1)+" does, or more")
 		for i, class := range c.Classes {
-			require(act.Cut[i] >= 0 && act.Cut[i] <= 1, prefix+"cut."+class.Name, "must be within 0 and 1")
-			require(act.Cut[i] >= below.Cut[i], prefix+"cut."+class.Name, "must be what "+below.levelName(l-1)+" cuts, or more")
-			require(act.Cut[i] >= act.Cut[mostWorth], prefix+"cut."+c.Classes[mostWorth].Name, "must not be above that of a cheaper class")
+			require(act.ShedShare[i] >= 0 && act.ShedShare[i] <= 1, prefix+"cut."+class.Name, "must be within 0 and 1")
+			require(act.ShedShare[i] >= below.ShedShare[i], prefix+"cut."+class.Name, "must be what "+below.levelName(l-1)+" cuts, or more")
+			require(act.ShedShare[i] >= act.ShedShare[mostWorth], prefix+"cut."+c.Classes[mostWorth].Name, "must not be above that of a cheaper class")
 		}
 		for s := range sensorCount {
-			enter, leave := c.At[l].Enter[s], c.At[l].Leave[s]
+			enter, leave := c.Thresholds[l].Enter[s], c.Thresholds[l].Leave[s]
 			require(enter >= 0 && leave >= 0 && !math.IsInf(enter, 0), prefix+"enter."+s.String(), "must be 0 or more")
 			require(enter == 0 && leave == 0 || leave < enter && leave > 0, prefix+"leave."+s.String(), "must be above 0 and below enter: leaving is stricter")
-			if l > Saving && enter > 0 && c.At[l-1].Enter[s] > 0 {
-				require(enter >= c.At[l-1].Enter[s] && leave >= c.At[l-1].Leave[s], prefix+"enter."+s.String(), "must be that of "+(l-1).String()+", or more")
+			if l > Saving && enter > 0 && c.Thresholds[l-1].Enter[s] > 0 {
+				require(enter >= c.Thresholds[l-1].Enter[s] && leave >= c.Thresholds[l-1].Leave[s], prefix+"enter."+s.String(), "must be that of "+(l-1).String()+", or more")
 			}
 		}
 	}
 	return errors.Join(errs...)
 }
 
-func (*Act) levelName(l Level) string { return l.String() }
+func (*Measures) levelName(l Level) string { return l.String() }
 
 // MaxChangesPerHour returns an upper bound on the level changes in an hour for any sensor
 // readings: each step down takes at least LeaveAfter, and each step back up within the proof
@@ -199,7 +199,7 @@
 	// There are two fastest ways to leave a level and enter it again: wait until the proof
 	// time is over each time, so that the dwell time stays at LeaveAfter, or come back sooner
 	// and double the dwell time until the maximum number of doublings.
-	steadyCycles := time.Hour / (c.LeaveAfter + c.Proof)
-	doubledCycles := time.Duration(c.Doublings) + time.Hour/(c.LeaveAfter<<c.Doublings)
+	steadyCycles := time.Hour / (c.LeaveAfter + c.ProofTime)
+	doubledCycles := time.Duration(c.MaxDoublings) + time.Hour/(c.LeaveAfter<<c.MaxDoublings)
 	return 2 * int(levelCount-1) * int(max(steadyCycles, doubledCycles)+1)
 }
--- a/internal/level/lab_test.go
+++ b/internal/level/lab_test.go
@@ -65,7 +65,7 @@
 				ended, late, full = ended*fade+s.Ended, late*fade+s.Late, full*fade+s.Full
 				s.Ended, s.Late, s.Full = 0, 0, 0
 				r := Reading{Outcomes: ended}
-				r.Value[Late], r.Value[Full] = late/max(ended, 1), full/max(ended, 1)
+				r.Values[Late], r.Values[Full] = late/max(ended, 1), full/max(ended, 1)
 				machine.Tick(s.Lab.Now, r)
 			})
 		}
--- a/internal/level/level_test.go
+++ b/internal/level/level_test.go
@@ -29,7 +29,7 @@
 
 func lateReading(x float64) Reading {
 	r := Reading{Outcomes: 1000}
-	r.Value[Late] = x
+	r.Values[Late] = x
 	return r
 }
 
@@ -40,24 +40,24 @@
 		field  string
 		change func(*Config)
 	}{
-		{"trimmed.leave.late", func(c *Config) { c.At[Trimmed].Leave[Late] = 0.3 }},
-		{"trimmed.leave.late", func(c *Config) { c.At[Trimmed].Leave[Late] = 0 }},
-		{"essential.enter.full", func(c *Config) { c.At[Essential].Enter[Full], c.At[Essential].Leave[Full] = 0.4, 0.1 }},
-		{"essential.cut.status-check", func(c *Config) { c.Acts[Essential].Cut[0] = 0.4 }},
+		{"trimmed.leave.late", func(c *Config) { c.Thresholds[Trimmed].Leave[Late] = 0.3 }},
+		{"trimmed.leave.late", func(c *Config) { c.Thresholds[Trimmed].Leave[Late] = 0 }},
+		{"essential.enter.full", func(c *Config) { c.Thresholds[Essential].Enter[Full], c.Thresholds[Essential].Leave[Full] = 0.4, 0.1 }},
+		{"essential.cut.status-check", func(c *Config) { c.Measures[Essential].ShedShare[0] = 0.4 }},
 		{"emergency.cut.activate", func(c *Config) {
-			c.Acts[Essential].Cut[2], c.Acts[Emergency].Cut[2] = 0.6, 1
-			c.Acts[Emergency].Cut[1] = 0.9
+			c.Measures[Essential].ShedShare[2], c.Measures[Emergency].ShedShare[2] = 0.6, 1
+			c.Measures[Emergency].ShedShare[1] = 0.9
 		}},
-		{"trimmed.cut", func(c *Config) { c.Acts[Trimmed].Cut = nil }},
-		{"essential.no_copies", func(c *Config) { c.Acts[Essential].NoCopies = false }},
-		{"essential.no_copies", func(c *Config) { c.Acts[Essential].RetryWorth = 1 }},
+		{"trimmed.cut", func(c *Config) { c.Measures[Trimmed].ShedShare = nil }},
+		{"essential.no_copies", func(c *Config) { c.Measures[Essential].NoCopies = false }},
+		{"essential.no_copies", func(c *Config) { c.Measures[Essential].MinRetryWorth = 1 }},
 		{"leave_after", func(c *Config) { c.EnterAfter = c.LeaveAfter }},
-		{"proof", func(c *Config) { c.Proof = time.Second }},
-		{"slope", func(c *Config) { c.Slope = 1 }},
-		{"doublings", func(c *Config) { c.Doublings = 11 }},
-		{"evidence", func(c *Config) { c.Evidence = 0 }},
+		{"proof", func(c *Config) { c.ProofTime = time.Second }},
+		{"slope", func(c *Config) { c.RampGrowth = 1 }},
+		{"doublings", func(c *Config) { c.MaxDoublings = 11 }},
+		{"evidence", func(c *Config) { c.MinOutcomes = 0 }},
 		{"classes", func(c *Config) { c.Classes = nil }},
-		{"most_wait", func(c *Config) { c.MostWait = 0 }},
+		{"most_wait", func(c *Config) { c.MaxWait = 0 }},
 	} {
 		cfg := Default(threeClasses)
 		c.change(&cfg)
@@ -218,14 +218,14 @@
 				for _, amplitude := range []float64{0.05, 0.3, 1} {
 					rng := rand.New(rand.NewPCG(uint64(period), uint64(l)))
 					m := newTestMachine(t, nil)
-					threshold := cfg.At[l].Enter[sensor]
+					threshold := cfg.Thresholds[l].Enter[sensor]
 					for now := time.Duration(0); now < time.Hour; now += 100 * time.Millisecond {
 						x := threshold * (1 + amplitude*(rng.Float64()-0.5)) // only noise
 						if period > 0 {
 							x = threshold * (1 + amplitude*math.Sin(2*math.Pi*float64(now)/float64(period)))
 						}
 						r := Reading{Outcomes: 1000}
-						r.Value[sensor] = x
+						r.Values[sensor] = x
 						m.Tick(now, r)
 					}
 					worst = max(worst, m.changeCount)
@@ -343,7 +343,7 @@
 // Clients that honour the wait return spread over the ramp, and none is told to wait longer
 // than the maximum.
 func TestWaitsAreSpreadOverRamp(t *testing.T) {
-	m := newTestMachine(t, func(c *Config) { c.MostWait, c.LeaveAfter = time.Minute, 10*time.Second })
+	m := newTestMachine(t, func(c *Config) { c.MaxWait, c.LeaveAfter = time.Minute, 10*time.Second })
 	if w := m.MinRetryAfter(0, 0.5); w != 0 {
 		t.Errorf("wait %v at normal, want 0", w)
 	}
--- a/internal/level/machine.go
+++ b/internal/level/machine.go
@@ -22,9 +22,9 @@
 
 // Reading holds one sample of all sensors.
 type Reading struct {
-	Value [sensorCount]float64
+	Values [sensorCount]float64
 	// Outcomes is the number of attempts behind Late and Full, which are ignored when it is
-	// below Config.Evidence.
+	// below Config.MinOutcomes.
 	Outcomes float64
 	// Unknown marks sensors without a value, which are ignored.
 	Unknown [sensorCount]bool
@@ -120,17 +120,17 @@
 
 // isUsable reports whether the reading of a sensor counts.
 func (m *Machine) isUsable(r *Reading, s Sensor) bool {
-	if r.Unknown[s] || math.IsNaN(r.Value[s]) {
+	if r.Unknown[s] || math.IsNaN(r.Values[s]) {
 		return false
 	}
-	return s != Late && s != Full || r.Outcomes >= m.cfg.Evidence
+	return s != Late && s != Full || r.Outcomes >= m.cfg.MinOutcomes
 }
 
 // reachedSensor returns the first sensor that has reached the Enter threshold of l, and whether
 // there is one.
 func (m *Machine) reachedSensor(l Level, r *Reading) (Sensor, bool) {
 	for s := range sensorCount {
-		if enter := m.cfg.At[l].Enter[s]; enter > 0 && m.isUsable(r, s) && r.Value[s] >= enter {
+		if enter := m.cfg.Thresholds[l].Enter[s]; enter > 0 && m.isUsable(r, s) && r.Values[s] >= enter {
 			return s, true
 		}
 	}
@@ -141,7 +141,7 @@
 // are ignored, since a sidecar that sheds everything has no outcomes and could never leave.
 func (m *Machine) isCalm(l Level, r *Reading) bool {
 	for s := range sensorCount {
-		if leave := m.cfg.At[l].Leave[s]; leave > 0 && m.isUsable(r, s) && r.Value[s] >= leave {
+		if leave := m.cfg.Thresholds[l].Leave[s]; leave > 0 && m.isUsable(r, s) && r.Values[s] >= leave {
 			return false
 		}
 	}
@@ -171,15 +171,15 @@
 		}
 		m.highFor[l] += passed
 		if m.highFor[l] >= m.cfg.EnterAfter {
-			highest, reason = l, fmt.Sprintf("%v is %.2f, %.2f or more", s, r.Value[s], m.cfg.At[l].Enter[s])
+			highest, reason = l, fmt.Sprintf("%v is %.2f, %.2f or more", s, r.Values[s], m.cfg.Thresholds[l].Enter[s])
 		}
 	}
 	switch {
 	case highest > m.conditionLevel:
 		for l := m.conditionLevel + 1; l <= highest; l++ {
 			m.highFor[l] = 0
-			if at := m.leftAt[l]; at > 0 && m.now-at < m.cfg.Proof<<m.doublings[l] {
-				m.doublings[l] = min(m.doublings[l]+1, m.cfg.Doublings)
+			if at := m.leftAt[l]; at > 0 && m.now-at < m.cfg.ProofTime<<m.doublings[l] {
+				m.doublings[l] = min(m.doublings[l]+1, m.cfg.MaxDoublings)
 			}
 		}
 		m.conditionLevel, m.calmFor = highest, 0
@@ -195,7 +195,7 @@
 	}
 	// A level that stayed left for its whole proof time has its dwell time halved.
 	for l := m.conditionLevel + 1; l < levelCount; l++ {
-		if m.doublings[l] > 0 && m.leftAt[l] > 0 && m.now-m.leftAt[l] >= m.cfg.Proof<<m.doublings[l] {
+		if m.doublings[l] > 0 && m.leftAt[l] > 0 && m.now-m.leftAt[l] >= m.cfg.ProofTime<<m.doublings[l] {
 			m.doublings[l]--
 			m.leftAt[l] = m.now
 		}
@@ -220,7 +220,7 @@
 	}
 	m.recentChanges = append(m.recentChanges, Change{m.now, from.String(), to.String(), reason})
 	for class := range m.ramps {
-		shedBefore, shedNow := m.cfg.Acts[from].Cut[class], m.cfg.Acts[to].Cut[class]
+		shedBefore, shedNow := m.cfg.Measures[from].ShedShare[class], m.cfg.Measures[to].ShedShare[class]
 		if shedNow >= shedBefore {
 			m.ramps[class].active = false
 			continue
@@ -241,7 +241,7 @@
 
 // currentRate returns the current rate of a ramp, in calls per second.
 func (m *Machine) currentRate(r *ramp) float64 {
-	return r.rate * math.Pow(m.cfg.Slope, (m.now-r.startedAt).Seconds())
+	return r.rate * math.Pow(m.cfg.RampGrowth, (m.now-r.startedAt).Seconds())
 }
 
 // ShouldRefuse counts an arrival of a class and reports whether it is to be shed. Shares are exact:
@@ -271,7 +271,7 @@
 			r.tokens--
 		}
 	}
-	shedShare := m.cfg.Acts[l].Cut[class]
+	shedShare := m.cfg.Measures[l].ShedShare[class]
 	if shedShare <= 0 {
 		return false
 	}
@@ -283,14 +283,14 @@
 }
 
 // AllowsCopies reports whether copies of slow requests may be sent.
-func (m *Machine) AllowsCopies() bool { return !m.cfg.Acts[m.Level()].NoCopies }
+func (m *Machine) AllowsCopies() bool { return !m.cfg.Measures[m.Level()].NoCopies }
 
 // AllowsProbes reports whether servers may be probed.
-func (m *Machine) AllowsProbes() bool { return !m.cfg.Acts[m.Level()].NoProbes }
+func (m *Machine) AllowsProbes() bool { return !m.cfg.Measures[m.Level()].NoProbes }
 
 // AllowsRetries reports whether calls of a class may have further attempts.
 func (m *Machine) AllowsRetries(class int) bool {
-	return class < 0 || class >= len(m.cfg.Classes) || m.cfg.Classes[class].Worth >= m.cfg.Acts[m.Level()].RetryWorth
+	return class < 0 || class >= len(m.cfg.Classes) || m.cfg.Classes[class].Worth >= m.cfg.Measures[m.Level()].MinRetryWorth
 }
 
 // MinRetryAfter returns how long a shed client of a class is told to wait, given a random number u
@@ -298,16 +298,16 @@
 // that clients which honour them return gradually.
 func (m *Machine) MinRetryAfter(class int, u float64) time.Duration {
 	l := m.Level()
-	if class < 0 || class >= len(m.ramps) || m.cfg.Acts[l].Cut[class] == 0 && !m.ramps[class].active {
+	if class < 0 || class >= len(m.ramps) || m.cfg.Measures[l].ShedShare[class] == 0 && !m.ramps[class].active {
 		return 0
 	}
 	dwellLeft := time.Duration(0)
-	if m.cfg.Acts[l].Cut[class] > 0 {
+	if m.cfg.Measures[l].ShedShare[class] > 0 {
 		dwellLeft = max(0, m.dwellTime(m.conditionLevel)-m.calmFor)
 	}
 	// Growing from r to the whole rate takes log(rate/r)/log(slope) seconds.
-	rampTime := time.Duration(math.Log(1/minRampShare) / math.Log(m.cfg.Slope) * float64(time.Second))
-	return min(dwellLeft+time.Duration(u*float64(rampTime)), time.Duration((0.5+u/2)*float64(m.cfg.MostWait)))
+	rampTime := time.Duration(math.Log(1/minRampShare) / math.Log(m.cfg.RampGrowth) * float64(time.Second))
+	return min(dwellLeft+time.Duration(u*float64(rampTime)), time.Duration((0.5+u/2)*float64(m.cfg.MaxWait)))
 }
 
 // Condition holds the value of one sensor beside the thresholds of the neighboring levels.
@@ -321,25 +321,25 @@
 
 // View is the state of a Machine as shown to operators.
 type View struct {
-	Level      string            `json:"level"`
-	Since      time.Duration     `json:"since_ns"` // time since the last change, or since the first Tick
-	Free       string            `json:"by_conditions"`
-	Pinned     string            `json:"pinned,omitempty"`
-	PinLeft    time.Duration     `json:"pin_left_ns,omitempty"`
-	Calm       time.Duration     `json:"calm_ns"`
-	Holds      time.Duration     `json:"holds_ns"` // how long Calm must last before the level is left
-	Conditions []Condition       `json:"conditions"`
-	Cut        map[string]string `json:"cut"`
-	Turned     map[string]uint64 `json:"turned"`
-	Changes    []Change          `json:"changes"`
-	Count      int               `json:"changes_in_all"`
-	Now        time.Duration     `json:"now_ns"`
+	Level       string            `json:"level"`
+	Since       time.Duration     `json:"since_ns"` // time since the last change, or since the first Tick
+	Free        string            `json:"by_conditions"`
+	Pinned      string            `json:"pinned,omitempty"`
+	PinLeft     time.Duration     `json:"pin_left_ns,omitempty"`
+	Calm        time.Duration     `json:"calm_ns"`
+	Holds       time.Duration     `json:"holds_ns"` // how long Calm must last before the level is left
+	Conditions  []Condition       `json:"conditions"`
+	Cut         map[string]string `json:"cut"`
+	Turned      map[string]uint64 `json:"turned"`
+	Changes     []Change          `json:"changes"`
+	ChangeCount int               `json:"changes_in_all"`
+	Now         time.Duration     `json:"now_ns"`
 }
 
 // View returns the current state.
 func (m *Machine) View() View {
 	l := m.Level()
-	v := View{Level: l.String(), Free: m.conditionLevel.String(), Since: m.now - m.firstTick, Calm: m.calmFor, Count: m.changeCount, Now: m.now, Cut: make(map[string]string), Turned: make(map[string]uint64)}
+	v := View{Level: l.String(), Free: m.conditionLevel.String(), Since: m.now - m.firstTick, Calm: m.calmFor, ChangeCount: m.changeCount, Now: m.now, Cut: make(map[string]string), Turned: make(map[string]uint64)}
 	if m.pin.active {
 		v.Pinned, v.PinLeft = m.pin.level.String(), max(0, m.pin.until-m.now)
 	}
@@ -350,17 +350,17 @@
 		v.Holds = m.dwellTime(m.conditionLevel)
 	}
 	for s := range sensorCount {
-		condition := Condition{Sensor: s.String(), Value: m.lastReading.Value[s], Counts: m.isUsable(&m.lastReading, s)}
+		condition := Condition{Sensor: s.String(), Value: m.lastReading.Values[s], Counts: m.isUsable(&m.lastReading, s)}
 		if m.conditionLevel+1 < levelCount {
-			condition.Enter = m.cfg.At[m.conditionLevel+1].Enter[s]
+			condition.Enter = m.cfg.Thresholds[m.conditionLevel+1].Enter[s]
 		}
 		if m.conditionLevel > Normal {
-			condition.Leave = m.cfg.At[m.conditionLevel].Leave[s]
+			condition.Leave = m.cfg.Thresholds[m.conditionLevel].Leave[s]
 		}
 		v.Conditions = append(v.Conditions, condition)
 	}
 	for i, class := range m.cfg.Classes {
-		text := fmt.Sprintf("%.0f %%", 100*m.cfg.Acts[l].Cut[i])
+		text := fmt.Sprintf("%.0f %%", 100*m.cfg.Measures[l].ShedShare[i])
 		if m.ramps[i].active {
 			text += fmt.Sprintf(", %.3g a second let in, rising", m.currentRate(&m.ramps[i]))
 		}
--- a/internal/rig/bodies_mix_test.go
+++ b/internal/rig/bodies_mix_test.go
@@ -110,9 +110,9 @@
 		ends[s.class][s.ends]++
 	}
 	for _, c := range v.Classes {
-		kept := c.Memory + c.File + c.Nowhere + c.Refused
+		kept := c.Memory + c.File + c.NotKept + c.Refused
 		t.Logf("%s: %d bodies: memory %d, file %d, not kept %d, no room %d; moved %d; retried %d from memory, %d from a file; not kept and refused %d, failed %d; ends %v",
-			c.Class, kept, c.Memory, c.File, c.Nowhere, c.Refused, c.Moved, c.RetriedMemory, c.RetriedFile, c.UnkeptRefused, c.UnkeptFailed, ends[c.Class])
+			c.Class, kept, c.Memory, c.File, c.NotKept, c.Refused, c.Moved, c.RetriedMemory, c.RetriedFile, c.UnkeptRefused, c.UnkeptFailed, ends[c.Class])
 		got := 0
 		for _, k := range ends[c.Class] {
 			got += k
@@ -121,7 +121,7 @@
 			t.Errorf("%s: %d bodies, %d booked", c.Class, got, kept)
 		}
 	}
-	t.Logf("most: memory %d, disk %d, files %d, streams %d", v.Memory.Most, v.Disk.Most, v.Files.Most, v.Streams.Most)
+	t.Logf("most: memory %d, disk %d, files %d, streams %d", v.Memory.Max, v.Disk.Max, v.Files.Max, v.Streams.Max)
 }
 
 func processCPU() time.Duration {
--- a/internal/rig/bodies_test.go
+++ b/internal/rig/bodies_test.go
@@ -385,7 +385,7 @@
 	if err := admin.Ask(context.Background(), socket, "bodies", &v); err != nil {
 		t.Fatal(err)
 	}
-	if v.Memory.Most > v.Memory.Limit || v.Disk.Most > v.Disk.Limit || v.Files.Most > v.Files.Limit || v.Streams.Most > v.Streams.Limit {
+	if v.Memory.Max > v.Memory.Limit || v.Disk.Max > v.Disk.Limit || v.Files.Max > v.Files.Limit || v.Streams.Max > v.Streams.Limit {
 		t.Errorf("beyond a bound: %+v", v)
 	}
 }
--- a/internal/rooms/duties/duties.go
+++ b/internal/rooms/duties/duties.go
@@ -24,9 +24,9 @@
 	tickInterval = 100 * time.Millisecond
 	// maxProbesInFlight bounds the probes in flight, each of which holds a connection.
 	maxProbesInFlight = 16
-	// Conns is the maximum number of file descriptors used: for probes, their idle connections
+	// MaxConns is the maximum number of file descriptors used: for probes, their idle connections
 	// and the UDP socket.
-	Conns = 2*maxProbesInFlight + 1
+	MaxConns = 2*maxProbesInFlight + 1
 	// maxFindingAge is the maximum age of a finding that is reported to the balancer.
 	maxFindingAge = 4 * time.Second
 )
@@ -42,23 +42,23 @@
 
 // Config holds the settings of the notes and probes of a sidecar.
 type Config struct {
-	Duty      duty.Config   // a peer's Name is its address, its alias is derived from its number
-	Listen    string        // UDP address for notes
-	Inherited bool          // the previous process of this sidecar may still hold the port
-	Key       []byte        // authenticates notes; empty: notes carry no tag
-	Path      string        // URL path of a probe
-	Slow      time.Duration // a server that takes longer to answer a probe is slow
-	Timeout   time.Duration // of a probe
-	Probing   bool          // whether servers are probed; notes are exchanged in any case
+	Duty           duty.Config   // a peer's Name is its address, its alias is derived from its number
+	Listen         string        // UDP address for notes
+	PortInherited  bool          // the previous process of this sidecar may still hold the port
+	Key            []byte        // authenticates notes; empty: notes carry no tag
+	Path           string        // URL path of a probe
+	SlowAfter      time.Duration // a server that takes longer to answer a probe is slow
+	ProbeTimeout   time.Duration // of a probe
+	ProbingEnabled bool          // whether servers are probed; notes are exchanged in any case
 }
 
-// As returns the name under which all sidecars know sidecar n. It is not the address, since
+// PeerAlias returns the name under which all sidecars know sidecar n. It is not the address, since
 // sidecars may reach a peer at different addresses.
-func As(n int) string { return fmt.Sprint("sidecar ", n) }
+func PeerAlias(n int) string { return fmt.Sprint("sidecar ", n) }
 
-// Duties drives a duty.Detector with sockets and a clock. Starting and closing a nil pointer do
+// Runner drives a duty.Detector with sockets and a clock. Starting and closing a nil pointer do
 // nothing.
-type Duties struct {
+type Runner struct {
 	host            Reporter
 	start           time.Time
 	listenAddr      *net.UDPAddr
@@ -86,7 +86,7 @@
 }
 
 // New binds the UDP port for notes, unless the previous process of this sidecar still holds it.
-func New(cfg Config, host Reporter) (*Duties, error) {
+func New(cfg Config, host Reporter) (*Runner, error) {
 	d, err := duty.New(cfg.Duty)
 	if err != nil {
 		return nil, fmt.Errorf("features: %w", err)
@@ -95,14 +95,14 @@
 	if err != nil {
 		return nil, fmt.Errorf("config: peer_listen: %w", err)
 	}
-	s := &Duties{host: host, start: time.Now(), duty: d, key: cfg.Key, path: cfg.Path, slowAfter: cfg.Slow, timeout: cfg.Timeout,
+	s := &Runner{host: host, start: time.Now(), duty: d, key: cfg.Key, path: cfg.Path, slowAfter: cfg.SlowAfter, timeout: cfg.ProbeTimeout,
 		probeSlots: make(chan struct{}, maxProbesInFlight), peerAddrs: make(map[string]*net.UDPAddr), servers: make(map[string]membership.Entry), reportedAt: make(map[string]time.Duration),
-		transport: &http.Transport{MaxConnsPerHost: 1, MaxIdleConns: maxProbesInFlight, IdleConnTimeout: 3 * cfg.Duty.Every, DisableCompression: true}}
-	s.peerNumbers, s.peerNames, s.probingDisabled = make(map[duty.ID]int), make([]string, len(cfg.Duty.Peers)+1), !cfg.Probing
+		transport: &http.Transport{MaxConnsPerHost: 1, MaxIdleConns: maxProbesInFlight, IdleConnTimeout: 3 * cfg.Duty.ProbeInterval, DisableCompression: true}}
+	s.peerNumbers, s.peerNames, s.probingDisabled = make(map[duty.ID]int), make([]string, len(cfg.Duty.Peers)+1), !cfg.ProbingEnabled
 	for _, p := range cfg.Duty.Peers {
 		var number int
-		fmt.Sscanf(p.As, "sidecar %d", &number)
-		s.peerNumbers[duty.IDOf(p.As)], s.peerNames[number] = number, p.Name
+		fmt.Sscanf(p.Alias, "sidecar %d", &number)
+		s.peerNumbers[duty.IDOf(p.Alias)], s.peerNames[number] = number, p.Name
 		if s.peerAddrs[p.Name], err = net.ResolveUDPAddr("udp", p.Name); err != nil {
 			return nil, fmt.Errorf("config: peers: %w", err)
 		}
@@ -112,15 +112,15 @@
 	switch {
 	case err == nil:
 		s.conn.Store(conn)
-	case !cfg.Inherited || !errors.Is(err, syscall.EADDRINUSE): // otherwise the previous process holds it until it ends
+	case !cfg.PortInherited || !errors.Is(err, syscall.EADDRINUSE): // otherwise the previous process holds it until it ends
 		return nil, fmt.Errorf("config: peer_listen: %w", err)
 	}
 	s.ctx, s.cancel = context.WithCancel(context.Background())
 	return s, nil
 }
 
-// Begin starts sending and receiving notes. The payload functions must be set before.
-func (s *Duties) Begin() {
+// Start starts sending and receiving notes. The payload functions must be set before.
+func (s *Runner) Start() {
 	if s != nil {
 		s.wg.Go(func() {
 			if s.waitForPort() {
@@ -135,7 +135,7 @@
 const bindInterval = 50 * time.Millisecond
 
 // waitForPort waits until the port is bound. It returns false if s is closed first.
-func (s *Duties) waitForPort() bool {
+func (s *Runner) waitForPort() bool {
 	for s.conn.Load() == nil {
 		select {
 		case <-s.ctx.Done():
@@ -154,19 +154,19 @@
 	return true
 }
 
-// Bound reports whether this process has bound the port for notes.
-func (s *Duties) Bound() bool { return s.conn.Load() != nil }
+// IsBound reports whether this process has bound the port for notes.
+func (s *Runner) IsBound() bool { return s.conn.Load() != nil }
 
-// Carries sets the function that returns the payload of each note, given the number of bytes
+// SetPayload sets the function that returns the payload of each note, given the number of bytes
 // available, and the function that receives payloads with the number and incarnation of their
 // sender. It must be called before notes are sent and received.
-func (s *Duties) Carries(payload func(room int) []byte, onPayload func(number int, inc uint64, payload []byte)) {
+func (s *Runner) SetPayload(payload func(room int) []byte, onPayload func(number int, inc uint64, payload []byte)) {
 	s.duty.SetPayload(func(_ time.Duration, room int) []byte { return payload(room) })
 	s.onPayload = onPayload
 }
 
-// TellSome sends a note at once to n random living peers and to those with the given numbers.
-func (s *Duties) TellSome(n int, numbers []int) {
+// SendNotes sends a note at once to n random living peers and to those with the given numbers.
+func (s *Runner) SendNotes(n int, numbers []int) {
 	var names []string
 	for _, i := range numbers {
 		if i >= 0 && i < len(s.peerNames) && s.peerNames[i] != "" {
@@ -179,11 +179,11 @@
 	s.execute(out)
 }
 
-func (s *Duties) now() time.Duration { return time.Since(s.start) }
+func (s *Runner) now() time.Duration { return time.Since(s.start) }
 
-// Listed updates the servers from discovery. Only listed servers in the Serving state are
+// UpdateServers updates the servers from discovery. Only listed servers in the Serving state are
 // probed and included in notes.
-func (s *Duties) Listed(list *membership.List) {
+func (s *Runner) UpdateServers(list *membership.List) {
 	if s.probingDisabled {
 		return
 	}
@@ -212,7 +212,7 @@
 }
 
 // run calls Tick at a fixed interval until s is closed.
-func (s *Duties) run() {
+func (s *Runner) run() {
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	for {
@@ -232,7 +232,7 @@
 // receiveNotes receives notes until the connection is closed. The sender is identified by the
 // ID in the note, since a peer may send from another address than it is reached at; only a
 // key keeps out notes of others.
-func (s *Duties) receiveNotes() {
+func (s *Runner) receiveNotes() {
 	buf := make([]byte, 2*duty.MaxNoteBytes)
 	for {
 		n, _, err := s.conn.Load().ReadFromUDP(buf)
@@ -252,14 +252,14 @@
 		out := s.duty.Receive(s.now(), note)
 		s.mu.Unlock()
 		s.execute(out)
-		if n, known := s.peerNumbers[note.From]; known && s.onPayload != nil && len(note.Part) > 0 {
-			s.onPayload(n, note.Inc, note.Part)
+		if n, known := s.peerNumbers[note.From]; known && s.onPayload != nil && len(note.Payload) > 0 {
+			s.onPayload(n, note.Incarnation, note.Payload)
 		}
 	}
 }
 
 // execute sends the notes of out and starts its probes.
-func (s *Duties) execute(out duty.Actions) {
+func (s *Runner) execute(out duty.Actions) {
 	var buf [duty.MaxNoteBytes]byte
 	conn := s.conn.Load()
 	for _, outgoing := range out.Notes {
@@ -294,7 +294,7 @@
 }
 
 // probe sends a probe to addr, and returns the resulting state of the server.
-func (s *Duties) probe(addr string) duty.State {
+func (s *Runner) probe(addr string) duty.State {
 	ctx, cancel := context.WithTimeout(s.ctx, s.timeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+s.path, nil)
@@ -321,7 +321,7 @@
 }
 
 // reportFindings reports the findings since the last call to the balancer, each with its age.
-func (s *Duties) reportFindings() {
+func (s *Runner) reportFindings() {
 	type found struct {
 		name string
 		age  time.Duration
@@ -350,14 +350,14 @@
 }
 
 // View returns the current state.
-func (s *Duties) View() View {
+func (s *Runner) View() View {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return View{s.duty.View(), s.unreadable}
 }
 
 // Close stops sending and receiving notes, and waits for the probes in flight.
-func (s *Duties) Close() {
+func (s *Runner) Close() {
 	if s == nil {
 		return
 	}
--- a/internal/rooms/levels/levels.go
+++ b/internal/rooms/levels/levels.go
@@ -16,8 +16,8 @@
 )
 
 const (
-	// TickEach is the interval at which the sensors are sampled.
-	TickEach = 100 * time.Millisecond
+	// TickInterval is the interval at which the sensors are sampled.
+	TickInterval = 100 * time.Millisecond
 	// outcomeDecay is the decay factor of outcome counts per tick: about a third (0.36) of a
 	// tick's outcomes is left after five seconds.
 	outcomeDecay = 0.98
@@ -27,15 +27,15 @@
 
 // Config holds the settings of a level.Machine and the limits that its sensors refer to.
 type Config struct {
-	Level   level.Config
-	Memory  int64      // memory limit of the process, in bytes
-	Conns   int        // maximum client connections, each with one call
-	Sockets int        // maximum connections of the process
-	Open    func() int // returns the number of open connections of the process
+	Level       level.Config
+	MemoryLimit int64      // memory limit of the process, in bytes
+	MaxConns    int        // maximum client connections, each with one call
+	MaxSockets  int        // maximum connections of the process
+	OpenSockets func() int // returns the number of open connections of the process
 }
 
-// Levels drives a level.Machine, which is guarded by the lock of the core.Host.
-type Levels struct {
+// Controller drives a level.Machine, which is guarded by the lock of the core.Host.
+type Controller struct {
 	cfg  Config
 	host *core.Host
 
@@ -48,22 +48,22 @@
 }
 
 // New creates a level.Machine and installs it as the gate of host.
-func New(cfg Config, host *core.Host) (*Levels, error) {
+func New(cfg Config, host *core.Host) (*Controller, error) {
 	machine, err := level.New(cfg.Level)
 	if err != nil {
 		return nil, fmt.Errorf("features: %w", err)
 	}
-	r := &Levels{cfg: cfg, host: host, machine: machine, lastTick: time.Now(),
+	r := &Controller{cfg: cfg, host: host, machine: machine, lastTick: time.Now(),
 		memorySamples: []metrics.Sample{{Name: "/memory/classes/total:bytes"}, {Name: "/memory/classes/heap/released:bytes"}}}
 	host.SetGate(machine)
 	return r, nil
 }
 
 // Tick samples the sensors and passes the reading to the Machine. It must be called at
-// intervals of TickEach.
-func (r *Levels) Tick(now time.Time) {
+// intervals of TickInterval.
+func (r *Controller) Tick(now time.Time) {
 	var reading level.Reading
-	lag := now.Sub(r.lastTick) - TickEach
+	lag := now.Sub(r.lastTick) - TickInterval
 	r.lastTick = now
 	metrics.Read(r.memorySamples)
 	held := r.host.Held()
@@ -73,15 +73,15 @@
 		r.full = r.full*outcomeDecay + float64(tally.Full-r.lastTally.Full)
 		r.lastTally = tally
 		reading.Outcomes = r.ended
-		reading.Value[level.Late], reading.Value[level.Full] = r.late/max(r.ended, 1), r.full/max(r.ended, 1)
-		reading.Value[level.Held] = float64(held) / float64(max(1, r.cfg.Conns))
-		reading.Value[level.Lost] = 1 // the list of servers is empty
+		reading.Values[level.Late], reading.Values[level.Full] = r.late/max(r.ended, 1), r.full/max(r.ended, 1)
+		reading.Values[level.Held] = float64(held) / float64(max(1, r.cfg.MaxConns))
+		reading.Values[level.Lost] = 1 // the list of servers is empty
 		if members > 0 {
-			reading.Value[level.Lost] = float64(ejected) / float64(members)
+			reading.Values[level.Lost] = float64(ejected) / float64(members)
 		}
-		reading.Value[level.Memory] = float64(r.memorySamples[0].Value.Uint64()-r.memorySamples[1].Value.Uint64()) / float64(r.cfg.Memory)
-		reading.Value[level.Sockets] = float64(r.cfg.Open()) / float64(max(1, r.cfg.Sockets))
-		reading.Value[level.Lag] = math.Max(0, lag.Seconds()/TickEach.Seconds())
+		reading.Values[level.Memory] = float64(r.memorySamples[0].Value.Uint64()-r.memorySamples[1].Value.Uint64()) / float64(r.cfg.MemoryLimit)
+		reading.Values[level.Sockets] = float64(r.cfg.OpenSockets()) / float64(max(1, r.cfg.MaxSockets))
+		reading.Values[level.Lag] = math.Max(0, lag.Seconds()/TickInterval.Seconds())
 		r.machine.Tick(at, reading)
 	})
 	if l := r.currentLevel(); l != r.lastLevel {
@@ -91,25 +91,25 @@
 	}
 }
 
-func (r *Levels) currentLevel() (l level.Level) {
+func (r *Controller) currentLevel() (l level.Level) {
 	r.host.WithGate(func(time.Duration, core.AttemptCounts, int, int) { l = r.machine.Level() })
 	return l
 }
 
-func (r *Levels) currentView() (v level.View) {
+func (r *Controller) currentView() (v level.View) {
 	r.host.WithGate(func(time.Duration, core.AttemptCounts, int, int) { v = r.machine.View() })
 	return v
 }
 
-// PinAsk is an operator's request to pin a level for a time; a For of 0 removes the pin.
-type PinAsk struct {
+// PinRequest is an operator's request to pin a level for a time; a For of 0 removes the pin.
+type PinRequest struct {
 	Level string        `json:"level"`
 	For   time.Duration `json:"for_ns"`
 }
 
 // handlePin handles a request in JSON to pin a level. It implements admin.Deed.
-func (r *Levels) handlePin(body []byte) (any, error) {
-	var request PinAsk
+func (r *Controller) handlePin(body []byte) (any, error) {
+	var request PinRequest
 	if err := json.Unmarshal(body, &request); err != nil {
 		return nil, fmt.Errorf("level: %w", err)
 	}
@@ -124,8 +124,8 @@
 	return r.currentView(), nil
 }
 
-// Pages adds the level page to all and the pin command to deeds.
-func (r *Levels) Pages(all map[string]func() any, deeds map[string]admin.Deed) {
+// AddPages adds the level page to all and the pin command to deeds.
+func (r *Controller) AddPages(all map[string]func() any, deeds map[string]admin.Deed) {
 	all["level"] = func() any { return r.currentView() }
 	deeds["level/pin"] = r.handlePin
 }
--- a/internal/spool/file.go
+++ b/internal/spool/file.go
@@ -61,7 +61,7 @@
 	return n
 }
 
-var buffers = sync.Pool{New: func() any { b := make([]byte, 0, PieceMost+2*sealOverhead); return &b }}
+var buffers = sync.Pool{New: func() any { b := make([]byte, 0, MaxPieceBytes+2*sealOverhead); return &b }}
 
 // seal returns the stored form of a piece: a flag byte, 1 if the text is compressed, then the
 // encrypted text with its tag. The flag is authenticated with the text.
@@ -115,7 +115,7 @@
 	switch err {
 	case ErrBusy, ErrClosed:
 		f.endCall()
-	case ErrLate: // the worker may still use the buffer
+	case ErrTimeout: // the worker may still use the buffer
 		f.mu.Lock()
 		f.isBroken = true
 		f.mu.Unlock()
@@ -156,7 +156,7 @@
 
 // ReadAt reads the piece that starts at offset at into p, which must have room for the longest
 // piece, and returns its text. Next returns the offset of the following piece. It blocks for at
-// most Config.Wait, and returns ErrSpoilt if the piece is not what was written.
+// most Config.Wait, and returns ErrAltered if the piece is not what was written.
 func (f *File) ReadAt(p []byte, piece int, at int64) ([]byte, error) {
 	f.mu.Lock()
 	if f.isClosed || piece >= len(f.sizes) {
@@ -175,13 +175,13 @@
 			return nil
 		}
 		if err == nil || err == io.EOF {
-			return ErrSpoilt // truncated
+			return ErrAltered // truncated
 		}
 		return fmt.Errorf("spool: %w", err)
 	})
 	switch err {
 	case nil:
-	case ErrLate: // the worker may still use the buffer
+	case ErrTimeout: // the worker may still use the buffer
 		return nil, err
 	case ErrBusy, ErrClosed:
 		f.endCall()
@@ -204,24 +204,24 @@
 func (f *File) unseal(p, sealed []byte, piece int) ([]byte, error) {
 	s := f.spool
 	if len(sealed) == 0 {
-		return nil, ErrSpoilt
+		return nil, ErrAltered
 	}
 	flag, text := sealed[0], sealed[1:]
 	if s.aead != nil {
 		var err error
 		if text, err = s.aead.Open(text[:0], f.nonce(piece), text, sealed[:1]); err != nil {
-			return nil, ErrSpoilt
+			return nil, ErrAltered
 		}
 	}
 	if flag == 0 {
 		return p[:copy(p, text)], nil
 	}
 	if s.decoder == nil {
-		return nil, ErrSpoilt
+		return nil, ErrAltered
 	}
 	out, err := s.decoder.DecodeAll(text, p[:0])
-	if err != nil || len(out) > PieceMost {
-		return nil, ErrSpoilt
+	if err != nil || len(out) > MaxPieceBytes {
+		return nil, ErrAltered
 	}
 	return out, nil
 }
--- a/internal/spool/spool.go
+++ b/internal/spool/spool.go
@@ -20,8 +20,8 @@
 	"github.com/klauspost/compress/zstd"
 )
 
-// PieceMost is the maximum length of a piece, in bytes.
-const PieceMost = 64 << 10
+// MaxPieceBytes is the maximum length of a piece, in bytes.
+const MaxPieceBytes = 64 << 10
 
 // sealOverhead is the overhead of a sealed piece, in bytes: the compression flag and the tag.
 const sealOverhead = 1 + 16
@@ -54,10 +54,10 @@
 
 // Errors of calls. Other errors wrap those of the operating system.
 var (
-	ErrLate   = errors.New("spool: file call took too long")
-	ErrBusy   = errors.New("spool: all workers busy and the queue full")
-	ErrSpoilt = errors.New("spool: piece is not what was written")
-	ErrClosed = errors.New("spool: closed")
+	ErrTimeout = errors.New("spool: file call took too long")
+	ErrBusy    = errors.New("spool: all workers busy and the queue full")
+	ErrAltered = errors.New("spool: piece is not what was written")
+	ErrClosed  = errors.New("spool: closed")
 )
 
 // Spool creates files and makes their calls. It runs Workers goroutines, and holds one sealed
@@ -101,9 +101,9 @@
 	if cfg.Compress {
 		// One coder with a small window uses 0.7 MB in all (BenchmarkCoders). More would be
 		// too much, since the process may be limited to 32 MB.
-		s.encoder, err = zstd.NewWriter(nil, zstd.WithEncoderConcurrency(1), zstd.WithEncoderLevel(zstd.SpeedFastest), zstd.WithWindowSize(PieceMost), zstd.WithLowerEncoderMem(true), zstd.WithEncoderCRC(false))
+		s.encoder, err = zstd.NewWriter(nil, zstd.WithEncoderConcurrency(1), zstd.WithEncoderLevel(zstd.SpeedFastest), zstd.WithWindowSize(MaxPieceBytes), zstd.WithLowerEncoderMem(true), zstd.WithEncoderCRC(false))
 		if err == nil {
-			s.decoder, err = zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderLowmem(true), zstd.WithDecoderMaxMemory(PieceMost))
+			s.decoder, err = zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderLowmem(true), zstd.WithDecoderMaxMemory(MaxPieceBytes))
 		}
 		if err != nil {
 			return nil, fmt.Errorf("spool: %w", err)
@@ -124,8 +124,8 @@
 // Folder returns the path of the instance's own folder.
 func (s *Spool) Folder() string { return s.folder }
 
-// Open returns the number of open files.
-func (s *Spool) Open() int64 { return s.openFiles.Load() }
+// OpenFiles returns the number of open files.
+func (s *Spool) OpenFiles() int64 { return s.openFiles.Load() }
 
 // Close stops the workers after they have emptied their queues, and removes the folder. It waits
 // for calls that hang for at most Config.Wait.
@@ -153,7 +153,7 @@
 	abandoned atomic.Bool
 }
 
-// call runs do in a worker and waits for it for at most Config.Wait. After ErrLate, do may still
+// call runs do in a worker and waits for it for at most Config.Wait. After ErrTimeout, do may still
 // run later; after ErrBusy or ErrClosed it will not.
 func (s *Spool) call(class int, do func() error) error {
 	queued := &fileCall{run: do, done: make(chan error, 1)}
@@ -167,7 +167,7 @@
 		return err
 	case <-timeout.C:
 		queued.abandoned.Store(true)
-		return ErrLate
+		return ErrTimeout
 	}
 }
 
@@ -228,15 +228,15 @@
 	}
 }
 
-// Try tests the disk: it creates a file, writes a piece, reads it back and closes the file.
-func (s *Spool) Try() error {
+// TestDisk tests the disk: it creates a file, writes a piece, reads it back and closes the file.
+func (s *Spool) TestDisk() error {
 	f := s.File(0)
 	defer f.Close()
 	p := make([]byte, 4<<10)
 	if err := f.Append(p); err != nil {
 		return err
 	}
-	_, err := f.ReadAt(make([]byte, PieceMost), 0, 0)
+	_, err := f.ReadAt(make([]byte, MaxPieceBytes), 0, 0)
 	return err
 }
 
--- a/internal/spool/spool_test.go
+++ b/internal/spool/spool_test.go
@@ -65,7 +65,7 @@
 func readAll(f *File, all [][]byte) error {
 	at := int64(0)
 	for n, want := range all {
-		got, err := f.ReadAt(make([]byte, PieceMost), n, at)
+		got, err := f.ReadAt(make([]byte, MaxPieceBytes), n, at)
 		if err != nil {
 			return err
 		}
@@ -100,22 +100,22 @@
 				}
 				defer s.Close()
 				f := s.File(0)
-				all := pieces(7, compressible, 1, PieceMost, 5000, PieceMost, 17)
+				all := pieces(7, compressible, 1, MaxPieceBytes, 5000, MaxPieceBytes, 17)
 				appendAll(t, f, all)
 				for range 2 {
 					if err := readAll(f, all); err != nil {
 						t.Errorf("%s: %v", name, err)
 					}
 				}
-				if n := s.Open(); n != 1 {
+				if n := s.OpenFiles(); n != 1 {
 					t.Errorf("%s: %d files open, want 1", name, n)
 				}
-				if small := f.endOffset < 2*PieceMost; small != (cfg.Compress && compressible) {
+				if small := f.endOffset < 2*MaxPieceBytes; small != (cfg.Compress && compressible) {
 					t.Errorf("%s, compressible %v: file of %d bytes, want it compressed only if configured and compressible", name, compressible, f.endOffset)
 				}
 				f.Close()
 				f.Close()
-				eventually(t, "the file stays open", func() bool { return s.Open() == 0 })
+				eventually(t, "the file stays open", func() bool { return s.OpenFiles() == 0 })
 				if err := f.Append(all[0]); !errors.Is(err, ErrClosed) {
 					t.Errorf("%s: append after Close: %v, want ErrClosed", name, err)
 				}
@@ -138,7 +138,7 @@
 		for range 200 {
 			where, bit := rng.IntN(1<<20), byte(1)<<rng.IntN(8)
 			disk.Spoil(func(_ int64, p []byte) { p[where%len(p)] ^= bit })
-			if err := readAll(a, all); !errors.Is(err, ErrSpoilt) {
+			if err := readAll(a, all); !errors.Is(err, ErrAltered) {
 				t.Fatalf("%s: altered piece: error %v, want ErrSpoilt", name, err)
 			}
 		}
@@ -157,14 +157,14 @@
 		// Replace the piece by one of another file, then by another one of the same file.
 		buf := make([]byte, a.sizes[0])
 		a.handle, _ = other, raw
-		if err := readAll(a, all); !errors.Is(err, ErrSpoilt) {
+		if err := readAll(a, all); !errors.Is(err, ErrAltered) {
 			t.Errorf("%s: piece of another file: error %v, want ErrSpoilt", name, err)
 		}
 		a.handle = raw.(Handle)
 		if a.sizes[0] == a.sizes[1] {
 			raw.ReadAt(buf, int64(a.sizes[0]))
 			a.handle.WriteAt(buf, 0)
-			if _, err := a.ReadAt(make([]byte, PieceMost), 0, 0); !errors.Is(err, ErrSpoilt) {
+			if _, err := a.ReadAt(make([]byte, MaxPieceBytes), 0, 0); !errors.Is(err, ErrAltered) {
 				t.Errorf("%s: other piece of the same file: error %v, want ErrSpoilt", name, err)
 			}
 		}
@@ -181,7 +181,7 @@
 	appendAll(t, f, pieces(1, true, 100))
 	f.endOffset = 0
 	f.sizes[0] += 50 // more than the file has, as if it was truncated
-	if _, err := f.ReadAt(make([]byte, PieceMost), 0, 0); !errors.Is(err, ErrSpoilt) {
+	if _, err := f.ReadAt(make([]byte, MaxPieceBytes), 0, 0); !errors.Is(err, ErrAltered) {
 		t.Errorf("truncated piece: error %v, want ErrSpoilt", err)
 	}
 	f.sizes[0] -= 50
@@ -216,7 +216,7 @@
 		if err := readAll(good, all); err != nil {
 			t.Errorf("%s: reading a file written before: %v", name, err)
 		}
-		if err := s.Try(); err == nil {
+		if err := s.TestDisk(); err == nil {
 			t.Errorf("%s: Try succeeded, want an error", name)
 		}
 		bad.Close()
@@ -245,7 +245,7 @@
 		s := newTestSpool(t, Config{FS: &twoDisks{first: hung, then: well}, Wait: 200 * time.Millisecond, Workers: 2})
 		hung.Hang()
 		a := s.File(0)
-		if err := a.Append(make([]byte, 10)); !errors.Is(err, ErrLate) {
+		if err := a.Append(make([]byte, 10)); !errors.Is(err, ErrTimeout) {
 			t.Fatalf("append on a hung disk: %v, want ErrLate", err)
 		}
 		if err := a.Append(make([]byte, 10)); !errors.Is(err, ErrClosed) {
@@ -262,7 +262,7 @@
 		}
 		a.Close()
 		hung.Resume()
-		eventually(t, "a descriptor is left", func() bool { return hung.Open() == 0 && well.Open() == 0 && s.Open() == 0 })
+		eventually(t, "a descriptor is left", func() bool { return hung.Open() == 0 && well.Open() == 0 && s.OpenFiles() == 0 })
 	})
 }
 
@@ -296,7 +296,7 @@
 		if !busy {
 			t.Error("the call after a full queue did not return ErrBusy")
 		}
-		if err := append1(1); !errors.Is(err, ErrLate) {
+		if err := append1(1); !errors.Is(err, ErrTimeout) {
 			t.Errorf("call of another class: %v, want ErrLate, as it must be queued", err)
 		}
 		disk.Resume()
@@ -367,12 +367,12 @@
 //	go test ./internal/spool -run '^$' -bench File
 func BenchmarkFile(b *testing.B) {
 	for _, text := range []bool{false, true} {
-		piece := pieces(1, text, PieceMost)[0]
+		piece := pieces(1, text, MaxPieceBytes)[0]
 		for name, cfg := range map[string]Config{"plain": {Plain: true}, "sealed": {}, "compressed": {Compress: true}} {
 			b.Run(fmt.Sprintf("%s/text=%v", name, text), func(b *testing.B) {
 				s := newTestSpool(b, cfg)
 				b.SetBytes(64 << 20)
-				p := make([]byte, PieceMost)
+				p := make([]byte, MaxPieceBytes)
 				for b.Loop() {
 					f := s.File(0)
 					for range 1024 {
@@ -407,10 +407,10 @@
 		before := heap()
 		s := newTestSpool(b, Config{Compress: true, FS: standin.NewDisk()})
 		f := s.File(0)
-		if err := f.Append(pieces(1, true, PieceMost)[0]); err != nil {
+		if err := f.Append(pieces(1, true, MaxPieceBytes)[0]); err != nil {
 			b.Fatal(err)
 		}
-		if _, err := f.ReadAt(make([]byte, PieceMost), 0, 0); err != nil {
+		if _, err := f.ReadAt(make([]byte, MaxPieceBytes), 0, 0); err != nil {
 			b.Fatal(err)
 		}
 		f.Close()
