--- a/client/client.go
+++ b/client/client.go
@@ -79,13 +79,13 @@
 	}
 	t := &Transport{cfg: p, idleCh: make(chan struct{}), streams: make(map[*stream]struct{})}
 	t.pool = upstream.New(upstream.Config{
-		ConnIdle:         p.settings.ConnIdle,
-		DialTimeout:      p.settings.DialTimeout,
-		DrainGrace:       p.settings.DrainGrace,
-		MaxConns:         p.MaxConns,
-		Stall:            p.settings.ShortestAim() / 2,
-		Lull:             p.Pause,
-		PassClientErrors: p.PassClientErrors,
+		ConnIdleTimeout:    p.settings.ConnIdle,
+		DialTimeout:        p.settings.DialTimeout,
+		DrainGrace:         p.settings.DrainGrace,
+		MaxConns:           p.MaxConns,
+		StallTimeout:       p.settings.ShortestAim() / 2,
+		StreamStallTimeout: p.Pause,
+		PassClientErrors:   p.PassClientErrors,
 	})
 	if t.store, err = p.newStore(); err != nil {
 		return nil, err
@@ -93,9 +93,9 @@
 	t.hasNodes = p.knownNodes != nil || p.Discovery != ""
 	coreCfg := core.Config{Settings: p.settings, Seed: p.Seed, Transport: t.pool, Log: p.Log}
 	if p.Discovery != "" {
-		t.watcher = &discovery.Watcher{Addr: p.Discovery, Timing: discovery.Pushed}
+		t.watcher = &discovery.Watcher{Addr: p.Discovery, Timing: discovery.AgentTiming}
 		if p.asksDiscovery {
-			t.watcher.Timing = discovery.Asked
+			t.watcher.Timing = discovery.SharedServiceTiming
 		}
 	}
 	if t.host, err = core.New(coreCfg); err != nil {
@@ -108,11 +108,11 @@
 		t.host.Listed(p.knownNodes)
 	}
 	if t.watcher != nil {
-		t.watcher.Listed, t.watcher.Failed = t.host.Listed, t.host.DiscoveryFailed
+		t.watcher.OnList, t.watcher.OnError = t.host.Listed, t.host.DiscoveryFailed
 		if p.knownNodes != nil {
 			t.watcher.Track = membership.NewTracker(p.knownNodes)
 		}
-		t.wg.Go(t.watcher.Follow)
+		t.wg.Go(t.watcher.Run)
 	}
 	if p.Daemon != "" {
 		t.daemon = newDaemonLink(t)
--- a/client/link.go
+++ b/client/link.go
@@ -50,12 +50,12 @@
 	l := &daemonLink{
 		t: t,
 		pool: upstream.New(upstream.Config{
-			ConnIdle:         t.cfg.settings.ConnIdle,
-			DialTimeout:      t.cfg.settings.DialTimeout,
-			DrainGrace:       time.Hour, // unused: the daemon never leaves the pool
-			MaxConns:         t.cfg.MaxConns,
-			Lull:             t.cfg.Pause,
-			PassClientErrors: true,
+			ConnIdleTimeout:    t.cfg.settings.ConnIdle,
+			DialTimeout:        t.cfg.settings.DialTimeout,
+			DrainGrace:         time.Hour, // unused: the daemon never leaves the pool
+			MaxConns:           t.cfg.MaxConns,
+			StreamStallTimeout: t.cfg.Pause,
+			PassClientErrors:   true,
 		}),
 		startTime: time.Now().Add(-time.Second),
 		abort:     make(chan struct{}),
--- a/cmd/fawnctl/council.go
+++ b/cmd/fawnctl/council.go
@@ -86,12 +86,12 @@
 }
 
 // reach is the council of the flags.
-func (c *councilFlags) reach() (council.Reach, error) {
+func (c *councilFlags) reach() (council.ClientConfig, error) {
 	text, err := os.ReadFile(c.Council)
 	if err != nil {
-		return council.Reach{}, err
+		return council.ClientConfig{}, err
 	}
-	r, err := council.ReadReach(text)
+	r, err := council.ReadClientConfig(text)
 	if err != nil {
 		return r, fmt.Errorf("%s: %w", c.Council, err)
 	}
@@ -104,7 +104,7 @@
 	if err != nil {
 		return st, err
 	}
-	client := r.Client()
+	client := r.NewClient()
 	defer client.Close()
 	ctx, cancel := context.WithTimeout(context.Background(), councilWait)
 	defer cancel()
@@ -156,14 +156,14 @@
 			fmt.Fprintf(w, "%s\t%s\t-\t-\t-\tno answer\n", name, r.Members[name])
 			continue
 		}
-		all[name], leads = st, leads || st.Leads
+		all[name], leads = st, leads || st.IsLeader
 		id := uint64(0)
 		for n, p := range st.Members {
 			if p.Name == st.Name {
 				id = n
 			}
 		}
-		fmt.Fprintf(w, "%s\t%s\t%v\t%d\t%d\t%d\n", name, r.Members[name], st.Leads, st.Index, st.InForce.Version, id)
+		fmt.Fprintf(w, "%s\t%s\t%v\t%d\t%d\t%d\n", name, r.Members[name], st.IsLeader, st.Index, st.InForce.Version, id)
 	}
 	if c.JSON {
 		err = c.print(s, all)
@@ -178,15 +178,15 @@
 
 // Run adds the member.
 func (c *councilAddCmd) Run(s *streams) error {
-	return c.change(s, c.ID, council.Peer{Name: c.Name, Addr: c.Addr}, false)
+	return c.change(s, c.ID, council.Endpoint{Name: c.Name, Addr: c.Addr}, false)
 }
 
 // Run removes it.
-func (c *councilRemoveCmd) Run(s *streams) error { return c.change(s, c.ID, council.Peer{}, true) }
+func (c *councilRemoveCmd) Run(s *streams) error { return c.change(s, c.ID, council.Endpoint{}, true) }
 
-func (c *councilFlags) change(s *streams, id uint64, p council.Peer, remove bool) error {
+func (c *councilFlags) change(s *streams, id uint64, p council.Endpoint, remove bool) error {
 	st, err := c.with(func(ctx context.Context, client *council.Client) (council.Status, error) {
-		return client.Change(ctx, id, p, remove)
+		return client.ChangeMember(ctx, id, p, remove)
 	})
 	if err != nil {
 		return err
@@ -197,7 +197,7 @@
 
 // sure is what the council knows, nothing missing.
 func (c *councilFlags) sure() (council.Status, error) {
-	return c.with(func(ctx context.Context, client *council.Client) (council.Status, error) { return client.Sure(ctx) })
+	return c.with(func(ctx context.Context, client *council.Client) (council.Status, error) { return client.Latest(ctx) })
 }
 
 // Run shows what is in force.
@@ -214,16 +214,16 @@
 
 func settingsText(s *streams, st *council.Status) error {
 	live, silent := 0, []string{}
-	for _, name := range sortedKeys(st.Cars) {
-		if st.Cars[name].Gone {
-			silent = append(silent, fmt.Sprintf("%s (acts on %d or stricter)", name, st.Cars[name].Acts))
+	for _, name := range sortedKeys(st.Sidecars) {
+		if st.Sidecars[name].LeaseExpired {
+			silent = append(silent, fmt.Sprintf("%s (acts on %d or stricter)", name, st.Sidecars[name].ActiveVersion))
 		} else {
 			live++
 		}
 	}
 	w := tabwriter.NewWriter(s.out, 0, 0, 2, ' ', 0)
 	settled := "settled"
-	if !st.Settled {
+	if !st.IsSettled {
 		settled = "not settled"
 	}
 	fmt.Fprintf(w, "in force\tversion %d, %s\n", st.InForce.Version, settled)
@@ -236,11 +236,11 @@
 			fmt.Fprintf(w, "\t%s is %d at least where a sidecar may be stale\n", k, d.Floor[k])
 		}
 	}
-	if st.Next != nil {
-		fmt.Fprintf(w, "on its way\tversion %d, by %s: %s\n", st.Next.Version, st.Next.Who, st.Next.Reason)
+	if st.Pending != nil {
+		fmt.Fprintf(w, "on its way\tversion %d, by %s: %s\n", st.Pending.Version, st.Pending.Who, st.Pending.Reason)
 	}
-	if len(st.Waits) > 0 {
-		fmt.Fprintf(w, "waits for\t%s\n", strings.Join(st.Waits, ", "))
+	if len(st.PendingSidecars) > 0 {
+		fmt.Fprintf(w, "waits for\t%s\n", strings.Join(st.PendingSidecars, ", "))
 	}
 	fmt.Fprintf(w, "sidecars\t%d live, %d silent\n", live, len(silent))
 	for _, name := range silent {
@@ -272,7 +272,7 @@
 		return fmt.Errorf("%s: %w", c.File, err)
 	}
 	st, err := c.with(func(ctx context.Context, client *council.Client) (council.Status, error) {
-		return client.Enter(ctx, agreed.Entry{Kind: agreed.Propose, Base: c.Base, Doc: doc})
+		return client.Apply(ctx, agreed.Entry{Kind: agreed.KindPropose, BaseVersion: c.Base, Doc: doc})
 	})
 	if err != nil {
 		return err
@@ -281,15 +281,15 @@
 	for end := time.Now().Add(c.Wait); ; time.Sleep(200 * time.Millisecond) {
 		done := ending(&st, c.Key)
 		switch {
-		case done.Outcome == agreed.Refused || done.Outcome == agreed.Withdrawn:
+		case done.Outcome == agreed.OutcomeRefused || done.Outcome == agreed.OutcomeWithdrawn:
 			return fmt.Errorf("version %d was %s by %s: %s", done.Version, done.Outcome, done.Who, done.Reason)
-		case done.Outcome == agreed.InForce && (st.Settled || st.InForce.Version > done.Version):
+		case done.Outcome == agreed.OutcomeInForce && (st.IsSettled || st.InForce.Version > done.Version):
 			fmt.Fprintf(s.out, "version %d is in force and settled\n", done.Version)
 			return nil
 		case time.Now().After(end):
-			return fmt.Errorf("version %d is not settled yet: waits for %s", done.Version, strings.Join(st.Waits, ", "))
+			return fmt.Errorf("version %d is not settled yet: waits for %s", done.Version, strings.Join(st.PendingSidecars, ", "))
 		}
-		if text := strings.Join(st.Waits, ", "); text != waits {
+		if text := strings.Join(st.PendingSidecars, ", "); text != waits {
 			waits = text
 			fmt.Fprintf(s.out, "version %d %s, waits for %s\n", done.Version, done.Outcome, text)
 		}
@@ -300,20 +300,20 @@
 }
 
 // ending is what is known of a proposal.
-func ending(st *council.Status, key string) agreed.Ending {
-	for _, e := range st.Endings {
+func ending(st *council.Status, key string) agreed.ProposalResult {
+	for _, e := range st.Results {
 		if e.Key == key {
 			return e
 		}
 	}
-	if st.Next != nil && st.Next.Key == key {
-		return agreed.Ending{Key: key, Version: st.Next.Version, Outcome: agreed.Preparing}
+	if st.Pending != nil && st.Pending.Key == key {
+		return agreed.ProposalResult{Key: key, Version: st.Pending.Version, Outcome: agreed.OutcomePreparing}
 	}
-	return agreed.Ending{Key: key}
+	return agreed.ProposalResult{Key: key}
 }
 
 func (c *councilFlags) enter(s *streams, e agreed.Entry) error {
-	st, err := c.with(func(ctx context.Context, client *council.Client) (council.Status, error) { return client.Enter(ctx, e) })
+	st, err := c.with(func(ctx context.Context, client *council.Client) (council.Status, error) { return client.Apply(ctx, e) })
 	if err != nil {
 		return err
 	}
@@ -322,23 +322,23 @@
 
 // Run withdraws the proposal.
 func (c *settingsWithdrawCmd) Run(s *streams) error {
-	return c.enter(s, agreed.Entry{Kind: agreed.Withdraw, Version: c.Version, Who: orUser(c.Who), Reason: c.Reason})
+	return c.enter(s, agreed.Entry{Kind: agreed.KindWithdraw, Version: c.Version, Who: orUser(c.Who), Reason: c.Reason})
 }
 
 // Run has the sidecar forgotten.
 func (c *settingsForgetCmd) Run(s *streams) error {
-	return c.enter(s, agreed.Entry{Kind: agreed.Forget, Car: c.Sidecar, Who: orUser(c.Who), Reason: c.Reason})
+	return c.enter(s, agreed.Entry{Kind: agreed.KindRemove, Sidecar: c.Sidecar, Who: orUser(c.Who), Reason: c.Reason})
 }
 
 // Run shows the last proposals.
 func (c *settingsHistoryCmd) Run(s *streams) error {
 	st, err := c.sure()
 	if err != nil || c.JSON {
-		return errors.Join(err, c.print(s, st.Endings))
+		return errors.Join(err, c.print(s, st.Results))
 	}
 	w := tabwriter.NewWriter(s.out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "version\tbecame\tby\twhy")
-	for _, e := range st.Endings {
+	for _, e := range st.Results {
 		fmt.Fprintf(w, "%d\t%s\t%s\t%s\n", e.Version, e.Outcome, e.Who, e.Reason)
 	}
 	return w.Flush()
@@ -351,8 +351,8 @@
 		return err
 	}
 	if c.JSON {
-		return c.print(s, map[string]any{"bound_ns": st.Bound})
+		return c.print(s, map[string]any{"bound_ns": st.MaxStaleness})
 	}
-	fmt.Fprintf(s.out, "%v after a version comes into force nothing runs any more by a laxer one\n", st.Bound.Round(time.Millisecond))
+	fmt.Fprintf(s.out, "%v after a version comes into force nothing runs any more by a laxer one\n", st.MaxStaleness.Round(time.Millisecond))
 	return nil
 }
--- a/internal/agreed/council.go
+++ b/internal/agreed/council.go
@@ -12,23 +12,23 @@
 
 // Kinds of entries.
 const (
-	Propose          Kind = "propose"  // proposes Doc, written against a base version
-	Withdraw         Kind = "withdraw" // withdraws the pending proposal Version
+	KindPropose      Kind = "propose"  // proposes Doc, written against a base version
+	KindWithdraw     Kind = "withdraw" // withdraws the pending proposal Version
 	KindJoin         Kind = "join"     // adds a new or restarted sidecar that has Version active
 	KindPrepared     Kind = "yes"      // a sidecar has prepared Version
 	KindRejected     Kind = "no"       // a sidecar rejects Version for Reason
 	KindActive       Kind = "acts"     // a sidecar has Version active
 	KindLeaseExpired Kind = "gone"     // the lease of a sidecar's Incarnation has expired
-	Forget           Kind = "forget"   // an operator removes a sidecar whose lease has expired
+	KindRemove       Kind = "forget"   // an operator removes a sidecar whose lease has expired
 )
 
 // Entry is one entry of the log. Which fields are set depends on its kind.
 type Entry struct {
 	Kind        Kind   `json:"kind"`
-	Car         string `json:"car,omitempty"`
+	Sidecar     string `json:"car,omitempty"`
 	Incarnation uint64 `json:"inc,omitempty"` // of the sidecar
 	Version     uint64 `json:"version,omitempty"`
-	Base        uint64 `json:"base,omitempty"`
+	BaseVersion uint64 `json:"base,omitempty"`
 	Doc         *Doc   `json:"doc,omitempty"`
 	Who         string `json:"who,omitempty"`
 	Reason      string `json:"reason,omitempty"`
@@ -37,9 +37,9 @@
 // Sidecar is the council's record of one sidecar.
 type Sidecar struct {
 	Incarnation     uint64 `json:"inc"`
-	Acts            uint64 `json:"acts"`           // the version last reported as active
+	ActiveVersion   uint64 `json:"acts"`           // the version last reported as active
 	PreparedVersion uint64 `json:"ready"`          // the highest version reported as prepared
-	Gone            bool   `json:"gone,omitempty"` // its lease has expired
+	LeaseExpired    bool   `json:"gone,omitempty"` // its lease has expired
 }
 
 // Outcome is the state of a proposal.
@@ -47,14 +47,14 @@
 
 // Outcomes of a proposal.
 const (
-	Preparing Outcome = "preparing" // sidecars are still preparing it
-	InForce   Outcome = "in force"
-	Refused   Outcome = "refused"   // rejected by a sidecar
-	Withdrawn Outcome = "withdrawn" // by an operator
+	OutcomePreparing Outcome = "preparing" // sidecars are still preparing it
+	OutcomeInForce   Outcome = "in force"
+	OutcomeRefused   Outcome = "refused"   // rejected by a sidecar
+	OutcomeWithdrawn Outcome = "withdrawn" // by an operator
 )
 
-// Ending is the result of a proposal, kept so that a repeated proposal gets the same result.
-type Ending struct {
+// ProposalResult is the result of a proposal, kept so that a repeated proposal gets the same result.
+type ProposalResult struct {
 	Key     string  `json:"key"`
 	Version uint64  `json:"version"`
 	Outcome Outcome `json:"outcome"`
@@ -70,7 +70,7 @@
 	Pending     *Doc               `json:"next,omitempty"` // the pending proposal; nil: none
 	Sidecars    map[string]Sidecar `json:"cars,omitempty"`
 	Superseded  map[uint64]Doc     `json:"old,omitempty"` // superseded versions that sidecars have active, without bodies
-	Results     []Ending           `json:"endings,omitempty"`
+	Results     []ProposalResult   `json:"endings,omitempty"`
 }
 
 // Errors of Apply. An entry that fails changes nothing.
@@ -91,7 +91,7 @@
 // IsSettled reports whether each live sidecar has the version in force active.
 func (s *State) IsSettled() bool {
 	for _, c := range s.Sidecars {
-		if !c.Gone && c.Acts < s.InForce.Version {
+		if !c.LeaseExpired && c.ActiveVersion < s.InForce.Version {
 			return false
 		}
 	}
@@ -102,7 +102,7 @@
 // pending proposal or do not have the version in force active.
 func (s *State) PendingSidecars() (names []string) {
 	for name, c := range s.Sidecars {
-		if !c.Gone && (s.Pending != nil && c.PreparedVersion < s.Pending.Version || c.Acts < s.InForce.Version) {
+		if !c.LeaseExpired && (s.Pending != nil && c.PreparedVersion < s.Pending.Version || c.ActiveVersion < s.InForce.Version) {
 			names = append(names, name)
 		}
 	}
@@ -114,38 +114,38 @@
 // log, so each member returns the same one.
 func (s *State) Apply(e *Entry) error {
 	switch e.Kind {
-	case Propose:
+	case KindPropose:
 		return s.propose(e)
-	case Withdraw:
+	case KindWithdraw:
 		if s.Pending == nil || s.Pending.Version != e.Version {
 			return fmt.Errorf("version %d: %w", e.Version, ErrNoProposal)
 		}
-		s.finishProposal(Withdrawn, e.Who, e.Reason)
+		s.finishProposal(OutcomeWithdrawn, e.Who, e.Reason)
 		return nil
 	case KindJoin:
 		return s.join(e)
-	case Forget:
-		c, ok := s.Sidecars[e.Car]
+	case KindRemove:
+		c, ok := s.Sidecars[e.Sidecar]
 		switch {
 		case !ok:
-			return fmt.Errorf("%q: %w", e.Car, ErrUnknownSidecar)
-		case !c.Gone:
-			return fmt.Errorf("%q: %w", e.Car, ErrLeaseActive)
+			return fmt.Errorf("%q: %w", e.Sidecar, ErrUnknownSidecar)
+		case !c.LeaseExpired:
+			return fmt.Errorf("%q: %w", e.Sidecar, ErrLeaseActive)
 		}
-		delete(s.Sidecars, e.Car)
+		delete(s.Sidecars, e.Sidecar)
 		s.advance()
 		return nil
 	}
-	c, ok := s.Sidecars[e.Car]
+	c, ok := s.Sidecars[e.Sidecar]
 	switch {
 	case !ok:
-		return fmt.Errorf("%q: %w", e.Car, ErrUnknownSidecar)
+		return fmt.Errorf("%q: %w", e.Sidecar, ErrUnknownSidecar)
 	case c.Incarnation != e.Incarnation:
-		return fmt.Errorf("%q: %w", e.Car, ErrOtherIncarnation)
+		return fmt.Errorf("%q: %w", e.Sidecar, ErrOtherIncarnation)
 	case e.Kind == KindLeaseExpired:
-		c.Gone = true
-	case c.Gone: // its lease has expired: it must join first
-		return fmt.Errorf("%q: %w", e.Car, ErrUnknownSidecar)
+		c.LeaseExpired = true
+	case c.LeaseExpired: // its lease has expired: it must join first
+		return fmt.Errorf("%q: %w", e.Sidecar, ErrUnknownSidecar)
 	case e.Kind == KindPrepared:
 		if s.Pending == nil || s.Pending.Version != e.Version {
 			return fmt.Errorf("version %d: %w", e.Version, ErrNoProposal)
@@ -155,17 +155,17 @@
 		if s.Pending == nil || s.Pending.Version != e.Version {
 			return fmt.Errorf("version %d: %w", e.Version, ErrNoProposal)
 		}
-		s.finishProposal(Refused, e.Car, e.Reason)
+		s.finishProposal(OutcomeRefused, e.Sidecar, e.Reason)
 		return nil
 	case e.Kind == KindActive:
 		if e.Version > s.InForce.Version {
 			return fmt.Errorf("version %d: %w", e.Version, ErrNoProposal)
 		}
-		c.Acts = max(c.Acts, e.Version)
+		c.ActiveVersion = max(c.ActiveVersion, e.Version)
 	default:
 		return fmt.Errorf("%q: %w", e.Kind, ErrInvalidEntry)
 	}
-	s.Sidecars[e.Car] = c
+	s.Sidecars[e.Sidecar] = c
 	s.advance()
 	return nil
 }
@@ -189,8 +189,8 @@
 		return err
 	}
 	switch {
-	case e.Base != s.InForce.Version:
-		return fmt.Errorf("version %d, not %d: %w", s.InForce.Version, e.Base, ErrBaseVersion)
+	case e.BaseVersion != s.InForce.Version:
+		return fmt.Errorf("version %d, not %d: %w", s.InForce.Version, e.BaseVersion, ErrBaseVersion)
 	case s.Pending != nil:
 		return fmt.Errorf("version %d: %w", s.Pending.Version, ErrProposalPending)
 	case !s.IsSettled():
@@ -214,13 +214,13 @@
 func (s *State) checkStaleSidecars(d *Doc) error {
 	for _, name := range slices.Sorted(maps.Keys(s.Sidecars)) {
 		c := s.Sidecars[name]
-		if !c.Gone || d.Version != 0 && c.PreparedVersion == d.Version { // a prepared sidecar applies d's levels too
+		if !c.LeaseExpired || d.Version != 0 && c.PreparedVersion == d.Version { // a prepared sidecar applies d's levels too
 			continue
 		}
-		active := s.docOf(c.Acts)
+		active := s.docOf(c.ActiveVersion)
 		for _, key := range slices.Sorted(maps.Keys(d.Rules)) {
 			if len(key) > len(ClassPrefix) && key[:len(ClassPrefix)] == ClassPrefix && active.StaleLevel(key) < d.Rules[key] {
-				return fmt.Errorf("%s: sidecar %q, silent under version %d: %w", key, name, c.Acts, ErrStaleSidecar)
+				return fmt.Errorf("%s: sidecar %q, silent under version %d: %w", key, name, c.ActiveVersion, ErrStaleSidecar)
 			}
 		}
 	}
@@ -239,29 +239,29 @@
 
 // join adds a sidecar, or replaces the record of its previous incarnation.
 func (s *State) join(e *Entry) error {
-	if e.Car == "" || len(e.Car) > MaxKeyBytes {
+	if e.Sidecar == "" || len(e.Sidecar) > MaxKeyBytes {
 		return fmt.Errorf("a sidecar's name has 1 to %d bytes: %w", MaxKeyBytes, ErrInvalidEntry)
 	}
-	c, ok := s.Sidecars[e.Car]
+	c, ok := s.Sidecars[e.Sidecar]
 	switch {
 	case !ok && len(s.Sidecars) >= MaxSidecars:
 		return fmt.Errorf("sidecars: %w", ErrLimit)
 	case ok && e.Incarnation < c.Incarnation:
-		return fmt.Errorf("%q: %w", e.Car, ErrOtherIncarnation)
-	case ok && e.Incarnation == c.Incarnation && !c.Gone:
+		return fmt.Errorf("%q: %w", e.Sidecar, ErrOtherIncarnation)
+	case ok && e.Incarnation == c.Incarnation && !c.LeaseExpired:
 		return nil
 	case e.Version > s.InForce.Version: // this council never had that version
-		return fmt.Errorf("%q acts on version %d, %d is in force: %w", e.Car, e.Version, s.InForce.Version, ErrInvalidEntry)
+		return fmt.Errorf("%q acts on version %d, %d is in force: %w", e.Sidecar, e.Version, s.InForce.Version, ErrInvalidEntry)
 	}
 	if _, isSuperseded := s.Superseded[e.Version]; e.Version != 0 && e.Version != s.InForce.Version && !isSuperseded { // its rules and floors are no longer known
-		return fmt.Errorf("%q acts on version %d, %d is in force: %w", e.Car, e.Version, s.InForce.Version, ErrUnknownVersion)
+		return fmt.Errorf("%q acts on version %d, %d is in force: %w", e.Sidecar, e.Version, s.InForce.Version, ErrUnknownVersion)
 	}
 	if s.Sidecars == nil {
 		s.Sidecars = make(map[string]Sidecar)
 	}
 	// The previous incarnation may have applied less strict rules. Calls that it sent may still
 	// run, but it sends no more.
-	s.Sidecars[e.Car] = Sidecar{Incarnation: e.Incarnation, Acts: e.Version}
+	s.Sidecars[e.Sidecar] = Sidecar{Incarnation: e.Incarnation, ActiveVersion: e.Version}
 	s.advance()
 	return nil
 }
@@ -277,7 +277,7 @@
 		superseded.Body = nil
 		s.Superseded[superseded.Version] = superseded
 		pending := s.Pending
-		s.finishProposal(InForce, "", "")
+		s.finishProposal(OutcomeInForce, "", "")
 		s.InForce = *pending
 	}
 	s.pruneSuperseded()
@@ -287,7 +287,7 @@
 // lease has expired meanwhile may apply less strict levels.
 func (s *State) isReady() bool {
 	for _, c := range s.Sidecars {
-		if !c.Gone && c.PreparedVersion != s.Pending.Version {
+		if !c.LeaseExpired && c.PreparedVersion != s.Pending.Version {
 			return false
 		}
 	}
@@ -296,7 +296,7 @@
 
 // finishProposal records the result of the pending proposal and removes it.
 func (s *State) finishProposal(outcome Outcome, who, reason string) {
-	s.Results = append(s.Results, Ending{s.Pending.Key, s.Pending.Version, outcome, who, reason})
+	s.Results = append(s.Results, ProposalResult{s.Pending.Key, s.Pending.Version, outcome, who, reason})
 	s.Results = s.Results[max(0, len(s.Results)-MaxResults):]
 	s.Pending = nil
 }
@@ -306,7 +306,7 @@
 	for version := range s.Superseded {
 		isActive := false
 		for _, c := range s.Sidecars {
-			isActive = isActive || c.Acts == version
+			isActive = isActive || c.ActiveVersion == version
 		}
 		if !isActive {
 			delete(s.Superseded, version)
@@ -316,9 +316,9 @@
 
 // Result returns the state or result of the proposal with the given key; known is false if
 // there is no record of it.
-func (s *State) Result(key string) (result Ending, known bool) {
+func (s *State) Result(key string) (result ProposalResult, known bool) {
 	if s.Pending != nil && s.Pending.Key == key {
-		return Ending{Key: key, Version: s.Pending.Version, Outcome: Preparing}, true
+		return ProposalResult{Key: key, Version: s.Pending.Version, Outcome: OutcomePreparing}, true
 	}
 	for _, x := range s.Results {
 		if x.Key == key {
--- a/internal/agreed/council_test.go
+++ b/internal/agreed/council_test.go
@@ -22,40 +22,40 @@
 		force uint64 // version in force after the entry
 		next  uint64 // pending proposal after the entry; 0: none
 	}{
-		{Entry{Kind: Propose, Doc: doc("k1", 0)}, nil, 1, 0}, // no sidecar has to prepare it
-		{Entry{Kind: KindJoin, Car: "a", Incarnation: 5, Version: 1}, nil, 1, 0},
-		{Entry{Kind: KindJoin, Car: "b", Incarnation: 5, Version: 7}, ErrInvalidEntry, 1, 0},
-		{Entry{Kind: KindJoin, Car: "b", Incarnation: 5, Version: 1}, nil, 1, 0},
-		{Entry{Kind: KindJoin, Car: "b", Incarnation: 4, Version: 1}, ErrOtherIncarnation, 1, 0},
-		{Entry{Kind: Propose, Base: 0, Doc: doc("k2", 2)}, ErrBaseVersion, 1, 0},
-		{Entry{Kind: Propose, Base: 1, Doc: doc("k2", 3)}, ErrInvalidDoc, 1, 0},
-		{Entry{Kind: Propose, Base: 1, Doc: doc("k2", 2)}, nil, 1, 2},
-		{Entry{Kind: Propose, Base: 1, Doc: doc("k2", 2)}, nil, 1, 2}, // repeated
-		{Entry{Kind: Propose, Base: 1, Doc: doc("k3", 1)}, ErrProposalPending, 1, 2},
-		{Entry{Kind: KindPrepared, Car: "a", Incarnation: 5, Version: 2}, nil, 1, 2},
-		{Entry{Kind: KindPrepared, Car: "b", Incarnation: 4, Version: 2}, ErrOtherIncarnation, 1, 2},
-		{Entry{Kind: KindPrepared, Car: "c", Incarnation: 4, Version: 2}, ErrUnknownSidecar, 1, 2},
-		{Entry{Kind: Withdraw, Version: 1}, ErrNoProposal, 1, 2},
-		{Entry{Kind: Withdraw, Version: 2, Who: "kim"}, nil, 1, 0},
-		{Entry{Kind: KindPrepared, Car: "b", Incarnation: 5, Version: 2}, ErrNoProposal, 1, 0},
-		{Entry{Kind: Propose, Base: 1, Doc: doc("k2", 2)}, nil, 1, 0}, // a withdrawn proposal stays withdrawn when repeated
-		{Entry{Kind: Propose, Base: 1, Doc: doc("k4", 2)}, nil, 1, 3},
-		{Entry{Kind: KindRejected, Car: "a", Incarnation: 5, Version: 3, Reason: "class a"}, nil, 1, 0},
-		{Entry{Kind: Propose, Base: 1, Doc: doc("k5", 1)}, nil, 1, 4},
-		{Entry{Kind: KindPrepared, Car: "a", Incarnation: 5, Version: 4}, nil, 1, 4},
-		{Entry{Kind: Forget, Car: "b"}, ErrLeaseActive, 1, 4},
-		{Entry{Kind: KindLeaseExpired, Car: "b", Incarnation: 5}, nil, 4, 0}, // the remaining live sidecar has prepared it
-		{Entry{Kind: KindActive, Car: "b", Incarnation: 5, Version: 4}, ErrUnknownSidecar, 4, 0},
-		{Entry{Kind: Propose, Base: 4, Doc: doc("k6", 0)}, ErrNotSettled, 4, 0},
-		{Entry{Kind: KindActive, Car: "a", Incarnation: 5, Version: 9}, ErrNoProposal, 4, 0},
-		{Entry{Kind: KindActive, Car: "a", Incarnation: 5, Version: 4}, nil, 4, 0},
-		{Entry{Kind: KindJoin, Car: "b", Incarnation: 6, Version: 1}, nil, 4, 0}, // its lease expired with version 1 active, so version 1 is still kept
-		{Entry{Kind: KindJoin, Car: "a", Incarnation: 6, Version: 1}, nil, 4, 0},
-		{Entry{Kind: KindActive, Car: "a", Incarnation: 6, Version: 4}, nil, 4, 0},
-		{Entry{Kind: KindActive, Car: "b", Incarnation: 6, Version: 4}, nil, 4, 0},
-		{Entry{Kind: KindJoin, Car: "c", Incarnation: 1, Version: 1}, ErrUnknownVersion, 4, 0}, // no sidecar has version 1 active any more
-		{Entry{Kind: "what", Car: "a", Incarnation: 6}, ErrInvalidEntry, 4, 0},
-		{Entry{Kind: Propose, Base: 4}, ErrInvalidEntry, 4, 0},
+		{Entry{Kind: KindPropose, Doc: doc("k1", 0)}, nil, 1, 0}, // no sidecar has to prepare it
+		{Entry{Kind: KindJoin, Sidecar: "a", Incarnation: 5, Version: 1}, nil, 1, 0},
+		{Entry{Kind: KindJoin, Sidecar: "b", Incarnation: 5, Version: 7}, ErrInvalidEntry, 1, 0},
+		{Entry{Kind: KindJoin, Sidecar: "b", Incarnation: 5, Version: 1}, nil, 1, 0},
+		{Entry{Kind: KindJoin, Sidecar: "b", Incarnation: 4, Version: 1}, ErrOtherIncarnation, 1, 0},
+		{Entry{Kind: KindPropose, BaseVersion: 0, Doc: doc("k2", 2)}, ErrBaseVersion, 1, 0},
+		{Entry{Kind: KindPropose, BaseVersion: 1, Doc: doc("k2", 3)}, ErrInvalidDoc, 1, 0},
+		{Entry{Kind: KindPropose, BaseVersion: 1, Doc: doc("k2", 2)}, nil, 1, 2},
+		{Entry{Kind: KindPropose, BaseVersion: 1, Doc: doc("k2", 2)}, nil, 1, 2}, // repeated
+		{Entry{Kind: KindPropose, BaseVersion: 1, Doc: doc("k3", 1)}, ErrProposalPending, 1, 2},
+		{Entry{Kind: KindPrepared, Sidecar: "a", Incarnation: 5, Version: 2}, nil, 1, 2},
+		{Entry{Kind: KindPrepared, Sidecar: "b", Incarnation: 4, Version: 2}, ErrOtherIncarnation, 1, 2},
+		{Entry{Kind: KindPrepared, Sidecar: "c", Incarnation: 4, Version: 2}, ErrUnknownSidecar, 1, 2},
+		{Entry{Kind: KindWithdraw, Version: 1}, ErrNoProposal, 1, 2},
+		{Entry{Kind: KindWithdraw, Version: 2, Who: "kim"}, nil, 1, 0},
+		{Entry{Kind: KindPrepared, Sidecar: "b", Incarnation: 5, Version: 2}, ErrNoProposal, 1, 0},
+		{Entry{Kind: KindPropose, BaseVersion: 1, Doc: doc("k2", 2)}, nil, 1, 0}, // a withdrawn proposal stays withdrawn when repeated
+		{Entry{Kind: KindPropose, BaseVersion: 1, Doc: doc("k4", 2)}, nil, 1, 3},
+		{Entry{Kind: KindRejected, Sidecar: "a", Incarnation: 5, Version: 3, Reason: "class a"}, nil, 1, 0},
+		{Entry{Kind: KindPropose, BaseVersion: 1, Doc: doc("k5", 1)}, nil, 1, 4},
+		{Entry{Kind: KindPrepared, Sidecar: "a", Incarnation: 5, Version: 4}, nil, 1, 4},
+		{Entry{Kind: KindRemove, Sidecar: "b"}, ErrLeaseActive, 1, 4},
+		{Entry{Kind: KindLeaseExpired, Sidecar: "b", Incarnation: 5}, nil, 4, 0}, // the remaining live sidecar has prepared it
+		{Entry{Kind: KindActive, Sidecar: "b", Incarnation: 5, Version: 4}, ErrUnknownSidecar, 4, 0},
+		{Entry{Kind: KindPropose, BaseVersion: 4, Doc: doc("k6", 0)}, ErrNotSettled, 4, 0},
+		{Entry{Kind: KindActive, Sidecar: "a", Incarnation: 5, Version: 9}, ErrNoProposal, 4, 0},
+		{Entry{Kind: KindActive, Sidecar: "a", Incarnation: 5, Version: 4}, nil, 4, 0},
+		{Entry{Kind: KindJoin, Sidecar: "b", Incarnation: 6, Version: 1}, nil, 4, 0}, // its lease expired with version 1 active, so version 1 is still kept
+		{Entry{Kind: KindJoin, Sidecar: "a", Incarnation: 6, Version: 1}, nil, 4, 0},
+		{Entry{Kind: KindActive, Sidecar: "a", Incarnation: 6, Version: 4}, nil, 4, 0},
+		{Entry{Kind: KindActive, Sidecar: "b", Incarnation: 6, Version: 4}, nil, 4, 0},
+		{Entry{Kind: KindJoin, Sidecar: "c", Incarnation: 1, Version: 1}, ErrUnknownVersion, 4, 0}, // no sidecar has version 1 active any more
+		{Entry{Kind: "what", Sidecar: "a", Incarnation: 6}, ErrInvalidEntry, 4, 0},
+		{Entry{Kind: KindPropose, BaseVersion: 4}, ErrInvalidEntry, 4, 0},
 	} {
 		before := *s
 		err := s.Apply(&c.e)
@@ -70,7 +70,7 @@
 			t.Errorf("entry %d failed but changed the state", n)
 		}
 	}
-	for key, want := range map[string]Outcome{"k2": Withdrawn, "k4": Refused, "k5": InForce, "k9": ""} {
+	for key, want := range map[string]Outcome{"k2": OutcomeWithdrawn, "k4": OutcomeRefused, "k5": OutcomeInForce, "k9": ""} {
 		if got, _ := s.Result(key); got.Outcome != want {
 			t.Errorf("proposal %s: wrong outcome in %+v", key, got)
 		}
@@ -91,16 +91,16 @@
 		err   error
 	}{
 		{1, Entry{}, nil}, // the floor already gives level 1
-		{2, Entry{Kind: Forget, Car: "b"}, ErrStaleSidecar},
-		{2, Entry{Kind: KindJoin, Car: "b", Incarnation: 2, Version: 1}, ErrStaleSidecar},
+		{2, Entry{Kind: KindRemove, Sidecar: "b"}, ErrStaleSidecar},
+		{2, Entry{Kind: KindJoin, Sidecar: "b", Incarnation: 2, Version: 1}, ErrStaleSidecar},
 	} {
 		s := new(State)
-		for _, e := range []Entry{{Kind: Propose, Doc: first}, {Kind: KindJoin, Car: "a", Incarnation: 1, Version: 1}, {Kind: KindJoin, Car: "b", Incarnation: 1, Version: 1}, {Kind: KindLeaseExpired, Car: "b", Incarnation: 1}} {
+		for _, e := range []Entry{{Kind: KindPropose, Doc: first}, {Kind: KindJoin, Sidecar: "a", Incarnation: 1, Version: 1}, {Kind: KindJoin, Sidecar: "b", Incarnation: 1, Version: 1}, {Kind: KindLeaseExpired, Sidecar: "b", Incarnation: 1}} {
 			if err := s.Apply(&e); err != nil {
 				t.Fatal(err)
 			}
 		}
-		next := Entry{Kind: Propose, Base: 1, Doc: doc("k2", c.level)}
+		next := Entry{Kind: KindPropose, BaseVersion: 1, Doc: doc("k2", c.level)}
 		err := s.Apply(&next)
 		if !errors.Is(err, c.err) || c.err == nil && err != nil {
 			t.Errorf("level %d: unexpected result of the proposal: %v", c.level, err)
@@ -115,14 +115,14 @@
 			t.Errorf("level %d after %s: %v", c.level, c.ends.Kind, err)
 		}
 		// Its lease expires again during the preparation: the proposal must wait.
-		if err := s.Apply(&Entry{Kind: KindPrepared, Car: "a", Incarnation: 1, Version: 2}); err != nil {
+		if err := s.Apply(&Entry{Kind: KindPrepared, Sidecar: "a", Incarnation: 1, Version: 2}); err != nil {
 			t.Error(err)
 		}
 		if c.ends.Kind == KindJoin {
-			if err := s.Apply(&Entry{Kind: KindLeaseExpired, Car: "b", Incarnation: 2}); err != nil || s.InForce.Version != 1 {
+			if err := s.Apply(&Entry{Kind: KindLeaseExpired, Sidecar: "b", Incarnation: 2}); err != nil || s.InForce.Version != 1 {
 				t.Errorf("version %d is in force while an expired sidecar has version 1 active, error %v", s.InForce.Version, err)
 			}
-			if err := s.Apply(&Entry{Kind: Forget, Car: "b"}); err != nil {
+			if err := s.Apply(&Entry{Kind: KindRemove, Sidecar: "b"}); err != nil {
 				t.Error(err)
 			}
 		}
--- a/internal/agreed/explore_test.go
+++ b/internal/agreed/explore_test.go
@@ -155,8 +155,8 @@
 	doc(w.state.Pending)
 	for n, c := range w.sidecars {
 		s, ok := w.state.Sidecars[c.name]
-		put(w.requestsLeft[n], int(c.incarnation), int(c.leaseEnd), int(c.index), int(c.seq), int(c.rejectedVersion), int(c.active.Version), int(s.Incarnation), int(s.Acts), int(s.PreparedVersion))
-		put(map[bool]int{true: 1}[ok], map[bool]int{true: 1}[s.Gone], int(w.leases.last[c.name]))
+		put(w.requestsLeft[n], int(c.incarnation), int(c.leaseEnd), int(c.index), int(c.seq), int(c.rejectedVersion), int(c.active.Version), int(s.Incarnation), int(s.ActiveVersion), int(s.PreparedVersion))
+		put(map[bool]int{true: 1}[ok], map[bool]int{true: 1}[s.LeaseExpired], int(w.leases.last[c.name]))
 		doc(c.prepared)
 		for _, a := range c.outstanding {
 			put(int(a.seq), int(a.sentAt))
@@ -209,13 +209,13 @@
 // handleRequest has the council process a request, and returns the response.
 func (w *modelState) handleRequest(f defect, m message) message {
 	r := m.request
-	w.applyEntry(f, &Entry{Kind: KindJoin, Car: r.Sidecar, Incarnation: r.Incarnation, Version: r.ActiveVersion})
-	w.applyEntry(f, &Entry{Kind: KindActive, Car: r.Sidecar, Incarnation: r.Incarnation, Version: r.ActiveVersion})
+	w.applyEntry(f, &Entry{Kind: KindJoin, Sidecar: r.Sidecar, Incarnation: r.Incarnation, Version: r.ActiveVersion})
+	w.applyEntry(f, &Entry{Kind: KindActive, Sidecar: r.Sidecar, Incarnation: r.Incarnation, Version: r.ActiveVersion})
 	if r.PreparedVersion > 0 {
-		w.applyEntry(f, &Entry{Kind: KindPrepared, Car: r.Sidecar, Incarnation: r.Incarnation, Version: r.PreparedVersion})
+		w.applyEntry(f, &Entry{Kind: KindPrepared, Sidecar: r.Sidecar, Incarnation: r.Incarnation, Version: r.PreparedVersion})
 	}
 	a := &Response{Seq: r.Seq, Index: w.index}
-	if c, ok := w.state.Sidecars[r.Sidecar]; ok && c.Incarnation == r.Incarnation && !c.Gone {
+	if c, ok := w.state.Sidecars[r.Sidecar]; ok && c.Incarnation == r.Incarnation && !c.LeaseExpired {
 		w.leases.RecordGrant(r.Sidecar, w.leaderNow())
 		a.LeaseGranted = true
 	}
@@ -288,7 +288,7 @@
 	}
 	for _, name := range expired {
 		add(func(x *modelState) {
-			x.applyEntry(f, &Entry{Kind: KindLeaseExpired, Car: name, Incarnation: x.state.Sidecars[name].Incarnation})
+			x.applyEntry(f, &Entry{Kind: KindLeaseExpired, Sidecar: name, Incarnation: x.state.Sidecars[name].Incarnation})
 			x.leases.Prune(&x.state)
 		})
 	}
@@ -308,13 +308,13 @@
 	case 1, 2:
 		add(func(x *modelState) {
 			if x.state.IsSettled() && x.state.Pending == nil && x.state.InForce.Version == uint64(x.proposedVersions) {
-				x.applyEntry(f, &Entry{Kind: Propose, Base: uint64(x.proposedVersions), Doc: modelDoc(x.proposedVersions+1, false)})
+				x.applyEntry(f, &Entry{Kind: KindPropose, BaseVersion: uint64(x.proposedVersions), Doc: modelDoc(x.proposedVersions+1, false)})
 				x.proposedVersions++
 			}
 		})
 	}
 	if w.state.Pending != nil && w.proposedVersions == 2 {
-		add(func(x *modelState) { x.applyEntry(f, &Entry{Kind: Withdraw, Version: x.state.Pending.Version}) })
+		add(func(x *modelState) { x.applyEntry(f, &Entry{Kind: KindWithdraw, Version: x.state.Pending.Version}) })
 	}
 	return successors
 }
@@ -370,7 +370,7 @@
 	for n := range w.sidecars {
 		w.sidecars[n] = NewParticipant(string(rune('a'+n)), 1, modelTimes, PersistentState{Active: *modelDoc(1, b.hasFloor)})
 		w.requestsLeft[n] = b.requests[n]
-		w.applyEntry(noDefect, &Entry{Kind: KindJoin, Car: w.sidecars[n].name, Incarnation: 1, Version: 1})
+		w.applyEntry(noDefect, &Entry{Kind: KindJoin, Sidecar: w.sidecars[n].name, Incarnation: 1, Version: 1})
 	}
 	sendFirstRequest := func(n int) { // each sidecar starts with a lease
 		r := w.sidecars[n].NextRequest(0)
@@ -383,7 +383,7 @@
 			}
 		}
 		if first {
-			w.applyEntry(noDefect, &Entry{Kind: Propose, Base: 1, Doc: modelDoc(2, false)})
+			w.applyEntry(noDefect, &Entry{Kind: KindPropose, BaseVersion: 1, Doc: modelDoc(2, false)})
 			w.proposedVersions = 2
 		}
 	}
--- a/internal/agreed/leases.go
+++ b/internal/agreed/leases.go
@@ -31,7 +31,7 @@
 		if !granted {
 			last = t.since
 		}
-		if !c.Gone && now-max(last, t.since) >= t.times.ExpiryDelay() {
+		if !c.LeaseExpired && now-max(last, t.since) >= t.times.ExpiryDelay() {
 			expired = append(expired, name)
 		}
 	}
@@ -43,7 +43,7 @@
 // tracker holds no more sidecars than s does.
 func (t *LeaseTracker) Prune(s *State) {
 	for name := range t.last {
-		if c, ok := s.Sidecars[name]; !ok || c.Gone {
+		if c, ok := s.Sidecars[name]; !ok || c.LeaseExpired {
 			delete(t.last, name)
 		}
 	}
--- a/internal/core/host_test.go
+++ b/internal/core/host_test.go
@@ -118,7 +118,7 @@
 // startHostOn is like startHost, with the transport that wrap returns for the default one.
 func startHostOn(tb testing.TB, config *settings.Settings, wrap func(core.Transport) core.Transport, servers ...*fakeServer) (*core.Host, *front.Server, string) {
 	tb.Helper()
-	pool := upstream.New(upstream.Config{ConnIdle: config.ConnIdle, DialTimeout: config.DialTimeout, DrainGrace: config.DrainGrace, MaxConns: 100})
+	pool := upstream.New(upstream.Config{ConnIdleTimeout: config.ConnIdle, DialTimeout: config.DialTimeout, DrainGrace: config.DrainGrace, MaxConns: 100})
 	h, err := core.New(core.Config{Settings: config, Seed: 1, Transport: wrap(pool)})
 	if err != nil {
 		tb.Fatal(err)
@@ -363,7 +363,7 @@
 		t.Fatal(err)
 	}
 	waitFor(t, "the call is still held while its answer is read", func() bool { return h.Held() == 0 })
-	if srv.Busy() != 1 {
+	if srv.BusyConns() != 1 {
 		t.Error("the client of a streamed answer does not count as busy")
 	}
 	time.Sleep(1600 * time.Millisecond) // beyond the call's aim and deadline
--- a/internal/core/trace_test.go
+++ b/internal/core/trace_test.go
@@ -34,7 +34,7 @@
 // its aim must not be traced.
 func TestOnlyUnservedCallIsTraced(t *testing.T) {
 	config := testSettings()
-	pool := upstream.New(upstream.Config{ConnIdle: config.ConnIdle, DialTimeout: config.DialTimeout, DrainGrace: config.DrainGrace, MaxConns: 10})
+	pool := upstream.New(upstream.Config{ConnIdleTimeout: config.ConnIdle, DialTimeout: config.DialTimeout, DrainGrace: config.DrainGrace, MaxConns: 10})
 	var log lockedBuffer
 	h, err := core.New(core.Config{Settings: config, Seed: 1, Transport: pool, TraceLog: slog.New(slog.NewJSONHandler(&log, nil))})
 	if err != nil {
--- a/internal/core/watch_test.go
+++ b/internal/core/watch_test.go
@@ -61,7 +61,7 @@
 func startWatchedHost(tb testing.TB, watch core.AttemptObserver, servers ...*fakeServer) (*core.Host, string) {
 	tb.Helper()
 	config := testSettings()
-	pool := upstream.New(upstream.Config{ConnIdle: config.ConnIdle, DialTimeout: config.DialTimeout, DrainGrace: config.DrainGrace, MaxConns: 100})
+	pool := upstream.New(upstream.Config{ConnIdleTimeout: config.ConnIdle, DialTimeout: config.DialTimeout, DrainGrace: config.DrainGrace, MaxConns: 100})
 	h, err := core.New(core.Config{Settings: config, Seed: 1, Transport: pool, Observer: watch})
 	if err != nil {
 		tb.Fatal(err)
--- a/internal/council/bound_test.go
+++ b/internal/council/bound_test.go
@@ -99,13 +99,13 @@
 			a.mu.Lock()
 			a.levels = append(a.levels[:version+1], level)
 			a.mu.Unlock()
-			st, err := c.Enter(ctx, agreed.Entry{Kind: agreed.Propose, Base: version, Doc: &agreed.Doc{Key: fmt.Sprint("k", version), Who: "kim", Reason: "a test", Rules: agreed.Rules{"class/a": level}}})
-			for ctx.Err() == nil && (err != nil || !st.Settled || st.InForce.Version != version+1) {
+			st, err := c.Apply(ctx, agreed.Entry{Kind: agreed.KindPropose, BaseVersion: version, Doc: &agreed.Doc{Key: fmt.Sprint("k", version), Who: "kim", Reason: "a test", Rules: agreed.Rules{"class/a": level}}})
+			for ctx.Err() == nil && (err != nil || !st.IsSettled || st.InForce.Version != version+1) {
 				time.Sleep(20 * time.Millisecond)
 				if err != nil { // not settled yet, or no response: repeat the proposal
-					st, err = c.Enter(ctx, agreed.Entry{Kind: agreed.Propose, Base: version, Doc: &agreed.Doc{Key: fmt.Sprint("k", version), Who: "kim", Reason: "a test", Rules: agreed.Rules{"class/a": level}}})
+					st, err = c.Apply(ctx, agreed.Entry{Kind: agreed.KindPropose, BaseVersion: version, Doc: &agreed.Doc{Key: fmt.Sprint("k", version), Who: "kim", Reason: "a test", Rules: agreed.Rules{"class/a": level}}})
 				} else {
-					st, err = c.Sure(ctx)
+					st, err = c.Latest(ctx)
 				}
 				if err == nil {
 					a.recordInForce(min(st.InForce.Version, version+1))
--- a/internal/council/change.go
+++ b/internal/council/change.go
@@ -15,7 +15,7 @@
 // ProposeMemberChange proposes to add or remove a member. Only the leader can do so. It returns
 // once the change is proposed; Status shows when it has been applied. info is ignored if remove is
 // set.
-func (m *Member) ProposeMemberChange(ctx context.Context, id uint64, info Peer, remove bool) error {
+func (m *Member) ProposeMemberChange(ctx context.Context, id uint64, info Endpoint, remove bool) error {
 	return m.awaitAsLeader(ctx, func(result chan error) error {
 		_, isMember := m.content.Members[id]
 		switch {
--- a/internal/council/client.go
+++ b/internal/council/client.go
@@ -116,10 +116,10 @@
 	return a, err
 }
 
-// Enter submits an operator's entry to the log and returns the status after it was applied. It may
+// Apply submits an operator's entry to the log and returns the status after it was applied. It may
 // be repeated safely: a proposal is identified by its key, other entries by the version or sidecar
 // that they name.
-func (c *Client) Enter(ctx context.Context, e agreed.Entry) (s Status, err error) {
+func (c *Client) Apply(ctx context.Context, e agreed.Entry) (s Status, err error) {
 	err = c.callLeader(ctx, "/v1/entry", commitTimeout+time.Second, e, &s)
 	return s, err
 }
@@ -130,15 +130,15 @@
 	return s, err
 }
 
-// Sure returns the leader's status after a linearizable read: it includes everything that was
+// Latest returns the leader's status after a linearizable read: it includes everything that was
 // committed before the call.
-func (c *Client) Sure(ctx context.Context) (s Status, err error) {
+func (c *Client) Latest(ctx context.Context) (s Status, err error) {
 	err = c.callLeader(ctx, "/v1/status", commitTimeout+time.Second, statusRequest{Confirmed: true}, &s)
 	return s, err
 }
 
-// Change proposes to add or remove a member, as Member.ProposeMemberChange does.
-func (c *Client) Change(ctx context.Context, id uint64, info Peer, remove bool) (s Status, err error) {
-	err = c.callLeader(ctx, "/v1/members", commitTimeout+time.Second, memberChange{Remove: remove, ID: id, Peer: info}, &s)
+// ChangeMember proposes to add or remove a member, as Member.ProposeMemberChange does.
+func (c *Client) ChangeMember(ctx context.Context, id uint64, info Endpoint, remove bool) (s Status, err error) {
+	err = c.callLeader(ctx, "/v1/members", commitTimeout+time.Second, memberChange{Remove: remove, ID: id, Endpoint: info}, &s)
 	return s, err
 }
--- a/internal/council/config.go
+++ b/internal/council/config.go
@@ -141,15 +141,15 @@
 	return max(1, h.Sum64())
 }
 
-// Reach holds what a client needs to call a council. It can be read from the configuration file
+// ClientConfig holds what a client needs to call a council. It can be read from the configuration file
 // of any founding member, or from a file with just the key and the members.
-type Reach struct {
+type ClientConfig struct {
 	Key     string
 	Members map[string]string
 }
 
-// ReadReach parses what a client needs from a configuration in TOML. Errors name the field.
-func ReadReach(text []byte) (r Reach, err error) {
+// ReadClientConfig parses what a client needs from a configuration in TOML. Errors name the field.
+func ReadClientConfig(text []byte) (r ClientConfig, err error) {
 	c, err := decodeConfig(text)
 	switch {
 	case err != nil:
@@ -159,10 +159,10 @@
 	case len(c.Members) == 0:
 		return r, errors.New("council.members: is missing: must map the name of each member to its address")
 	}
-	return Reach{c.Key, c.Members}, nil
+	return ClientConfig{c.Key, c.Members}, nil
 }
 
-// Client returns a client that starts with a random member.
-func (r *Reach) Client() *Client {
+// NewClient returns a client that starts with a random member.
+func (r *ClientConfig) NewClient() *Client {
 	return NewClient(r.Key, rand.IntN(len(r.Members)), r.Members)
 }
--- a/internal/council/history_test.go
+++ b/internal/council/history_test.go
@@ -81,9 +81,9 @@
 				var st Status
 				var err error
 				if d.key == "" {
-					st, err = c.Sure(opCtx)
+					st, err = c.Latest(opCtx)
 				} else {
-					st, err = c.Enter(opCtx, agreed.Entry{Kind: agreed.Propose, Base: d.base, Doc: level(d.key, uint64(i)%3)})
+					st, err = c.Apply(opCtx, agreed.Entry{Kind: agreed.KindPropose, BaseVersion: d.base, Doc: level(d.key, uint64(i)%3)})
 				}
 				stop()
 				o := result{version: st.InForce.Version}
@@ -95,7 +95,7 @@
 				case err != nil:
 					o.unknown = true
 				case d.key != "":
-					for _, e := range st.Endings {
+					for _, e := range st.Results {
 						if e.Key == d.key {
 							o.version = e.Version
 						}
--- a/internal/council/links_test.go
+++ b/internal/council/links_test.go
@@ -51,7 +51,7 @@
 			st, err := c.Status(ctx)
 			c.Close()
 			cancel()
-			if err != nil || !st.Leads {
+			if err != nil || !st.IsLeader {
 				t.Fatalf("%s: %s is no longer the leader, error %v", what, lead.name, err)
 			}
 		}
--- a/internal/council/member.go
+++ b/internal/council/member.go
@@ -41,17 +41,17 @@
 	ErrTimeout   = errors.New("no majority of the members has agreed in time; it may still come to be")
 )
 
-// Peer holds the name and address of a member.
-type Peer struct {
+// Endpoint holds the name and address of a member.
+type Endpoint struct {
 	Name string `json:"name"`
 	Addr string `json:"addr"`
 }
 
 // replicatedState is the replicated state that results from the log, as stored in a snapshot.
 type replicatedState struct {
-	Fleet   string          `json:"fleet"`
-	State   agreed.State    `json:"state"`
-	Members map[uint64]Peer `json:"members"`
+	Fleet   string              `json:"fleet"`
+	State   agreed.State        `json:"state"`
+	Members map[uint64]Endpoint `json:"members"`
 }
 
 // logRecord is the data of a raft entry: an entry of package agreed, and a number by which the
@@ -116,7 +116,7 @@
 	m := &Member{cfg: cfg, id: id, store: st, raftStorage: raftStorage, transport: tr, work: make(chan func(), maxQueuedWork), stop: make(chan struct{}), done: make(chan struct{}),
 		expiring: make(map[string]bool), entryWaiters: make(map[uint64]chan error), readWaiters: make(map[uint64]chan error), readIndexes: make(map[uint64]uint64),
 		lastNumber: rand.Uint64(), changed: make(chan struct{})}
-	m.content.Members = make(map[uint64]Peer)
+	m.content.Members = make(map[uint64]Endpoint)
 	snap, err := raftStorage.Snapshot()
 	if err != nil {
 		return nil, err
@@ -282,7 +282,7 @@
 			continue
 		}
 		m.expiring[name] = true
-		e := agreed.Entry{Kind: agreed.KindLeaseExpired, Car: name, Incarnation: m.content.State.Sidecars[name].Incarnation}
+		e := agreed.Entry{Kind: agreed.KindLeaseExpired, Sidecar: name, Incarnation: m.content.State.Sidecars[name].Incarnation}
 		if m.propose(&e, nil) != nil {
 			delete(m.expiring, name)
 		}
@@ -324,7 +324,7 @@
 		if cc.GetType() == raftpb.ConfChangeRemoveNode {
 			delete(m.content.Members, cc.GetNodeId())
 		} else {
-			var p Peer
+			var p Endpoint
 			if err := json.Unmarshal(cc.GetContext(), &p); err != nil {
 				return fmt.Errorf("entry %d: %w", m.appliedIndex, err)
 			}
@@ -348,7 +348,7 @@
 	inForce, pending := s.InForce.Version, s.Pending
 	err := s.Apply(&record.Entry)
 	if record.Entry.Kind == agreed.KindLeaseExpired {
-		delete(m.expiring, record.Entry.Car)
+		delete(m.expiring, record.Entry.Sidecar)
 	}
 	if s.InForce.Version != inForce || s.Pending != pending {
 		close(m.changed)
@@ -487,7 +487,7 @@
 	granted := make(chan bool, 1)
 	err = m.enqueue(ctx, func() {
 		c, ok := m.content.State.Sidecars[r.Sidecar]
-		hasLease := m.leases != nil && ok && c.Incarnation == r.Incarnation && !c.Gone && !m.expiring[r.Sidecar]
+		hasLease := m.leases != nil && ok && c.Incarnation == r.Incarnation && !c.LeaseExpired && !m.expiring[r.Sidecar]
 		if hasLease {
 			m.leases.RecordGrant(r.Sidecar, arrived)
 		}
@@ -534,38 +534,38 @@
 	defer m.mu.Unlock()
 	s := &m.content.State
 	c, ok := s.Sidecars[r.Sidecar]
-	if !ok || c.Gone || c.Incarnation != r.Incarnation {
-		entries = append(entries, agreed.Entry{Kind: agreed.KindJoin, Car: r.Sidecar, Incarnation: r.Incarnation, Version: r.ActiveVersion})
-		c = agreed.Sidecar{Incarnation: r.Incarnation, Acts: r.ActiveVersion}
+	if !ok || c.LeaseExpired || c.Incarnation != r.Incarnation {
+		entries = append(entries, agreed.Entry{Kind: agreed.KindJoin, Sidecar: r.Sidecar, Incarnation: r.Incarnation, Version: r.ActiveVersion})
+		c = agreed.Sidecar{Incarnation: r.Incarnation, ActiveVersion: r.ActiveVersion}
 	}
-	if r.ActiveVersion > c.Acts {
-		entries = append(entries, agreed.Entry{Kind: agreed.KindActive, Car: r.Sidecar, Incarnation: r.Incarnation, Version: r.ActiveVersion})
+	if r.ActiveVersion > c.ActiveVersion {
+		entries = append(entries, agreed.Entry{Kind: agreed.KindActive, Sidecar: r.Sidecar, Incarnation: r.Incarnation, Version: r.ActiveVersion})
 	}
 	switch next := s.Pending; {
 	case next == nil:
 	case r.PreparedVersion == next.Version && c.PreparedVersion < r.PreparedVersion:
-		entries = append(entries, agreed.Entry{Kind: agreed.KindPrepared, Car: r.Sidecar, Incarnation: r.Incarnation, Version: r.PreparedVersion})
+		entries = append(entries, agreed.Entry{Kind: agreed.KindPrepared, Sidecar: r.Sidecar, Incarnation: r.Incarnation, Version: r.PreparedVersion})
 	case r.RejectedVersion == next.Version:
-		entries = append(entries, agreed.Entry{Kind: agreed.KindRejected, Car: r.Sidecar, Incarnation: r.Incarnation, Version: r.RejectedVersion, Reason: r.RejectReason})
+		entries = append(entries, agreed.Entry{Kind: agreed.KindRejected, Sidecar: r.Sidecar, Incarnation: r.Incarnation, Version: r.RejectedVersion, Reason: r.RejectReason})
 	}
 	return entries
 }
 
 // Status is the state of the council as one member knows it.
 type Status struct {
-	Fleet   string                    `json:"fleet"`
-	Name    string                    `json:"name"`
-	Leader  Peer                      `json:"leader"` // empty: not known
-	Leads   bool                      `json:"leads"`
-	Index   uint64                    `json:"index"`
-	Members map[uint64]Peer           `json:"members"`
-	InForce agreed.Doc                `json:"in_force"`
-	Settled bool                      `json:"settled"`
-	Next    *agreed.Doc               `json:"next,omitempty"`
-	Waits   []string                  `json:"waits,omitempty"`
-	Cars    map[string]agreed.Sidecar `json:"cars"`
-	Endings []agreed.Ending           `json:"endings,omitempty"`
-	Bound   time.Duration             `json:"bound_ns"` // T, as LeaseTimes.MaxStaleness returns it
+	Fleet           string                    `json:"fleet"`
+	Name            string                    `json:"name"`
+	Leader          Endpoint                  `json:"leader"` // empty: not known
+	IsLeader        bool                      `json:"leads"`
+	Index           uint64                    `json:"index"`
+	Members         map[uint64]Endpoint       `json:"members"`
+	InForce         agreed.Doc                `json:"in_force"`
+	IsSettled       bool                      `json:"settled"`
+	Pending         *agreed.Doc               `json:"next,omitempty"`
+	PendingSidecars []string                  `json:"waits,omitempty"`
+	Sidecars        map[string]agreed.Sidecar `json:"cars"`
+	Results         []agreed.ProposalResult   `json:"endings,omitempty"`
+	MaxStaleness    time.Duration             `json:"bound_ns"` // T, as LeaseTimes.MaxStaleness returns it
 }
 
 // Status returns the state that this member knows, which may be out of date. Call ConfirmRead
@@ -579,8 +579,8 @@
 		x.Addr = m.transport.addrOf(x)
 		members[id] = x
 	}
-	return Status{Fleet: m.cfg.Fleet, Name: m.cfg.Name, Leader: members[m.leaderID], Leads: m.isLeader, Index: m.statusIndex, Members: members,
-		InForce: s.InForce, Settled: s.IsSettled(), Next: s.Pending, Waits: s.PendingSidecars(), Cars: maps.Clone(s.Sidecars), Endings: append([]agreed.Ending(nil), s.Results...), Bound: m.cfg.LeaseTimes().MaxStaleness()}
+	return Status{Fleet: m.cfg.Fleet, Name: m.cfg.Name, Leader: members[m.leaderID], IsLeader: m.isLeader, Index: m.statusIndex, Members: members,
+		InForce: s.InForce, IsSettled: s.IsSettled(), Pending: s.Pending, PendingSidecars: s.PendingSidecars(), Sidecars: maps.Clone(s.Sidecars), Results: append([]agreed.ProposalResult(nil), s.Results...), MaxStaleness: m.cfg.LeaseTimes().MaxStaleness()}
 }
 
 // Close stops the member. A leader first tries, for up to transferTimeout, to transfer the
@@ -608,7 +608,7 @@
 		})
 		select {
 		case isTransferring := <-transferring:
-			for isTransferring && ctx.Err() == nil && m.Status().Leads {
+			for isTransferring && ctx.Err() == nil && m.Status().IsLeader {
 				time.Sleep(time.Duration(m.cfg.Beat) / 4)
 			}
 		case <-ctx.Done():
--- a/internal/council/process_test.go
+++ b/internal/council/process_test.go
@@ -204,7 +204,7 @@
 	c := clientOf(p)
 	defer c.Close()
 	st, err := c.Status(ctx)
-	return err == nil && st.Leads
+	return err == nil && st.IsLeader
 }
 
 // awaitLeader waits until a member responds that it is the leader, and returns it.
@@ -326,7 +326,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 	defer cancel()
 	for {
-		st, err := g.client(0).Enter(ctx, agreed.Entry{Kind: agreed.Propose, Base: base, Doc: d})
+		st, err := g.client(0).Apply(ctx, agreed.Entry{Kind: agreed.KindPropose, BaseVersion: base, Doc: d})
 		if err == nil || !strings.Contains(err.Error(), agreed.ErrNotSettled.Error()) {
 			return st, err
 		}
@@ -404,7 +404,7 @@
 		ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 		defer cancel()
 		st, err := g.client(1).Status(ctx)
-		return err == nil && st.Settled && st.InForce.Version == 3
+		return err == nil && st.IsSettled && st.InForce.Version == 3
 	})
 }
 
@@ -435,7 +435,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
-	if _, err := g.client(0).Enter(ctx, agreed.Entry{Kind: agreed.Propose, Base: 1, Doc: level("k2", 1)}); err == nil {
+	if _, err := g.client(0).Apply(ctx, agreed.Entry{Kind: agreed.KindPropose, BaseVersion: 1, Doc: level("k2", 1)}); err == nil {
 		t.Error("one of three members accepted a proposal")
 	}
 	waitUntil(t, "the sidecar applies the strictest level again", func() bool { return k.level() == agreed.LevelOnce })
@@ -454,7 +454,7 @@
 	old := g.awaitLeader(10 * time.Second)
 	old.cmd.Process.Signal(syscall.SIGSTOP)
 	waitUntil(t, "another member leads", func() bool { return isLeading(g.otherMembers(old)[0]) || isLeading(g.otherMembers(old)[1]) })
-	if st, err := g.propose(1, level("k2", 2)); err != nil || st.Next == nil && st.InForce.Version != 2 {
+	if st, err := g.propose(1, level("k2", 2)); err != nil || st.Pending == nil && st.InForce.Version != 2 {
 		t.Fatalf("status %+v, error %v, want version 2 in force or pending", st, err)
 	}
 	waitUntil(t, "version 2 is active at the sidecar", func() bool { return k.activeVersion() == 2 })
@@ -501,14 +501,14 @@
 	waitUntil(t, "refused", func() bool {
 		ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 		defer cancel()
-		st, err := g.client(0).Enter(ctx, agreed.Entry{Kind: agreed.Propose, Base: 2, Doc: level("k3", 1)}) // repeats the proposal
+		st, err := g.client(0).Apply(ctx, agreed.Entry{Kind: agreed.KindPropose, BaseVersion: 2, Doc: level("k3", 1)}) // repeats the proposal
 		if err != nil {
 			t.Fatal(err)
 		}
 		seen = st
-		for _, e := range st.Endings {
+		for _, e := range st.Results {
 			if e.Key == "k3" {
-				return e.Outcome == agreed.Refused && e.Who == "car" && strings.Contains(e.Reason, "can't be that")
+				return e.Outcome == agreed.OutcomeRefused && e.Who == "car" && strings.Contains(e.Reason, "can't be that")
 			}
 		}
 		return false
@@ -550,7 +550,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), 30*time.Second)
 	defer cancel()
 	c := g.client(0)
-	if _, err := c.Change(ctx, founderID("f", lost.name), Peer{}, true); err != nil {
+	if _, err := c.ChangeMember(ctx, founderID("f", lost.name), Endpoint{}, true); err != nil {
 		t.Fatal(err)
 	}
 	id := uint64(0)
@@ -563,7 +563,7 @@
 		st, err := c.Status(ctx)
 		return err == nil && len(st.Members) == 2
 	})
-	if _, err := c.Change(ctx, id, Peer{lost.name, lost.addr}, false); err != nil {
+	if _, err := c.ChangeMember(ctx, id, Endpoint{lost.name, lost.addr}, false); err != nil {
 		t.Fatal(err)
 	}
 	rejoined := clientOf(lost)
--- a/internal/council/serve.go
+++ b/internal/council/serve.go
@@ -99,7 +99,7 @@
 // sender returns the identification of this member for the others. Its address is that of the
 // configuration if there is one, else that of the listener.
 func (s *Server) sender(id uint64) sender {
-	return sender{id, Peer{s.cfg.Name, cmp.Or(s.cfg.Members[s.cfg.Name], s.Addr())}}
+	return sender{id, Endpoint{s.cfg.Name, cmp.Or(s.cfg.Members[s.cfg.Name], s.Addr())}}
 }
 
 // Addr returns the address of the listener.
@@ -240,11 +240,11 @@
 
 // initialSnapshot returns the snapshot that the log begins with. It is the same at each founder.
 func (s *Server) initialSnapshot() (*raftpb.Snapshot, error) {
-	c := replicatedState{Fleet: s.cfg.Fleet, Members: make(map[uint64]Peer)}
+	c := replicatedState{Fleet: s.cfg.Fleet, Members: make(map[uint64]Endpoint)}
 	conf := new(raftpb.ConfState)
 	for name := range s.cfg.Members {
 		id := founderID(s.cfg.Fleet, name)
-		c.Members[id] = Peer{Name: name} // addresses come from each member's own configuration
+		c.Members[id] = Endpoint{Name: name} // addresses come from each member's own configuration
 		conf.Voters = append(conf.Voters, id)
 	}
 	slices.Sort(conf.Voters)
@@ -385,7 +385,7 @@
 	if err := decodeStrict(body, &e); err != nil {
 		return nil, err
 	}
-	if e.Kind != agreed.Propose && e.Kind != agreed.Withdraw && e.Kind != agreed.Forget {
+	if e.Kind != agreed.KindPropose && e.Kind != agreed.KindWithdraw && e.Kind != agreed.KindRemove {
 		return nil, &Refusal{Code: http.StatusBadRequest, Text: fmt.Sprintf("%q is nothing that an operator does", e.Kind)}
 	}
 	if err := m.ProposeEntry(ctx, e); err != nil {
@@ -421,7 +421,7 @@
 type memberChange struct {
 	Remove bool   `json:"remove"`
 	ID     uint64 `json:"id"`
-	Peer
+	Endpoint
 }
 
 // handleMembers handles a request to add or remove a member.
@@ -434,7 +434,7 @@
 	if err := decodeStrict(body, &c); err != nil {
 		return nil, err
 	}
-	if err := m.ProposeMemberChange(ctx, c.ID, c.Peer, c.Remove); err != nil {
+	if err := m.ProposeMemberChange(ctx, c.ID, c.Endpoint, c.Remove); err != nil {
 		return nil, err
 	}
 	return m.Status(), nil
--- a/internal/council/transport.go
+++ b/internal/council/transport.go
@@ -62,7 +62,7 @@
 // just been added has no log yet and learns from it where to send its responses.
 type sender struct {
 	ID uint64 `json:"id"`
-	Peer
+	Endpoint
 }
 
 func newTransport(key string, addrs map[string]string) *transport {
@@ -71,7 +71,7 @@
 
 // setMembers sets the current members: it opens queues to new ones and closes those to members that
 // are gone or have another address.
-func (t *transport) setMembers(self uint64, members map[uint64]Peer) {
+func (t *transport) setMembers(self uint64, members map[uint64]Endpoint) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for id, queue := range t.queues {
@@ -88,14 +88,14 @@
 }
 
 // addrOf returns the address of a member: the one in this member's configuration if there is one.
-func (t *transport) addrOf(info Peer) string { return cmp.Or(t.addrs[info.Name], info.Addr) }
+func (t *transport) addrOf(info Endpoint) string { return cmp.Or(t.addrs[info.Name], info.Addr) }
 
 // addSender opens a queue to the sender of a batch, for a member that does not know the others yet.
 func (t *transport) addSender(from sender) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if len(t.queues) < MaxMembers && from.ID != 0 && from.ID != t.self.ID && from.Addr != "" {
-		t.openQueue(from.ID, t.addrOf(from.Peer))
+		t.openQueue(from.ID, t.addrOf(from.Endpoint))
 	}
 }
 
--- a/internal/daemon/bodies.go
+++ b/internal/daemon/bodies.go
@@ -84,11 +84,11 @@
 	}
 	settings := &c.Features.Bodies
 	return &front.Bodies{
-		Store:  store,
-		Class:  func(name string) int { return c.Settings.ClassIndex([]byte(name)) },
-		Tenant: func(name string) int { return c.Settings.TenantIndex([]byte(name)) },
+		Store:       store,
+		ClassIndex:  func(name string) int { return c.Settings.ClassIndex([]byte(name)) },
+		TenantIndex: func(name string) int { return c.Settings.TenantIndex([]byte(name)) },
 
-		Longest: int64(settings.LongestMB) << 20, Rate: int64(settings.RateKB) << 10, Within: time.Duration(settings.Within),
+		MaxBytes: int64(settings.LongestMB) << 20, MinRate: int64(settings.RateKB) << 10, Timeout: time.Duration(settings.Within),
 		ProxyStatus: settings.ProxyStatus,
 	}
 }
@@ -132,9 +132,9 @@
 		return nil
 	}
 	return &front.Bodies{
-		Store: store, Longest: maxLongBodyBytes, Rate: minLongBodyRate, Within: longBodyTimeout,
-		Class:  func(name string) int { return c.Settings.ClassIndex([]byte(name)) },
-		Tenant: func(name string) int { return c.Settings.TenantIndex([]byte(name)) },
+		Store: store, MaxBytes: maxLongBodyBytes, MinRate: minLongBodyRate, Timeout: longBodyTimeout,
+		ClassIndex:  func(name string) int { return c.Settings.ClassIndex([]byte(name)) },
+		TenantIndex: func(name string) int { return c.Settings.TenantIndex([]byte(name)) },
 	}
 }
 
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -146,10 +146,10 @@
 		case !hasSharedListener:
 			srv.Drain()
 		case elapsed > idleCloseDelay:
-			srv.EndIdle()
+			srv.CloseIdle()
 		}
 	}
-	slog.Info("stopped", "busy", srv.Busy(), "held", host.Held(), "after", time.Since(started))
+	slog.Info("stopped", "busy", srv.BusyConns(), "held", host.Held(), "after", time.Since(started))
 }
 
 // maxShutdownTime returns the maximum time from SIGTERM until the process exits.
--- a/internal/daemon/processes_test.go
+++ b/internal/daemon/processes_test.go
@@ -79,7 +79,7 @@
 }
 
 // A polled list is followed like a pushed one: changes arrive, and after an outage of discovery
-// the process polls again within discovery.Told.
+// the process polls again within discovery.MaxChangeDelay.
 func TestPolledListIsFollowed(t *testing.T) {
 	site, binary := newProcessSite(t, rig.SiteConfig{Servers: 2, Asked: true})
 	d := startProcess(t, site, binary)
@@ -90,8 +90,8 @@
 	back := time.Now()
 	site.Discovery.Down(false)
 	waitUntil(t, "the daemon does not watch discovery after its return", func() bool { return site.Discovery.Watching() == 1 })
-	if took := time.Since(back); took >= discovery.Told {
-		t.Errorf("polled again %v after discovery returned, want under %v", took, discovery.Told)
+	if took := time.Since(back); took >= discovery.MaxChangeDelay {
+		t.Errorf("polled again %v after discovery returned, want under %v", took, discovery.MaxChangeDelay)
 	}
 	checkServed(t, d.Addr, "1")
 }
@@ -339,7 +339,7 @@
 	back := time.Now()
 	site.Discovery.Down(false)
 	waitUntil(t, "the daemon does not watch discovery after its return", func() bool { return site.Discovery.Watching() == 1 })
-	if took := time.Since(back); took >= discovery.Told {
+	if took := time.Since(back); took >= discovery.MaxChangeDelay {
 		t.Errorf("the watch recovered after %v", took)
 	}
 	for n := range 8 {
--- a/internal/daemon/sidecar.go
+++ b/internal/daemon/sidecar.go
@@ -114,17 +114,17 @@
 	c := s.cfg
 	s.figures = figures.New(c.Settings.ClassNames())
 	s.pool = upstream.New(upstream.Config{
-		ConnIdle:    c.Settings.ConnIdle,
-		DialTimeout: c.Settings.DialTimeout,
-		DrainGrace:  c.Settings.DrainGrace,
-		MaxConns:    s.maxConnsPerSide,
+		ConnIdleTimeout: c.Settings.ConnIdle,
+		DialTimeout:     c.Settings.DialTimeout,
+		DrainGrace:      c.Settings.DrainGrace,
+		MaxConns:        s.maxConnsPerSide,
 		// Leaves half of the shortest aim for another attempt.
-		Stall:     c.Settings.ShortestAim() / 2,
-		Forwarded: s.figures.Forwarded,
+		StallTimeout:     c.Settings.ShortestAim() / 2,
+		OnRequestWritten: s.figures.Forwarded,
 	})
-	s.watcher = &discovery.Watcher{Addr: c.Discovery, Timing: discovery.Pushed}
+	s.watcher = &discovery.Watcher{Addr: c.Discovery, Timing: discovery.AgentTiming}
 	if c.Asks {
-		s.watcher.Timing = discovery.Asked
+		s.watcher.Timing = discovery.SharedServiceTiming
 	}
 	if c.Known != nil {
 		c.Known.Complete = true
@@ -182,7 +182,7 @@
 	c := s.cfg
 	s.operation = operating.New(operationConfig(s))
 	s.onClose(s.operation.Close)
-	s.watcher.Listed, s.watcher.Failed = s.operation.Listed, s.host.DiscoveryFailed
+	s.watcher.OnList, s.watcher.OnError = s.operation.Listed, s.host.DiscoveryFailed
 	s.onClose(s.pool.Close)
 	s.onClose(s.host.Close)
 	s.onClose(s.watcher.Close)
@@ -227,7 +227,7 @@
 	if s.ln, err = clientListener(c); err != nil {
 		return fmt.Errorf("listen: %w", err)
 	}
-	s.srv = front.New(front.Config{MaxConns: s.maxConnsPerSide, MaxBodyBytes: maxShortBodyBytes(c), Bodies: frontBodies(c, s.store), Long: frontLongBodies(c, s.longStore), TellConfig: c.Store != nil, Choose: s.routes.Chooser(), Figures: s.figures}, s.host)
+	s.srv = front.New(front.Config{MaxConns: s.maxConnsPerSide, MaxBodyBytes: maxShortBodyBytes(c), Bodies: frontBodies(c, s.store), LongBodies: frontLongBodies(c, s.longStore), SendConfigID: c.Store != nil, Choose: s.routes.Chooser(), Figures: s.figures}, s.host)
 	s.operation.Serves(s.srv)
 	return nil
 }
@@ -359,14 +359,14 @@
 // false on SIGTERM. A process that reports ready without a usable list would refuse every call.
 func (s *sidecar) waitForList() bool {
 	listed := make(chan struct{}, 1)
-	s.watcher.Listed = func(l *membership.List) {
+	s.watcher.OnList = func(l *membership.List) {
 		s.operation.Listed(l)
 		select {
 		case listed <- struct{}{}:
 		default:
 		}
 	}
-	go s.watcher.Follow()
+	go s.watcher.Run()
 	hasList := s.cfg.Known != nil && membership.NewTracker(s.cfg.Known).HasServers
 	timeout := time.NewTimer(firstListWait(hasList, s.cfg.Asks))
 	defer timeout.Stop()
@@ -390,7 +390,7 @@
 
 // firstListWait returns how long a starting process waits for the first list. A known list may be
 // outdated, and a local agent pushes the newest at once. A service that all sidecars poll answers
-// them spread over discovery.Asked.Spread, so a process with a known list does not wait for it.
+// them spread over discovery.SharedServiceTiming.Spread, so a process with a known list does not wait for it.
 func firstListWait(hasList, isPolled bool) time.Duration {
 	switch {
 	case !hasList:
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -17,7 +17,7 @@
 const testTimeout = 20 * time.Second
 
 // patientTiming has a long call timeout, so that slow machines do not fail unrelated tests.
-var patientTiming = Timing{CallTimeout: testTimeout, SilenceTimeout: Pushed.SilenceTimeout, MinBackoff: Pushed.MinBackoff, MaxBackoff: Pushed.MaxBackoff}
+var patientTiming = Timing{CallTimeout: testTimeout, SilenceTimeout: AgentTiming.SilenceTimeout, MinBackoff: AgentTiming.MinBackoff, MaxBackoff: AgentTiming.MaxBackoff}
 
 func entry(name string) string {
 	return fmt.Sprintf(`{"name":%q,"address":"127.0.0.1:1","zone":"a","group":3,"status":"up","weight":1.5,"since_ms":2}`, name)
@@ -81,8 +81,8 @@
 			}()
 		}
 	}()
-	w := &Watcher{Addr: ln.Addr().String(), Timing: patientTiming, Failed: func(error) {}}
-	w.Listed = func(l *membership.List) {
+	w := &Watcher{Addr: ln.Addr().String(), Timing: patientTiming, OnError: func(error) {}}
+	w.OnList = func(l *membership.List) {
 		var names []string
 		for _, e := range l.Entries {
 			names = append(names, e.Name)
@@ -90,7 +90,7 @@
 		got <- strings.Join(names, " ")
 	}
 	over := make(chan struct{})
-	go func() { w.Follow(); close(over) }()
+	go func() { w.Run(); close(over) }()
 	for range want {
 		select {
 		case s := <-got:
@@ -195,9 +195,9 @@
 	asked := make(chan string, 100)
 	old, next := startAgent(t, "old", list(50, true, entry("a")), asked), startAgent(t, "next", list(3, true, entry("b")), asked)
 	got := make(chan string, 100)
-	w := &Watcher{Addr: old, Timing: patientTiming, Failed: func(error) {}, Listed: func(l *membership.List) { got <- l.Entries[0].Name }}
+	w := &Watcher{Addr: old, Timing: patientTiming, OnError: func(error) {}, OnList: func(l *membership.List) { got <- l.Entries[0].Name }}
 	over := make(chan struct{})
-	go func() { w.Follow(); close(over) }()
+	go func() { w.Run(); close(over) }()
 	expect := func(ch <-chan string, want string) {
 		t.Helper()
 		select {
@@ -211,11 +211,11 @@
 	}
 	expect(asked, "old watch=1")
 	expect(got, "a")
-	w.Move(next)
+	w.SetAddr(next)
 	expect(asked, "next watch=1")
 	expect(got, "b")
-	w.Move("127.0.0.1:1") // no service listens here
-	w.Move(old)
+	w.SetAddr("127.0.0.1:1") // no service listens here
+	w.SetAddr(old)
 	expect(asked, "old watch=1")
 	expect(got, "a")
 	w.Close()
@@ -230,11 +230,11 @@
 		asked := make(chan string, 1000)
 		w := &Watcher{Addr: startAgent(t, "", bad, asked), Timing: patientTiming, Track: membership.ListTracker{Version: 5, HasServers: true}}
 		failed := make(chan error, 1000)
-		w.Failed = func(err error) { failed <- err }
-		w.Listed = func(l *membership.List) { t.Errorf("unusable list %q was handed on: %+v", bad, l) }
+		w.OnError = func(err error) { failed <- err }
+		w.OnList = func(l *membership.List) { t.Errorf("unusable list %q was handed on: %+v", bad, l) }
 		over := make(chan struct{})
 		began := time.Now()
-		go func() { w.Follow(); close(over) }()
+		go func() { w.Run(); close(over) }()
 		for range 8 {
 			<-failed
 		}
--- a/internal/discovery/races_test.go
+++ b/internal/discovery/races_test.go
@@ -58,20 +58,20 @@
 		w.Dial = d.dial
 	}
 	d.receivedAt = make(map[int64]time.Time)
-	w.Listed = func(l *membership.List) {
+	w.OnList = func(l *membership.List) {
 		d.mu.Lock()
 		defer d.mu.Unlock()
 		if _, ok := d.receivedAt[l.Version]; !ok {
 			d.receivedAt[l.Version] = time.Now()
 		}
 	}
-	w.Failed = func(err error) {
+	w.OnError = func(err error) {
 		d.mu.Lock()
 		defer d.mu.Unlock()
 		d.failures = append(d.failures, err)
 	}
 	over := make(chan struct{})
-	go func() { w.Follow(); close(over) }()
+	go func() { w.Run(); close(over) }()
 	return func() { w.Close(); <-over }
 }
 
@@ -92,14 +92,14 @@
 // waitForClose sends nothing more and waits until the other side closes.
 func waitForClose(c net.Conn) { io.Copy(io.Discard, c) }
 
-var timings = map[string]Timing{"pushed": Pushed, "asked": Asked}
+var timings = map[string]Timing{"pushed": AgentTiming, "asked": SharedServiceTiming}
 
 // The timeouts and delays add up to less than the time allowed for a change, with 300 ms to
 // spare for a busy machine.
 func TestWorstCaseDelayIsBelowLimit(t *testing.T) {
 	for name, timing := range timings {
-		if worst := timing.WorstCaseDelay(); worst > Told-300*time.Millisecond {
-			t.Errorf("%s: worst-case delay is %v, too close to the limit of %v", name, worst, Told)
+		if worst := timing.WorstCaseDelay(); worst > MaxChangeDelay-300*time.Millisecond {
+			t.Errorf("%s: worst-case delay is %v, too close to the limit of %v", name, worst, MaxChangeDelay)
 		}
 	}
 }
@@ -128,9 +128,9 @@
 				stop := d.start(&Watcher{Timing: timing})
 				defer drainSleepers()
 				defer stop()
-				time.Sleep(timing.MaxInitialDelay + 2*Told)
+				time.Sleep(timing.MaxInitialDelay + 2*MaxChangeDelay)
 				at, ok := d.receiptTime(6)
-				if took := at.Sub(time.Unix(0, changed.Load())); !ok || took > timing.WorstCaseDelay() || took >= Told {
+				if took := at.Sub(time.Unix(0, changed.Load())); !ok || took > timing.WorstCaseDelay() || took >= MaxChangeDelay {
 					t.Errorf("%s: list received %v after the change (received: %v), want at most %v", name, took, ok, timing.WorstCaseDelay())
 				}
 			})
@@ -180,9 +180,9 @@
 					stop := d.start(w)
 					defer drainSleepers()
 					defer stop()
-					time.Sleep(time.Until(back) + 2*Told)
+					time.Sleep(time.Until(back) + 2*MaxChangeDelay)
 					at, ok := d.receiptTime(6)
-					if took := at.Sub(back); !ok || took > timing.WorstCaseDelay() || took >= Told {
+					if took := at.Sub(back); !ok || took > timing.WorstCaseDelay() || took >= MaxChangeDelay {
 						t.Errorf("%s, %s: list received %v after the return (received: %v), want at most %v", name, down, took, ok, timing.WorstCaseDelay())
 					}
 				})
@@ -239,7 +239,7 @@
 				writeChunk(conn, change)
 				waitForClose(conn)
 			}
-			stop := d.start(&Watcher{Timing: Pushed})
+			stop := d.start(&Watcher{Timing: AgentTiming})
 			time.Sleep(4500 * time.Millisecond)
 			d.mu.Lock()
 			dials := d.dials
@@ -249,7 +249,7 @@
 			if dials != c.dials {
 				t.Errorf("%s: %d calls, want %d", name, dials, c.dials)
 			}
-			if at, ok := d.receivedAt[6]; c.dials == 2 && (!ok || at.Sub(time.Unix(0, began.Load())) > Pushed.WorstCaseDelay()) {
+			if at, ok := d.receivedAt[6]; c.dials == 2 && (!ok || at.Sub(time.Unix(0, began.Load())) > AgentTiming.WorstCaseDelay()) {
 				t.Errorf("%s: list received after %v (received: %v)", name, at.Sub(time.Unix(0, began.Load())), ok)
 			}
 		})
@@ -273,11 +273,11 @@
 			}
 		}
 		began := time.Now()
-		stop := d.start(&Watcher{Timing: Pushed})
+		stop := d.start(&Watcher{Timing: AgentTiming})
 		defer drainSleepers()
 		defer stop()
 		time.Sleep(time.Minute)
-		if at, ok := d.receiptTime(5); !ok || at.Sub(began) > Told {
+		if at, ok := d.receiptTime(5); !ok || at.Sub(began) > MaxChangeDelay {
 			t.Errorf("list received after %v (received: %v)", at.Sub(began), ok)
 		}
 	})
@@ -308,7 +308,7 @@
 					}
 					waitForClose(c)
 				}
-				stop := d.start(&Watcher{Timing: Pushed})
+				stop := d.start(&Watcher{Timing: AgentTiming})
 				synctest.Wait()
 				stop()
 				drainSleepers()
@@ -352,7 +352,7 @@
 				}
 				waitForClose(conn)
 			}
-			stop := d.start(&Watcher{Timing: Pushed})
+			stop := d.start(&Watcher{Timing: AgentTiming})
 			time.Sleep(time.Second)
 			stop()
 			drainSleepers()
@@ -392,7 +392,7 @@
 				defer stop()
 				time.Sleep(timing.MaxInitialDelay + 10*time.Second)
 				moved := time.Now()
-				w.Move("next")
+				w.SetAddr("next")
 				synctest.Wait()
 				if at, ok := d.receiptTime(3); !ok || at != moved {
 					t.Errorf("%s, refused %v: list received %v after the move (received: %v)", name, refuses, at.Sub(moved), ok)
@@ -436,7 +436,7 @@
 				}
 				waitForClose(c)
 			}
-			stops = append(stops, d.start(&Watcher{Timing: Asked}))
+			stops = append(stops, d.start(&Watcher{Timing: SharedServiceTiming}))
 		}
 		time.Sleep(10 * time.Second)
 		for _, stop := range stops {
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -27,17 +27,17 @@
 	MaxInitialDelay        time.Duration // the delay of the first call is drawn from 0 to MaxInitialDelay
 }
 
-// Told is the time within which a change has to reach a sidecar, counted from when the discovery
+// MaxChangeDelay is the time within which a change has to reach a sidecar, counted from when the discovery
 // service had the change and could be reached.
-const Told = 6 * time.Second
+const MaxChangeDelay = 6 * time.Second
 
 var (
-	// Pushed is the timing for an agent on the sidecar's own machine, which answers at once.
-	Pushed = Timing{CallTimeout: 1600 * time.Millisecond, SilenceTimeout: 2700 * time.Millisecond, MinBackoff: 20 * time.Millisecond, MaxBackoff: 500 * time.Millisecond}
-	// Asked is the timing for one service that all sidecars share. It serves calls in turn and
+	// AgentTiming is the timing for an agent on the sidecar's own machine, which answers at once.
+	AgentTiming = Timing{CallTimeout: 1600 * time.Millisecond, SilenceTimeout: 2700 * time.Millisecond, MinBackoff: 20 * time.Millisecond, MaxBackoff: 500 * time.Millisecond}
+	// SharedServiceTiming is the timing for one service that all sidecars share. It serves calls in turn and
 	// rejects calls that have waited for 2 s. The longer backoff and the spread keep a fleet
 	// that has lost the service from calling it all at once.
-	Asked = Timing{CallTimeout: 2400 * time.Millisecond, SilenceTimeout: 2700 * time.Millisecond, MinBackoff: 260 * time.Millisecond, MaxBackoff: 500 * time.Millisecond, MaxInitialDelay: 2 * time.Second}
+	SharedServiceTiming = Timing{CallTimeout: 2400 * time.Millisecond, SilenceTimeout: 2700 * time.Millisecond, MinBackoff: 260 * time.Millisecond, MaxBackoff: 500 * time.Millisecond, MaxInitialDelay: 2 * time.Second}
 )
 
 // WorstCaseDelay returns the longest time that a change can take to reach the sidecar while the discovery
@@ -52,11 +52,11 @@
 // the next watch. A change of address and Close interrupt each of them at once. The exported
 // fields must be set before the watcher is started.
 type Watcher struct {
-	Addr   string // address of the next watch
-	Timing Timing
-	Track  membership.ListTracker // state of the list already held at the start
-	Listed func(*membership.List)
-	Failed func(error)
+	Addr    string // address of the next watch
+	Timing  Timing
+	Track   membership.ListTracker // state of the list already held at the start
+	OnList  func(*membership.List)
+	OnError func(error)
 	// Dial opens a connection; nil means TCP.
 	Dial func(ctx context.Context, addr string) (net.Conn, error)
 
@@ -66,10 +66,10 @@
 	cancel context.CancelFunc // cancels the current watch or the delay before it; nil before the first
 }
 
-// Move interrupts the current watch and opens the next one at another address at once, because
+// SetAddr interrupts the current watch and opens the next one at another address at once, because
 // the old address may stay silent while its connection still stands. List versions of one
 // address are meaningless at another, so the next watch requests the whole list.
-func (w *Watcher) Move(addr string) { w.cancelCurrent(func() { w.Addr, w.moved = addr, true }) }
+func (w *Watcher) SetAddr(addr string) { w.cancelCurrent(func() { w.Addr, w.moved = addr, true }) }
 
 // Close ends the current watch and stops the watcher.
 func (w *Watcher) Close() { w.cancelCurrent(func() { w.closed = true }) }
@@ -98,9 +98,9 @@
 	return ctx, w.Addr, moved, !w.closed
 }
 
-// Follow keeps a watch open until Close is called, and blocks until then. It hands on each list
+// Run keeps a watch open until Close is called, and blocks until then. It hands on each list
 // and reports each error that ends a watch.
-func (w *Watcher) Follow() {
+func (w *Watcher) Run() {
 	backoff, delay := w.Timing.MinBackoff, rand.N(w.Timing.MaxInitialDelay+1)
 	for {
 		ctx, addr, moved, ok := w.beginWatch()
@@ -117,7 +117,7 @@
 		if ctx.Err() != nil { // interrupted by a new address or by Close, which is no failure
 			continue
 		}
-		w.Failed(err)
+		w.OnError(err)
 		if listed {
 			backoff = w.Timing.MinBackoff
 		}
@@ -229,6 +229,6 @@
 	if err := w.Track.Accept(list); err != nil {
 		return fmt.Errorf("discovery: %w", err)
 	}
-	w.Listed(list)
+	w.OnList(list)
 	return nil
 }
--- a/internal/front/drain.go
+++ b/internal/front/drain.go
@@ -16,10 +16,10 @@
 	s.draining = on
 }
 
-// EndIdle ends the connections that have no open request and no bytes to read. It returns at
+// CloseIdle ends the connections that have no open request and no bytes to read. It returns at
 // once; the goroutine of each connection checks for bytes, and reads and answers a request that
 // its client has sent by then.
-func (s *Server) EndIdle() {
+func (s *Server) CloseIdle() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for c := range s.conns {
--- a/internal/front/drain_test.go
+++ b/internal/front/drain_test.go
@@ -10,7 +10,7 @@
 	"chalkrack/internal/figures"
 )
 
-// While the server drains, each answer ends its connection and EndIdle ends idle connections.
+// While the server drains, each answer ends its connection and CloseIdle ends idle connections.
 // After SetDraining(false) connections are kept again.
 func TestDrainEndsConnectionsUntilUndone(t *testing.T) {
 	s, _, dial := startServer(t, Config{}, echo)
@@ -27,7 +27,7 @@
 	used, idle, fresh := dial(), dial(), dial()
 	ask(used)
 	ask(idle)
-	waitFor(t, "not all connections are counted", func() bool { return s.Conns() == 3 && s.Busy() <= 1 })
+	waitFor(t, "not all connections are counted", func() bool { return s.Conns() == 3 && s.BusyConns() <= 1 })
 	s.SetDraining(true)
 	if connection := ask(used); connection != "close" || !used.isClosed() {
 		t.Errorf("answered with Connection: %q in a drain, or not closed", connection)
@@ -35,7 +35,7 @@
 	if connection := ask(dial()); connection != "close" {
 		t.Errorf("new connection answered with Connection: %q in a drain", connection)
 	}
-	s.EndIdle()
+	s.CloseIdle()
 	if !idle.isClosed() || !fresh.isClosed() {
 		t.Error("an idle connection is open after EndIdle")
 	}
@@ -95,7 +95,7 @@
 	c := &client{t, nc, bufio.NewReader(nc)}
 	waitFor(t, "the connection is not counted", func() bool { return s.Conns() == 1 })
 	s.SetDraining(true)
-	s.EndIdle()
+	s.CloseIdle()
 	<-ln.timedOut
 	c.send(request("GET /a", idFields))
 	waitFor(t, "the request did not arrive", func() bool {
@@ -144,7 +144,7 @@
 	waitFor(t, "the request of a client that left is still outstanding", func() bool { return counts.Outstanding() == 0 })
 	dial().send(request("GET /a", "Req-Kind: a\r\n")).receive() // without an id
 	dial().send(request("GET /b", idFields)).receive()          // unknown class
-	waitFor(t, "connections are still busy", func() bool { return s.Busy() == 0 })
+	waitFor(t, "connections are still busy", func() bool { return s.BusyConns() == 0 })
 	for outcome, want := range map[figures.End]int64{figures.Succeeded: 2, figures.Declined: 1, figures.Aborted: 2, figures.Left: 1} {
 		if n := counts.Count("a", outcome); n != want {
 			t.Errorf("outcome %d: %d requests counted, want %d", outcome, n, want)
--- a/internal/front/exchange.go
+++ b/internal/front/exchange.go
@@ -49,8 +49,8 @@
 			}
 			return c.Status
 		}
-		if c.To != nil {
-			x.handler = c.To
+		if c.Handler != nil {
+			x.handler = c.Handler
 		}
 		if class = c.Class; c.Path != "" {
 			r.RequestURI = (&url.URL{Path: c.Path, RawQuery: r.URL.RawQuery}).RequestURI()
@@ -243,7 +243,7 @@
 	b = append(b, http.StatusText(status)...)
 	b = append(b, "\r\n"...)
 	b = append(b, field...)
-	if x.conn.srv.cfg.TellConfig && x.Generation.Gen != nil {
+	if x.conn.srv.cfg.SendConfigID && x.Generation.Gen != nil {
 		b = append(strconv.AppendInt(append(b, "Fawn-Config: "...), int64(x.Generation.Gen.ID), 10), "\r\n"...)
 	}
 	b = message.AppendFields(b, h)
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -70,24 +70,24 @@
 	// connection, and the address of its client. If it is nil, all requests go unchanged to
 	// the Server's Handler.
 	Choose func(r *http.Request, listener string, from netip.Addr) Choice
-	// TellConfig adds a Fawn-Config field to answers, with the number of the configuration
+	// SendConfigID adds a Fawn-Config field to answers, with the number of the configuration
 	// that the call ran under.
-	TellConfig bool
+	SendConfigID bool
 	// Bodies stores all request bodies. If it is nil, bodies are held in memory, within
 	// MaxBodyBytes.
 	Bodies *Bodies
-	// Long stores bodies that are longer than 64 KiB or of unknown length, if Bodies is nil.
+	// LongBodies stores bodies that are longer than 64 KiB or of unknown length, if Bodies is nil.
 	// If both are nil, these are held in memory too.
-	Long *Bodies
+	LongBodies *Bodies
 	// Figures counts requests by class and outcome. If it is nil, nothing is counted.
 	Figures *figures.Figures
 }
 
 // Choice is the routing decision for one request.
 type Choice struct {
-	To    Handler // takes the call; nil: the Server's Handler
-	Class string  // class of the call; empty: the class that the path names
-	Path  string  // replaces the path of the request; empty: unchanged
+	Handler Handler // takes the call; nil: the Server's Handler
+	Class   string  // class of the call; empty: the class that the path names
+	Path    string  // replaces the path of the request; empty: unchanged
 	// Status, if not 0, is answered by the Server itself, with Location or Body.
 	Status         int
 	Location, Body string
@@ -113,11 +113,11 @@
 
 // Serve accepts connections on ln and blocks until ln is closed, whose net.ErrClosed it
 // returns. The listener has no name.
-func (s *Server) Serve(ln net.Listener) error { return s.ServeAs("", ln) }
+func (s *Server) Serve(ln net.Listener) error { return s.ServeNamed("", ln) }
 
-// ServeAs is like Serve for a listener with a name, which Config.Choose receives. The
+// ServeNamed is like Serve for a listener with a name, which Config.Choose receives. The
 // connections of all listeners count towards one Config.MaxConns.
-func (s *Server) ServeAs(name string, ln net.Listener) error {
+func (s *Server) ServeNamed(name string, ln net.Listener) error {
 	for {
 		nc, err := ln.Accept()
 		if err != nil {
@@ -216,9 +216,9 @@
 	}
 }
 
-// Busy returns the number of connections that have a request, or that are too new to count
+// BusyConns returns the number of connections that have a request, or that are too new to count
 // as idle.
-func (s *Server) Busy() (n int) {
+func (s *Server) BusyConns() (n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for c := range s.conns {
@@ -229,9 +229,9 @@
 	return n
 }
 
-// LimitBodies changes Config.MaxBodyBytes to maxBytes. If more bytes are reserved already, no
+// SetMaxBodyBytes changes Config.MaxBodyBytes to maxBytes. If more bytes are reserved already, no
 // body is accepted until enough of them have been released.
-func (s *Server) LimitBodies(maxBytes int64) {
+func (s *Server) SetMaxBodyBytes(maxBytes int64) {
 	s.budget.mu.Lock()
 	defer s.budget.mu.Unlock()
 	s.budget.remaining += maxBytes - s.cfg.MaxBodyBytes
--- a/internal/front/front_test.go
+++ b/internal/front/front_test.go
@@ -522,7 +522,7 @@
 		if status, _, _ := c.send(request("GET /a", idFields)).receive(); status != 200 {
 			t.Fatalf("answered %d", status)
 		}
-		waitFor(t, "connection is busy after its answer", func() bool { return s.Busy() == 0 })
+		waitFor(t, "connection is busy after its answer", func() bool { return s.BusyConns() == 0 })
 	}
 	first, second, third := dial(), dial(), dial
 	ask(first)
--- a/internal/front/min_rate_test.go
+++ b/internal/front/min_rate_test.go
@@ -72,7 +72,7 @@
 	}
 	t.Cleanup(store.Close)
 	zero := func(string) int { return 0 }
-	return &Bodies{Store: store, Class: zero, Tenant: func(string) int { return -1 }, Longest: maxBodyBytes, Rate: minBodyRate, Within: time.Minute}
+	return &Bodies{Store: store, ClassIndex: zero, TenantIndex: func(string) int { return -1 }, MaxBytes: maxBodyBytes, MinRate: minBodyRate, Timeout: time.Minute}
 }
 
 // The call of a body over 256 KiB starts before the end of the body has arrived; the call of a
@@ -80,7 +80,7 @@
 func TestLongBodyIsForwardedAsItArrives(t *testing.T) {
 	const size = 300 << 10
 	arrived := make(chan *Exchange, 8)
-	_, _, dial := startServer(t, Config{Long: newLongBodies(t, 1)}, func(x *Exchange) { arrived <- x })
+	_, _, dial := startServer(t, Config{LongBodies: newLongBodies(t, 1)}, func(x *Exchange) { arrived <- x })
 	part := strings.Repeat("x", 64<<10)
 	c := dial().send(request("POST /a", idFields+field("Content-Length", fmt.Sprint(size))) + part)
 	x := <-arrived
@@ -141,7 +141,7 @@
 // reader of the body gets an error instead of io.EOF.
 func TestClientCloseDuringLongBodyEndsCall(t *testing.T) {
 	arrived := make(chan *Exchange, 1)
-	s, f, dial := startServer(t, Config{Long: newLongBodies(t, 4)}, func(x *Exchange) { arrived <- x })
+	s, f, dial := startServer(t, Config{LongBodies: newLongBodies(t, 4)}, func(x *Exchange) { arrived <- x })
 	c := dial().send(request("POST /a", idFields+field("Content-Length", "300000")) + strings.Repeat("x", 70000))
 	x := <-arrived
 	r, err := x.Request.Source.Open()
--- a/internal/front/races_test.go
+++ b/internal/front/races_test.go
@@ -385,7 +385,7 @@
 	ask(first, "1")
 	<-idle
 	ask(second, "2")
-	waitFor(t, "connection is busy after its answer", func() bool { return s.Busy() == 0 })
+	waitFor(t, "connection is busy after its answer", func() bool { return s.BusyConns() == 0 })
 	first.send(request("GET /a", field("Req-Id", "3")))
 	var peeker socketPeeker
 	peeker.attach(hooked.TCPConn)
@@ -422,7 +422,7 @@
 		c.stateSince = c.stateSince.Add(-freshTimeout)
 	}
 	s.mu.Unlock()
-	waitFor(t, "connections are not idle", func() bool { return s.Busy() == 0 })
+	waitFor(t, "connections are not idle", func() bool { return s.BusyConns() == 0 })
 	s.Drain()
 	s.mu.Lock()
 	for c := range s.conns { // checked here, because headTimeout would close the silent one anyway
--- a/internal/front/request.go
+++ b/internal/front/request.go
@@ -56,7 +56,7 @@
 		return nil, http.StatusBadRequest
 	}
 	c.in.remaining = math.MaxInt64
-	if c.srv.cfg.Bodies != nil || c.srv.cfg.Long != nil && (r.ContentLength > maxShortBodyBytes || r.ContentLength < 0) {
+	if c.srv.cfg.Bodies != nil || c.srv.cfg.LongBodies != nil && (r.ContentLength > maxShortBodyBytes || r.ContentLength < 0) {
 		return c.readStoredRequest(r, crowded)
 	}
 	if r.ContentLength > maxBodyBytes {
--- a/internal/front/stored_body.go
+++ b/internal/front/stored_body.go
@@ -17,12 +17,12 @@
 // Bodies configures how request bodies are stored.
 type Bodies struct {
 	Store *body.Store
-	// Class and Tenant return the index of a name in the settings, -1 if it is not there.
-	Class, Tenant func(name string) int
-	Longest       int64         // bytes; a longer body is answered with 413
-	Rate          int64         // lowest mean rate at which a client may send, in bytes per second
-	Within        time.Duration // bound of the time that a body may take in all
-	ProxyStatus   bool          // report errors and the effect of a body that was not kept in Proxy-Status (RFC 9209)
+	// ClassIndex and Tenant return the index of a name in the settings, -1 if it is not there.
+	ClassIndex, TenantIndex func(name string) int
+	MaxBytes                int64         // bytes; a longer body is answered with 413
+	MinRate                 int64         // lowest mean rate at which a client may send, in bytes per second
+	Timeout                 time.Duration // bound of the time that a body may take in all
+	ProxyStatus             bool          // report errors and the effect of a body that was not kept in Proxy-Status (RFC 9209)
 }
 
 // bodyStore returns the store for bodies that readStoredRequest reads.
@@ -30,7 +30,7 @@
 	if s.cfg.Bodies != nil {
 		return s.cfg.Bodies
 	}
-	return s.cfg.Long
+	return s.cfg.LongBodies
 }
 
 // readStoredRequest continues readRequest after the head for a request whose body goes into the
@@ -50,7 +50,7 @@
 			status = http.StatusServiceUnavailable
 		}
 	case status != 0:
-	case r.ContentLength > store.Longest:
+	case r.ContentLength > store.MaxBytes:
 		c.rejectWith(http.StatusRequestEntityTooLarge, store.proxyStatusField("http_request_error", "body too long"))
 		return nil, -1
 	case crowded && !c.srv.evictConn(0):
@@ -65,12 +65,12 @@
 		c.nc.SetReadDeadline(time.Time{})
 		return x, 0
 	}
-	in := body.Incoming{Class: store.Class(x.Class), Tenant: store.Tenant(x.Tenant), Length: r.ContentLength, Body: c.newMinRateReader(r.Body, float64(store.Rate), store.Within)}
+	in := body.Incoming{Class: store.ClassIndex(x.Class), Tenant: store.TenantIndex(x.Tenant), Length: r.ContentLength, Body: c.newMinRateReader(r.Body, float64(store.MinRate), store.Timeout)}
 	in.KeptElsewhere = x.isBehindTier && x.Limits.MaxAttempts == 1
 	if expectsContinue {
 		in.Body = &continueReader{c: c, r: in.Body}
 	}
-	in.Body = &maxLengthReader{r: in.Body, remaining: store.Longest}
+	in.Body = &maxLengthReader{r: in.Body, remaining: store.MaxBytes}
 	kept, err := store.Store.Receive(in)
 	if err != nil {
 		return nil, c.rejectBody(x, err)
@@ -94,7 +94,7 @@
 	if x.Limits != nil {
 		limits = *x.Limits
 	}
-	limits.BodyTimeout = store.Within
+	limits.BodyTimeout = store.Timeout
 	x.Limits, x.bodyUnread = &limits, true
 	return x, 0
 }
--- a/internal/radius/proxy/proxy.go
+++ b/internal/radius/proxy/proxy.go
@@ -92,7 +92,7 @@
 	for _, s := range p.sides {
 		p.wg.Go(s.listener.Serve)
 		if s.watcher != nil {
-			p.wg.Go(s.watcher.Follow)
+			p.wg.Go(s.watcher.Run)
 		}
 		if r.ProbeEvery > 0 {
 			for _, pl := range s.pools {
@@ -145,7 +145,7 @@
 	}
 	if disco != "" {
 		h := s.pools[""].host
-		s.watcher = &discovery.Watcher{Addr: disco, Timing: discovery.Pushed, Listed: h.Listed, Failed: h.DiscoveryFailed}
+		s.watcher = &discovery.Watcher{Addr: disco, Timing: discovery.AgentTiming, OnList: h.Listed, OnError: h.DiscoveryFailed}
 	}
 	var clients []listener.Client
 	for _, k := range r.Clients {
--- a/internal/rooms/changes/changes.go
+++ b/internal/rooms/changes/changes.go
@@ -235,7 +235,7 @@
 		closeListener(ln)
 		return err
 	}
-	g.pool.Adopt(strictestTimes(connTimes(g.current), connTimes(next)))
+	g.pool.SetTimeouts(strictestTimes(connTimes(g.current), connTimes(next)))
 	g.addSwitchTime(time.Since(began))
 	g.trial, g.trialListener = next, ln
 	if ln != nil {
@@ -252,13 +252,13 @@
 	g.switchTimes = g.switchTimes[max(0, len(g.switchTimes)-maxSwitchTimes):]
 }
 
-func connTimes(c *config.Config) upstream.Times {
-	return upstream.Times{ConnIdle: c.Settings.ConnIdle, DialTimeout: c.Settings.DialTimeout, DrainGrace: c.Settings.DrainGrace}
+func connTimes(c *config.Config) upstream.Timeouts {
+	return upstream.Timeouts{ConnIdleTimeout: c.Settings.ConnIdle, DialTimeout: c.Settings.DialTimeout, DrainGrace: c.Settings.DrainGrace}
 }
 
 // strictestTimes returns the times that keep the promises of both configurations.
-func strictestTimes(a, b upstream.Times) upstream.Times {
-	return upstream.Times{ConnIdle: min(a.ConnIdle, b.ConnIdle), DialTimeout: max(a.DialTimeout, b.DialTimeout), DrainGrace: min(a.DrainGrace, b.DrainGrace)}
+func strictestTimes(a, b upstream.Timeouts) upstream.Timeouts {
+	return upstream.Timeouts{ConnIdleTimeout: min(a.ConnIdleTimeout, b.ConnIdleTimeout), DialTimeout: max(a.DialTimeout, b.DialTimeout), DrainGrace: min(a.DrainGrace, b.DrainGrace)}
 }
 
 // setStoreError logs an error of the store and keeps it for Status; nil clears it.
@@ -352,7 +352,7 @@
 			old, g.listener = g.listener, g.trialListener
 		}
 	}
-	g.pool.Adopt(connTimes(winner))
+	g.pool.SetTimeouts(connTimes(winner))
 	g.addSwitchTime(time.Since(began))
 	closeListener(old) // connections that it accepted stay open
 	g.current, g.trial, g.trialListener = winner, nil, nil
--- a/internal/rooms/changes/changes_test.go
+++ b/internal/rooms/changes/changes_test.go
@@ -28,7 +28,7 @@
 		t.Fatal(err)
 	}
 	ts := connTimes(c)
-	pool := upstream.New(upstream.Config{ConnIdle: ts.ConnIdle, DialTimeout: ts.DialTimeout, DrainGrace: ts.DrainGrace, MaxConns: 10})
+	pool := upstream.New(upstream.Config{ConnIdleTimeout: ts.ConnIdleTimeout, DialTimeout: ts.DialTimeout, DrainGrace: ts.DrainGrace, MaxConns: 10})
 	host, err := core.New(core.Config{Generation: c.Generation(c.ID()), Seed: 1, Transport: pool})
 	if err != nil {
 		t.Fatal(err)
@@ -70,7 +70,7 @@
 		if out, err := g.propose(next, "", false); err != nil || out.ID != 2 {
 			t.Fatalf("%+v, %v", out, err)
 		}
-		if got := g.pool.Times(); got != (upstream.Times{ConnIdle: 20 * time.Second, DialTimeout: 900 * time.Millisecond, DrainGrace: time.Second}) {
+		if got := g.pool.Timeouts(); got != (upstream.Timeouts{ConnIdleTimeout: 20 * time.Second, DialTimeout: 900 * time.Millisecond, DrainGrace: time.Second}) {
 			t.Errorf("times during the trial: %+v", got)
 		}
 		if g.Longest() != time.Minute {
@@ -82,7 +82,7 @@
 		g.current.Discovery = "127.0.0.1:99" // as a SIGHUP within the trial has it
 		g.finishTrial(keep, "")
 		want := connTimes(g.current)
-		if got := g.pool.Times(); got != want || (want.ConnIdle == 20*time.Second) != keep {
+		if got := g.pool.Timeouts(); got != want || (want.ConnIdleTimeout == 20*time.Second) != keep {
 			t.Errorf("keep %v: %+v, want %+v", keep, got, want)
 		}
 		if g.current.Discovery != "127.0.0.1:99" || (g.current == next) != keep {
@@ -167,9 +167,9 @@
 
 // During a trial the times of shared connections keep the promises of both configurations.
 func TestStrictestTimesKeepsBothPromises(t *testing.T) {
-	a := upstream.Times{ConnIdle: 3, DialTimeout: 1, DrainGrace: 2}
-	b := upstream.Times{ConnIdle: 2, DialTimeout: 4, DrainGrace: 5}
-	if got := strictestTimes(a, b); got != (upstream.Times{ConnIdle: 2, DialTimeout: 4, DrainGrace: 2}) || got != strictestTimes(b, a) {
+	a := upstream.Timeouts{ConnIdleTimeout: 3, DialTimeout: 1, DrainGrace: 2}
+	b := upstream.Timeouts{ConnIdleTimeout: 2, DialTimeout: 4, DrainGrace: 5}
+	if got := strictestTimes(a, b); got != (upstream.Timeouts{ConnIdleTimeout: 2, DialTimeout: 4, DrainGrace: 2}) || got != strictestTimes(b, a) {
 		t.Errorf("%+v", got)
 	}
 }
--- a/internal/rooms/changes/files.go
+++ b/internal/rooms/changes/files.go
@@ -34,7 +34,7 @@
 	if next.Discovery != g.current.Discovery {
 		slog.Info("address of discovery changed", "from", g.current.Discovery, "to", next.Discovery)
 		g.current.Discovery = next.Discovery
-		g.watcher.Move(next.Discovery)
+		g.watcher.SetAddr(next.Discovery)
 	}
 	if !g.On() {
 		g.logDifferences(next)
--- a/internal/rooms/operating/handover.go
+++ b/internal/rooms/operating/handover.go
@@ -172,8 +172,8 @@
 func (o *Operation) divideLimits(parts int) {
 	parts = max(1, min(parts, maxParts))
 	debug.SetMemoryLimit(o.config.Limits.Memory / int64(parts))
-	o.config.Pool.Limit(o.config.Limits.Conns / parts)
-	o.srv.LimitBodies(o.config.Limits.Bodies / int64(parts))
+	o.config.Pool.SetMaxConns(o.config.Limits.Conns / parts)
+	o.srv.SetMaxBodyBytes(o.config.Limits.Bodies / int64(parts))
 }
 
 // maxParts bounds the number of shares, and so how small a share gets.
--- a/internal/rooms/operating/operating.go
+++ b/internal/rooms/operating/operating.go
@@ -223,7 +223,7 @@
 		}
 		o.mu.Unlock()
 		if st == drain.ClosingIdle {
-			o.srv.EndIdle()
+			o.srv.CloseIdle()
 		}
 	}
 }
--- a/internal/rooms/operating/shared_test.go
+++ b/internal/rooms/operating/shared_test.go
@@ -53,7 +53,7 @@
 			}
 		}
 	}
-	maxConns := func() int { return pool.Limits() }
+	maxConns := func() int { return pool.MaxConns() }
 	waitForOthers(0)
 	if maxConns() != 8 {
 		t.Errorf("single process: limit of %d connections, want 8", maxConns())
--- a/internal/rooms/pools/pools.go
+++ b/internal/rooms/pools/pools.go
@@ -79,7 +79,7 @@
 	s := &serverPool{name: p.Name, checks: p.Checks, start: time.Now()}
 	s.startUnix = time.Duration(s.start.UnixNano())
 	s.conns = upstream.New(upstream.Config{
-		ConnIdle: set.ConnIdle, DialTimeout: set.DialTimeout, DrainGrace: set.DrainGrace, MaxConns: p.MaxConnections, Stall: set.ShortestAim() / 2,
+		ConnIdleTimeout: set.ConnIdle, DialTimeout: set.DialTimeout, DrainGrace: set.DrainGrace, MaxConns: p.MaxConnections, StallTimeout: set.ShortestAim() / 2,
 	})
 	var err error
 	s.host, err = core.New(core.Config{
@@ -110,8 +110,8 @@
 	ctx, stop := context.WithCancel(context.Background())
 	s.stop = stop
 	if p.Discovery != "" {
-		s.watcher = &discovery.Watcher{Addr: p.Discovery, Timing: discovery.Pushed, Listed: s.host.Listed, Failed: s.host.DiscoveryFailed}
-		s.wg.Go(s.watcher.Follow)
+		s.watcher = &discovery.Watcher{Addr: p.Discovery, Timing: discovery.AgentTiming, OnList: s.host.Listed, OnError: s.host.DiscoveryFailed}
+		s.wg.Go(s.watcher.Run)
 		return s, nil
 	}
 	var members []pool.Member
@@ -303,7 +303,7 @@
 func (r *Routing) Serve(srv *front.Server) {
 	if r != nil {
 		for name, ln := range r.listeners {
-			go srv.ServeAs(name, ln)
+			go srv.ServeNamed(name, ln)
 		}
 	}
 }
@@ -325,7 +325,7 @@
 	if e.Action.Rewrite != nil {
 		c.Path = e.RewritePath(q.URL.Path)
 	}
-	c.To = r.Handler(e.Action.Pool)
+	c.Handler = r.Handler(e.Action.Pool)
 	return c
 }
 
--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -193,7 +193,7 @@
 }
 
 func (a *Attempt) connect(addr string) (*conn, error) {
-	d := net.Dialer{Timeout: a.pool.Times().DialTimeout, KeepAlive: -1}
+	d := net.Dialer{Timeout: a.pool.Timeouts().DialTimeout, KeepAlive: -1}
 	nc, err := d.Dial("tcp", addr)
 	if err != nil {
 		a.pool.releaseReservation()
@@ -214,8 +214,8 @@
 var buffers = sync.Pool{New: func() any { b := make([]byte, 0, 4<<10); return &b }}
 
 func (a *Attempt) recordWritten(complete bool) (readFailed bool) {
-	if a.written = complete; complete && a.pool.cfg.Forwarded != nil {
-		a.pool.cfg.Forwarded()
+	if a.written = complete; complete && a.pool.cfg.OnRequestWritten != nil {
+		a.pool.cfg.OnRequestWritten()
 	}
 	return a.readFailed
 }
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -16,17 +16,17 @@
 
 // Config configures a Pool.
 type Config struct {
-	ConnIdle    time.Duration
-	DialTimeout time.Duration
-	DrainGrace  time.Duration
-	MaxConns    int           // maximum number of connections, including those being dialled
-	Stall       time.Duration // longest pause in an answer before it is passed on; 0 means defaultStallTimeout
-	Lull        time.Duration // longest pause in an answer being passed on; 0 means defaultStreamStallTimeout
+	ConnIdleTimeout    time.Duration
+	DialTimeout        time.Duration
+	DrainGrace         time.Duration
+	MaxConns           int           // maximum number of connections, including those being dialled
+	StallTimeout       time.Duration // longest pause in an answer before it is passed on; 0 means defaultStallTimeout
+	StreamStallTimeout time.Duration // longest pause in an answer being passed on; 0 means defaultStreamStallTimeout
 	// PassClientErrors treats a 4xx answer (other than 408 and 429) as the server's answer to
 	// the request and not as a failed attempt.
 	PassClientErrors bool
-	// Forwarded is called for each attempt after its last byte is written; it may be nil.
-	Forwarded func()
+	// OnRequestWritten is called for each attempt after its last byte is written; it may be nil.
+	OnRequestWritten func()
 }
 
 // Pool keeps the connections to all servers. Its methods may be called concurrently.
@@ -95,36 +95,36 @@
 func New(cfg Config) *Pool {
 	p := &Pool{cfg: cfg, servers: make(map[string]*server), earlyBreakWindow: defaultEarlyBreakWindow, stallTimeout: defaultStallTimeout, streamStallTimeout: defaultStreamStallTimeout, holdBackDelay: defaultHoldBackDelay, sendTimeout: defaultSendTimeout}
 	p.idleTimeout = p.maxIdleTimeout()
-	if cfg.Lull > 0 {
-		p.streamStallTimeout = cfg.Lull
+	if cfg.StreamStallTimeout > 0 {
+		p.streamStallTimeout = cfg.StreamStallTimeout
 	}
-	if cfg.Stall > 0 {
-		p.stallTimeout = max(minStallTimeout, min(cfg.Stall, defaultStallTimeout))
+	if cfg.StallTimeout > 0 {
+		p.stallTimeout = max(minStallTimeout, min(cfg.StallTimeout, defaultStallTimeout))
 	}
 	return p
 }
 
 // maxIdleTimeout returns the longest time that a connection is kept idle. It is well below the
 // idle timeout that servers announce.
-func (p *Pool) maxIdleTimeout() time.Duration { return p.cfg.ConnIdle * 6 / 10 }
+func (p *Pool) maxIdleTimeout() time.Duration { return p.cfg.ConnIdleTimeout * 6 / 10 }
 
-// Times holds the fields of a Pool's Config that can change at run time.
-type Times struct{ ConnIdle, DialTimeout, DrainGrace time.Duration }
+// Timeouts holds the fields of a Pool's Config that can change at run time.
+type Timeouts struct{ ConnIdleTimeout, DialTimeout, DrainGrace time.Duration }
 
-// Adopt replaces the pool's times. Connections that have been idle for too long under the new
+// SetTimeouts replaces the pool's times. Connections that have been idle for too long under the new
 // times are closed by the next Sweep or when they are next considered for use.
-func (p *Pool) Adopt(times Times) {
+func (p *Pool) SetTimeouts(timeouts Timeouts) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.cfg.ConnIdle, p.cfg.DialTimeout, p.cfg.DrainGrace = times.ConnIdle, times.DialTimeout, times.DrainGrace
+	p.cfg.ConnIdleTimeout, p.cfg.DialTimeout, p.cfg.DrainGrace = timeouts.ConnIdleTimeout, timeouts.DialTimeout, timeouts.DrainGrace
 	p.idleTimeout = min(p.idleTimeout, p.maxIdleTimeout())
 }
 
-// Times returns the times currently in use.
-func (p *Pool) Times() Times {
+// Timeouts returns the times currently in use.
+func (p *Pool) Timeouts() Timeouts {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return Times{p.cfg.ConnIdle, p.cfg.DialTimeout, p.cfg.DrainGrace}
+	return Timeouts{p.cfg.ConnIdleTimeout, p.cfg.DialTimeout, p.cfg.DrainGrace}
 }
 
 // recordEarlyBreak records that a connection broke as soon as a request was written to it. idle
@@ -224,9 +224,9 @@
 	closeAll(toClose)
 }
 
-// Limit sets the maximum number of connections. Idle connections above it are closed, those idle
+// SetMaxConns sets the maximum number of connections. Idle connections above it are closed, those idle
 // for the longest first; connections in use are closed when their attempts end.
-func (p *Pool) Limit(maxConns int) {
+func (p *Pool) SetMaxConns(maxConns int) {
 	p.mu.Lock()
 	p.cfg.MaxConns = maxConns
 	var toClose []*conn
@@ -264,8 +264,8 @@
 // servers are removed, so nothing new is sent.
 func (p *Pool) Close() { p.RetainServers(nil) }
 
-// Limits returns the maximum number of connections.
-func (p *Pool) Limits() int {
+// MaxConns returns the maximum number of connections.
+func (p *Pool) MaxConns() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.cfg.MaxConns
--- a/internal/upstream/source_test.go
+++ b/internal/upstream/source_test.go
@@ -191,7 +191,7 @@
 				server = echoBodies(got)
 			}
 			addr, _ := startFakeServer(t, server)
-			p := New(Config{ConnIdle: time.Minute, DialTimeout: 5 * time.Second, DrainGrace: c.grace, MaxConns: 10})
+			p := New(Config{ConnIdleTimeout: time.Minute, DialTimeout: 5 * time.Second, DrainGrace: c.grace, MaxConns: 10})
 			p.AddServer("s", addr, 0)
 			s, k := newPieceSource(3, "a"), newSink()
 			if c.act == nil {
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -104,7 +104,7 @@
 }
 
 func newPool(maxConns int) *Pool {
-	return New(Config{ConnIdle: time.Minute, DialTimeout: 5 * time.Second, DrainGrace: time.Minute, MaxConns: maxConns})
+	return New(Config{ConnIdleTimeout: time.Minute, DialTimeout: 5 * time.Second, DrainGrace: time.Minute, MaxConns: maxConns})
 }
 
 func newGetAttempt(s *sink) *Attempt {
@@ -190,7 +190,7 @@
 // attempt. An answer that is being passed on may pause for longer.
 func TestConfiguredStallTimeout(t *testing.T) {
 	for _, c := range []struct{ stall, want time.Duration }{{0, defaultStallTimeout}, {time.Hour, defaultStallTimeout}, {100 * time.Millisecond, 100 * time.Millisecond}, {1, minStallTimeout}} {
-		if got := New(Config{Stall: c.stall}).stallTimeout; got != c.want {
+		if got := New(Config{StallTimeout: c.stall}).stallTimeout; got != c.want {
 			t.Errorf("configured %v: stall timeout %v, want %v", c.stall, got, c.want)
 		}
 	}
@@ -202,7 +202,7 @@
 		io.WriteString(c, "yz")
 		br.ReadByte()
 	})
-	p := New(Config{ConnIdle: time.Minute, DialTimeout: 5 * time.Second, DrainGrace: time.Minute, MaxConns: 9, Stall: defaultStallTimeout})
+	p := New(Config{ConnIdleTimeout: time.Minute, DialTimeout: 5 * time.Second, DrainGrace: time.Minute, MaxConns: 9, StallTimeout: defaultStallTimeout})
 	p.streamStallTimeout = testTimeout
 	p.AddServer("s", addr, 0)
 	s := newSink()
@@ -575,7 +575,7 @@
 // dialled when the server left.
 func TestNothingIsSentAfterDrainGrace(t *testing.T) {
 	addr, heard := startRecordingServer(t)
-	p := New(Config{ConnIdle: time.Minute, DialTimeout: 5 * time.Second, MaxConns: 9}) // no drain grace
+	p := New(Config{ConnIdleTimeout: time.Minute, DialTimeout: 5 * time.Second, MaxConns: 9}) // no drain grace
 	p.AddServer("s", addr, 0)
 	s := newSink()
 	a := newGetAttempt(s)
@@ -684,12 +684,12 @@
 // A shorter idle timeout applies at once; a longer one takes effect only as the pool relearns
 // it.
 func TestChangedTimeoutsApplyToIdleConnections(t *testing.T) {
-	p := New(Config{ConnIdle: 10 * time.Second, DialTimeout: time.Second, DrainGrace: time.Second})
-	p.Adopt(Times{ConnIdle: time.Second, DialTimeout: 2 * time.Second, DrainGrace: time.Minute})
-	if got := p.Times(); got != (Times{time.Second, 2 * time.Second, time.Minute}) || p.idleTimeout != 600*time.Millisecond {
+	p := New(Config{ConnIdleTimeout: 10 * time.Second, DialTimeout: time.Second, DrainGrace: time.Second})
+	p.SetTimeouts(Timeouts{ConnIdleTimeout: time.Second, DialTimeout: 2 * time.Second, DrainGrace: time.Minute})
+	if got := p.Timeouts(); got != (Timeouts{time.Second, 2 * time.Second, time.Minute}) || p.idleTimeout != 600*time.Millisecond {
 		t.Errorf("times %+v, idle timeout %v", got, p.idleTimeout)
 	}
-	if p.Adopt(Times{ConnIdle: 10 * time.Second}); p.idleTimeout != 600*time.Millisecond {
+	if p.SetTimeouts(Timeouts{ConnIdleTimeout: 10 * time.Second}); p.idleTimeout != 600*time.Millisecond {
 		t.Errorf("idle timeout raised to %v at once", p.idleTimeout)
 	}
 }
