--- a/cmd/fawnctl/config.go
+++ b/cmd/fawnctl/config.go
@@ -67,7 +67,7 @@
 func (f *socketFlags) do(s *streams, deed string, with, v any) (done bool, err error) {
 	var raw json.RawMessage
 	if err := admin.Do(context.Background(), f.Socket, deed, with, &raw); err != nil {
-		var refused admin.Refused
+		var refused admin.RefusedError
 		if errors.As(err, &refused) {
 			for line := range strings.Lines(string(refused)) {
 				fmt.Fprintln(s.err, "refused:", strings.TrimSpace(line))
@@ -111,7 +111,7 @@
 	for c.Wait && out.ID != 0 {
 		time.Sleep(waitEach)
 		var st changes.Status
-		if err := admin.Ask(context.Background(), c.Socket, "config", &st); err != nil {
+		if err := admin.Get(context.Background(), c.Socket, "config", &st); err != nil {
 			return fmt.Errorf("%w: %w", errAway, err)
 		}
 		for _, e := range st.Events {
--- a/cmd/fawnctl/level.go
+++ b/cmd/fawnctl/level.go
@@ -44,7 +44,7 @@
 		}
 		var v level.View
 		if err := admin.Do(context.Background(), c.Socket, "level/pin", ask, &v); err != nil {
-			var no admin.Refused
+			var no admin.RefusedError
 			if errors.As(err, &no) {
 				return no
 			}
@@ -119,7 +119,7 @@
 // Collect implements prometheus.Collector.
 func (c *collector) Collect(to chan<- prometheus.Metric) {
 	var v level.View
-	if err := admin.Ask(context.Background(), c.socket, "level", &v); err != nil {
+	if err := admin.Get(context.Background(), c.socket, "level", &v); err != nil {
 		to <- prometheus.NewInvalidMetric(levelDesc, err)
 		return
 	}
@@ -152,7 +152,7 @@
 	mux.Handle("GET /metrics", promhttp.HandlerFor(registry, promhttp.HandlerOpts{}))
 	mux.HandleFunc("GET /{$}", func(w http.ResponseWriter, r *http.Request) {
 		var v level.View
-		if err := admin.Ask(r.Context(), socket, "level", &v); err != nil {
+		if err := admin.Get(r.Context(), socket, "level", &v); err != nil {
 			http.Error(w, err.Error(), http.StatusBadGateway)
 			return
 		}
@@ -167,7 +167,7 @@
 	})
 	mux.HandleFunc("GET /level", func(w http.ResponseWriter, r *http.Request) {
 		var v level.View
-		if err := admin.Ask(r.Context(), socket, "level", &v); err != nil {
+		if err := admin.Get(r.Context(), socket, "level", &v); err != nil {
 			http.Error(w, err.Error(), http.StatusBadGateway)
 			return
 		}
--- a/cmd/fawnctl/operate.go
+++ b/cmd/fawnctl/operate.go
@@ -24,10 +24,10 @@
 	switch {
 	case c.Socket != "":
 		if err = admin.Do(context.Background(), c.Socket, "operate", line, &answer); err == nil {
-			err = management.Refused(answer)
+			err = management.CheckAnswer(answer)
 		}
 	case c.Management != "":
-		answer, err = management.Ask(context.Background(), c.Management, line)
+		answer, err = management.Send(context.Background(), c.Management, line)
 	default:
 		return errors.New("--management or --socket says where the sidecar is called")
 	}
--- a/cmd/fawnctl/rehearse_zones.go
+++ b/cmd/fawnctl/rehearse_zones.go
@@ -42,7 +42,7 @@
 			return err
 		}
 	}
-	cfg := daemon.ZonesOf(&file.Zones)
+	cfg := daemon.BaseEvacuationConfig(&file.Zones)
 	switch {
 	case c.Sidecars < 2 || c.Sidecars > rehearsedCars:
 		return fmt.Errorf("--sidecars: must be within 2 and %d", rehearsedCars)
--- a/cmd/fawnctl/status.go
+++ b/cmd/fawnctl/status.go
@@ -29,7 +29,7 @@
 // ask gets a page; with --json it is printed as it came, and done says so.
 func (f *socketFlags) ask(s *streams, page string, v any) (done bool, err error) {
 	var raw json.RawMessage
-	if err := admin.Ask(context.Background(), f.Socket, page, &raw); err != nil {
+	if err := admin.Get(context.Background(), f.Socket, page, &raw); err != nil {
 		return false, fmt.Errorf("%w: %w", errAway, err)
 	}
 	if f.JSON {
@@ -48,18 +48,18 @@
 		return err
 	}
 	w := tabwriter.NewWriter(s.out, 0, 0, 2, ' ', 0)
-	fmt.Fprintf(w, "process\t%d, since %s\n", st.PID, st.Since.Format(time.DateTime))
+	fmt.Fprintf(w, "process\t%d, since %s\n", st.PID, st.StartTime.Format(time.DateTime))
 	fmt.Fprintf(w, "listens\t%s, ready: %v\n", st.Listen, st.Ready)
-	fmt.Fprintf(w, "calls held\t%d\n", st.Calls)
-	fmt.Fprintf(w, "connections\t%d of clients, %d to servers\n", st.Clients, st.Servers)
+	fmt.Fprintf(w, "calls held\t%d\n", st.HeldCalls)
+	fmt.Fprintf(w, "connections\t%d of clients, %d to servers\n", st.ClientConns, st.Servers)
 	fmt.Fprintf(w, "limits\t%d MB, %d sockets\n", st.MemoryMB, st.Sockets)
-	if st.MemoryUsed != nil {
-		fmt.Fprintf(w, "bodies\t%s in memory, disk %s\n", amount(*st.MemoryUsed), st.DiskState)
+	if st.BodyMemory != nil {
+		fmt.Fprintf(w, "bodies\t%s in memory, disk %s\n", amount(*st.BodyMemory), st.DiskState)
 	} else {
 		fmt.Fprintf(w, "bodies\t[bodies] is off\n")
 	}
 	var plan weights.View
-	if err := admin.Ask(context.Background(), c.Socket, "weights", &plan); err == nil {
+	if err := admin.Get(context.Background(), c.Socket, "weights", &plan); err == nil {
 		why := ""
 		if plan.Reason != weights.None {
 			why = ": " + string(plan.Reason)
--- a/cmd/fawnctl/zone.go
+++ b/cmd/fawnctl/zone.go
@@ -58,7 +58,7 @@
 	var v zones.View
 	err := admin.Do(context.Background(), c.Socket, "zones/order", zones.Order{Zone: c.Zone, Action: action, Who: who, Reason: c.Reason}, &v)
 	if err != nil {
-		var no admin.Refused
+		var no admin.RefusedError
 		if errors.As(err, &no) {
 			return no
 		}
--- a/cmd/fawnrock/main.go
+++ b/cmd/fawnrock/main.go
@@ -25,7 +25,7 @@
 		c, err = config.Recall(c)
 	}
 	if err == nil {
-		daemon.Tune(c)
+		daemon.SetRuntimeLimits(c)
 		err = daemon.Run(c, term, hup, nil)
 	}
 	if err != nil {
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -36,25 +36,25 @@
 	done       chan struct{}
 }
 
-// Deed carries out an action that an operator requests with a body of up to maxRequestBytes.
+// Action carries out an action that an operator requests with a body of up to maxRequestBytes.
 // The text of its error is sent to the operator as it is.
-type Deed func(text []byte) (any, error)
+type Action func(text []byte) (any, error)
 
 // Listen serves pages by GET and deeds by POST, each at /v1/NAME, on a Unix socket at path.
 // It replaces a socket that a dead process left, but fails if another process serves it.
 // The error names the path.
-func Listen(path string, pages map[string]func() any, deeds map[string]Deed) (*Server, error) {
+func Listen(path string, pages map[string]func() any, deeds map[string]Action) (*Server, error) {
 	return listen(path, false, pages, deeds)
 }
 
-// Succeed is Listen for a process that takes over from another one of the same sidecar. It
+// TakeOver is Listen for a process that takes over from another one of the same sidecar. It
 // replaces the socket even if that one still serves it, so that new requests reach this
 // process.
-func Succeed(path string, pages map[string]func() any, deeds map[string]Deed) (*Server, error) {
+func TakeOver(path string, pages map[string]func() any, deeds map[string]Action) (*Server, error) {
 	return listen(path, true, pages, deeds)
 }
 
-func listen(path string, replace bool, pages map[string]func() any, deeds map[string]Deed) (*Server, error) {
+func listen(path string, replace bool, pages map[string]func() any, deeds map[string]Action) (*Server, error) {
 	if c, err := net.DialTimeout("unix", path, callTimeout); err == nil {
 		c.Close()
 		if !replace {
@@ -166,15 +166,15 @@
 	return err
 }
 
-// Refused is the error of a deed that a process did not carry out, with the text it sent.
-type Refused string
+// RefusedError is the error of a deed that a process did not carry out, with the text it sent.
+type RefusedError string
 
 // Error implements error.
-func (r Refused) Error() string { return string(r) }
+func (r RefusedError) Error() string { return string(r) }
 
-// Ask gets a page from the process that serves the socket at path and decodes it into v. It
+// Get gets a page from the process that serves the socket at path and decodes it into v. It
 // blocks for up to callTimeout.
-func Ask(ctx context.Context, path, page string, v any) error {
+func Get(ctx context.Context, path, page string, v any) error {
 	return send(ctx, path, http.MethodGet, page, nil, v)
 }
 
@@ -212,7 +212,7 @@
 		if err != nil {
 			return fmt.Errorf("admin: %s: %w", path, err)
 		}
-		return Refused(strings.TrimSpace(string(reason)))
+		return RefusedError(strings.TrimSpace(string(reason)))
 	case http.StatusNotFound:
 		return fmt.Errorf("admin: %s: the process shows no %s: it is off there", path, page)
 	default:
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -20,7 +20,7 @@
 	path := filepath.Join(dir, "s")
 	type view struct{ N int }
 	pages := map[string]func() any{"status": func() any { return view{7} }}
-	deeds := map[string]Deed{"set": func(text []byte) (any, error) {
+	deeds := map[string]Action{"set": func(text []byte) (any, error) {
 		if string(text) != `{"N":8}` {
 			return nil, errors.New("only 8 will do")
 		}
@@ -42,17 +42,17 @@
 	}
 	var v view
 	for range 3 * maxConns { // each call closes its connection
-		if err := Ask(t.Context(), path, "status", &v); err != nil || v.N != 7 {
+		if err := Get(t.Context(), path, "status", &v); err != nil || v.N != 7 {
 			t.Fatalf("%+v, %v", v, err)
 		}
 	}
-	if err := Ask(t.Context(), path, "bodies", &v); err == nil || !strings.Contains(err.Error(), "off there") {
+	if err := Get(t.Context(), path, "bodies", &v); err == nil || !strings.Contains(err.Error(), "off there") {
 		t.Errorf("page that is not served: %v", err)
 	}
 	if err := Do(t.Context(), path, "set", view{8}, &v); err != nil || v.N != 9 {
 		t.Errorf("deed: %+v, %v; want 9", v, err)
 	}
-	var refused Refused
+	var refused RefusedError
 	if err := Do(t.Context(), path, "set", view{7}, &v); !errors.As(err, &refused) || refused != "only 8 will do" {
 		t.Errorf("refused deed: %v", err)
 	}
@@ -81,7 +81,7 @@
 	for _, c := range idle {
 		c.Close()
 	}
-	if err := Ask(t.Context(), path, "status", &v); err != nil {
+	if err := Get(t.Context(), path, "status", &v); err != nil {
 		t.Errorf("call after idle connections: %v", err)
 	}
 	s.Close()
@@ -98,7 +98,7 @@
 	if _, err := Listen(file, pages, deeds); err == nil {
 		t.Error("Listen replaced a file that is not a socket")
 	}
-	if err := Ask(context.Background(), path, "status", &v); err == nil {
+	if err := Get(context.Background(), path, "status", &v); err == nil {
 		t.Error("a call succeeded after Close")
 	}
 }
@@ -107,7 +107,7 @@
 // without the bound a caller could use up the memory.
 func TestRequestTooLong(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "s")
-	s, err := Listen(path, nil, map[string]Deed{"set": func([]byte) (any, error) { return 1, nil }})
+	s, err := Listen(path, nil, map[string]Action{"set": func([]byte) (any, error) { return 1, nil }})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -126,13 +126,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	second, err := Succeed(path, page(2), nil)
+	second, err := TakeOver(path, page(2), nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, end := range []*Server{first, second} {
 		var n int
-		if err := Ask(context.Background(), path, "n", &n); err != nil || n != 2 { // before and after the first server is closed
+		if err := Get(context.Background(), path, "n", &n); err != nil || n != 2 { // before and after the first server is closed
 			t.Errorf("server %d answered, %v; want the second one", n, err)
 		}
 		end.Close()
--- a/internal/daemon/bodies.go
+++ b/internal/daemon/bodies.go
@@ -140,18 +140,18 @@
 
 // Status is the status page of a daemon on the admin socket.
 type Status struct {
-	PID        int          `json:"pid"`
-	Listen     string       `json:"listen"`
-	Ready      bool         `json:"ready"`
-	Since      time.Time    `json:"since"`
-	Calls      int          `json:"calls"`              // held at present
-	Clients    int          `json:"client_connections"` // open at present
-	Servers    int          `json:"server_connections"` // open at present
-	MemoryMB   int          `json:"memory_mb_limit"`    // set by the platform
-	Sockets    int          `json:"sockets_limit"`      // set by the platform
-	Bodies     bool         `json:"bodies"`             // whether [bodies] is on
-	DiskState  string       `json:"disk_state,omitempty"`
-	MemoryUsed *body.Amount `json:"bodies_memory_bytes,omitempty"`
+	PID         int          `json:"pid"`
+	Listen      string       `json:"listen"`
+	Ready       bool         `json:"ready"`
+	StartTime   time.Time    `json:"since"`
+	HeldCalls   int          `json:"calls"`              // held at present
+	ClientConns int          `json:"client_connections"` // open at present
+	Servers     int          `json:"server_connections"` // open at present
+	MemoryMB    int          `json:"memory_mb_limit"`    // set by the platform
+	Sockets     int          `json:"sockets_limit"`      // set by the platform
+	Bodies      bool         `json:"bodies"`             // whether [bodies] is on
+	DiskState   string       `json:"disk_state,omitempty"`
+	BodyMemory  *body.Amount `json:"bodies_memory_bytes,omitempty"`
 }
 
 // statusPages returns the pages of the admin socket that every sidecar has, and the page of bodies
@@ -160,11 +160,11 @@
 	started := time.Now()
 	pages := map[string]func() any{
 		"status": func() any {
-			status := Status{PID: os.Getpid(), Listen: c.Listen, Ready: host.Ready(), Since: started, Calls: host.Held(),
-				Clients: srv.Conns(), Servers: pool.Conns(), MemoryMB: c.MemoryMB, Sockets: c.Sockets, Bodies: store != nil}
+			status := Status{PID: os.Getpid(), Listen: c.Listen, Ready: host.Ready(), StartTime: started, HeldCalls: host.Held(),
+				ClientConns: srv.Conns(), Servers: pool.Conns(), MemoryMB: c.MemoryMB, Sockets: c.Sockets, Bodies: store != nil}
 			if store != nil {
 				view := store.View()
-				status.DiskState, status.MemoryUsed = view.DiskState, &view.Memory
+				status.DiskState, status.BodyMemory = view.DiskState, &view.Memory
 			}
 			return status
 		},
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -48,8 +48,8 @@
 // Config is the configuration of a sidecar.
 type Config = config.Config
 
-// Tune sets the Go runtime's processor count and memory limit from c. It affects the whole process.
-func Tune(c *Config) {
+// SetRuntimeLimits sets the Go runtime's processor count and memory limit from c. It affects the whole process.
+func SetRuntimeLimits(c *Config) {
 	runtime.GOMAXPROCS(max(1, int(math.Ceil(c.Cores))))
 	// Requests are short-lived garbage beside a small live heap: less frequent collections save
 	// CPU, and the memory limit bounds the heap.
--- a/internal/daemon/management.go
+++ b/internal/daemon/management.go
@@ -36,7 +36,7 @@
 // operationConfig returns the configuration of package operating.
 func operationConfig(s *sidecar) operating.Config {
 	c := s.cfg
-	cfg := operating.Config{Host: s.host, Figures: s.figures, Tell: s.applyList, Pool: s.pool, Limits: operating.Limits{Memory: maxHeapBytes(c), Conns: s.maxConnsPerSide, Bodies: maxShortBodyBytes(c)},
+	cfg := operating.Config{Host: s.host, Figures: s.figures, ApplyList: s.applyList, Pool: s.pool, Limits: operating.Limits{Memory: maxHeapBytes(c), Conns: s.maxConnsPerSide, Bodies: maxShortBodyBytes(c)},
 		Shared: c.Inherited > 0, Tmp: c.Getenv("TMPDIR"), Listen: c.Listen}
 	if s.zones != nil {
 		cfg.Zones = s.zones
@@ -45,7 +45,7 @@
 }
 
 // listenManagement starts the server on the management address, or returns nil if none is set.
-func listenManagement(c *Config, operations management.Deeds) (*management.Server, error) {
+func listenManagement(c *Config, operations management.Handler) (*management.Server, error) {
 	if c.Management == "" {
 		return nil, nil
 	}
--- a/internal/daemon/sidecar.go
+++ b/internal/daemon/sidecar.go
@@ -52,7 +52,7 @@
 	trials           *changes.Manager
 
 	pages   map[string]func() any // on the admin socket, by name
-	actions map[string]admin.Deed
+	actions map[string]admin.Action
 	tasks   []periodicTask
 }
 
@@ -82,7 +82,7 @@
 // addPage adds a page to the admin socket.
 func (s *sidecar) addPage(name string, page func() any) {
 	if s.pages == nil {
-		s.pages, s.actions = make(map[string]func() any), make(map[string]admin.Deed)
+		s.pages, s.actions = make(map[string]func() any), make(map[string]admin.Action)
 	}
 	s.pages[name] = page
 }
@@ -120,7 +120,7 @@
 		MaxConns:        s.maxConnsPerSide,
 		// Leaves half of the shortest aim for another attempt.
 		StallTimeout:     c.Settings.ShortestAim() / 2,
-		OnRequestWritten: s.figures.Forwarded,
+		OnRequestWritten: s.figures.CountForwarded,
 	})
 	s.watcher = &discovery.Watcher{Addr: c.Discovery, Timing: discovery.AgentTiming}
 	if c.Asks {
@@ -182,12 +182,12 @@
 	c := s.cfg
 	s.operation = operating.New(operationConfig(s))
 	s.onClose(s.operation.Close)
-	s.watcher.OnList, s.watcher.OnError = s.operation.Listed, s.host.DiscoveryFailed
+	s.watcher.OnList, s.watcher.OnError = s.operation.ApplyList, s.host.DiscoveryFailed
 	s.onClose(s.pool.Close)
 	s.onClose(s.host.Close)
 	s.onClose(s.watcher.Close)
 	if c.Known != nil {
-		s.operation.Listed(c.Known)
+		s.operation.ApplyList(c.Known)
 	}
 	if s.zones != nil {
 		s.zones.Start()
@@ -228,7 +228,7 @@
 		return fmt.Errorf("listen: %w", err)
 	}
 	s.srv = front.New(front.Config{MaxConns: s.maxConnsPerSide, MaxBodyBytes: maxShortBodyBytes(c), Bodies: frontBodies(c, s.store), LongBodies: frontLongBodies(c, s.longStore), SendConfigID: c.Store != nil, Choose: s.routes.Chooser(), Figures: s.figures}, s.host)
-	s.operation.Serves(s.srv)
+	s.operation.SetFront(s.srv)
 	return nil
 }
 
@@ -241,7 +241,7 @@
 	if server != nil {
 		s.onClose(func() { server.Close() })
 	}
-	s.operation.Inherit()
+	s.operation.TakeOverState()
 	return nil
 }
 
@@ -273,13 +273,13 @@
 	for name, action := range s.trials.Pages(s.pages) {
 		s.actions[name] = action
 	}
-	s.actions["operate"] = s.operation.Deed
+	s.actions["operate"] = s.operation.ExecuteCall
 	if s.levels != nil {
 		s.levels.AddPages(s.pages, s.actions)
 	}
 	listen := admin.Listen
 	if s.cfg.Inherited > 0 { // the previous process may still hold the socket
-		listen = admin.Succeed
+		listen = admin.TakeOver
 	}
 	server, err := listen(path, s.pages, s.actions)
 	if err != nil {
@@ -305,7 +305,7 @@
 		// sidecar serves the clients.
 		go s.srv.Serve(s.ln)
 	}
-	s.operation.Serve()
+	s.operation.StartServing()
 	slog.Info("ready", "listen", s.cfg.Listen)
 	if ready != nil {
 		ready(s.ln.Addr())
@@ -360,7 +360,7 @@
 func (s *sidecar) waitForList() bool {
 	listed := make(chan struct{}, 1)
 	s.watcher.OnList = func(l *membership.List) {
-		s.operation.Listed(l)
+		s.operation.ApplyList(l)
 		select {
 		case listed <- struct{}{}:
 		default:
@@ -403,6 +403,6 @@
 
 // shutDown ends the handover between processes, then drains and stops.
 func (s *sidecar) shutDown() {
-	s.operation.Quit()
+	s.operation.StartShutdown()
 	drainAndStop(s.trials, s.host, s.srv, s.routes, s.radiusProxy)
 }
--- a/internal/daemon/zones.go
+++ b/internal/daemon/zones.go
@@ -24,7 +24,7 @@
 	if err := json.Unmarshal(c.Platform, &raw); err != nil {
 		return evacuation.Config{}, "", fmt.Errorf("config: %w", err)
 	}
-	cfg := ZonesOf(&c.Features.Zones)
+	cfg := BaseEvacuationConfig(&c.Features.Zones)
 	cfg.Self, cfg.Peers, cfg.Seed, cfg.Incarnation = raw.Settings.Rank, len(raw.Peers), c.Seed, incarnation
 	meanWorth := 0.0
 	for _, class := range c.Settings.Config.Classes {
@@ -39,9 +39,9 @@
 	return cfg, cmp.Or(raw.Name, raw.Listen), nil
 }
 
-// ZonesOf returns the configuration of package evacuation from the operators' file, without the
+// BaseEvacuationConfig returns the configuration of package evacuation from the operators' file, without the
 // fields that differ between sidecars.
-func ZonesOf(settings *features.Zones) evacuation.Config {
+func BaseEvacuationConfig(settings *features.Zones) evacuation.Config {
 	cfg := evacuation.Config{MinWitnesses: settings.Witnesses, MinFailingShare: settings.Share, FailingRatio: settings.Fails, DegradedRatio: settings.Limps, ResponseTimeout: time.Duration(settings.Silence), SlowFactor: settings.Slow,
 		EvidenceWindow: time.Duration(settings.Window), SettleDelay: time.Duration(settings.Settle), LocalDepartureDelay: time.Duration(settings.Alone), MinDwell: time.Duration(settings.Dwell), MaxDwell: time.Duration(settings.DwellMost),
 		MinStageDuration: time.Duration(settings.Proof), ServerCapacity: settings.Bears, Fanout: settings.Spread, MaxRefusalShare: settings.Full, CapacityWithoutZone: settings.Carried, RegionByZone: make(map[string]string)}
--- a/internal/figures/figures.go
+++ b/internal/figures/figures.go
@@ -9,14 +9,14 @@
 	"sync/atomic"
 )
 
-// End is how a request ended.
-type End uint32
+// Outcome is how a request ended.
+type Outcome uint32
 
 const (
-	Succeeded End = iota // a server's answer was sent completely
-	Declined             // turned away; a retry is harmless
-	Aborted              // any other end that the client was told or could see
-	Left                 // the client had left before the end
+	Succeeded  Outcome = iota // a server's answer was sent completely
+	Declined                  // turned away; a retry is harmless
+	Aborted                   // any other end that the client was told or could see
+	ClientLeft                // the client had left before the end
 	endCount
 )
 
@@ -49,9 +49,9 @@
 	ended atomic.Bool
 }
 
-// Take counts r as accepted, unless the class is unknown or r was counted before. It has to
+// CountRequest counts r as accepted, unless the class is unknown or r was counted before. It has to
 // be called before the request may end. A nil Figures counts nothing.
-func (f *Figures) Take(r *Request, class string) {
+func (f *Figures) CountRequest(r *Request, class string) {
 	if f == nil || r.f != nil {
 		return
 	}
@@ -61,25 +61,25 @@
 	}
 }
 
-// Over counts the end of r. Calls after the first do nothing.
-func (r *Request) Over(how End) {
+// CountEnd counts the end of r. Calls after the first do nothing.
+func (r *Request) CountEnd(how Outcome) {
 	if r.f != nil && r.ended.CompareAndSwap(false, true) {
 		r.f.counts[r.class][how].Add(1)
 		r.f.ended.Add(1)
 	}
 }
 
-// Forwarded counts an attempt whose last byte was written to its server. A nil Figures
+// CountForwarded counts an attempt whose last byte was written to its server. A nil Figures
 // counts nothing.
-func (f *Figures) Forwarded() {
+func (f *Figures) CountForwarded() {
 	if f != nil {
 		f.forwarded.Add(1)
 	}
 }
 
-// Read counts a configuration that was read at a SIGHUP, and whether it was applied. A nil
+// CountReload counts a configuration that was read at a SIGHUP, and whether it was applied. A nil
 // Figures counts nothing.
-func (f *Figures) Read(applied bool) {
+func (f *Figures) CountReload(applied bool) {
 	switch {
 	case f == nil:
 	case applied:
@@ -96,7 +96,7 @@
 }
 
 // Count returns the number of requests of a class with this end, 0 for an unknown class.
-func (f *Figures) Count(class string, how End) int64 {
+func (f *Figures) Count(class string, how Outcome) int64 {
 	if n, ok := f.classIndex[class]; ok {
 		return f.counts[n][how].Load()
 	}
--- a/internal/figures/figures_test.go
+++ b/internal/figures/figures_test.go
@@ -21,8 +21,8 @@
 			case 0, 1:
 				r := new(Request)
 				class := rapid.SampledFrom([]string{"a", "b", "none"}).Draw(t, "class")
-				f.Take(r, class)
-				f.Take(r, "a") // has no effect
+				f.CountRequest(r, class)
+				f.CountRequest(r, "a") // has no effect
 				if class != "none" || r.f != nil {
 					accepted++
 				}
@@ -30,12 +30,12 @@
 			case 2:
 				if len(open) > 0 {
 					r := open[0]
-					r.Over(End(rapid.IntRange(0, int(endCount)-1).Draw(t, "how")))
-					r.Over(Succeeded) // has no effect
+					r.CountEnd(Outcome(rapid.IntRange(0, int(endCount)-1).Draw(t, "how")))
+					r.CountEnd(Succeeded) // has no effect
 					open = open[1:]
 				}
 			case 3:
-				new(Request).Over(Aborted) // never accepted
+				new(Request).CountEnd(Aborted) // never accepted
 			}
 			sum := f.Outstanding()
 			for _, c := range classes {
@@ -56,13 +56,13 @@
 func TestAppendFormat(t *testing.T) {
 	f := New([]string{"activate", "status-check"})
 	var r, left Request
-	f.Take(&r, "activate")
-	f.Take(&left, "status-check")
-	r.Over(Declined)
-	f.Forwarded()
-	f.Read(true)
-	f.Read(false)
-	f.Read(false)
+	f.CountRequest(&r, "activate")
+	f.CountRequest(&left, "status-check")
+	r.CountEnd(Declined)
+	f.CountForwarded()
+	f.CountReload(true)
+	f.CountReload(false)
+	f.CountReload(false)
 	got := string(f.Append(nil, ServerCounts{Discovered: 7, Ejected: 2}))
 	for _, want := range []string{"succeeded.activate=0", "declined.activate=1", "aborted.status-check=0", "forwards=1", "outstanding=1", "discovered=7", "ejected=2", "sighup_applied=1", "sighup_rejected=2"} {
 		if !strings.Contains(got, fmt.Sprintf("balancer.%s\n", want)) {
@@ -70,7 +70,7 @@
 		}
 	}
 	var none *Figures // methods of nil must not panic
-	none.Take(new(Request), "activate")
-	none.Forwarded()
-	none.Read(true)
+	none.CountRequest(new(Request), "activate")
+	none.CountForwarded()
+	none.CountReload(true)
 }
--- a/internal/front/conn.go
+++ b/internal/front/conn.go
@@ -75,7 +75,7 @@
 		case x == nil:
 		default:
 			if x.keptBody == nil || !x.keptBody.IsStreamed() { // else its body is not complete yet; forwardBody counts it
-				c.srv.cfg.Figures.Take(&x.counter, x.Class)
+				c.srv.cfg.Figures.CountRequest(&x.counter, x.Class)
 			}
 			if !c.openExchange(x) {
 				slog.Warn("request refused: another open request has the same id", "class", x.Class)
@@ -259,7 +259,7 @@
 	s.mu.Lock()
 	if c.current != nil {
 		s.freeID(c.current)
-		c.current.counter.Over(figures.Left)
+		c.current.counter.CountEnd(figures.ClientLeft)
 	}
 	c.busy = false
 	graceful := c.ending && !c.closed
--- a/internal/front/drain_test.go
+++ b/internal/front/drain_test.go
@@ -145,7 +145,7 @@
 	dial().send(request("GET /a", "Req-Kind: a\r\n")).receive() // without an id
 	dial().send(request("GET /b", idFields)).receive()          // unknown class
 	waitFor(t, "connections are still busy", func() bool { return s.BusyConns() == 0 })
-	for outcome, want := range map[figures.End]int64{figures.Succeeded: 2, figures.Declined: 1, figures.Aborted: 2, figures.Left: 1} {
+	for outcome, want := range map[figures.Outcome]int64{figures.Succeeded: 2, figures.Declined: 1, figures.Aborted: 2, figures.ClientLeft: 1} {
 		if n := counts.Count("a", outcome); n != want {
 			t.Errorf("outcome %d: %d requests counted, want %d", outcome, n, want)
 		}
--- a/internal/front/exchange.go
+++ b/internal/front/exchange.go
@@ -221,16 +221,16 @@
 // full counts as aborted. It counts the arrival too if that has not been counted, for requests
 // that were never passed on.
 func (x *Exchange) recordEnd(status int, complete bool) {
-	x.conn.srv.cfg.Figures.Take(&x.counter, x.Class)
+	x.conn.srv.cfg.Figures.CountRequest(&x.counter, x.Class)
 	switch {
 	case !complete:
-		x.counter.Over(figures.Aborted)
+		x.counter.CountEnd(figures.Aborted)
 	case status == http.StatusOK:
-		x.counter.Over(figures.Succeeded)
+		x.counter.CountEnd(figures.Succeeded)
 	case status == http.StatusTooManyRequests || status == http.StatusServiceUnavailable:
-		x.counter.Over(figures.Declined)
+		x.counter.CountEnd(figures.Declined)
 	default:
-		x.counter.Over(figures.Aborted)
+		x.counter.CountEnd(figures.Aborted)
 	}
 }
 
--- a/internal/front/stored_body.go
+++ b/internal/front/stored_body.go
@@ -161,7 +161,7 @@
 		x.bodyUnread = answered
 		s.mu.Unlock()
 		if !answered {
-			s.cfg.Figures.Take(&x.counter, x.Class)
+			s.cfg.Figures.CountRequest(&x.counter, x.Class)
 			x.handler.BodyComplete(&x.Call)
 			return true
 		}
--- a/internal/management/ask.go
+++ b/internal/management/ask.go
@@ -15,10 +15,10 @@
 	maxAnswerBytes = 1 << 20
 )
 
-// Ask sends one call to a sidecar's management address and returns the answer. It blocks
+// Send sends one call to a sidecar's management address and returns the answer. It blocks
 // for up to askTimeout. An empty answer, or one that begins with NO, is returned with an
 // error that wraps ErrRefused.
-func Ask(ctx context.Context, addr, line string) (string, error) {
+func Send(ctx context.Context, addr, line string) (string, error) {
 	if _, err := Parse(line); err != nil {
 		return "", fmt.Errorf("management: %w", err)
 	}
@@ -37,15 +37,15 @@
 	if err != nil {
 		return "", fmt.Errorf("management: %w", err)
 	}
-	return string(text), Refused(string(text))
+	return string(text), CheckAnswer(string(text))
 }
 
 // ErrRefused is wrapped by the error of a call that the sidecar did not carry out.
 var ErrRefused = errors.New("refused")
 
-// Refused returns an error that wraps ErrRefused if the answer is a refusal or empty, and
+// CheckAnswer returns an error that wraps ErrRefused if the answer is a refusal or empty, and
 // nil otherwise.
-func Refused(answer string) error {
+func CheckAnswer(answer string) error {
 	reason, refused := strings.CutPrefix(strings.TrimSpace(answer), "NO")
 	switch {
 	case answer == "":
--- a/internal/management/server.go
+++ b/internal/management/server.go
@@ -15,9 +15,9 @@
 	"time"
 )
 
-// Deeds carries out the calls. Its methods may be called from several goroutines and must
+// Handler carries out the calls. Its methods may be called from several goroutines and must
 // not block for long: each answer is due within a second.
-type Deeds interface {
+type Handler interface {
 	// Ready reports whether this process can serve.
 	Ready() bool
 	// Figures appends the sidecar's counters to b, one line each.
@@ -46,7 +46,7 @@
 // closes the oldest one without a whole line to accept a new one.
 type Server struct {
 	ln          net.Listener
-	deeds       Deeds
+	deeds       Handler
 	maxConns    int
 	minEvictAge time.Duration
 
@@ -65,7 +65,7 @@
 
 // Listen serves calls at a TCP address with at most maxConns connections, but no fewer than
 // two. The error names the address.
-func Listen(addr string, maxConns int, d Deeds) (*Server, error) {
+func Listen(addr string, maxConns int, d Handler) (*Server, error) {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
 		return nil, fmt.Errorf("management: %w", err)
@@ -75,7 +75,7 @@
 	return s, nil
 }
 
-func newServer(ln net.Listener, maxConns int, d Deeds) *Server {
+func newServer(ln net.Listener, maxConns int, d Handler) *Server {
 	return &Server{ln: ln, deeds: d, maxConns: max(maxConns, 2), minEvictAge: minEvictAge, conns: make(map[*caller]struct{})}
 }
 
@@ -223,7 +223,7 @@
 
 // ExecuteLine parses a line without its newline, carries out the call and returns the
 // answer.
-func ExecuteLine(line string, d Deeds) []byte {
+func ExecuteLine(line string, d Handler) []byte {
 	call, err := Parse(line)
 	if err != nil {
 		return refusal(err)
--- a/internal/rig/bodies_test.go
+++ b/internal/rig/bodies_test.go
@@ -190,7 +190,7 @@
 		}
 	}
 	var v body.View
-	if err := admin.Ask(context.Background(), socket, "bodies", &v); err != nil {
+	if err := admin.Get(context.Background(), socket, "bodies", &v); err != nil {
 		t.Fatal(err)
 	}
 	byClass := make(map[string]body.ClassView)
@@ -207,7 +207,7 @@
 		t.Errorf("held: %+v", v)
 	}
 	var st daemon.Status
-	if err := admin.Ask(context.Background(), socket, "status", &st); err != nil || !st.Bodies || !st.Ready {
+	if err := admin.Get(context.Background(), socket, "status", &st); err != nil || !st.Bodies || !st.Ready {
 		t.Errorf("status %+v, %v", st, err)
 	}
 	if info, err := os.Stat(socket); err != nil || info.Mode().Perm() != 0o600 {
@@ -219,7 +219,7 @@
 func emptied(t *testing.T, socket string) (v body.View) {
 	t.Helper()
 	for end := time.Now().Add(patience); ; time.Sleep(5 * time.Millisecond) {
-		if err := admin.Ask(t.Context(), socket, "bodies", &v); err != nil {
+		if err := admin.Get(t.Context(), socket, "bodies", &v); err != nil {
 			t.Fatal(err)
 		}
 		if v.Memory.Now+v.Disk.Now+v.Files.Now+v.Streams.Now == 0 {
@@ -382,7 +382,7 @@
 		t.Errorf("tricklers stayed for %v", took)
 	}
 	var v body.View
-	if err := admin.Ask(context.Background(), socket, "bodies", &v); err != nil {
+	if err := admin.Get(context.Background(), socket, "bodies", &v); err != nil {
 		t.Fatal(err)
 	}
 	if v.Memory.Max > v.Memory.Limit || v.Disk.Max > v.Disk.Limit || v.Files.Max > v.Files.Limit || v.Streams.Max > v.Streams.Limit {
--- a/internal/rig/changes_test.go
+++ b/internal/rig/changes_test.go
@@ -161,7 +161,7 @@
 	lacks := make(map[int]string) // the class that it does not know
 	running := site.JSON("127.0.0.1:0", 1)
 	status := func() (st changes.Status) {
-		if err := admin.Ask(t.Context(), socket, "config", &st); err != nil {
+		if err := admin.Get(t.Context(), socket, "config", &st); err != nil {
 			t.Fatal(err)
 		}
 		return st
@@ -282,7 +282,7 @@
 	defer d.Stop()
 	first := site.JSON("127.0.0.1:0", 1)
 	status := func() (st changes.Status) {
-		if err := admin.Ask(t.Context(), socket, "config", &st); err != nil {
+		if err := admin.Get(t.Context(), socket, "config", &st); err != nil {
 			t.Fatal(err)
 		}
 		return st
@@ -422,7 +422,7 @@
 		t.Helper()
 		// The port is there a moment before the socket.
 		for end := time.Now().Add(20 * time.Second); ; time.Sleep(2 * time.Millisecond) {
-			err := admin.Ask(t.Context(), socket, "config", &st)
+			err := admin.Get(t.Context(), socket, "config", &st)
 			if err == nil {
 				return st
 			}
@@ -514,7 +514,7 @@
 			if err := move(taken.Addr().String()); err == nil || !strings.Contains(err.Error(), "listen") {
 				t.Errorf("a taken address: %v", err)
 			}
-			if err := admin.Ask(t.Context(), socket, "config", &st); err != nil || st.Trial != 0 || len(st.Events) != 1 {
+			if err := admin.Get(t.Context(), socket, "config", &st); err != nil || st.Trial != 0 || len(st.Events) != 1 {
 				t.Errorf("left behind: %+v, %v", st, err)
 			}
 			to := free(t)
@@ -608,7 +608,7 @@
 	}
 	for end := time.Now().Add(30 * time.Second); ; time.Sleep(10 * time.Millisecond) {
 		st = changes.Status{}
-		if err := admin.Ask(t.Context(), socket, "config", &st); err != nil {
+		if err := admin.Get(t.Context(), socket, "config", &st); err != nil {
 			t.Fatal(err)
 		}
 		if st.Problem == "" && st.Trial == 0 {
--- a/internal/rig/level_test.go
+++ b/internal/rig/level_test.go
@@ -33,7 +33,7 @@
 	}
 	defer d.Stop()
 	view := func() (v level.View) {
-		if err := admin.Ask(t.Context(), socket, "level", &v); err != nil {
+		if err := admin.Get(t.Context(), socket, "level", &v); err != nil {
 			t.Fatal(err)
 		}
 		return v
--- a/internal/rig/pools_test.go
+++ b/internal/rig/pools_test.go
@@ -168,7 +168,7 @@
 	}
 	serving := func() string {
 		var seen []pools.Status
-		if err := admin.Ask(t.Context(), socket, "pools", &seen); err != nil {
+		if err := admin.Get(t.Context(), socket, "pools", &seen); err != nil {
 			t.Fatal(err)
 		}
 		var all []string
@@ -343,7 +343,7 @@
 	}
 	queue := func() string {
 		var seen []pools.Status
-		if err := admin.Ask(t.Context(), socket, "pools", &seen); err != nil {
+		if err := admin.Get(t.Context(), socket, "pools", &seen); err != nil {
 			t.Fatal(err)
 		}
 		q := seen[1].Queue
--- a/internal/rooms/changes/admin.go
+++ b/internal/rooms/changes/admin.go
@@ -162,7 +162,7 @@
 
 // Pages adds the page "config" to all and returns the deeds "config/apply" and
 // "config/rollback" of the operators' socket. It does nothing if changes are off.
-func (g *Manager) Pages(all map[string]func() any) map[string]admin.Deed {
+func (g *Manager) Pages(all map[string]func() any) map[string]admin.Action {
 	if !g.Enabled() {
 		return nil
 	}
@@ -173,10 +173,10 @@
 		}
 		return v
 	}
-	deed := func(do func([]byte) (any, error)) admin.Deed {
+	deed := func(do func([]byte) (any, error)) admin.Action {
 		return func(text []byte) (any, error) {
 			return g.request(func() (any, error) { return do(text) })
 		}
 	}
-	return map[string]admin.Deed{"config/apply": deed(g.apply), "config/rollback": deed(g.rollback)}
+	return map[string]admin.Action{"config/apply": deed(g.apply), "config/rollback": deed(g.rollback)}
 }
--- a/internal/rooms/changes/files.go
+++ b/internal/rooms/changes/files.go
@@ -27,7 +27,7 @@
 		next, err = config.Parse(platform, own, name, getenv)
 	}
 	if err != nil {
-		g.figures.Read(false)
+		g.figures.CountReload(false)
 		slog.Error("new configuration not taken: the old one stays in force", "err", err)
 		return
 	}
@@ -41,7 +41,7 @@
 	} else if err = g.reloadChange(next); err != nil {
 		slog.Error("new configuration not taken: the old one stays in force", "err", err)
 	}
-	g.figures.Read(err == nil)
+	g.figures.CountReload(err == nil)
 	slog.Info("configuration files reloaded", "discovery", g.current.Discovery)
 }
 
--- a/internal/rooms/levels/levels.go
+++ b/internal/rooms/levels/levels.go
@@ -107,7 +107,7 @@
 	For   time.Duration `json:"for_ns"`
 }
 
-// handlePin handles a request in JSON to pin a level. It implements admin.Deed.
+// handlePin handles a request in JSON to pin a level. It implements admin.Action.
 func (r *Controller) handlePin(body []byte) (any, error) {
 	var request PinRequest
 	if err := json.Unmarshal(body, &request); err != nil {
@@ -125,7 +125,7 @@
 }
 
 // AddPages adds the level page to all and the pin command to deeds.
-func (r *Controller) AddPages(all map[string]func() any, deeds map[string]admin.Deed) {
+func (r *Controller) AddPages(all map[string]func() any, deeds map[string]admin.Action) {
 	all["level"] = func() any { return r.currentView() }
 	deeds["level/pin"] = r.handlePin
 }
--- a/internal/rooms/operating/handover.go
+++ b/internal/rooms/operating/handover.go
@@ -61,10 +61,10 @@
 	o.applyOperatorState()
 }
 
-// Inherit takes over the learned state of a process that still serves, and starts watching
+// TakeOverState takes over the learned state of a process that still serves, and starts watching
 // the other processes. It blocks for up to learnedStateTimeout. It has to be called before
 // any news of the servers other than the list that the platform gave.
-func (o *Operation) Inherit() {
+func (o *Operation) TakeOverState() {
 	if o.folder == nil {
 		return
 	}
@@ -75,7 +75,7 @@
 			slog.Warn("no learned state from the previous process", "err", err)
 		} else {
 			if len(l.List) > 0 {
-				o.Listed(&membership.List{Complete: true, Entries: l.List})
+				o.ApplyList(&membership.List{Complete: true, Entries: l.List})
 			}
 			o.config.Host.Remember(l.Memory)
 			if o.config.Zones != nil {
@@ -132,7 +132,7 @@
 		return
 	}
 	if l := o.servers.Adopt(d.State); l != nil {
-		o.config.Tell(l)
+		o.config.ApplyList(l)
 	}
 	switch _, on := o.drain.Since(); {
 	case d.Drain && !on:
--- a/internal/rooms/operating/operating.go
+++ b/internal/rooms/operating/operating.go
@@ -28,20 +28,20 @@
 
 // Config holds the parts of the sidecar that an Operation acts on.
 type Config struct {
-	Host    *core.Host
-	Figures *figures.Figures
-	Pool    *upstream.Pool
-	Tell    func(*membership.List) // passes lists of servers on to the core
-	Zones   Zones                  // nil if zones are off
-	Limits  Limits
+	Host      *core.Host
+	Figures   *figures.Figures
+	Pool      *upstream.Pool
+	ApplyList func(*membership.List) // passes lists of servers on to the core
+	Zones     ZoneState              // nil if zones are off
+	Limits    Limits
 	// Shared is set if the platform holds the clients' socket for several processes of this
 	// sidecar. They share a folder below Tmp that is named after Listen.
 	Shared      bool
 	Tmp, Listen string
 }
 
-// Zones gives access to the state of the zones that a new process takes over in an upgrade.
-type Zones interface {
+// ZoneState gives access to the state of the zones that a new process takes over in an upgrade.
+type ZoneState interface {
 	State() []evacuation.ZoneState
 	Adopt([]evacuation.ZoneState)
 }
@@ -66,7 +66,7 @@
 	closed   bool
 }
 
-var _ management.Deeds = (*Operation)(nil)
+var _ management.Handler = (*Operation)(nil)
 
 // New returns an Operation. If the process shares its sidecar with others, it applies the
 // changes that operators made there.
@@ -78,20 +78,20 @@
 	return o
 }
 
-// Serves sets the server whose clients are drained. It is called before the process serves.
-func (o *Operation) Serves(srv *front.Server) { o.srv = srv }
+// SetFront sets the server whose clients are drained. It is called before the process serves.
+func (o *Operation) SetFront(srv *front.Server) { o.srv = srv }
 
 func unixNow() time.Duration { return time.Duration(time.Now().UnixNano()) }
 
-// Listed passes a list from discovery on with the operators' changes applied.
-func (o *Operation) Listed(l *membership.List) {
+// ApplyList passes a list from discovery on with the operators' changes applied.
+func (o *Operation) ApplyList(l *membership.List) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.config.Tell(o.servers.ApplyList(l))
+	o.config.ApplyList(o.servers.ApplyList(l))
 }
 
-// Serve marks this process as able to serve. A drain that began in another process goes on.
-func (o *Operation) Serve() {
+// StartServing marks this process as able to serve. A drain that began in another process goes on.
+func (o *Operation) StartServing() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.serving.Store(true)
@@ -102,9 +102,9 @@
 	o.config.Host.SetReady(true)
 }
 
-// Quit marks this process as shutting down. From then on a drain no longer changes the
+// StartShutdown marks this process as shutting down. From then on a drain no longer changes the
 // readiness or the clients' connections.
-func (o *Operation) Quit() {
+func (o *Operation) StartShutdown() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.quitting = true
@@ -119,10 +119,10 @@
 	o.closeFolder()
 }
 
-// Ready implements management.Deeds.
+// Ready implements management.Handler.
 func (o *Operation) Ready() bool { return o.serving.Load() }
 
-// Figures implements management.Deeds.
+// Figures implements management.Handler.
 func (o *Operation) Figures(b []byte) []byte {
 	o.mu.Lock()
 	m := figures.ServerCounts{Discovered: o.servers.Discovered(), Ejected: o.servers.DisabledCount()}
@@ -131,12 +131,12 @@
 	return o.config.Figures.Append(b, m)
 }
 
-// Disable implements management.Deeds.
+// Disable implements management.Handler.
 func (o *Operation) Disable(id string) error {
 	return o.changeServer("server disabled by an operator", id, o.servers.Disable)
 }
 
-// Enable implements management.Deeds.
+// Enable implements management.Handler.
 func (o *Operation) Enable(id string) error {
 	return o.changeServer("server enabled by an operator", id, func(id string) (*membership.List, error) {
 		return o.servers.Enable(id, unixNow())
@@ -152,14 +152,14 @@
 			return err
 		}
 		if l != nil {
-			o.config.Tell(l)
+			o.config.ApplyList(l)
 		}
 		slog.Info(what, "server", id)
 		return nil
 	})
 }
 
-// Drain implements management.Deeds.
+// Drain implements management.Handler.
 func (o *Operation) Drain() error {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -186,7 +186,7 @@
 	}
 }
 
-// Undrain implements management.Deeds.
+// Undrain implements management.Handler.
 func (o *Operation) Undrain() error {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -228,9 +228,9 @@
 	}
 }
 
-// Deed carries out a call that came over the admin socket. Its text is a JSON string that
+// ExecuteCall carries out a call that came over the admin socket. Its text is a JSON string that
 // holds a line as the management address takes it; the result is the answer to that line.
-func (o *Operation) Deed(text []byte) (any, error) {
+func (o *Operation) ExecuteCall(text []byte) (any, error) {
 	var line string
 	if err := json.Unmarshal(text, &line); err != nil {
 		return nil, fmt.Errorf("operate: %w", err)
--- a/internal/rooms/operating/shared_test.go
+++ b/internal/rooms/operating/shared_test.go
@@ -34,11 +34,11 @@
 	}
 	defer host.Close()
 	tmp := t.TempDir()
-	o := New(Config{Host: host, Pool: pool, Tell: host.Listed, Limits: Limits{Memory: 1 << 30, Conns: 8, Bodies: 1 << 20}, Shared: true, Tmp: tmp, Listen: ln.Addr().String()})
-	o.Serves(front.New(front.Config{MaxConns: 8, MaxBodyBytes: 1 << 20}, host))
+	o := New(Config{Host: host, Pool: pool, ApplyList: host.Listed, Limits: Limits{Memory: 1 << 30, Conns: 8, Bodies: 1 << 20}, Shared: true, Tmp: tmp, Listen: ln.Addr().String()})
+	o.SetFront(front.New(front.Config{MaxConns: 8, MaxBodyBytes: 1 << 20}, host))
 	defer o.Close()
-	o.Inherit()
-	o.Serve()
+	o.TakeOverState()
+	o.StartServing()
 	waitForOthers := func(want int) {
 		t.Helper()
 		for end := time.Now().Add(20 * time.Second); ; time.Sleep(time.Millisecond) {
