--- a/cmd/fawnctl/explain.go
+++ b/cmd/fawnctl/explain.go
@@ -74,7 +74,7 @@
 	if c.JSON {
 		return json.NewEncoder(s.out).Encode(groups)
 	}
-	fmt.Fprintf(s.out, "%d calls not served within their aim (%d other lines)\n", len(l.Traces), l.Other)
+	fmt.Fprintf(s.out, "%d calls not served within their aim (%d other lines)\n", len(l.Traces), l.OtherLines)
 	fmt.Fprintln(w, "share\tworth\tcalls\tcause\tclasses")
 	for _, g := range groups[:min(len(groups), c.Top)] {
 		classes := ""
--- a/cmd/fawnrock/main.go
+++ b/cmd/fawnrock/main.go
@@ -22,7 +22,7 @@
 	signal.Notify(hup, syscall.SIGHUP) // from the first: unhandled, it would end the process
 	c, err := config.Load(os.Getenv)
 	if err == nil {
-		c, err = config.Recall(c)
+		c, err = config.RestoreHistory(c)
 	}
 	if err == nil {
 		daemon.SetRuntimeLimits(c)
--- a/internal/bake/judge.go
+++ b/internal/bake/judge.go
@@ -89,7 +89,7 @@
 	Class int
 	Kind  Kind
 	// Calls is the number of calls of the new generation so far, Needed the number that
-	// it takes to detect a fault of size Config.Notice.
+	// it takes to detect a fault of size Config.DetectableShare.
 	Calls, Needed int
 }
 
--- a/internal/calltrace/calltrace.go
+++ b/internal/calltrace/calltrace.go
@@ -20,8 +20,8 @@
 
 // Log holds the traces read from one or more logs.
 type Log struct {
-	Traces []core.Trace
-	Other  int // number of lines that are not traces
+	Traces     []core.Trace
+	OtherLines int // number of lines that are not traces
 }
 
 // Read adds the traces of a log in slog's JSON format to l. It counts lines without a
@@ -32,7 +32,7 @@
 	for scanner.Scan() {
 		line := scanner.Bytes()
 		if !bytes.Contains(line, []byte(`"`+core.TraceMessage+`"`)) {
-			l.Other++
+			l.OtherLines++
 			continue
 		}
 		// Log collectors often write a time or a name before each line.
@@ -42,7 +42,7 @@
 			Trace *core.Trace `json:"story"`
 		}
 		if json.Unmarshal(line, &entry) != nil || entry.Msg != core.TraceMessage || entry.Trace == nil {
-			l.Other++
+			l.OtherLines++
 			continue
 		}
 		l.Traces = append(l.Traces, *entry.Trace)
--- a/internal/calltrace/calltrace_test.go
+++ b/internal/calltrace/calltrace_test.go
@@ -65,8 +65,8 @@
 	log.Info(core.TraceMessage, "story", &costly)
 	log.Info(core.TraceMessage, "story", &costly)
 	l, none := new(Log), new(Log)
-	if err := l.Read(&b); err != nil || len(l.Traces) != 3 || l.Other != 3 {
-		t.Fatalf("read %d traces, %d other lines, error %v; want 3, 3 and no error", len(l.Traces), l.Other, err)
+	if err := l.Read(&b); err != nil || len(l.Traces) != 3 || l.OtherLines != 3 {
+		t.Fatalf("read %d traces, %d other lines, error %v; want 3, 3 and no error", len(l.Traces), l.OtherLines, err)
 	}
 	g := l.Groups("")
 	if len(g) != 2 || g[0].Calls != 2 || g[0].Worth != 20 || g[0].Share < 0.66 || g[0].Share > 0.67 {
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -25,28 +25,28 @@
 // Config is the configuration that a sidecar is started with.
 type Config struct {
 	Features *features.File
-	Disk     spool.FS // file system for files of bodies; nil: the operating system's
-	// Managed, if not nil, is called with the address of the management listener before the
+	BodyFS   spool.FS // file system for files of bodies; nil: the operating system's
+	// OnManagementListen, if not nil, is called with the address of the management listener before the
 	// daemon starts to serve.
-	Managed func(net.Addr)
+	OnManagementListen func(net.Addr)
 
 	Listen, Discovery string
 	Seed              uint64
 	Cores             float64
 	MemoryMB, Sockets int
-	Known             *membership.List // server list known at the start; nil: none
+	KnownServers      *membership.List // server list known at the start; nil: none
 	Settings          *settings.Settings
-	Asks              bool   // discovery sends the server list to subscribers only
-	Platform          []byte // the platform's file, as read
-	Own               []byte // the operators' file, as read; empty: none
+	NeedsSubscription bool   // discovery sends the server list to subscribers only
+	PlatformData      []byte // the platform's file, as read
+	FeaturesData      []byte // the operators' file, as read; empty: none
 	Getenv            func(string) string
 	Management        string // address of the management listener; empty: none
-	Inherited         int    // descriptor of the inherited client listening socket; 0: none
+	InheritedFD       int    // descriptor of the inherited client listening socket; 0: none
 
 	// Set when the history of changes is opened:
-	Store   *history.Store // nil: not opened yet, or changes are disabled
-	Trial   bool           // the running configuration was on trial before the start, and none runs beside it
-	Lasting bool           // the store is persistent
+	History      *history.Store // nil: not opened yet, or changes are disabled
+	OnTrial      bool           // the running configuration was on trial before the start, and none runs beside it
+	IsPersistent bool           // the store is persistent
 }
 
 // Generation returns the settings that apply to calls under this configuration.
@@ -56,7 +56,7 @@
 
 // Document returns the configuration as it was read, for comparison with another one.
 func (c *Config) Document() change.Document {
-	return change.Document{Platform: c.Platform, Features: c.Features}
+	return change.Document{Platform: c.PlatformData, Features: c.Features}
 }
 
 const (
@@ -79,10 +79,10 @@
 	return nil
 }
 
-// FileFirst returns a getenv that hides BALANCER_DISCOVERY, so that the address of
+// PreferFile returns a getenv that hides BALANCER_DISCOVERY, so that the address of
 // discovery in the file takes precedence. At a reload the environment still has the
 // address from the start, and the file has the newer one.
-func FileFirst(getenv func(string) string) func(string) string {
+func PreferFile(getenv func(string) string) func(string) string {
 	return func(name string) string {
 		if name == "BALANCER_DISCOVERY" {
 			return ""
@@ -128,13 +128,13 @@
 	return platform, own, name, nil
 }
 
-// SettleWait is how long the files must be unchanged before they are used. It guards
+// SettleDelay is how long the files must be unchanged before they are used. It guards
 // against a file that is being written: its first half may be valid TOML.
-const SettleWait = 20 * time.Millisecond
+const SettleDelay = 20 * time.Millisecond
 
-// ReadTwice reads the files until two consecutive reads return the same content, and calls
+// ReadStable reads the files until two consecutive reads return the same content, and calls
 // pause before each further read. It fails if the files still differ after 10 of them.
-func ReadTwice(getenv func(string) string, pause func()) (platform, own []byte, name string, err error) {
+func ReadStable(getenv func(string) string, pause func()) (platform, own []byte, name string, err error) {
 	if platform, own, name, err = ReadFiles(getenv); err != nil {
 		return nil, nil, "", err
 	}
@@ -159,7 +159,7 @@
 	if err != nil {
 		return nil, err
 	}
-	c.Own, c.Getenv = own, getenv
+	c.FeaturesData, c.Getenv = own, getenv
 	if len(own) == 0 {
 		c.Features = features.Default()
 		return c, nil
@@ -197,9 +197,9 @@
 		return nil, fmt.Errorf("BALANCER_CONFIG: %w", err)
 	}
 	c := &Config{
-		Platform:  data,
-		Listen:    raw.Listen,
-		Discovery: raw.Discovery,
+		PlatformData: data,
+		Listen:       raw.Listen,
+		Discovery:    raw.Discovery,
 
 		Management: raw.Management,
 		Cores:      raw.Limits.Cores,
@@ -225,7 +225,7 @@
 		if err != nil || n < 3 || n > maxLimit {
 			return nil, fmt.Errorf("BALANCER_FD: %q is no descriptor from 3 on", v)
 		}
-		c.Inherited = n
+		c.InheritedFD = n
 	}
 	if err := checkAddress(c.Listen, 0); err != nil {
 		return nil, fmt.Errorf("config: listen: %w", err)
@@ -248,7 +248,7 @@
 		return nil, errors.New("config: settings is missing")
 	}
 	if len(raw.Known) > 0 && string(raw.Known) != "null" {
-		if c.Known, err = discovery.Parse(raw.Known); err != nil {
+		if c.KnownServers, err = discovery.Parse(raw.Known); err != nil {
 			return nil, fmt.Errorf("config: known: %w", err)
 		}
 	}
@@ -274,6 +274,6 @@
 	if err := s.Config.Validate(); err != nil {
 		return nil, fmt.Errorf("config: settings: %w", err)
 	}
-	c.Asks = s.Config.AskWithin > 0
+	c.NeedsSubscription = s.Config.AskWithin > 0
 	return c, nil
 }
--- a/internal/config/recall_test.go
+++ b/internal/config/recall_test.go
@@ -33,19 +33,19 @@
 		{4, 5, false}, // still the configuration that was undone last
 	} {
 		p.Write(t, c.files, own)
-		got, err := config.Recall(p.Load(t))
+		got, err := config.RestoreHistory(p.Load(t))
 		if err != nil {
 			t.Fatalf("start %d: %v", n, err)
 		}
-		if got.Settings.Config.MaxAttempts != c.runs || got.Trial != c.trial || got.Discovery != fmt.Sprintf("127.0.0.1:%d", 1+c.files) {
-			t.Errorf("start %d: files have %d attempts: got %d attempts, on trial %v, discovery %s", n, c.files, got.Settings.Config.MaxAttempts, got.Trial, got.Discovery)
+		if got.Settings.Config.MaxAttempts != c.runs || got.OnTrial != c.trial || got.Discovery != fmt.Sprintf("127.0.0.1:%d", 1+c.files) {
+			t.Errorf("start %d: files have %d attempts: got %d attempts, on trial %v, discovery %s", n, c.files, got.Settings.Config.MaxAttempts, got.OnTrial, got.Discovery)
 		}
 		if n == 0 { // two processes use the folder at once
-			if _, err := config.Recall(p.Load(t)); err == nil || !strings.Contains(err.Error(), "another process") {
+			if _, err := config.RestoreHistory(p.Load(t)); err == nil || !strings.Contains(err.Error(), "another process") {
 				t.Errorf("second Recall = %v, want an error about another process", err)
 			}
 		}
-		got.Store.Close()
+		got.History.Close()
 	}
 	files, err := filepath.Glob(filepath.Join(folder, "*.json"))
 	if err != nil || len(files) == 0 {
@@ -56,15 +56,15 @@
 			t.Fatal(err)
 		}
 	}
-	if _, err := config.Recall(p.Load(t)); err == nil || !strings.Contains(err.Error(), "stored configuration ") {
+	if _, err := config.RestoreHistory(p.Load(t)); err == nil || !strings.Contains(err.Error(), "stored configuration ") {
 		t.Errorf("Recall with corrupt documents = %v", err)
 	}
 	p.Write(t, 3, "[config]\nenabled = true\n")
-	if got, err := config.Recall(p.Load(t)); err != nil || got.Lasting || got.ID() != 1 {
+	if got, err := config.RestoreHistory(p.Load(t)); err != nil || got.IsPersistent || got.ID() != 1 {
 		t.Errorf("Recall without a folder = %+v, %v", got, err)
 	}
 	p.Write(t, 3, "")
-	if got, err := config.Recall(p.Load(t)); err != nil || got.Store != nil {
+	if got, err := config.RestoreHistory(p.Load(t)); err != nil || got.History != nil {
 		t.Errorf("Recall with changes disabled = %+v, %v", got, err)
 	}
 }
@@ -76,7 +76,7 @@
 	const half, whole = "[paths]\n\"/a\" = \"activate\"\n", "[paths]\n\"/a\" = \"activate\"\n\"/b\" = \"activate\"\n"
 	p.Write(t, 5, half)
 	pauses := 0
-	_, own, _, err := config.ReadTwice(p.Getenv, func() {
+	_, own, _, err := config.ReadStable(p.Getenv, func() {
 		if pauses++; pauses == 1 {
 			p.Write(t, 5, whole)
 		}
@@ -84,10 +84,10 @@
 	if err != nil || !bytes.Contains(own, []byte(`"/b"`)) || pauses < 2 {
 		t.Errorf("ReadTwice = %q after %d pauses, %v", own, pauses, err)
 	}
-	if _, _, _, err := config.ReadTwice(p.Getenv, func() { p.Write(t, 5, whole) }); err == nil || !strings.Contains(err.Error(), "changing") {
+	if _, _, _, err := config.ReadStable(p.Getenv, func() { p.Write(t, 5, whole) }); err == nil || !strings.Contains(err.Error(), "changing") {
 		t.Errorf("ReadTwice of changing files = %v", err)
 	}
-	if _, _, _, err := config.ReadTwice(p.Getenv, func() { os.Remove(p.Own) }); err == nil {
+	if _, _, _, err := config.ReadStable(p.Getenv, func() { os.Remove(p.Features) }); err == nil {
 		t.Error("ReadTwice accepts a file that was removed")
 	}
 }
--- a/internal/daemon/bodies.go
+++ b/internal/daemon/bodies.go
@@ -23,7 +23,7 @@
 	if c.Features.Bodies.Folder == "" {
 		return 0
 	}
-	return c.Features.Bodies.Files + reservedSpoolFiles
+	return c.Features.Bodies.MaxOpenFiles + reservedSpoolFiles
 }
 
 // newBodyStore returns the store of request bodies, or nil if [bodies] is off.
@@ -34,19 +34,19 @@
 	}
 	cfg := body.Config{
 		Limits: keep.Limits{
-			Memory:     int64(settings.MemoryKB(c.MemoryMB)-settings.OnTheWayKB()) << 10,
-			MemoryMost: int64(settings.MemoryLongestKB) << 10,
+			Memory:     int64(settings.MemoryKB(c.MemoryMB)-settings.TransferKB()) << 10,
+			MemoryMost: int64(settings.MaxBodyMemoryKB) << 10,
 			MoveLeast:  spool.MaxPieceBytes,
 			Disk:       int64(settings.DiskMB) << 20,
-			FileMost:   int64(settings.FileLongestMB) << 20,
-			Files:      int64(settings.Files),
-			Streams:    int64(settings.Streams),
+			FileMost:   int64(settings.MaxBodyFileMB) << 20,
+			Files:      int64(settings.MaxOpenFiles),
+			Streams:    int64(settings.MaxStreams),
 			Lend:       settings.Lend, High: settings.High, Low: settings.Low,
 			Tenants: len(c.Settings.Config.Tenants),
 		},
 		Disk: keep.DiskLimits{
-			SlowAfter: time.Duration(settings.SlowAfter), MinTrialDelay: time.Duration(settings.RestLeast),
-			MaxTrialDelay: time.Duration(settings.RestMost), RequiredTrials: settings.Proof,
+			SlowAfter: time.Duration(settings.SlowAfter), MinTrialDelay: time.Duration(settings.MinTrialDelay),
+			MaxTrialDelay: time.Duration(settings.MaxTrialDelay), RequiredTrials: settings.RequiredTrials,
 		},
 		Window:  int64(settings.WindowKB) << 10,
 		Classes: c.Settings.ClassNames(),
@@ -60,8 +60,8 @@
 	} else {
 		var err error
 		cfg.Spool, err = spool.New(spool.Config{
-			Folder: settings.Folder, Workers: settings.Workers, Queue: settings.Queue, Classes: len(cfg.Classes),
-			Wait: time.Duration(settings.CallWait), Compress: settings.Compress, FS: c.Disk,
+			Folder: settings.Folder, Workers: settings.Workers, Queue: settings.MaxQueuedPerClass, Classes: len(cfg.Classes),
+			Wait: time.Duration(settings.FileCallTimeout), Compress: settings.Compress, FS: c.BodyFS,
 		})
 		if err != nil {
 			return nil, err
@@ -88,7 +88,7 @@
 		ClassIndex:  func(name string) int { return c.Settings.ClassIndex([]byte(name)) },
 		TenantIndex: func(name string) int { return c.Settings.TenantIndex([]byte(name)) },
 
-		MaxBytes: int64(settings.LongestMB) << 20, MinRate: int64(settings.RateKB) << 10, Timeout: time.Duration(settings.Within),
+		MaxBytes: int64(settings.MaxBodyMB) << 20, MinRate: int64(settings.MinRateKBPerSecond) << 10, Timeout: time.Duration(settings.ReceiveTimeout),
 		ProxyStatus: settings.ProxyStatus,
 	}
 }
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -118,7 +118,7 @@
 	slog.Info("stopping", "held", host.Held())
 	host.ShutDownWithin(maxDeadline + shutdownMargin)
 	routes.QuitAt(maxDeadline + shutdownMargin)
-	hasSharedListener := trials.Running().Inherited > 0
+	hasSharedListener := trials.Running().InheritedFD > 0
 	if hasSharedListener {
 		trials.CloseListener()
 		srv.SetDraining(true)
--- a/internal/daemon/duties.go
+++ b/internal/daemon/duties.go
@@ -28,15 +28,15 @@
 		Peers      []string
 		Settings   struct{ Rank int }
 	}
-	if err := json.Unmarshal(c.Platform, &raw); err != nil {
+	if err := json.Unmarshal(c.PlatformData, &raw); err != nil {
 		return duty.Config{}, "", fmt.Errorf("config: %w", err)
 	}
 	settings := &c.Features.Duty
 	if raw.PeerListen == "" || raw.Settings.Rank < 0 || raw.Settings.Rank >= len(raw.Peers) {
 		return duty.Config{}, "", errors.New("features: duty.enabled: the platform's configuration lists no peers that include this sidecar")
 	}
-	cfg := duty.Config{Incarnation: incarnation, Seed: c.Seed, Watchers: settings.Watchers, ProbeInterval: time.Duration(settings.Every), TakeoverStep: time.Duration(settings.Step), PingInterval: time.Duration(settings.Period), AckTimeout: time.Duration(settings.AckWait),
-		IndirectPings: settings.Helpers, SuspectTimeout: time.Duration(settings.Suspect), Fanout: settings.Spread, MaxProbeRate: settings.Probes, MaxServerProbeRate: settings.PerNode, MaxNoteRate: settings.Notes, DeadPingInterval: time.Duration(settings.Remember), Authenticated: settings.Key != ""}
+	cfg := duty.Config{Incarnation: incarnation, Seed: c.Seed, Watchers: settings.Watchers, ProbeInterval: time.Duration(settings.ProbeInterval), TakeoverStep: time.Duration(settings.TakeoverStep), PingInterval: time.Duration(settings.PingInterval), AckTimeout: time.Duration(settings.AckTimeout),
+		IndirectPings: settings.IndirectPings, SuspectTimeout: time.Duration(settings.SuspectTimeout), Fanout: settings.Fanout, MaxProbeRate: settings.MaxProbeRate, MaxServerProbeRate: settings.MaxServerProbeRate, MaxNoteRate: settings.MaxNoteRate, DeadPingInterval: time.Duration(settings.DeadPingInterval), Authenticated: settings.Key != ""}
 	for rank, addr := range raw.Peers {
 		zone, known := settings.Zones[addr]
 		if len(settings.Zones) > 0 && !known {
@@ -68,6 +68,6 @@
 		return nil, err
 	}
 	settings := &c.Features.Duty
-	return duties.New(duties.Config{Duty: cfg, Listen: listen, PortInherited: c.Inherited > 0, Key: []byte(settings.Key), Path: settings.Path,
-		SlowAfter: time.Duration(settings.Slow), ProbeTimeout: time.Duration(settings.Timeout), ProbingEnabled: settings.Probing}, host)
+	return duties.New(duties.Config{Duty: cfg, Listen: listen, PortInherited: c.InheritedFD > 0, Key: []byte(settings.Key), Path: settings.Path,
+		SlowAfter: time.Duration(settings.SlowAfter), ProbeTimeout: time.Duration(settings.ProbeTimeout), ProbingEnabled: settings.ProbingEnabled}, host)
 }
--- a/internal/daemon/duties_test.go
+++ b/internal/daemon/duties_test.go
@@ -27,7 +27,7 @@
 	p.Write(t, 5, "[duty]\nenabled = true\nkey = \"hush\"\n")
 	c := p.Load(t)
 	var tree map[string]any
-	if err := json.Unmarshal(c.Platform, &tree); err != nil {
+	if err := json.Unmarshal(c.PlatformData, &tree); err != nil {
 		t.Fatal(err)
 	}
 	tree["peers"] = peers
@@ -35,7 +35,7 @@
 		tree["peer_listen"] = peers[rank]
 	}
 	tree["settings"].(map[string]any)["rank"] = rank
-	c.Platform, _ = json.Marshal(tree)
+	c.PlatformData, _ = json.Marshal(tree)
 	return c
 }
 
@@ -168,7 +168,7 @@
 	if err != nil || cfg.Self != peers[1] || cfg.Zone != "b" || len(cfg.Peers) != 1 || cfg.Peers[0].Zone != "a" || listen != peers[1] || !cfg.Authenticated {
 		t.Errorf("configuration %+v, listen address %q, error %v", cfg, listen, err)
 	}
-	c.Features.Duty.Every = duration.Duration(time.Millisecond)
+	c.Features.Duty.ProbeInterval = duration.Duration(time.Millisecond)
 	if _, _, err := dutyConfig(c, 1); err == nil || !strings.Contains(err.Error(), "every") {
 		t.Errorf("error %v, want one that names every", err)
 	}
--- a/internal/daemon/levels.go
+++ b/internal/daemon/levels.go
@@ -25,29 +25,29 @@
 	for _, delay := range []struct {
 		to   *time.Duration
 		from time.Duration
-	}{{&cfg.EnterAfter, time.Duration(settings.EnterAfter)}, {&cfg.LeaveAfter, time.Duration(settings.LeaveAfter)}, {&cfg.ProofTime, time.Duration(settings.Proof)}, {&cfg.MaxWait, c.Settings.Config.MaxRetryAfter}} {
+	}{{&cfg.EnterAfter, time.Duration(settings.EnterAfter)}, {&cfg.LeaveAfter, time.Duration(settings.LeaveAfter)}, {&cfg.ProofTime, time.Duration(settings.ProofTime)}, {&cfg.MaxWait, c.Settings.Config.MaxRetryAfter}} {
 		if delay.from > 0 {
 			*delay.to = delay.from
 		}
 	}
-	if settings.Doublings > 0 {
-		cfg.MaxDoublings = settings.Doublings
+	if settings.MaxDoublings > 0 {
+		cfg.MaxDoublings = settings.MaxDoublings
 	}
-	if settings.Slope > 0 {
-		cfg.RampGrowth = settings.Slope
+	if settings.RampGrowth > 0 {
+		cfg.RampGrowth = settings.RampGrowth
 	}
-	if settings.Evidence > 0 {
-		cfg.MinOutcomes = settings.Evidence
+	if settings.MinOutcomes > 0 {
+		cfg.MinOutcomes = settings.MinOutcomes
 	}
 	for name, step := range map[string]*struct {
 		cut, enter, leave map[string]float64
 		worth             *float64
 		copies, probes    *bool
 	}{
-		"saving":    {settings.Saving.Cut, settings.Saving.Enter, settings.Saving.Leave, settings.Saving.RetryWorth, settings.Saving.NoCopies, settings.Saving.NoProbes},
-		"trimmed":   {settings.Trimmed.Cut, settings.Trimmed.Enter, settings.Trimmed.Leave, settings.Trimmed.RetryWorth, settings.Trimmed.NoCopies, settings.Trimmed.NoProbes},
-		"essential": {settings.Essential.Cut, settings.Essential.Enter, settings.Essential.Leave, settings.Essential.RetryWorth, settings.Essential.NoCopies, settings.Essential.NoProbes},
-		"emergency": {settings.Emergency.Cut, settings.Emergency.Enter, settings.Emergency.Leave, settings.Emergency.RetryWorth, settings.Emergency.NoCopies, settings.Emergency.NoProbes},
+		"saving":    {settings.Saving.ShedShare, settings.Saving.Enter, settings.Saving.Leave, settings.Saving.MinRetryWorth, settings.Saving.NoCopies, settings.Saving.NoProbes},
+		"trimmed":   {settings.Trimmed.ShedShare, settings.Trimmed.Enter, settings.Trimmed.Leave, settings.Trimmed.MinRetryWorth, settings.Trimmed.NoCopies, settings.Trimmed.NoProbes},
+		"essential": {settings.Essential.ShedShare, settings.Essential.Enter, settings.Essential.Leave, settings.Essential.MinRetryWorth, settings.Essential.NoCopies, settings.Essential.NoProbes},
+		"emergency": {settings.Emergency.ShedShare, settings.Emergency.Enter, settings.Emergency.Leave, settings.Emergency.MinRetryWorth, settings.Emergency.NoCopies, settings.Emergency.NoProbes},
 	} {
 		lvl, _ := level.Parse(name)
 		act := &cfg.Measures[lvl]
--- a/internal/daemon/management.go
+++ b/internal/daemon/management.go
@@ -37,7 +37,7 @@
 func operationConfig(s *sidecar) operating.Config {
 	c := s.cfg
 	cfg := operating.Config{Host: s.host, Figures: s.figures, ApplyList: s.applyList, Pool: s.pool, Limits: operating.Limits{Memory: maxHeapBytes(c), Conns: s.maxConnsPerSide, Bodies: maxShortBodyBytes(c)},
-		Shared: c.Inherited > 0, Tmp: c.Getenv("TMPDIR"), Listen: c.Listen}
+		Shared: c.InheritedFD > 0, Tmp: c.Getenv("TMPDIR"), Listen: c.Listen}
 	if s.zones != nil {
 		cfg.Zones = s.zones
 	}
@@ -54,16 +54,16 @@
 		return nil, err
 	}
 	slog.Info("management", "listen", server.Addr())
-	if c.Managed != nil {
-		c.Managed(server.Addr())
+	if c.OnManagementListen != nil {
+		c.OnManagementListen(server.Addr())
 	}
 	return server, nil
 }
 
 // clientListener returns the listener for clients: an inherited one, or a new one of this process.
 func clientListener(c *Config) (net.Listener, error) {
-	if c.Inherited > 0 {
-		return inheritListener(c.Inherited, c.Listen)
+	if c.InheritedFD > 0 {
+		return inheritListener(c.InheritedFD, c.Listen)
 	}
 	return net.Listen("tcp", c.Listen)
 }
--- a/internal/daemon/pools_test.go
+++ b/internal/daemon/pools_test.go
@@ -21,7 +21,7 @@
 	p.Write(t, 5, "")
 	c := p.Load(t)
 	c.Settings.Config.AskWithin, c.Settings.Config.ColdFor = time.Minute, time.Hour
-	fixed := pools.Settings(c.Settings, &features.Pool{Servers: []features.PoolServer{{}}, Attempts: 2, MaxHeld: 7, SlowStart: duration.Duration(time.Second), Cold: 0.25})
+	fixed := pools.Settings(c.Settings, &features.Pool{Servers: []features.PoolServer{{}}, MaxAttempts: 2, MaxHeld: 7, SlowStart: duration.Duration(time.Second), ColdShare: 0.25})
 	if k := fixed.Config; fixed.MaxHeld != 7 || k.MaxAttempts != 2 || k.AskWithin != 0 || k.ColdFor != time.Second || k.ColdFrom != 0.25 || !(k.OverloadFactor > 0) {
 		t.Errorf("settings of a pool with its own values: %+v", fixed)
 	}
--- a/internal/daemon/sidecar.go
+++ b/internal/daemon/sidecar.go
@@ -88,8 +88,8 @@
 }
 
 func (s *sidecar) startBodies() (err error) {
-	if s.cfg.Store != nil {
-		s.onClose(func() { s.cfg.Store.Close() })
+	if s.cfg.History != nil {
+		s.onClose(func() { s.cfg.History.Close() })
 	}
 	if s.store, err = newBodyStore(s.cfg); err == nil && s.store == nil {
 		s.longStore, err = newLongBodyStore(s.cfg)
@@ -123,12 +123,12 @@
 		OnRequestWritten: s.figures.CountForwarded,
 	})
 	s.watcher = &discovery.Watcher{Addr: c.Discovery, Timing: discovery.AgentTiming}
-	if c.Asks {
+	if c.NeedsSubscription {
 		s.watcher.Timing = discovery.SharedServiceTiming
 	}
-	if c.Known != nil {
-		c.Known.Complete = true
-		s.watcher.Track = membership.NewTracker(c.Known)
+	if c.KnownServers != nil {
+		c.KnownServers.Complete = true
+		s.watcher.Track = membership.NewTracker(c.KnownServers)
 	}
 	if s.zones, err = newZones(c); err != nil {
 		return err
@@ -146,7 +146,7 @@
 		return err
 	}
 	s.applyList = s.weights.Listed
-	s.addTask(time.Duration(s.cfg.Features.Weights.Every), s.weights.UpdateHints)
+	s.addTask(time.Duration(s.cfg.Features.Weights.StepInterval), s.weights.UpdateHints)
 	s.addPage("weights", func() any { return s.weights.View() })
 	return nil
 }
@@ -186,8 +186,8 @@
 	s.onClose(s.pool.Close)
 	s.onClose(s.host.Close)
 	s.onClose(s.watcher.Close)
-	if c.Known != nil {
-		s.operation.ApplyList(c.Known)
+	if c.KnownServers != nil {
+		s.operation.ApplyList(c.KnownServers)
 	}
 	if s.zones != nil {
 		s.zones.Start()
@@ -227,7 +227,7 @@
 	if s.ln, err = clientListener(c); err != nil {
 		return fmt.Errorf("listen: %w", err)
 	}
-	s.srv = front.New(front.Config{MaxConns: s.maxConnsPerSide, MaxBodyBytes: maxShortBodyBytes(c), Bodies: frontBodies(c, s.store), LongBodies: frontLongBodies(c, s.longStore), SendConfigID: c.Store != nil, Choose: s.routes.Chooser(), Figures: s.figures}, s.host)
+	s.srv = front.New(front.Config{MaxConns: s.maxConnsPerSide, MaxBodyBytes: maxShortBodyBytes(c), Bodies: frontBodies(c, s.store), LongBodies: frontLongBodies(c, s.longStore), SendConfigID: c.History != nil, Choose: s.routes.Chooser(), Figures: s.figures}, s.host)
 	s.operation.SetFront(s.srv)
 	return nil
 }
@@ -278,7 +278,7 @@
 		s.levels.AddPages(s.pages, s.actions)
 	}
 	listen := admin.Listen
-	if s.cfg.Inherited > 0 { // the previous process may still hold the socket
+	if s.cfg.InheritedFD > 0 { // the previous process may still hold the socket
 		listen = admin.TakeOver
 	}
 	server, err := listen(path, s.pages, s.actions)
@@ -292,7 +292,7 @@
 // serve handles calls, tasks and signals until SIGTERM, and then shuts down. It calls ready, unless
 // nil, with the listen address once the sidecar is ready.
 func (s *sidecar) serve(ready func(net.Addr)) error {
-	if s.cfg.Inherited == 0 {
+	if s.cfg.InheritedFD == 0 {
 		go s.srv.Serve(s.ln)
 	}
 	s.routes.Serve(s.srv)
@@ -300,7 +300,7 @@
 		s.shutDown()
 		return nil
 	}
-	if s.cfg.Inherited > 0 {
+	if s.cfg.InheritedFD > 0 {
 		// Starts accepting only now: until this process has a list, another process of this
 		// sidecar serves the clients.
 		go s.srv.Serve(s.ln)
@@ -367,8 +367,8 @@
 		}
 	}
 	go s.watcher.Run()
-	hasList := s.cfg.Known != nil && membership.NewTracker(s.cfg.Known).HasServers
-	timeout := time.NewTimer(firstListWait(hasList, s.cfg.Asks))
+	hasList := s.cfg.KnownServers != nil && membership.NewTracker(s.cfg.KnownServers).HasServers
+	timeout := time.NewTimer(firstListWait(hasList, s.cfg.NeedsSubscription))
 	defer timeout.Stop()
 	for {
 		select {
--- a/internal/daemon/weights.go
+++ b/internal/daemon/weights.go
@@ -19,7 +19,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("features: weights.key: %w", err)
 	}
-	cfg := weights.Config{Zone: settings.Zone, UpdateInterval: time.Duration(settings.Every), MaxStepFactor: settings.Step, ExpiryGrace: time.Duration(settings.Fade), MaxUnknownShare: settings.Strangers, MaxDeviation: settings.Off, MaxDeviatingShare: settings.OffShare, ConfirmationUpdates: settings.Proof}
+	cfg := weights.Config{Zone: settings.Zone, UpdateInterval: time.Duration(settings.StepInterval), MaxStepFactor: settings.MaxStepFactor, ExpiryGrace: time.Duration(settings.ExpiryGrace), MaxUnknownShare: settings.MaxUnknownShare, MaxDeviation: settings.MaxDeviation, MaxDeviatingShare: settings.MaxDeviatingShare, ConfirmationUpdates: settings.RequiredSteps}
 	if cfg.Zone == "" {
 		cfg.Zone = c.Settings.Config.Zone
 	}
--- a/internal/daemon/zones.go
+++ b/internal/daemon/zones.go
@@ -21,7 +21,7 @@
 		Peers    []string
 		Settings struct{ Rank int }
 	}
-	if err := json.Unmarshal(c.Platform, &raw); err != nil {
+	if err := json.Unmarshal(c.PlatformData, &raw); err != nil {
 		return evacuation.Config{}, "", fmt.Errorf("config: %w", err)
 	}
 	cfg := BaseEvacuationConfig(&c.Features.Zones)
@@ -42,10 +42,10 @@
 // BaseEvacuationConfig returns the configuration of package evacuation from the operators' file, without the
 // fields that differ between sidecars.
 func BaseEvacuationConfig(settings *features.Zones) evacuation.Config {
-	cfg := evacuation.Config{MinWitnesses: settings.Witnesses, MinFailingShare: settings.Share, FailingRatio: settings.Fails, DegradedRatio: settings.Limps, ResponseTimeout: time.Duration(settings.Silence), SlowFactor: settings.Slow,
-		EvidenceWindow: time.Duration(settings.Window), SettleDelay: time.Duration(settings.Settle), LocalDepartureDelay: time.Duration(settings.Alone), MinDwell: time.Duration(settings.Dwell), MaxDwell: time.Duration(settings.DwellMost),
-		MinStageDuration: time.Duration(settings.Proof), ServerCapacity: settings.Bears, Fanout: settings.Spread, MaxRefusalShare: settings.Full, CapacityWithoutZone: settings.Carried, RegionByZone: make(map[string]string)}
-	for region, zoneNames := range settings.Regions {
+	cfg := evacuation.Config{MinWitnesses: settings.MinWitnesses, MinFailingShare: settings.MinFailingShare, FailingRatio: settings.FailingRatio, DegradedRatio: settings.DegradedRatio, ResponseTimeout: time.Duration(settings.ResponseTimeout), SlowFactor: settings.SlowFactor,
+		EvidenceWindow: time.Duration(settings.EvidenceWindow), SettleDelay: time.Duration(settings.SettleDelay), LocalDepartureDelay: time.Duration(settings.LocalDepartureDelay), MinDwell: time.Duration(settings.MinDwell), MaxDwell: time.Duration(settings.MaxDwell),
+		MinStageDuration: time.Duration(settings.MinStageDuration), ServerCapacity: settings.ServerCapacity, Fanout: settings.Fanout, MaxRefusalShare: settings.MaxRefusalShare, CapacityWithoutZone: settings.CapacityWithoutZone, RegionByZone: make(map[string]string)}
+	for region, zoneNames := range settings.ZonesByRegion {
 		for _, zone := range zoneNames {
 			cfg.RegionByZone[zone] = region
 		}
@@ -62,7 +62,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return zones.New(zones.Config{Machine: cfg, Folder: c.Features.Zones.Folder, Name: name, Regions: c.Features.Zones.Regions})
+	return zones.New(zones.Config{Machine: cfg, Folder: c.Features.Zones.Folder, Name: name, Regions: c.Features.Zones.ZonesByRegion})
 }
 
 // zoneObserver returns z as a core.AttemptObserver, and a nil interface if z is nil.
--- a/internal/daemon/zones_test.go
+++ b/internal/daemon/zones_test.go
@@ -35,10 +35,10 @@
 		t.Errorf("without [zones]: %v, error %v, want neither", z, err)
 	}
 	for want, spoil := range map[string]func(c *Config){
-		"zones.proof":     func(c *Config) { c.Features.Zones.Proof = duration.Duration(time.Millisecond) },
+		"zones.proof":     func(c *Config) { c.Features.Zones.MinStageDuration = duration.Duration(time.Millisecond) },
 		"zones.folder":    func(c *Config) { c.Features.Zones.Folder = "/nowhere" },
-		"zones.witnesses": func(c *Config) { c.Features.Zones.Witnesses = -1 },
-		"zones.self":      func(c *Config) { c.Platform = []byte(`{"peers":["127.0.0.1:1"],"settings":{"rank":4}}`) },
+		"zones.witnesses": func(c *Config) { c.Features.Zones.MinWitnesses = -1 },
+		"zones.self":      func(c *Config) { c.PlatformData = []byte(`{"peers":["127.0.0.1:1"],"settings":{"rank":4}}`) },
 	} {
 		c := configWithZones(t, "")
 		spoil(c)
@@ -115,7 +115,7 @@
 	if _, err := newDuties(c, nil); err == nil || !strings.Contains(err.Error(), "peer_listen") {
 		t.Errorf("start at the held port without an inherited listener: %v", err)
 	}
-	c.Inherited = 9
+	c.InheritedFD = 9
 	s, err := newDuties(c, nil)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/demo/terminals.go
+++ b/internal/demo/terminals.go
@@ -84,8 +84,8 @@
 	sec.Enabled, sec.Auth, sec.Acct = true, "127.0.0.1:0", "127.0.0.1:0"
 	sec.Clients = []features.RadiusClient{{Name: "terminals", Range: "127.0.0.0/8", Secret: terminalSecret}}
 	sec.AuthDiscovery, sec.AcctDiscovery, sec.DiscoverySecret = m.discovery.Addr(), m.discovery.Addr(), serverSecret
-	sec.CallsEach = held
-	sec.Accounting.Deadline, sec.Accounting.Patience = duration.Duration(5*time.Second), duration.Duration(5*time.Second)
+	sec.MaxCallsPerClient = held
+	sec.Accounting.Deadline, sec.Accounting.AttemptTimeout = duration.Duration(5*time.Second), duration.Duration(5*time.Second)
 	if m.proxy, err = proxy.New(proxy.Config{Radius: sec, Base: chalkrack.Config{Instances: 1, MaxRetryAfter: time.Second}, Grace: grace, Seed: cfg.Seed}); err != nil {
 		return nil, err
 	}
--- a/internal/features/bodies.go
+++ b/internal/features/bodies.go
@@ -15,42 +15,42 @@
 	// MemoryMB limits the memory for buffered bodies and for bodies in transfer; 0 means
 	// three eighths of the platform's memory_mb.
 	MemoryMB        int `toml:"memory_mb"`
-	MemoryLongestKB int `toml:"memory_longest_kb"` // largest single body kept in memory
+	MaxBodyMemoryKB int `toml:"memory_longest_kb"` // largest single body kept in memory
 	// Folder holds the files of buffered bodies; if empty, bodies are not written to disk.
 	Folder        string `toml:"folder"`
 	DiskMB        int    `toml:"disk_mb"`
-	FileLongestMB int    `toml:"file_longest_mb"` // largest single body kept on disk; larger ones are not buffered
-	Files         int    `toml:"files"`           // maximum number of open files
-	Streams       int    `toml:"streams"`         // maximum number of concurrent unbuffered bodies
+	MaxBodyFileMB int    `toml:"file_longest_mb"` // largest single body kept on disk; larger ones are not buffered
+	MaxOpenFiles  int    `toml:"files"`           // maximum number of open files
+	MaxStreams    int    `toml:"streams"`         // maximum number of concurrent unbuffered bodies
 	WindowKB      int    `toml:"window_kb"`       // part of an unbuffered body that may wait for its server
-	LongestMB     int    `toml:"longest_mb"`      // largest body accepted; larger ones are answered with 413
+	MaxBodyMB     int    `toml:"longest_mb"`      // largest body accepted; larger ones are answered with 413
 	// Shares is the fraction of each limit that is reserved for a class.
 	Shares map[string]float64 `toml:"shares"`
 	Lend   float64            `toml:"lend"` // fraction of an unused share that other classes may borrow
 	High   float64            `toml:"high"`
 	Low    float64            `toml:"low"`
 
-	Compress  bool              `toml:"compress"`
-	Workers   int               `toml:"workers"` // maximum number of concurrent file operations
-	Queue     int               `toml:"queue"`   // maximum number of operations of one class that wait for a worker
-	CallWait  duration.Duration `toml:"call_wait"`
-	SlowAfter duration.Duration `toml:"slow_after"`
-	RestLeast duration.Duration `toml:"rest_least"`
-	RestMost  duration.Duration `toml:"rest_most"`
-	Proof     int               `toml:"proof"` // consecutive successful trials before the disk is used again
+	Compress          bool              `toml:"compress"`
+	Workers           int               `toml:"workers"` // maximum number of concurrent file operations
+	MaxQueuedPerClass int               `toml:"queue"`   // maximum number of operations of one class that wait for a worker
+	FileCallTimeout   duration.Duration `toml:"call_wait"`
+	SlowAfter         duration.Duration `toml:"slow_after"`
+	MinTrialDelay     duration.Duration `toml:"rest_least"`
+	MaxTrialDelay     duration.Duration `toml:"rest_most"`
+	RequiredTrials    int               `toml:"proof"` // consecutive successful trials before the disk is used again
 
-	RateKB      int               `toml:"rate_kb"` // minimum rate per second at which a client has to send a long body
-	Within      duration.Duration `toml:"within"`  // maximum time to receive a body
-	ProxyStatus bool              `toml:"proxy_status"`
+	MinRateKBPerSecond int               `toml:"rate_kb"` // minimum rate per second at which a client has to send a long body
+	ReceiveTimeout     duration.Duration `toml:"within"`  // maximum time to receive a body
+	ProxyStatus        bool              `toml:"proxy_status"`
 }
 
 func defaultBodies() Bodies {
 	return Bodies{
-		MemoryLongestKB: 1 << 10, DiskMB: 256, FileLongestMB: 64, Files: 32, Streams: 32, WindowKB: 64, LongestMB: 1 << 10,
+		MaxBodyMemoryKB: 1 << 10, DiskMB: 256, MaxBodyFileMB: 64, MaxOpenFiles: 32, MaxStreams: 32, WindowKB: 64, MaxBodyMB: 1 << 10,
 		Lend: 0.5, High: 0.8, Low: 0.6,
-		Workers: 4, Queue: 64, CallWait: duration.Duration(500 * time.Millisecond), SlowAfter: duration.Duration(100 * time.Millisecond),
-		RestLeast: duration.Duration(time.Second), RestMost: duration.Duration(30 * time.Second), Proof: 3,
-		RateKB: 64, Within: duration.Duration(time.Minute),
+		Workers: 4, MaxQueuedPerClass: 64, FileCallTimeout: duration.Duration(500 * time.Millisecond), SlowAfter: duration.Duration(100 * time.Millisecond),
+		MinTrialDelay: duration.Duration(time.Second), MaxTrialDelay: duration.Duration(30 * time.Second), RequiredTrials: 3,
+		MinRateKBPerSecond: 64, ReceiveTimeout: duration.Duration(time.Minute),
 	}
 }
 
@@ -58,15 +58,15 @@
 // and each unbuffered body needs. An unbuffered body needs its window in addition.
 const chunkKB = 64
 
-// OnTheWayKB returns the memory reserved for bodies in transfer, in KB: two chunks for
+// TransferKB returns the memory reserved for bodies in transfer, in KB: two chunks for
 // each file, one for writing and one for reading, and a window and a chunk for each
 // unbuffered body.
-func (b *Bodies) OnTheWayKB() int {
-	files := b.Files
+func (b *Bodies) TransferKB() int {
+	files := b.MaxOpenFiles
 	if b.Folder == "" {
 		files = 0
 	}
-	return files*2*chunkKB + b.Streams*(b.WindowKB+chunkKB)
+	return files*2*chunkKB + b.MaxStreams*(b.WindowKB+chunkKB)
 }
 
 func (b *Bodies) check(c *checker) {
@@ -79,16 +79,16 @@
 	}
 	const mb = 1 << 10
 	requireInt("memory_mb", b.MemoryMB, 0, 1<<20)
-	requireInt("memory_longest_kb", b.MemoryLongestKB, 64, 1<<20)
+	requireInt("memory_longest_kb", b.MaxBodyMemoryKB, 64, 1<<20)
 	requireInt("disk_mb", b.DiskMB, 1, 1<<22)
-	requireInt("file_longest_mb", b.FileLongestMB, 1, 1<<14)
-	c.require(b.FileLongestMB*mb >= b.MemoryLongestKB, fieldName("file_longest_mb"), "must be no less than memory_longest_kb")
-	c.require(b.Folder == "" || b.FileLongestMB <= b.DiskMB, fieldName("file_longest_mb"), "must be no more than disk_mb")
-	requireInt("files", b.Files, 1, 1<<12)
-	requireInt("streams", b.Streams, 0, 1<<12)
+	requireInt("file_longest_mb", b.MaxBodyFileMB, 1, 1<<14)
+	c.require(b.MaxBodyFileMB*mb >= b.MaxBodyMemoryKB, fieldName("file_longest_mb"), "must be no less than memory_longest_kb")
+	c.require(b.Folder == "" || b.MaxBodyFileMB <= b.DiskMB, fieldName("file_longest_mb"), "must be no more than disk_mb")
+	requireInt("files", b.MaxOpenFiles, 1, 1<<12)
+	requireInt("streams", b.MaxStreams, 0, 1<<12)
 	requireInt("window_kb", b.WindowKB, chunkKB, 1<<14)
-	requireInt("longest_mb", b.LongestMB, 1, 1<<20)
-	c.require(b.LongestMB*mb >= b.MemoryLongestKB, fieldName("longest_mb"), "must be no less than memory_longest_kb")
+	requireInt("longest_mb", b.MaxBodyMB, 1, 1<<20)
+	c.require(b.MaxBodyMB*mb >= b.MaxBodyMemoryKB, fieldName("longest_mb"), "must be no less than memory_longest_kb")
 	sum := 0.0
 	for _, name := range sortedKeys(b.Shares) {
 		s := b.Shares[name]
@@ -100,14 +100,14 @@
 	c.require(b.High > 0 && b.High <= 1, fieldName("high"), "must be above 0, 1 at most")
 	c.require(b.Low > 0 && b.Low < b.High, fieldName("low"), "must be above 0 and under high")
 	requireInt("workers", b.Workers, 1, 64)
-	requireInt("queue", b.Queue, 1, 1<<12)
-	requireDuration("call_wait", b.CallWait, 10*time.Millisecond, 30*time.Second)
-	requireDuration("slow_after", b.SlowAfter, time.Millisecond, time.Duration(b.CallWait))
-	requireDuration("rest_least", b.RestLeast, 10*time.Millisecond, time.Hour)
-	requireDuration("rest_most", b.RestMost, time.Duration(b.RestLeast), 24*time.Hour)
-	requireInt("proof", b.Proof, 1, 100)
-	requireInt("rate_kb", b.RateKB, 1, 1<<20)
-	requireDuration("within", b.Within, 6*time.Second, time.Hour)
+	requireInt("queue", b.MaxQueuedPerClass, 1, 1<<12)
+	requireDuration("call_wait", b.FileCallTimeout, 10*time.Millisecond, 30*time.Second)
+	requireDuration("slow_after", b.SlowAfter, time.Millisecond, time.Duration(b.FileCallTimeout))
+	requireDuration("rest_least", b.MinTrialDelay, 10*time.Millisecond, time.Hour)
+	requireDuration("rest_most", b.MaxTrialDelay, time.Duration(b.MinTrialDelay), 24*time.Hour)
+	requireInt("proof", b.RequiredTrials, 1, 100)
+	requireInt("rate_kb", b.MinRateKBPerSecond, 1, 1<<20)
+	requireDuration("within", b.ReceiveTimeout, 6*time.Second, time.Hour)
 	if b.Enabled && b.Folder != "" { // report a missing folder at startup, not at its first use
 		info, err := os.Stat(b.Folder)
 		c.require(err == nil && info.IsDir(), fieldName("folder"), "is not there")
@@ -122,9 +122,9 @@
 	}
 	c.require(b.MemoryMB <= memoryMB, "bodies.memory_mb", "must be no more than the platform's memory_mb, %d", memoryMB)
 	kb := b.MemoryKB(memoryMB)
-	c.require(b.OnTheWayKB()+b.MemoryLongestKB <= kb, "bodies.memory_longest_kb",
-		"and what files and streams hold on their way (%d KB) must fit the memory for bodies, %d KB", b.OnTheWayKB(), kb)
-	files := b.Files
+	c.require(b.TransferKB()+b.MaxBodyMemoryKB <= kb, "bodies.memory_longest_kb",
+		"and what files and streams hold on their way (%d KB) must fit the memory for bodies, %d KB", b.TransferKB(), kb)
+	files := b.MaxOpenFiles
 	if b.Folder == "" {
 		files = 0
 	}
--- a/internal/features/radius.go
+++ b/internal/features/radius.go
@@ -41,35 +41,35 @@
 	Access     RadiusClass `toml:"access"`
 	Accounting RadiusClass `toml:"accounting"`
 
-	Attempts        int               `toml:"attempts"` // maximum number of servers tried for one call, 1 to 5
-	Sockets         int               `toml:"sockets"`  // per server; each carries up to 256 attempts
-	UnsignedAnswers bool              `toml:"unsigned_answers"`
-	Rest            duration.Duration `toml:"rest"` // how long a late answer is still accepted
-
-	RememberFor       duration.Duration `toml:"remember_for"`
-	RememberBytes     int               `toml:"remember_bytes"`
-	RememberBytesEach int               `toml:"remember_bytes_each"` // limit per client address
+	MaxAttempts          int               `toml:"attempts"` // maximum number of servers tried for one call, 1 to 5
+	MaxSocketsPerServer  int               `toml:"sockets"`  // per server; each carries up to 256 attempts
+	AllowUnsignedAnswers bool              `toml:"unsigned_answers"`
+	LateAnswerTTL        duration.Duration `toml:"rest"` // how long a late answer is still accepted
+
+	RememberTTL               duration.Duration `toml:"remember_for"`
+	MaxRememberBytes          int               `toml:"remember_bytes"`
+	MaxRememberBytesPerClient int               `toml:"remember_bytes_each"` // limit per client address
 	// RememberFile keeps the remembered accounting answers across a restart by SIGTERM;
 	// if empty, they are lost.
-	RememberFile    string            `toml:"remember_file"`
-	CallsEach       int               `toml:"calls_each"` // concurrent calls per client address
-	Conversations   int               `toml:"conversations"`
-	ConversationFor duration.Duration `toml:"conversation_for"`
+	RememberFile      string            `toml:"remember_file"`
+	MaxCallsPerClient int               `toml:"calls_each"` // concurrent calls per client address
+	MaxConversations  int               `toml:"conversations"`
+	ConversationTTL   duration.Duration `toml:"conversation_for"`
 
 	OnGiveUp   string `toml:"on_give_up"` // reject or silent, for access requests
 	ErrorCause int    `toml:"error_cause"`
 
-	ProbeEvery  duration.Duration `toml:"probe_every"` // interval of Status-Server probes to each server; 0: none
-	ProbeMisses int               `toml:"probe_misses"`
+	ProbeInterval  duration.Duration `toml:"probe_every"` // interval of Status-Server probes to each server; 0: none
+	MaxProbeMisses int               `toml:"probe_misses"`
 }
 
 // RadiusClient is an entry of [[radius.clients]].
 type RadiusClient struct {
-	Name       string `toml:"name"`
-	Range      string `toml:"range"`
-	Secret     Secret `toml:"secret"`
-	SecretFile string `toml:"secret_file"`
-	Unsigned   bool   `toml:"unsigned"`
+	Name          string `toml:"name"`
+	Range         string `toml:"range"`
+	Secret        Secret `toml:"secret"`
+	SecretFile    string `toml:"secret_file"`
+	AllowUnsigned bool   `toml:"unsigned"`
 }
 
 // RadiusServer is an entry of [[radius.servers]].
@@ -85,23 +85,23 @@
 
 // RadiusClass is the section [radius.access] or [radius.accounting].
 type RadiusClass struct {
-	Aim      duration.Duration `toml:"aim"`
-	Deadline duration.Duration `toml:"deadline"`
-	Patience duration.Duration `toml:"patience"` // timeout of one attempt
-	Resend   duration.Duration `toml:"resend"`   // delay before the packet is first sent again to the same server
-	Resends  int               `toml:"resends"`
-	Effect   string            `toml:"effect"` // safe: another server may be tried if one does not answer; once: it may not
-	Worth    float64           `toml:"worth"`
+	Aim            duration.Duration `toml:"aim"`
+	Deadline       duration.Duration `toml:"deadline"`
+	AttemptTimeout duration.Duration `toml:"patience"` // timeout of one attempt
+	ResendDelay    duration.Duration `toml:"resend"`   // delay before the packet is first sent again to the same server
+	MaxResends     int               `toml:"resends"`
+	Effect         string            `toml:"effect"` // safe: another server may be tried if one does not answer; once: it may not
+	Worth          float64           `toml:"worth"`
 }
 
 // defaultRadius returns the defaults of the section.
 func defaultRadius() Radius {
 	return Radius{
-		Access:     RadiusClass{Aim: seconds(2), Deadline: seconds(4), Patience: seconds(1), Resend: duration.Duration(300 * time.Millisecond), Resends: 1, Effect: "safe", Worth: 1},
-		Accounting: RadiusClass{Aim: seconds(5), Deadline: seconds(20), Patience: seconds(19), Resend: duration.Duration(500 * time.Millisecond), Resends: 8, Effect: "once", Worth: 1},
-		Attempts:   3, Sockets: 4, Rest: seconds(10),
-		RememberFor: seconds(30), RememberBytes: 8 << 20, RememberBytesEach: 1 << 20, CallsEach: 256,
-		Conversations: 4096, ConversationFor: seconds(120), OnGiveUp: "reject", ErrorCause: 502, ProbeMisses: 3,
+		Access:      RadiusClass{Aim: seconds(2), Deadline: seconds(4), AttemptTimeout: seconds(1), ResendDelay: duration.Duration(300 * time.Millisecond), MaxResends: 1, Effect: "safe", Worth: 1},
+		Accounting:  RadiusClass{Aim: seconds(5), Deadline: seconds(20), AttemptTimeout: seconds(19), ResendDelay: duration.Duration(500 * time.Millisecond), MaxResends: 8, Effect: "once", Worth: 1},
+		MaxAttempts: 3, MaxSocketsPerServer: 4, LateAnswerTTL: seconds(10),
+		RememberTTL: seconds(30), MaxRememberBytes: 8 << 20, MaxRememberBytesPerClient: 1 << 20, MaxCallsPerClient: 256,
+		MaxConversations: 4096, ConversationTTL: seconds(120), OnGiveUp: "reject", ErrorCause: 502, MaxProbeMisses: 3,
 	}
 }
 
@@ -176,38 +176,38 @@
 	}
 	if r.AuthDiscovery != "" || r.AcctDiscovery != "" {
 		c.require(len(r.Servers) == 0, fieldName("servers"), "stands beside a discovery")
-		c.require(r.ProbeEvery == 0, fieldName("probe_every"), "stands beside a discovery, which tells who is there")
+		c.require(r.ProbeInterval == 0, fieldName("probe_every"), "stands beside a discovery, which tells who is there")
 		r.DiscoverySecret = c.loadSecret("radius.", "discovery_secret", r.DiscoverySecret, r.DiscoverySecretFile, r.Enabled)
 	}
 	for name, k := range map[string]*RadiusClass{"radius.access.": &r.Access, "radius.accounting.": &r.Accounting} {
 		requireDuration(name+"deadline", k.Deadline, 100*time.Millisecond, 2*time.Minute)
 		requireDuration(name+"aim", k.Aim, time.Millisecond, time.Duration(k.Deadline))
-		requireDuration(name+"patience", k.Patience, 10*time.Millisecond, time.Duration(k.Deadline))
-		requireDuration(name+"resend", k.Resend, 10*time.Millisecond, time.Minute)
-		requireInt(name+"resends", k.Resends, 0, 10)
+		requireDuration(name+"patience", k.AttemptTimeout, 10*time.Millisecond, time.Duration(k.Deadline))
+		requireDuration(name+"resend", k.ResendDelay, 10*time.Millisecond, time.Minute)
+		requireInt(name+"resends", k.MaxResends, 0, 10)
 		c.require(k.Effect == "safe" || k.Effect == "once", name+"effect", "must be safe or once, not %q", k.Effect)
 		c.require(k.Worth >= 0 && k.Worth < 1e6, name+"worth", "must be 0 or more")
 	}
 	// A second server could count an event that the first has already counted, so no
 	// setting may allow an attempt at another server.
 	c.require(r.Accounting.Effect != "safe", "radius.accounting.effect", "must be once: an event would be counted twice")
-	requireInt(fieldName("attempts"), r.Attempts, 1, 5)
-	requireInt(fieldName("sockets"), r.Sockets, 1, 64)
-	requireDuration(fieldName("rest"), r.Rest, time.Second, 5*time.Minute)
-	requireDuration(fieldName("remember_for"), r.RememberFor, time.Second, 10*time.Minute)
-	requireInt(fieldName("remember_bytes"), r.RememberBytes, 1<<16, 1<<30)
-	requireInt(fieldName("remember_bytes_each"), r.RememberBytesEach, 1<<14, max(1<<14, r.RememberBytes))
+	requireInt(fieldName("attempts"), r.MaxAttempts, 1, 5)
+	requireInt(fieldName("sockets"), r.MaxSocketsPerServer, 1, 64)
+	requireDuration(fieldName("rest"), r.LateAnswerTTL, time.Second, 5*time.Minute)
+	requireDuration(fieldName("remember_for"), r.RememberTTL, time.Second, 10*time.Minute)
+	requireInt(fieldName("remember_bytes"), r.MaxRememberBytes, 1<<16, 1<<30)
+	requireInt(fieldName("remember_bytes_each"), r.MaxRememberBytesPerClient, 1<<14, max(1<<14, r.MaxRememberBytes))
 	if r.Enabled && r.RememberFile != "" { // report a missing folder at startup; the file is only written at shutdown
 		info, err := os.Stat(filepath.Dir(r.RememberFile))
 		c.require(err == nil && info.IsDir(), fieldName("remember_file"), "its folder is not there")
 	}
-	requireInt(fieldName("calls_each"), r.CallsEach, 1, 1<<16)
-	requireInt(fieldName("conversations"), r.Conversations, 1, 1<<20)
-	requireDuration(fieldName("conversation_for"), r.ConversationFor, time.Second, time.Hour)
+	requireInt(fieldName("calls_each"), r.MaxCallsPerClient, 1, 1<<16)
+	requireInt(fieldName("conversations"), r.MaxConversations, 1, 1<<20)
+	requireDuration(fieldName("conversation_for"), r.ConversationTTL, time.Second, time.Hour)
 	c.require(r.OnGiveUp == "reject" || r.OnGiveUp == "silent", fieldName("on_give_up"), "must be reject or silent, not %q", r.OnGiveUp)
 	requireInt(fieldName("error_cause"), r.ErrorCause, 0, 599)
-	c.require(r.ProbeEvery == 0 || time.Duration(r.ProbeEvery) >= 100*time.Millisecond && time.Duration(r.ProbeEvery) <= time.Hour, fieldName("probe_every"), "must be 0 or within 100ms and 1h")
-	requireInt(fieldName("probe_misses"), r.ProbeMisses, 1, 100)
+	c.require(r.ProbeInterval == 0 || time.Duration(r.ProbeInterval) >= 100*time.Millisecond && time.Duration(r.ProbeInterval) <= time.Hour, fieldName("probe_every"), "must be 0 or within 100ms and 1h")
+	requireInt(fieldName("probe_misses"), r.MaxProbeMisses, 1, 100)
 }
 
 // maxSecretFileBytes limits the size of a file with a secret.
--- a/internal/features/routes.go
+++ b/internal/features/routes.go
@@ -20,8 +20,8 @@
 	Checks    PoolChecks   `toml:"checks,omitempty"` // only with a fixed list
 	// SlowStart is how long a server that came up takes to reach its full share.
 	SlowStart duration.Duration `toml:"slow_start,omitempty"`
-	// Cold is the fraction of its share that such a server starts with.
-	Cold float64 `toml:"cold,omitempty"`
+	// ColdShare is the fraction of its share that such a server starts with.
+	ColdShare float64 `toml:"cold,omitempty"`
 	// MaxConnections limits the concurrent connections to the servers, MaxHeld the pending
 	// calls. Calls above MaxHeld are refused.
 	MaxConnections int `toml:"max_connections,omitempty"`
@@ -31,8 +31,8 @@
 	MaxActive  int               `toml:"max_active,omitempty"`
 	MaxWaiting int               `toml:"max_waiting,omitempty"`
 	QueueWait  duration.Duration `toml:"queue_wait,omitempty"`
-	// Attempts limits the attempts of one call; 0: the platform's limit applies.
-	Attempts int `toml:"attempts,omitempty"`
+	// MaxAttempts limits the attempts of one call; 0: the platform's limit applies.
+	MaxAttempts int `toml:"attempts,omitempty"`
 }
 
 // PoolServer is a server of a pool.
@@ -47,11 +47,11 @@
 // PoolChecks configures active health checks. A check passes if a GET of Path is answered
 // with 2xx or 3xx or, without a path, if a connection can be established.
 type PoolChecks struct {
-	Every   duration.Duration `toml:"every,omitempty"` // 0: no checks
-	Timeout duration.Duration `toml:"timeout,omitempty"`
-	Path    string            `toml:"path,omitempty"`
-	Rise    int               `toml:"rise,omitempty"`
-	Fall    int               `toml:"fall,omitempty"`
+	Interval duration.Duration `toml:"every,omitempty"` // 0: no checks
+	Timeout  duration.Duration `toml:"timeout,omitempty"`
+	Path     string            `toml:"path,omitempty"`
+	Rise     int               `toml:"rise,omitempty"`
+	Fall     int               `toml:"fall,omitempty"`
 }
 
 // PlatformListener is the name of the platform's own listener in routes.
@@ -87,9 +87,9 @@
 
 // RouteHeader is a header field that a route requires or, if negated, excludes.
 type RouteHeader struct {
-	Name  string `toml:"name"`
-	Value string `toml:"value,omitempty"`
-	Not   bool   `toml:"not,omitempty"`
+	Name   string `toml:"name"`
+	Value  string `toml:"value,omitempty"`
+	Negate bool   `toml:"not,omitempty"`
 }
 
 const (
@@ -103,7 +103,7 @@
 func (f *File) setPoolDefaults() {
 	for n := range f.Pools {
 		p := &f.Pools[n]
-		if p.Checks.Every > 0 {
+		if p.Checks.Interval > 0 {
 			if p.Checks.Rise == 0 {
 				p.Checks.Rise = 2
 			}
@@ -111,7 +111,7 @@
 				p.Checks.Fall = 3
 			}
 			if p.Checks.Timeout == 0 {
-				p.Checks.Timeout = p.Checks.Every
+				p.Checks.Timeout = p.Checks.Interval
 			}
 		}
 		if p.MaxConnections == 0 {
@@ -123,8 +123,8 @@
 		if p.MaxActive > 0 && p.MaxWaiting > 0 && p.QueueWait == 0 {
 			p.QueueWait = duration.Duration(time.Second)
 		}
-		if p.SlowStart > 0 && p.Cold == 0 {
-			p.Cold = 0.1
+		if p.SlowStart > 0 && p.ColdShare == 0 {
+			p.ColdShare = 0.1
 		}
 	}
 }
@@ -154,20 +154,20 @@
 			c.require(s.Weight >= 0 && s.Weight <= 256, in+"weight", "must be within 0 and 256")
 		}
 		k := &p.Checks
-		c.require(k.Every >= 0, at+"checks.every", "must be 0 or more")
-		c.require(k.Every == 0 || p.Discovery == "", at+"checks.every", "is for a fixed list: discovery says who is up")
-		c.require(k.Timeout >= 0 && (k.Every == 0 || k.Timeout > 0), at+"checks.timeout", "must be above 0")
+		c.require(k.Interval >= 0, at+"checks.every", "must be 0 or more")
+		c.require(k.Interval == 0 || p.Discovery == "", at+"checks.every", "is for a fixed list: discovery says who is up")
+		c.require(k.Timeout >= 0 && (k.Interval == 0 || k.Timeout > 0), at+"checks.timeout", "must be above 0")
 		c.require(k.Path == "" || k.Path[0] == '/', at+"checks.path", "must begin with '/'")
 		c.require(k.Rise >= 0 && k.Rise <= 100 && k.Fall >= 0 && k.Fall <= 100, at+"checks.rise", "and fall must be within 1 and 100")
 		c.require(p.SlowStart >= 0, at+"slow_start", "must be 0 or more")
-		c.require(p.Cold >= 0 && p.Cold <= 1, at+"cold", "must be within 0 and 1")
+		c.require(p.ColdShare >= 0 && p.ColdShare <= 1, at+"cold", "must be within 0 and 1")
 		c.require(p.MaxConnections >= 1 && p.MaxConnections <= maxPoolConnections, at+"max_connections", "must be within 1 and %d", maxPoolConnections)
 		c.require(p.MaxHeld >= 1 && p.MaxHeld <= maxPoolConnections, at+"max_held", "must be within 1 and %d", maxPoolConnections)
 		c.require(p.MaxActive >= 0 && p.MaxActive <= p.MaxHeld, at+"max_active", "must be within 0 and max_held, which is %d", p.MaxHeld)
 		c.require(p.MaxWaiting >= 0 && p.MaxWaiting <= maxPoolConnections, at+"max_waiting", "must be within 0 and %d", maxPoolConnections)
 		c.require(p.MaxWaiting == 0 || p.MaxActive > 0, at+"max_waiting", "is of a queue, which max_active makes")
 		c.require(p.QueueWait >= 0 && (p.QueueWait == 0 || p.MaxWaiting > 0), at+"queue_wait", "must be 0 or more, and 0 where nothing waits")
-		c.require(p.Attempts >= 0 && p.Attempts <= 20, at+"attempts", "must be within 0 and 20")
+		c.require(p.MaxAttempts >= 0 && p.MaxAttempts <= 20, at+"attempts", "must be within 0 and 20")
 	}
 	listeners := map[string]bool{PlatformListener: true}
 	c.require(len(f.Listeners) <= maxListeners, "listeners", "%d at most", maxListeners)
--- a/internal/features/zones_test.go
+++ b/internal/features/zones_test.go
@@ -13,7 +13,7 @@
 		t.Fatalf("Parse of an empty file = %v, %+v, want zones and duty disabled", err, f)
 	}
 	const duty = "[duty]\nenabled = true\nkey = \"hush\"\n"
-	if f, err = Parse("f.toml", []byte(duty+"[zones]\nenabled = true\n[zones.regions]\nwest = [\"a\", \"b\"]\n")); err != nil || !f.Zones.Enabled || len(f.Zones.Regions["west"]) != 2 {
+	if f, err = Parse("f.toml", []byte(duty+"[zones]\nenabled = true\n[zones.regions]\nwest = [\"a\", \"b\"]\n")); err != nil || !f.Zones.Enabled || len(f.Zones.ZonesByRegion["west"]) != 2 {
 		t.Errorf("Parse of a valid section = %v, %+v", err, f)
 	}
 	for text, want := range map[string]string{
--- a/internal/haproxy/translate/rules.go
+++ b/internal/haproxy/translate/rules.go
@@ -203,7 +203,7 @@
 			if len(options) != 1 || len(options[0].Headers) != 1 || len(options[0].Hosts)+len(options[0].Paths)+len(options[0].Regexps)+len(options[0].Methods)+len(options[0].Sources) > 0 {
 				return nil, fmt.Errorf("!%s: only a field can be asked not to be there", w)
 			}
-			options[0].Headers[0].Not = !options[0].Headers[0].Not
+			options[0].Headers[0].Negate = !options[0].Headers[0].Negate
 		}
 		var next []features.Route
 		for _, a := range now {
--- a/internal/haproxy/translate/translate.go
+++ b/internal/haproxy/translate/translate.go
@@ -419,7 +419,7 @@
 			p.unbounded = p.unbounded || active == 0
 		}
 		if checked {
-			p.check.Every = duration.Duration(p.inter)
+			p.check.Interval = duration.Duration(p.inter)
 		}
 	}
 	if why == "" {
@@ -596,13 +596,13 @@
 		if p == nil || s.Kind == "frontend" || t.backend[s.Name] != p || p.mode != "http" || len(p.servers) == 0 || s.Head.Holds != haproxy.True {
 			continue
 		}
-		pool := features.Pool{Name: s.Name, Servers: p.servers, Attempts: p.retries + 1, SlowStart: duration.Duration(p.slow)}
+		pool := features.Pool{Name: s.Name, Servers: p.servers, MaxAttempts: p.retries + 1, SlowStart: duration.Duration(p.slow)}
 		if !p.unbounded && p.active > 0 && p.active <= queueMost {
 			pool.MaxActive, pool.MaxHeld = p.active, max(p.active, 256)
 			pool.MaxWaiting = cmp.Or(min(p.waiting, queueMost), 1024) // there without a bound
 			pool.QueueWait = duration.Duration(cmp.Or(p.queueWait, p.connectWait, time.Minute))
 		}
-		if p.check.Every > 0 && !p.badCheck {
+		if p.check.Interval > 0 && !p.badCheck {
 			pool.Checks = p.check
 			if !p.checked {
 				pool.Checks.Path = ""
--- a/internal/radius/proxy/bench_test.go
+++ b/internal/radius/proxy/bench_test.go
@@ -77,7 +77,7 @@
 // datagrams and through the proxy. Terminals and stand-in are in the process and in its
 // CPU; what a way costs is what it has over the straight one.
 func BenchmarkPackets(b *testing.B) {
-	r := start(b, 1, func(s *features.Radius) { s.RememberFor = ms(1000) })
+	r := start(b, 1, func(s *features.Radius) { s.RememberTTL = ms(1000) })
 	for _, way := range []struct{ name, to, secret string }{
 		{"straight", r.servers[0].Addr(), ofServer + "r1"},
 		{"relay", newPlain(b, r.servers[0].Addr()).front.LocalAddr().String(), ofServer + "r1"},
--- a/internal/radius/proxy/health_test.go
+++ b/internal/radius/proxy/health_test.go
@@ -36,7 +36,7 @@
 	r := start(t, 2, nil)
 	r.p.Close()
 	sec := r.p.cfg.Radius
-	sec.ProbeEvery, sec.ProbeMisses = duration.Duration(100*time.Millisecond), 1
+	sec.ProbeInterval, sec.MaxProbeMisses = duration.Duration(100*time.Millisecond), 1
 	platform := base()
 	platform.ColdFrom, platform.ColdFor, platform.OverloadFactor, platform.OverloadFor = 0.01, 10*time.Minute, 1.5, time.Second
 	p, err := New(Config{Radius: sec, Base: platform, Grace: time.Second, Seed: 1})
--- a/internal/radius/proxy/hostile_test.go
+++ b/internal/radius/proxy/hostile_test.go
@@ -19,7 +19,7 @@
 // signed reaches a server, and the memory stays within its bounds.
 func TestHostile(t *testing.T) {
 	r := start(t, 2, func(s *features.Radius) {
-		s.RememberBytes, s.RememberBytesEach, s.CallsEach = 1<<20, 1<<18, 50
+		s.MaxRememberBytes, s.MaxRememberBytesPerClient, s.MaxCallsPerClient = 1<<20, 1<<18, 50
 	})
 	const seed = 11
 	rng := rand.New(rand.NewPCG(seed, 1))
--- a/internal/radius/proxy/many_test.go
+++ b/internal/radius/proxy/many_test.go
@@ -26,10 +26,10 @@
 			)
 			ledger := standin.NewRadiusLedger()
 			sec := section()
-			sec.Attempts, sec.CallsEach = cap, 1000
-			sec.Access.Patience, sec.Access.Deadline, sec.Access.Resend, sec.Access.Resends = ms(200), ms(3000), ms(40), 2
-			sec.Accounting.Resend, sec.Accounting.Resends, sec.Accounting.Patience, sec.Accounting.Deadline = ms(40), 10, ms(2500), ms(3000)
-			sec.RememberFor, sec.RememberBytes, sec.RememberBytesEach = ms(60000), 64<<20, 64<<20
+			sec.MaxAttempts, sec.MaxCallsPerClient = cap, 1000
+			sec.Access.AttemptTimeout, sec.Access.Deadline, sec.Access.ResendDelay, sec.Access.MaxResends = ms(200), ms(3000), ms(40), 2
+			sec.Accounting.ResendDelay, sec.Accounting.MaxResends, sec.Accounting.AttemptTimeout, sec.Accounting.Deadline = ms(40), 10, ms(2500), ms(3000)
+			sec.RememberTTL, sec.MaxRememberBytes, sec.MaxRememberBytesPerClient = ms(60000), 64<<20, 64<<20
 			var servers []*standin.RadiusServer
 			for n := range 4 {
 				name := fmt.Sprint("r", n+1)
@@ -153,7 +153,7 @@
 	}
 	for b.Loop() {
 		r := start(b, 1, func(s *features.Radius) {
-			s.RememberBytes, s.RememberBytesEach, s.RememberFor = 64<<20, 64<<20, ms(600000)
+			s.MaxRememberBytes, s.MaxRememberBytesPerClient, s.RememberTTL = 64<<20, 64<<20, ms(600000)
 		})
 		c := r.client(false)
 		before := heap()
--- a/internal/radius/proxy/memory_test.go
+++ b/internal/radius/proxy/memory_test.go
@@ -38,7 +38,7 @@
 	r.servers = append(r.servers, s)
 	sec := section()
 	sec.RememberFile = file
-	sec.Accounting.Patience, sec.Accounting.Deadline, sec.Accounting.Aim, sec.Accounting.Resends = ms(900), ms(1000), ms(500), 0
+	sec.Accounting.AttemptTimeout, sec.Accounting.Deadline, sec.Accounting.Aim, sec.Accounting.MaxResends = ms(900), ms(1000), ms(500), 0
 	sec.Servers = []features.RadiusServer{{Name: "r1", Auth: s.Addr(), Acct: s.Addr(), Secret: ofServer + "r1"}}
 	if r.p, err = New(Config{Radius: sec, Base: base(), Grace: 2 * time.Second, Seed: 1}); err != nil {
 		t.Fatal(err)
--- a/internal/radius/proxy/proxy.go
+++ b/internal/radius/proxy/proxy.go
@@ -94,7 +94,7 @@
 		if s.watcher != nil {
 			p.wg.Go(s.watcher.Run)
 		}
-		if r.ProbeEvery > 0 {
+		if r.ProbeInterval > 0 {
 			for _, pl := range s.pools {
 				p.wg.Go(func() { p.probe(s, pl) })
 			}
@@ -157,7 +157,7 @@
 			}
 			prefix = netip.PrefixFrom(a, a.BitLen())
 		}
-		clients = append(clients, listener.Client{Name: cmp.Or(k.Name, k.Range), Range: prefix, Secret: []byte(k.Secret), Unsigned: k.Unsigned})
+		clients = append(clients, listener.Client{Name: cmp.Or(k.Name, k.Range), Range: prefix, Secret: []byte(k.Secret), Unsigned: k.AllowUnsigned})
 	}
 	var conn listener.Conn
 	if p.cfg.Listen != nil {
@@ -171,13 +171,13 @@
 		Pool:          s.pool,
 		Class:         name,
 		Wait:          time.Duration(class.Deadline),
-		Replies:       replies.Config{Keep: time.Duration(r.RememberFor), Bytes: r.RememberBytes, EachClient: r.RememberBytesEach, Open: r.CallsEach},
-		Conversations: conversation.Config{Keep: time.Duration(r.ConversationFor), Most: r.Conversations},
+		Replies:       replies.Config{Keep: time.Duration(r.RememberTTL), Bytes: r.MaxRememberBytes, EachClient: r.MaxRememberBytesPerClient, Open: r.MaxCallsPerClient},
+		Conversations: conversation.Config{Keep: time.Duration(r.ConversationTTL), Most: r.MaxConversations},
 		Silent:        r.OnGiveUp == "silent",
 		ErrorCause:    uint32(r.ErrorCause),
 	})
 	if err == nil && accounting && r.RememberFile != "" {
-		recall(s.listener, r.RememberFile, r.RememberBytes)
+		recall(s.listener, r.RememberFile, r.MaxRememberBytes)
 	}
 	return err
 }
@@ -202,19 +202,19 @@
 	}
 	cfg.Classes = []chalkrack.Class{{Aim: time.Duration(class.Aim), Worth: class.Worth, LateWorth: 1, Effect: effect}}
 	cfg.Tenants, cfg.Probes, cfg.AskWithin = nil, false, 0
-	cfg.MaxAttempts, cfg.MayCancel, cfg.SecondCopies = p.cfg.Radius.Attempts, true, false
+	cfg.MaxAttempts, cfg.MayCancel, cfg.SecondCopies = p.cfg.Radius.MaxAttempts, true, false
 	set, err := settings.New(cfg, []string{name}, []time.Duration{time.Duration(class.Deadline)})
 	if err != nil {
 		return nil, err
 	}
 	how := transport.Config{
 		Secret:   secret,
-		Sockets:  p.cfg.Radius.Sockets,
-		Rest:     time.Duration(p.cfg.Radius.Rest),
-		Patience: time.Duration(class.Patience),
-		Resend:   time.Duration(class.Resend),
-		Resends:  class.Resends,
-		Unsigned: p.cfg.Radius.UnsignedAnswers,
+		Sockets:  p.cfg.Radius.MaxSocketsPerServer,
+		Rest:     time.Duration(p.cfg.Radius.LateAnswerTTL),
+		Patience: time.Duration(class.AttemptTimeout),
+		Resend:   time.Duration(class.ResendDelay),
+		Resends:  class.MaxResends,
+		Unsigned: p.cfg.Radius.AllowUnsignedAnswers,
 		Grace:    p.cfg.Grace,
 		Dial:     p.cfg.Dial,
 	}
@@ -225,7 +225,7 @@
 		return nil, err
 	}
 	host.SetReady(true)
-	return &pool{host: host, transport: t, probes: transport.New(how), health: newHealth(p.cfg.Radius.ProbeMisses)}, nil
+	return &pool{host: host, transport: t, probes: transport.New(how), health: newHealth(p.cfg.Radius.MaxProbeMisses)}, nil
 }
 
 // list tells the core of a fixed list, with what probes have found.
@@ -255,7 +255,7 @@
 	}
 	start := time.Now()
 	unix := time.Duration(start.UnixNano())
-	tick := time.NewTicker(time.Duration(p.cfg.Radius.ProbeEvery) / time.Duration(len(pl.servers)))
+	tick := time.NewTicker(time.Duration(p.cfg.Radius.ProbeInterval) / time.Duration(len(pl.servers)))
 	defer tick.Stop()
 	for n := 0; ; n++ {
 		select {
--- a/internal/radius/proxy/proxy_test.go
+++ b/internal/radius/proxy/proxy_test.go
@@ -39,8 +39,8 @@
 	r := features.Default().Radius
 	r.Enabled, r.Auth, r.Acct = true, "127.0.0.1:0", "127.0.0.1:0"
 	r.Clients = []features.RadiusClient{{Name: "terminals", Range: "127.0.0.0/8", Secret: terminals}}
-	r.Access.Aim, r.Access.Deadline, r.Access.Patience = ms(5000), ms(10000), ms(600)
-	r.Accounting.Aim, r.Accounting.Deadline, r.Accounting.Patience, r.Accounting.Resend = ms(5000), ms(10000), ms(9000), ms(100)
+	r.Access.Aim, r.Access.Deadline, r.Access.AttemptTimeout = ms(5000), ms(10000), ms(600)
+	r.Accounting.Aim, r.Accounting.Deadline, r.Accounting.AttemptTimeout, r.Accounting.ResendDelay = ms(5000), ms(10000), ms(9000), ms(100)
 	return r
 }
 
@@ -192,7 +192,7 @@
 // What joins a call is answered where it came from last, and as the packet that it was:
 // from another port, and, for an event, under another identifier.
 func TestJoinedAnswer(t *testing.T) {
-	r := start(t, 1, func(s *features.Radius) { s.Access.Patience, s.Accounting.Resends = ms(5000), 0 })
+	r := start(t, 1, func(s *features.Radius) { s.Access.AttemptTimeout, s.Accounting.MaxResends = ms(5000), 0 })
 	hold := make(chan struct{})
 	t.Cleanup(func() { close(hold) }) // before the servers end
 	r.all(func(standin.RadiusSeen) standin.RadiusAct {
@@ -228,7 +228,7 @@
 // Events that were given up go on, when they come again, at the servers that had them.
 func TestRetryAtItsServer(t *testing.T) {
 	r := start(t, 8, func(s *features.Radius) {
-		s.Accounting.Aim, s.Accounting.Deadline, s.Accounting.Patience, s.Accounting.Resends = ms(100), ms(600), ms(500), 0
+		s.Accounting.Aim, s.Accounting.Deadline, s.Accounting.AttemptTimeout, s.Accounting.MaxResends = ms(100), ms(600), ms(500), 0
 	})
 	for _, s := range r.servers {
 		s.Freeze(true)
@@ -259,7 +259,7 @@
 // A further attempt is in flight when the terminal asks again: one answer, no third
 // call, and not more attempts than the cap.
 func TestRetransmissionDuringRetry(t *testing.T) {
-	r := start(t, 4, func(s *features.Radius) { s.Access.Patience = ms(400) })
+	r := start(t, 4, func(s *features.Radius) { s.Access.AttemptTimeout = ms(400) })
 	r.all(func(s standin.RadiusSeen) standin.RadiusAct {
 		if s.Nth < 3 {
 			return standin.RadiusAct{Kind: standin.RadiusSilent}
@@ -283,7 +283,7 @@
 // when its server says nothing. Interim updates are events of their own.
 func TestAccountingOnce(t *testing.T) {
 	r := start(t, 3, func(s *features.Radius) {
-		s.Accounting.Deadline, s.Accounting.Patience, s.Accounting.Resend, s.Accounting.Resends = ms(1500), ms(1400), ms(40), 3
+		s.Accounting.Deadline, s.Accounting.AttemptTimeout, s.Accounting.ResendDelay, s.Accounting.MaxResends = ms(1500), ms(1400), ms(40), 3
 	})
 	a := event("s1", 1)
 	a.Tries, a.Each, a.NewID = 100, 20*time.Millisecond, true
@@ -398,7 +398,7 @@
 			t.Parallel()
 			// One of two servers is so; calls are made until it was chosen first.
 			r := start(t, 2, func(s *features.Radius) {
-				s.Accounting.Deadline, s.Accounting.Patience, s.Accounting.Resends = ms(600), ms(500), 2
+				s.Accounting.Deadline, s.Accounting.AttemptTimeout, s.Accounting.MaxResends = ms(600), ms(500), 2
 			})
 			c.do(r.servers[0])
 			for n := range 50 {
@@ -436,7 +436,7 @@
 		standin.RadiusUnsigned: lr.CodeAccessReject, standin.RadiusElsewhere: lr.CodeAccessReject,
 	} {
 		// The stand-in answers a resend from its own address.
-		r := start(t, 2, func(s *features.Radius) { s.Access.Resends = 0 })
+		r := start(t, 2, func(s *features.Radius) { s.Access.MaxResends = 0 })
 		r.all(always(kind))
 		if reply := r.client(false).Do(access("u")); reply.Code != want {
 			t.Errorf("%d: %+v", kind, reply)
@@ -445,7 +445,7 @@
 			t.Errorf("%d: nothing dropped: %+v", kind, tr)
 		}
 	}
-	r := start(t, 2, func(s *features.Radius) { s.UnsignedAnswers = true })
+	r := start(t, 2, func(s *features.Radius) { s.AllowUnsignedAnswers = true })
 	r.all(always(standin.RadiusUnsigned))
 	if reply := r.client(false).Do(access("u")); reply.Code != lr.CodeAccessAccept {
 		t.Errorf("unsigned, where that is let through: %+v", reply)
@@ -454,7 +454,7 @@
 
 // A late answer to an attempt that was given up finds nothing under its identifier.
 func TestLateAnswer(t *testing.T) {
-	r := start(t, 2, func(s *features.Radius) { s.Access.Patience = ms(50) })
+	r := start(t, 2, func(s *features.Radius) { s.Access.AttemptTimeout = ms(50) })
 	r.all(func(s standin.RadiusSeen) standin.RadiusAct {
 		if s.Nth == 1 {
 			return standin.RadiusAct{Delay: 200 * time.Millisecond}
@@ -474,7 +474,7 @@
 	r := start(t, 2, func(s *features.Radius) {
 		s.Clients = []features.RadiusClient{
 			{Name: "all", Range: "127.0.0.0/16", Secret: terminals}, {Name: "one", Range: "127.0.0.9", Secret: "another"},
-			{Name: "old", Range: "127.0.0.8", Secret: terminals, Unsigned: true},
+			{Name: "old", Range: "127.0.0.8", Secret: terminals, AllowUnsigned: true},
 		}
 	})
 	addr := r.p.Addr(false).String()
@@ -548,7 +548,7 @@
 
 // A flood from one client, of calls that end late, leaves others theirs.
 func TestFlood(t *testing.T) {
-	r := start(t, 2, func(s *features.Radius) { s.CallsEach = 20 })
+	r := start(t, 2, func(s *features.Radius) { s.MaxCallsPerClient = 20 })
 	r.all(func(s standin.RadiusSeen) standin.RadiusAct {
 		if strings.HasPrefix(s.Name, "flood") {
 			return standin.RadiusAct{Kind: standin.RadiusSilent}
@@ -572,7 +572,7 @@
 // Nothing new goes to a server that the probes take for gone; one that comes back is
 // used again.
 func TestProbes(t *testing.T) {
-	r := start(t, 2, func(s *features.Radius) { s.ProbeEvery, s.ProbeMisses = ms(100), 2 })
+	r := start(t, 2, func(s *features.Radius) { s.ProbeInterval, s.MaxProbeMisses = ms(100), 2 })
 	settle(t, "no probes", func() bool { _, _, n := r.servers[0].Bad(); return n > 2 })
 	r.servers[0].Kill()
 	down := func() bool {
@@ -630,8 +630,8 @@
 // limit, and what is beyond is answered at once too.
 func TestManySockets(t *testing.T) {
 	r := start(t, 1, func(s *features.Radius) {
-		s.Sockets, s.CallsEach, s.Attempts = 2, 1000, 1
-		s.Access.Patience, s.Access.Deadline = ms(3000), ms(3500)
+		s.MaxSocketsPerServer, s.MaxCallsPerClient, s.MaxAttempts = 2, 1000, 1
+		s.Access.AttemptTimeout, s.Access.Deadline = ms(3000), ms(3500)
 	})
 	r.all(func(standin.RadiusSeen) standin.RadiusAct { return standin.RadiusAct{Delay: 1200 * time.Millisecond} })
 	var wg sync.WaitGroup
--- a/internal/radius/proxy/virtual_test.go
+++ b/internal/radius/proxy/virtual_test.go
@@ -278,10 +278,10 @@
 		var mu sync.Mutex
 		var servers []*virtualServer
 		sec := section()
-		sec.Attempts, sec.CallsEach = most, 1000
+		sec.MaxAttempts, sec.MaxCallsPerClient = most, 1000
 		sec.Clients[0].Range = "127.1.0.0/16"
-		sec.Access.Patience, sec.Access.Deadline, sec.Access.Resend, sec.Access.Resends = ms(200), ms(3000), ms(40), 2
-		sec.Accounting.Resend, sec.Accounting.Resends, sec.Accounting.Patience, sec.Accounting.Deadline = ms(40), 10, ms(2500), ms(3000)
+		sec.Access.AttemptTimeout, sec.Access.Deadline, sec.Access.ResendDelay, sec.Access.MaxResends = ms(200), ms(3000), ms(40), 2
+		sec.Accounting.ResendDelay, sec.Accounting.MaxResends, sec.Accounting.AttemptTimeout, sec.Accounting.Deadline = ms(40), 10, ms(2500), ms(3000)
 		for n := range 4 {
 			s := &virtualServer{name: fmt.Sprint("r", n+1), mu: &mu, ledger: ledger, answers: make(map[string][]byte)}
 			s.end = a.open(netip.AddrPort{}, s.take)
--- a/internal/rig/rig.go
+++ b/internal/rig/rig.go
@@ -297,9 +297,9 @@
 		os.RemoveAll(d.dir)
 		return nil, err
 	}
-	c.Disk = disk
-	c.Managed = func(a net.Addr) { d.Management = a.String() } // before it is ready
-	if c, err = config.Recall(c); err != nil {
+	c.BodyFS = disk
+	c.OnManagementListen = func(a net.Addr) { d.Management = a.String() } // before it is ready
+	if c, err = config.RestoreHistory(c); err != nil {
 		os.RemoveAll(d.dir)
 		return nil, err
 	}
--- a/internal/rooms/changes/admin.go
+++ b/internal/rooms/changes/admin.go
@@ -66,14 +66,14 @@
 	if err := d.Decode(&p); err != nil {
 		return nil, fmt.Errorf("the proposal: %w", err)
 	}
-	platform, own := g.current.Platform, g.current.Own
+	platform, own := g.current.PlatformData, g.current.FeaturesData
 	if len(p.Platform) > 0 {
 		platform = p.Platform
 	}
 	if p.Features != nil {
 		own = []byte(*p.Features)
 	}
-	next, err := config.Parse(platform, own, "features", config.FileFirst(g.current.Getenv))
+	next, err := config.Parse(platform, own, "features", config.PreferFile(g.current.Getenv))
 	if err != nil {
 		return nil, err
 	}
@@ -91,7 +91,7 @@
 		g.finishTrial(false, why)
 		return g.status(), nil
 	}
-	good := g.current.Store.State().Good
+	good := g.current.History.State().Good
 	next, err := g.loadConfig(good)
 	if err != nil {
 		return nil, err
@@ -110,7 +110,7 @@
 	if err := g.switchToTrial(next, good, ln); err != nil {
 		return nil, err
 	}
-	g.current.Trial = false
+	g.current.OnTrial = false
 	g.saveResult(trialResult{why: why})
 	g.switchFromTrial(true)
 	g.runPendingReload()
@@ -119,20 +119,20 @@
 
 // loadConfig returns a configuration from the store.
 func (g *Manager) loadConfig(id history.ID) (*config.Config, error) {
-	d, err := g.current.Store.Documents(id)
+	d, err := g.current.History.Documents(id)
 	if err != nil {
 		return nil, err
 	}
-	return g.current.Revive(d)
+	return g.current.ParseStored(d)
 }
 
 // rollback undoes the change on trial at once. If there is no trial, it proposes the
 // configuration that was kept before the current one, under the same rules as any other.
 func (g *Manager) rollback([]byte) (any, error) {
-	if g.trial != nil || g.current.Trial {
+	if g.trial != nil || g.current.OnTrial {
 		return g.endTrialNow("by the operators")
 	}
-	id := g.current.Store.State().Before
+	id := g.current.History.State().Before
 	if id == 0 {
 		return nil, errors.New("there is no configuration before this one")
 	}
@@ -145,13 +145,13 @@
 
 // status returns the current Status.
 func (g *Manager) status() *Status {
-	st := g.current.Store.State()
-	s := &Status{Running: st.Good, Trial: st.Baking, Alone: g.current.Trial, Bake: time.Duration(g.current.Features.Config.Bake).Seconds(),
-		Pending: g.reloadPending, Lasting: g.current.Lasting, Problem: g.storeError, Events: st.Events}
+	st := g.current.History.State()
+	s := &Status{Running: st.Good, Trial: st.Baking, Alone: g.current.OnTrial, Bake: time.Duration(g.current.Features.Config.TrialDuration).Seconds(),
+		Pending: g.reloadPending, Lasting: g.current.IsPersistent, Problem: g.storeError, Events: st.Events}
 	if g.trial != nil {
 		r, _, since, _ := g.host.TrialRuling()
 		s.Since, s.Calls, s.Needed = since.Seconds(), r.Calls, r.Needed
-	} else if g.current.Trial {
+	} else if g.current.OnTrial {
 		s.Since = time.Since(g.startTime).Seconds()
 	}
 	for _, t := range g.switchTimes {
--- a/internal/rooms/changes/changes.go
+++ b/internal/rooms/changes/changes.go
@@ -112,7 +112,7 @@
 }
 
 // Enabled reports whether the configuration can be changed while the process runs.
-func (g *Manager) Enabled() bool { return g.current.Store != nil }
+func (g *Manager) Enabled() bool { return g.current.History != nil }
 
 // usage returns the resources in use now.
 func (g *Manager) usage() change.Usage {
@@ -190,7 +190,7 @@
 	if err != nil {
 		return 0, err
 	}
-	if id, err = g.current.Store.Apply(next.Documents(), sum, why); err != nil {
+	if id, err = g.current.History.Apply(next.Documents(), sum, why); err != nil {
 		closeListener(ln)
 		return 0, err
 	}
@@ -199,7 +199,7 @@
 		return 0, err
 	}
 	f := &g.current.Features.Config
-	slog.Info("configuration on trial", "id", id, "why", why, "share", f.Share, "for", time.Duration(f.Bake))
+	slog.Info("configuration on trial", "id", id, "why", why, "share", f.TrialShare, "for", time.Duration(f.TrialDuration))
 	return id, nil
 }
 
@@ -229,7 +229,7 @@
 	g.trialCount++
 	began := time.Now()
 	err := g.host.StartTrial(next.Generation(id), bake.Config{
-		Share: f.Share, FalseUndo: f.FalseUndo, Notice: f.Notice, Bake: time.Duration(f.Bake), ThinUndo: f.Thin == "undo",
+		Share: f.TrialShare, FalseUndo: f.FalseUndoProbability, Notice: f.DetectableShare, Bake: time.Duration(f.TrialDuration), ThinUndo: f.OnFewCalls == "undo",
 	}, g.current.Seed^g.trialCount)
 	if err != nil {
 		closeListener(ln)
@@ -277,9 +277,9 @@
 // process and Watch retries the write. Until it succeeds no other change is put on trial,
 // and a start of the process finds the trial still on.
 func (g *Manager) saveResult(v trialResult) {
-	write := g.current.Store.Undo
+	write := g.current.History.Undo
 	if v.keep {
-		write = g.current.Store.Keep
+		write = g.current.History.Keep
 	}
 	err := write(v.why)
 	if g.unsaved, g.lastSaveAttempt = nil, time.Now(); err != nil {
@@ -310,8 +310,8 @@
 			why = fmt.Sprintf("more calls %v than under the one before, most of class %s, after %d calls", r.Kind, class, r.Calls)
 		}
 		g.finishTrial(r.Verdict == bake.Keep, why)
-	case g.current.Trial && time.Since(g.startTime) >= time.Duration(g.current.Features.Config.Bake):
-		g.current.Trial = false
+	case g.current.OnTrial && time.Since(g.startTime) >= time.Duration(g.current.Features.Config.TrialDuration):
+		g.current.OnTrial = false
 		g.saveResult(trialResult{true, "served since a start, with nothing beside it"})
 		g.runPendingReload()
 	}
@@ -347,7 +347,7 @@
 	winner, old := g.current, g.trialListener
 	if keep {
 		winner = g.trial
-		winner.Store, winner.Lasting, winner.Discovery = g.current.Store, g.current.Lasting, g.current.Discovery
+		winner.History, winner.IsPersistent, winner.Discovery = g.current.History, g.current.IsPersistent, g.current.Discovery
 		if old = nil; g.trialListener != nil {
 			old, g.listener = g.listener, g.trialListener
 		}
--- a/internal/rooms/changes/changes_test.go
+++ b/internal/rooms/changes/changes_test.go
@@ -23,7 +23,7 @@
 // clients.
 func newTestChanges(t *testing.T, c *config.Config) *Manager {
 	t.Helper()
-	c, err := config.Recall(c)
+	c, err := config.RestoreHistory(c)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -38,18 +38,18 @@
 		t.Fatal(err)
 	}
 	g := New(Config{Running: c, Host: host, Pool: pool, Front: front.New(front.Config{MaxConns: 10}, host), Discovery: new(discovery.Watcher), Listener: ln})
-	t.Cleanup(func() { g.Close(); host.Close(); pool.Close(); c.Store.Close() })
+	t.Cleanup(func() { g.Close(); host.Close(); pool.Close(); c.History.Close() })
 	return g
 }
 
 // withReplacement returns the current configuration with a part of its text replaced.
 func (g *Manager) withReplacement(t *testing.T, old, new string) *config.Config {
 	t.Helper()
-	text := strings.Replace(string(g.current.Platform), old, new, 1)
-	if text == string(g.current.Platform) {
+	text := strings.Replace(string(g.current.PlatformData), old, new, 1)
+	if text == string(g.current.PlatformData) {
 		t.Fatalf("the configuration does not contain %s", old)
 	}
-	next, err := config.Parse([]byte(text), g.current.Own, "features", g.current.Getenv)
+	next, err := config.Parse([]byte(text), g.current.FeaturesData, "features", g.current.Getenv)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -99,32 +99,32 @@
 	folder := t.TempDir()
 	own := "[config]\nenabled = true\nfolder = \"" + folder + "\"\n"
 	p.Write(t, 5, own)
-	first, err := config.Recall(p.Load(t))
+	first, err := config.RestoreHistory(p.Load(t))
 	if err != nil {
 		t.Fatal(err)
 	}
-	first.Store.Close()
+	first.History.Close()
 	p.Write(t, 4, strings.Replace(own, "enabled", "bake = \"1h\"\nenabled", 1))
 	g := newTestChanges(t, p.Load(t))
-	if !g.current.Trial {
+	if !g.current.OnTrial {
 		t.Fatal("the configuration from the files is not on trial after the start")
 	}
 	if _, err := g.rollback(nil); !errors.Is(err, errNeedsRestart) {
 		t.Errorf("%v", err)
 	}
-	if st := g.current.Store.State(); st.Baking == 0 || !g.current.Trial || g.trial != nil {
+	if st := g.current.History.State(); st.Baking == 0 || !g.current.OnTrial || g.trial != nil {
 		t.Errorf("a refused rollback changed the trial: %+v", st)
 	}
 	g.Close()
-	g.current.Store.Close()
+	g.current.History.Close()
 
 	p.Write(t, 3, own)
 	g = newTestChanges(t, p.Load(t))
 	if _, err := g.rollback(nil); err != nil {
 		t.Fatal(err)
 	}
-	st := g.current.Store.State()
-	if st.Baking != 0 || g.current.Trial || g.current.Settings.Config.MaxAttempts != 5 || g.host.Generations().Current.ID != int(st.Good) || g.host.Generations().Next != nil {
+	st := g.current.History.State()
+	if st.Baking != 0 || g.current.OnTrial || g.current.Settings.Config.MaxAttempts != 5 || g.host.Generations().Current.ID != int(st.Good) || g.host.Generations().Next != nil {
 		t.Errorf("%+v, %d attempts", st, g.current.Settings.Config.MaxAttempts)
 	}
 }
@@ -149,8 +149,8 @@
 	} {
 		p.Write(t, 5, c.own)
 		running := p.Load(t)
-		text := bytes.Replace(running.Platform, []byte(c.old), []byte(c.new), 1)
-		next, err := config.Parse(text, running.Own, "features", p.Getenv)
+		text := bytes.Replace(running.PlatformData, []byte(c.old), []byte(c.new), 1)
+		next, err := config.Parse(text, running.FeaturesData, "features", p.Getenv)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/rooms/changes/files.go
+++ b/internal/rooms/changes/files.go
@@ -17,10 +17,10 @@
 	read := config.ReadFiles
 	if g.Enabled() {
 		read = func(getenv func(string) string) ([]byte, []byte, string, error) {
-			return config.ReadTwice(getenv, func() { time.Sleep(config.SettleWait) })
+			return config.ReadStable(getenv, func() { time.Sleep(config.SettleDelay) })
 		}
 	}
-	getenv := config.FileFirst(g.current.Getenv)
+	getenv := config.PreferFile(g.current.Getenv)
 	platform, own, name, err := read(getenv)
 	var next *config.Config
 	if err == nil {
@@ -51,14 +51,14 @@
 	if err != nil {
 		return err
 	}
-	switch st := g.current.Store.State(); st.Read(sum) {
+	switch st := g.current.History.State(); st.Read(sum) {
 	case history.FilesKnown:
 		return nil
 	case history.FilesRejected:
 		slog.Warn("the files hold a configuration that was undone: only 'fawnctl config apply' can apply it again")
 		return nil
 	case history.FilesRevert:
-		g.setStoreError(g.current.Store.SetSeen(sum))
+		g.setStoreError(g.current.History.SetSeen(sum))
 		_, err := g.endTrialNow("the files hold the one before again")
 		return err
 	case history.FilesWaiting:
@@ -68,7 +68,7 @@
 	// A refused configuration still counts as new: a start accepts it, and the reason for
 	// the refusal may be gone by the next SIGHUP.
 	if _, err = g.propose(next, "SIGHUP", false); err == nil {
-		g.setStoreError(g.current.Store.SetSeen(sum))
+		g.setStoreError(g.current.History.SetSeen(sum))
 	}
 	return err
 }
--- a/internal/rooms/pools/pools.go
+++ b/internal/rooms/pools/pools.go
@@ -59,12 +59,12 @@
 	s := *platform
 	s.MaxHeld = p.MaxHeld
 	s.Config.AskWithin = 0 // a pool's discovery pushes changes and is not asked
-	if p.Attempts > 0 {
-		s.Config.MaxAttempts = p.Attempts
+	if p.MaxAttempts > 0 {
+		s.Config.MaxAttempts = p.MaxAttempts
 	}
 	if p.Discovery == "" {
 		// For a fixed list, only checks detect that a server has started.
-		s.Config.ColdFor, s.Config.ColdFrom = time.Duration(p.SlowStart), p.Cold
+		s.Config.ColdFor, s.Config.ColdFrom = time.Duration(p.SlowStart), p.ColdShare
 		if s.Config.OverloadFactor == 0 {
 			s.Config.OverloadFactor, s.Config.OverloadFor = 2, time.Second
 		}
@@ -118,16 +118,16 @@
 	for _, m := range p.Servers {
 		members = append(members, pool.Member{Name: m.Name, Address: m.Address, Zone: m.Zone, Weight: m.Weight, Backup: m.Backup})
 	}
-	s.members, err = pool.New(members, pool.Checks{Interval: time.Duration(p.Checks.Every), Rise: p.Checks.Rise, Fall: p.Checks.Fall})
+	s.members, err = pool.New(members, pool.Checks{Interval: time.Duration(p.Checks.Interval), Rise: p.Checks.Rise, Fall: p.Checks.Fall})
 	if err != nil {
 		s.close()
 		return nil, fmt.Errorf("pool %q: %w", p.Name, err)
 	}
 	s.host.Listed(s.members.List())
-	if p.Checks.Every > 0 {
+	if p.Checks.Interval > 0 {
 		for n, m := range members {
 			// Spreads the first checks over the interval so that they don't come in a burst.
-			first := time.Duration(p.Checks.Every) * time.Duration(n) / time.Duration(len(members))
+			first := time.Duration(p.Checks.Interval) * time.Duration(n) / time.Duration(len(members))
 			s.wg.Go(func() { s.runChecks(ctx, m, first) })
 		}
 	}
@@ -145,7 +145,7 @@
 			return
 		case <-t.C:
 		}
-		t.Reset(time.Duration(s.checks.Every))
+		t.Reset(time.Duration(s.checks.Interval))
 		err := checkOnce(ctx, m.Address, s.checks.Path, time.Duration(s.checks.Timeout))
 		if ctx.Err() != nil {
 			return
@@ -257,7 +257,7 @@
 	for _, e := range f.Routes {
 		m := route.Match{Listeners: e.Listeners, Hosts: e.Hosts, Paths: e.Paths, Prefixes: e.Prefixes, Regexps: e.Regexps, Methods: e.Methods}
 		for _, h := range e.Headers {
-			m.Headers = append(m.Headers, route.Header{Name: http.CanonicalHeaderKey(h.Name), Value: h.Value, Negated: h.Not})
+			m.Headers = append(m.Headers, route.Header{Name: http.CanonicalHeaderKey(h.Name), Value: h.Value, Negated: h.Negate})
 		}
 		for _, s := range e.Sources {
 			p, err := netip.ParsePrefix(s)
