--- a/balancer.go
+++ b/balancer.go
@@ -31,7 +31,7 @@
 	Refuse(id RequestID, retryAfter time.Duration)
 	// Fail ends a request that may have run; the client is not told that a retry is harmless.
 	Fail(id RequestID)
-	// SetTimer asks for a Timer event after a delay.
+	// SetTimer requests a call of Balancer.Timer after a delay.
 	SetTimer(cookie uint64, after time.Duration)
 	// CloseIdle closes the idle connections to a server.
 	CloseIdle(server string)
@@ -87,9 +87,9 @@
 	Probes         bool // servers report their load when probed, and only then
 	ProbeCost      float64
 
-	// AskWithin, where above 0, says that only subscribers get the server list
-	// and that a balancer that has not subscribed within this time counts as
-	// informed.
+	// AskWithin above 0 means that discovery sends the server list only to
+	// subscribers, and that a balancer that has not subscribed within this time
+	// counts as informed.
 	AskWithin time.Duration
 
 	ColdFrom       float64 // share of its capacity that a server has right after its start
@@ -271,7 +271,7 @@
 	return nil
 }
 
-// setTimer asks the host for a Timer event and returns its cookie.
+// setTimer requests a call of Timer from the host and returns its cookie.
 func (b *Balancer) setTimer(after time.Duration) uint64 {
 	b.lastCookie++
 	b.host.SetTimer(b.lastCookie, after)
@@ -431,7 +431,7 @@
 
 // sendAttempt sends the next attempt of req. It reports false if req may have no
 // more attempts, if no server is available, or if by the load reports the answer
-// would come too late to earn anything.
+// would come too late to be of any worth.
 func (b *Balancer) sendAttempt(req *request, now time.Duration, isCopy bool) bool {
 	anchor := req.anchor()
 	if !b.mayAttempt(req, anchor, now) {
@@ -499,7 +499,7 @@
 // earn them again.
 func (b *Balancer) ClearBudgets() { b.retryTokens, b.reissuer.tokens = 0, 0 }
 
-// AttemptDone records the outcome o of attempt n. over says that the request has ended.
+// AttemptDone records the outcome o of attempt n. over reports whether the request has ended.
 func (b *Balancer) AttemptDone(now time.Duration, id RequestID, n int, o Outcome, over bool, rep LoadReport) {
 	req := b.requests[id]
 	if req == nil || n < 0 || n >= len(req.attempts) || req.attempts[n].done {
--- a/internal/evacuation/config.go
+++ b/internal/evacuation/config.go
@@ -59,17 +59,18 @@
 	ServerCapacity float64
 	// Fanout is the number of peers that are notified at once of a change.
 	Fanout int
-	// MaxRefusalShare is the share of refusals in the other zones above which a zone is left only in part.
+	// MaxRefusalShare is the share of refusals in the other zones above which a zone is left
+	// only in part.
 	MaxRefusalShare float64
-	// HighWorthClasses marks the classes, by index, that are worth more than the mean. Only they leave a zone
-	// that is left in part.
+	// HighWorthClasses marks the classes, by index, that are worth more than the mean. Only
+	// they leave a zone that is left in part.
 	HighWorthClasses []bool
 	// RegionByZone maps a zone to its region. Once more than half of a region's zones are out, the vote
 	// of a single sidecar is enough to leave another of them.
 	RegionByZone map[string]string
-	// CapacityWithoutZone maps a zone to the share of the fleet's calls that the other zones can carry without
-	// it, as 'fawnctl plan' computes it for the loss of that zone. A zone without an entry counts
-	// as 1. Below 1, a zone that still serves some calls is left only in part.
+	// CapacityWithoutZone maps a zone to the share of the fleet's calls that the other zones
+	// can carry without it, as 'fawnctl plan' computes it for the loss of that zone. A zone
+	// without an entry counts as 1. Below 1, a zone that still serves some calls is left only in part.
 	CapacityWithoutZone map[string]float64
 }
 
--- a/internal/features/radius.go
+++ b/internal/features/radius.go
@@ -197,7 +197,8 @@
 	requireDuration(fieldName("remember_for"), r.RememberTTL, time.Second, 10*time.Minute)
 	requireInt(fieldName("remember_bytes"), r.MaxRememberBytes, 1<<16, 1<<30)
 	requireInt(fieldName("remember_bytes_each"), r.MaxRememberBytesPerClient, 1<<14, max(1<<14, r.MaxRememberBytes))
-	if r.Enabled && r.RememberFile != "" { // report a missing folder at startup; the file is only written at shutdown
+	// Report a missing folder at startup; the file is only written at shutdown.
+	if r.Enabled && r.RememberFile != "" {
 		info, err := os.Stat(filepath.Dir(r.RememberFile))
 		c.require(err == nil && info.IsDir(), fieldName("remember_file"), "its folder is not there")
 	}
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -111,8 +111,8 @@
 // Timeouts holds the fields of a Pool's Config that can change at run time.
 type Timeouts struct{ ConnIdleTimeout, DialTimeout, DrainGrace time.Duration }
 
-// SetTimeouts replaces the pool's times. Connections that have been idle for too long under the new
-// times are closed by the next Sweep or when they are next considered for use.
+// SetTimeouts replaces the pool's timeouts. Connections that have been idle for too long under
+// the new ones are closed by the next Sweep or when they are next considered for use.
 func (p *Pool) SetTimeouts(timeouts Timeouts) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -120,7 +120,7 @@
 	p.idleTimeout = min(p.idleTimeout, p.maxIdleTimeout())
 }
 
-// Timeouts returns the times currently in use.
+// Timeouts returns the timeouts currently in use.
 func (p *Pool) Timeouts() Timeouts {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -146,9 +146,9 @@
 }
 
 // learnIdleTimeout shortens the idle timeout after a connection broke on its first use after
-// idling. It ignores connections that were idle for less than minIdleTimeout, or for less than
-// other connections recently survived: these broke because the server died or aborted, not
-// because they were idle.
+// idling. It ignores connections that were idle for less than minIdleTimeout, or for a time
+// that other connections recently survived: these broke because the server died or aborted,
+// not because they were idle.
 func (p *Pool) learnIdleTimeout(idle time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -180,8 +180,8 @@
 	closeAll(toClose)
 }
 
-// RetireServer records that a server is draining, or that it is gone, and closes the idle connections
-// to it.
+// RetireServer records that a server is draining, or that it is gone, and closes the idle
+// connections to it.
 func (p *Pool) RetireServer(name string, gone bool) {
 	p.mu.Lock()
 	var toClose []*conn
@@ -224,8 +224,8 @@
 	closeAll(toClose)
 }
 
-// SetMaxConns sets the maximum number of connections. Idle connections above it are closed, those idle
-// for the longest first; connections in use are closed when their attempts end.
+// SetMaxConns sets the maximum number of connections. Idle connections above it are closed,
+// those idle for the longest first; connections in use are closed when their attempts end.
 func (p *Pool) SetMaxConns(maxConns int) {
 	p.mu.Lock()
 	p.cfg.MaxConns = maxConns
@@ -317,7 +317,7 @@
 )
 
 // acquire returns the newest usable idle connection to the server of a. If there is none, it
-// reserves room for a new connection and returns the server's address.
+// reserves a slot for a new connection and returns the server's address.
 func (p *Pool) acquire(a *Attempt) (c *conn, addr string, err error) {
 	now := time.Now()
 	p.mu.Lock()
@@ -438,7 +438,7 @@
 	c.Close()
 }
 
-// releaseReservation releases the room reserved for a connection that was not established.
+// releaseReservation releases the slot reserved for a connection that was not established.
 func (p *Pool) releaseReservation() {
 	p.mu.Lock()
 	p.conns--
--- a/pick.go
+++ b/pick.go
@@ -164,7 +164,7 @@
 	return s.coldSince > 0 && now < s.coldSince+f.cfg.ColdFor
 }
 
-// warmth returns the share of its full capacity that s has at least by now.
+// warmth returns a lower bound of the share of its full capacity that s has now.
 func (f *fleet) warmth(s *server, now time.Duration) float64 {
 	if !f.isCold(s, now) {
 		return 1
@@ -236,8 +236,9 @@
 
 // pickServer chooses a server for which isAllowed holds: by rendezvous hashing
 // where keyHash is not 0, else the cheaper of two random choices from the
-// working set. If neither yields a server that is not ejected, any other
-// serving server will do, and an ejected one last. It returns nil if there is none.
+// working set. If neither yields a server that is not ejected, it chooses any
+// other serving server, and an ejected one as the last resort. It returns nil if
+// there is none.
 func (f *fleet) pickServer(now time.Duration, keyHash uint64, isAllowed func(*server) bool) *server {
 	f.refreshWeights(now)
 	if keyHash != 0 {
@@ -320,7 +321,7 @@
 }
 
 // held estimates from the last load report how many requests the server
-// holds, one more included.
+// would hold with one more.
 func (s *server) held(now time.Duration) float64 { return 1 + s.load*decay(now-s.loadAt, loadDecay) }
 
 // relativeLatency returns the server's recent latency relative to the fleet's mean.
