--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -40,21 +40,21 @@
 // The text of its error is sent to the operator as it is.
 type Action func(text []byte) (any, error)
 
-// Listen serves pages by GET and deeds by POST, each at /v1/NAME, on a Unix socket at path.
+// Listen serves pages by GET and actions by POST, each at /v1/NAME, on a Unix socket at path.
 // It replaces a socket that a dead process left, but fails if another process serves it.
 // The error names the path.
-func Listen(path string, pages map[string]func() any, deeds map[string]Action) (*Server, error) {
-	return listen(path, false, pages, deeds)
+func Listen(path string, pages map[string]func() any, actions map[string]Action) (*Server, error) {
+	return listen(path, false, pages, actions)
 }
 
 // TakeOver is Listen for a process that takes over from another one of the same sidecar. It
 // replaces the socket even if that one still serves it, so that new requests reach this
 // process.
-func TakeOver(path string, pages map[string]func() any, deeds map[string]Action) (*Server, error) {
-	return listen(path, true, pages, deeds)
+func TakeOver(path string, pages map[string]func() any, actions map[string]Action) (*Server, error) {
+	return listen(path, true, pages, actions)
 }
 
-func listen(path string, replace bool, pages map[string]func() any, deeds map[string]Action) (*Server, error) {
+func listen(path string, replace bool, pages map[string]func() any, actions map[string]Action) (*Server, error) {
 	if c, err := net.DialTimeout("unix", path, callTimeout); err == nil {
 		c.Close()
 		if !replace {
@@ -101,12 +101,12 @@
 			w.Write(append(text, '\n'))
 		})
 	}
-	for name, deed := range deeds {
+	for name, action := range actions {
 		mux.HandleFunc("POST /v1/"+name, func(w http.ResponseWriter, r *http.Request) {
 			text, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxRequestBytes))
 			var v any
 			if err == nil {
-				v, err = deed(text)
+				v, err = action(text)
 			}
 			if err != nil {
 				http.Error(w, err.Error(), http.StatusConflict)
@@ -166,7 +166,7 @@
 	return err
 }
 
-// RefusedError is the error of a deed that a process did not carry out, with the text it sent.
+// RefusedError is the error of an action that a process did not carry out, with the text it sent.
 type RefusedError string
 
 // Error implements error.
@@ -178,15 +178,15 @@
 	return send(ctx, path, http.MethodGet, page, nil, v)
 }
 
-// Do requests a deed from the process that serves the socket at path, with with as JSON, and
+// Do requests an action from the process that serves the socket at path, sends with as JSON, and
 // decodes the result into v. It blocks for up to callTimeout. The error is Refused if the
 // process received the request and did not carry it out.
-func Do(ctx context.Context, path, deed string, with, v any) error {
+func Do(ctx context.Context, path, action string, with, v any) error {
 	text, err := json.Marshal(with)
 	if err != nil {
 		return fmt.Errorf("admin: %w", err)
 	}
-	return send(ctx, path, http.MethodPost, deed, text, v)
+	return send(ctx, path, http.MethodPost, action, text, v)
 }
 
 func send(ctx context.Context, path, method, page string, text []byte, v any) error {
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -12,15 +12,15 @@
 	"go.uber.org/goleak"
 )
 
-// A server answers pages and deeds, refuses what it has to, answers again after idle
+// A server answers pages and actions, refuses what it has to, answers again after idle
 // connections have used up its slots, and leaves neither socket nor goroutine behind.
-func TestServePagesAndDeeds(t *testing.T) {
+func TestServePagesAndActions(t *testing.T) {
 	defer goleak.VerifyNone(t, goleak.IgnoreCurrent())
 	dir := t.TempDir()
 	path := filepath.Join(dir, "s")
 	type view struct{ N int }
 	pages := map[string]func() any{"status": func() any { return view{7} }}
-	deeds := map[string]Action{"set": func(text []byte) (any, error) {
+	actions := map[string]Action{"set": func(text []byte) (any, error) {
 		if string(text) != `{"N":8}` {
 			return nil, errors.New("only 8 will do")
 		}
@@ -33,7 +33,7 @@
 	}
 	ln.(*net.UnixListener).SetUnlinkOnClose(false)
 	ln.Close()
-	s, err := Listen(path, pages, deeds)
+	s, err := Listen(path, pages, actions)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -50,11 +50,11 @@
 		t.Errorf("page that is not served: %v", err)
 	}
 	if err := Do(t.Context(), path, "set", view{8}, &v); err != nil || v.N != 9 {
-		t.Errorf("deed: %+v, %v; want 9", v, err)
+		t.Errorf("action: %+v, %v; want 9", v, err)
 	}
 	var refused RefusedError
 	if err := Do(t.Context(), path, "set", view{7}, &v); !errors.As(err, &refused) || refused != "only 8 will do" {
-		t.Errorf("refused deed: %v", err)
+		t.Errorf("refused action: %v", err)
 	}
 	c, err := net.Dial("unix", path)
 	if err != nil {
@@ -66,7 +66,7 @@
 		t.Errorf("POST of a page: %q, %v", p, err)
 	}
 	c.Close()
-	if _, err := Listen(path, pages, deeds); err == nil || !strings.Contains(err.Error(), "another process") {
+	if _, err := Listen(path, pages, actions); err == nil || !strings.Contains(err.Error(), "another process") {
 		t.Errorf("Listen on a socket that is served: %v", err)
 	}
 	// Idle connections use up all slots; once the clients close them the server answers.
@@ -95,7 +95,7 @@
 	if err := os.WriteFile(file, []byte("x"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := Listen(file, pages, deeds); err == nil {
+	if _, err := Listen(file, pages, actions); err == nil {
 		t.Error("Listen replaced a file that is not a socket")
 	}
 	if err := Get(context.Background(), path, "status", &v); err == nil {
--- a/internal/config/recall_test.go
+++ b/internal/config/recall_test.go
@@ -82,12 +82,12 @@
 		}
 	})
 	if err != nil || !bytes.Contains(own, []byte(`"/b"`)) || pauses < 2 {
-		t.Errorf("ReadTwice = %q after %d pauses, %v", own, pauses, err)
+		t.Errorf("ReadStable = %q after %d pauses, %v", own, pauses, err)
 	}
 	if _, _, _, err := config.ReadStable(p.Getenv, func() { p.Write(t, 5, whole) }); err == nil || !strings.Contains(err.Error(), "changing") {
-		t.Errorf("ReadTwice of changing files = %v", err)
+		t.Errorf("ReadStable of changing files = %v", err)
 	}
 	if _, _, _, err := config.ReadStable(p.Getenv, func() { os.Remove(p.Features) }); err == nil {
-		t.Error("ReadTwice accepts a file that was removed")
+		t.Error("ReadStable accepts a file that was removed")
 	}
 }
--- a/internal/council/bound_test.go
+++ b/internal/council/bound_test.go
@@ -69,16 +69,16 @@
 	g := startCouncil(t, 3)
 	a := &boundChecker{began: time.Now(), inForceSince: []time.Duration{0}, levels: []uint64{0}} // version 0: none in force yet, and leases are granted for it
 	bound := g.times.MaxStaleness() - g.times.Call                                               // only levels are checked, no call is sent
-	var cars []*testSidecar
+	var sidecars []*testSidecar
 	for n := range 8 {
-		cars = append(cars, g.startSidecar(fmt.Sprintf("car%d", n), n))
+		sidecars = append(sidecars, g.startSidecar(fmt.Sprintf("car%d", n), n))
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), length)
 	defer cancel()
 	var wait sync.WaitGroup
 	wait.Go(func() { // checks all sidecars
 		for ctx.Err() == nil {
-			for n, k := range cars {
+			for n, k := range sidecars {
 				before := time.Since(a.began)
 				k.mu.Lock()
 				level, version := k.participant.Level(bootTime(), "class/a"), k.participant.Active().Version
@@ -117,7 +117,7 @@
 	wait.Go(func() { // sidecars stop sending for less than a lease, or for long enough to lose it
 		draw := rand.New(rand.NewPCG(seed, 5))
 		for ctx.Err() == nil {
-			k := cars[draw.IntN(len(cars))]
+			k := sidecars[draw.IntN(len(sidecars))]
 			k.setSilent(true)
 			time.Sleep([]time.Duration{time.Second, 6 * time.Second}[draw.IntN(2)])
 			k.setSilent(false)
--- a/internal/council/council_test.go
+++ b/internal/council/council_test.go
@@ -288,7 +288,7 @@
 			s.Close()
 			t.Errorf("corruption of %s: the member starts", name)
 		} else if name != "the snapshot" && !errors.Is(err, ErrCorrupt) {
-			t.Errorf("corruption of %s: got error %v, want ErrSpoilt", name, err)
+			t.Errorf("corruption of %s: got error %v, want ErrCorrupt", name, err)
 		}
 	}
 }
--- a/internal/council/process_test.go
+++ b/internal/council/process_test.go
@@ -354,13 +354,13 @@
 	if st, err := g.propose(0, level("k1", 0)); err != nil || st.InForce.Version != 1 {
 		t.Fatalf("in force: %+v, error %v, want version 1", st.InForce, err)
 	}
-	var cars []*testSidecar
+	var sidecars []*testSidecar
 	for n := range 8 {
-		cars = append(cars, g.startSidecar(fmt.Sprintf("car%d", n), n))
+		sidecars = append(sidecars, g.startSidecar(fmt.Sprintf("car%d", n), n))
 	}
 	all := func(version uint64) func() bool {
 		return func() bool {
-			for _, k := range cars {
+			for _, k := range sidecars {
 				if k.activeVersion() != version {
 					return false
 				}
@@ -381,24 +381,24 @@
 	}
 	waitUntil(t, "version 2 is active at all sidecars", all(2))
 	g.startProcess(lead)
-	cars[3].setSilent(true)
+	sidecars[3].setSilent(true)
 	began := time.Now()
 	if _, err := g.propose(2, level("k3", 2)); err != nil {
 		t.Fatal(err)
 	}
 	loose := func(k *testSidecar) bool { return k.level() < 2 }
 	waitUntil(t, "all other sidecars apply level 2", func() bool {
-		for n, k := range cars {
+		for n, k := range sidecars {
 			if n != 3 && loose(k) {
 				return false
 			}
 		}
 		return true
 	})
-	if loose(cars[3]) || time.Since(began) < time.Second {
-		t.Errorf("version 3 came into force after %v, while the sidecar without contact applies level %d", time.Since(began), cars[3].level())
+	if loose(sidecars[3]) || time.Since(began) < time.Second {
+		t.Errorf("version 3 came into force after %v, while the sidecar without contact applies level %d", time.Since(began), sidecars[3].level())
 	}
-	cars[3].setSilent(false)
+	sidecars[3].setSilent(false)
 	waitUntil(t, "version 3 is active at all sidecars", all(3))
 	waitUntil(t, "settled", func() bool {
 		ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
--- a/internal/front/drain_test.go
+++ b/internal/front/drain_test.go
@@ -37,7 +37,7 @@
 	}
 	s.CloseIdle()
 	if !idle.isClosed() || !fresh.isClosed() {
-		t.Error("an idle connection is open after EndIdle")
+		t.Error("an idle connection is open after CloseIdle")
 	}
 	waitFor(t, "ended connections are still counted", func() bool { return s.Conns() == 0 })
 	s.SetDraining(false)
--- a/internal/front/min_rate_test.go
+++ b/internal/front/min_rate_test.go
@@ -85,7 +85,7 @@
 	c := dial().send(request("POST /a", idFields+field("Content-Length", fmt.Sprint(size))) + part)
 	x := <-arrived
 	if x.Limits == nil || x.Limits.BodyTimeout == 0 {
-		t.Fatalf("long body arrived with limits %+v, want Coming set", x.Limits)
+		t.Fatalf("long body arrived with limits %+v, want BodyTimeout set", x.Limits)
 	}
 	other := dial().send(request("POST /a", strings.Replace(idFields, "9b1f", "other", 1)+field("Content-Length", fmt.Sprint(size))) + part)
 	if status, _, h := other.receive(); status != http.StatusServiceUnavailable || h.Get("Retry-After") == "" {
@@ -163,7 +163,7 @@
 	select {
 	case <-f.gone:
 	case <-time.After(testTimeout):
-		t.Fatal("Gone was not called")
+		t.Fatal("ClientGone was not called")
 	}
 	if err := <-ended; err == io.EOF {
 		t.Error("an incomplete body ends with io.EOF")
--- a/internal/front/races_test.go
+++ b/internal/front/races_test.go
@@ -148,10 +148,10 @@
 			select {
 			case y := <-f.gone:
 				if y != x {
-					t.Error("Gone was called for another request")
+					t.Error("ClientGone was called for another request")
 				}
 			case <-time.After(testTimeout):
-				t.Fatal("Gone was not called")
+				t.Fatal("ClientGone was not called")
 			}
 			waitFor(t, "closed connections are still counted", func() bool { return s.Conns() == 0 })
 		})
@@ -188,17 +188,17 @@
 		if status, answer, _ := c.receive(); status != 200 || answer != body {
 			t.Fatalf("second request answered %d, %d bytes", status, len(answer))
 		}
-		synctest.Wait() // fake does not support a client that closes while its answer ends
+		synctest.Wait() // fake does not synchronize a client's departure with the end of its answer: wait for that end first
 	})
 }
 
-// lateWriteConn is a server-side connection whose writes return only when release is closed.
-type lateWriteConn struct {
+// delayedWriteConn is a server-side connection whose writes return only when release is closed.
+type delayedWriteConn struct {
 	net.Conn
 	release chan struct{}
 }
 
-func (l lateWriteConn) Write(p []byte) (int, error) {
+func (l delayedWriteConn) Write(p []byte) (int, error) {
 	defer func() { <-l.release }()
 	return l.Conn.Write(p)
 }
@@ -225,7 +225,7 @@
 			return &client{t, near, bufio.NewReader(near)}
 		}
 		plain := func(nc net.Conn) net.Conn { return nc }
-		first, second, third := open(func(nc net.Conn) net.Conn { return lateWriteConn{nc, release} }), open(plain), open(plain)
+		first, second, third := open(func(nc net.Conn) net.Conn { return delayedWriteConn{nc, release} }), open(plain), open(plain)
 		first.send(request("GET /a", fields))
 		go answerWith(<-got, "one")
 		if status, body, _ := first.receive(); status != 200 || body != "one" {
@@ -247,7 +247,7 @@
 		if status, body, _ := second.receive(); status != 200 || body != "two" {
 			t.Errorf("second request answered %d %q", status, body)
 		}
-		synctest.Wait() // fake does not support a client that closes while its answer ends
+		synctest.Wait() // fake does not synchronize a client's departure with the end of its answer: wait for that end first
 	})
 }
 
--- a/internal/front/stored_body.go
+++ b/internal/front/stored_body.go
@@ -17,7 +17,7 @@
 // Bodies configures how request bodies are stored.
 type Bodies struct {
 	Store *body.Store
-	// ClassIndex and Tenant return the index of a name in the settings, -1 if it is not there.
+	// ClassIndex and TenantIndex return the index of a name in the settings, -1 if it is not there.
 	ClassIndex, TenantIndex func(name string) int
 	MaxBytes                int64         // bytes; a longer body is answered with 413
 	MinRate                 int64         // lowest mean rate at which a client may send, in bytes per second
--- a/internal/management/line.go
+++ b/internal/management/line.go
@@ -1,5 +1,5 @@
 // Package management serves operators' calls to a running sidecar on a TCP address. Each
-// connection carries one line with a call and one answer. An implementation of Deeds
+// connection carries one line with a call and one answer. An implementation of Handler
 // carries the calls out.
 package management
 
--- a/internal/management/management_test.go
+++ b/internal/management/management_test.go
@@ -14,7 +14,7 @@
 
 const testTimeout = 30 * time.Second
 
-// stub implements Deeds and records the calls.
+// stub implements Handler and records the calls.
 type stub struct {
 	mu  sync.Mutex
 	ran []string
--- a/internal/management/server.go
+++ b/internal/management/server.go
@@ -46,7 +46,7 @@
 // closes the oldest one without a whole line to accept a new one.
 type Server struct {
 	ln          net.Listener
-	deeds       Handler
+	handler     Handler
 	maxConns    int
 	minEvictAge time.Duration
 
@@ -65,18 +65,18 @@
 
 // Listen serves calls at a TCP address with at most maxConns connections, but no fewer than
 // two. The error names the address.
-func Listen(addr string, maxConns int, d Handler) (*Server, error) {
+func Listen(addr string, maxConns int, handler Handler) (*Server, error) {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
 		return nil, fmt.Errorf("management: %w", err)
 	}
-	s := newServer(ln, maxConns, d)
+	s := newServer(ln, maxConns, handler)
 	s.wg.Go(s.accept)
 	return s, nil
 }
 
-func newServer(ln net.Listener, maxConns int, d Handler) *Server {
-	return &Server{ln: ln, deeds: d, maxConns: max(maxConns, 2), minEvictAge: minEvictAge, conns: make(map[*caller]struct{})}
+func newServer(ln net.Listener, maxConns int, handler Handler) *Server {
+	return &Server{ln: ln, handler: handler, maxConns: max(maxConns, 2), minEvictAge: minEvictAge, conns: make(map[*caller]struct{})}
 }
 
 // Addr returns the address on which the server listens.
@@ -171,7 +171,7 @@
 	var answer []byte
 	switch {
 	case err == nil:
-		answer = ExecuteLine(strings.TrimSuffix(string(line), "\n"), s.deeds)
+		answer = ExecuteLine(strings.TrimSuffix(string(line), "\n"), s.handler)
 	case errors.Is(err, bufio.ErrBufferFull):
 		answer = refusal(errLineTooLong)
 	default: // the caller left, or sent no whole line in time
--- a/internal/spool/spool_test.go
+++ b/internal/spool/spool_test.go
@@ -139,7 +139,7 @@
 			where, bit := rng.IntN(1<<20), byte(1)<<rng.IntN(8)
 			disk.Spoil(func(_ int64, p []byte) { p[where%len(p)] ^= bit })
 			if err := readAll(a, all); !errors.Is(err, ErrAltered) {
-				t.Fatalf("%s: altered piece: error %v, want ErrSpoilt", name, err)
+				t.Fatalf("%s: altered piece: error %v, want ErrAltered", name, err)
 			}
 		}
 		raw, other := a.handle.(interface {
@@ -158,14 +158,14 @@
 		buf := make([]byte, a.sizes[0])
 		a.handle, _ = other, raw
 		if err := readAll(a, all); !errors.Is(err, ErrAltered) {
-			t.Errorf("%s: piece of another file: error %v, want ErrSpoilt", name, err)
+			t.Errorf("%s: piece of another file: error %v, want ErrAltered", name, err)
 		}
 		a.handle = raw.(Handle)
 		if a.sizes[0] == a.sizes[1] {
 			raw.ReadAt(buf, int64(a.sizes[0]))
 			a.handle.WriteAt(buf, 0)
 			if _, err := a.ReadAt(make([]byte, MaxPieceBytes), 0, 0); !errors.Is(err, ErrAltered) {
-				t.Errorf("%s: other piece of the same file: error %v, want ErrSpoilt", name, err)
+				t.Errorf("%s: other piece of the same file: error %v, want ErrAltered", name, err)
 			}
 		}
 		b.handle.(interface{ Close() error }).Close() // a file that was closed by others
@@ -182,7 +182,7 @@
 	f.endOffset = 0
 	f.sizes[0] += 50 // more than the file has, as if it was truncated
 	if _, err := f.ReadAt(make([]byte, MaxPieceBytes), 0, 0); !errors.Is(err, ErrAltered) {
-		t.Errorf("truncated piece: error %v, want ErrSpoilt", err)
+		t.Errorf("truncated piece: error %v, want ErrAltered", err)
 	}
 	f.sizes[0] -= 50
 	f.Close()
@@ -246,7 +246,7 @@
 		hung.Hang()
 		a := s.File(0)
 		if err := a.Append(make([]byte, 10)); !errors.Is(err, ErrTimeout) {
-			t.Fatalf("append on a hung disk: %v, want ErrLate", err)
+			t.Fatalf("append on a hung disk: %v, want ErrTimeout", err)
 		}
 		if err := a.Append(make([]byte, 10)); !errors.Is(err, ErrClosed) {
 			t.Errorf("append after a timed-out call: %v, want ErrClosed", err)
@@ -297,7 +297,7 @@
 			t.Error("the call after a full queue did not return ErrBusy")
 		}
 		if err := append1(1); !errors.Is(err, ErrTimeout) {
-			t.Errorf("call of another class: %v, want ErrLate, as it must be queued", err)
+			t.Errorf("call of another class: %v, want ErrTimeout, as it must be queued", err)
 		}
 		disk.Resume()
 		for _, f := range files {
