--- a/client/client.go
+++ b/client/client.go
@@ -105,10 +105,10 @@
 		return nil, fmt.Errorf("client: %w", err)
 	}
 	if p.knownNodes != nil {
-		t.host.Listed(p.knownNodes)
+		t.host.ApplyList(p.knownNodes)
 	}
 	if t.watcher != nil {
-		t.watcher.OnList, t.watcher.OnError = t.host.Listed, t.host.DiscoveryFailed
+		t.watcher.OnList, t.watcher.OnError = t.host.ApplyList, t.host.DiscoveryFailed
 		if p.knownNodes != nil {
 			t.watcher.Track = membership.NewTracker(p.knownNodes)
 		}
@@ -130,7 +130,7 @@
 	if err != nil {
 		return err
 	}
-	t.host.Listed(l)
+	t.host.ApplyList(l)
 	return nil
 }
 
--- a/client/link.go
+++ b/client/link.go
@@ -82,7 +82,7 @@
 	l.resetTimer()
 	l.mu.Unlock()
 	if takeover {
-		l.t.host.EmptyBudgets()
+		l.t.host.ClearBudgets()
 		l.t.logger().Warn("daemon unavailable: deciding calls in this process", "daemon", l.t.cfg.Daemon, "why", reason)
 	}
 }
--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -44,7 +44,8 @@
 	}
 	if limits := call.details.Limits; limits != nil {
 		order.NotAfter = limits.NotAfter
-		order.Deadline = order.Deadline.Add(-limits.BodyTimeout) // the server's time also begins with the last byte of the body
+		// The server's time also begins with the last byte of the body.
+		order.Deadline = order.Deadline.Add(-limits.BodyTimeout)
 	}
 	if end := call.repeatDeadline(); end > 0 {
 		if at := now.Add(end - a.sentAt); order.NotAfter.IsZero() || at.Before(order.NotAfter) {
@@ -52,8 +53,8 @@
 		}
 	}
 	a.handle = h.transport.NewAttempt(order)
-	if h.watch != nil {
-		a.ticket = h.watch.Sent(a.sentAt, server)
+	if h.observer != nil {
+		a.ticket = h.observer.Sent(a.sentAt, server)
 		h.watchedAttempts[a.ticket] = a
 	}
 	call.attempts = append(call.attempts, a)
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -17,8 +17,8 @@
 
 // Caller receives the result of one call on behalf of its client. The core ends each
 // call that has arrived exactly once, with Serve, Refuse, Fail or Stream, unless
-// Host.ClientGone withdrew it first, and calls Release exactly once, when no attempt needs the
-// payload any more. Serve, Refuse, Fail and Release are called without the core's lock,
+// Host.ClientGone withdrew it first, and calls Release exactly once, when no attempt needs
+// the payload any more. Serve, Refuse, Fail and Release are called without the core's lock,
 // from any goroutine. An implementation must bound the time for which a method waits for
 // the client.
 type Caller interface {
@@ -73,17 +73,19 @@
 	// means that the previous tier decides on retries: the call gets one attempt, and
 	// neither adds to the retry budget here nor spends from it.
 	MaxAttempts int
-	Mark        string    // with Limits.MaxAttempts at 1: the ID of this attempt in the previous tier; empty: no duplicate is expected
-	NotAfter    time.Time // no attempt begins later; zero: no such limit
-	OnlyServer  string    // the only server that the call may go to; empty: any
+	// Mark is the ID of this attempt in the previous tier, used if MaxAttempts is 1; empty: no
+	// duplicate is expected.
+	Mark       string
+	NotAfter   time.Time // no attempt begins later; zero: no such limit
+	OnlyServer string    // the only server that the call may go to; empty: any
 	// BodyTimeout is the maximum time for the rest of the body of a call that arrives before
 	// its body is complete. As such a body is not stored and cannot be sent again, the
 	// call gets one attempt. Its time counts from Host.BodyComplete on. 0: the body is complete.
 	BodyTimeout time.Duration
 }
 
-// AttemptObserver observes each attempt. Its methods are called with the core's lock held, so they
-// must neither block nor call the Host.
+// AttemptObserver observes each attempt. Its methods are called with the core's lock held, so
+// they must neither block nor call the Host.
 type AttemptObserver interface {
 	// Sent reports that an attempt is sent to a server. The ticket that it returns
 	// identifies the attempt in Ended and in Host.AbandonAttempts.
--- a/internal/core/gate.go
+++ b/internal/core/gate.go
@@ -13,22 +13,22 @@
 	Full  uint64 // those of Ended that the server declined
 }
 
-// SetGate makes the Balancer ask g, which the Host's lock guards from now on.
-func (h *Host) SetGate(g chalkrack.DegradationPolicy) {
+// SetDegradationPolicy makes the Balancer ask policy, which the Host's lock guards from now on.
+func (h *Host) SetDegradationPolicy(policy chalkrack.DegradationPolicy) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.balancer.SetDegradationPolicy(g)
+	h.balancer.SetDegradationPolicy(policy)
 }
 
-// WithGate calls do with the lock that guards the gate held. It passes the current time, the
+// WithPolicyLock calls do with the lock that guards the degradation policy held. It passes the current time, the
 // counts of attempts, the number of serving servers and the number of those that are
 // ejected. do must not call the Host.
-func (h *Host) WithGate(do func(now time.Duration, seen AttemptCounts, members, ejected int)) {
+func (h *Host) WithPolicyLock(do func(now time.Duration, seen AttemptCounts, members, ejected int)) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	now := h.now()
 	state := h.balancer.ViewState(now)
-	do(now, h.tally, state.ServingServers, state.Ejected)
+	do(now, h.attemptCounts, state.ServingServers, state.Ejected)
 }
 
 // countOutcome adds the outcome of an attempt to the counts.
@@ -36,12 +36,12 @@
 	if outcome == chalkrack.Cancelled || outcome == chalkrack.NotSent {
 		return
 	}
-	h.tally.Ended++
+	h.attemptCounts.Ended++
 	switch {
 	case outcome == chalkrack.Full:
-		h.tally.Full++
+		h.attemptCounts.Full++
 	case outcome == chalkrack.TimedOut, a.call.class != nil && now-a.call.arrivedAt > a.call.class.Aim:
-		h.tally.Late++
+		h.attemptCounts.Late++
 	}
 }
 
--- a/internal/core/host.go
+++ b/internal/core/host.go
@@ -30,7 +30,7 @@
 	transport Transport
 	log       func() *slog.Logger
 	traceLog  *slog.Logger    // nil: off
-	watch     AttemptObserver // nil: none
+	observer  AttemptObserver // nil: none
 
 	start     time.Time
 	startUnix time.Duration // the Unix time at start
@@ -38,23 +38,23 @@
 	generationView atomic.Pointer[generation.View] // of generations, for reading without the lock
 	stampCount     atomic.Uint64                   // number of stamps issued during trials
 
-	mu              sync.Mutex
-	balancer        *chalkrack.Balancer
-	generations     *generation.Machine
-	held            map[chalkrack.RequestID]*callState
-	lastID          chalkrack.RequestID
-	marks           seenMarks
-	timers          timerHeap
-	watchedAttempts map[uint64]*attempt // outstanding attempts by the observer's ticket; nil: no observer
-	timer           *time.Timer
-	timerAt         time.Duration // when timer fires; 0: not set
-	actions         *[]action     // nil: none
-	quitAt          time.Duration // 0: ShutDownWithin was not called
+	mu               sync.Mutex
+	balancer         *chalkrack.Balancer
+	generations      *generation.Machine
+	held             map[chalkrack.RequestID]*callState
+	lastID           chalkrack.RequestID
+	marks            seenMarks
+	timers           timerHeap
+	watchedAttempts  map[uint64]*attempt // outstanding attempts by the observer's ticket; nil: no observer
+	timer            *time.Timer
+	timerAt          time.Duration // when timer fires; 0: not set
+	actions          *[]action     // nil: none
+	shutdownDeadline time.Duration // 0: ShutDownWithin was not called
 	// listedAt is the time of the last list or change received from discovery.
-	listedAt time.Duration
-	ready    bool
-	closed   bool
-	tally    AttemptCounts
+	listedAt      time.Duration
+	ready         bool
+	closed        bool
+	attemptCounts AttemptCounts
 }
 
 // Config configures a Host.
@@ -70,7 +70,7 @@
 	Observer AttemptObserver
 }
 
-// noLimits stands for a nil Call.Limits.
+// noLimits is used where Call.Limits is nil.
 var noLimits Limits
 
 // callState is the state of a call that has no final answer yet or has outstanding attempts.
@@ -104,8 +104,8 @@
 	return 0
 }
 
-// New returns a Host with a new Balancer. Whoever follows the server list passes it to
-// Listed and reports errors to DiscoveryFailed.
+// New returns a Host with a new Balancer. The code that subscribes to the server list has to
+// pass each list to ApplyList and report errors to DiscoveryFailed.
 func New(cfg Config) (*Host, error) {
 	start := time.Now()
 	first := cfg.Generation
@@ -124,12 +124,12 @@
 		startUnix:   time.Duration(start.UnixNano()),
 		held:        make(map[chalkrack.RequestID]*callState),
 		traceLog:    cfg.TraceLog,
-		watch:       cfg.Observer,
+		observer:    cfg.Observer,
 	}
 	if cfg.Log != nil {
 		h.log = func() *slog.Logger { return cfg.Log }
 	}
-	if h.watch != nil {
+	if h.observer != nil {
 		h.watchedAttempts = make(map[uint64]*attempt)
 	}
 	h.generationView.Store(generations.View())
@@ -141,9 +141,9 @@
 	return h, err
 }
 
-// SetZones makes the Balancer ask z whether zones have capacity for calls.
-func (h *Host) SetZones(z chalkrack.ZonePolicy) {
-	h.handleEvent(func(time.Duration) { h.balancer.SetZonePolicy(z) })
+// SetZonePolicy makes the Balancer ask policy whether zones have capacity for calls.
+func (h *Host) SetZonePolicy(policy chalkrack.ZonePolicy) {
+	h.handleEvent(func(time.Duration) { h.balancer.SetZonePolicy(policy) })
 }
 
 // Now returns the Balancer's time, as the time since the Unix epoch.
@@ -218,8 +218,8 @@
 			wait = callSettings.DeadlineOf(c.Class)
 		}
 		deadline := now - time.Since(c.Received) + limits.BodyTimeout + callTimeout(wait)
-		if h.quitAt > 0 {
-			deadline = min(deadline, h.quitAt)
+		if h.shutdownDeadline > 0 {
+			deadline = min(deadline, h.shutdownDeadline)
 		}
 		h.lastID++
 		call := &callState{id: h.lastID, details: c, deadline: deadline, classIndex: classIndex, arrivedAt: now, bodyPending: limits.BodyTimeout > 0}
@@ -280,8 +280,8 @@
 
 // ClientGone reports that a call's caller has left, and returns whether that ended the call. If
 // not, the Caller has received or will receive an answer nevertheless. The result is valid
-// even if the Balancer panics, since the caller's side uses Host.ClientGone to end a call that a panic
-// has left open.
+// even if the Balancer panics, since the caller's side uses Host.ClientGone to end a call that
+// a panic has left open.
 func (h *Host) ClientGone(c *Call) (taken bool) {
 	defer h.logPanic("departed caller")
 	h.handleEvent(func(now time.Duration) {
@@ -313,18 +313,18 @@
 	h.ready = ready
 }
 
-// EmptyBudgets sets the budgets of retries and copies to zero. Later calls add to them
+// ClearBudgets sets the budgets of retries and copies to zero. Later calls add to them
 // again.
-func (h *Host) EmptyBudgets() { h.handleEvent(func(time.Duration) { h.balancer.ClearBudgets() }) }
+func (h *Host) ClearBudgets() { h.handleEvent(func(time.Duration) { h.balancer.ClearBudgets() }) }
 
-// ShutDownWithin limits the deadline of all current and future calls to the given time from now,
-// so that every call is answered by then.
+// ShutDownWithin limits the deadline of all current and future calls to the given time from
+// now, so that every call is answered by then.
 func (h *Host) ShutDownWithin(in time.Duration) {
 	h.handleEvent(func(now time.Duration) {
-		h.quitAt = now + in
+		h.shutdownDeadline = now + in
 		for _, call := range h.held {
-			if call.deadline > h.quitAt {
-				h.addTimer(timerEntry{at: h.quitAt, call: call})
+			if call.deadline > h.shutdownDeadline {
+				h.addTimer(timerEntry{at: h.shutdownDeadline, call: call})
 			}
 		}
 	})
@@ -337,18 +337,18 @@
 	return h.balancer.EjectedCount(h.now())
 }
 
-// Memory returns the state that the Balancer has learned, for another process of the same
-// sidecar.
-func (h *Host) Memory() chalkrack.LearnedState {
+// LearnedState returns the state that the Balancer has learned, to be handed over to another
+// process of the same sidecar.
+func (h *Host) LearnedState() chalkrack.LearnedState {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.balancer.LearnedState(h.now())
 }
 
-// Remember restores the state that another process has learned about the servers that are
-// listed.
-func (h *Host) Remember(m chalkrack.LearnedState) {
-	h.handleEvent(func(now time.Duration) { h.balancer.RestoreState(now, m) })
+// RestoreState takes over the state that another process of the same sidecar has learned, for
+// servers that are listed and have not restarted since.
+func (h *Host) RestoreState(state chalkrack.LearnedState) {
+	h.handleEvent(func(now time.Duration) { h.balancer.RestoreState(now, state) })
 }
 
 // Close fails all calls that are still held and stops the timer. Calls that arrive later
@@ -375,8 +375,8 @@
 	return len(h.held)
 }
 
-// Listed applies a list of servers, or of changes, from discovery.
-func (h *Host) Listed(list *membership.List) {
+// ApplyList applies a list of servers, or of changes, from discovery.
+func (h *Host) ApplyList(list *membership.List) {
 	endpoints := make([]chalkrack.Endpoint, len(list.Entries))
 	h.handleEvent(func(now time.Duration) {
 		h.listedAt = now
@@ -458,7 +458,7 @@
 // Probe implements chalkrack.Host.
 func (h *Host) Probe(server string) { h.queueAction(action{kind: actProbe, server: server}) }
 
-// Subscribe implements chalkrack.Host. It does nothing: whoever follows the server list
+// Subscribe implements chalkrack.Host. It does nothing: the code that follows the server list
 // keeps the subscription open and alone decides on the delay between two calls, so that
 // the rate of calls to discovery is bounded in one place.
 func (h *Host) Subscribe() {}
--- a/internal/core/host_test.go
+++ b/internal/core/host_test.go
@@ -127,7 +127,7 @@
 	for n, s := range servers {
 		list.Entries = append(list.Entries, membership.Entry{Endpoint: chalkrack.Endpoint{Name: fmt.Sprint("s", n), Zone: "z", Hint: 1}, Address: s.addr})
 	}
-	h.Listed(list)
+	h.ApplyList(list)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		tb.Fatal(err)
@@ -329,12 +329,12 @@
 		t.Errorf("answered %q", answer)
 	}
 	for _, state := range []chalkrack.State{chalkrack.Draining, chalkrack.Gone} {
-		h.Listed(&membership.List{Entries: []membership.Entry{{Endpoint: chalkrack.Endpoint{Name: "s0", State: state}, Address: s.addr}}})
+		h.ApplyList(&membership.List{Entries: []membership.Entry{{Endpoint: chalkrack.Endpoint{Name: "s0", State: state}, Address: s.addr}}})
 		if status, _ := request(t, addr, "a", "", ""); status != 503 {
 			t.Errorf("got status %d without a serving server, want 503", status)
 		}
 	}
-	h.Listed(&membership.List{Complete: true, Entries: []membership.Entry{{Endpoint: chalkrack.Endpoint{Name: "s1", Hint: 1}, Address: next.addr}}})
+	h.ApplyList(&membership.List{Complete: true, Entries: []membership.Entry{{Endpoint: chalkrack.Endpoint{Name: "s1", Hint: 1}, Address: next.addr}}})
 	if _, answer := request(t, addr, "a", "", ""); answer != "new" {
 		t.Errorf("answered %q", answer)
 	}
--- a/internal/core/races_test.go
+++ b/internal/core/races_test.go
@@ -109,7 +109,7 @@
 	for n := range servers {
 		list.Entries = append(list.Entries, membership.Entry{Endpoint: chalkrack.Endpoint{Name: fmt.Sprint("s", n), Zone: "z", Hint: 1}, Address: "127.0.0.1:1"})
 	}
-	h.Listed(list)
+	h.ApplyList(list)
 	return h
 }
 
@@ -233,7 +233,7 @@
 			h.Arrive(call)
 			time.Sleep(time.Duration(n) * 2 * time.Millisecond)
 			if !h.ClientGone(call) {
-				t.Error("Gone returned false for a call without an answer")
+				t.Error("ClientGone returned false for a call without an answer")
 			}
 			time.Sleep(2 * time.Second)
 			synctest.Wait()
@@ -279,10 +279,10 @@
 	})
 }
 
-// Guards against calls that stay unanswered when the process ends. ShutDownWithin is called while copies,
-// further attempts and deadlines are due. Every call must be answered once by the given time,
-// nothing may be sent later, and calls that arrive afterwards must be answered too.
-func TestQuitAtAnswersAllCallsInTime(t *testing.T) {
+// Guards against calls that stay unanswered when the process ends. ShutDownWithin is called
+// while copies, further attempts and deadlines are due. Every call must be answered once by the
+// given time, nothing may be sent later, and calls that arrive afterwards must be answered too.
+func TestShutDownWithinAnswersAllCallsInTime(t *testing.T) {
 	for n := range 60 {
 		synctest.Test(t, func(t *testing.T) {
 			transport := &memTransport{}
@@ -318,12 +318,12 @@
 					t.Fatalf("call %d: final answers %v, released %d times", k, c.finals, c.released)
 				}
 				if late := c.endedAt.Sub(quitCalled); k < 5 && late > quit+5*time.Millisecond {
-					t.Errorf("call %d: answered %v after QuitAt", k, late)
+					t.Errorf("call %d: answered %v after ShutDownWithin", k, late)
 				}
 			}
 			for _, a := range transport.attempts {
 				if late := a.startedAt.Sub(quitCalled); late > quit+5*time.Millisecond {
-					t.Errorf("an attempt started %v after QuitAt", late)
+					t.Errorf("an attempt started %v after ShutDownWithin", late)
 				}
 			}
 			if h.Held() != 0 {
@@ -369,7 +369,8 @@
 					copies++
 					time.AfterFunc(time.Millisecond, func() {
 						if streamed {
-							a.order.Sink.Stream("hi", chalkrack.LoadReport{}) // returns nil if the call has ended
+							// Stream returns nil if the call has ended.
+							a.order.Sink.Stream("hi", chalkrack.LoadReport{})
 						}
 						a.order.Sink.Done(chalkrack.OK, "hi", chalkrack.LoadReport{})
 					})
--- a/internal/core/trace.go
+++ b/internal/core/trace.go
@@ -67,8 +67,8 @@
 // to the observer.
 func (h *Host) recordOutcome(now time.Duration, a *attempt, outcome chalkrack.Outcome) {
 	h.countOutcome(now, a, outcome)
-	if h.watch != nil {
-		h.watch.Ended(now, a.ticket, outcome)
+	if h.observer != nil {
+		h.observer.Ended(now, a.ticket, outcome)
 		delete(h.watchedAttempts, a.ticket)
 	}
 	if trace := a.call.trace; trace != nil && a.index < len(trace.Attempts) {
--- a/internal/core/trace_test.go
+++ b/internal/core/trace_test.go
@@ -47,7 +47,7 @@
 		}
 		return "close"
 	})
-	h.Listed(&membership.List{Complete: true, Entries: []membership.Entry{{Endpoint: chalkrack.Endpoint{Name: "s0", Zone: "z", Hint: 1}, Address: s.addr}}})
+	h.ApplyList(&membership.List{Complete: true, Entries: []membership.Entry{{Endpoint: chalkrack.Endpoint{Name: "s0", Zone: "z", Hint: 1}, Address: s.addr}}})
 	h.SetReady(true)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -117,7 +117,7 @@
 		t.Fatal(err)
 	}
 	defer h.Close()
-	h.Listed(&membership.List{Complete: true, Entries: []membership.Entry{{Endpoint: chalkrack.Endpoint{Name: "s0", Zone: "z", Hint: 1}, Address: "x"}}})
+	h.ApplyList(&membership.List{Complete: true, Entries: []membership.Entry{{Endpoint: chalkrack.Endpoint{Name: "s0", Zone: "z", Hint: 1}, Address: "x"}}})
 	c := refusableCaller{refused: make(chan bool, 1)}
 	h.Arrive(&core.Call{ID: "1", Class: "u", Timeout: 20 * time.Millisecond, Received: time.Now(), Limits: &core.Limits{BodyTimeout: 20 * time.Millisecond}, Caller: c})
 	select {
--- a/internal/core/trial_test.go
+++ b/internal/core/trial_test.go
@@ -74,7 +74,7 @@
 		for _, name := range []string{"s0", "s1", "s2", "s3", "s4", "s5"} {
 			l.Entries = append(l.Entries, membership.Entry{Endpoint: chalkrack.Endpoint{Name: name, Zone: "z", Hint: 1}, Address: "x"})
 		}
-		h.Listed(l)
+		h.ApplyList(l)
 		arrive := func(id string, under generation.Stamp) *countingCaller {
 			c := new(countingCaller)
 			h.Arrive(&core.Call{ID: id, Class: "a", Generation: under, Received: time.Now(), Caller: c})
@@ -147,7 +147,7 @@
 		t.Fatal(err)
 	}
 	defer h.Close()
-	h.Listed(&membership.List{Complete: true, Entries: []membership.Entry{{Endpoint: chalkrack.Endpoint{Name: "s0", Zone: "z", Hint: 1}, Address: "x"}}})
+	h.ApplyList(&membership.List{Complete: true, Entries: []membership.Entry{{Endpoint: chalkrack.Endpoint{Name: "s0", Zone: "z", Hint: 1}, Address: "x"}}})
 	_, early, _ := h.Route("/u")
 	if err := h.StartTrial(newGeneration(t, 2, `"name":"u"`, `"name":"v"`), bake.Config{Share: 0.5, FalseUndo: 0.01, Notice: 0.5, Bake: time.Minute}, 1); err != nil {
 		t.Fatal(err)
@@ -235,7 +235,7 @@
 					t.Fatal(err)
 				}
 				defer h.Close()
-				h.Listed(&membership.List{Complete: true, Entries: []membership.Entry{{Endpoint: chalkrack.Endpoint{Name: "s0", Zone: "z", Hint: 1}, Address: "x"}}})
+				h.ApplyList(&membership.List{Complete: true, Entries: []membership.Entry{{Endpoint: chalkrack.Endpoint{Name: "s0", Zone: "z", Hint: 1}, Address: "x"}}})
 				if err := h.StartTrial(newGeneration(t, 2, c.next[0], c.next[1]), bake.Config{Share: 0.5, FalseUndo: 0.01, Notice: 0.5, Bake: time.Hour}, 1); err != nil {
 					t.Fatal(err)
 				}
--- a/internal/core/watch_test.go
+++ b/internal/core/watch_test.go
@@ -71,11 +71,11 @@
 		list.Entries = append(list.Entries, membership.Entry{Endpoint: chalkrack.Endpoint{Name: fmt.Sprint("s", n), Zone: string(rune('a' + n)), Hint: 1}, Address: s.addr})
 	}
 	if z, ok := watch.(*zones.Zones); ok {
-		z.Connect(h, h.Listed, func(int, []int) {})
-		h.SetZones(z)
+		z.Connect(h, h.ApplyList, func(int, []int) {})
+		h.SetZonePolicy(z)
 		z.ApplyList(list)
 	} else {
-		h.Listed(list)
+		h.ApplyList(list)
 	}
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -93,7 +93,8 @@
 		release, arrived := make(chan struct{}), make(chan struct{})
 		watch := &attemptLog{outstanding: make(map[uint64]string), outcomes: make(map[chalkrack.Outcome]int)}
 		var requests atomic.Int32
-		silentOnce := func(int, *http.Request, string) string { // the first request, at either server, gets no answer until the test allows it
+		// The first request, at either server, gets no answer until the test allows it.
+		silentOnce := func(int, *http.Request, string) string {
 			if requests.Add(1) == 1 {
 				close(arrived)
 				<-release
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -117,7 +117,7 @@
 	started, maxDeadline := time.Now(), min(trials.LongestDeadline(), maxAwaitedDeadline)
 	slog.Info("stopping", "held", host.Held())
 	host.ShutDownWithin(maxDeadline + shutdownMargin)
-	routes.QuitAt(maxDeadline + shutdownMargin)
+	routes.ShutDownWithin(maxDeadline + shutdownMargin)
 	hasSharedListener := trials.Running().InheritedFD > 0
 	if hasSharedListener {
 		trials.CloseListener()
@@ -126,7 +126,7 @@
 		srv.Drain()
 	}
 	if radiusProxy != nil {
-		radiusProxy.QuitAt(maxDeadline + shutdownMargin)
+		radiusProxy.ShutDownWithin(maxDeadline + shutdownMargin)
 	}
 	// A connection counts until both sides have closed it, or until it has been read for long
 	// enough: data that the client still sends when the process exits would cause a reset.
--- a/internal/daemon/duties_test.go
+++ b/internal/daemon/duties_test.go
@@ -42,7 +42,7 @@
 // 40 sidecars over real sockets, half of them stopped, and one that receives invalid packets: each
 // node is still probed by a few sidecars, and the results reach those that did not probe it.
 func TestDutiesOverUDP(t *testing.T) {
-	const cars, nodes = 40, 8
+	const sidecarCount, nodes = 40, 8
 	var mu sync.Mutex
 	probes := make(map[string][]time.Time)
 	list := &membership.List{Complete: true}
@@ -62,7 +62,7 @@
 	// Free ports on an address that no outgoing connection uses.
 	var peers []string
 	var held []*net.UDPConn
-	for range cars {
+	for range sidecarCount {
 		c, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 4)})
 		if err != nil {
 			t.Fatal(err)
@@ -74,14 +74,14 @@
 		c.Close()
 	}
 	var all []*duties.Runner
-	for n := range cars {
+	for n := range sidecarCount {
 		c := configWithPeers(t, peers, n)
 		host, err := core.New(core.Config{Settings: c.Settings, Seed: uint64(n), Transport: upstream.New(upstream.Config{MaxConns: 1})})
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer host.Close()
-		host.Listed(list)
+		host.ApplyList(list)
 		s, err := newDuties(c, host)
 		s.Start()
 		if err != nil {
@@ -91,7 +91,7 @@
 		s.UpdateServers(list)
 		all = append(all, s)
 	}
-	noise, err := net.Dial("udp", peers[cars-1])
+	noise, err := net.Dial("udp", peers[sidecarCount-1])
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -133,12 +133,12 @@
 				}
 			}
 		}
-		return known >= cars*nodes*9/10
+		return known >= sidecarCount*nodes*9/10
 	})
-	if v := all[cars-1].View(); v.Unread < 40 {
+	if v := all[sidecarCount-1].View(); v.Unread < 40 {
 		t.Errorf("%d of 50 unreadable notes were counted, want at least 40", v.Unread)
 	}
-	for _, s := range all[:cars/2] {
+	for _, s := range all[:sidecarCount/2] {
 		s.Close()
 	}
 	killed := time.Now()
--- a/internal/daemon/pools_test.go
+++ b/internal/daemon/pools_test.go
@@ -95,7 +95,7 @@
 	if v := line.Status()[0].Queue; v.Active != 1 || v.Waiting != 2 {
 		t.Errorf("queue: %+v, want 1 active and 2 waiting", v)
 	}
-	line.QuitAt(time.Hour)
+	line.ShutDownWithin(time.Hour)
 	for range 2 {
 		select {
 		case s := <-told:
@@ -106,7 +106,7 @@
 			t.Fatal("a queued call at SIGTERM is not answered")
 		}
 	}
-	r.QuitAt(10 * time.Millisecond)
+	r.ShutDownWithin(10 * time.Millisecond)
 	for n := range 5 {
 		select {
 		case <-how:
--- a/internal/daemon/sidecar.go
+++ b/internal/daemon/sidecar.go
@@ -137,7 +137,7 @@
 	if err != nil {
 		return fmt.Errorf("settings: %w", err)
 	}
-	s.applyList = s.host.Listed
+	s.applyList = s.host.ApplyList
 	return nil
 }
 
@@ -145,7 +145,7 @@
 	if s.weights, err = newWeights(s.cfg, s.host); err != nil || s.weights == nil {
 		return err
 	}
-	s.applyList = s.weights.Listed
+	s.applyList = s.weights.ApplyList
 	s.addTask(time.Duration(s.cfg.Features.Weights.StepInterval), s.weights.UpdateHints)
 	s.addPage("weights", func() any { return s.weights.View() })
 	return nil
@@ -170,7 +170,7 @@
 		s.zones.Connect(s.host, s.applyList, s.duties.SendNotes)
 		s.applyList = s.zones.ApplyList
 		s.duties.SetPayload(s.zones.NotePart, s.zones.ReceiveNote)
-		s.host.SetZones(s.zones)
+		s.host.SetZonePolicy(s.zones)
 		s.addPage("zones", s.zones.View)
 		s.actions["zones/order"] = s.zones.ExecuteOrder
 	}
@@ -390,7 +390,7 @@
 
 // firstListWait returns how long a starting process waits for the first list. A known list may be
 // outdated, and a local agent pushes the newest at once. A service that all sidecars poll answers
-// them spread over discovery.SharedServiceTiming.Spread, so a process with a known list does not wait for it.
+// them spread over discovery.SharedServiceTiming.MaxInitialDelay, so a process with a known list does not wait for it.
 func firstListWait(hasList, isPolled bool) time.Duration {
 	switch {
 	case !hasList:
--- a/internal/demo/terminals.go
+++ b/internal/demo/terminals.go
@@ -226,7 +226,7 @@
 }
 
 func (m *terminals) stop() error {
-	m.proxy.QuitAt(time.Second)
+	m.proxy.ShutDownWithin(time.Second)
 	for end := time.Now().Add(2 * time.Second); m.proxy.Held() > 0; time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(end) {
 			return fmt.Errorf("%d calls have no end", m.proxy.Held())
--- a/internal/radius/proxy/many_test.go
+++ b/internal/radius/proxy/many_test.go
@@ -81,8 +81,8 @@
 							servers[0].Freeze(false)
 							servers[1].Kill()
 						case calls * 3 / 4:
-							p.sides[0].pools[""].host.Listed(leaving("r3"))
-							p.sides[1].pools[""].host.Listed(leaving("r3"))
+							p.sides[0].pools[""].host.ApplyList(leaving("r3"))
+							p.sides[1].pools[""].host.ApplyList(leaving("r3"))
 						}
 						if n%2 == 0 {
 							a := access(fmt.Sprint("u", n))
--- a/internal/radius/proxy/memory_test.go
+++ b/internal/radius/proxy/memory_test.go
@@ -14,7 +14,7 @@
 
 // again ends a rig's proxy as SIGTERM does, and starts another for the same file.
 func (r *rig) again() {
-	r.p.QuitAt(time.Second)
+	r.p.ShutDownWithin(time.Second)
 	settle(r.t, "held", func() bool { return r.p.Held() == 0 })
 	sec := r.p.cfg.Radius
 	r.p.Close()
@@ -104,7 +104,7 @@
 	wire := c.Packet(event("held", 1), 1, [16]byte{}, 0)
 	c.Throw(wire)
 	settle(t, "taken", func() bool { return r.p.Held() == 1 })
-	r.p.QuitAt(patience)
+	r.p.ShutDownWithin(patience)
 	c.Throw(c.Packet(event("new", 1), 2, [16]byte{}, 0))
 	settle(t, "dropped", func() bool { l, _ := r.p.Counts(true); return l.Full == 1 })
 	close(hold)
--- a/internal/radius/proxy/proxy.go
+++ b/internal/radius/proxy/proxy.go
@@ -145,7 +145,7 @@
 	}
 	if disco != "" {
 		h := s.pools[""].host
-		s.watcher = &discovery.Watcher{Addr: disco, Timing: discovery.AgentTiming, OnList: h.Listed, OnError: h.DiscoveryFailed}
+		s.watcher = &discovery.Watcher{Addr: disco, Timing: discovery.AgentTiming, OnList: h.ApplyList, OnError: h.DiscoveryFailed}
 	}
 	var clients []listener.Client
 	for _, k := range r.Clients {
@@ -241,7 +241,7 @@
 			e.Started = unix + upAt
 		}
 	}
-	pl.host.Listed(l)
+	pl.host.ApplyList(l)
 }
 
 // probe asks each server of a fixed list whether it is there, in turn, one each
@@ -337,9 +337,9 @@
 	return n
 }
 
-// QuitAt takes no new calls, and sees to it that all that is under way is answered by
-// then.
-func (p *Proxy) QuitAt(in time.Duration) {
+// ShutDownWithin accepts no new calls and has all calls that are still open answered within
+// the given time.
+func (p *Proxy) ShutDownWithin(in time.Duration) {
 	for _, s := range p.sides {
 		s.listener.Drain()
 		for _, pl := range s.pools {
--- a/internal/radius/proxy/virtual_test.go
+++ b/internal/radius/proxy/virtual_test.go
@@ -309,7 +309,7 @@
 				mu.Unlock()
 			case calls * 3 / 4:
 				for _, s := range p.sides {
-					s.pools[""].host.Listed(leaving("r3"))
+					s.pools[""].host.ApplyList(leaving("r3"))
 				}
 			}
 			accounting := n%2 == 1
--- a/internal/rooms/changes/admin.go
+++ b/internal/rooms/changes/admin.go
@@ -160,7 +160,7 @@
 	return s
 }
 
-// Pages adds the page "config" to all and returns the deeds "config/apply" and
+// Pages adds the page "config" to all and returns the actions "config/apply" and
 // "config/rollback" of the operators' socket. It does nothing if changes are off.
 func (g *Manager) Pages(all map[string]func() any) map[string]admin.Action {
 	if !g.Enabled() {
@@ -173,10 +173,10 @@
 		}
 		return v
 	}
-	deed := func(do func([]byte) (any, error)) admin.Action {
+	action := func(do func([]byte) (any, error)) admin.Action {
 		return func(text []byte) (any, error) {
 			return g.request(func() (any, error) { return do(text) })
 		}
 	}
-	return map[string]admin.Action{"config/apply": deed(g.apply), "config/rollback": deed(g.rollback)}
+	return map[string]admin.Action{"config/apply": action(g.apply), "config/rollback": action(g.rollback)}
 }
--- a/internal/rooms/changes/changes.go
+++ b/internal/rooms/changes/changes.go
@@ -49,7 +49,7 @@
 	why  string
 }
 
-// Config configures a Changes.
+// Config configures a Manager.
 type Config struct {
 	Running   *config.Config
 	Host      *core.Host
@@ -88,7 +88,7 @@
 	closing  sync.Once
 }
 
-// New returns a Changes for the running configuration.
+// New returns a Manager for the running configuration.
 func New(c Config) *Manager {
 	return &Manager{current: c.Running, host: c.Host, pool: c.Pool, srv: c.Front, watcher: c.Discovery, listener: c.Listener, figures: c.Figures, startTime: time.Now(), requests: make(chan Request), done: make(chan struct{})}
 }
--- a/internal/rooms/changes/changes_test.go
+++ b/internal/rooms/changes/changes_test.go
@@ -19,7 +19,7 @@
 	"chalkrack/internal/upstream"
 )
 
-// newTestChanges returns a Changes as the daemon creates it at a start, without servers or
+// newTestChanges returns a Manager as the daemon creates it at a start, without servers or
 // clients.
 func newTestChanges(t *testing.T, c *config.Config) *Manager {
 	t.Helper()
--- a/internal/rooms/levels/levels.go
+++ b/internal/rooms/levels/levels.go
@@ -47,7 +47,7 @@
 	memorySamples     []metrics.Sample
 }
 
-// New creates a level.Machine and installs it as the gate of host.
+// New creates a level.Machine and installs it as the degradation policy of host.
 func New(cfg Config, host *core.Host) (*Controller, error) {
 	machine, err := level.New(cfg.Level)
 	if err != nil {
@@ -55,7 +55,7 @@
 	}
 	r := &Controller{cfg: cfg, host: host, machine: machine, lastTick: time.Now(),
 		memorySamples: []metrics.Sample{{Name: "/memory/classes/total:bytes"}, {Name: "/memory/classes/heap/released:bytes"}}}
-	host.SetGate(machine)
+	host.SetDegradationPolicy(machine)
 	return r, nil
 }
 
@@ -67,7 +67,7 @@
 	r.lastTick = now
 	metrics.Read(r.memorySamples)
 	held := r.host.Held()
-	r.host.WithGate(func(at time.Duration, tally core.AttemptCounts, members, ejected int) {
+	r.host.WithPolicyLock(func(at time.Duration, tally core.AttemptCounts, members, ejected int) {
 		r.ended = r.ended*outcomeDecay + float64(tally.Ended-r.lastTally.Ended)
 		r.late = r.late*outcomeDecay + float64(tally.Late-r.lastTally.Late)
 		r.full = r.full*outcomeDecay + float64(tally.Full-r.lastTally.Full)
@@ -92,12 +92,12 @@
 }
 
 func (r *Controller) currentLevel() (l level.Level) {
-	r.host.WithGate(func(time.Duration, core.AttemptCounts, int, int) { l = r.machine.Level() })
+	r.host.WithPolicyLock(func(time.Duration, core.AttemptCounts, int, int) { l = r.machine.Level() })
 	return l
 }
 
 func (r *Controller) currentView() (v level.View) {
-	r.host.WithGate(func(time.Duration, core.AttemptCounts, int, int) { v = r.machine.View() })
+	r.host.WithPolicyLock(func(time.Duration, core.AttemptCounts, int, int) { v = r.machine.View() })
 	return v
 }
 
@@ -120,12 +120,12 @@
 	if request.For < 0 || request.For > MaxPinDuration {
 		return nil, fmt.Errorf("level: a pin must have an end within %v", MaxPinDuration)
 	}
-	r.host.WithGate(func(now time.Duration, _ core.AttemptCounts, _, _ int) { r.machine.Pin(now, l, now+request.For) })
+	r.host.WithPolicyLock(func(now time.Duration, _ core.AttemptCounts, _, _ int) { r.machine.Pin(now, l, now+request.For) })
 	return r.currentView(), nil
 }
 
-// AddPages adds the level page to all and the pin command to deeds.
-func (r *Controller) AddPages(all map[string]func() any, deeds map[string]admin.Action) {
+// AddPages adds the level page to all and the pin command to actions.
+func (r *Controller) AddPages(all map[string]func() any, actions map[string]admin.Action) {
 	all["level"] = func() any { return r.currentView() }
-	deeds["level/pin"] = r.handlePin
+	actions["level/pin"] = r.handlePin
 }
--- a/internal/rooms/operating/handover.go
+++ b/internal/rooms/operating/handover.go
@@ -77,7 +77,7 @@
 			if len(l.List) > 0 {
 				o.ApplyList(&membership.List{Complete: true, Entries: l.List})
 			}
-			o.config.Host.Remember(l.Memory)
+			o.config.Host.RestoreState(l.Memory)
 			if o.config.Zones != nil {
 				o.config.Zones.Adopt(l.Zones)
 			}
@@ -111,7 +111,7 @@
 		o.applyOperatorState()
 		if o.serving.Load() && !o.quitting {
 			for _, id := range requesting {
-				l := learnedState{Memory: o.config.Host.Memory(), List: o.servers.List()}
+				l := learnedState{Memory: o.config.Host.LearnedState(), List: o.servers.List()}
 				if o.config.Zones != nil {
 					l.Zones = o.config.Zones.State()
 				}
--- a/internal/rooms/operating/shared_test.go
+++ b/internal/rooms/operating/shared_test.go
@@ -34,7 +34,7 @@
 	}
 	defer host.Close()
 	tmp := t.TempDir()
-	o := New(Config{Host: host, Pool: pool, ApplyList: host.Listed, Limits: Limits{Memory: 1 << 30, Conns: 8, Bodies: 1 << 20}, Shared: true, Tmp: tmp, Listen: ln.Addr().String()})
+	o := New(Config{Host: host, Pool: pool, ApplyList: host.ApplyList, Limits: Limits{Memory: 1 << 30, Conns: 8, Bodies: 1 << 20}, Shared: true, Tmp: tmp, Listen: ln.Addr().String()})
 	o.SetFront(front.New(front.Config{MaxConns: 8, MaxBodyBytes: 1 << 20}, host))
 	defer o.Close()
 	o.TakeOverState()
--- a/internal/rooms/pools/pools.go
+++ b/internal/rooms/pools/pools.go
@@ -110,7 +110,7 @@
 	ctx, stop := context.WithCancel(context.Background())
 	s.stop = stop
 	if p.Discovery != "" {
-		s.watcher = &discovery.Watcher{Addr: p.Discovery, Timing: discovery.AgentTiming, OnList: s.host.Listed, OnError: s.host.DiscoveryFailed}
+		s.watcher = &discovery.Watcher{Addr: p.Discovery, Timing: discovery.AgentTiming, OnList: s.host.ApplyList, OnError: s.host.DiscoveryFailed}
 		s.wg.Go(s.watcher.Run)
 		return s, nil
 	}
@@ -123,7 +123,7 @@
 		s.close()
 		return nil, fmt.Errorf("pool %q: %w", p.Name, err)
 	}
-	s.host.Listed(s.members.List())
+	s.host.ApplyList(s.members.List())
 	if p.Checks.Interval > 0 {
 		for n, m := range members {
 			// Spreads the first checks over the interval so that they don't come in a burst.
@@ -155,7 +155,7 @@
 		if s.members.RecordResult(s.startUnix+time.Since(s.start), m.Name, err == nil) {
 			l = s.members.List()
 			slog.Info("health checks changed a server's state", "pool", s.name, "server", m.Name, "up", err == nil, "err", err)
-			s.host.Listed(l) // under the lock, to keep the lists in order
+			s.host.ApplyList(l) // under the lock, to keep the lists in order
 		}
 		s.mu.Unlock()
 	}
@@ -236,7 +236,7 @@
 }
 
 // Routing holds the routes, their pools and the further listeners. On a nil Routing, Serve,
-// Chooser, Close, Sweep and QuitAt do nothing.
+// Chooser, Close, Sweep and ShutDownWithin do nothing.
 type Routing struct {
 	table   *route.Table
 	pools   map[string]*serverPool
@@ -366,9 +366,9 @@
 	}
 }
 
-// QuitAt has all held calls answered within the given time, and refuses calls that wait in
+// ShutDownWithin has all held calls answered within the given time, and refuses calls that wait in
 // a queue at once.
-func (r *Routing) QuitAt(in time.Duration) {
+func (r *Routing) ShutDownWithin(in time.Duration) {
 	if r != nil {
 		for _, p := range r.ordered {
 			if p.queue != nil {
--- a/internal/rooms/pools/queued_test.go
+++ b/internal/rooms/pools/queued_test.go
@@ -124,13 +124,13 @@
 		says(highWorth, "[served released]")
 		b := check("[b]")[0]
 		if s.ClientGone(b) || held.goneCount != 1 {
-			t.Error("Gone for an admitted call was not passed to the core")
+			t.Error("ClientGone for an admitted call was not passed to the core")
 		}
 		left := &fakeCaller{}
 		w := &core.Call{ID: "e", Class: "x", Timeout: time.Minute, Received: time.Now(), Caller: left}
 		s.Arrive(w)
 		if !s.ClientGone(w) || held.goneCount != 1 {
-			t.Error("Gone for a waiting call returned false or was passed to the core")
+			t.Error("ClientGone for a waiting call returned false or was passed to the core")
 		}
 		says(left, "[released]")
 		last := ask("f", "x", time.Minute)
--- a/internal/rooms/weighted/weighted.go
+++ b/internal/rooms/weighted/weighted.go
@@ -15,7 +15,7 @@
 
 // Core receives server lists and reports the measured correction of each named server.
 type Core interface {
-	Listed(*membership.List)
+	ApplyList(*membership.List)
 	HintCorrections(names []string) []float64
 }
 
@@ -34,7 +34,7 @@
 	hasStarted bool
 }
 
-// New returns a Weighted with the plan in the file at path. If the file can't be used it
+// New returns a HintAdjuster with the plan in the file at path. If the file can't be used it
 // logs a warning and starts without a plan, so that a bad file does not prevent a start.
 func New(host Core, path string, key []byte, cfg weights.Config) *HintAdjuster {
 	w := &HintAdjuster{host: host, path: path, key: key, controller: weights.NewController(cfg), entries: make(map[string]membership.Entry)}
@@ -66,9 +66,9 @@
 	slog.Info("weights: loaded a plan", "made", p.Made, "until", p.Until)
 }
 
-// Listed passes a server list from discovery to the core, with the plan's weights on its
+// ApplyList passes a server list from discovery to the core, with the plan's weights on its
 // hints. On the first list with servers the hints are set to their targets at once.
-func (w *HintAdjuster) Listed(l *membership.List) {
+func (w *HintAdjuster) ApplyList(l *membership.List) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if l.Complete {
@@ -93,7 +93,7 @@
 		}
 		out.Entries = append(out.Entries, w.withHint(e))
 	}
-	w.host.Listed(out)
+	w.host.ApplyList(out)
 }
 
 // withHint returns the entry with its hint multiplied by the plan's; a hint of 0 counts as 1.
@@ -134,7 +134,7 @@
 	for name := range changed {
 		l.Entries = append(l.Entries, w.withHint(w.entries[name]))
 	}
-	w.host.Listed(l)
+	w.host.ApplyList(l)
 }
 
 // View returns the state of the plan and its hints.
--- a/internal/rooms/weighted/weighted_test.go
+++ b/internal/rooms/weighted/weighted_test.go
@@ -16,7 +16,7 @@
 // recordedHints is a Core that records the hints it receives.
 type recordedHints map[string]float64
 
-func (t recordedHints) Listed(l *membership.List) {
+func (t recordedHints) ApplyList(l *membership.List) {
 	for _, e := range l.Entries {
 		t[e.Name] = e.Hint
 	}
@@ -49,7 +49,7 @@
 		list.Entries = append(list.Entries, membership.Entry{Endpoint: chalkrack.Endpoint{Name: name, Hint: 2, State: chalkrack.Serving}, Address: "127.0.0.1:1"})
 	}
 	list.Entries = list.Entries[:2]
-	w.Listed(list)
+	w.ApplyList(list)
 	check := func(what string, a, b float64) {
 		t.Helper()
 		if x, y := hints["a"], hints["b"]; x != a || y != b {
@@ -75,7 +75,7 @@
 	}
 	gone := list.Entries[0]
 	gone.State = chalkrack.Gone
-	w.Listed(&membership.List{Entries: []membership.Entry{gone}})
+	w.ApplyList(&membership.List{Entries: []membership.Entry{gone}})
 	w.UpdateHints(now)
 	if len(w.entries) != 1 || len(w.View().Hints) != 1 {
 		t.Errorf("after a server has gone %d entries and %d hints are left, want 1 of each", len(w.entries), len(w.View().Hints))
--- a/internal/rooms/zones/zones.go
+++ b/internal/rooms/zones/zones.go
@@ -39,7 +39,7 @@
 	Regions map[string][]string // zones by region name
 }
 
-// Zones decides which zones a sidecar uses. After Stand its methods may be called from any
+// Zones decides which zones a sidecar uses. After Connect its methods may be called from any
 // goroutine.
 type Zones struct {
 	cfg       Config
