--- a/internal/rooms/pools/pools.go
+++ b/internal/rooms/pools/pools.go
@@ -154,7 +154,7 @@
 		var l *membership.List
 		if s.members.RecordResult(s.startUnix+time.Since(s.start), m.Name, err == nil) {
 			l = s.members.List()
-			slog.Info("health checks changed a server's state", "pool", s.name, "server", m.Name, "up", err == nil, "err", err)
+			slog.Info("checks", "pool", s.name, "server", m.Name, "up", err == nil, "err", err)
 			s.host.ApplyList(l) // under the lock, to keep the lists in order
 		}
 		s.mu.Unlock()
