--- a/internal/standin/server.go
+++ b/internal/standin/server.go
@@ -7,8 +7,10 @@
 	"io"
 	"net"
 	"net/http"
+	"os"
 	"strings"
 	"sync"
+	"sync/atomic"
 	"time"
 )
 
@@ -50,9 +52,16 @@
 	handlers sync.WaitGroup
 }
 
-// restartable is where what may restart listens: no connection that goes out from
-// 127.0.0.1 can take its port meanwhile.
-const restartable = "127.0.0.2:0"
+// hostCount counts the hosts that servers of this process have been given.
+var hostCount atomic.Uint32
+
+// newHost returns a loopback address that no other server, and no connection from 127.0.0.1, uses.
+// The port of a server that is down is then still free when it is restarted: at a shared address
+// another server that starts meanwhile could be given it.
+func newHost() string {
+	n := hostCount.Add(1)
+	return fmt.Sprintf("127.%d.%d.%d", 230+n/250%24, os.Getpid()&0xff, 1+n%250)
+}
 
 // NewServer starts a server on a loopback port that the system picks.
 func NewServer(cfg ServerConfig) (*Server, error) {
@@ -64,7 +73,7 @@
 	}
 	s := &Server{cfg: cfg, script: cfg.Script, conns: make(map[net.Conn]struct{}), thaw: make(chan struct{})}
 	close(s.thaw)
-	ln, err := net.Listen("tcp", restartable)
+	ln, err := net.Listen("tcp", newHost()+":0")
 	if err != nil {
 		return nil, fmt.Errorf("standin: %w", err)
 	}
--- a/internal/standin/standin_test.go
+++ b/internal/standin/standin_test.go
@@ -299,3 +299,24 @@
 		t.Errorf("%d of 400 keyed, 100 are meant to be", keyed)
 	}
 }
+
+// Each server listens at a host of its own. At a shared one the port of a server that is down can
+// be given to another that starts meanwhile, and the first can't be restarted.
+func TestServersHaveHostsOfTheirOwn(t *testing.T) {
+	hosts := make(map[string]bool)
+	for range 300 {
+		s, err := NewServer(ServerConfig{})
+		if err != nil {
+			t.Fatal(err)
+		}
+		host, _, err := net.SplitHostPort(s.Addr())
+		if err != nil {
+			t.Fatal(err)
+		}
+		s.Close()
+		if hosts[host] {
+			t.Fatalf("%s is given a second time, after %d servers", host, len(hosts))
+		}
+		hosts[host] = true
+	}
+}
