--- a/internal/figures/figures.go
+++ b/internal/figures/figures.go
@@ -6,6 +6,7 @@
 
 import (
 	"strconv"
+	"sync"
 	"sync/atomic"
 )
 
@@ -42,31 +43,46 @@
 }
 
 // Request is the counting state of one request. The zero Request counts nowhere, so that
-// its methods may always be called.
+// its methods may always be called. The end of a streamed body and the answer may be counted by
+// two goroutines at the same time.
 type Request struct {
-	f     *Figures
-	class int
-	ended atomic.Bool
+	mu      sync.Mutex
+	figures *Figures // where the request was counted; nil before that
+	class   int
+	ended   bool
 }
 
 // CountRequest counts r as accepted, unless the class is unknown or r was counted before. It has to
-// be called before the request may end. A nil Figures counts nothing.
+// be called before the request may end. A nil Figures counts nothing. It may be called by several
+// goroutines; one of the calls counts.
 func (f *Figures) CountRequest(r *Request, class string) {
-	if f == nil || r.f != nil {
+	if f == nil {
 		return
 	}
-	if n, ok := f.classIndex[class]; ok {
-		r.f, r.class = f, n
-		f.accepted.Add(1)
+	n, ok := f.classIndex[class]
+	if !ok {
+		return
 	}
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if r.figures != nil {
+		return
+	}
+	r.figures, r.class = f, n
+	f.accepted.Add(1)
 }
 
-// CountEnd counts the end of r. Calls after the first do nothing.
+// CountEnd counts the end of r, unless r was not counted as accepted. Calls after the first do
+// nothing. It may be called by several goroutines.
 func (r *Request) CountEnd(how Outcome) {
-	if r.f != nil && r.ended.CompareAndSwap(false, true) {
-		r.f.counts[r.class][how].Add(1)
-		r.f.ended.Add(1)
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if r.figures == nil || r.ended {
+		return
 	}
+	r.ended = true
+	r.figures.counts[r.class][how].Add(1)
+	r.figures.ended.Add(1)
 }
 
 // CountForwarded counts an attempt whose last byte was written to its server. A nil Figures
--- a/internal/figures/figures_test.go
+++ b/internal/figures/figures_test.go
@@ -3,6 +3,7 @@
 import (
 	"fmt"
 	"strings"
+	"sync"
 	"testing"
 
 	"pgregory.net/rapid"
@@ -23,7 +24,7 @@
 				class := rapid.SampledFrom([]string{"a", "b", "none"}).Draw(t, "class")
 				f.CountRequest(r, class)
 				f.CountRequest(r, "a") // has no effect
-				if class != "none" || r.f != nil {
+				if class != "none" || r.figures != nil {
 					accepted++
 				}
 				open = append(open, r)
@@ -53,6 +54,41 @@
 	})
 }
 
+// The last byte of a streamed body and the answer may be counted by two goroutines at the same
+// time. Both count the request and one counts its end: it has to be counted once.
+func TestConcurrentCallsCountARequestOnce(t *testing.T) {
+	const requests = 2000
+	f := New([]string{"activate"})
+	for range requests {
+		var r Request
+		var both sync.WaitGroup
+		begin := make(chan struct{})
+		both.Go(func() {
+			<-begin
+			f.CountRequest(&r, "activate")
+		})
+		both.Go(func() {
+			<-begin
+			f.CountRequest(&r, "activate")
+			r.CountEnd(Succeeded)
+			if n := f.Outstanding(); n < 0 {
+				t.Errorf("%d requests outstanding", n)
+			}
+		})
+		close(begin)
+		both.Wait()
+	}
+	if n := f.accepted.Load(); n != requests {
+		t.Errorf("%d requests were counted as accepted, want %d", n, requests)
+	}
+	if n := f.Count("activate", Succeeded); n != requests {
+		t.Errorf("%d ends were counted, want %d", n, requests)
+	}
+	if n := f.Outstanding(); n != 0 {
+		t.Errorf("%d requests outstanding after all ended", n)
+	}
+}
+
 func TestAppendFormat(t *testing.T) {
 	f := New([]string{"activate", "status-check"})
 	var r, left Request
