--- a/internal/radius/proxy/proxy_test.go
+++ b/internal/radius/proxy/proxy_test.go
@@ -441,6 +441,12 @@
 		if reply := r.client(false).Do(access("u")); reply.Code != want {
 			t.Errorf("%d: %+v", kind, reply)
 		}
+		if kind == standin.RadiusTwice { // the second copy may come after the client has its answer
+			settle(t, "the second copy of the answer was never dropped", func() bool {
+				_, counts := r.p.Counts(false)
+				return counts.Unasked == 1
+			})
+		}
 		if _, tr := r.p.Counts(false); kind != standin.RadiusElsewhere && tr.Unverified+tr.Unasked == 0 {
 			t.Errorf("%d: nothing dropped: %+v", kind, tr)
 		}
