--- a/internal/fleet/cases_test.go
+++ b/internal/fleet/cases_test.go
@@ -14,205 +14,210 @@
 	"chalkrack/internal/rig"
 )
 
-// Each further way in which a zone may fail, over real processes: errors, slowness, a third
-// of its servers each, a fleet that is parted meanwhile, discovery lost with it, two zones
-// one after the other. All are out within the stated time, and nobody leaves what is well.
-func TestEachWayOfFailing(t *testing.T) {
-	for name, fails := range map[string]map[string]time.Duration{
+// Guards against sidecars that leave a failed zone too late, or leave a healthy one. The zone fails
+// by errors, by slowness, by a different fault in each third of its servers, during a partition of
+// the fleet, together with discovery, and as one of two zones that fail one after the other.
+func TestFleetLeavesFailedZones(t *testing.T) {
+	for name, failTimes := range map[string]map[string]time.Duration{
 		"zone-errs": {"a": 2 * time.Second}, "zone-slow": {"a": 2 * time.Second}, "zone-thirds": {"a": 2 * time.Second},
 		"parted": {"a": 2 * time.Second}, "with-discovery": {"a": 2 * time.Second}, "two-zones": {"a": 2 * time.Second, "b": 4 * time.Second},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			h := play(t, leaving(t, name, 3*time.Second, 2500*time.Millisecond))
-			for _, z := range h.Schedule.Zones {
-				left, at := h.left(z), fails[z]
+			h := runSchedule(t, shortSchedule(t, name, 3*time.Second, 2500*time.Millisecond))
+			for _, zone := range h.Schedule.Zones {
+				departed, failTime := h.departures(zone), failTimes[zone]
 				for n := range h.Schedule.Sidecars {
-					switch to, ok := left[sidecarParty(n)]; {
-					case at == 0 && ok:
-						t.Errorf("sidecar %d left zone %s, which is well", n+1, z)
-					case at > 0 && (!ok || to > at+outWithin):
-						t.Errorf("sidecar %d left zone %s %v after the fault: %v", n+1, z, to-at, ok)
-						h.tellStages(t, sidecarParty(n))
+					switch leftAt, ok := departed[sidecarParty(n)]; {
+					case failTime == 0 && ok:
+						t.Errorf("sidecar %d left zone %s, which is healthy", n+1, zone)
+					case failTime > 0 && (!ok || leftAt > failTime+departureLimit):
+						t.Errorf("sidecar %d left zone %s %v after the fault (left: %v)", n+1, zone, leftAt-failTime, ok)
+						h.logStages(t, sidecarParty(n))
 					}
 				}
-				if at > 0 { // whatever stage each holds by then, few send there
-					h.keepsPace(t, z, at+outWithin)
+				if failTime > 0 { // few sends go there, in whatever stage each sidecar is by then
+					h.checkReturnPace(t, zone, failTime+departureLimit)
 				}
 			}
-			for _, l := range h.Leavings() {
-				if l.Lost*10 > l.Asked {
-					t.Errorf("zone %s: %d of %d calls not served", l.Zone, l.Lost, l.Asked)
+			for _, exit := range h.ZoneExits() {
+				if exit.NotServed*10 > exit.Calls {
+					t.Errorf("zone %s: %d of %d calls not served", exit.Zone, exit.NotServed, exit.Calls)
 				}
 			}
 		})
 	}
 }
 
-// A zone vanishes and comes back five times, and is not there for long enough that all may
-// always go back. Whatever stage each holds, few send there in the last half second of each of
-// the faults. The first lasts long enough that somebody goes first within it, whoever has few
-// calls: those go back. In the others that is chance.
-func TestRelapsesOverProcesses(t *testing.T) {
+// A zone becomes unreachable five times, and the time between two faults can be too short for all
+// sidecars to return. The test guards against many sends into the zone in the last half second of
+// each fault, in whatever stage each sidecar is. The first fault lasts long enough that some sidecars
+// try the zone during it, even if they have few calls. They must leave it again. In the other
+// faults it depends on chance whether any sidecar tries the zone.
+func TestFewSendsWhenZoneFailsRepeatedly(t *testing.T) {
 	t.Parallel()
-	s := shipped(t, "relapses")
-	s.Features = zoned
-	const longer = duration.Duration(4500 * time.Millisecond)
-	s.Faults[0].For += longer
+	s := shippedSchedule(t, "relapses")
+	s.Features = zoneFeatures
+	const extension = duration.Duration(4500 * time.Millisecond)
+	s.Faults[0].For += extension
 	for n := range s.Faults[1:] {
-		s.Faults[n+1].At += longer
+		s.Faults[n+1].At += extension
 	}
-	s.Length += longer
-	h := play(t, s)
-	back := 0
+	s.Length += extension
+	h := runSchedule(t, s)
+	leftAgain := 0
 	for _, f := range s.Faults {
-		sends, to := 0, time.Duration(f.At+f.For)
-		from := to - 500*time.Millisecond
+		sends, end := 0, time.Duration(f.At+f.For)
+		start := end - 500*time.Millisecond
 		for _, a := range h.Attempts() {
-			if a.Zone == "a" && a.At > from && a.At < to {
+			if a.Zone == "a" && a.At > start && a.At < end {
 				sends++
 			}
 		}
-		if sends > 8+6 { // half a second of what three servers bear at 1/4, and two for each of three
-			t.Errorf("%d sends within %v and %v", sends, from, to)
-			h.tellStages(t, sidecarParty(0))
+		if sends > 8+6 { // a quarter of what three servers can serve in half a second, and two for each of three sidecars
+			t.Errorf("%d sends to zone a between %v and %v, want 14 at most", sends, start, end)
+			h.logStages(t, sidecarParty(0))
 		}
 		for _, l := range h.stageLines() {
-			if l.zone == "a" && strings.Contains(l.why, "that went first say that it fails") && l.at > time.Duration(f.At) && l.at < to+500*time.Millisecond {
-				back++
+			if l.zone == "a" && strings.Contains(l.reason, "that went first say that it fails") && l.at > time.Duration(f.At) && l.at < end+500*time.Millisecond {
+				leftAgain++
 				break
 			}
 		}
 	}
-	if back == 0 {
-		t.Error("those that went first went back in none of five faults")
-		h.tellStages(t, sidecarParty(0))
+	if leftAgain == 0 {
+		t.Error("the first sidecars to return left the zone again in none of the five faults")
+		h.logStages(t, sidecarParty(0))
 	}
-	t.Logf("those that went first went back in %d of five faults", back)
+	t.Logf("the first sidecars to return left the zone again in %d of the five faults", leftAgain)
 }
 
-// Sidecars are killed, one after the other, while the fleet leaves and in the stages of its
-// return, and start again. Each takes the fleet's stage, the pace holds, and all are back.
-func TestRestartsInEachStage(t *testing.T) {
+// Sidecars are killed one after the other, while the fleet leaves a zone and in each stage of its
+// return, and start again. The test guards against a restarted sidecar that does not adopt the
+// stage of the fleet, sends into the zone too early, or never returns.
+func TestRestartsDuringExitAndReturn(t *testing.T) {
 	t.Parallel()
-	s := leaving(t, "zone-vanishes", 1500*time.Millisecond, 12*time.Second)
+	s := shortSchedule(t, "zone-vanishes", 1500*time.Millisecond, 12*time.Second)
 	for n, at := range []time.Duration{2600, 3600, 4400, 4900, 5400, 6000} {
 		s.Faults = append(s.Faults, Fault{Kind: Kill, On: string(sidecarParty(n)), At: duration.Duration(at * time.Millisecond), For: duration.Duration(200 * time.Millisecond)})
 	}
-	h := play(t, s)
-	h.keepsPace(t, "a", time.Duration(s.Faults[0].At+s.Faults[0].For))
-	all := h.holds("a")
+	h := runSchedule(t, s)
+	h.checkReturnPace(t, "a", time.Duration(s.Faults[0].At+s.Faults[0].For))
+	finalStages := h.finalStages("a")
 	for n := range s.Sidecars {
-		if to, ok := all[sidecarParty(n)]; ok && to != "all" || !ok && n >= 6 {
-			t.Errorf("sidecar %d holds %q", n+1, to)
-			h.tellStages(t, sidecarParty(n))
+		if stage, ok := finalStages[sidecarParty(n)]; ok && stage != "all" || !ok && n >= 6 {
+			t.Errorf("sidecar %d ended in stage %q of zone a, want \"all\"", n+1, stage)
+			h.logStages(t, sidecarParty(n))
 		}
 	}
-	serves := 0
+	restarts := 0
 	for _, e := range h.Events {
-		if e.Kind == Process && e.What == "serves" {
-			serves++
+		if e.Kind == EventProcess && e.Detail == "serves" {
+			restarts++
 		}
 	}
-	if serves != 6 {
-		t.Errorf("%d started again", serves)
+	if restarts != 6 {
+		t.Errorf("%d sidecars served again after a restart, want 6", restarts)
 	}
 }
 
-// Sidecars are upgraded while the fleet leaves a zone, holds it by an order, and returns:
-// none of their calls is lost, and the second process holds what the first held from its
-// first call on.
-func TestUpgradesHoldTheStage(t *testing.T) {
+// Sidecars are upgraded while the fleet leaves a zone, while an order keeps another zone empty, and
+// during the return. The test guards against lost calls, and against a second process that starts
+// without the stage and the orders of the first.
+func TestUpgradesKeepStageAndCalls(t *testing.T) {
 	t.Parallel()
-	s := shipped(t, "zone-vanishes")
-	s.Features, s.Length = zoned, duration.Duration(11*time.Second)
+	s := shippedSchedule(t, "zone-vanishes")
+	s.Features, s.Length = zoneFeatures, duration.Duration(11*time.Second)
 	order := `{"zone":"b","action":"leave","who":"kim","reason":"a test"}`
-	s.Faults = []Fault{{Kind: Deed, On: "sidecar:3", At: duration.Duration(time.Second), Name: "zones/order", With: order},
+	s.Faults = []Fault{{Kind: AdminCall, On: "sidecar:3", At: duration.Duration(time.Second), Name: "zones/order", With: order},
 		{Kind: Cut, From: "sidecars", To: "zone:a", At: duration.Duration(3 * time.Second), For: duration.Duration(1500 * time.Millisecond)}}
-	// The leaving, out, and each stage on the way back.
+	// During the departure, while out, and in each stage of the return.
 	for n, at := range []time.Duration{2500, 3500, 4200, 5100, 5700, 6300} {
 		s.Faults = append(s.Faults, Fault{Kind: Upgrade, On: string(sidecarParty(n)), At: duration.Duration(at * time.Millisecond)})
 	}
-	h := play(t, s)
-	done := 0
+	h := runSchedule(t, s)
+	upgrades := 0
 	for _, e := range h.Events {
-		if e.Kind == Process && strings.Contains(e.What, "upgraded") {
-			if done++; e.What != "upgraded" {
-				t.Errorf("%s: %s", e.Who, e.What)
+		if e.Kind == EventProcess && strings.Contains(e.Detail, "upgraded") {
+			if upgrades++; e.Detail != "upgraded" {
+				t.Errorf("%s: %s", e.Party, e.Detail)
 			}
 		}
 	}
-	if done != 6 {
-		t.Errorf("%d upgrades", done)
+	if upgrades != 6 {
+		t.Errorf("%d upgrades ended, want 6", upgrades)
 	}
 	for _, a := range h.Attempts() {
-		if a.Zone == "b" && a.At > time.Second+outWithin {
-			t.Errorf("%s sends to zone b at %v, which is ordered out", a.By, a.At)
+		if a.Zone == "b" && a.At > time.Second+departureLimit {
+			t.Errorf("%s sends to zone b at %v, after the order to leave it", a.Sidecar, a.At)
 		}
 	}
-	h.keepsPace(t, "a", 4500*time.Millisecond)
+	h.checkReturnPace(t, "a", 4500*time.Millisecond)
 }
 
-// Two are stopped while a zone fails, and go on with what they saw when the fleet has long
-// been back there. Nobody leaves it again, and they hold what the others hold.
-func TestOldEvidenceMovesNobody(t *testing.T) {
+// Two sidecars are stopped while a zone fails, and continue when the fleet has long returned. The
+// test guards against their old evidence making others leave the zone again, and against the two
+// staying in an old stage.
+func TestOldEvidenceCausesNoDeparture(t *testing.T) {
 	t.Parallel()
-	s := leaving(t, "zone-vanishes", 1500*time.Millisecond, 16*time.Second)
-	const goOn = 16 * time.Second
-	for _, who := range []string{"sidecar:2", "sidecar:5"} {
-		s.Faults = append(s.Faults, Fault{Kind: Stop, On: who, At: duration.Duration(2700 * time.Millisecond), For: duration.Duration(goOn - 2700*time.Millisecond)})
+	s := shortSchedule(t, "zone-vanishes", 1500*time.Millisecond, 16*time.Second)
+	const continueAt = 16 * time.Second
+	for _, sidecar := range []string{"sidecar:2", "sidecar:5"} {
+		s.Faults = append(s.Faults, Fault{Kind: Stop, On: sidecar, At: duration.Duration(2700 * time.Millisecond), For: duration.Duration(continueAt - 2700*time.Millisecond)})
 	}
-	h := play(t, s)
-	all := h.holds("a")
+	h := runSchedule(t, s)
+	finalStages := h.finalStages("a")
 	for n := range s.Sidecars {
-		if to, ok := all[sidecarParty(n)]; ok && to != "all" || !ok && n != 1 && n != 4 {
-			t.Errorf("sidecar %d holds %q", n+1, to)
-			h.tellStages(t, sidecarParty(n))
+		if stage, ok := finalStages[sidecarParty(n)]; ok && stage != "all" || !ok && n != 1 && n != 4 {
+			t.Errorf("sidecar %d ended in stage %q of zone a, want \"all\"", n+1, stage)
+			h.logStages(t, sidecarParty(n))
 		}
 	}
 	for _, l := range h.stageLines() {
-		if l.at > goOn && l.to == "out" && l.who != "sidecar:2" && l.who != "sidecar:5" {
-			t.Errorf("%s leaves zone %s at %v: %s", l.who, l.zone, l.at, l.why)
+		if l.at > continueAt && l.to == "out" && l.party != "sidecar:2" && l.party != "sidecar:5" {
+			t.Errorf("%s leaves zone %s at %v: %s", l.party, l.zone, l.at, l.reason)
 		}
 	}
 }
 
-// The fleet is parted. In the one half an operator holds a zone, in the other one has it
-// left, at the same version. Each half obeys its own; when they hear each other all hold the
-// order of the sidecar with the higher number.
-func TestOrdersThatCrossInAPartition(t *testing.T) {
+// During a partition an operator orders one half to hold a zone and the other half to leave it, with
+// the same version. Each half must obey its own order, and after the partition all must obey the
+// order that was given at the sidecar with the higher number. Otherwise the halves would disagree for
+// good.
+func TestConflictingOrdersInPartition(t *testing.T) {
 	t.Parallel()
-	s := shipped(t, "parted")
-	s.Features, s.Length = zoned, duration.Duration(8*time.Second)
+	s := shippedSchedule(t, "parted")
+	s.Features, s.Length = zoneFeatures, duration.Duration(8*time.Second)
 	order := func(at time.Duration, on, action string) Fault {
-		return Fault{At: duration.Duration(at), Kind: Deed, On: on, Name: "zones/order", With: `{"zone":"b","action":"` + action + `","who":"kim","reason":"a test"}`}
+		return Fault{At: duration.Duration(at), Kind: AdminCall, On: on, Name: "zones/order", With: `{"zone":"b","action":"` + action + `","who":"kim","reason":"a test"}`}
 	}
-	whole := time.Duration(s.Faults[0].At + s.Faults[0].For)
+	partitionEnd := time.Duration(s.Faults[0].At + s.Faults[0].For)
 	s.Faults = []Fault{s.Faults[0], order(1500*time.Millisecond, "sidecar:3", "hold"), order(1600*time.Millisecond, "sidecar:9", "leave")}
-	h := play(t, s)
-	left := h.left("b")
+	h := runSchedule(t, s)
+	departed := h.departures("b")
 	for n := range s.Sidecars {
-		from, to := whole, whole+outWithin
+		earliest, latest := partitionEnd, partitionEnd+departureLimit
 		if n >= 6 {
-			from, to = 1600*time.Millisecond, 1600*time.Millisecond+outWithin
+			earliest, latest = 1600*time.Millisecond, 1600*time.Millisecond+departureLimit
 		}
-		if at, ok := left[sidecarParty(n)]; !ok || at < from || at > to {
-			t.Errorf("sidecar %d left at %v, %v, want within %v and %v", n+1, at, ok, from, to)
+		if at, ok := departed[sidecarParty(n)]; !ok || at < earliest || at > latest {
+			t.Errorf("sidecar %d left zone b at %v (left: %v), want between %v and %v", n+1, at, ok, earliest, latest)
 		}
 	}
-	if back := h.leftBy("b", "1/64"); len(back) > 0 {
-		t.Errorf("%v began a return", back)
+	if returned := h.enteredStage("b", "1/64"); len(returned) > 0 {
+		t.Errorf("%v began to return to zone b, want none", returned)
 	}
 }
 
-// One lies, with the fleet's key and a number of its own: that it can't reach zone a, and
-// that the fleet has long left it. Nobody follows.
-func TestALiarAmongProcesses(t *testing.T) {
+// One sender of notes has the key of the fleet and a sidecar number of its own, and claims that it
+// cannot reach zone a and that the fleet has long left it. The test guards against other sidecars
+// leaving the zone because of one false report.
+func TestFalseNotesFromOneSidecar(t *testing.T) {
 	t.Parallel()
-	s := shipped(t, "zone-vanishes")
-	s.Features, s.Length, s.Quiet = zoned, duration.Duration(6*time.Second), 4
-	liar := s.Sidecars - 1
-	s.Faults = []Fault{{Kind: Kill, On: string(sidecarParty(liar)), At: duration.Duration(time.Second)}}
+	s := shippedSchedule(t, "zone-vanishes")
+	s.Features, s.Length, s.Quiet = zoneFeatures, duration.Duration(6*time.Second), 4
+	falseSidecar := s.Sidecars - 1
+	s.Faults = []Fault{{Kind: Kill, On: string(sidecarParty(falseSidecar)), At: duration.Duration(time.Second)}}
 	path, err := rig.Binary()
 	if err != nil {
 		t.Fatal(err)
@@ -225,27 +230,28 @@
 	}
 	defer f.Close()
 	sent := make(chan int)
-	lying, enough := context.WithCancel(ctx)
-	go func() { sent <- lie(lying, f, liar) }()
+	notesCtx, stopNotes := context.WithCancel(ctx)
+	go func() { sent <- sendFalseNotes(notesCtx, f, falseSidecar) }()
 	err = f.Play(ctx)
-	enough()
+	stopNotes()
 	if n := <-sent; err != nil || n < 100 {
-		t.Fatalf("%d lies were told, %v", n, err)
+		t.Fatalf("%d false notes were sent, want at least 100: %v", n, err)
 	}
 	h := f.History()
-	if by := h.left("a"); len(by) > 0 {
-		t.Errorf("it was left by %v", by)
+	if departed := h.departures("a"); len(departed) > 0 {
+		t.Errorf("zone a was left by %v, want none", departed)
 	}
-	for _, x := range Held(Check(h)) {
-		t.Error(x)
+	for _, finding := range Held(Check(h)) {
+		t.Error(finding)
 	}
 }
 
-// lie sends notes in the name of a sidecar to all others until it is told to end.
-func lie(ctx context.Context, f *Fleet, self int) (n int) {
+// sendFalseNotes sends notes in the name of a sidecar to all others until ctx ends, and returns their
+// number.
+func sendFalseNotes(ctx context.Context, fleet *Fleet, self int) (sent int) {
 	cfg := evacuation.Default()
-	cfg.Self, cfg.Peers, cfg.Seed = self, f.s.Sidecars, 1
-	m, err := evacuation.New(cfg)
+	cfg.Self, cfg.Peers, cfg.Seed = self, fleet.schedule.Sidecars, 1
+	machine, err := evacuation.New(cfg)
 	if err != nil {
 		return 0
 	}
@@ -254,36 +260,36 @@
 		return 0
 	}
 	defer conn.Close()
-	var all []evacuation.Server
-	for i := range f.s.Servers * len(f.s.Zones) {
-		all = append(all, evacuation.Server{Name: serverName(i), Zone: f.s.zoneOf(i)})
+	var servers []evacuation.Server
+	for i := range fleet.schedule.Servers * len(fleet.schedule.Zones) {
+		servers = append(servers, evacuation.Server{Name: serverName(i), Zone: fleet.schedule.serverZone(i)})
 	}
-	began, inc := time.Now(), uint64(time.Now().Add(time.Hour).UnixMilli())
-	m.SetServers(0, all)
-	m.RestoreState(0, []evacuation.ZoneState{{Zone: "a", Record: evacuation.Record{Gen: 1000, Stage: evacuation.StageOut}}})
+	began, incarnation := time.Now(), uint64(time.Now().Add(time.Hour).UnixMilli())
+	machine.SetServers(0, servers)
+	machine.RestoreState(0, []evacuation.ZoneState{{Zone: "a", Record: evacuation.Record{Gen: 1000, Stage: evacuation.StageOut}}})
 	for ctx.Err() == nil {
 		now := time.Since(began)
-		for _, s := range all {
+		for _, server := range servers {
 			kind := evacuation.ResultGood
-			if s.Zone == "a" {
+			if server.Zone == "a" {
 				kind = evacuation.ResultConnectFailed
 			}
-			m.RecordEnd(now, m.RecordSend(now, s.Name), kind, false)
+			machine.RecordEnd(now, machine.RecordSend(now, server.Name), kind, false)
 		}
-		m.Tick(now)
-		for _, l := range f.notes {
-			if l.From != sidecarParty(self) {
+		machine.Tick(now)
+		for _, link := range fleet.noteLinks {
+			if link.From != sidecarParty(self) {
 				continue
 			}
-			to, err := net.ResolveUDPAddr("udp", l.Addr())
+			to, err := net.ResolveUDPAddr("udp", link.Addr())
 			if err != nil {
 				return 0
 			}
-			x := duty.Note{Kind: duty.Ping, From: duty.IDOf(fmt.Sprint("sidecar ", self)), Incarnation: inc, Seq: uint32(n), SentMillis: uint32(now.Milliseconds()), Payload: m.EncodeNote(now, duty.MaxPayloadBytes)}
-			conn.WriteToUDP(x.Append(nil, []byte("of the fleet")), to)
-			n++
+			note := duty.Note{Kind: duty.Ping, From: duty.IDOf(fmt.Sprint("sidecar ", self)), Incarnation: incarnation, Seq: uint32(sent), SentMillis: uint32(now.Milliseconds()), Payload: machine.EncodeNote(now, duty.MaxPayloadBytes)}
+			conn.WriteToUDP(note.Append(nil, []byte("of the fleet")), to)
+			sent++
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
-	return n
+	return sent
 }
--- a/internal/fleet/check.go
+++ b/internal/fleet/check.go
@@ -7,230 +7,235 @@
 	"time"
 )
 
-// Slacks of the checkers. They speak of bounds, never of exact times.
+// Tolerances of the rules. Check verifies limits, never exact times.
 const (
-	// answerSlack is how late an answer may be after the client's time.
+	// answerSlack is how long after the client's deadline an answer may arrive.
 	answerSlack = 250 * time.Millisecond
-	// afterSlack is how long after its client had its end a call may still arrive at a
-	// server: what was on its way then, and what a busy run reads late from its links. More than
-	// lagMost, from which on a lag excuses.
-	afterSlack = 300 * time.Millisecond
-	// drainSlack is added to the grace of 2 s that the settings have.
+	// lateSendSlack is how long after the end of a call its sidecar may still send attempts: they
+	// were in flight, or a busy run read them late from its links. It is above maxWakeupDelay, from
+	// which on starvation excuses a finding.
+	lateSendSlack = 300 * time.Millisecond
+	// drainSlack is added to drainGrace, the drain grace of 2 s in the settings.
 	drainSlack = 300 * time.Millisecond
 	drainGrace = 2 * time.Second
-	// keyWindow is how long servers drop repeats of a key; keySlack is for what is on its way.
+	// keyWindow is how long servers drop repeats of a key. keySlack allows for attempts in flight.
 	keyWindow = 1500 * time.Millisecond
 	keySlack  = 250 * time.Millisecond
-	// starvedRound is how long round a lag of the machine nothing is held against anybody.
-	starvedRound = 500 * time.Millisecond
+	// starvationMargin is the time before and after a starvation of the machine in which findings
+	// are excused.
+	starvationMargin = 500 * time.Millisecond
 )
 
-// Finding is one breach of a bound.
+// Finding is one violation of a rule.
 type Finding struct {
 	Rule    string        `json:"rule"`
 	At      time.Duration `json:"at_ns"`
-	Who     Party         `json:"who"`
+	Party   Party         `json:"who"`
 	ID      string        `json:"id,omitempty"`
-	Text    string        `json:"text"`
-	Excused bool          `json:"excused"` // the machine was starved about then
+	Message string        `json:"text"`
+	Excused bool          `json:"excused"` // the machine was starved at about that time
 }
 
-// String is a finding in a line.
+// String describes a finding on one line.
 func (f Finding) String() string {
-	text := fmt.Sprintf("%v %s: %s %s: %s", f.At.Round(time.Millisecond), f.Rule, f.Who, f.ID, f.Text)
+	text := fmt.Sprintf("%v %s: %s %s: %s", f.At.Round(time.Millisecond), f.Rule, f.Party, f.ID, f.Message)
 	if f.Excused {
 		text += " (the machine was starved)"
 	}
 	return text
 }
 
-// span is a time within which something held.
+// span is a period of time, both ends included.
 type span struct{ from, to time.Duration }
 
-func (s span) touches(from, to time.Duration) bool { return from <= s.to && to >= s.from }
+func (s span) overlaps(from, to time.Duration) bool { return from <= s.to && to >= s.from }
 
-// downs are the times within which a sidecar was not running as it should: killed, or
-// stopped, with what was left of a kill's time until it was started.
-func (h *History) downs(who Party) (all []span) {
+// downtimes returns the periods in which a sidecar did not serve: from when it was killed, was stopped,
+// was told to end or exited, until it continued or served again.
+func (h *History) downtimes(party Party) (spans []span) {
 	var open *span
 	for _, e := range h.Events {
-		if e.Kind != Process || e.Who != who {
+		if e.Kind != EventProcess || e.Party != party {
 			continue
 		}
 		switch {
-		case e.What == "stopped", e.What == "killed", strings.HasPrefix(e.What, "ended"), e.What == "told to end":
+		case e.Detail == "stopped", e.Detail == "killed", strings.HasPrefix(e.Detail, "ended"), e.Detail == "told to end":
 			if open == nil {
 				open = &span{e.At, 1 << 62}
 			}
-		case e.What == "goes on", e.What == "serves":
+		case e.Detail == "goes on", e.Detail == "serves":
 			if open != nil {
 				open.to = e.At
-				all, open = append(all, *open), nil
+				spans, open = append(spans, *open), nil
 			}
 		}
 	}
 	if open != nil {
-		all = append(all, *open)
+		spans = append(spans, *open)
 	}
-	return all
+	return spans
 }
 
-// starved are the times round which the machine did not let the run go on.
-func (h *History) starved() (all []span) {
+// starvedSpans returns the periods in which the machine did not let this program run, extended by
+// starvationMargin on both sides.
+func (h *History) starvedSpans() (spans []span) {
 	for _, e := range h.Events {
-		if e.Kind == Lagged {
-			all = append(all, span{e.At - e.Took - starvedRound, e.At + starvedRound})
+		if e.Kind == EventStarved {
+			spans = append(spans, span{e.At - e.Elapsed - starvationMargin, e.At + starvationMargin})
 		}
 	}
-	return all
+	return spans
 }
 
-// Check is what the four rules say of a history: one answer to each call that a running
-// sidecar took, in time; nothing sent for it after its client had its end; no effect
-// twice; nothing new to a draining server after the grace; no cold server pushed over.
-func Check(h *History) (all []Finding) {
+// Check returns all violations of the rules in a history, sorted by time. The rules are: each call
+// to a running sidecar gets one answer in time; nothing is sent for a call after its client has the
+// result or has given up; no call has an effect twice; a draining server gets nothing after the
+// grace; no cold server fails from overload; servers get only requests that a client sent.
+func Check(h *History) (findings []Finding) {
 	calls := make(map[string]Event)
-	downs := make(map[Party][]span)
-	starves := h.starved()
-	find := func(rule string, e Event, id, text string) {
-		f := Finding{Rule: rule, At: e.At, Who: e.Who, ID: id, Text: text}
-		for _, s := range starves {
-			f.Excused = f.Excused || s.touches(e.At, e.At+e.Took)
+	downtimes := make(map[Party][]span)
+	starvedSpans := h.starvedSpans()
+	report := func(rule string, e Event, id, text string) {
+		finding := Finding{Rule: rule, At: e.At, Party: e.Party, ID: id, Message: text}
+		for _, s := range starvedSpans {
+			finding.Excused = finding.Excused || s.overlaps(e.At, e.At+e.Elapsed)
 		}
-		all = append(all, f)
+		findings = append(findings, finding)
 	}
 	for _, e := range h.Events {
-		if e.Kind != Called {
+		if e.Kind != EventCall {
 			continue
 		}
 		calls[e.ID] = e
-		if _, ok := downs[e.Who]; !ok {
-			downs[e.Who] = h.downs(e.Who)
+		if _, ok := downtimes[e.Party]; !ok {
+			downtimes[e.Party] = h.downtimes(e.Party)
 		}
-		down := slices.ContainsFunc(downs[e.Who], func(s span) bool { return s.touches(e.At, e.At+e.Took) })
+		down := slices.ContainsFunc(downtimes[e.Party], func(s span) bool { return s.overlaps(e.At, e.At+e.Elapsed) })
 		switch {
 		case down || e.Verdict == "unsent":
 		case e.Verdict == "none":
-			find("one answer", e, e.ID, fmt.Sprintf("none within %v", e.Took))
-		case e.Took > e.Wait+answerSlack:
-			find("one answer", e, e.ID, fmt.Sprintf("after %v, %v were left", e.Took, e.Wait))
+			report("one answer", e, e.ID, fmt.Sprintf("no answer within %v", e.Elapsed))
+		case e.Elapsed > e.Deadline+answerSlack:
+			report("one answer", e, e.ID, fmt.Sprintf("answered after %v, deadline was %v", e.Elapsed, e.Deadline))
 		}
 	}
-	ran := make(map[string]int)
+	executions := make(map[string]int)
 	for _, e := range h.Events {
-		if e.Kind != Arrived {
+		if e.Kind != EventArrival {
 			continue
 		}
 		call, known := calls[e.ID]
 		if !known {
-			find("known calls", e, e.ID, "no client sent it")
+			report("known calls", e, e.ID, "no client sent this request")
 			continue
 		}
-		if e.Ran {
-			ran[e.ID]++
-			if h.Effects[e.Class] == "unsafe" && ran[e.ID] == 2 {
-				find("no effect twice", e, e.ID, "run again")
+		if e.Executed {
+			executions[e.ID]++
+			if h.ClassEffects[e.Class] == "unsafe" && executions[e.ID] == 2 {
+				report("no effect twice", e, e.ID, "an unsafe request was executed again")
 			}
 		}
-		told := e.At - e.Drained
-		for _, d := range downs[call.Who] { // who was stopped hears of it when it goes on
-			if d.from <= e.At && d.to > told && d.to <= e.At {
-				told = d.to
+		knownSince := e.At - e.DrainingFor
+		for _, downtime := range downtimes[call.Party] { // a stopped sidecar learns of the drain when it continues
+			if downtime.from <= e.At && downtime.to > knownSince && downtime.to <= e.At {
+				knownSince = downtime.to
 			}
 		}
-		if e.Drained > 0 && e.At-told > drainGrace+drainSlack {
-			find("drains", e, e.ID, fmt.Sprintf("%v after its sidecar could know that it drains", e.At-told))
+		if e.DrainingFor > 0 && e.At-knownSince > drainGrace+drainSlack {
+			report("drains", e, e.ID, fmt.Sprintf("sent to a draining server %v after the sidecar could know of the drain", e.At-knownSince))
 		}
 	}
 	for _, e := range h.Events {
 		call, known := calls[e.ID]
-		if e.Kind != Sent || !known {
+		if e.Kind != EventSend || !known {
 			continue
 		}
-		// What counts is when the sidecar wrote it: a cut link lets go of it later.
-		if end, sent := call.At+call.Took, e.At+e.Took; sent > end+afterSlack && e.Verdict == "" {
-			find("nothing after", e, e.ID, fmt.Sprintf("sent to %s %v after its client's end (%s)", e.What, sent-end, call.Verdict))
+		// The time at which the sidecar wrote the request counts: a cut link delivers it later.
+		if end, sent := call.At+call.Elapsed, e.At+e.Elapsed; sent > end+lateSendSlack && e.Verdict == "" {
+			report("nothing after", e, e.ID, fmt.Sprintf("sent to %s %v after the call ended for its client (%s)", e.Detail, sent-end, call.Verdict))
 		}
 	}
 	first, last := make(map[string]time.Duration), make(map[string]time.Duration)
 	for _, e := range h.Events {
-		if e.Kind == Sent {
+		if e.Kind == EventSend {
 			if _, ok := first[e.ID]; !ok {
 				first[e.ID] = e.At
 			}
 			last[e.ID] = max(last[e.ID], e.At)
 		}
 	}
-	for id, n := range h.Runs {
-		// A link that lets go of an attempt later than servers remember its key is no
-		// sidecar's fault, whose attempts lie within that time.
-		if call := calls[id]; h.Effects[call.Class] == "keyed" && (last[id]-first[id] > keyWindow+keySlack || !h.holdsUp()) {
-			find("no effect twice", call, id, fmt.Sprintf("%d effects of one key", n))
+	for id, effects := range h.EffectCounts {
+		// If a link delays an attempt until servers have forgotten its key, the sidecar is not
+		// at fault as long as it sent all attempts within that time.
+		if call := calls[id]; h.ClassEffects[call.Class] == "keyed" && (last[id]-first[id] > keyWindow+keySlack || !h.mayDelayAttempts()) {
+			report("no effect twice", call, id, fmt.Sprintf("a request with one key had %d effects", effects))
 		}
 	}
 	for _, name := range h.Fallen {
-		find("cold servers", Event{Who: serverParty(name)}, "", "pushed over")
+		report("cold servers", Event{Party: serverParty(name)}, "", "failed from overload while cold")
 	}
-	slices.SortStableFunc(all, func(a, b Finding) int { return int(a.At - b.At) })
-	return all
+	slices.SortStableFunc(findings, func(a, b Finding) int { return int(a.At - b.At) })
+	return findings
 }
 
-// holdsUp says that a fault of the schedule may hold an attempt up on its way.
-func (h *History) holdsUp() bool {
+// mayDelayAttempts reports whether a fault of the schedule may delay attempts in flight.
+func (h *History) mayDelayAttempts() bool {
 	return slices.ContainsFunc(h.Schedule.Faults, func(f Fault) bool {
 		return f.Kind == Cut || f.Kind == Delay || f.Kind == Trickle || f.Kind == Freeze
 	})
 }
 
-// Held is the findings that no starving excuses.
-func Held(all []Finding) []Finding {
-	return slices.DeleteFunc(slices.Clone(all), func(f Finding) bool { return f.Excused })
+// Held returns the findings that no starvation of the machine excuses.
+func Held(findings []Finding) []Finding {
+	return slices.DeleteFunc(slices.Clone(findings), func(f Finding) bool { return f.Excused })
 }
 
-// Attempt is a send to a server, as links and sidecars' logs tell of it.
+// Attempt is one send of a request to a server, known from a link or from the log of a sidecar.
 type Attempt struct {
-	At     time.Duration
-	By     Party
-	Server string
-	Zone   string
-	Failed string // how, by the log; empty: it was written
+	At      time.Duration
+	Sidecar Party
+	Server  string
+	Zone    string
+	Failure string // from the log; empty: the request was written
 }
 
-// Attempts are all sends that are known, by time: those that came on a link, and those
-// that the logs say of that no connection came up for them.
-func (h *History) Attempts() (all []Attempt) {
+// Attempts returns all known attempts sorted by time: those that links saw, and those whose
+// connection could not be established according to the logs.
+func (h *History) Attempts() (attempts []Attempt) {
 	for _, e := range h.Events {
 		switch e.Kind {
-		case Sent:
-			all = append(all, Attempt{At: e.At, By: e.Who, Server: e.What, Zone: e.Zone})
-		case Logged:
-			if a, ok := failedAttempt(e); ok {
-				a.Zone = h.zoneOf(a.Server)
-				all = append(all, a)
+		case EventSend:
+			attempts = append(attempts, Attempt{At: e.At, Sidecar: e.Party, Server: e.Detail, Zone: e.Zone})
+		case EventLogLine:
+			if a, ok := parseFailedConnect(e); ok {
+				a.Zone = h.serverZone(a.Server)
+				attempts = append(attempts, a)
 			}
 		}
 	}
-	slices.SortStableFunc(all, func(a, b Attempt) int { return int(a.At - b.At) })
-	return all
+	slices.SortStableFunc(attempts, func(a, b Attempt) int { return int(a.At - b.At) })
+	return attempts
 }
 
-func (h *History) zoneOf(server string) string {
+// serverZone returns the zone of a server, or "" if the schedule has no such server.
+func (h *History) serverZone(server string) string {
 	for n := range h.Schedule.Servers * len(h.Schedule.Zones) {
 		if serverName(n) == server {
-			return h.Schedule.zoneOf(n)
+			return h.Schedule.serverZone(n)
 		}
 	}
 	return ""
 }
 
-// failedAttempt reads the daemon's line of an attempt that did not arrive.
-func failedAttempt(e Event) (a Attempt, ok bool) {
-	_, how, ok := strings.Cut(e.What, `msg="attempt ended: `)
+// parseFailedConnect parses a log line of the daemon about an attempt whose connection could not be
+// established. ok is false for all other lines.
+func parseFailedConnect(e Event) (a Attempt, ok bool) {
+	_, outcome, ok := strings.Cut(e.Detail, `msg="attempt ended: `)
 	if !ok {
 		return a, false
 	}
-	how, rest, _ := strings.Cut(how, `"`)
-	if how != "connect failed" { // the others were written
+	outcome, rest, _ := strings.Cut(outcome, `"`)
+	if outcome != "connect failed" { // attempts that ended otherwise were written to a link
 		return a, false
 	}
 	field := func(name string) string {
@@ -242,5 +247,5 @@
 	if err != nil {
 		return a, false
 	}
-	return Attempt{At: e.At - after, By: e.Who, Server: field("server"), Failed: how}, true
+	return Attempt{At: e.At - after, Sidecar: e.Party, Server: field("server"), Failure: outcome}, true
 }
--- a/internal/fleet/datagrams.go
+++ b/internal/fleet/datagrams.go
@@ -9,47 +9,50 @@
 	"time"
 )
 
-// heldMost bounds the datagrams that a link holds up; more are lost.
-const heldMost = 4096
+// maxHeldDatagrams limits the datagrams that a link queues during a Hold. More are lost.
+const maxHeldDatagrams = 4096
 
-// Notes carries datagrams from one sidecar to one other, by an address of its own.
-type Notes struct {
+// NoteLink forwards the datagrams with notes from one sidecar to another, at an address of its own,
+// and injects faults.
+type NoteLink struct {
 	From, To Party
-	gate
+	linkState
 
 	conn   *net.UDPConn
 	target *net.UDPAddr
 	wg     sync.WaitGroup
 
-	heldMu sync.Mutex
-	held   [][]byte
-	after  []byte // comes after the next
-	bytes  int64
-	count  int64
+	queueMu       sync.Mutex
+	held          [][]byte
+	delayed       []byte // is sent after the next datagram; nil: none
+	byteCount     int64
+	datagramCount int64
 }
 
-// NewNotes starts a link for datagrams, which listens at a host.
-func NewNotes(host string, from, to Party, target *net.UDPAddr, seed uint64) (*Notes, error) {
+// NewNoteLink starts a link for datagrams to target. It listens on a free port of the IP address
+// host. The caller must close it.
+func NewNoteLink(host string, from, to Party, target *net.UDPAddr, seed uint64) (*NoteLink, error) {
 	conn, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.ParseIP(host)})
 	if err != nil {
 		return nil, fmt.Errorf("fleet: notes: %w", err)
 	}
-	n := &Notes{From: from, To: to, gate: newGate(seed), conn: conn, target: target}
-	n.wg.Go(n.run)
+	n := &NoteLink{From: from, To: to, linkState: newLinkState(seed), conn: conn, target: target}
+	n.wg.Go(n.receiveLoop)
 	return n, nil
 }
 
-// Addr is where From sends what is for To.
-func (n *Notes) Addr() string { return n.conn.LocalAddr().String() }
+// Addr returns the address to which From sends datagrams for To.
+func (n *NoteLink) Addr() string { return n.conn.LocalAddr().String() }
 
-// Sent is how many datagrams, and bytes of them, From has sent.
-func (n *Notes) Sent() (count, bytes int64) {
-	n.heldMu.Lock()
-	defer n.heldMu.Unlock()
-	return n.count, n.bytes
+// Sent returns the number of datagrams that From has sent, and of their bytes.
+func (n *NoteLink) Sent() (count, bytes int64) {
+	n.queueMu.Lock()
+	defer n.queueMu.Unlock()
+	return n.datagramCount, n.byteCount
 }
 
-func (n *Notes) run() {
+// receiveLoop reads datagrams until the link is closed.
+func (n *NoteLink) receiveLoop() {
 	buf := make([]byte, 2048)
 	for {
 		size, _, err := n.conn.ReadFromUDP(buf)
@@ -57,73 +60,75 @@
 			return
 		}
 		if err != nil {
-			continue // of a peer whose port is closed
+			continue // the port of the target is closed
 		}
-		n.take(slices.Clone(buf[:size]))
+		n.forward(slices.Clone(buf[:size]))
 	}
 }
 
-func (n *Notes) take(b []byte) {
+// forward counts a datagram and forwards it with the impairment of the link.
+func (n *NoteLink) forward(datagram []byte) {
 	n.mu.Lock()
-	w := n.ways[out]
+	imp := n.impairments[outbound]
 	n.mu.Unlock()
-	n.heldMu.Lock()
-	n.count++
-	n.bytes += int64(len(b))
-	if w.hold {
-		if len(n.held) < heldMost {
-			n.held = append(n.held, b)
+	n.queueMu.Lock()
+	n.datagramCount++
+	n.byteCount += int64(len(datagram))
+	if imp.hold {
+		if len(n.held) < maxHeldDatagrams {
+			n.held = append(n.held, datagram)
 		}
-		n.heldMu.Unlock()
+		n.queueMu.Unlock()
 		return
 	}
-	n.heldMu.Unlock()
-	if w.cut || n.chance(w.loss) {
+	n.queueMu.Unlock()
+	if imp.cut || n.randomChance(imp.lossShare) {
 		return
 	}
-	all := [][]byte{b}
-	if n.chance(w.double) {
-		all = append(all, b)
+	outgoing := [][]byte{datagram}
+	if n.randomChance(imp.duplicateShare) {
+		outgoing = append(outgoing, datagram)
 	}
-	n.heldMu.Lock()
+	n.queueMu.Lock()
 	switch {
-	case n.after != nil:
-		all, n.after = append(all, n.after), nil
-	case n.chance(w.reorder):
-		n.after, all = b, nil
+	case n.delayed != nil:
+		outgoing, n.delayed = append(outgoing, n.delayed), nil
+	case n.randomChance(imp.reorderShare):
+		n.delayed, outgoing = datagram, nil
 	}
-	n.heldMu.Unlock()
-	for _, b := range all {
-		if d := n.late(w); d > 0 {
-			time.AfterFunc(d, func() { n.send(b) })
+	n.queueMu.Unlock()
+	for _, datagram := range outgoing {
+		if delay := n.randomDelay(imp); delay > 0 {
+			time.AfterFunc(delay, func() { n.send(datagram) })
 		} else {
-			n.send(b)
+			n.send(datagram)
 		}
 	}
 }
 
-func (n *Notes) send(b []byte) { n.conn.WriteToUDP(b, n.target) }
+func (n *NoteLink) send(datagram []byte) { n.conn.WriteToUDP(datagram, n.target) }
 
-// change alters what holds; what was held up is let go where that has ended.
-func (n *Notes) change(how func(w *way)) {
-	n.set(func() { how(&n.ways[out]) })
+// setImpairment changes the impairment of the link. If it does not hold datagrams, the held ones are
+// sent.
+func (n *NoteLink) setImpairment(modify func(imp *impairment)) {
+	n.update(func() { modify(&n.impairments[outbound]) })
 	n.mu.Lock()
-	hold := n.ways[out].hold
+	hold := n.impairments[outbound].hold
 	n.mu.Unlock()
 	if hold {
 		return
 	}
-	n.heldMu.Lock()
+	n.queueMu.Lock()
 	held := n.held
 	n.held = nil
-	n.heldMu.Unlock()
-	for _, b := range held {
-		n.send(b)
+	n.queueMu.Unlock()
+	for _, datagram := range held {
+		n.send(datagram)
 	}
 }
 
-// Close ends it.
-func (n *Notes) Close() {
+// Close closes the link and waits for its goroutine.
+func (n *NoteLink) Close() {
 	n.conn.Close()
 	n.wg.Wait()
 }
--- a/internal/fleet/figures.go
+++ b/internal/fleet/figures.go
@@ -9,154 +9,154 @@
 	"time"
 )
 
-// Leaving is how a fleet left a zone in a time.
-type Leaving struct {
-	Zone     string        `json:"zone"`
-	From     time.Duration `json:"from_ns"`
-	To       time.Duration `json:"to_ns"`
-	Nine     time.Duration `json:"nine_ns"` // until nine tenths of the sidecars sent nothing more there
-	All      time.Duration `json:"all_ns"`  // until none did
-	Sends    int           `json:"sends"`   // into the zone, in all of it
-	After    int           `json:"after"`   // of them later than AfterWhen
-	When     time.Duration `json:"after_when_ns"`
-	Busiest  int           `json:"busiest"` // sends to one of its servers in one second after To
-	Lost     int           `json:"lost"`    // calls of that time that were not served
-	Asked    int           `json:"asked"`
-	ByEnding map[string]int
+// ZoneExit measures how a fleet left a zone in a period in which the zone failed.
+type ZoneExit struct {
+	Zone            string        `json:"zone"`
+	Start           time.Duration `json:"from_ns"`
+	End             time.Duration `json:"to_ns"`
+	NineTenthsOut   time.Duration `json:"nine_ns"` // from Start to the last send of nine tenths of the sidecars
+	AllOut          time.Duration `json:"all_ns"`  // from Start to the last send of all sidecars
+	Sends           int           `json:"sends"`   // into the zone in the period
+	LateSends       int           `json:"after"`   // of Sends, those later than LateAfter
+	LateAfter       time.Duration `json:"after_when_ns"`
+	PeakReturnSends int           `json:"busiest"` // most sends to one of its servers in one second after End
+	NotServed       int           `json:"lost"`    // of Calls, those that were not served
+	Calls           int           `json:"asked"`   // to all zones in the period
+	CallsByVerdict  map[string]int
 }
 
-// afterWhen is when a zone should have been left.
-const afterWhen = 2 * time.Second
+// lateSendAfter is the time after a fault from which on sends into the zone count as late.
+const lateSendAfter = 2 * time.Second
 
-// Leave measures how a fleet left a zone between two times, and what came back to its
-// servers within a time afterwards.
-func (h *History) Leave(zone string, from, to, back time.Duration) Leaving {
-	l := Leaving{Zone: zone, From: from, To: to, When: afterWhen, ByEnding: make(map[string]int)}
-	last := make(map[Party]time.Duration)
-	seconds := make(map[string]int)
+// MeasureExit measures how the fleet left a zone between start and end, and the busiest second of
+// one of its servers within returnPeriod after end.
+func (h *History) MeasureExit(zone string, start, end, returnPeriod time.Duration) ZoneExit {
+	exit := ZoneExit{Zone: zone, Start: start, End: end, LateAfter: lateSendAfter, CallsByVerdict: make(map[string]int)}
+	lastSends := make(map[Party]time.Duration)
+	sendsPerSecond := make(map[string]int)
 	for _, a := range h.Attempts() {
 		if a.Zone != zone {
 			continue
 		}
 		switch {
-		case a.At >= from && a.At < to:
-			l.Sends++
-			last[a.By] = a.At - from
-			if a.At-from > afterWhen {
-				l.After++
+		case a.At >= start && a.At < end:
+			exit.Sends++
+			lastSends[a.Sidecar] = a.At - start
+			if a.At-start > lateSendAfter {
+				exit.LateSends++
 			}
-		case a.At >= to && a.At < to+back:
+		case a.At >= end && a.At < end+returnPeriod:
 			key := fmt.Sprint(a.Server, a.At/time.Second)
-			seconds[key]++
-			l.Busiest = max(l.Busiest, seconds[key])
+			sendsPerSecond[key]++
+			exit.PeakReturnSends = max(exit.PeakReturnSends, sendsPerSecond[key])
 		}
 	}
-	var all []time.Duration
+	var exitTimes []time.Duration
 	for n := range h.Schedule.Sidecars {
-		all = append(all, last[sidecarParty(n)])
+		exitTimes = append(exitTimes, lastSends[sidecarParty(n)])
 	}
-	slices.Sort(all)
-	l.Nine = all[max(0, (len(all)*9+9)/10-1)]
-	l.All = all[len(all)-1]
+	slices.Sort(exitTimes)
+	exit.NineTenthsOut = exitTimes[max(0, (len(exitTimes)*9+9)/10-1)]
+	exit.AllOut = exitTimes[len(exitTimes)-1]
 	for _, e := range h.Events {
-		if e.Kind != Called || e.At < from || e.At >= to {
+		if e.Kind != EventCall || e.At < start || e.At >= end {
 			continue
 		}
-		l.Asked++
-		l.ByEnding[e.Verdict]++
+		exit.Calls++
+		exit.CallsByVerdict[e.Verdict]++
 		if e.Verdict != "served" {
-			l.Lost++
+			exit.NotServed++
 		}
 	}
-	return l
+	return exit
 }
 
-// Served is the share of calls that were served, by second of the run.
-func (h *History) Served() (share []float64, calls []int) {
+// ServedShares returns the share of the calls that were served and the number of calls, for each
+// second of the run.
+func (h *History) ServedShares() (shares []float64, calls []int) {
 	for _, e := range h.Events {
-		if e.Kind != Called || e.At < 0 {
+		if e.Kind != EventCall || e.At < 0 {
 			continue
 		}
-		s := int(e.At / time.Second)
-		for len(calls) <= s {
-			calls, share = append(calls, 0), append(share, 0)
+		second := int(e.At / time.Second)
+		for len(calls) <= second {
+			calls, shares = append(calls, 0), append(shares, 0)
 		}
-		calls[s]++
+		calls[second]++
 		if e.Verdict == "served" {
-			share[s]++
+			shares[second]++
 		}
 	}
-	for n := range share {
+	for n := range shares {
 		if calls[n] > 0 {
-			share[n] /= float64(calls[n])
+			shares[n] /= float64(calls[n])
 		}
 	}
-	return share, calls
+	return shares, calls
 }
 
-// zoneSpans are the times within which faults kept a zone's servers from working, or from
-// being reached by more than half of the sidecars: its name, and when.
-func (h *History) zoneSpans() (zones []string, spans []span) {
+// zoneFaults returns the zone and the period of each fault that affects a zone, or part of it.
+func (h *History) zoneFaults() (zones []string, spans []span) {
 	for _, f := range h.Schedule.Faults {
-		for _, text := range []string{f.On, f.To} {
-			zone, ok := strings.CutPrefix(text, "zone:")
-			if !ok || f.Kind == Deed {
+		for _, selection := range []string{f.On, f.To} {
+			zone, ok := strings.CutPrefix(selection, "zone:")
+			if !ok || f.Kind == AdminCall {
 				continue
 			}
-			to := time.Duration(f.At + f.For)
-			if f.For == 0 || to > time.Duration(h.Schedule.Length) {
-				to = time.Duration(h.Schedule.Length)
+			end := time.Duration(f.At + f.For)
+			if f.For == 0 || end > time.Duration(h.Schedule.Length) {
+				end = time.Duration(h.Schedule.Length)
 			}
-			zones, spans = append(zones, zone), append(spans, span{time.Duration(f.At), to})
+			zones, spans = append(zones, zone), append(spans, span{time.Duration(f.At), end})
 		}
 	}
 	return zones, spans
 }
 
-// Leavings are the measures of each time in which a zone failed.
-func (h *History) Leavings() (all []Leaving) {
-	zones, spans := h.zoneSpans()
-	for n, z := range zones {
-		all = append(all, h.Leave(z, spans[n].from, spans[n].to, time.Duration(h.Schedule.Length)))
+// ZoneExits returns the measurements for each period in which a zone failed.
+func (h *History) ZoneExits() (exits []ZoneExit) {
+	zones, spans := h.zoneFaults()
+	for n, zone := range zones {
+		exits = append(exits, h.MeasureExit(zone, spans[n].from, spans[n].to, time.Duration(h.Schedule.Length)))
 	}
-	return all
+	return exits
 }
 
 // Text writes a report for a terminal.
 func (h *History) Text(w io.Writer) error {
-	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
-	s := h.Schedule
-	fmt.Fprintf(t, "schedule\t%s, seed %d: %d sidecars, %d servers in each of %d zones, %v\n", s.Name, s.Seed, s.Sidecars, s.Servers, len(s.Zones), time.Duration(s.Length))
-	ends := make(map[string]int)
+	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
+	schedule := h.Schedule
+	fmt.Fprintf(table, "schedule\t%s, seed %d: %d sidecars, %d servers in each of %d zones, runs for %v\n", schedule.Name, schedule.Seed, schedule.Sidecars, schedule.Servers, len(schedule.Zones), time.Duration(schedule.Length))
+	verdicts := make(map[string]int)
 	for _, e := range h.Events {
-		if e.Kind == Called {
-			ends[e.Verdict]++
+		if e.Kind == EventCall {
+			verdicts[e.Verdict]++
 		}
 	}
-	fmt.Fprintf(t, "calls\t%d served, %d refused, %d failed, %d with no answer, %d unsent\n", ends["served"], ends["refused"], ends["failed"], ends["none"], ends["unsent"])
-	for _, l := range h.Leavings() {
-		fmt.Fprintf(t, "zone %s\t%v to %v: nine tenths out after %v, all after %v; %d sends, %d of them after %v; %d of %d calls not served; busiest second of a server afterwards %d\n",
-			l.Zone, l.From, l.To, l.Nine.Round(time.Millisecond), l.All.Round(time.Millisecond), l.Sends, l.After, l.When, l.Lost, l.Asked, l.Busiest)
+	fmt.Fprintf(table, "calls\t%d served, %d refused, %d failed, %d with no answer, %d unsent\n", verdicts["served"], verdicts["refused"], verdicts["failed"], verdicts["none"], verdicts["unsent"])
+	for _, exit := range h.ZoneExits() {
+		fmt.Fprintf(table, "zone %s\t%v to %v: nine tenths of the sidecars out after %v, all after %v; %d sends, %d of them after %v; %d of %d calls not served; afterwards at most %d sends to one server in a second\n",
+			exit.Zone, exit.Start, exit.End, exit.NineTenthsOut.Round(time.Millisecond), exit.AllOut.Round(time.Millisecond), exit.Sends, exit.LateSends, exit.LateAfter, exit.NotServed, exit.Calls, exit.PeakReturnSends)
 	}
 	notes, bytes := 0.0, 0.0
 	for _, e := range h.Events {
 		switch {
-		case e.Kind == Figure && e.What == "notes":
+		case e.Kind == EventMeasurement && e.Detail == "notes":
 			notes += e.Value
-		case e.Kind == Figure && e.What == "note bytes":
+		case e.Kind == EventMeasurement && e.Detail == "note bytes":
 			bytes += e.Value
 		}
 	}
-	per := float64(s.Sidecars) * time.Duration(s.Length).Seconds()
-	fmt.Fprintf(t, "notes\t%.1f a sidecar a second, %.0f bytes\n", notes/per, bytes/per)
-	all := Check(h)
-	fmt.Fprintf(t, "rules\t%d breaches, %d more excused by a starved machine\n", len(Held(all)), len(all)-len(Held(all)))
-	for n, f := range all {
+	sidecarSeconds := float64(schedule.Sidecars) * time.Duration(schedule.Length).Seconds()
+	fmt.Fprintf(table, "notes\t%.1f per sidecar per second, %.0f bytes\n", notes/sidecarSeconds, bytes/sidecarSeconds)
+	findings := Check(h)
+	fmt.Fprintf(table, "rules\t%d violations, %d more excused because the machine was starved\n", len(Held(findings)), len(findings)-len(Held(findings)))
+	for n, f := range findings {
 		if n == 20 {
-			fmt.Fprintf(t, "\tand %d more\n", len(all)-n)
+			fmt.Fprintf(table, "\tand %d more\n", len(findings)-n)
 			break
 		}
-		fmt.Fprintf(t, "\t%s\n", f)
+		fmt.Fprintf(table, "\t%s\n", f)
 	}
-	return t.Flush()
+	return table.Flush()
 }
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -17,301 +17,307 @@
 	"chalkrack/internal/standin"
 )
 
-// Fleet is the processes of a schedule and all that stands round them.
+// Fleet holds the sidecar processes of a schedule with their stand-in servers, discovery and links.
 type Fleet struct {
-	s            *Schedule
-	h            *History
-	site         *rig.Site
-	dir          string
-	host, linked string // where sidecars listen, and links
-	cars         []*process
-	finders      []*standin.Discovery // one for each sidecar: what it is told has its own addresses
-	links        []*Link
-	notes        []*Notes
-	cancel       context.CancelFunc
-	wg           sync.WaitGroup
+	schedule              *Schedule
+	history               *History
+	site                  *rig.Site
+	dir                   string
+	sidecarHost, linkHost string // loopback addresses on which sidecars and links listen
+	sidecars              []*process
+	discoveries           []*standin.Discovery // one for each sidecar, which lists the addresses of its own links
+	links                 []*Link
+	noteLinks             []*NoteLink
+	cancel                context.CancelFunc
+	wg                    sync.WaitGroup
 
-	mu     sync.Mutex
-	active map[int]Fault
+	mu           sync.Mutex
+	activeFaults map[int]Fault
 }
 
-// classes are those of the schedule, by whose settings the sidecars live.
+// classes returns the classes for the settings of the sidecars, with the deadlines replaced if the
+// schedule has Wait.
 func (s *Schedule) classes() []rig.Class {
-	all := rig.Activation()
+	classes := rig.Activation()
 	if s.Wait > 0 {
-		for n := range all {
-			all[n].Deadline = time.Duration(s.Wait)
-			all[n].Aim = min(all[n].Aim, all[n].Deadline)
+		for n := range classes {
+			classes[n].Deadline = time.Duration(s.Wait)
+			classes[n].Aim = min(classes[n].Aim, classes[n].Deadline)
 		}
 	}
-	return all
+	return classes
 }
 
-// New starts the stand-ins and the sidecars' processes, and waits until all serve. binary
-// is the built daemon.
-func New(ctx context.Context, s *Schedule, binary string) (*Fleet, error) {
-	if err := s.Validate(); err != nil {
+// New starts the stand-ins and the sidecar processes, and blocks until all sidecars serve. binary is
+// the path of the built daemon. The caller must close the Fleet.
+func New(ctx context.Context, schedule *Schedule, binary string) (*Fleet, error) {
+	if err := schedule.Validate(); err != nil {
 		return nil, err
 	}
-	f := &Fleet{s: s, h: &History{Head: Head{Schedule: s}, began: time.Now()}, active: make(map[int]Fault)}
-	f.host, f.linked = hosts()
-	ok := false
+	fleet := &Fleet{schedule: schedule, history: &History{Header: Header{Schedule: schedule}, started: time.Now()}, activeFaults: make(map[int]Fault)}
+	fleet.sidecarHost, fleet.linkHost = pickHosts()
+	started := false
 	defer func() {
-		if !ok {
-			f.Close()
+		if !started {
+			fleet.Close()
 		}
 	}()
 	var err error
-	if f.dir, err = os.MkdirTemp("", "fleet"); err != nil {
+	if fleet.dir, err = os.MkdirTemp("", "fleet"); err != nil {
 		return nil, err
 	}
 	var zones []string
-	for n := range s.Servers * len(s.Zones) {
-		zones = append(zones, s.zoneOf(n))
+	for n := range schedule.Servers * len(schedule.Zones) {
+		zones = append(zones, schedule.serverZone(n))
 	}
-	f.site, err = rig.NewSite(rig.SiteConfig{Servers: len(zones), Classes: s.classes(), Zones: zones, Warm: true, ColdFrom: s.ColdFrom, ColdFor: time.Duration(s.ColdFor),
-		Server: standin.ServerConfig{Script: f.script(standin.Act{}), Rate: s.Capacity, Cold: s.ColdFrom, WarmIn: time.Duration(s.ColdFor), FallFactor: s.Fall, FallFor: time.Duration(s.FallFor)}})
+	fleet.site, err = rig.NewSite(rig.SiteConfig{Servers: len(zones), Classes: schedule.classes(), Zones: zones, Warm: true, ColdFrom: schedule.ColdFrom, ColdFor: time.Duration(schedule.ColdFor),
+		Server: standin.ServerConfig{Script: fleet.script(standin.Act{}), Rate: schedule.Capacity, Cold: schedule.ColdFrom, WarmIn: time.Duration(schedule.ColdFor), FallFactor: schedule.Fall, FallFor: time.Duration(schedule.FallFor)}})
 	if err != nil {
 		return nil, err
 	}
-	if err := f.addresses(); err != nil {
+	if err := fleet.createSidecars(); err != nil {
 		return nil, err
 	}
-	for n := range f.cars {
-		f.cars[n].binary = binary
-		if err := f.prepare(n); err != nil {
+	for n := range fleet.sidecars {
+		fleet.sidecars[n].binary = binary
+		if err := fleet.prepareSidecar(n); err != nil {
 			return nil, err
 		}
 	}
-	for _, p := range f.cars {
+	for _, p := range fleet.sidecars {
 		if err := p.start(); err != nil {
 			return nil, err
 		}
 	}
-	for _, p := range f.cars {
-		if err := p.ready(ctx); err != nil {
-			return nil, fmt.Errorf("%w; its log ends: %s", err, f.lastLine(p.party))
+	for _, p := range fleet.sidecars {
+		if err := p.awaitReady(ctx); err != nil {
+			return nil, fmt.Errorf("%w; last line of its log: %s", err, fleet.lastLogLine(p.party))
 		}
 	}
-	ok = true
-	return f, nil
+	started = true
+	return fleet, nil
 }
 
-func (f *Fleet) lastLine(who Party) (line string) {
-	f.h.mu.Lock()
-	defer f.h.mu.Unlock()
-	for _, e := range f.h.Events {
-		if e.Kind == Logged && e.Who == who {
-			line = e.What
+// lastLogLine returns the last recorded log line of a sidecar, or "" if there is none.
+func (f *Fleet) lastLogLine(party Party) (line string) {
+	f.history.mu.Lock()
+	defer f.history.mu.Unlock()
+	for _, e := range f.history.Events {
+		if e.Kind == EventLogLine && e.Party == party {
+			line = e.Detail
 		}
 	}
 	return line
 }
 
-// script serves after the schedule's work, or as an act says.
-func (f *Fleet) script(a standin.Act) standin.Script {
-	if a.Delay == 0 {
-		a.Delay = time.Duration(f.s.Work)
+// script returns a script that always does act, by default after the Work time of the schedule.
+func (f *Fleet) script(act standin.Act) standin.Script {
+	if act.Delay == 0 {
+		act.Delay = time.Duration(f.schedule.Work)
 	}
-	return standin.Always(a)
+	return standin.Always(act)
 }
 
-var runs atomic.Uint32
+// startedRuns counts the fleets that this process has started.
+var startedRuns atomic.Uint32
 
-// hosts are where a run's sidecars listen, and its links: no connection that goes out from
-// 127.0.0.1 takes a port there, so that one that refuses, or was killed, can have it again.
-// Each run has its own: a port is free between when it is picked and when its sidecar listens,
-// and another run's sidecar there would answer in its name.
-func hosts() (sidecars, links string) {
-	pid, n := os.Getpid(), 2+2*(int(runs.Add(1))%120)
+// pickHosts returns the loopback addresses on which the sidecars and the links of a run listen. They
+// differ from 127.0.0.1, so that no outgoing connection takes a port of a link that refuses or of a
+// sidecar that was killed before it listens there again. Each run has its own addresses: a port is
+// free from the time it is chosen until its sidecar listens, and a sidecar of another run could
+// otherwise take it and answer instead.
+func pickHosts() (sidecars, links string) {
+	pid, run := os.Getpid(), 2+2*(int(startedRuns.Add(1))%120)
 	base := fmt.Sprintf("127.%d.%d.", 1+pid>>8&0x7f, pid&0xff)
-	return base + strconv.Itoa(n), base + strconv.Itoa(n+1)
+	return base + strconv.Itoa(run), base + strconv.Itoa(run+1)
 }
 
-// addresses picks one for each sidecar's clients and one for its notes, free now at an
-// address that nobody goes out from.
-func (f *Fleet) addresses() error {
-	var held []interface{ Close() error }
+// createSidecars adds a process for each sidecar, with a free port for its clients. If the schedule
+// upgrades the sidecar, the listening socket stays open for both of its processes.
+func (f *Fleet) createSidecars() error {
+	var listeners []interface{ Close() error }
 	defer func() {
-		for _, c := range held {
+		for _, c := range listeners {
 			c.Close()
 		}
 	}()
-	for n := range f.s.Sidecars {
-		ln, err := net.Listen("tcp", f.host+":0")
+	for n := range f.schedule.Sidecars {
+		listener, err := net.Listen("tcp", f.sidecarHost+":0")
 		if err != nil {
 			return err
 		}
-		held = append(held, ln)
-		p := &process{party: sidecarParty(n), listen: ln.Addr().String(), h: f.h}
-		if f.s.upgrades(p.party) {
-			if p.held, err = ln.(*net.TCPListener).File(); err != nil {
+		listeners = append(listeners, listener)
+		p := &process{party: sidecarParty(n), clientAddr: listener.Addr().String(), history: f.history}
+		if f.schedule.isUpgraded(p.party) {
+			if p.clientSocket, err = listener.(*net.TCPListener).File(); err != nil {
 				return err
 			}
 		}
-		f.cars = append(f.cars, p)
+		f.sidecars = append(f.sidecars, p)
 	}
 	return nil
 }
 
-// prepare readies one sidecar's links, discovery and files.
-func (f *Fleet) prepare(n int) error {
-	p := f.cars[n]
+// prepareSidecar creates the links, the discovery and the configuration files of the n-th sidecar.
+func (f *Fleet) prepareSidecar(n int) error {
+	p := f.sidecars[n]
 	p.dir = filepath.Join(f.dir, fmt.Sprint(n+1))
 	if err := os.Mkdir(p.dir, 0o700); err != nil {
 		return err
 	}
-	seed := f.s.Seed<<16 + uint64(n)
-	var list []standin.Endpoint
+	seed := f.schedule.Seed<<16 + uint64(n)
+	var endpoints []standin.Endpoint
 	for i, server := range f.site.Servers {
-		l, err := NewLink(f.linked, p.party, serverParty(server.Name()), server.Addr(), seed<<8+uint64(i))
+		link, err := NewLink(f.linkHost, p.party, serverParty(server.Name()), server.Addr(), seed<<8+uint64(i))
 		if err != nil {
 			return err
 		}
-		f.links = append(f.links, l)
-		e := f.site.Endpoint(i, "up")
-		e.Address = l.Addr()
-		e.SinceMs = 0 // warm, all of them, at the beginning
-		list = append(list, e)
+		f.links = append(f.links, link)
+		endpoint := f.site.Endpoint(i, "up")
+		endpoint.Address = link.Addr()
+		endpoint.SinceMs = 0 // all servers are warm at the start
+		endpoints = append(endpoints, endpoint)
 	}
-	d, err := standin.NewDiscovery(list...)
+	discovery, err := standin.NewDiscovery(endpoints...)
 	if err != nil {
 		return err
 	}
-	f.finders = append(f.finders, d)
-	finder, err := NewLink(f.linked, p.party, "discovery", d.Addr(), seed<<8+255)
+	f.discoveries = append(f.discoveries, discovery)
+	discoveryLink, err := NewLink(f.linkHost, p.party, "discovery", discovery.Addr(), seed<<8+255)
 	if err != nil {
 		return err
 	}
-	f.links = append(f.links, finder)
+	f.links = append(f.links, discoveryLink)
 	if n == 0 {
-		if err := f.peers(); err != nil {
+		if err := f.createNoteLinks(); err != nil {
 			return err
 		}
 	}
-	var tree map[string]any
-	if err := json.Unmarshal(f.site.JSON(p.listen, seed|1<<60), &tree); err != nil {
+	var config map[string]any
+	if err := json.Unmarshal(f.site.JSON(p.clientAddr, seed|1<<60), &config); err != nil {
 		return err
 	}
-	tree["name"], tree["discovery"] = fmt.Sprintf("n%d", n+1), finder.Addr()
-	tree["known"].(map[string]any)["endpoints"] = list
-	tree["peer_listen"] = f.cars[n].notes
-	tree["peers"] = f.peersOf(n)
-	set := tree["settings"].(map[string]any)
-	set["rank"], set["zone"] = n, f.s.homeOf(n)
-	set["replicasOfMe"] = f.s.Sidecars
-	if f.s.Claimed > 0 {
-		set["replicasOfMe"] = f.s.Claimed
-	}
-	text, err := json.Marshal(tree)
+	config["name"], config["discovery"] = fmt.Sprintf("n%d", n+1), discoveryLink.Addr()
+	config["known"].(map[string]any)["endpoints"] = endpoints
+	config["peer_listen"] = f.sidecars[n].noteAddr
+	config["peers"] = f.peerAddresses(n)
+	settings := config["settings"].(map[string]any)
+	settings["rank"], settings["zone"] = n, f.schedule.sidecarZone(n)
+	settings["replicasOfMe"] = f.schedule.Sidecars
+	if f.schedule.Claimed > 0 {
+		settings["replicasOfMe"] = f.schedule.Claimed
+	}
+	configJSON, err := json.Marshal(config)
 	if err != nil {
 		return err
 	}
-	if err := os.WriteFile(p.config(), text, 0o600); err != nil {
+	if err := os.WriteFile(p.configPath(), configJSON, 0o600); err != nil {
 		return err
 	}
-	own := strings.ReplaceAll(f.s.Features, "@SOCKET@", p.socket())
-	own = strings.ReplaceAll(own, "@DIR@", p.dir)
-	return os.WriteFile(p.features(), []byte(own), 0o600)
+	features := strings.ReplaceAll(f.schedule.Features, "@SOCKET@", p.socketPath())
+	features = strings.ReplaceAll(features, "@DIR@", p.dir)
+	return os.WriteFile(p.featuresPath(), []byte(features), 0o600)
 }
 
-// peers gives each sidecar an address for notes, and each pair a link.
-func (f *Fleet) peers() error {
-	var held []*net.UDPConn
+// createNoteLinks assigns each sidecar an address for notes and creates a link for each ordered pair
+// of sidecars.
+func (f *Fleet) createNoteLinks() error {
+	var conns []*net.UDPConn
 	defer func() {
-		for _, c := range held {
+		for _, c := range conns {
 			c.Close()
 		}
 	}()
-	for _, p := range f.cars {
-		c, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.ParseIP(f.host)})
+	for _, p := range f.sidecars {
+		c, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.ParseIP(f.sidecarHost)})
 		if err != nil {
 			return err
 		}
-		held = append(held, c)
-		p.notes = c.LocalAddr().String()
+		conns = append(conns, c)
+		p.noteAddr = c.LocalAddr().String()
 	}
-	for i, from := range f.cars {
-		for j, to := range f.cars {
+	for i, from := range f.sidecars {
+		for j, to := range f.sidecars {
 			if i == j {
 				continue
 			}
-			l, err := NewNotes(f.linked, from.party, to.party, held[j].LocalAddr().(*net.UDPAddr), f.s.Seed<<20+uint64(i*SidecarsMost+j))
+			link, err := NewNoteLink(f.linkHost, from.party, to.party, conns[j].LocalAddr().(*net.UDPAddr), f.schedule.Seed<<20+uint64(i*MaxSidecars+j))
 			if err != nil {
 				return err
 			}
-			f.notes = append(f.notes, l)
+			f.noteLinks = append(f.noteLinks, link)
 		}
 	}
 	return nil
 }
 
-// peersOf is where a sidecar reaches each of the tier, in the order of their numbers.
-func (f *Fleet) peersOf(n int) (all []string) {
-	at := n * (len(f.cars) - 1)
-	for i := range f.cars {
+// peerAddresses returns the addresses at which the n-th sidecar reaches all sidecars, ordered by
+// number. Its own entry is the address on which it listens for notes.
+func (f *Fleet) peerAddresses(n int) (addresses []string) {
+	next := n * (len(f.sidecars) - 1)
+	for i := range f.sidecars {
 		if i == n {
-			all = append(all, f.cars[n].notes)
+			addresses = append(addresses, f.sidecars[n].noteAddr)
 			continue
 		}
-		all = append(all, f.notes[at].Addr())
-		at++
+		addresses = append(addresses, f.noteLinks[next].Addr())
+		next++
 	}
-	return all
+	return addresses
 }
 
-// Socket is the operators' socket of the n-th sidecar, from 0.
-func (f *Fleet) Socket(n int) string { return f.cars[n].socket() }
+// Socket returns the path of the admin socket of the n-th sidecar, counted from 0.
+func (f *Fleet) Socket(n int) string { return f.sidecars[n].socketPath() }
 
-// History is what has been seen so far. It must not be read while the run goes on.
-func (f *Fleet) History() *History { return f.h }
+// History returns the history of the run. It must not be read before Play has returned.
+func (f *Fleet) History() *History { return f.history }
 
-// server is the stand-in of a party.
-func (f *Fleet) server(p Party) (*standin.Server, int) {
-	for n, s := range f.site.Servers {
-		if serverParty(s.Name()) == p {
-			return s, n
+// findServer returns the stand-in server of a party and its index, or nil and -1.
+func (f *Fleet) findServer(party Party) (*standin.Server, int) {
+	for n, server := range f.site.Servers {
+		if serverParty(server.Name()) == party {
+			return server, n
 		}
 	}
 	return nil, -1
 }
 
-// car is the process of a party, nil where it is no sidecar.
-func (f *Fleet) car(p Party) *process {
-	for _, c := range f.cars {
-		if c.party == p {
-			return c
+// findSidecar returns the process of a party, or nil if the party is not a sidecar.
+func (f *Fleet) findSidecar(party Party) *process {
+	for _, sidecar := range f.sidecars {
+		if sidecar.party == party {
+			return sidecar
 		}
 	}
 	return nil
 }
 
-// Close ends all that it started.
+// Close ends all processes, links and stand-ins that the fleet started, and deletes its directory.
 func (f *Fleet) Close() error {
 	if f.cancel != nil {
 		f.cancel()
 	}
 	f.wg.Wait()
-	var wait sync.WaitGroup
-	for _, p := range f.cars {
-		p.unslice()
-		wait.Go(func() {
-			p.signal(syscallCont)
+	var closing sync.WaitGroup
+	for _, p := range f.sidecars {
+		p.stopStarving()
+		closing.Go(func() {
+			p.signal(sigCont)
 			p.kill()
-			if p.held != nil {
-				p.held.Close()
+			if p.clientSocket != nil {
+				p.clientSocket.Close()
 			}
 		})
 	}
-	wait.Wait()
-	for _, n := range f.notes {
+	closing.Wait()
+	for _, n := range f.noteLinks {
 		n.Close()
 	}
 	for _, l := range f.links {
-		wait.Go(l.Close)
+		closing.Go(l.Close)
 	}
-	wait.Wait()
-	for _, d := range f.finders {
+	closing.Wait()
+	for _, d := range f.discoveries {
 		d.Close()
 	}
 	if f.site != nil {
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -17,7 +17,8 @@
 	os.Exit(code)
 }
 
-func shipped(t *testing.T, name string) *Schedule {
+// shippedSchedule returns an embedded schedule.
+func shippedSchedule(t *testing.T, name string) *Schedule {
 	t.Helper()
 	text, err := schedules.Text(name)
 	if err != nil {
@@ -30,9 +31,9 @@
 	return s
 }
 
-// play runs a schedule, and once more up to twice where the machine starved it. A breach
-// that no starving excuses fails the test.
-func play(t *testing.T, s *Schedule) *History {
+// runSchedule runs a schedule, and repeats the run up to two times if the machine was starved. An
+// unexcused finding fails the test.
+func runSchedule(t *testing.T, s *Schedule) *History {
 	t.Helper()
 	path, err := rig.Binary()
 	if err != nil {
@@ -48,42 +49,44 @@
 		for _, f := range Held(Check(h)) {
 			t.Errorf("%s: %v", s.Name, f)
 		}
-		if len(h.starved()) == 0 || t.Failed() {
+		if len(h.starvedSpans()) == 0 || t.Failed() {
 			return h
 		}
 		if try == 2 {
-			t.Fatalf("%s: the machine starved it three times", s.Name)
+			t.Fatalf("%s: the machine was starved in three runs", s.Name)
 		}
-		t.Logf("%s: the machine starved it; once more", s.Name)
+		t.Logf("%s: the machine was starved; running again", s.Name)
 	}
 }
 
-// Sidecars that were stopped for longer than their clients wait go on: what lay in their
-// sockets, and what they were about to send, is for nobody any more.
-func TestStoppedSidecarsSendNothingOld(t *testing.T) {
+// Sidecars are stopped for longer than their clients wait, and continue. The test guards against
+// requests that are then sent although their clients have given up: those in the buffers of their
+// sockets, and those that the sidecars were about to send.
+func TestStoppedSidecarsSendNoExpiredCalls(t *testing.T) {
 	t.Parallel()
-	s := shipped(t, "stopped")
+	s := shippedSchedule(t, "stopped")
 	s.Faults = s.Faults[:2]
 	s.Faults[0].For = duration.Duration(1500 * time.Millisecond)
 	s.Faults[1].At, s.Faults[1].For = duration.Duration(5*time.Second), duration.Duration(1500*time.Millisecond)
 	s.Length = duration.Duration(8 * time.Second)
-	h := play(t, s)
-	left := 0
+	h := runSchedule(t, s)
+	unanswered := 0
 	for _, e := range h.Events {
-		if e.Kind == Called && e.Verdict == "none" {
-			left++
+		if e.Kind == EventCall && e.Verdict == "none" {
+			unanswered++
 		}
 	}
-	if left < 100 {
-		t.Errorf("%d clients gave up: nobody was put to the test", left)
+	if unanswered < 100 {
+		t.Errorf("only %d calls without an answer, want at least 100: the sidecars were not stopped for long enough", unanswered)
 	}
 }
 
-// The same of sidecars that get a tenth of a core, and of keyed calls.
-func TestStarvedSidecarsSendNothingOld(t *testing.T) {
+// Sidecars run for a tenth of the time only, with calls of a keyed class. The test guards against
+// requests that are sent late, after their clients have given up.
+func TestStarvedSidecarsSendNoExpiredCalls(t *testing.T) {
 	t.Parallel()
-	s := shipped(t, "stopped")
+	s := shippedSchedule(t, "stopped")
 	s.Class, s.Length = "id-register", duration.Duration(5*time.Second)
 	s.Faults = []Fault{{Kind: Starve, On: "sidecars", Share: 0.1, At: duration.Duration(time.Second), For: duration.Duration(3 * time.Second)}}
-	play(t, s)
+	runSchedule(t, s)
 }
--- a/internal/fleet/history.go
+++ b/internal/fleet/history.go
@@ -10,106 +10,107 @@
 	"time"
 )
 
-// eventsMost bounds what a History remembers; what comes after is counted only.
-const eventsMost = 1 << 20
+// maxEvents limits the events of a History. Later events are only counted.
+const maxEvents = 1 << 20
 
-// What an Event tells of.
+// Kinds of an Event.
 const (
-	Called  = "call"    // of a client: Verdict, Took; Who is its sidecar
-	Arrived = "arrive"  // at a server, Who: a whole request
-	Sent    = "sent"    // by Who to the server What: the first byte; Took: until the last so far
-	Faulted = "fault"   // What began
-	Mended  = "mended"  // What ended
-	Process = "process" // Who started, ended, was stopped
-	Logged  = "log"     // a line of Who's
-	Lagged  = "starved" // the machine kept this program from running for Took
-	Figure  = "figure"  // What is Value at the end
+	EventCall        = "call"    // a client called the sidecar Party, with Verdict after Elapsed
+	EventArrival     = "arrive"  // a whole request arrived at the server Party
+	EventSend        = "sent"    // the sidecar Party wrote the first byte of a request to the server Detail, and the last so far after Elapsed
+	EventFaultStart  = "fault"   // the fault Detail began
+	EventFaultEnd    = "mended"  // the fault Detail ended
+	EventProcess     = "process" // the process of Party changed its state, as Detail says
+	EventLogLine     = "log"     // Party logged the line Detail
+	EventStarved     = "starved" // the machine did not let this program run for Elapsed
+	EventMeasurement = "figure"  // the measurement Detail is Value at the end
 )
 
-// Event is one line of a history. Times are from the run's beginning.
+// Event is one line of a history. Times are relative to the start of the load.
 type Event struct {
-	At      time.Duration `json:"at_ns"`
-	Kind    string        `json:"kind"`
-	Who     Party         `json:"who,omitempty"`
-	ID      string        `json:"id,omitempty"`
-	Class   string        `json:"class,omitempty"`
-	Verdict string        `json:"verdict,omitempty"`
-	Took    time.Duration `json:"took_ns,omitempty"`
-	Wait    time.Duration `json:"wait_ns,omitempty"` // that its client had
-	Zone    string        `json:"zone,omitempty"`
-	Ran     bool          `json:"ran,omitempty"`
-	Drained time.Duration `json:"drained_ns,omitempty"` // for how long its server had been draining
-	What    string        `json:"what,omitempty"`
-	Value   float64       `json:"value,omitempty"`
+	At          time.Duration `json:"at_ns"`
+	Kind        string        `json:"kind"`
+	Party       Party         `json:"who,omitempty"`
+	ID          string        `json:"id,omitempty"`
+	Class       string        `json:"class,omitempty"`
+	Verdict     string        `json:"verdict,omitempty"` // of a call: served, refused, failed, none or unsent; of a send: doubtful, or empty
+	Elapsed     time.Duration `json:"took_ns,omitempty"`
+	Deadline    time.Duration `json:"wait_ns,omitempty"` // time that the client allows for the call
+	Zone        string        `json:"zone,omitempty"`
+	Executed    bool          `json:"ran,omitempty"`        // the server executed the request
+	DrainingFor time.Duration `json:"drained_ns,omitempty"` // time for which the server had been draining
+	Detail      string        `json:"what,omitempty"`
+	Value       float64       `json:"value,omitempty"`
 }
 
-// Head is what a history begins with.
-type Head struct {
-	Schedule *Schedule         `json:"schedule"`
-	Effects  map[string]string `json:"effects"` // of classes: safe, keyed, unsafe
-	Runs     map[string]int    `json:"runs"`    // effects by request, where there is more than one or a key
-	Fallen   []string          `json:"fallen"`  // servers that were pushed over while cold
-	Lost     int               `json:"lost"`    // events past eventsMost
+// Header is the first line of a history.
+type Header struct {
+	Schedule      *Schedule         `json:"schedule"`
+	ClassEffects  map[string]string `json:"effects"` // by class: safe, keyed or unsafe
+	EffectCounts  map[string]int    `json:"runs"`    // number of effects by request ID, where above 1
+	Fallen        []string          `json:"fallen"`  // servers that failed from overload while cold
+	DroppedEvents int               `json:"lost"`    // number of events beyond maxEvents
 }
 
-// History is what a run saw.
+// History records what the clients, servers, sidecars and links of a run observed.
 type History struct {
-	Head
+	Header
 	Events []Event
 
-	mu    sync.Mutex
-	began time.Time
-	over  bool
+	mu       sync.Mutex
+	started  time.Time
+	finished bool
 }
 
+// now returns the time since the start of the load.
 func (h *History) now() time.Duration {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return time.Since(h.began)
+	return time.Since(h.started)
 }
 
-// add writes an event down; one without a time is of now.
+// add records an event. If its time is 0 it gets the current time.
 func (h *History) add(e Event) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.over {
+	if h.finished {
 		return
 	}
 	if e.At == 0 {
-		e.At = time.Since(h.began)
+		e.At = time.Since(h.started)
 	}
-	if len(h.Events) >= eventsMost {
-		h.Lost++
+	if len(h.Events) >= maxEvents {
+		h.DroppedEvents++
 		return
 	}
 	h.Events = append(h.Events, e)
 }
 
-// end puts the events in order, and takes no more: processes that are yet to be ended go on
-// to write lines while the history is read.
-func (h *History) end() {
+// finish sorts the events by time and ignores later ones, because processes that still run continue
+// to log while the history is read.
+func (h *History) finish() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.over = true
+	h.finished = true
 	slices.SortStableFunc(h.Events, func(a, b Event) int { return int(a.At - b.At) })
 }
 
-// Write writes a history: its head, then a line an event.
+// Write writes the history as JSON lines: the header, then one line for each event.
 func (h *History) Write(w io.Writer) error {
-	b := bufio.NewWriter(w)
-	e := json.NewEncoder(b)
-	if err := e.Encode(&h.Head); err != nil {
+	buffer := bufio.NewWriter(w)
+	encoder := json.NewEncoder(buffer)
+	if err := encoder.Encode(&h.Header); err != nil {
 		return err
 	}
 	for n := range h.Events {
-		if err := e.Encode(&h.Events[n]); err != nil {
+		if err := encoder.Encode(&h.Events[n]); err != nil {
 			return err
 		}
 	}
-	return b.Flush()
+	return buffer.Flush()
 }
 
-// ReadHistory reads what Write wrote. An error names the line.
+// ReadHistory reads a history that Write wrote. Errors name the line.
 func ReadHistory(r io.Reader) (*History, error) {
 	h := new(History)
 	lines := bufio.NewScanner(r)
@@ -117,9 +118,9 @@
 	for n := 1; lines.Scan(); n++ {
 		var err error
 		if n == 1 {
-			err = json.Unmarshal(lines.Bytes(), &h.Head)
+			err = json.Unmarshal(lines.Bytes(), &h.Header)
 			if err == nil && h.Schedule == nil {
-				err = fmt.Errorf("no schedule")
+				err = fmt.Errorf("the header has no schedule")
 			}
 		} else {
 			var e Event
@@ -135,7 +136,7 @@
 		return nil, fmt.Errorf("history: %w", err)
 	}
 	if h.Schedule == nil {
-		return nil, fmt.Errorf("history: empty")
+		return nil, fmt.Errorf("history: the file is empty")
 	}
 	return h, nil
 }
--- a/internal/fleet/link.go
+++ b/internal/fleet/link.go
@@ -12,179 +12,189 @@
 	"time"
 )
 
-// way is what holds of one direction of a link.
-type way struct {
-	cut     bool
-	delay   time.Duration
-	spread  time.Duration
-	rate    int // bytes a second; 0: any
-	loss    float64
-	double  float64
-	reorder float64
-	hold    bool
+// impairment describes the faults in one direction of a link.
+type impairment struct {
+	cut            bool
+	delay          time.Duration
+	jitter         time.Duration
+	bytesPerSecond int // 0: unlimited
+	lossShare      float64
+	duplicateShare float64
+	reorderShare   float64
+	hold           bool
 }
 
 // Directions of a link.
 const (
-	out  = 0 // from the one who opens connections
-	back = 1
+	outbound = 0 // from the party that opens connections
+	inbound  = 1
 )
 
-// gate is what a link's goroutines go by. It wakes those that wait when it changes.
-type gate struct {
-	mu      sync.Mutex
-	ways    [2]way
-	refuse  bool // the far end's process is down
-	reset   bool
-	closed  bool
-	changed chan struct{}
-	rng     *rand.Rand
+// linkState is the state that the goroutines of a link share. A change wakes the waiting ones.
+type linkState struct {
+	mu          sync.Mutex
+	impairments [2]impairment
+	refusing    bool // no process listens at the target
+	resetting   bool
+	closed      bool
+	changed     chan struct{} // closed and replaced at each change
+	rng         *rand.Rand
 }
 
-func newGate(seed uint64) gate {
-	return gate{changed: make(chan struct{}), rng: rand.New(rand.NewPCG(seed, 7))}
+func newLinkState(seed uint64) linkState {
+	return linkState{changed: make(chan struct{}), rng: rand.New(rand.NewPCG(seed, 7))}
 }
 
-// set changes what holds.
-func (g *gate) set(change func()) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
+// update runs change with the lock held and wakes the goroutines that wait for a change.
+func (s *linkState) update(change func()) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	change()
-	close(g.changed)
-	g.changed = make(chan struct{})
+	close(s.changed)
+	s.changed = make(chan struct{})
 }
 
-// pass waits while a direction is cut, and says what holds of it then; false: it is over.
-func (g *gate) pass(dir int, over <-chan struct{}) (way, bool) {
+// awaitUncut blocks while a direction is cut, and returns its impairment then. It returns false if
+// the link is closed, or if done is closed during the wait.
+func (s *linkState) awaitUncut(direction int, done <-chan struct{}) (impairment, bool) {
 	for {
-		g.mu.Lock()
-		w, closed, changed := g.ways[dir], g.closed, g.changed
-		g.mu.Unlock()
+		s.mu.Lock()
+		imp, closed, changed := s.impairments[direction], s.closed, s.changed
+		s.mu.Unlock()
 		switch {
 		case closed:
-			return w, false
-		case !w.cut:
-			return w, true
+			return imp, false
+		case !imp.cut:
+			return imp, true
 		}
 		select {
 		case <-changed:
-		case <-over:
-			return w, false
+		case <-done:
+			return imp, false
 		}
 	}
 }
 
-func (g *gate) late(w way) time.Duration {
-	if w.spread <= 0 {
-		return w.delay
+// randomDelay returns the delay for one piece of data.
+func (s *linkState) randomDelay(imp impairment) time.Duration {
+	if imp.jitter <= 0 {
+		return imp.delay
 	}
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	return w.delay + time.Duration(g.rng.Int64N(int64(w.spread)))
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return imp.delay + time.Duration(s.rng.Int64N(int64(imp.jitter)))
 }
 
-func (g *gate) chance(share float64) bool {
+// randomChance returns true with a probability of share.
+func (s *linkState) randomChance(share float64) bool {
 	if share <= 0 {
 		return false
 	}
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	return g.rng.Float64() < share
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.rng.Float64() < share
 }
 
-// Link carries the connections from one process to one other, by an address of its own,
-// with faults that are its alone. What is cut says nothing: bytes wait in its buffers, ends
-// of connections too, and new connections never come up, for its queue of them is full.
+// Link proxies the TCP connections from one process to another at an address of its own, and
+// injects faults that affect no other link. A cut link gives no sign of the cut: data and ends of
+// connections wait in its buffers, and new connections are not established because its accept queue
+// is full.
 type Link struct {
 	From, To Party
-	gate
+	linkState
 
 	target string
 	addr   string
-	parked chan struct{} // the accepting goroutine has stopped for a cut; holds one
+	parked chan struct{} // signals that the accept loop has paused for a cut; has a buffer of one
 	wg     sync.WaitGroup
 
-	// Guarded by the gate's lock.
-	sends []*sending
-	ln    *net.TCPListener // nil: refusing
-	pipes map[*pipe]struct{}
-	fill  map[string]net.Conn // the connections that fill the queue, by their own address
-	stuck bool                // the accepting goroutine is parked
-	whole time.Time           // when the last cut ended; zero: never
+	// Guarded by the lock of linkState.
+	requests     []*requestRecord
+	listener     *net.TCPListener // nil: the link refuses connections
+	conns        map[*proxyConn]struct{}
+	queueFillers map[string]net.Conn // connections that fill the accept queue, by local address
+	paused       bool                // the accept loop has paused for a cut
+	lastCutEnd   time.Time           // zero: there was no cut
 }
 
-// sending is one request on its way through a link, as its sender wrote it.
-type sending struct {
-	id          string
-	first, last time.Time // when its first piece was read, and its last so far
-	// doubt says that its connection came up just after a cut: it may have been written
-	// long before, and lain in a queue since.
-	doubt bool
+// requestRecord records when the sender wrote a request to a link.
+type requestRecord struct {
+	id                    string
+	firstChunk, lastChunk time.Time // when the first chunk was read, and the last so far
+	// maybeQueued is set if the connection was accepted soon after a cut: the request may have been
+	// written long before and have waited in a queue.
+	maybeQueued bool
 }
 
-// sendsMost bounds the requests that one link remembers.
-const sendsMost = 1 << 16
+// maxRequestRecords limits the requests that one link records.
+const maxRequestRecords = 1 << 16
 
-// idField is what a request's head has its id behind.
-var idField = []byte("\r\nReq-Id: ")
+// requestIDField precedes the request ID in the head of a request.
+var requestIDField = []byte("\r\nReq-Id: ")
 
-// saw notes a piece of a request. Heads come in one piece: senders write them so.
-func (l *Link) saw(p *pipe, b []byte) {
+// recordChunk records a chunk of a request. It relies on senders writing each head at once, so that
+// a head is never split over two chunks.
+func (l *Link) recordChunk(conn *proxyConn, data []byte) {
 	now := time.Now()
-	_, rest, begins := bytes.Cut(b, idField)
+	_, rest, hasHead := bytes.Cut(data, requestIDField)
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if begins {
+	if hasHead {
 		id, _, _ := bytes.Cut(rest, []byte("\r\n"))
-		if len(l.sends) >= sendsMost {
-			p.sending = nil
+		if len(l.requests) >= maxRequestRecords {
+			conn.request = nil
 			return
 		}
-		p.sending = &sending{id: string(id), first: now, doubt: p.doubt}
-		l.sends = append(l.sends, p.sending)
+		conn.request = &requestRecord{id: string(id), firstChunk: now, maybeQueued: conn.maybeQueued}
+		l.requests = append(l.requests, conn.request)
 	}
-	if p.sending != nil {
-		p.sending.last = now
+	if conn.request != nil {
+		conn.request.lastChunk = now
 	}
 }
 
-// NewLink starts a link to a target, which listens at a host.
+// NewLink starts a link to the address target. It listens on a free port of the IP address host. The
+// caller must close it.
 func NewLink(host string, from, to Party, target string, seed uint64) (*Link, error) {
-	l := &Link{From: from, To: to, gate: newGate(seed), target: target, parked: make(chan struct{}, 1), pipes: make(map[*pipe]struct{}), fill: make(map[string]net.Conn)}
+	l := &Link{From: from, To: to, linkState: newLinkState(seed), target: target, parked: make(chan struct{}, 1), conns: make(map[*proxyConn]struct{}), queueFillers: make(map[string]net.Conn)}
 	ln, err := net.Listen("tcp", host+":0")
 	if err != nil {
 		return nil, fmt.Errorf("fleet: link: %w", err)
 	}
 	l.addr = ln.Addr().String()
-	l.listen(ln.(*net.TCPListener))
+	l.serve(ln.(*net.TCPListener))
 	return l, nil
 }
 
-// Addr is where From reaches To.
+// Addr returns the address at which From reaches To.
 func (l *Link) Addr() string { return l.addr }
 
-func (l *Link) listen(ln *net.TCPListener) {
+// serve starts accepting connections from a listener.
+func (l *Link) serve(ln *net.TCPListener) {
 	l.mu.Lock()
-	l.ln = ln
+	l.listener = ln
 	l.mu.Unlock()
-	l.wg.Go(func() { l.accept(ln) })
+	l.wg.Go(func() { l.acceptLoop(ln) })
 }
 
-// isCut says that connections can't come up: a handshake needs both directions.
-func (l *Link) isCut() bool { return l.ways[out].cut || l.ways[back].cut }
+// isCut reports whether new connections cannot be established: a handshake needs both directions.
+// The lock must be held.
+func (l *Link) isCut() bool { return l.impairments[outbound].cut || l.impairments[inbound].cut }
 
-func (l *Link) accept(ln *net.TCPListener) {
+// acceptLoop accepts and proxies connections until the listener is closed. It pauses while the link
+// is cut.
+func (l *Link) acceptLoop(ln *net.TCPListener) {
 	for {
-		c, err := ln.AcceptTCP()
+		conn, err := ln.AcceptTCP()
 		if err != nil {
-			var ne net.Error
-			if !errors.As(err, &ne) || !ne.Timeout() {
+			var netErr net.Error
+			if !errors.As(err, &netErr) || !netErr.Timeout() {
 				return
 			}
-			// A cut begins: wait for its end.
+			// The deadline in the past means that a cut begins: wait for its end.
 			l.mu.Lock()
-			l.stuck = true
-			for l.isCut() && l.ln == ln && !l.closed {
+			l.paused = true
+			for l.isCut() && l.listener == ln && !l.closed {
 				changed := l.changed
 				l.mu.Unlock()
 				select {
@@ -194,42 +204,43 @@
 				<-changed
 				l.mu.Lock()
 			}
-			l.stuck = false
-			over := l.ln != ln || l.closed
+			l.paused = false
+			stop := l.listener != ln || l.closed
 			l.mu.Unlock()
-			if over {
+			if stop {
 				return
 			}
 			continue
 		}
 		l.mu.Lock()
-		own := l.fill[c.RemoteAddr().String()]
-		delete(l.fill, c.RemoteAddr().String())
-		reset := l.reset
+		filler := l.queueFillers[conn.RemoteAddr().String()]
+		delete(l.queueFillers, conn.RemoteAddr().String())
+		reset := l.resetting
 		l.mu.Unlock()
 		switch {
-		case own != nil:
-			own.Close()
-			c.Close()
+		case filler != nil:
+			filler.Close()
+			conn.Close()
 		case reset:
-			sever(c)
+			resetConn(conn)
 		default:
-			l.wg.Go(func() { l.carry(c) })
+			l.wg.Go(func() { l.proxy(conn) })
 		}
 	}
 }
 
-// pipe is one connection through a link.
-type pipe struct {
-	near, far *net.TCPConn
-	over      chan struct{}
-	once      sync.Once
-	sending   *sending // guarded by the gate's lock
-	doubt     bool
+// proxyConn is one connection through a link.
+type proxyConn struct {
+	near, far   *net.TCPConn
+	done        chan struct{}
+	once        sync.Once
+	request     *requestRecord // guarded by the lock of the Link
+	maybeQueued bool
 }
 
-func (p *pipe) end(abort bool) {
-	p.once.Do(func() { close(p.over) })
+// close closes both connections, with a reset if abort is true.
+func (p *proxyConn) close(abort bool) {
+	p.once.Do(func() { close(p.done) })
 	for _, c := range []*net.TCPConn{p.near, p.far} {
 		if abort {
 			c.SetLinger(0)
@@ -238,90 +249,93 @@
 	}
 }
 
-func sever(c *net.TCPConn) {
-	c.SetLinger(0)
-	c.Close()
+// resetConn closes a connection with a reset.
+func resetConn(conn *net.TCPConn) {
+	conn.SetLinger(0)
+	conn.Close()
 }
 
-func (l *Link) carry(near *net.TCPConn) {
-	c, err := net.DialTimeout("tcp", l.target, time.Second)
+// proxy connects to the target and forwards data in both directions until both have ended.
+func (l *Link) proxy(near *net.TCPConn) {
+	target, err := net.DialTimeout("tcp", l.target, time.Second)
 	if err != nil {
-		sever(near)
+		resetConn(near)
 		return
 	}
-	p := &pipe{near: near, far: c.(*net.TCPConn), over: make(chan struct{})}
+	conn := &proxyConn{near: near, far: target.(*net.TCPConn), done: make(chan struct{})}
 	l.mu.Lock()
-	if l.closed || l.reset {
+	if l.closed || l.resetting {
 		l.mu.Unlock()
-		p.end(true)
+		conn.close(true)
 		return
 	}
-	l.pipes[p] = struct{}{}
-	p.doubt = !l.whole.IsZero() && time.Since(l.whole) < doubtFor
+	l.conns[conn] = struct{}{}
+	conn.maybeQueued = !l.lastCutEnd.IsZero() && time.Since(l.lastCutEnd) < queuedConnPeriod
 	l.mu.Unlock()
-	var both sync.WaitGroup
-	both.Go(func() { l.pump(p, p.far, p.near, out) })
-	both.Go(func() { l.pump(p, p.near, p.far, back) })
-	both.Wait()
-	p.end(false)
+	var directions sync.WaitGroup
+	directions.Go(func() { l.forward(conn, conn.far, conn.near, outbound) })
+	directions.Go(func() { l.forward(conn, conn.near, conn.far, inbound) })
+	directions.Wait()
+	conn.close(false)
 	l.mu.Lock()
-	delete(l.pipes, p)
+	delete(l.conns, conn)
 	l.mu.Unlock()
 }
 
-// piece is what was read of a connection at once, and how that ended.
-type piece struct {
-	b   []byte
-	at  time.Time
-	err error
+// chunk is the result of one read from a connection.
+type chunk struct {
+	data   []byte
+	readAt time.Time
+	err    error
 }
 
-// piecesMost bounds what a direction holds, beside the kernel's buffers.
-const piecesMost = 64
+// maxBufferedChunks limits the data that one direction buffers, in addition to the kernel's buffers.
+const maxBufferedChunks = 64
 
-// pump carries one direction. It reads on while the link is cut: when a sidecar wrote
-// something is told by when it was read here.
-func (l *Link) pump(p *pipe, dst, src *net.TCPConn, dir int) {
-	pieces := make(chan piece, piecesMost)
-	go l.readOn(p, src, dir, pieces)
-	for x := range pieces {
-		w, ok := l.pass(dir, p.over)
+// forward forwards one direction of a connection with its impairment. Reading continues while the
+// link is cut, because the time of the read tells when a sidecar wrote the data.
+func (l *Link) forward(conn *proxyConn, dst, src *net.TCPConn, direction int) {
+	chunks := make(chan chunk, maxBufferedChunks)
+	go l.readChunks(conn, src, direction, chunks)
+	for next := range chunks {
+		imp, ok := l.awaitUncut(direction, conn.done)
 		if !ok {
-			p.end(true)
+			conn.close(true)
 			return
 		}
-		if d := l.late(w) - time.Since(x.at); d > 0 && w.delay+w.spread > 0 && len(x.b) > 0 {
-			time.Sleep(d)
+		if remaining := l.randomDelay(imp) - time.Since(next.readAt); remaining > 0 && imp.delay+imp.jitter > 0 && len(next.data) > 0 {
+			time.Sleep(remaining)
 		}
-		if len(x.b) > 0 && !write(dst, x.b, w.rate) {
-			p.end(true)
+		if len(next.data) > 0 && !writeAtRate(dst, next.data, imp.bytesPerSecond) {
+			conn.close(true)
 			return
 		}
 		switch {
-		case x.err == nil:
-		case errors.Is(x.err, io.EOF):
+		case next.err == nil:
+		case errors.Is(next.err, io.EOF):
 			dst.CloseWrite()
 			return
 		default:
-			p.end(true)
+			conn.close(true)
 			return
 		}
 	}
-	p.end(true) // the other direction has ended it
+	conn.close(true) // the other direction has closed the connection
 }
 
-// readOn reads one direction to its end, or that of the connection.
-func (l *Link) readOn(p *pipe, src *net.TCPConn, dir int, pieces chan<- piece) {
-	defer close(pieces)
+// readChunks reads from src into chunks until the end of the data, an error, or the end of the
+// connection. It closes chunks.
+func (l *Link) readChunks(conn *proxyConn, src *net.TCPConn, direction int, chunks chan<- chunk) {
+	defer close(chunks)
 	buf := make([]byte, 16<<10)
 	for {
 		n, err := src.Read(buf)
-		if dir == out && n > 0 {
-			l.saw(p, buf[:n])
+		if direction == outbound && n > 0 {
+			l.recordChunk(conn, buf[:n])
 		}
 		select {
-		case pieces <- piece{bytes.Clone(buf[:n]), time.Now(), err}:
-		case <-p.over:
+		case chunks <- chunk{bytes.Clone(buf[:n]), time.Now(), err}:
+		case <-conn.done:
 			return
 		}
 		if err != nil {
@@ -330,167 +344,174 @@
 	}
 }
 
-// write writes at a rate, in slices of 20 ms.
-func write(dst net.Conn, b []byte, rate int) bool {
-	if rate <= 0 {
-		_, err := dst.Write(b)
+// writeAtRate writes data at a rate, in portions of 20 ms each, and reports success. At a rate of 0
+// it writes all at once.
+func writeAtRate(dst net.Conn, data []byte, bytesPerSecond int) bool {
+	if bytesPerSecond <= 0 {
+		_, err := dst.Write(data)
 		return err == nil
 	}
-	const slice = 20 * time.Millisecond
-	piece := max(1, int(float64(rate)*slice.Seconds()))
-	for len(b) > 0 {
-		n := min(piece, len(b))
-		if _, err := dst.Write(b[:n]); err != nil {
+	const interval = 20 * time.Millisecond
+	portionBytes := max(1, int(float64(bytesPerSecond)*interval.Seconds()))
+	for len(data) > 0 {
+		n := min(portionBytes, len(data))
+		if _, err := dst.Write(data[:n]); err != nil {
 			return false
 		}
-		b = b[n:]
-		time.Sleep(slice)
+		data = data[n:]
+		time.Sleep(interval)
 	}
 	return true
 }
 
-// fillMost bounds the connections that fill a queue, fillWait how long one may take.
+// Limits for the connections that fill an accept queue during a cut, and for those accepted after it.
 const (
-	fillMost = 8
-	fillWait = 40 * time.Millisecond
-	// doubtFor after a cut a connection may be one that began to come up before.
-	doubtFor = 5 * time.Second
+	// maxQueueFillers limits the connections that fill an accept queue.
+	maxQueueFillers = 8
+	// fillerTimeout is how long the dial of a filler may take. A timeout means that the queue is full.
+	fillerTimeout = 40 * time.Millisecond
+	// queuedConnPeriod is the time after a cut in which an accepted connection may be one that was
+	// begun before the end of the cut.
+	queuedConnPeriod = 5 * time.Second
 )
 
-// change alters what holds of the link.
-func (l *Link) change(how func(ways *[2]way)) {
+// setImpairments changes the impairments of the link and starts or ends the blocking of new
+// connections.
+func (l *Link) setImpairments(modify func(impairments *[2]impairment)) {
 	l.mu.Lock()
-	was, ln := l.isCut(), l.ln
-	ways := l.ways
-	how(&ways)
-	is := ways[out].cut || ways[back].cut
+	wasCut, listener := l.isCut(), l.listener
+	impairments := l.impairments
+	modify(&impairments)
+	nowCut := impairments[outbound].cut || impairments[inbound].cut
 	l.mu.Unlock()
-	if was && !is && ln != nil { // while nobody else accepts
-		l.openQueue(ln)
+	if wasCut && !nowCut && listener != nil { // the accept loop is still paused
+		l.unblockConnects(listener)
 	}
-	l.set(func() { l.ways = ways })
-	if is && !was && ln != nil {
-		l.shutQueue(ln)
+	l.update(func() { l.impairments = impairments })
+	if nowCut && !wasCut && listener != nil {
+		l.blockConnects(listener)
 	}
 }
 
-// SetCut cuts a direction of the link, or has it whole again: out is from the one who opens
-// connections.
-func (l *Link) SetCut(there, andBack bool) {
-	l.change(func(w *[2]way) { w[out].cut, w[back].cut = there, andBack })
+// SetCut sets for each direction of the link whether it is cut. outboundCut is the direction from the
+// party that opens connections.
+func (l *Link) SetCut(outboundCut, inboundCut bool) {
+	l.setImpairments(func(imps *[2]impairment) { imps[outbound].cut, imps[inbound].cut = outboundCut, inboundCut })
 }
 
-// SetDelay has what comes back be late by so much.
-func (l *Link) SetDelay(andBack time.Duration) {
-	l.change(func(w *[2]way) { w[back].delay = andBack })
+// SetDelay sets the delay of the data that the target sends back.
+func (l *Link) SetDelay(inboundDelay time.Duration) {
+	l.setImpairments(func(imps *[2]impairment) { imps[inbound].delay = inboundDelay })
 }
 
-// shutQueue has new connections never come up: the kernel drops the first packet of one
-// where the queue of those that wait is full (listen(2), tcp(7)).
-func (l *Link) shutQueue(ln *net.TCPListener) {
+// blockConnects prevents new connections from being established. It pauses the accept loop and fills
+// the accept queue: the kernel drops the first packet of a connection while the queue is full
+// (listen(2), tcp(7)).
+func (l *Link) blockConnects(ln *net.TCPListener) {
 	ln.SetDeadline(time.Unix(1, 0))
 	<-l.parked
-	backlog(ln, 0)
-	for range fillMost {
-		c, err := net.DialTimeout("tcp", l.addr, fillWait)
+	setBacklog(ln, 0)
+	for range maxQueueFillers {
+		c, err := net.DialTimeout("tcp", l.addr, fillerTimeout)
 		if err != nil {
 			return
 		}
 		l.mu.Lock()
-		l.fill[c.LocalAddr().String()] = c
+		l.queueFillers[c.LocalAddr().String()] = c
 		l.mu.Unlock()
 	}
 }
 
-// openQueue resets what came into the queue as the cut began: a machine that is back knows
-// nothing of it.
-func (l *Link) openQueue(ln *net.TCPListener) {
-	for range fillMost {
+// unblockConnects ends blockConnects. It resets the connections that entered the queue when the cut
+// began, as a machine that was away does not know them.
+func (l *Link) unblockConnects(ln *net.TCPListener) {
+	for range maxQueueFillers {
 		ln.SetDeadline(time.Now().Add(5 * time.Millisecond))
 		c, err := ln.AcceptTCP()
 		if err != nil {
 			break
 		}
 		l.mu.Lock()
-		own := l.fill[c.RemoteAddr().String()]
-		delete(l.fill, c.RemoteAddr().String())
+		filler := l.queueFillers[c.RemoteAddr().String()]
+		delete(l.queueFillers, c.RemoteAddr().String())
 		l.mu.Unlock()
-		if own != nil {
-			own.Close()
+		if filler != nil {
+			filler.Close()
 		}
-		sever(c)
+		resetConn(c)
 	}
 	l.mu.Lock()
-	l.whole = time.Now()
+	l.lastCutEnd = time.Now()
 	l.mu.Unlock()
-	backlog(ln, 128)
+	setBacklog(ln, 128)
 	ln.SetDeadline(time.Time{})
 }
 
-func backlog(ln *net.TCPListener, n int) {
+// setBacklog sets the length of the accept queue.
+func setBacklog(ln *net.TCPListener, length int) {
 	if raw, err := ln.SyscallConn(); err == nil {
-		raw.Control(func(fd uintptr) { syscall.Listen(int(fd), n) })
+		raw.Control(func(fd uintptr) { syscall.Listen(int(fd), length) })
 	}
 }
 
-// Refuse has new connections refused, as where no process listens; open ones are reset.
+// Refuse makes the link refuse new connections, as if no process listened, and resets open ones.
 func (l *Link) Refuse() {
-	var ln *net.TCPListener
-	l.set(func() { ln, l.ln, l.refuse = l.ln, nil, true })
-	if ln != nil {
-		ln.Close()
+	var listener *net.TCPListener
+	l.update(func() { listener, l.listener, l.refusing = l.listener, nil, true })
+	if listener != nil {
+		listener.Close()
 	}
-	l.sever()
+	l.resetConns()
 }
 
-// Accept ends Refuse.
-func (l *Link) Accept() error {
+// StopRefusing ends Refuse. It listens again at the same address.
+func (l *Link) StopRefusing() error {
 	l.mu.Lock()
-	refuses := l.refuse
-	l.refuse = false
-	cut := l.isCut()
+	wasRefusing := l.refusing
+	l.refusing = false
+	isCut := l.isCut()
 	l.mu.Unlock()
-	if !refuses {
+	if !wasRefusing {
 		return nil
 	}
 	ln, err := net.Listen("tcp", l.addr)
 	if err != nil {
 		return fmt.Errorf("fleet: link: %w", err)
 	}
-	l.listen(ln.(*net.TCPListener))
-	if cut {
-		l.shutQueue(ln.(*net.TCPListener))
+	l.serve(ln.(*net.TCPListener))
+	if isCut {
+		l.blockConnects(ln.(*net.TCPListener))
 	}
 	return nil
 }
 
-// sever resets all that is open.
-func (l *Link) sever() {
+// resetConns resets all open connections.
+func (l *Link) resetConns() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for p := range l.pipes {
-		p.end(true)
+	for conn := range l.conns {
+		conn.close(true)
 	}
 }
 
-// SetReset resets what is open, and what comes while it is on.
+// SetReset sets whether the link resets new connections. If on is true it also resets open ones.
 func (l *Link) SetReset(on bool) {
-	l.set(func() { l.reset = on })
+	l.update(func() { l.resetting = on })
 	if on {
-		l.sever()
+		l.resetConns()
 	}
 }
 
-// Close ends it and waits for its goroutines.
+// Close closes the listener, resets all connections and waits for the goroutines of the link.
 func (l *Link) Close() {
-	var ln *net.TCPListener
-	l.set(func() { l.closed, ln = true, l.ln })
-	if ln != nil {
-		ln.Close()
+	var listener *net.TCPListener
+	l.update(func() { l.closed, listener = true, l.listener })
+	if listener != nil {
+		listener.Close()
 	}
-	l.sever()
+	l.resetConns()
 	l.mu.Lock()
-	for _, c := range l.fill {
+	for _, c := range l.queueFillers {
 		c.Close()
 	}
 	l.mu.Unlock()
--- a/internal/fleet/link_test.go
+++ b/internal/fleet/link_test.go
@@ -12,8 +12,8 @@
 	"time"
 )
 
-// echo answers each line with itself.
-func echo(t *testing.T) string {
+// startEcho starts a TCP server that returns all data, and returns its address.
+func startEcho(t *testing.T) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -35,19 +35,21 @@
 	return ln.Addr().String()
 }
 
-func linked(t *testing.T) *Link {
+// newTestLink returns a link to a server that returns all data.
+func newTestLink(t *testing.T) *Link {
 	t.Helper()
-	l, err := NewLink("127.0.0.3", "sidecar:1", "server:s1", echo(t), 1)
+	link, err := NewLink("127.0.0.3", "sidecar:1", "server:s1", startEcho(t), 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(l.Close)
-	return l
+	t.Cleanup(link.Close)
+	return link
 }
 
-func dialed(t *testing.T, l *Link) net.Conn {
+// dialLink connects to a link.
+func dialLink(t *testing.T, link *Link) net.Conn {
 	t.Helper()
-	c, err := net.Dial("tcp", l.Addr())
+	c, err := net.Dial("tcp", link.Addr())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -55,56 +57,57 @@
 	return c
 }
 
-// says sends a word and waits for it to come back.
-func says(c net.Conn, word string, wait time.Duration) error {
-	c.SetDeadline(time.Now().Add(wait))
-	if _, err := io.WriteString(c, word); err != nil {
+// exchange sends text and waits until as many bytes have come back.
+func exchange(c net.Conn, text string, timeout time.Duration) error {
+	c.SetDeadline(time.Now().Add(timeout))
+	if _, err := io.WriteString(c, text); err != nil {
 		return err
 	}
-	_, err := io.ReadFull(c, make([]byte, len(word)))
+	_, err := io.ReadFull(c, make([]byte, len(text)))
 	return err
 }
 
-// patient is longer than a slow machine needs, silent long enough to show that nothing came.
+// Timeouts for data that must arrive and for data that must not.
 const (
-	patient = 20 * time.Second
-	silent  = 150 * time.Millisecond
+	longTimeout   = 20 * time.Second       // more than a slow machine needs
+	silencePeriod = 150 * time.Millisecond // after this time without data, none is expected
 )
 
-// What is cut says nothing: an open connection stays open, a new one does not come up, and
-// when it has ended what was written comes.
-func TestCutLinkIsSilent(t *testing.T) {
-	l := linked(t)
-	c := dialed(t, l)
-	if err := says(c, "before", patient); err != nil {
+// Guards against a cut link that closes or resets connections or accepts new ones. Open connections
+// must stay open and deliver the data written meanwhile when the cut ends.
+func TestCutLinkPassesNothing(t *testing.T) {
+	l := newTestLink(t)
+	c := dialLink(t, l)
+	if err := exchange(c, "before", longTimeout); err != nil {
 		t.Fatal(err)
 	}
-	l.change(func(w *[2]way) { w[out].cut, w[back].cut = true, true })
-	if err := says(c, "within", silent); !errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Errorf("an open connection over a cut: %v", err)
+	l.setImpairments(func(impairments *[2]impairment) { impairments[outbound].cut, impairments[inbound].cut = true, true })
+	if err := exchange(c, "within", silencePeriod); !errors.Is(err, os.ErrDeadlineExceeded) {
+		t.Errorf("open connection during a cut: %v, want a timeout", err)
 	}
 	for range 3 {
-		d, err := net.DialTimeout("tcp", l.Addr(), silent)
+		d, err := net.DialTimeout("tcp", l.Addr(), silencePeriod)
 		if err == nil {
 			d.Close()
-			t.Fatal("a connection came up over a cut")
+			t.Fatal("a new connection was established during a cut")
 		}
 		var ne net.Error
 		if !errors.As(err, &ne) || !ne.Timeout() {
-			t.Errorf("a new connection over a cut: %v", err)
+			t.Errorf("new connection during a cut: %v, want a timeout", err)
 		}
 	}
-	l.change(func(w *[2]way) { *w = [2]way{} })
-	c.SetDeadline(time.Now().Add(patient))
+	l.setImpairments(func(impairments *[2]impairment) { *impairments = [2]impairment{} })
+	c.SetDeadline(time.Now().Add(longTimeout))
 	if _, err := io.ReadFull(c, make([]byte, len("within"))); err != nil {
-		t.Errorf("after the cut: %v", err)
+		t.Errorf("data written during the cut did not arrive after it: %v", err)
 	}
-	if err := says(dialed(t, l), "anew", patient); err != nil {
-		t.Errorf("a new one after the cut: %v", err)
+	if err := exchange(dialLink(t, l), "anew", longTimeout); err != nil {
+		t.Errorf("new connection after the cut: %v", err)
 	}
 }
 
-// One direction alone: what was asked arrives, the answer does not, until it may.
+// Guards against a cut of one direction that also affects the other: the request must arrive, and the
+// answer only after the cut.
 func TestCutInOneDirection(t *testing.T) {
 	var mu sync.Mutex
 	got := ""
@@ -113,7 +116,7 @@
 		t.Fatal(err)
 	}
 	defer ln.Close()
-	came := make(chan struct{})
+	received := make(chan struct{})
 	go func() {
 		c, err := ln.Accept()
 		if err != nil {
@@ -125,116 +128,119 @@
 		got = string(b)
 		mu.Unlock()
 		c.Write(b)
-		close(came)
+		close(received)
 	}()
 	l, err := NewLink("127.0.0.3", "sidecar:1", "server:s1", ln.Addr().String(), 1)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer l.Close()
-	c := dialed(t, l)
-	l.change(func(w *[2]way) { w[back].cut = true })
-	if err := says(c, "ask", silent); !errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Errorf("an answer came: %v", err)
-	}
-	<-came
-	l.change(func(w *[2]way) { w[back].cut = false })
-	c.SetDeadline(time.Now().Add(patient))
+	c := dialLink(t, l)
+	l.setImpairments(func(impairments *[2]impairment) { impairments[inbound].cut = true })
+	if err := exchange(c, "ask", silencePeriod); !errors.Is(err, os.ErrDeadlineExceeded) {
+		t.Errorf("reading the answer during the cut: %v, want a timeout", err)
+	}
+	<-received
+	l.setImpairments(func(impairments *[2]impairment) { impairments[inbound].cut = false })
+	c.SetDeadline(time.Now().Add(longTimeout))
 	if _, err := io.ReadFull(c, make([]byte, 3)); err != nil || got != "ask" {
-		t.Errorf("%v, %q", err, got)
+		t.Errorf("after the cut: %v; the server got %q, want \"ask\"", err, got)
 	}
 }
 
+// Guards against resets, refusals, delays and rate limits of a link that have no effect or do not end.
 func TestResetRefuseDelayTrickle(t *testing.T) {
-	l := linked(t)
-	c := dialed(t, l)
-	if err := says(c, "x", patient); err != nil {
+	l := newTestLink(t)
+	c := dialLink(t, l)
+	if err := exchange(c, "x", longTimeout); err != nil {
 		t.Fatal(err)
 	}
 	l.SetReset(true)
-	if err := says(c, "x", patient); !errors.Is(err, syscall.ECONNRESET) && !errors.Is(err, syscall.EPIPE) {
-		t.Errorf("over a reset: %v", err)
+	if err := exchange(c, "x", longTimeout); !errors.Is(err, syscall.ECONNRESET) && !errors.Is(err, syscall.EPIPE) {
+		t.Errorf("reset connection: %v, want a reset", err)
 	}
 	l.SetReset(false)
 	l.Refuse()
 	if _, err := net.Dial("tcp", l.Addr()); !errors.Is(err, syscall.ECONNREFUSED) {
-		t.Errorf("refused: %v", err)
+		t.Errorf("dial while the link refuses: %v, want refused", err)
 	}
-	if err := l.Accept(); err != nil {
+	if err := l.StopRefusing(); err != nil {
 		t.Fatal(err)
 	}
-	c = dialed(t, l)
-	l.change(func(w *[2]way) { w[out].delay = 80 * time.Millisecond })
+	c = dialLink(t, l)
+	l.setImpairments(func(impairments *[2]impairment) { impairments[outbound].delay = 80 * time.Millisecond })
 	began := time.Now()
-	if err := says(c, "late", patient); err != nil || time.Since(began) < 80*time.Millisecond {
-		t.Errorf("delayed: %v after %v", err, time.Since(began))
+	if err := exchange(c, "late", longTimeout); err != nil || time.Since(began) < 80*time.Millisecond {
+		t.Errorf("exchange with a delay of 80ms: %v after %v", err, time.Since(began))
 	}
-	l.change(func(w *[2]way) { w[out] = way{rate: 2000} })
+	l.setImpairments(func(impairments *[2]impairment) { impairments[outbound] = impairment{bytesPerSecond: 2000} })
 	began = time.Now()
-	if err := says(c, strings.Repeat("y", 400), patient); err != nil || time.Since(began) < 150*time.Millisecond {
-		t.Errorf("trickling: %v after %v", err, time.Since(began))
+	if err := exchange(c, strings.Repeat("y", 400), longTimeout); err != nil || time.Since(began) < 150*time.Millisecond {
+		t.Errorf("exchange of 400 bytes at 2000 bytes/s: %v after %v, want at least 150ms", err, time.Since(began))
 	}
 }
 
-func TestDatagrams(t *testing.T) {
-	to, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 2)})
+// Guards against faults of datagrams that have no effect, change the order or the number of datagrams
+// in another way, or do not end.
+func TestNoteLinkFaults(t *testing.T) {
+	receiver, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 2)})
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer to.Close()
-	n, err := NewNotes("127.0.0.3", "sidecar:1", "sidecar:2", to.LocalAddr().(*net.UDPAddr), 1)
+	defer receiver.Close()
+	link, err := NewNoteLink("127.0.0.3", "sidecar:1", "sidecar:2", receiver.LocalAddr().(*net.UDPAddr), 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer n.Close()
-	from, err := net.Dial("udp", n.Addr())
+	defer link.Close()
+	sender, err := net.Dial("udp", link.Addr())
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer from.Close()
-	come := func(wait time.Duration) (all string) {
+	defer sender.Close()
+	receive := func(wait time.Duration) (received string) {
 		b := make([]byte, 16)
 		for {
-			to.SetReadDeadline(time.Now().Add(wait))
-			size, err := to.Read(b)
+			receiver.SetReadDeadline(time.Now().Add(wait))
+			size, err := receiver.Read(b)
 			if err != nil {
-				return all
+				return received
 			}
-			all += string(b[:size])
-			wait = silent
+			received += string(b[:size])
+			wait = silencePeriod
 		}
 	}
 	send := func(words ...string) {
-		before, _ := n.Sent()
-		for i, w := range words {
-			io.WriteString(from, w)
-			for count, _ := n.Sent(); count < before+int64(i)+1; count, _ = n.Sent() {
+		before, _ := link.Sent()
+		for i, word := range words {
+			io.WriteString(sender, word)
+			for count, _ := link.Sent(); count < before+int64(i)+1; count, _ = link.Sent() {
 				time.Sleep(time.Millisecond)
 			}
 		}
 	}
-	for _, c := range []struct {
-		name string
-		w    way
-		send []string
-		want string
+	for _, test := range []struct {
+		name  string
+		fault impairment
+		send  []string
+		want  string
 	}{
-		{"as they are", way{}, []string{"a", "b"}, "ab"},
-		{"cut", way{cut: true}, []string{"a"}, ""},
-		{"lost", way{loss: 1}, []string{"a"}, ""},
-		{"twice", way{double: 1}, []string{"a"}, "aa"},
-		{"out of order", way{reorder: 1}, []string{"a", "b"}, "ba"},
-		{"held up", way{hold: true}, []string{"a", "b"}, ""},
-		{"let go", way{}, []string{"c"}, "abc"},
+		{"no fault", impairment{}, []string{"a", "b"}, "ab"},
+		{"cut", impairment{cut: true}, []string{"a"}, ""},
+		{"lost", impairment{lossShare: 1}, []string{"a"}, ""},
+		{"twice", impairment{duplicateShare: 1}, []string{"a"}, "aa"},
+		{"reordered", impairment{reorderShare: 1}, []string{"a", "b"}, "ba"},
+		{"held", impairment{hold: true}, []string{"a", "b"}, ""},
+		{"released", impairment{}, []string{"c"}, "abc"},
 	} {
-		n.change(func(w *way) { *w = c.w })
-		send(c.send...)
-		wait := silent
-		if c.want != "" {
-			wait = patient
+		link.setImpairment(func(imp *impairment) { *imp = test.fault })
+		send(test.send...)
+		wait := silencePeriod
+		if test.want != "" {
+			wait = longTimeout
 		}
-		if got := come(wait); got != c.want {
-			t.Errorf("%s: %q, want %q", c.name, got, c.want)
+		if got := receive(wait); got != test.want {
+			t.Errorf("%s: received %q, want %q", test.name, got, test.want)
 		}
 	}
 }
--- a/internal/fleet/names.go
+++ b/internal/fleet/names.go
@@ -7,86 +7,88 @@
 	"strings"
 )
 
-// Party is one end of links, or a process: "sidecar:3", "server:s4" or "discovery".
+// Party identifies a process and the ends of its links: "sidecar:3", "server:s4" or "discovery".
 type Party string
 
-func (p Party) kind() string {
-	kind, _, _ := strings.Cut(string(p), ":")
-	return kind
+func (p Party) role() string {
+	role, _, _ := strings.Cut(string(p), ":")
+	return role
 }
 
-func sidecarParty(n int) Party        { return Party(fmt.Sprintf("sidecar:%d", n+1)) }
-func serverParty(name string) Party   { return Party("server:" + name) }
-func containsWord(all, w string) bool { return slices.Contains(strings.Fields(all), w) }
+func sidecarParty(n int) Party            { return Party(fmt.Sprintf("sidecar:%d", n+1)) }
+func serverParty(name string) Party       { return Party("server:" + name) }
+func containsWord(text, word string) bool { return slices.Contains(strings.Fields(text), word) }
 
-// names knows who is in a fleet.
-type names struct {
-	s *Schedule
+// partySelector resolves the party selections in the faults of a schedule.
+type partySelector struct {
+	schedule *Schedule
 }
 
-func (s *Schedule) names() names { return names{s} }
+func (s *Schedule) selector() partySelector { return partySelector{s} }
 
-// zoneOf is the zone of the n-th server, from 0: they are dealt out in turn.
-func (s *Schedule) zoneOf(n int) string { return s.Zones[n%len(s.Zones)] }
+// serverZone returns the zone of the n-th server, counted from 0. Servers are assigned to the zones
+// in turn.
+func (s *Schedule) serverZone(n int) string { return s.Zones[n%len(s.Zones)] }
 
-// homeOf is the zone that the n-th sidecar is in.
-func (s *Schedule) homeOf(n int) string { return s.Zones[n%len(s.Zones)] }
+// sidecarZone returns the zone that the n-th sidecar is in, counted from 0.
+func (s *Schedule) sidecarZone(n int) string { return s.Zones[n%len(s.Zones)] }
 
 func serverName(n int) string { return fmt.Sprintf("s%d", n+1) }
 
-// pick reads a choice of parties, with commas between: sidecars, sidecar:3, sidecar:2-5,
-// home:ZONE (its sidecars), servers, server:s3, zone:ZONE (its servers), zone:ZONE:2/3 (the
-// second third of them, in turn), discovery.
-func (n names) pick(text string) (all []Party, err error) {
+// resolve returns the parties that a comma-separated selection names. Its elements are sidecars,
+// sidecar:3, sidecar:2-5, home:ZONE (the sidecars in the zone), servers, server:s3, zone:ZONE (the
+// servers in the zone), zone:ZONE:2/3 (every third of these servers, from the second on) and discovery.
+// An element that selects no party is an error.
+func (p partySelector) resolve(text string) (parties []Party, err error) {
 	for _, word := range strings.Split(text, ",") {
 		word = strings.TrimSpace(word)
-		kind, what, _ := strings.Cut(word, ":")
-		before := len(all)
+		kind, argument, _ := strings.Cut(word, ":")
+		before := len(parties)
 		switch kind {
 		case "sidecars", "home":
-			for i := range n.s.Sidecars {
-				if kind == "sidecars" || n.s.homeOf(i) == what {
-					all = append(all, sidecarParty(i))
+			for i := range p.schedule.Sidecars {
+				if kind == "sidecars" || p.schedule.sidecarZone(i) == argument {
+					parties = append(parties, sidecarParty(i))
 				}
 			}
 		case "sidecar":
-			from, to, ranged := strings.Cut(what, "-")
-			if !ranged {
-				to = from
+			firstText, lastText, isRange := strings.Cut(argument, "-")
+			if !isRange {
+				lastText = firstText
 			}
-			first, err1 := strconv.Atoi(from)
-			last, err2 := strconv.Atoi(to)
-			if err1 != nil || err2 != nil || first < 1 || last > n.s.Sidecars {
-				return nil, fmt.Errorf("%q: there are sidecars 1 to %d", word, n.s.Sidecars)
+			first, firstErr := strconv.Atoi(firstText)
+			last, lastErr := strconv.Atoi(lastText)
+			if firstErr != nil || lastErr != nil || first < 1 || last > p.schedule.Sidecars {
+				return nil, fmt.Errorf("%q: sidecar numbers must be between 1 and %d", word, p.schedule.Sidecars)
 			}
 			for i := first - 1; i < last; i++ {
-				all = append(all, sidecarParty(i))
+				parties = append(parties, sidecarParty(i))
 			}
 		case "servers", "zone":
-			what, share, shared := strings.Cut(what, ":")
-			nth, of := 1, 1
-			if shared {
-				if k, _ := fmt.Sscanf(share, "%d/%d", &nth, &of); k != 2 || nth < 1 || nth > of || of > n.s.Servers {
-					return nil, fmt.Errorf("%q: a part of a zone's %d servers is such as 1/2", word, n.s.Servers)
+			argument, part, hasPart := strings.Cut(argument, ":")
+			partNumber, parts := 1, 1
+			if hasPart {
+				if fields, _ := fmt.Sscanf(part, "%d/%d", &partNumber, &parts); fields != 2 || partNumber < 1 || partNumber > parts || parts > p.schedule.Servers {
+					return nil, fmt.Errorf("%q: a part of the %d servers of a zone must have the form 1/2", word, p.schedule.Servers)
 				}
 			}
-			for i := range n.s.Servers * len(n.s.Zones) {
-				if (kind == "servers" || n.s.zoneOf(i) == what) && i/len(n.s.Zones)%of == nth-1 {
-					all = append(all, serverParty(serverName(i)))
+			for i := range p.schedule.Servers * len(p.schedule.Zones) {
+				if (kind == "servers" || p.schedule.serverZone(i) == argument) && i/len(p.schedule.Zones)%parts == partNumber-1 {
+					parties = append(parties, serverParty(serverName(i)))
 				}
 			}
 		case "server":
-			for i := range n.s.Servers * len(n.s.Zones) {
-				if serverName(i) == what {
-					all = append(all, serverParty(what))
+			for i := range p.schedule.Servers * len(p.schedule.Zones) {
+				if serverName(i) == argument {
+					parties = append(parties, serverParty(argument))
 				}
 			}
 		case "discovery":
-			all = append(all, "discovery")
+			parties = append(parties, "discovery")
 		}
-		if len(all) == before {
-			return nil, fmt.Errorf("%q names nobody of this fleet", word)
+		if len(parties) == before {
+			return nil, fmt.Errorf("%q selects no party of this fleet", word)
 		}
 	}
-	return all, nil
+	return parties, nil
 }
--- a/internal/fleet/page.go
+++ b/internal/fleet/page.go
@@ -11,114 +11,118 @@
 )
 
 //go:embed page.html
-var pageText string
+var pageSource string
 
-var page = template.Must(template.New("page").Parse(pageText))
+var pageTemplate = template.Must(template.New("page").Parse(pageSource))
 
-// Sizes of the picture, in pixels.
+// Sizes in the chart, in pixels.
 const (
 	laneHeight = 16
-	laneLeft   = 110
+	laneOffset = 110
 	laneWidth  = 1000
 )
 
+// mark is a rectangle of the chart, with the CSS class Class and the tooltip Title.
 type mark struct {
 	X, Y, W, H float64
 	Class      string
 	Title      string
 }
 
+// label is a text in the chart.
 type label struct {
 	X, Y float64
 	Text string
 }
 
-type picture struct {
-	Head     string
-	Width    float64
-	Height   float64
-	Marks    []mark
-	Labels   []label
-	Text     string
-	Findings []Finding
-	Leavings []Leaving
+// pageData is the data for page.html.
+type pageData struct {
+	Heading   string
+	Width     float64
+	Height    float64
+	Marks     []mark
+	Labels    []label
+	Report    string
+	Findings  []Finding
+	ZoneExits []ZoneExit
 }
 
-// HTML writes a page with a lane for each fault, sidecar and server over time: when each
-// was down, what was asked and how it ended, what arrived, and what was found.
+// HTML writes a page with a lane over time for each fault, sidecar and server. It shows when
+// sidecars were down, calls by verdict, requests that arrived at servers, and findings.
 func (h *History) HTML(w io.Writer) error {
 	length := time.Duration(h.Schedule.Length)
 	x := func(at time.Duration) float64 {
-		return laneLeft + laneWidth*min(1, max(0, float64(at)/float64(length)))
+		return laneOffset + laneWidth*min(1, max(0, float64(at)/float64(length)))
 	}
-	var text strings.Builder
-	if err := h.Text(&text); err != nil {
+	var report strings.Builder
+	if err := h.Text(&report); err != nil {
 		return err
 	}
-	p := picture{Head: fmt.Sprintf("%s, seed %d", h.Schedule.Name, h.Schedule.Seed), Width: laneLeft + laneWidth + 20, Text: text.String(), Findings: Check(h), Leavings: h.Leavings()}
+	data := pageData{Heading: fmt.Sprintf("%s, seed %d", h.Schedule.Name, h.Schedule.Seed), Width: laneOffset + laneWidth + 20, Report: report.String(), Findings: Check(h), ZoneExits: h.ZoneExits()}
 	y := 20.0
-	for s := range int(length/time.Second) + 1 {
-		p.Labels = append(p.Labels, label{x(time.Duration(s) * time.Second), 12, fmt.Sprintf("%d s", s)})
+	for second := range int(length/time.Second) + 1 {
+		data.Labels = append(data.Labels, label{x(time.Duration(second) * time.Second), 12, fmt.Sprintf("%d s", second)})
 	}
-	lane := func(name string) float64 {
+	addLane := func(name string) float64 {
 		at := y
-		p.Labels = append(p.Labels, label{2, at + laneHeight - 4, name})
+		data.Labels = append(data.Labels, label{2, at + laneHeight - 4, name})
 		y += laneHeight + 2
 		return at
 	}
 	for _, f := range h.Schedule.Faults {
-		at := lane("")
+		at := addLane("")
 		to := time.Duration(f.At + f.For)
 		if f.For == 0 {
 			to = length
 		}
 		from := x(time.Duration(f.At))
-		p.Marks = append(p.Marks, mark{from, at, max(2, x(to)-from), laneHeight, "fault", f.String()})
-		p.Labels = append(p.Labels, label{from + 4, at + laneHeight - 4, f.String()})
+		data.Marks = append(data.Marks, mark{from, at, max(2, x(to)-from), laneHeight, "fault", f.String()})
+		data.Labels = append(data.Labels, label{from + 4, at + laneHeight - 4, f.String()})
 	}
-	lanes := make(map[Party]float64)
+	laneTops := make(map[Party]float64)
 	for n := range h.Schedule.Sidecars {
-		who := sidecarParty(n)
-		lanes[who] = lane(string(who) + " " + h.Schedule.homeOf(n))
-		for _, d := range h.downs(who) {
-			from := x(d.from)
-			p.Marks = append(p.Marks, mark{from, lanes[who], max(1, x(d.to)-from), laneHeight, "down", "not running"})
+		party := sidecarParty(n)
+		laneTops[party] = addLane(string(party) + " " + h.Schedule.sidecarZone(n))
+		for _, downtime := range h.downtimes(party) {
+			from := x(downtime.from)
+			data.Marks = append(data.Marks, mark{from, laneTops[party], max(1, x(downtime.to)-from), laneHeight, "down", "not running"})
 		}
 	}
 	for n := range h.Schedule.Servers * len(h.Schedule.Zones) {
-		lanes[serverParty(serverName(n))] = lane(serverName(n) + " in " + h.Schedule.zoneOf(n))
+		laneTops[serverParty(serverName(n))] = addLane(serverName(n) + " in " + h.Schedule.serverZone(n))
 	}
 	for _, e := range h.Events {
-		at, ok := lanes[e.Who]
+		at, ok := laneTops[e.Party]
 		if !ok || e.At < 0 {
 			continue
 		}
-		m := mark{X: x(e.At), Y: at + 3, W: 1.5, H: laneHeight - 6}
+		eventMark := mark{X: x(e.At), Y: at + 3, W: 1.5, H: laneHeight - 6}
 		switch {
-		case e.Kind == Called:
-			m.Class, m.Title = e.Verdict, fmt.Sprintf("%s %s after %v", e.Class, e.Verdict, e.Took.Round(time.Millisecond))
-		case e.Kind == Arrived:
-			m.Class = "arrive"
-		case e.Kind == Logged && strings.Contains(e.What, "msg=zone"):
-			m.Class, m.Title, m.W, m.Y, m.H = "zone", e.What, 4, at, laneHeight
+		case e.Kind == EventCall:
+			eventMark.Class, eventMark.Title = e.Verdict, fmt.Sprintf("%s %s after %v", e.Class, e.Verdict, e.Elapsed.Round(time.Millisecond))
+		case e.Kind == EventArrival:
+			eventMark.Class = "arrive"
+		case e.Kind == EventLogLine && strings.Contains(e.Detail, "msg=zone"):
+			eventMark.Class, eventMark.Title, eventMark.W, eventMark.Y, eventMark.H = "zone", e.Detail, 4, at, laneHeight
 		default:
 			continue
 		}
-		p.Marks = append(p.Marks, m)
+		data.Marks = append(data.Marks, eventMark)
 	}
-	for _, f := range p.Findings {
-		if at, ok := lanes[f.Who]; ok {
-			p.Marks = append(p.Marks, mark{x(f.At) - 3, at, 6, laneHeight, "breach", f.String()})
+	for _, f := range data.Findings {
+		if at, ok := laneTops[f.Party]; ok {
+			data.Marks = append(data.Marks, mark{x(f.At) - 3, at, 6, laneHeight, "breach", f.String()})
 		}
 	}
-	// What matters most is drawn last, over the rest.
+	// The most important marks are drawn last, above the others.
 	order := []string{"fault", "down", "arrive", "served"}
-	slices.SortStableFunc(p.Marks, func(a, b mark) int { return rank(order, a.Class) - rank(order, b.Class) })
-	p.Height = y + 10
-	return page.Execute(w, &p)
+	slices.SortStableFunc(data.Marks, func(a, b mark) int { return drawRank(order, a.Class) - drawRank(order, b.Class) })
+	data.Height = y + 10
+	return pageTemplate.Execute(w, &data)
 }
 
-func rank(order []string, class string) int {
+// drawRank returns the position of a class in order. Classes that are not in it come last.
+func drawRank(order []string, class string) int {
 	if n := slices.Index(order, class); n >= 0 {
 		return n
 	}
--- a/internal/fleet/process.go
+++ b/internal/fleet/process.go
@@ -19,68 +19,70 @@
 )
 
 const (
-	// readyMost is how long a sidecar's process may take to serve.
-	readyMost = 20 * time.Second
-	// endMost is how long one may take to end after SIGTERM before it is killed.
-	endMost = 15 * time.Second
-	// linesMost bounds the lines of one process's log that go into a history.
-	linesMost = 20000
-	// starveSlice is the time within which a starved process runs for its share.
-	starveSlice = 100 * time.Millisecond
+	// readyTimeout is how long a sidecar process may take until it serves.
+	readyTimeout = 20 * time.Second
+	// exitTimeout is how long a process may take to exit after a signal. One that does not exit on
+	// SIGTERM is then killed.
+	exitTimeout = 15 * time.Second
+	// maxLogLines limits the log lines of one sidecar that are added to a history.
+	maxLogLines = 20000
+	// starvePeriod is the period in which a starved process runs once for its share.
+	starvePeriod = 100 * time.Millisecond
 )
 
-// process is one sidecar's. It ends what it started itself, by its handle.
+// process manages the operating-system process of one sidecar. It signals only processes that it
+// started itself, through their handles.
 type process struct {
-	party  Party
-	dir    string // its configuration, settings, socket and TMPDIR
-	listen string
-	notes  string // where its peers' notes come
-	binary string
-	h      *History
-	ctx    context.Context // of the run
-	wg     *sync.WaitGroup // of the run
+	party      Party
+	dir        string // holds its configuration, features file, admin socket and TMPDIR
+	clientAddr string // address for clients
+	noteAddr   string // address for notes of peers
+	binary     string
+	history    *History
+	ctx        context.Context // of Fleet.Play
+	wg         *sync.WaitGroup // of the Fleet
 
-	held *os.File // the clients' socket, where it is held for the processes; nil: each listens
+	clientSocket *os.File // listening socket for clients, passed to each process; nil: the process listens itself
 
-	mu     sync.Mutex
-	cmd    *exec.Cmd
-	ended  chan struct{} // closed when cmd has ended
-	up     chan struct{} // closed when cmd has said that it is ready
-	lines  int
-	starve chan struct{} // closed to end the slices
+	mu         sync.Mutex
+	cmd        *exec.Cmd
+	exited     chan struct{} // closed when cmd has exited
+	ready      chan struct{} // closed when cmd has logged that it is ready
+	logLines   int
+	starveDone chan struct{} // closed to end starving; nil: the process is not starved
 }
 
-func (p *process) config() string   { return filepath.Join(p.dir, "config.json") }
-func (p *process) features() string { return filepath.Join(p.dir, "features.toml") }
-func (p *process) socket() string   { return filepath.Join(p.dir, "s") }
+func (p *process) configPath() string   { return filepath.Join(p.dir, "config.json") }
+func (p *process) featuresPath() string { return filepath.Join(p.dir, "features.toml") }
+func (p *process) socketPath() string   { return filepath.Join(p.dir, "s") }
 
-func (p *process) tmp() string { return filepath.Join(p.dir, "tmp") }
+func (p *process) tmpDir() string { return filepath.Join(p.dir, "tmp") }
 
-// start starts it, without waiting until it serves.
+// start starts the process if it does not run. It does not wait until it serves.
 func (p *process) start() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.cmd != nil {
 		return nil
 	}
-	if err := os.RemoveAll(p.tmp()); err != nil { // no disk outlives it
+	if err := os.RemoveAll(p.tmpDir()); err != nil { // a restarted sidecar has an empty disk
 		return err
 	}
-	if err := os.Mkdir(p.tmp(), 0o700); err != nil {
+	if err := os.Mkdir(p.tmpDir(), 0o700); err != nil {
 		return err
 	}
-	return p.run()
+	return p.spawn()
 }
 
-// run starts a process; the lock is held.
-func (p *process) run() error {
+// spawn starts a process and records its log and its exit. The lock must be held.
+func (p *process) spawn() error {
 	cmd := exec.Command(p.binary)
-	cmd.Env = []string{"BALANCER_CONFIG=" + p.config(), "FAWN_FEATURES=" + p.features(), "TMPDIR=" + p.tmp()}
-	if p.held != nil {
-		cmd.ExtraFiles = []*os.File{p.held}
+	cmd.Env = []string{"BALANCER_CONFIG=" + p.configPath(), "FAWN_FEATURES=" + p.featuresPath(), "TMPDIR=" + p.tmpDir()}
+	if p.clientSocket != nil {
+		cmd.ExtraFiles = []*os.File{p.clientSocket}
 		cmd.Env = append(cmd.Env, "BALANCER_FD=3")
 	}
-	// What this program leaves behind when it dies is ended by the kernel.
+	// The kernel kills the process if this program dies.
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	log, err := cmd.StderrPipe()
 	if err != nil {
@@ -89,59 +91,60 @@
 	if err := cmd.Start(); err != nil {
 		return fmt.Errorf("fleet: %s: %w", p.party, err)
 	}
-	ended, ready := make(chan struct{}), make(chan struct{})
-	p.cmd, p.ended, p.up = cmd, ended, ready
-	p.h.add(Event{Kind: Process, Who: p.party, What: "started"})
+	exited, ready := make(chan struct{}), make(chan struct{})
+	p.cmd, p.exited, p.ready = cmd, exited, ready
+	p.history.add(Event{Kind: EventProcess, Party: p.party, Detail: "started"})
 	go func() {
-		lines, said := bufio.NewScanner(log), false
+		lines, sawReady := bufio.NewScanner(log), false
 		for lines.Scan() {
-			if !said && strings.Contains(lines.Text(), "msg=ready ") {
-				said = true
+			if !sawReady && strings.Contains(lines.Text(), "msg=ready ") {
+				sawReady = true
 				close(ready)
 			}
 			p.mu.Lock()
-			p.lines++
-			room := p.lines <= linesMost
+			p.logLines++
+			keep := p.logLines <= maxLogLines
 			p.mu.Unlock()
-			if room {
-				p.h.add(Event{Kind: Logged, Who: p.party, What: lines.Text()})
+			if keep {
+				p.history.add(Event{Kind: EventLogLine, Party: p.party, Detail: lines.Text()})
 			}
 		}
 		err := cmd.Wait()
-		what := "ended"
+		detail := "ended"
 		if err != nil {
-			what = "ended: " + err.Error()
+			detail = "ended: " + err.Error()
 		}
 		p.mu.Lock()
 		if p.cmd == cmd {
 			p.cmd = nil
 		} else {
-			what = "the process before " + what
+			detail = "the process before " + detail
 		}
 		p.mu.Unlock()
-		p.h.add(Event{Kind: Process, Who: p.party, What: what})
-		close(ended)
+		p.history.add(Event{Kind: EventProcess, Party: p.party, Detail: detail})
+		close(exited)
 	}()
 	return nil
 }
 
-// ready waits until it serves.
-func (p *process) ready(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, readyMost)
+// awaitReady blocks until the process answers health checks. It returns an error if the process has
+// exited, after readyTimeout, or when ctx ends.
+func (p *process) awaitReady(ctx context.Context) error {
+	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
-	t := &http.Transport{DisableKeepAlives: true, DialContext: (&net.Dialer{Timeout: time.Second}).DialContext}
+	transport := &http.Transport{DisableKeepAlives: true, DialContext: (&net.Dialer{Timeout: time.Second}).DialContext}
 	for {
 		p.mu.Lock()
-		runs := p.cmd != nil
+		running := p.cmd != nil
 		p.mu.Unlock()
-		if !runs { // whoever answers is another
-			return fmt.Errorf("fleet: %s has ended", p.party)
+		if !running { // an answer at its address would come from another process
+			return fmt.Errorf("fleet: the process of %s has exited", p.party)
 		}
-		r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+p.listen+"/_health", nil)
+		request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+p.clientAddr+"/_health", nil)
 		if err != nil {
 			return err
 		}
-		if resp, err := t.RoundTrip(r); err == nil {
+		if resp, err := transport.RoundTrip(request); err == nil {
 			resp.Body.Close()
 			if resp.StatusCode == http.StatusOK {
 				return nil
@@ -149,61 +152,62 @@
 		}
 		select {
 		case <-ctx.Done():
-			return fmt.Errorf("fleet: %s does not serve", p.party)
+			return fmt.Errorf("fleet: %s does not answer health checks", p.party)
 		case <-time.After(5 * time.Millisecond):
 		}
 	}
 }
 
-// upgrade starts a second process beside the one that runs, and has that end once the second
-// serves.
+// upgrade starts a second process and sends the first one SIGTERM when the second is ready. It blocks
+// until the first has exited.
 func (p *process) upgrade() error {
 	p.mu.Lock()
-	before, ended := p.cmd, p.ended
-	if before == nil || p.held == nil {
+	first, firstExited := p.cmd, p.exited
+	if first == nil || p.clientSocket == nil {
 		p.mu.Unlock()
-		return errors.New("nothing runs, or its socket is its own")
+		return errors.New("no process runs, or its listening socket is not held for it")
 	}
-	err := p.run()
-	ready, second := p.up, p.ended
+	err := p.spawn()
+	ready, secondExited := p.ready, p.exited
 	p.mu.Unlock()
 	if err != nil {
 		return err
 	}
 	select {
 	case <-ready:
-	case <-second:
-		return errors.New("the second process ended")
-	case <-time.After(readyMost):
-		return errors.New("the second process does not serve")
+	case <-secondExited:
+		return errors.New("the second process exited before it was ready")
+	case <-time.After(readyTimeout):
+		return errors.New("the second process was not ready in time")
 	}
-	before.Process.Signal(syscall.SIGTERM)
+	first.Process.Signal(syscall.SIGTERM)
 	select {
-	case <-ended:
-	case <-time.After(endMost):
-		before.Process.Kill()
-		return errors.New("the process before did not end on SIGTERM")
+	case <-firstExited:
+	case <-time.After(exitTimeout):
+		first.Process.Kill()
+		return errors.New("the first process did not exit after SIGTERM")
 	}
 	return nil
 }
 
-// serves waits until it does, and writes that down: until then clients don't come.
-func (p *process) serves() {
-	if p.ready(p.ctx) == nil {
-		p.h.add(Event{Kind: Process, Who: p.party, What: "serves"})
+// recordServing blocks until the process serves and records that. Until then Check expects no answers
+// from it.
+func (p *process) recordServing() {
+	if p.awaitReady(p.ctx) == nil {
+		p.history.add(Event{Kind: EventProcess, Party: p.party, Detail: "serves"})
 	}
 }
 
-// again starts it once more, without waiting until it serves.
-func (p *process) again() error {
+// restart starts the process again. It does not wait until it serves.
+func (p *process) restart() error {
 	if err := p.start(); err != nil {
 		return err
 	}
-	p.wg.Go(p.serves)
+	p.wg.Go(p.recordServing)
 	return nil
 }
 
-// signal sends one, if the process runs.
+// signal sends a signal if the process runs.
 func (p *process) signal(s syscall.Signal) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -212,85 +216,88 @@
 	}
 }
 
-// wait waits until it has ended.
-func (p *process) wait(most time.Duration) error {
+// awaitExit blocks until the process has exited, at most for timeout.
+func (p *process) awaitExit(timeout time.Duration) error {
 	p.mu.Lock()
-	ended := p.ended
+	exited := p.exited
 	p.mu.Unlock()
-	if ended == nil {
+	if exited == nil {
 		return nil
 	}
 	select {
-	case <-ended:
+	case <-exited:
 		return nil
-	case <-time.After(most):
-		return errors.New("fleet: it does not end")
+	case <-time.After(timeout):
+		return errors.New("fleet: the process did not exit in time")
 	}
 }
 
+// kill kills the process and waits until it has exited, at most for exitTimeout.
 func (p *process) kill() {
 	p.signal(syscall.SIGKILL)
-	p.wait(endMost)
+	p.awaitExit(exitTimeout)
 }
 
-// spoil has starts fail, or no more.
-func (p *process) spoil(on bool) error {
-	whole := p.config() + ".whole"
+// breakConfig replaces the configuration by an invalid one so that starts fail, or restores it if on
+// is false.
+func (p *process) breakConfig(on bool) error {
+	intactPath := p.configPath() + ".whole"
 	if !on {
-		return os.Rename(whole, p.config())
+		return os.Rename(intactPath, p.configPath())
 	}
-	if err := os.Rename(p.config(), whole); err != nil {
+	if err := os.Rename(p.configPath(), intactPath); err != nil {
 		return err
 	}
-	return os.WriteFile(p.config(), []byte("{"), 0o600)
+	return os.WriteFile(p.configPath(), []byte("{"), 0o600)
 }
 
-// term ends it as a planned restart does.
-func (p *process) term() {
+// terminate ends the process with SIGTERM, as a planned restart does, or kills it after exitTimeout.
+func (p *process) terminate() {
 	p.signal(syscall.SIGTERM)
-	if p.wait(endMost) != nil {
-		p.h.add(Event{Kind: Process, Who: p.party, What: "did not end on SIGTERM"})
+	if p.awaitExit(exitTimeout) != nil {
+		p.history.add(Event{Kind: EventProcess, Party: p.party, Detail: "did not end on SIGTERM"})
 		p.kill()
 	}
 }
 
-// slices lets it run for a share of the time only, until stopped.
-func (p *process) slices(share float64) {
+// startStarving lets the process run only for a share of each starvePeriod, until stopStarving.
+func (p *process) startStarving(share float64) {
 	stop := make(chan struct{})
 	p.mu.Lock()
-	p.starve = stop
+	p.starveDone = stop
 	p.mu.Unlock()
 	go func() {
-		run := time.Duration(share * float64(starveSlice))
+		runTime := time.Duration(share * float64(starvePeriod))
 		for {
 			p.signal(syscall.SIGSTOP)
 			select {
 			case <-stop:
 				p.signal(syscall.SIGCONT)
 				return
-			case <-time.After(starveSlice - run):
+			case <-time.After(starvePeriod - runTime):
 			}
 			p.signal(syscall.SIGCONT)
 			select {
 			case <-stop:
 				return
-			case <-time.After(run):
+			case <-time.After(runTime):
 			}
 		}
 	}()
 }
 
-func (p *process) unslice() {
+// stopStarving lets the process run without interruption again.
+func (p *process) stopStarving() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.starve != nil {
-		close(p.starve)
-		p.starve = nil
+	if p.starveDone != nil {
+		close(p.starveDone)
+		p.starveDone = nil
 	}
 }
 
-// resident is the most memory that it has had, in bytes; 0 where that can't be read.
-func (p *process) resident() int64 {
+// peakMemoryBytes returns the peak resident memory of the process, or 0 if it cannot be read.
+func (p *process) peakMemoryBytes() int64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.cmd == nil {
--- a/internal/fleet/run.go
+++ b/internal/fleet/run.go
@@ -15,175 +15,176 @@
 	"chalkrack/internal/standin"
 )
 
-const syscallCont = syscall.SIGCONT
+const sigCont = syscall.SIGCONT
 
 const (
-	// lagEach is how often the run looks whether the machine lets it run, lagMost how late
-	// it may be.
-	lagEach = 20 * time.Millisecond
-	lagMost = 100 * time.Millisecond
-	// openMost bounds the calls that one client has open at once; what comes beyond is not
-	// sent and counted.
-	openMost = 256
+	// starvationCheckInterval is the time between checks whether the machine lets this program
+	// run. A check that is late by more than maxWakeupDelay is recorded.
+	starvationCheckInterval = 20 * time.Millisecond
+	maxWakeupDelay          = 100 * time.Millisecond
+	// maxOpenCalls limits the open calls of one client. Calls beyond it are recorded as unsent.
+	maxOpenCalls = 256
 )
 
-// Run plays a schedule on a fleet of its own, and returns what was seen.
-func Run(ctx context.Context, s *Schedule, binary string) (*History, error) {
-	f, err := New(ctx, s, binary)
+// Run starts a fleet, plays the schedule on it, ends it and returns the history. binary is the path
+// of the built daemon.
+func Run(ctx context.Context, schedule *Schedule, binary string) (*History, error) {
+	fleet, err := New(ctx, schedule, binary)
 	if err != nil {
 		return nil, err
 	}
-	defer f.Close()
-	if err := f.Play(ctx); err != nil {
+	defer fleet.Close()
+	if err := fleet.Play(ctx); err != nil {
 		return nil, err
 	}
-	return f.h, nil
+	return fleet.history, nil
 }
 
-// Play sends load and plays the faults, and ends when all calls have. Times of the history
-// count from its beginning.
+// Play sends the load and plays the faults of the schedule. It blocks until all calls have ended.
+// Times in the history are relative to its start. It may be called once.
 func (f *Fleet) Play(ctx context.Context) error {
 	ctx, f.cancel = context.WithCancel(ctx)
-	for _, p := range f.cars {
+	for _, p := range f.sidecars {
 		p.ctx, p.wg = ctx, &f.wg
 	}
-	f.h.mu.Lock()
-	was := f.h.began
-	f.h.began = time.Now()
-	for n := range f.h.Events { // what came before the load has times below 0
-		f.h.Events[n].At -= f.h.began.Sub(was)
-	}
-	f.h.mu.Unlock()
-	length := time.Duration(f.s.Length)
-	load, stop := context.WithTimeout(ctx, length)
-	defer stop()
-	f.wg.Go(func() { f.watchLag(load) })
+	f.history.mu.Lock()
+	created := f.history.started
+	f.history.started = time.Now()
+	for n := range f.history.Events { // events before the load get negative times
+		f.history.Events[n].At -= f.history.started.Sub(created)
+	}
+	f.history.mu.Unlock()
+	length := time.Duration(f.schedule.Length)
+	loadCtx, stopLoad := context.WithTimeout(ctx, length)
+	defer stopLoad()
+	f.wg.Go(func() { f.watchStarvation(loadCtx) })
 	var clients sync.WaitGroup
-	for n := range f.cars {
-		clients.Go(func() { f.client(load, ctx, n) })
+	for n := range f.sidecars {
+		clients.Go(func() { f.runClient(loadCtx, ctx, n) })
 	}
-	err := f.faults(load)
+	err := f.playFaults(loadCtx)
 	clients.Wait()
 	f.cancel()
 	f.wg.Wait()
-	f.gather()
-	if err == nil && load.Err() != context.DeadlineExceeded {
-		err = load.Err()
+	f.collectRecords()
+	if err == nil && loadCtx.Err() != context.DeadlineExceeded {
+		err = loadCtx.Err()
 	}
 	return err
 }
 
-// watchLag writes down when the machine kept this program from running: what then came
-// late proves nothing.
-func (f *Fleet) watchLag(ctx context.Context) {
+// watchStarvation records the times at which the machine did not let this program run. Delays at
+// these times are no evidence against a sidecar.
+func (f *Fleet) watchStarvation(ctx context.Context) {
 	last := time.Now()
 	for ctx.Err() == nil {
-		time.Sleep(lagEach)
-		if late := time.Since(last) - lagEach; late > lagMost {
-			f.h.add(Event{Kind: Lagged, Took: late})
+		time.Sleep(starvationCheckInterval)
+		if delay := time.Since(last) - starvationCheckInterval; delay > maxWakeupDelay {
+			f.history.add(Event{Kind: EventStarved, Elapsed: delay})
 		}
 		last = time.Now()
 	}
 }
 
-// client is the application beside the n-th sidecar: it asks at random times and does not
-// wait for one answer before it asks again.
-func (f *Fleet) client(load, all context.Context, n int) {
-	rate := f.s.Rate
-	if n >= len(f.cars)-f.s.Quiet {
+// runClient is the application beside the n-th sidecar. It sends calls at random times, without
+// waiting for the answers to earlier calls, and returns when all have ended. It sends until loadCtx
+// ends; runCtx aborts open calls.
+func (f *Fleet) runClient(loadCtx, runCtx context.Context, n int) {
+	rate := f.schedule.Rate
+	if n >= len(f.sidecars)-f.schedule.Quiet {
 		rate /= 20
 	}
-	rng := rand.New(rand.NewPCG(f.s.Seed, uint64(n)<<8|1))
-	mix := standin.NewMix(f.s.Seed<<8+uint64(n), f.mixed()...)
-	c := standin.NewClient(f.cars[n].listen)
-	defer c.Close()
-	var open sync.WaitGroup
-	defer open.Wait()
-	room := make(chan struct{}, openMost)
+	rng := rand.New(rand.NewPCG(f.schedule.Seed, uint64(n)<<8|1))
+	mix := standin.NewMix(f.schedule.Seed<<8+uint64(n), f.calledClasses()...)
+	client := standin.NewClient(f.sidecars[n].clientAddr)
+	defer client.Close()
+	var openCalls sync.WaitGroup
+	defer openCalls.Wait()
+	slots := make(chan struct{}, maxOpenCalls)
 	next := time.Now()
 	for {
 		next = next.Add(time.Duration(rng.ExpFloat64() / rate * float64(time.Second)))
 		select {
-		case <-load.Done():
+		case <-loadCtx.Done():
 			return
 		case <-time.After(time.Until(next)):
 		}
-		a := mix.Next()
-		a.ID = fmt.Sprintf("%d-%s", n+1, a.ID)
+		call := mix.Next()
+		call.ID = fmt.Sprintf("%d-%s", n+1, call.ID)
 		select {
-		case room <- struct{}{}:
+		case slots <- struct{}{}:
 		default:
-			f.h.add(Event{Kind: Called, Who: f.cars[n].party, ID: a.ID, Class: a.Class.Name, Verdict: "unsent"})
+			f.history.add(Event{Kind: EventCall, Party: f.sidecars[n].party, ID: call.ID, Class: call.Class.Name, Verdict: "unsent"})
 			continue
 		}
-		open.Go(func() {
-			defer func() { <-room }()
-			at := f.h.now()
-			ctx, cancel := context.WithTimeout(all, a.Deadline+time.Duration(f.s.Linger))
+		openCalls.Go(func() {
+			defer func() { <-slots }()
+			start := f.history.now()
+			ctx, cancel := context.WithTimeout(runCtx, call.Deadline+time.Duration(f.schedule.Linger))
 			defer cancel()
-			r := c.Do(ctx, a)
-			f.h.add(Event{At: at, Kind: Called, Who: f.cars[n].party, ID: a.ID, Class: a.Class.Name, Verdict: r.Verdict(), Took: r.Took, Wait: a.Deadline})
+			reply := client.Do(ctx, call)
+			f.history.add(Event{At: start, Kind: EventCall, Party: f.sidecars[n].party, ID: call.ID, Class: call.Class.Name, Verdict: reply.Verdict(), Elapsed: reply.Took, Deadline: call.Deadline})
 		})
 	}
 }
 
-// mixed are the classes that clients call, with the shares of the operators' brief.
-func (f *Fleet) mixed() (all []standin.Class) {
-	share := map[string]float64{"status-check": 0.52, "id-register": 0.27, "activate": 0.21}
-	for _, c := range f.s.classes() {
-		if f.s.Class == "" || f.s.Class == c.Name {
-			all = append(all, standin.Class{Name: c.Name, Effect: c.Effect, Share: share[c.Name], Deadline: c.Deadline})
+// calledClasses returns the classes that clients call, with the shares that the operators specify.
+func (f *Fleet) calledClasses() (classes []standin.Class) {
+	shares := map[string]float64{"status-check": 0.52, "id-register": 0.27, "activate": 0.21}
+	for _, class := range f.schedule.classes() {
+		if f.schedule.Class == "" || f.schedule.Class == class.Name {
+			classes = append(classes, standin.Class{Name: class.Name, Effect: class.Effect, Share: shares[class.Name], Deadline: class.Deadline})
 		}
 	}
-	return all
+	return classes
 }
 
-// faults begins and ends the schedule's faults at their times.
-func (f *Fleet) faults(ctx context.Context) error {
+// playFaults starts and ends the faults of the schedule at their times. It blocks until ctx ends.
+func (f *Fleet) playFaults(ctx context.Context) error {
 	type step struct {
 		at    time.Duration
-		n     int
+		index int
 		begin bool
 	}
 	var steps []step
-	for n, x := range f.s.Faults {
-		steps = append(steps, step{time.Duration(x.At), n, true})
-		if x.For > 0 {
-			steps = append(steps, step{time.Duration(x.At + x.For), n, false})
+	for index, fault := range f.schedule.Faults {
+		steps = append(steps, step{time.Duration(fault.At), index, true})
+		if fault.For > 0 {
+			steps = append(steps, step{time.Duration(fault.At + fault.For), index, false})
 		}
 	}
 	slices.SortStableFunc(steps, func(a, b step) int { return int(a.at - b.at) })
-	for _, s := range steps {
+	for _, next := range steps {
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-time.After(s.at - f.h.now()):
+		case <-time.After(next.at - f.history.now()):
 		}
-		x := f.s.Faults[s.n]
-		kind := Mended
+		fault := f.schedule.Faults[next.index]
+		kind := EventFaultEnd
 		f.mu.Lock()
-		if s.begin {
-			kind = Faulted
-			f.active[s.n] = x
+		if next.begin {
+			kind = EventFaultStart
+			f.activeFaults[next.index] = fault
 		} else {
-			delete(f.active, s.n)
+			delete(f.activeFaults, next.index)
 		}
 		f.mu.Unlock()
-		f.h.add(Event{Kind: kind, What: x.String()})
-		if err := f.apply(x, s.begin); err != nil {
+		f.history.add(Event{Kind: kind, Detail: fault.String()})
+		if err := f.applyFault(fault, next.begin); err != nil {
 			return err
 		}
 	}
 	<-ctx.Done()
-	// What is stopped or cut off goes on: what was taken has to be answered.
-	for _, p := range f.cars {
-		p.unslice()
-		p.signal(syscallCont)
+	// Stopped and starved sidecars continue, because they must answer the calls they accepted.
+	for _, p := range f.sidecars {
+		p.stopStarving()
+		p.signal(sigCont)
 	}
 	return nil
 }
 
-// String is a fault in a line.
+// String describes a fault on one line.
 func (x Fault) String() string {
 	text := string(x.Kind)
 	if x.On != "" {
@@ -195,31 +196,33 @@
 	if x.OneWay {
 		text += ", one way"
 	}
-	if x.Kind == Deed || x.Kind == Mark || x.Kind == List {
+	if x.Kind == AdminCall || x.Kind == Marker || x.Kind == SetStatus {
 		text += " " + x.Name + " " + x.With
 	}
 	return text
 }
 
-func (f *Fleet) apply(x Fault, begin bool) error {
-	if slices.Contains(linkKinds, x.Kind) {
-		return f.applyLinks(x)
+// applyFault starts a fault, or ends it if begin is false. Faults of links must already be added to
+// activeFaults, or deleted from it.
+func (f *Fleet) applyFault(fault Fault, begin bool) error {
+	if slices.Contains(linkFaultKinds, fault.Kind) {
+		return f.applyLinks(fault)
 	}
-	if x.Kind == Mark {
+	if fault.Kind == Marker {
 		return nil
 	}
-	all, err := f.s.names().pick(x.On)
+	parties, err := f.schedule.selector().resolve(fault.On)
 	if err != nil {
 		return err
 	}
-	for _, p := range all {
-		switch p.kind() {
+	for _, party := range parties {
+		switch party.role() {
 		case "sidecar":
-			err = f.applySidecar(x, f.car(p), begin)
+			err = f.applySidecar(fault, f.findSidecar(party), begin)
 		case "server":
-			err = f.applyServer(x, p, begin)
+			err = f.applyServer(fault, party, begin)
 		default:
-			f.applyDiscovery(x, begin)
+			f.applyDiscovery(fault, begin)
 		}
 		if err != nil {
 			return err
@@ -228,298 +231,303 @@
 	return nil
 }
 
-func (f *Fleet) applySidecar(x Fault, p *process, begin bool) error {
-	note := func(what string) { f.h.add(Event{Kind: Process, Who: p.party, What: what}) }
+// applySidecar starts or ends a fault of a sidecar process. Terminate, Upgrade and AdminCall run in
+// the background, and their ends have no effect.
+func (f *Fleet) applySidecar(fault Fault, sidecar *process, begin bool) error {
+	record := func(detail string) { f.history.add(Event{Kind: EventProcess, Party: sidecar.party, Detail: detail}) }
 	switch {
-	case x.Kind == Stop && begin:
-		note("stopped")
-		p.signal(syscall.SIGSTOP)
-	case x.Kind == Stop:
-		note("goes on")
-		p.signal(syscall.SIGCONT)
-	case x.Kind == Starve && begin:
-		p.slices(x.Share)
-	case x.Kind == Starve:
-		p.unslice()
-	case x.Kind == Deed && begin:
+	case fault.Kind == Stop && begin:
+		record("stopped")
+		sidecar.signal(syscall.SIGSTOP)
+	case fault.Kind == Stop:
+		record("goes on")
+		sidecar.signal(syscall.SIGCONT)
+	case fault.Kind == Starve && begin:
+		sidecar.startStarving(fault.Share)
+	case fault.Kind == Starve:
+		sidecar.stopStarving()
+	case fault.Kind == AdminCall && begin:
 		f.wg.Go(func() {
 			var answer any
-			with := strings.ReplaceAll(x.With, "@SOCKET@", p.socket())
-			err := admin.Do(context.Background(), p.socket(), x.Name, json.RawMessage(with), &answer)
-			what := fmt.Sprintf("deed %s: done", x.Name)
+			request := strings.ReplaceAll(fault.With, "@SOCKET@", sidecar.socketPath())
+			err := admin.Do(context.Background(), sidecar.socketPath(), fault.Name, json.RawMessage(request), &answer)
+			detail := fmt.Sprintf("deed %s: done", fault.Name)
 			if err != nil {
-				what = fmt.Sprintf("deed %s: %v", x.Name, err)
+				detail = fmt.Sprintf("deed %s: %v", fault.Name, err)
 			}
-			note(what)
+			record(detail)
 		})
-	case x.Kind == Deed:
-	case x.Kind == Term && begin:
+	case fault.Kind == AdminCall:
+	case fault.Kind == Terminate && begin:
 		f.wg.Go(func() {
-			note("told to end")
-			p.term()
-			p.start()
-			p.serves()
+			record("told to end")
+			sidecar.terminate()
+			sidecar.start()
+			sidecar.recordServing()
 		})
-	case x.Kind == Term, x.Kind == Upgrade && !begin:
-	case x.Kind == Upgrade:
+	case fault.Kind == Terminate, fault.Kind == Upgrade && !begin:
+	case fault.Kind == Upgrade:
 		f.wg.Go(func() {
-			what := "upgraded"
-			if err := p.upgrade(); err != nil {
-				what = "not upgraded: " + err.Error()
+			detail := "upgraded"
+			if err := sidecar.upgrade(); err != nil {
+				detail = "not upgraded: " + err.Error()
 			}
-			note(what)
+			record(detail)
 		})
-	case x.Kind == Kill && begin, x.Kind == Spoil && begin:
-		note("killed")
-		p.kill()
-		if x.Kind == Spoil {
-			return p.spoil(true)
-		}
-	case x.Kind == Spoil:
-		if err := p.spoil(false); err != nil {
+	case fault.Kind == Kill && begin, fault.Kind == BreakConfig && begin:
+		record("killed")
+		sidecar.kill()
+		if fault.Kind == BreakConfig {
+			return sidecar.breakConfig(true)
+		}
+	case fault.Kind == BreakConfig:
+		if err := sidecar.breakConfig(false); err != nil {
 			return err
 		}
-		return p.again()
+		return sidecar.restart()
 	default:
-		return p.again()
+		return sidecar.restart()
 	}
 	return nil
 }
 
-func (f *Fleet) applyServer(x Fault, who Party, begin bool) error {
-	s, n := f.server(who)
-	if x.Kind == Kill {
+// applyServer starts or ends a fault of a stand-in server.
+func (f *Fleet) applyServer(fault Fault, party Party, begin bool) error {
+	server, index := f.findServer(party)
+	if fault.Kind == Kill {
 		if begin {
-			s.Kill()
+			server.Kill()
 		}
-		for _, l := range f.links {
-			if l.To != who {
+		for _, link := range f.links {
+			if link.To != party {
 				continue
 			}
 			if begin {
-				l.Refuse()
-			} else if err := l.Accept(); err != nil {
+				link.Refuse()
+			} else if err := link.StopRefusing(); err != nil {
 				return err
 			}
 		}
 		if !begin {
-			if err := s.Restart(); err != nil {
+			if err := server.Restart(); err != nil {
 				return err
 			}
-			f.tell(n, "up", true)
+			f.updateDiscovery(index, "up", true)
 		}
 		return nil
 	}
-	if x.Kind == List {
+	if fault.Kind == SetStatus {
 		if begin {
-			return f.list(s, n, x.With)
+			return f.setStatus(server, index, fault.With)
 		}
 		return nil
 	}
-	if x.Kind == Freeze {
+	if fault.Kind == Freeze {
 		if begin {
-			s.Freeze()
+			server.Freeze()
 		} else {
-			s.Thaw()
+			server.Thaw()
 		}
 		return nil
 	}
-	a := standin.Act{}
+	act := standin.Act{}
 	if begin {
-		switch x.Kind {
+		switch fault.Kind {
 		case Fail:
-			a.Kind = standin.Fail
+			act.Kind = standin.Fail
 		case Decline:
-			a.Kind = standin.Decline
+			act.Kind = standin.Decline
 		case Slow:
-			a.Delay = time.Duration(x.Factor * float64(f.s.Work))
+			act.Delay = time.Duration(fault.Factor * float64(f.schedule.Work))
 		}
 	}
-	s.Do(f.script(a))
+	server.Do(f.script(act))
 	return nil
 }
 
-// list has discovery say what is to be said of a server. One that drains books from now on
-// what still comes.
-func (f *Fleet) list(s *standin.Server, n int, status string) error {
+// setStatus changes the status of a server in discovery. A draining server records from now on the
+// time for which it has been draining when a request arrives. Status "new" restarts the server.
+func (f *Fleet) setStatus(server *standin.Server, index int, status string) error {
 	switch status {
 	case "draining":
-		s.NoteDrain()
+		server.NoteDrain()
 	case "up":
-		s.NoteUndrain()
+		server.NoteUndrain()
 	case "new":
-		if err := s.Restart(); err != nil {
+		if err := server.Restart(); err != nil {
 			return err
 		}
-		f.tell(n, "up", true)
+		f.updateDiscovery(index, "up", true)
 		return nil
 	}
-	f.tell(n, status, false)
+	f.updateDiscovery(index, status, false)
 	return nil
 }
 
-// tell has discovery say of a server to each sidecar what it is, by its own address.
-func (f *Fleet) tell(n int, status string, restarted bool) {
-	each := len(f.site.Servers) + 1
-	for i, d := range f.finders {
-		e := f.site.Endpoint(n, status)
-		e.Address = f.links[i*each+n].Addr()
+// updateDiscovery changes the entry of a server in the discovery of each sidecar, which lists the
+// address of its own link to the server.
+func (f *Fleet) updateDiscovery(index int, status string, restarted bool) {
+	linksPerSidecar := len(f.site.Servers) + 1
+	for i, discovery := range f.discoveries {
+		endpoint := f.site.Endpoint(index, status)
+		endpoint.Address = f.links[i*linksPerSidecar+index].Addr()
 		if !restarted {
-			e.SinceMs = 0
+			endpoint.SinceMs = 0
 		}
-		d.Change(e)
+		discovery.Change(endpoint)
 	}
 }
 
-func (f *Fleet) applyDiscovery(x Fault, begin bool) {
-	for _, d := range f.finders {
+// applyDiscovery starts or ends a fault of the discovery of all sidecars.
+func (f *Fleet) applyDiscovery(fault Fault, begin bool) {
+	for _, discovery := range f.discoveries {
 		switch {
-		case x.Kind == Kill:
-			d.Down(begin)
+		case fault.Kind == Kill:
+			discovery.Down(begin)
 		case begin:
-			d.Lag(time.Duration(x.By))
+			discovery.Lag(time.Duration(fault.By))
 		default:
-			d.Lag(0)
+			discovery.Lag(0)
 		}
 	}
 }
 
-// applyLinks works out anew what holds of each link that a fault touches: others may still
-// hold of it.
-func (f *Fleet) applyLinks(x Fault) error {
+// applyLinks recomputes the impairments of each link that a fault affects from all active faults,
+// because other faults may affect the same link.
+func (f *Fleet) applyLinks(fault Fault) error {
 	f.mu.Lock()
-	active := make([]Fault, 0, len(f.active))
-	for _, a := range f.active {
-		if slices.Contains(linkKinds, a.Kind) {
+	active := make([]Fault, 0, len(f.activeFaults))
+	for _, a := range f.activeFaults {
+		if slices.Contains(linkFaultKinds, a.Kind) {
 			active = append(active, a)
 		}
 	}
 	f.mu.Unlock()
-	in := make(map[string]map[Party]bool)
-	set := func(text string) map[Party]bool {
-		if in[text] == nil {
-			all, _ := f.s.names().pick(text)
-			in[text] = make(map[Party]bool)
-			for _, p := range all {
-				in[text][p] = true
+	selected := make(map[string]map[Party]bool)
+	partySet := func(selection string) map[Party]bool {
+		if selected[selection] == nil {
+			parties, _ := f.schedule.selector().resolve(selection)
+			selected[selection] = make(map[Party]bool)
+			for _, p := range parties {
+				selected[selection][p] = true
 			}
 		}
-		return in[text]
+		return selected[selection]
 	}
-	hit := func(a Fault, from, to Party) (there, back bool) {
-		there = set(a.From)[from] && set(a.To)[to]
-		back = set(a.From)[to] && set(a.To)[from]
+	directions := func(a Fault, from, to Party) (outwards, backwards bool) {
+		outwards = partySet(a.From)[from] && partySet(a.To)[to]
+		backwards = partySet(a.From)[to] && partySet(a.To)[from]
 		if !a.OneWay {
-			there = there || back
-			back = there
+			outwards = outwards || backwards
+			backwards = outwards
 		}
-		return there, back
+		return outwards, backwards
 	}
 	var wait sync.WaitGroup
-	for _, l := range f.links {
-		if there, back := hit(x, l.From, l.To); !there && !back {
+	for _, link := range f.links {
+		if outwards, backwards := directions(fault, link.From, link.To); !outwards && !backwards {
 			continue
 		}
-		var ways [2]way
+		var impairments [2]impairment
 		reset := false
 		for _, a := range active {
-			there, back := hit(a, l.From, l.To)
-			for dir, on := range [2]bool{there, back} {
-				if on {
-					ways[dir].take(a)
+			outwards, backwards := directions(a, link.From, link.To)
+			for dir, affected := range [2]bool{outwards, backwards} {
+				if affected {
+					impairments[dir].add(a)
 				}
 			}
-			reset = reset || a.Kind == Reset && (there || back)
+			reset = reset || a.Kind == Reset && (outwards || backwards)
 		}
 		wait.Go(func() {
-			l.change(func(w *[2]way) { *w = ways })
-			if x.Kind == Reset {
-				l.SetReset(reset)
+			link.setImpairments(func(current *[2]impairment) { *current = impairments })
+			if fault.Kind == Reset {
+				link.SetReset(reset)
 			}
 		})
 	}
-	for _, n := range f.notes {
-		there, _ := hit(x, n.From, n.To)
-		if !there {
+	for _, link := range f.noteLinks {
+		outwards, _ := directions(fault, link.From, link.To)
+		if !outwards {
 			continue
 		}
-		var now way
+		var combined impairment
 		for _, a := range active {
-			if there, _ := hit(a, n.From, n.To); there {
-				now.take(a)
+			if outwards, _ := directions(a, link.From, link.To); outwards {
+				combined.add(a)
 			}
 		}
-		n.change(func(w *way) { *w = now })
+		link.setImpairment(func(current *impairment) { *current = combined })
 	}
 	wait.Wait()
 	return nil
 }
 
-// take adds what a fault does to a direction.
-func (w *way) take(a Fault) {
-	switch a.Kind {
+// add combines the effect of a fault with the impairment of a direction.
+func (imp *impairment) add(fault Fault) {
+	switch fault.Kind {
 	case Cut:
-		w.cut = true
+		imp.cut = true
 	case Delay:
-		w.delay += time.Duration(a.By)
-		w.spread += time.Duration(a.Spread)
+		imp.delay += time.Duration(fault.By)
+		imp.jitter += time.Duration(fault.Spread)
 	case Trickle:
-		if w.rate == 0 || a.Rate < w.rate {
-			w.rate = a.Rate
+		if imp.bytesPerSecond == 0 || fault.Rate < imp.bytesPerSecond {
+			imp.bytesPerSecond = fault.Rate
 		}
 	case Loss:
-		w.loss = 1 - (1-w.loss)*(1-a.Share)
-	case Double:
-		w.double = max(w.double, a.Share)
+		imp.lossShare = 1 - (1-imp.lossShare)*(1-fault.Share)
+	case Duplicate:
+		imp.duplicateShare = max(imp.duplicateShare, fault.Share)
 	case Reorder:
-		w.reorder = max(w.reorder, a.Share)
+		imp.reorderShare = max(imp.reorderShare, fault.Share)
 	case Hold:
-		w.hold = true
+		imp.hold = true
 	}
 }
 
-// gather writes down what servers and links saw.
-func (f *Fleet) gather() {
-	f.h.Effects = make(map[string]string)
-	words := map[standin.Effect]string{standin.Safe: "safe", standin.Keyed: "keyed", standin.Unsafe: "unsafe"}
-	for _, c := range f.s.classes() {
-		f.h.Effects[c.Name] = words[c.Effect]
-	}
-	zone := make(map[string]string)
+// collectRecords adds the records of servers, links and processes to the history and finishes it.
+func (f *Fleet) collectRecords() {
+	f.history.ClassEffects = make(map[string]string)
+	effectNames := map[standin.Effect]string{standin.Safe: "safe", standin.Keyed: "keyed", standin.Unsafe: "unsafe"}
+	for _, c := range f.schedule.classes() {
+		f.history.ClassEffects[c.Name] = effectNames[c.Effect]
+	}
+	zones := make(map[string]string)
 	for n, s := range f.site.Servers {
-		zone[s.Name()] = f.s.zoneOf(n)
+		zones[s.Name()] = f.schedule.serverZone(n)
 		if s.Fallen() {
-			f.h.Fallen = append(f.h.Fallen, s.Name())
+			f.history.Fallen = append(f.history.Fallen, s.Name())
 		}
 	}
-	for _, a := range f.site.Ledger.Log() {
-		f.h.add(Event{At: a.At.Sub(f.h.began), Kind: Arrived, Who: serverParty(a.Server), ID: a.ID, Class: a.Class, Zone: zone[a.Server], Ran: a.Act == standin.Serve || a.Act == standin.Fail, Drained: a.Draining})
+	for _, arrival := range f.site.Ledger.Log() {
+		f.history.add(Event{At: arrival.At.Sub(f.history.started), Kind: EventArrival, Party: serverParty(arrival.Server), ID: arrival.ID, Class: arrival.Class, Zone: zones[arrival.Server], Executed: arrival.Act == standin.Serve || arrival.Act == standin.Fail, DrainingFor: arrival.Draining})
 	}
-	for _, l := range f.links {
-		l.mu.Lock()
-		for _, x := range l.sends {
-			name := strings.TrimPrefix(string(l.To), "server:")
-			f.h.add(Event{At: x.first.Sub(f.h.began), Kind: Sent, Who: l.From, ID: x.id, Took: x.last.Sub(x.first), Zone: zone[name], What: name, Verdict: map[bool]string{true: "doubtful"}[x.doubt]})
+	for _, link := range f.links {
+		link.mu.Lock()
+		for _, request := range link.requests {
+			server := strings.TrimPrefix(string(link.To), "server:")
+			f.history.add(Event{At: request.firstChunk.Sub(f.history.started), Kind: EventSend, Party: link.From, ID: request.id, Elapsed: request.lastChunk.Sub(request.firstChunk), Zone: zones[server], Detail: server, Verdict: map[bool]string{true: "doubtful"}[request.maybeQueued]})
 		}
-		l.mu.Unlock()
+		link.mu.Unlock()
 	}
-	f.h.Runs = make(map[string]int)
+	f.history.EffectCounts = make(map[string]int)
 	for id, c := range f.site.Ledger.IDs() {
 		if c.Effects > 1 {
-			f.h.Runs[id] = c.Effects
+			f.history.EffectCounts[id] = c.Effects
 		}
 	}
-	for n, p := range f.cars {
+	for n, sidecar := range f.sidecars {
 		var count, bytes int64
-		for _, l := range f.notes {
-			if l.From == p.party {
-				c, b := l.Sent()
+		for _, link := range f.noteLinks {
+			if link.From == sidecar.party {
+				c, b := link.Sent()
 				count, bytes = count+c, bytes+b
 			}
 		}
-		f.h.add(Event{Kind: Figure, Who: p.party, What: "notes", Value: float64(count)})
-		f.h.add(Event{Kind: Figure, Who: p.party, What: "note bytes", Value: float64(bytes)})
-		f.h.add(Event{Kind: Figure, Who: f.cars[n].party, What: "resident bytes", Value: float64(p.resident())})
+		f.history.add(Event{Kind: EventMeasurement, Party: sidecar.party, Detail: "notes", Value: float64(count)})
+		f.history.add(Event{Kind: EventMeasurement, Party: sidecar.party, Detail: "note bytes", Value: float64(bytes)})
+		f.history.add(Event{Kind: EventMeasurement, Party: f.sidecars[n].party, Detail: "resident bytes", Value: float64(sidecar.peakMemoryBytes())})
 	}
-	f.h.end()
+	f.history.finish()
 }
--- a/internal/fleet/schedule.go
+++ b/internal/fleet/schedule.go
@@ -1,8 +1,9 @@
-// Package fleet runs several processes of the built daemon, each with stand-in servers in
-// zones, discovery, peers and a client behind links of its own, plays a schedule of faults
-// against them and writes down what each client, server and sidecar saw, by one clock.
-// Checkers read that history. Everything is on loopback, bounded in count and time, and
-// every process that it ends is one that it started.
+// Package fleet starts several processes of the built daemon and plays a schedule of faults
+// against them. Each sidecar process has stand-in servers in zones, service discovery, peers and
+// a client, and reaches them through links of its own, so that faults can be injected for each
+// sidecar. The package records what each client, server and sidecar observes, with times of one
+// clock, and Check verifies that history. All traffic stays on loopback, counts and durations are
+// bounded, and the package ends only processes that it started.
 package fleet
 
 import (
@@ -19,250 +20,256 @@
 	"chalkrack/internal/duration"
 )
 
-// Bounds of a schedule.
+// Limits of a schedule.
 const (
-	SidecarsMost = 96
-	ServersMost  = 60 // of all zones together
-	FaultsMost   = 64
-	LengthMost   = 3 * time.Minute
-	RateMost     = 400.0 // calls a second of one client
+	MaxSidecars = 96
+	MaxServers  = 60 // in all zones together
+	MaxFaults   = 64
+	MaxLength   = 3 * time.Minute
+	MaxRate     = 400.0 // calls per second of one client
 )
 
-// Kind is what a fault does.
-type Kind string
+// FaultKind selects what a fault does.
+type FaultKind string
 
-// Faults of links, between From and To: in both directions, or with OneWay only for what
-// goes from From to To.
+// Faults of the links between From and To. They apply to both directions, or with OneWay only to
+// traffic from From to To.
 const (
-	Cut     Kind = "cut"     // nothing comes, nothing is reset, new connections never come up
-	Reset   Kind = "reset"   // connections are reset, new ones too
-	Delay   Kind = "delay"   // By, with up to Spread more
-	Trickle Kind = "trickle" // Rate bytes a second on each connection
-	Loss    Kind = "loss"    // of datagrams, a Share
-	Double  Kind = "double"  // of datagrams, a Share
-	Reorder Kind = "reorder" // of datagrams, a Share comes after the next
-	Hold    Kind = "hold"    // datagrams are held up and let go at the end, all at once
+	Cut       FaultKind = "cut"     // no data passes, no connection is reset, new connections are not established
+	Reset     FaultKind = "reset"   // open and new connections are reset
+	Delay     FaultKind = "delay"   // data is delayed by By plus a random time below Spread
+	Trickle   FaultKind = "trickle" // each connection passes Rate bytes per second
+	Loss      FaultKind = "loss"    // a Share of the datagrams is lost
+	Duplicate FaultKind = "double"  // a Share of the datagrams is delivered twice
+	Reorder   FaultKind = "reorder" // a Share of the datagrams is delivered after the next one
+	Hold      FaultKind = "hold"    // datagrams are queued and all delivered at once when the fault ends
 )
 
-// Faults of processes, On some of them. Sidecars know Kill, Stop, Term, Upgrade, Starve and Spoil,
-// servers Kill, Freeze, Fail, Slow, Decline and List, discovery Kill and Lag.
+// Faults of the processes that On selects. Sidecars support Kill, Stop, Terminate, Upgrade, Starve,
+// BreakConfig and AdminCall, servers Kill, Freeze, Fail, Slow, Decline and SetStatus, discovery Kill
+// and Lag.
 const (
-	Kill    Kind = "kill"    // ends without a word; starts again when the fault ends
-	Stop    Kind = "stop"    // SIGSTOP, and SIGCONT when the fault ends
-	Term    Kind = "term"    // SIGTERM, and a start once it has ended
-	Upgrade Kind = "upgrade" // a second process at the same socket, and SIGTERM for the first once it serves
-	Starve  Kind = "starve"  // it runs for a Share of the time only, in slices of 100 ms
-	Spoil   Kind = "spoil"   // it is ended, and its starts fail until the fault ends
-	Freeze  Kind = "freeze"  // connections come up, nothing is read or answered
-	Fail    Kind = "fail"    // answers 500
-	Slow    Kind = "slow"    // answers Factor times as late
-	Decline Kind = "decline" // turns all away
-	List    Kind = "list"    // discovery says With of it: up, draining, removed, or new: it has just started
-	Lag     Kind = "lag"     // changes of the list come By later
-	Deed    Kind = "deed"    // an operator's call, Name with the text With, at a sidecar's socket
-	Mark    Kind = "mark"    // nothing happens: a time that the report names
+	Kill        FaultKind = "kill"    // ends the process at once; it starts again when the fault ends
+	Stop        FaultKind = "stop"    // SIGSTOP, and SIGCONT when the fault ends
+	Terminate   FaultKind = "term"    // SIGTERM, and a start after the process has exited
+	Upgrade     FaultKind = "upgrade" // starts a second process on the same socket; once it is ready the first gets SIGTERM
+	Starve      FaultKind = "starve"  // runs only for a Share of the time, in periods of 100 ms
+	BreakConfig FaultKind = "spoil"   // ends the process at once, and its starts fail until the fault ends
+	Freeze      FaultKind = "freeze"  // accepts connections, reads and answers nothing
+	Fail        FaultKind = "fail"    // answers 500
+	Slow        FaultKind = "slow"    // takes Factor times as long to answer
+	Decline     FaultKind = "decline" // declines all requests
+	SetStatus   FaultKind = "list"    // discovery lists the server as With: up, draining, removed, or new (just started)
+	Lag         FaultKind = "lag"     // discovery delays changes of its list by By
+	AdminCall   FaultKind = "deed"    // calls Name with the request With on a sidecar's admin socket
+	Marker      FaultKind = "mark"    // has no effect: a time span that the report names
 )
 
-var linkKinds = []Kind{Cut, Reset, Delay, Trickle, Loss, Double, Reorder, Hold}
+var linkFaultKinds = []FaultKind{Cut, Reset, Delay, Trickle, Loss, Duplicate, Reorder, Hold}
 
-var processKinds = map[Kind]string{ // what each may be done to
-	Kill: "sidecar server discovery", Stop: "sidecar", Term: "sidecar", Upgrade: "sidecar", Starve: "sidecar", Spoil: "sidecar", Deed: "sidecar",
-	Freeze: "server", Fail: "server", Slow: "server", Decline: "server", List: "server", Lag: "discovery",
+// faultRoles maps each process fault to the roles of the processes that support it.
+var faultRoles = map[FaultKind]string{
+	Kill: "sidecar server discovery", Stop: "sidecar", Terminate: "sidecar", Upgrade: "sidecar", Starve: "sidecar", BreakConfig: "sidecar", AdminCall: "sidecar",
+	Freeze: "server", Fail: "server", Slow: "server", Decline: "server", SetStatus: "server", Lag: "discovery",
 }
 
-// Fault is one line of a schedule.
+// Fault is one fault of a schedule.
 type Fault struct {
-	At     duration.Duration `toml:"at"`  // from the beginning of the load
-	For    duration.Duration `toml:"for"` // 0: to the end
-	Kind   Kind              `toml:"kind"`
-	On     string            `toml:"on,omitempty"`
-	From   string            `toml:"from,omitempty"`
-	To     string            `toml:"to,omitempty"`
+	At     duration.Duration `toml:"at"`  // since the start of the load
+	For    duration.Duration `toml:"for"` // 0: until the end of the run
+	Kind   FaultKind         `toml:"kind"`
+	On     string            `toml:"on,omitempty"`   // selects the processes
+	From   string            `toml:"from,omitempty"` // selects one end of the links
+	To     string            `toml:"to,omitempty"`   // selects the other end
 	OneWay bool              `toml:"one_way,omitempty"`
-	By     duration.Duration `toml:"by,omitempty"`
+	By     duration.Duration `toml:"by,omitempty"` // delay
 	Spread duration.Duration `toml:"spread,omitempty"`
-	Rate   int               `toml:"rate,omitempty"`
+	Rate   int               `toml:"rate,omitempty"` // bytes per second
 	Share  float64           `toml:"share,omitempty"`
 	Factor float64           `toml:"factor,omitempty"`
 	Name   string            `toml:"name,omitempty"`
-	With   string            `toml:"with,omitempty"` // JSON
+	With   string            `toml:"with,omitempty"` // a status, or the request of an admin call in JSON
 }
 
-// Schedule is a fleet and what happens to it. It is data: a file, or drawn from a seed.
+// Schedule describes a fleet, its load and the faults that are injected. It is read from a file or
+// generated from a seed.
 type Schedule struct {
 	Name     string            `toml:"name"`
 	Seed     uint64            `toml:"seed"`
 	Sidecars int               `toml:"sidecars"`
 	Zones    []string          `toml:"zones"`
-	Servers  int               `toml:"servers"` // in each zone
-	Rate     float64           `toml:"rate"`    // calls a second of each client
-	Quiet    int               `toml:"quiet"`   // so many of the sidecars, the last, have a twentieth of it
-	Work     duration.Duration `toml:"work"`    // that a call takes at a server
-	Capacity float64           `toml:"capacity"`
-	// Cold servers: what a restart leaves of the capacity, and for how long; falls over at
-	// fall times what it can do for fall_for.
+	Servers  int               `toml:"servers"`  // in each zone
+	Rate     float64           `toml:"rate"`     // calls per second of each client
+	Quiet    int               `toml:"quiet"`    // the last Quiet sidecars get a twentieth of Rate
+	Work     duration.Duration `toml:"work"`     // time that a server takes to process a call
+	Capacity float64           `toml:"capacity"` // requests per second of a warm server; 0: unlimited
+	// A restarted server is cold: it starts with the share ColdFrom of its capacity and is warm
+	// after ColdFor. It fails permanently when it gets Fall times its current capacity for FallFor.
 	ColdFrom float64           `toml:"cold_from"`
 	ColdFor  duration.Duration `toml:"cold_for"`
 	Fall     float64           `toml:"fall"`
 	FallFor  duration.Duration `toml:"fall_for"`
 	Length   duration.Duration `toml:"length"`
-	// Wait is how long clients wait, in place of the classes' own; Linger how much longer
-	// they keep the connection open before they close it.
+	// Wait replaces the deadlines of the classes if it is above 0. Linger is how long clients
+	// keep a connection open after the deadline.
 	Wait   duration.Duration `toml:"wait"`
 	Linger duration.Duration `toml:"linger"`
-	Class  string            `toml:"class"` // the only one that is called; empty: all three
-	// Features is the text of each sidecar's own settings. @SOCKET@ in it is replaced.
+	Class  string            `toml:"class"` // the only class that clients call; empty: all three
+	// Features is the features file of each sidecar. @SOCKET@ is replaced by the path of its admin
+	// socket and @DIR@ by its directory.
 	Features string  `toml:"features"`
-	Claimed  int     `toml:"claimed"` // how many sidecars they are told that there are; 0: the truth
+	Claimed  int     `toml:"claimed"` // number of sidecars that the settings state; 0: the actual number
 	Faults   []Fault `toml:"faults"`
 }
 
-// Read reads a schedule. An error names the field.
+// Read decodes a schedule from TOML, fills in defaults and validates it. Errors name the
+// field or the line.
 func Read(text []byte) (*Schedule, error) {
-	s := &Schedule{Seed: 1, Sidecars: 12, Zones: []string{"a", "b", "c"}, Servers: 3, Rate: 10, Length: duration.Duration(5 * time.Second),
+	schedule := &Schedule{Seed: 1, Sidecars: 12, Zones: []string{"a", "b", "c"}, Servers: 3, Rate: 10, Length: duration.Duration(5 * time.Second),
 		Work: duration.Duration(20 * time.Millisecond), Linger: duration.Duration(300 * time.Millisecond)}
-	d := toml.NewDecoder(bytes.NewReader(text)).DisallowUnknownFields()
-	if err := d.Decode(s); err != nil {
+	decoder := toml.NewDecoder(bytes.NewReader(text)).DisallowUnknownFields()
+	if err := decoder.Decode(schedule); err != nil {
 		var strict *toml.StrictMissingError
 		if errors.As(err, &strict) && len(strict.Errors) > 0 {
-			row, _ := strict.Errors[0].Position()
-			return nil, fmt.Errorf("schedule: line %d: unknown field", row)
+			line, _ := strict.Errors[0].Position()
+			return nil, fmt.Errorf("schedule: line %d: unknown field", line)
 		}
 		return nil, fmt.Errorf("schedule: %w", err)
 	}
-	return s, s.Validate()
+	return schedule, schedule.Validate()
 }
 
-// Text is the schedule as a file has it.
+// Text returns the schedule as TOML.
 func (s *Schedule) Text() ([]byte, error) { return toml.Marshal(s) }
 
-// Validate says what of a schedule can't be played, by its field.
+// Validate returns an error that names the first invalid field, or nil.
 func (s *Schedule) Validate() error {
 	var err error
-	need := func(ok bool, field, want string, args ...any) {
+	require := func(ok bool, field, format string, args ...any) {
 		if !ok && err == nil {
-			err = fmt.Errorf("schedule: %s: %s", field, fmt.Sprintf(want, args...))
+			err = fmt.Errorf("schedule: %s: %s", field, fmt.Sprintf(format, args...))
 		}
 	}
-	need(s.Sidecars >= 1 && s.Sidecars <= SidecarsMost, "sidecars", "must be within 1 and %d", SidecarsMost)
-	need(len(s.Zones) >= 1, "zones", "must name one at least")
-	for n, z := range s.Zones {
-		need(z != "" && !slices.Contains(s.Zones[:n], z), "zones", "%q stands twice or is empty", z)
+	require(s.Sidecars >= 1 && s.Sidecars <= MaxSidecars, "sidecars", "must be between 1 and %d", MaxSidecars)
+	require(len(s.Zones) >= 1, "zones", "must name at least one zone")
+	for n, zone := range s.Zones {
+		require(zone != "" && !slices.Contains(s.Zones[:n], zone), "zones", "%q is duplicate or empty", zone)
 	}
-	need(s.Servers >= 1 && s.Servers*len(s.Zones) <= ServersMost, "servers", "must be 1 at least and %d at most over all zones", ServersMost)
-	need(s.Rate > 0 && s.Rate <= RateMost, "rate", "must be above 0, %v at most", RateMost)
-	need(s.Quiet >= 0 && s.Quiet <= s.Sidecars, "quiet", "must be within 0 and sidecars")
-	need(s.Length > 0 && time.Duration(s.Length) <= LengthMost, "length", "must be above 0, %v at most", LengthMost)
-	need(s.ColdFrom >= 0 && s.ColdFrom <= 1, "cold_from", "must be within 0 and 1")
-	need(s.Claimed >= 0, "claimed", "must be 0 or more")
-	need(len(s.Faults) <= FaultsMost, "faults", "are %d at most", FaultsMost)
+	require(s.Servers >= 1 && s.Servers*len(s.Zones) <= MaxServers, "servers", "must be at least 1, and at most %d in all zones together", MaxServers)
+	require(s.Rate > 0 && s.Rate <= MaxRate, "rate", "must be above 0 and at most %v", MaxRate)
+	require(s.Quiet >= 0 && s.Quiet <= s.Sidecars, "quiet", "must be between 0 and the number of sidecars")
+	require(s.Length > 0 && time.Duration(s.Length) <= MaxLength, "length", "must be above 0 and at most %v", MaxLength)
+	require(s.ColdFrom >= 0 && s.ColdFrom <= 1, "cold_from", "must be between 0 and 1")
+	require(s.Claimed >= 0, "claimed", "must be 0 or more")
+	require(len(s.Faults) <= MaxFaults, "faults", "must be at most %d", MaxFaults)
 	if err != nil {
 		return err
 	}
-	names := s.names()
-	for n, f := range s.Faults {
-		at := func(field string) string { return fmt.Sprintf("faults[%d].%s", n, field) }
-		need(f.At >= 0 && f.At < s.Length, at("at"), "must be within the schedule's length")
-		need(f.For >= 0, at("for"), "must be 0 or more")
-		need(f.Share >= 0 && f.Share <= 1, at("share"), "must be within 0 and 1")
-		who, on := processKinds[f.Kind]
+	selector := s.selector()
+	for n, fault := range s.Faults {
+		faultField := func(field string) string { return fmt.Sprintf("faults[%d].%s", n, field) }
+		require(fault.At >= 0 && fault.At < s.Length, faultField("at"), "must be within the schedule's length")
+		require(fault.For >= 0, faultField("for"), "must be 0 or more")
+		require(fault.Share >= 0 && fault.Share <= 1, faultField("share"), "must be between 0 and 1")
+		roles, isProcessFault := faultRoles[fault.Kind]
 		switch {
-		case f.Kind == Mark:
-		case on:
-			all, perr := names.pick(f.On)
-			need(perr == nil, at("on"), "%v", perr)
-			for _, p := range all {
-				need(containsWord(who, p.kind()), at("on"), "%s is no %s, and %s is for these", p, who, f.Kind)
+		case fault.Kind == Marker:
+		case isProcessFault:
+			parties, selectErr := selector.resolve(fault.On)
+			require(selectErr == nil, faultField("on"), "%v", selectErr)
+			for _, party := range parties {
+				require(containsWord(roles, party.role()), faultField("on"), "%s is not a %s, which kind %q requires", party, roles, fault.Kind)
 			}
-		case slices.Contains(linkKinds, f.Kind):
-			for field, text := range map[string]string{"from": f.From, "to": f.To} {
-				_, perr := names.pick(text)
-				need(perr == nil, at(field), "%v", perr)
+		case slices.Contains(linkFaultKinds, fault.Kind):
+			for field, text := range map[string]string{"from": fault.From, "to": fault.To} {
+				_, selectErr := selector.resolve(text)
+				require(selectErr == nil, faultField(field), "%v", selectErr)
 			}
 		default:
-			need(false, at("kind"), "%q is none", f.Kind)
+			require(false, faultField("kind"), "%q is not a kind of fault", fault.Kind)
 		}
-		switch f.Kind {
+		switch fault.Kind {
 		case Trickle:
-			need(f.Rate > 0, at("rate"), "must be above 0")
+			require(fault.Rate > 0, faultField("rate"), "must be above 0")
 		case Slow:
-			need(f.Factor >= 1, at("factor"), "must be 1 or more")
+			require(fault.Factor >= 1, faultField("factor"), "must be 1 or more")
 		case Starve:
-			need(f.Share > 0 && f.Share < 1, at("share"), "must be above 0 and below 1")
-		case List:
-			need(slices.Contains([]string{"up", "draining", "removed", "new"}, f.With), at("with"), "must be up, draining, removed or new")
-		case Deed:
-			need(f.Name != "", at("name"), "must name a deed")
+			require(fault.Share > 0 && fault.Share < 1, faultField("share"), "must be above 0 and below 1")
+		case SetStatus:
+			require(slices.Contains([]string{"up", "draining", "removed", "new"}, fault.With), faultField("with"), "must be up, draining, removed or new")
+		case AdminCall:
+			require(fault.Name != "", faultField("name"), "must name an admin call")
 		}
 	}
 	return err
 }
 
-// upgrades says that a sidecar is upgraded somewhere: its clients' socket is held for it then.
-func (s *Schedule) upgrades(who Party) bool {
+// isUpgraded reports whether a fault of the schedule upgrades a sidecar. The listening socket for
+// its clients is then held open, so that both of its processes can use it.
+func (s *Schedule) isUpgraded(party Party) bool {
 	return slices.ContainsFunc(s.Faults, func(f Fault) bool {
-		all, err := s.names().pick(f.On)
-		return f.Kind == Upgrade && err == nil && slices.Contains(all, who)
+		parties, err := s.selector().resolve(f.On)
+		return f.Kind == Upgrade && err == nil && slices.Contains(parties, party)
 	})
 }
 
-// Draw is a schedule with up to most random faults drawn from a seed, on the fleet of a
-// base. The same seed always draws the same.
-func Draw(base Schedule, seed uint64, most int) *Schedule {
+// Draw returns base with between 1 and maxFaults random faults appended. The same seed
+// always gives the same faults.
+func Draw(base Schedule, seed uint64, maxFaults int) *Schedule {
 	rng := rand.New(rand.NewPCG(seed, 0xf1ee7))
-	s := base
-	s.Seed, s.Name, s.Faults = seed, fmt.Sprintf("%s-%d", base.Name, seed), slices.Clone(base.Faults)
-	for range 1 + rng.IntN(max(1, most)) {
-		s.Faults = append(s.Faults, s.drawn(rng))
+	schedule := base
+	schedule.Seed, schedule.Name, schedule.Faults = seed, fmt.Sprintf("%s-%d", base.Name, seed), slices.Clone(base.Faults)
+	for range 1 + rng.IntN(max(1, maxFaults)) {
+		schedule.Faults = append(schedule.Faults, schedule.randomFault(rng))
 	}
-	return &s
+	return &schedule
 }
 
-// dice are what a fault is drawn by.
-type dice interface {
-	IntN(n int) int // from 0 to below n
-	Int64N(n int64) int64
-	Float64() float64 // from 0 to below 1
+// randomSource provides the random numbers for a random fault.
+type randomSource interface {
+	IntN(n int) int       // in [0, n)
+	Int64N(n int64) int64 // in [0, n)
+	Float64() float64     // in [0, 1)
 }
 
-// drawn is one random fault of the schedule's fleet.
-func (s *Schedule) drawn(rng dice) Fault {
+// randomFault returns a random fault that is valid for the fleet of the schedule.
+func (s *Schedule) randomFault(source randomSource) Fault {
 	length := time.Duration(s.Length)
-	ms := func(from, to int) duration.Duration {
-		return duration.Duration(time.Duration(from+rng.IntN(to-from+1)) * time.Millisecond)
+	randomMillis := func(low, high int) duration.Duration {
+		return duration.Duration(time.Duration(low+source.IntN(high-low+1)) * time.Millisecond)
 	}
-	zone := func() string { return "zone:" + s.Zones[rng.IntN(len(s.Zones))] }
-	sidecar := func() string { return fmt.Sprintf("sidecar:%d", 1+rng.IntN(s.Sidecars)) }
-	f := Fault{At: duration.Duration(rng.Int64N(int64(length) * 2 / 3)), For: ms(200, int(length.Milliseconds()/3))}
-	switch rng.IntN(12) {
+	randomZone := func() string { return "zone:" + s.Zones[source.IntN(len(s.Zones))] }
+	randomSidecar := func() string { return fmt.Sprintf("sidecar:%d", 1+source.IntN(s.Sidecars)) }
+	fault := Fault{At: duration.Duration(source.Int64N(int64(length) * 2 / 3)), For: randomMillis(200, int(length.Milliseconds()/3))}
+	switch source.IntN(12) {
 	case 0, 1:
-		f.Kind, f.From, f.To = Cut, "sidecars", zone()
+		fault.Kind, fault.From, fault.To = Cut, "sidecars", randomZone()
 	case 2:
-		f.Kind, f.From, f.To, f.OneWay = Cut, sidecar(), zone(), rng.IntN(2) == 0
+		fault.Kind, fault.From, fault.To, fault.OneWay = Cut, randomSidecar(), randomZone(), source.IntN(2) == 0
 	case 3:
-		f.Kind, f.From, f.To, f.By, f.Spread = Delay, "sidecars", zone(), ms(5, 200), ms(0, 50)
+		fault.Kind, fault.From, fault.To, fault.By, fault.Spread = Delay, "sidecars", randomZone(), randomMillis(5, 200), randomMillis(0, 50)
 	case 4:
-		f.Kind, f.From, f.To = Reset, "sidecars", zone()
+		fault.Kind, fault.From, fault.To = Reset, "sidecars", randomZone()
 	case 5:
-		f.Kind, f.From, f.To, f.Share = Loss, "sidecars", "sidecars", 0.2+0.6*rng.Float64()
+		fault.Kind, fault.From, fault.To, fault.Share = Loss, "sidecars", "sidecars", 0.2+0.6*source.Float64()
 	case 6:
-		f.Kind, f.On = Stop, sidecar()
+		fault.Kind, fault.On = Stop, randomSidecar()
 	case 7:
-		f.Kind, f.On = Kill, sidecar()
+		fault.Kind, fault.On = Kill, randomSidecar()
 	case 8:
-		f.Kind, f.On, f.Share = Starve, sidecar(), 0.1+0.4*rng.Float64()
+		fault.Kind, fault.On, fault.Share = Starve, randomSidecar(), 0.1+0.4*source.Float64()
 	case 9:
-		f.Kind, f.On = Fail, zone()
+		fault.Kind, fault.On = Fail, randomZone()
 	case 10:
-		f.Kind, f.On, f.Factor = Slow, zone(), 2+8*rng.Float64()
+		fault.Kind, fault.On, fault.Factor = Slow, randomZone(), 2+8*source.Float64()
 	case 11:
-		f.Kind, f.On = Kill, zone()
+		fault.Kind, fault.On = Kill, randomZone()
 	}
-	return f
+	return fault
 }
 
-// Scale changes the size of a schedule's fleet, where the figures are above 0. Ranges of
-// sidecars in its faults grow with it.
+// Scale changes the number of sidecars, the servers in each zone and the rate of the clients; an
+// argument of 0 leaves the value as it is. Sidecar ranges in faults are scaled in proportion.
 func (s *Schedule) Scale(sidecars, servers int, rate float64) {
 	if rate > 0 {
 		s.Rate = rate
@@ -273,22 +280,22 @@
 	if sidecars <= 0 || sidecars == s.Sidecars {
 		return
 	}
-	was := s.Sidecars
-	part := func(n int) int { return (n*sidecars + was - 1) / was }
-	scaled := func(text string) string {
+	oldSidecars := s.Sidecars
+	scaleNumber := func(n int) int { return (n*sidecars + oldSidecars - 1) / oldSidecars }
+	scaleRanges := func(text string) string {
 		words := strings.Split(text, ",")
-		for n, w := range words {
+		for n, word := range words {
 			var from, to int
-			if k, _ := fmt.Sscanf(w, "sidecar:%d-%d", &from, &to); k == 2 {
-				words[n] = fmt.Sprintf("sidecar:%d-%d", part(from-1)+1, part(to))
+			if fields, _ := fmt.Sscanf(word, "sidecar:%d-%d", &from, &to); fields == 2 {
+				words[n] = fmt.Sprintf("sidecar:%d-%d", scaleNumber(from-1)+1, scaleNumber(to))
 			}
 		}
 		return strings.Join(words, ",")
 	}
 	s.Faults = slices.Clone(s.Faults)
 	for n := range s.Faults {
-		f := &s.Faults[n]
-		f.On, f.From, f.To = scaled(f.On), scaled(f.From), scaled(f.To)
+		fault := &s.Faults[n]
+		fault.On, fault.From, fault.To = scaleRanges(fault.On), scaleRanges(fault.From), scaleRanges(fault.To)
 	}
-	s.Sidecars, s.Quiet = sidecars, s.Quiet*sidecars/was
+	s.Sidecars, s.Quiet = sidecars, s.Quiet*sidecars/oldSidecars
 }
--- a/internal/fleet/schedules/schedules.go
+++ b/internal/fleet/schedules/schedules.go
@@ -1,4 +1,4 @@
-// Package schedules ships the schedules of the cases that a fleet has to bear.
+// Package schedules embeds the schedules of faults that a fleet must withstand.
 package schedules
 
 import (
@@ -10,11 +10,11 @@
 //go:embed *.toml
 var files embed.FS
 
-// Names are the shipped schedules, sorted.
+// Names returns the names of the embedded schedules, sorted.
 func Names() (all []string) {
 	entries, err := files.ReadDir(".")
 	if err != nil {
-		panic(err) // of what was built in
+		panic(err) // cannot happen: the files are embedded
 	}
 	for _, e := range entries {
 		all = append(all, strings.TrimSuffix(e.Name(), ".toml"))
@@ -22,11 +22,12 @@
 	return all
 }
 
-// Text is a shipped schedule.
+// Text returns an embedded schedule as TOML. Its first line is a comment that describes it. A name
+// that Names does not return is an error.
 func Text(name string) ([]byte, error) {
 	text, err := files.ReadFile(name + ".toml")
 	if err != nil {
-		return nil, fmt.Errorf("schedules: there is no %q", name)
+		return nil, fmt.Errorf("schedules: there is no schedule %q", name)
 	}
 	return text, nil
 }
--- a/internal/fleet/shrink.go
+++ b/internal/fleet/shrink.go
@@ -7,36 +7,36 @@
 	"chalkrack/internal/duration"
 )
 
-// Shrink leaves faults of a schedule out, and makes those that are left shorter, as long as
-// breaks says that what is left breaks still. breaks may err on the side of what does not:
-// a run of processes is no proof that there is nothing to find.
+// Shrink returns a smaller schedule that still breaks a rule. It removes faults and shortens the
+// remaining ones as long as breaks reports true. breaks may report false for a schedule that can
+// break a rule, since a run of processes may miss a violation; the result is then less small.
 func Shrink(s *Schedule, breaks func(*Schedule) (bool, error)) (*Schedule, error) {
-	try := func(change func(x *Schedule)) (bool, error) {
-		less := *s
-		less.Faults = slices.Clone(s.Faults)
-		change(&less)
-		broken, err := breaks(&less)
-		if broken && err == nil {
-			s = &less
+	tryChange := func(change func(candidate *Schedule)) (bool, error) {
+		candidate := *s
+		candidate.Faults = slices.Clone(s.Faults)
+		change(&candidate)
+		stillBreaks, err := breaks(&candidate)
+		if stillBreaks && err == nil {
+			s = &candidate
 		}
-		return broken, err
+		return stillBreaks, err
 	}
 	for n := 0; n < len(s.Faults); {
-		out, err := try(func(x *Schedule) { x.Faults = slices.Delete(x.Faults, n, n+1) })
+		removed, err := tryChange(func(candidate *Schedule) { candidate.Faults = slices.Delete(candidate.Faults, n, n+1) })
 		if err != nil {
 			return s, err
 		}
-		if !out {
+		if !removed {
 			n++
 		}
 	}
 	for n := range s.Faults {
-		for s.Faults[n].For > duration.Duration(shrinkLeast) {
-			shorter, err := try(func(x *Schedule) { x.Faults[n].For /= 2 })
+		for s.Faults[n].For > duration.Duration(shortFaultLength) {
+			stillBreaks, err := tryChange(func(candidate *Schedule) { candidate.Faults[n].For /= 2 })
 			if err != nil {
 				return s, err
 			}
-			if !shorter {
+			if !stillBreaks {
 				break
 			}
 		}
@@ -44,5 +44,5 @@
 	return s, nil
 }
 
-// shrinkLeast is how short a fault is made at the least.
-const shrinkLeast = 400 * time.Millisecond
+// shortFaultLength is the length up to which Shrink does not shorten a fault further.
+const shortFaultLength = 400 * time.Millisecond
