--- a/internal/fleet/shrink_test.go
+++ b/internal/fleet/shrink_test.go
@@ -15,55 +15,58 @@
 	"chalkrack/internal/rig"
 )
 
-// byRapid are dice whose throws rapid makes, and makes smaller.
-type byRapid struct{ t *rapid.T }
+// rapidSource is a randomSource whose numbers rapid generates and shrinks.
+type rapidSource struct{ t *rapid.T }
 
-func (d byRapid) IntN(n int) int       { return rapid.IntRange(0, n-1).Draw(d.t, "n") }
-func (d byRapid) Int64N(n int64) int64 { return rapid.Int64Range(0, n-1).Draw(d.t, "at") }
-func (d byRapid) Float64() float64     { return float64(d.IntN(1000)) / 1000 }
+func (s rapidSource) IntN(n int) int       { return rapid.IntRange(0, n-1).Draw(s.t, "n") }
+func (s rapidSource) Int64N(n int64) int64 { return rapid.Int64Range(0, n-1).Draw(s.t, "at") }
+func (s rapidSource) Float64() float64     { return float64(s.IntN(1000)) / 1000 }
 
-// drawnBy is a schedule of up to so many faults that rapid draws.
-func drawnBy(t *rapid.T, base Schedule, most int) *Schedule {
-	s := base
-	s.Faults = rapid.SliceOfN(rapid.Custom(func(t *rapid.T) Fault { return s.drawn(byRapid{t}) }), 1, most).Draw(t, "faults")
-	return &s
+// rapidSchedule returns base with 1 to maxFaults faults that rapid generates instead of its own.
+func rapidSchedule(t *rapid.T, base Schedule, maxFaults int) *Schedule {
+	schedule := base
+	schedule.Faults = rapid.SliceOfN(rapid.Custom(func(t *rapid.T) Fault { return schedule.randomFault(rapidSource{t}) }), 1, maxFaults).Draw(t, "faults")
+	return &schedule
 }
 
-// quietly takes what rapid says of a failure that is wanted.
-type quietly struct {
+// silentTB records that rapid found a failure, without failing the test or logging: the failure is
+// expected.
+type silentTB struct {
 	testing.TB
 	failed bool
 }
 
-func (q *quietly) Fail()                 { q.failed = true }
-func (q *quietly) FailNow()              { q.failed = true }
-func (q *quietly) Failed() bool          { return q.failed }
-func (q *quietly) Errorf(string, ...any) { q.failed = true }
-func (q *quietly) Fatalf(string, ...any) { q.failed = true }
-func (q *quietly) Logf(string, ...any)   {}
+func (s *silentTB) Fail()                 { s.failed = true }
+func (s *silentTB) FailNow()              { s.failed = true }
+func (s *silentTB) Failed() bool          { return s.failed }
+func (s *silentTB) Errorf(string, ...any) { s.failed = true }
+func (s *silentTB) Fatalf(string, ...any) { s.failed = true }
+func (s *silentTB) Logf(string, ...any)   {}
 
-// least has rapid look for a schedule that breaks something, and shrink it; nil: none did.
-func least(t *testing.T, base Schedule, breaks func(*Schedule) bool) (s *Schedule) {
+// findShrunk lets rapid search for a schedule for which breaks is true, and shrink it. It returns nil
+// if there is none.
+func findShrunk(t *testing.T, base Schedule, breaks func(*Schedule) bool) (s *Schedule) {
 	t.Helper()
 	if err := flag.Set("rapid.nofailfile", "true"); err != nil {
 		t.Fatal(err)
 	}
-	q := &quietly{TB: t}
-	rapid.Check(q, func(t *rapid.T) {
-		if x := drawnBy(t, base, 6); breaks(x) {
-			s = x // of those that break the last is the least
+	tb := &silentTB{TB: t}
+	rapid.Check(tb, func(t *rapid.T) {
+		if candidate := rapidSchedule(t, base, 6); breaks(candidate) {
+			s = candidate // the last one that breaks is the smallest
 			t.Fatalf("broken")
 		}
 	})
 	return s
 }
 
-// A failing schedule of up to six faults is shrunk to the two that matter, at their shortest.
+// Guards against random faults that rapid cannot shrink: a failing schedule of up to six faults must
+// be reduced to the one or two faults that cause the failure, as short as possible.
 func TestRapidShrinksSchedules(t *testing.T) {
-	base := shipped(t, "zone-vanishes")
+	base := shippedSchedule(t, "zone-vanishes")
 	base.Length = duration.Duration(9 * time.Second)
-	for kinds, breaks := range map[string]func(*Schedule) bool{
-		"cut stop": func(s *Schedule) bool { // a sidecar that is stopped while a zone is cut off
+	for wantKinds, breaks := range map[string]func(*Schedule) bool{
+		"cut stop": func(s *Schedule) bool { // a sidecar is stopped while a zone is cut off
 			for _, cut := range s.Faults {
 				for _, stop := range s.Faults {
 					if cut.Kind == Cut && cut.From == "sidecars" && stop.Kind == Stop && stop.At < cut.At+cut.For && cut.At < stop.At+stop.For {
@@ -73,7 +76,7 @@
 			}
 			return false
 		},
-		"kill": func(s *Schedule) bool { // any zone's death
+		"kill": func(s *Schedule) bool { // the servers of any zone are killed
 			for _, f := range s.Faults {
 				if f.Kind == Kill && strings.HasPrefix(f.On, "zone:") {
 					return true
@@ -82,9 +85,9 @@
 			return false
 		},
 	} {
-		s := least(t, *base, breaks)
+		s := findShrunk(t, *base, breaks)
 		if s == nil {
-			t.Fatalf("%s: nothing was found", kinds)
+			t.Fatalf("%s: rapid found no failing schedule", wantKinds)
 		}
 		if err := s.Validate(); err != nil {
 			t.Error(err)
@@ -92,18 +95,19 @@
 		var got []string
 		for _, f := range s.Faults {
 			if got = append(got, string(f.Kind)); f.For > duration.Duration(200*time.Millisecond) && len(s.Faults) == 1 {
-				t.Errorf("%s: %v lasts %v", kinds, f, f.For)
+				t.Errorf("%s: %v lasts %v, want at most 200ms", wantKinds, f, f.For)
 			}
 		}
-		if text := strings.Join(got, " "); text != kinds && text != "stop cut" {
-			t.Errorf("%s: shrunk to %v", kinds, s.Faults)
+		if text := strings.Join(got, " "); text != wantKinds && text != "stop cut" {
+			t.Errorf("%s: shrunk to %v, want only faults of these kinds", wantKinds, s.Faults)
 		}
 	}
 }
 
-// By hand, over real processes: FAWN_HUNT=N has rapid draw N schedules (with -rapid.checks=N)
-// and shrink one that breaks a rule for as long as -rapid.shrinktime says. FAWN_PLANT=1 plants
-// a breach that takes two faults: a sidecar is stopped while a zone is cut off.
+// Searches for schedules that break a rule, over real processes. Runs only with FAWN_HUNT set. rapid
+// generates as many schedules as -rapid.checks says, and shrinks one that breaks a rule for
+// -rapid.shrinktime. With FAWN_PLANT=1 the test adds an artificial violation that requires two
+// faults: a sidecar is stopped while a zone is cut off.
 func TestHuntByRapid(t *testing.T) {
 	if os.Getenv("FAWN_HUNT") == "" {
 		t.Skip("by hand: FAWN_HUNT=1 go test ./internal/fleet -run HuntByRapid -rapid.checks=20 -rapid.shrinktime=5m")
@@ -112,10 +116,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	base := shipped(t, "zone-vanishes")
-	base.Features, base.Sidecars, base.Quiet, base.Length = zoned, 4, 1, duration.Duration(3*time.Second)
+	base := shippedSchedule(t, "zone-vanishes")
+	base.Features, base.Sidecars, base.Quiet, base.Length = zoneFeatures, 4, 1, duration.Duration(3*time.Second)
 	runs := 0
-	s := least(t, *base, func(s *Schedule) bool {
+	s := findShrunk(t, *base, func(s *Schedule) bool {
 		runs++
 		h, err := Run(context.Background(), s, path)
 		if err != nil {
@@ -123,7 +127,7 @@
 		}
 		found := Held(Check(h))
 		if os.Getenv("FAWN_PLANT") != "" {
-			found = append(found, planted(h)...)
+			found = append(found, plantedFindings(h)...)
 		}
 		t.Logf("run %d: %v: %v", runs, s.Faults, found)
 		return len(found) > 0
@@ -134,18 +138,19 @@
 	}
 }
 
-// planted is the breach that FAWN_PLANT plants, as the history tells of it.
-func planted(h *History) (all []Finding) {
-	cut := 0
+// plantedFindings returns a finding for each time that the artificial violation of FAWN_PLANT occurs
+// in a history.
+func plantedFindings(h *History) (findings []Finding) {
+	activeCuts := 0
 	for _, e := range h.Events {
 		switch {
-		case e.Kind == Faulted && strings.HasPrefix(e.What, "cut sidecars"):
-			cut++
-		case e.Kind == Mended && strings.HasPrefix(e.What, "cut sidecars"):
-			cut--
-		case e.Kind == Faulted && strings.HasPrefix(e.What, "stop") && cut > 0:
-			all = append(all, Finding{Rule: "planted", At: e.At, Text: fmt.Sprint(e.What)})
+		case e.Kind == EventFaultStart && strings.HasPrefix(e.Detail, "cut sidecars"):
+			activeCuts++
+		case e.Kind == EventFaultEnd && strings.HasPrefix(e.Detail, "cut sidecars"):
+			activeCuts--
+		case e.Kind == EventFaultStart && strings.HasPrefix(e.Detail, "stop") && activeCuts > 0:
+			findings = append(findings, Finding{Rule: "planted", At: e.At, Message: fmt.Sprint(e.Detail)})
 		}
 	}
-	return all
+	return findings
 }
--- a/internal/fleet/zones_test.go
+++ b/internal/fleet/zones_test.go
@@ -9,8 +9,9 @@
 	"chalkrack/internal/duration"
 )
 
-// zoned are the settings of a fleet that leaves zones. @SOCKET@ is each sidecar's own.
-const zoned = `[admin]
+// zoneFeatures are the features of a fleet that leaves failed zones. @SOCKET@ is replaced by the
+// path of the admin socket of each sidecar.
+const zoneFeatures = `[admin]
 socket = "@SOCKET@"
 [duty]
 enabled = true
@@ -22,302 +23,310 @@
 proof = "500ms"
 `
 
-// leaving is a shipped schedule, shortened: its first fault lasts so long, and the run so
-// much longer.
-func leaving(t *testing.T, name string, fault, after time.Duration) *Schedule {
-	s := shipped(t, name)
-	s.Features = zoned
+// shortSchedule returns an embedded schedule with zoneFeatures, whose faults last maxFault at most. The
+// run ends at 2 s plus maxFault plus after.
+func shortSchedule(t *testing.T, name string, maxFault, after time.Duration) *Schedule {
+	s := shippedSchedule(t, name)
+	s.Features = zoneFeatures
 	for n := range s.Faults {
-		if s.Faults[n].For > duration.Duration(fault) {
-			s.Faults[n].For = duration.Duration(fault)
+		if s.Faults[n].For > duration.Duration(maxFault) {
+			s.Faults[n].For = duration.Duration(maxFault)
 		}
 	}
-	s.Length = duration.Duration(2*time.Second + fault + after)
+	s.Length = duration.Duration(2*time.Second + maxFault + after)
 	return s
 }
 
-// stage is a line of a sidecar's log.
+// stageLine is a log line of a sidecar about a change of its stage for a zone.
 type stageLine struct {
 	at             time.Duration
-	who            Party
+	party          Party
 	zone, from, to string
-	why            string
+	reason         string
 }
 
+// stageLines returns the changes of stages that the sidecars logged.
 func (h *History) stageLines() (all []stageLine) {
 	for _, e := range h.Events {
-		if e.Kind != Logged || !strings.Contains(e.What, "msg=zone ") {
+		if e.Kind != EventLogLine || !strings.Contains(e.Detail, "msg=zone ") {
 			continue
 		}
-		l := stageLine{at: e.At, who: e.Who}
+		l := stageLine{at: e.At, party: e.Party}
 		for name, to := range map[string]*string{"zone": &l.zone, "from": &l.from, "to": &l.to} {
-			_, rest, _ := strings.Cut(e.What, " "+name+"=")
+			_, rest, _ := strings.Cut(e.Detail, " "+name+"=")
 			if quoted, ok := strings.CutPrefix(rest, `"`); ok {
 				*to, _, _ = strings.Cut(quoted, `"`)
 			} else {
 				*to, _, _ = strings.Cut(rest, " ")
 			}
 		}
-		_, l.why, _ = strings.Cut(e.What, " why=")
+		_, l.reason, _ = strings.Cut(e.Detail, " why=")
 		all = append(all, l)
 	}
 	return all
 }
 
-// tellStages logs what became of a sidecar and what it held, for a test that fails.
-func (h *History) tellStages(t *testing.T, who Party) {
+// logStages logs the process events and the stages of a sidecar, for a test that fails.
+func (h *History) logStages(t *testing.T, party Party) {
 	for _, e := range h.Events {
-		if e.Kind == Process && e.Who == who {
-			t.Logf("%s %v: %s", who, e.At.Round(time.Millisecond), e.What)
+		if e.Kind == EventProcess && e.Party == party {
+			t.Logf("%s %v: %s", party, e.At.Round(time.Millisecond), e.Detail)
 		}
 	}
 	for _, l := range h.stageLines() {
-		if l.who == who {
-			t.Logf("%s %v: zone %s from %s to %s, %s", who, l.at.Round(time.Millisecond), l.zone, l.from, l.to, l.why)
+		if l.party == party {
+			t.Logf("%s %v: zone %s from %s to %s, %s", party, l.at.Round(time.Millisecond), l.zone, l.from, l.to, l.reason)
 		}
 	}
 }
 
-// leftBy is who told that it left a zone, and when first.
-func (h *History) leftBy(zone, how string) map[Party]time.Duration {
-	all := make(map[Party]time.Duration)
+// enteredStage returns the sidecars that logged a stage for a zone, with the time when each first
+// entered it.
+func (h *History) enteredStage(zone, stage string) map[Party]time.Duration {
+	entered := make(map[Party]time.Duration)
 	for _, l := range h.stageLines() {
-		if _, known := all[l.who]; l.zone == zone && l.to == how && !known {
-			all[l.who] = l.at
+		if _, known := entered[l.party]; l.zone == zone && l.to == stage && !known {
+			entered[l.party] = l.at
 		}
 	}
-	return all
+	return entered
 }
 
-// left is who left a zone, and when first: went from where all send to where nobody or few do.
-// One that hears of a departure late, after a partition, goes straight to a stage of the return.
-func (h *History) left(zone string) map[Party]time.Duration {
-	all, sends := make(map[Party]time.Duration), map[string]bool{"all": true, "part": true, "left alone": true}
+// departures returns the sidecars that left a zone, with the time when each first did so: when it
+// went from a stage in which it sends normally to one in which it sends nothing or little. A sidecar
+// that learns of a departure late, after a partition, enters a stage of the return directly.
+func (h *History) departures(zone string) map[Party]time.Duration {
+	departed, sendingStages := make(map[Party]time.Duration), map[string]bool{"all": true, "part": true, "left alone": true}
 	for _, l := range h.stageLines() {
-		if _, known := all[l.who]; l.zone == zone && sends[l.from] && !sends[l.to] && !known {
-			all[l.who] = l.at
+		if _, known := departed[l.party]; l.zone == zone && sendingStages[l.from] && !sendingStages[l.to] && !known {
+			departed[l.party] = l.at
 		}
 	}
-	return all
+	return departed
 }
 
-// outWithin is the stated time for all to be out, with what a slow machine adds.
-const outWithin = 2*time.Second + 700*time.Millisecond
+// departureLimit is the guaranteed time for all sidecars to leave a zone, plus a tolerance for slow
+// machines.
+const departureLimit = 2*time.Second + 700*time.Millisecond
 
-// The whole of it over real processes: a zone vanishes, and dies with resets. All are out
-// within the stated time, those with hardly a call too; few calls are lost; few go first
-// when it is back, and then all.
+// A zone becomes unreachable, or its servers die with resets, and is back later. The test guards
+// against sidecars that leave too late, also those with very few calls, against many lost calls, and
+// against a return that is not gradual or not complete.
 func TestFleetLeavesAndReturns(t *testing.T) {
 	t.Parallel()
 	for _, name := range []string{"zone-vanishes", "zone-dies"} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			s := leaving(t, name, 1500*time.Millisecond, 12*time.Second)
+			s := shortSchedule(t, name, 1500*time.Millisecond, 12*time.Second)
 			s.Quiet = 2
-			h := play(t, s)
-			l := h.Leavings()[0]
-			out := h.left("a")
+			h := runSchedule(t, s)
+			exit := h.ZoneExits()[0]
+			departed := h.departures("a")
 			for n := range 12 {
-				if at, ok := out[sidecarParty(n)]; !ok || at > l.From+outWithin {
-					t.Errorf("sidecar %d left %v after the fault: %v", n+1, at-l.From, ok)
+				if left, ok := departed[sidecarParty(n)]; !ok || left > exit.Start+departureLimit {
+					t.Errorf("sidecar %d left zone a %v after the fault (left: %v)", n+1, left-exit.Start, ok)
 				}
 			}
-			if l.Lost*20 > l.Asked {
-				t.Errorf("%d of %d calls not served", l.Lost, l.Asked)
+			if exit.NotServed*20 > exit.Calls {
+				t.Errorf("%d of %d calls not served", exit.NotServed, exit.Calls)
 			}
-			back := h.leftBy("a", "all")
-			if len(back) != 12 {
-				t.Errorf("%d returned", len(back))
+			returned := h.enteredStage("a", "all")
+			if len(returned) != 12 {
+				t.Errorf("%d sidecars returned to zone a, want 12", len(returned))
 				for n := range 12 {
-					if who := sidecarParty(n); back[who] == 0 {
-						h.tellStages(t, who)
+					if party := sidecarParty(n); returned[party] == 0 {
+						h.logStages(t, party)
 					}
 				}
 			}
 			for _, other := range []string{"b", "c"} {
-				if n := len(h.left(other)); n > 0 {
-					t.Errorf("%d left zone %s", n, other)
+				if n := len(h.departures(other)); n > 0 {
+					t.Errorf("%d sidecars left zone %s, which is healthy", n, other)
 				}
 			}
-			// Before anybody held that all may go, one sidecar after the other sent there.
-			h.keepsPace(t, "a", l.To)
+			// Sidecars return one after the other until the first of them lets all return.
+			h.checkReturnPace(t, "a", exit.End)
 		})
 	}
 }
 
-// keepsPace fails where a second of a zone's return, before anybody holds that all may send
-// there, has more sends than a quarter of what three servers bear, and two for each of three
-// that go first.
-func (h *History) keepsPace(t *testing.T, zone string, from time.Duration) {
+// checkReturnPace fails the test if a second of the return to a zone, before any sidecar is in the
+// stage in which all may send there, has more sends than a quarter of what three servers can serve
+// plus two for each of the three sidecars that return first.
+func (h *History) checkReturnPace(t *testing.T, zone string, from time.Duration) {
 	t.Helper()
-	first := time.Duration(1 << 62)
-	for _, at := range h.leftBy(zone, "all") {
-		first = min(first, at)
+	firstAll := time.Duration(1 << 62)
+	for _, at := range h.enteredStage(zone, "all") {
+		firstAll = min(firstAll, at)
 	}
 	perSecond := make(map[time.Duration]int)
 	for _, a := range h.Attempts() {
-		if a.Zone == zone && a.At > from && a.At < first-100*time.Millisecond {
+		if a.Zone == zone && a.At > from && a.At < firstAll-100*time.Millisecond {
 			perSecond[a.At/time.Second]++
 		}
 	}
-	for s, n := range perSecond {
+	for second, n := range perSecond {
 		if n > 15+6 {
-			t.Errorf("second %d: %d sends before all may", s, n)
+			t.Errorf("second %d: %d sends to the zone before all may send, want 21 at most", second, n)
 		}
 	}
 }
 
-// holds is what each sidecar holds of a zone at the end, by its log; those that have said nothing
-// since they started last are not there: they hold that all may, as they do at a start.
-func (h *History) holds(zone string) map[Party]string {
-	all, started := make(map[Party]string), make(map[Party]time.Duration)
+// finalStages returns the stage of each sidecar for a zone at the end, according to its log. Sidecars
+// that logged no change since their last start are omitted: they are in the stage in which all may
+// send, which is the first one.
+func (h *History) finalStages(zone string) map[Party]string {
+	stages, started := make(map[Party]string), make(map[Party]time.Duration)
 	for _, e := range h.Events {
-		if e.Kind == Process && e.What == "started" {
-			started[e.Who] = max(e.At, started[e.Who])
+		if e.Kind == EventProcess && e.Detail == "started" {
+			started[e.Party] = max(e.At, started[e.Party])
 		}
 	}
 	for _, l := range h.stageLines() {
-		if l.zone == zone && l.at >= started[l.who] {
-			all[l.who] = l.to
+		if l.zone == zone && l.at >= started[l.party] {
+			stages[l.party] = l.to
 		}
 	}
-	return all
+	return stages
 }
 
-// What is no failing zone for the fleet: half of it is cut off, one has a bad link, all
-// zones fail alike. Nobody leaves but those who are cut off, and they alone.
-func TestNoFalseDeparture(t *testing.T) {
+// Guards against a fleet that leaves a zone which has not failed for the fleet: half of the sidecars
+// are cut off from it, one has a bad link, or all zones fail at once. Only the sidecars that are cut
+// off may leave, each for itself.
+func TestNoDepartureFromWorkingZones(t *testing.T) {
 	t.Parallel()
-	for name, cut := range map[string]int{"half-cut": 6, "bad-link": 1, "all-zones": 0} {
+	for name, cutOff := range map[string]int{"half-cut": 6, "bad-link": 1, "all-zones": 0} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			h := play(t, leaving(t, name, 3*time.Second, time.Second))
-			for _, z := range []string{"a", "b", "c"} {
-				if by := h.left(z); len(by) > 0 {
-					t.Errorf("zone %s was left by %v", z, by)
+			h := runSchedule(t, shortSchedule(t, name, 3*time.Second, time.Second))
+			for _, zone := range []string{"a", "b", "c"} {
+				if departed := h.departures(zone); len(departed) > 0 {
+					t.Errorf("zone %s was left by %v, want none", zone, departed)
 				}
 			}
-			alone := h.leftBy("a", "left alone")
-			for who := range alone {
+			leftAlone := h.enteredStage("a", "left alone")
+			for party := range leftAlone {
 				var n int
-				fmt.Sscanf(string(who), "sidecar:%d", &n)
-				if n > cut {
-					t.Errorf("%s is not cut off and left alone", who)
+				fmt.Sscanf(string(party), "sidecar:%d", &n)
+				if n > cutOff {
+					t.Errorf("%s left zone a alone and is not cut off", party)
 				}
 			}
-			if cut > 0 && len(alone) == 0 {
-				t.Error("nobody that is cut off left alone")
-				sends, to := 0, 0
+			if cutOff > 0 && len(leftAlone) == 0 {
+				t.Error("no sidecar that is cut off left zone a alone")
+				sends, toZoneA := 0, 0
 				for _, a := range h.Attempts() {
-					if a.By == sidecarParty(0) && a.At > 2*time.Second {
+					if a.Sidecar == sidecarParty(0) && a.At > 2*time.Second {
 						if sends++; a.Zone == "a" {
-							to++
+							toZoneA++
 						}
 					}
 				}
-				t.Logf("sidecar 1 since the fault: %d sends, %d of them to zone a", sends, to)
-				h.tellStages(t, sidecarParty(0))
+				t.Logf("sidecar 1 since the fault: %d sends, %d of them to zone a", sends, toZoneA)
+				h.logStages(t, sidecarParty(0))
 			}
 		})
 	}
 }
 
-// Sidecars are killed and started again while the fleet leaves and after: each holds the
-// fleet's stage soon after its start, and sends nothing there until the fleet does.
-func TestRestartsTakeTheFleetsStage(t *testing.T) {
+// Sidecars are killed and started again while the fleet leaves a zone and afterwards. The test guards
+// against a restarted sidecar that does not soon adopt the stage of the fleet, and sends into the
+// zone that the fleet has left.
+func TestRestartedSidecarsAdoptStage(t *testing.T) {
 	t.Parallel()
-	s := leaving(t, "restarts", 5*time.Second, 500*time.Millisecond)
-	s.Features = strings.Replace(zoned, `dwell = "1s"`, `dwell = "20s"`+"\n"+`dwell_most = "1m"`, 1)
-	h := play(t, s)
+	s := shortSchedule(t, "restarts", 5*time.Second, 500*time.Millisecond)
+	s.Features = strings.Replace(zoneFeatures, `dwell = "1s"`, `dwell = "20s"`+"\n"+`dwell_most = "1m"`, 1)
+	h := runSchedule(t, s)
 	started := make(map[Party]time.Duration)
 	for _, e := range h.Events {
-		if e.Kind == Process && e.What == "serves" {
-			started[e.Who] = e.At
+		if e.Kind == EventProcess && e.Detail == "serves" {
+			started[e.Party] = e.At
 		}
 	}
 	if len(started) != 4 {
-		t.Fatalf("%d started again", len(started))
+		t.Fatalf("%d sidecars served again after a restart, want 4", len(started))
 	}
-	for who, at := range started {
+	for party, at := range started {
 		for _, a := range h.Attempts() {
-			if a.By == who && a.Zone == "a" && a.At > at+1500*time.Millisecond {
-				t.Errorf("%s serves since %v and sends to zone a at %v", who, at, a.At)
+			if a.Sidecar == party && a.Zone == "a" && a.At > at+1500*time.Millisecond {
+				t.Errorf("%s serves since %v and sends to zone a at %v, although the fleet has left it", party, at, a.At)
 				break
 			}
 		}
 	}
 }
 
-// A zone that comes back as other servers, cold ones; a fleet whose only other zone is cold; two
-// zones lost whose rest can't carry it; servers that drain while sidecars are stopped. No rule
-// is broken, no cold server pushed over, and the last zone stays in use.
-func TestHarderZones(t *testing.T) {
+// A zone returns with other, cold servers; the only other zone is cold; the zone that remains of
+// three lacks the capacity; servers drain while sidecars are stopped. The test guards against
+// violations of the rules, above all cold servers that fail from overload, and against a departure
+// from the last usable zone.
+func TestZonesWithFurtherFaults(t *testing.T) {
 	t.Parallel()
-	for name, last := range map[string]string{"other-servers": "b", "cold-refuge": "b", "too-little": "c", "drain": "a"} {
+	for name, lastZone := range map[string]string{"other-servers": "b", "cold-refuge": "b", "too-little": "c", "drain": "a"} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			s := shipped(t, name)
-			s.Features = zoned
-			h := play(t, s)
-			if by := h.left(last); len(by) > 0 {
-				t.Errorf("zone %s was left by %v", last, by)
+			s := shippedSchedule(t, name)
+			s.Features = zoneFeatures
+			h := runSchedule(t, s)
+			if departed := h.departures(lastZone); len(departed) > 0 {
+				t.Errorf("zone %s was left by %v, want none", lastZone, departed)
 			}
 			if name == "other-servers" {
-				came := 0
+				otherServerSends := 0
 				for _, a := range h.Attempts() {
 					if n := a.Server; n == "s10" || n == "s13" || n == "s16" {
-						came++
+						otherServerSends++
 					}
 				}
-				if len(h.left("a")) < 12 || came == 0 {
-					t.Errorf("%d left zone a, %d sends to its other servers", len(h.left("a")), came)
+				if len(h.departures("a")) < 12 || otherServerSends == 0 {
+					t.Errorf("%d sidecars left zone a, want 12; %d sends to its other servers, want some", len(h.departures("a")), otherServerSends)
 				}
 			}
 		})
 	}
 }
 
-// An order to leave reaches all, through a fleet that hears half of the notes only; the
-// later order wins everywhere.
-func TestOrdersReachAll(t *testing.T) {
+// Guards against orders that do not reach all sidecars, or that an earlier order overrides, while
+// half of the notes are lost.
+func TestOrdersReachAllSidecars(t *testing.T) {
 	t.Parallel()
-	s := shipped(t, "zone-vanishes")
-	s.Features, s.Length = zoned, duration.Duration(9*time.Second)
+	s := shippedSchedule(t, "zone-vanishes")
+	s.Features, s.Length = zoneFeatures, duration.Duration(9*time.Second)
 	order := func(at time.Duration, on, action string) Fault {
-		return Fault{At: duration.Duration(at), Kind: Deed, On: on, Name: "zones/order", With: `{"zone":"b","action":"` + action + `","who":"kim","reason":"a test"}`}
+		return Fault{At: duration.Duration(at), Kind: AdminCall, On: on, Name: "zones/order", With: `{"zone":"b","action":"` + action + `","who":"kim","reason":"a test"}`}
 	}
 	s.Faults = []Fault{{At: 0, Kind: Loss, From: "sidecars", To: "sidecars", Share: 0.5},
 		order(1500*time.Millisecond, "sidecar:3", "leave"), order(5*time.Second, "sidecar:9", "return")}
-	h := play(t, s)
-	left, back := h.left("b"), h.leftBy("b", "1/64")
+	h := runSchedule(t, s)
+	departed, returned := h.departures("b"), h.enteredStage("b", "1/64")
 	for n := range 12 {
-		who := sidecarParty(n)
-		if at, ok := left[who]; !ok || at > 1500*time.Millisecond+outWithin {
-			t.Errorf("%s left at %v, %v", who, at, ok)
+		party := sidecarParty(n)
+		if at, ok := departed[party]; !ok || at > 1500*time.Millisecond+departureLimit {
+			t.Errorf("%s left zone b at %v (left: %v)", party, at, ok)
 		}
-		if at, ok := back[who]; !ok || at < 5*time.Second {
-			t.Errorf("%s began its return at %v, %v", who, at, ok)
+		if at, ok := returned[party]; !ok || at < 5*time.Second {
+			t.Errorf("%s began its return to zone b at %v (began: %v)", party, at, ok)
 		}
 	}
 	for _, e := range h.Events {
-		if e.Kind == Process && strings.HasPrefix(e.What, "deed") && !strings.HasSuffix(e.What, "done") {
-			t.Error(e.What)
+		if e.Kind == EventProcess && strings.HasPrefix(e.Detail, "deed") && !strings.HasSuffix(e.Detail, "done") {
+			t.Error(e.Detail)
 		}
 	}
 }
 
-// Without the section nothing is sent among sidecars, and no zone is left.
-func TestOffByDefault(t *testing.T) {
+// Guards against sidecars that send notes or leave zones although the features do not enable it.
+func TestNoNotesAndNoDeparturesByDefault(t *testing.T) {
 	t.Parallel()
-	s := leaving(t, "zone-vanishes", 2*time.Second, 500*time.Millisecond)
+	s := shortSchedule(t, "zone-vanishes", 2*time.Second, 500*time.Millisecond)
 	s.Features = "[admin]\nsocket = \"@SOCKET@\"\n"
-	h := play(t, s)
+	h := runSchedule(t, s)
 	for _, e := range h.Events {
-		if e.Kind == Figure && e.What == "notes" && e.Value > 0 {
-			t.Errorf("%s sent %v notes", e.Who, e.Value)
+		if e.Kind == EventMeasurement && e.Detail == "notes" && e.Value > 0 {
+			t.Errorf("%s sent %v notes", e.Party, e.Value)
 		}
 	}
 	if lines := h.stageLines(); len(lines) > 0 {
-		t.Errorf("%+v", lines)
+		t.Errorf("changes of stages: %+v, want none", lines)
 	}
 }
