--- a/internal/radius/client/client.go
+++ b/internal/radius/client/client.go
@@ -61,7 +61,7 @@
 	defer context.AfterFunc(ctx, func() { conn.SetReadDeadline(time.Unix(1, 0)) })()
 	began := time.Now()
 	refused := 0
-	buf := make([]byte, radius.MaxSize)
+	buf := make([]byte, radius.MaxPacketBytes)
 	for range cfg.Tries {
 		if _, err := conn.Write(wire); err == nil {
 			r.Packets++
--- a/internal/radius/crypto.go
+++ b/internal/radius/crypto.go
@@ -2,18 +2,19 @@
 
 import (
 	"crypto/hmac"
-	"crypto/md5" // #nosec: the protocol has no other
+	"crypto/md5" // #nosec: RADIUS defines no other digest
 	"crypto/subtle"
 	"errors"
 )
 
-// ErrHidden is the error of a hidden value that can't be one.
-var ErrHidden = errors.New("radius: hidden value of a wrong form")
+// ErrBadHiddenValue reports a hidden value (password or salted value) whose length is impossible, or
+// which was hidden under another secret.
+var ErrBadHiddenValue = errors.New("radius: hidden value is malformed or hidden under another secret")
 
-// passwordMost is the longest User-Password (RFC 2865 section 5.2).
-const passwordMost = 128
+// maxPasswordBytes is the longest User-Password (RFC 2865 section 5.2).
+const maxPasswordBytes = 128
 
-func digest(parts ...[]byte) Authenticator {
+func md5Digest(parts ...[]byte) Authenticator {
 	h := md5.New()
 	for _, p := range parts {
 		h.Write(p)
@@ -27,96 +28,104 @@
 	}
 }
 
-// hide XORs padded text with a chain of digests that begins with seed (RFC 2865 section
-// 5.2, RFC 2868 section 3.5).
-func hide(padded, secret []byte, seed ...[]byte) []byte {
-	out := make([]byte, len(padded))
-	chain := digest(append([][]byte{secret}, seed...)...)
+// hideBlocks XORs padded text, whose length is a multiple of 16, with a chain of digests. The
+// first digest covers the secret and seed, each later one the secret and the hidden block before
+// it (RFC 2865 section 5.2, RFC 2868 section 3.5).
+func hideBlocks(padded, secret []byte, seed ...[]byte) []byte {
+	hidden := make([]byte, len(padded))
+	chain := md5Digest(append([][]byte{secret}, seed...)...)
 	for n := 0; n < len(padded); n += 16 {
-		xor16(out[n:], padded[n:], chain)
-		chain = digest(secret, out[n:n+16])
+		xor16(hidden[n:], padded[n:], chain)
+		chain = md5Digest(secret, hidden[n:n+16])
 	}
-	return out
+	return hidden
 }
 
-func reveal(hidden, secret []byte, seed ...[]byte) []byte {
-	out := make([]byte, len(hidden))
-	chain := digest(append([][]byte{secret}, seed...)...)
+// revealBlocks is the inverse of hideBlocks.
+func revealBlocks(hidden, secret []byte, seed ...[]byte) []byte {
+	padded := make([]byte, len(hidden))
+	chain := md5Digest(append([][]byte{secret}, seed...)...)
 	for n := 0; n < len(hidden); n += 16 {
-		xor16(out[n:], hidden[n:], chain)
-		chain = digest(secret, hidden[n:n+16])
+		xor16(padded[n:], hidden[n:], chain)
+		chain = md5Digest(secret, hidden[n:n+16])
 	}
-	return out
+	return padded
 }
 
-// HidePassword hides a User-Password under a request's authenticator.
-func HidePassword(password, secret []byte, auth Authenticator) ([]byte, error) {
-	if len(password) > passwordMost {
-		return nil, ErrHidden
+// HidePassword returns a password in the hidden form of the attribute User-Password, for a
+// request with that authenticator. It returns an error for more than 128 bytes.
+func HidePassword(password, secret []byte, authenticator Authenticator) ([]byte, error) {
+	if len(password) > maxPasswordBytes {
+		return nil, ErrBadHiddenValue
 	}
 	padded := make([]byte, max(16, (len(password)+15)/16*16))
 	copy(padded, password)
-	return hide(padded, secret, auth[:]), nil
+	return hideBlocks(padded, secret, authenticator[:]), nil
 }
 
-// RevealPassword is the password that HidePassword hid, with its padding: whether a
-// zero at the end belongs to it can't be told, and another hop pads alike.
-func RevealPassword(hidden, secret []byte, auth Authenticator) ([]byte, error) {
-	if len(hidden) == 0 || len(hidden)%16 != 0 || len(hidden) > passwordMost {
-		return nil, ErrHidden
+// RevealPassword returns the password that HidePassword hid. It keeps the zero bytes of the
+// padding: they can't be told from zeros at the end of the password, and the next hop pads in the
+// same way.
+func RevealPassword(hidden, secret []byte, authenticator Authenticator) ([]byte, error) {
+	if len(hidden) == 0 || len(hidden)%16 != 0 || len(hidden) > maxPasswordBytes {
+		return nil, ErrBadHiddenValue
 	}
-	return reveal(hidden, secret, auth[:]), nil
+	return revealBlocks(hidden, secret, authenticator[:]), nil
 }
 
-// Salt is the salt of a salted value; its first bit is set (RFC 2868 section 3.5).
+// Salt is the salt of a salted value. Its first bit must be set (RFC 2868 section 3.5), and
+// HideSalted sets it.
 type Salt [2]byte
 
-// rehideSalted hides a salted value (salt and hidden text: Tunnel-Password behind its
-// tag, MS-MPPE keys) anew, from the secret and authenticator of one hop to those of
-// another. The salt stays: it must only differ within one packet, and does.
-func rehideSalted(value, from, to []byte, fromAuth, toAuth Authenticator) ([]byte, error) {
+// rehideSalted reveals a salted value (a salt, then hidden text) under the secret and
+// authenticator of one hop and hides it under those of another. Tunnel-Password after its tag and
+// the MS-MPPE keys have this form. The salt stays the same: salts only have to differ within one
+// packet, and they still do.
+func rehideSalted(value, fromSecret, toSecret []byte, fromAuthenticator, toAuthenticator Authenticator) ([]byte, error) {
 	if len(value) < 2+16 || (len(value)-2)%16 != 0 {
-		return nil, ErrHidden
+		return nil, ErrBadHiddenValue
 	}
 	salt := value[:2]
-	clear := reveal(value[2:], from, fromAuth[:], salt)
-	if int(clear[0]) > len(clear)-1 { // hidden under another secret
-		return nil, ErrHidden
+	plaintext := revealBlocks(value[2:], fromSecret, fromAuthenticator[:], salt)
+	if int(plaintext[0]) > len(plaintext)-1 { // the length byte is impossible: hidden under another secret
+		return nil, ErrBadHiddenValue
 	}
-	return append(append(make([]byte, 0, len(value)), salt...), hide(clear, to, toAuth[:], salt)...), nil
+	return append(append(make([]byte, 0, len(value)), salt...), hideBlocks(plaintext, toSecret, toAuthenticator[:], salt)...), nil
 }
 
-// HideSalted hides a value under a salt.
-func HideSalted(value, secret []byte, auth Authenticator, salt Salt) ([]byte, error) {
+// HideSalted returns the salt followed by the value in hidden form. It returns an error for a
+// value of more than 239 bytes.
+func HideSalted(value, secret []byte, authenticator Authenticator, salt Salt) ([]byte, error) {
 	if len(value) > 239 {
-		return nil, ErrHidden
+		return nil, ErrBadHiddenValue
 	}
 	padded := make([]byte, (1+len(value)+15)/16*16)
 	padded[0] = byte(len(value))
 	copy(padded[1:], value)
 	salt[0] |= 0x80
-	return append(salt[:], hide(padded, secret, auth[:], salt[:])...), nil
+	return append(salt[:], hideBlocks(padded, secret, authenticator[:], salt[:])...), nil
 }
 
-// RevealSalted is the value that HideSalted hid.
-func RevealSalted(value, secret []byte, auth Authenticator) ([]byte, error) {
+// RevealSalted returns the value that HideSalted hid, without salt and padding.
+func RevealSalted(value, secret []byte, authenticator Authenticator) ([]byte, error) {
 	if len(value) < 2+16 || (len(value)-2)%16 != 0 {
-		return nil, ErrHidden
+		return nil, ErrBadHiddenValue
 	}
-	clear := reveal(value[2:], secret, auth[:], value[:2])
-	if int(clear[0]) > len(clear)-1 {
-		return nil, ErrHidden
+	plaintext := revealBlocks(value[2:], secret, authenticator[:], value[:2])
+	if int(plaintext[0]) > len(plaintext)-1 {
+		return nil, ErrBadHiddenValue
 	}
-	return clear[1 : 1+clear[0]], nil
+	return plaintext[1 : 1+plaintext[0]], nil
 }
 
-// messageAuthenticator is HMAC-MD5 over the packet with that attribute's value zero and
-// auth in the authenticator's place (RFC 2869 section 5.14). ok is false if the packet
-// has none.
-func (p *Packet) messageAuthenticator(secret []byte, auth Authenticator) (sum Authenticator, at int, ok bool) {
+// messageAuthenticator returns the value that the packet's Message-Authenticator must have, and
+// the offset of the present value in the attributes. The value is an HMAC-MD5 over the packet with
+// 16 zero bytes as Message-Authenticator and the given authenticator in the header (RFC 2869
+// section 5.14). ok is false if the packet has no such attribute.
+func (p *Packet) messageAuthenticator(secret []byte, authenticator Authenticator) (sum Authenticator, offset int, ok bool) {
 	for n := 0; n < len(p.attrs); n += int(p.attrs[n+1]) {
 		if Type(p.attrs[n]) == MessageAuthenticator {
-			at, ok = n+2, true
+			offset, ok = n+2, true
 			break
 		}
 	}
@@ -124,92 +133,99 @@
 		return sum, 0, false
 	}
 	q := *p
-	q.Authenticator = auth
-	b := q.Marshal()
-	clear(b[headSize+at : headSize+at+16])
+	q.Authenticator = authenticator
+	wire := q.Marshal()
+	clear(wire[headerBytes+offset : headerBytes+offset+16])
 	h := hmac.New(md5.New, secret)
-	h.Write(b)
-	return Authenticator(h.Sum(nil)), at, true
+	h.Write(wire)
+	return Authenticator(h.Sum(nil)), offset, true
 }
 
-// hmacAuth is what stands in the authenticator's place for a request's
-// Message-Authenticator: its own, or zero where that is a digest itself.
-func (p *Packet) hmacAuth() Authenticator {
+// hmacAuthenticator returns the authenticator over which a request's Message-Authenticator is
+// computed. It is the request's own, but zero for an Accounting-Request, whose authenticator is
+// itself a digest of the packet.
+func (p *Packet) hmacAuthenticator() Authenticator {
 	if p.Code == AccountingRequest {
 		return Authenticator{}
 	}
 	return p.Authenticator
 }
 
-// seal fills in a packet's Message-Authenticator, if it has the attribute.
-func (p *Packet) seal(secret []byte, auth Authenticator) {
-	if sum, at, ok := p.messageAuthenticator(secret, auth); ok {
-		copy(p.attrs[at:], sum[:])
+// fillMessageAuthenticator sets the value of the packet's Message-Authenticator, if the packet
+// has the attribute.
+func (p *Packet) fillMessageAuthenticator(secret []byte, authenticator Authenticator) {
+	if sum, offset, ok := p.messageAuthenticator(secret, authenticator); ok {
+		copy(p.attrs[offset:], sum[:])
 	}
 }
 
-func (p *Packet) bodyDigest(auth Authenticator, secret []byte) Authenticator {
-	b := p.Marshal()
-	return digest(b[:4], auth[:], b[headSize:], secret)
+// packetDigest returns the MD5 digest of the packet with the given authenticator in its header,
+// followed by the secret (RFC 2865 section 3).
+func (p *Packet) packetDigest(authenticator Authenticator, secret []byte) Authenticator {
+	wire := p.Marshal()
+	return md5Digest(wire[:4], authenticator[:], wire[headerBytes:], secret)
 }
 
-// SignRequest fills in what a request's secret vouches for: Message-Authenticator if
-// the attribute is there, and an Accounting-Request's authenticator (RFC 2866 section 3).
-// Another request's authenticator must be set, to what nobody can foresee.
+// SignRequest sets the fields of a request that depend on the secret: the value of its
+// Message-Authenticator, if it has one, and the authenticator of an Accounting-Request (RFC 2866
+// section 3). The caller must have set the authenticator of any other request to an unpredictable
+// value.
 func (p *Packet) SignRequest(secret []byte) {
-	p.seal(secret, p.hmacAuth())
+	p.fillMessageAuthenticator(secret, p.hmacAuthenticator())
 	if p.Code == AccountingRequest {
-		p.Authenticator = p.bodyDigest(Authenticator{}, secret)
+		p.Authenticator = p.packetDigest(Authenticator{}, secret)
 	}
 }
 
-// SignAnswer fills in an answer's Message-Authenticator, if it has one, and its
-// authenticator, by that of the request (RFC 2865 section 3).
+// SignAnswer sets an answer's Message-Authenticator, if it has one, and its authenticator. Both
+// depend on the authenticator of the request (RFC 2865 section 3).
 func (p *Packet) SignAnswer(secret []byte, request Authenticator) {
-	p.seal(secret, request)
-	p.Authenticator = p.bodyDigest(request, secret)
+	p.fillMessageAuthenticator(secret, request)
+	p.Authenticator = p.packetDigest(request, secret)
 }
 
-// What is wrong with a packet's vouchers.
+// Errors of VerifyRequest and VerifyAnswer.
 var (
-	ErrUnsigned   = errors.New("radius: no Message-Authenticator")
-	ErrBadMessage = errors.New("radius: Message-Authenticator is wrong")
-	ErrBadAuth    = errors.New("radius: authenticator is wrong")
+	ErrNoMessageAuthenticator  = errors.New("radius: no Message-Authenticator")
+	ErrBadMessageAuthenticator = errors.New("radius: Message-Authenticator is wrong")
+	ErrBadAuthenticator        = errors.New("radius: authenticator is wrong")
 )
 
-func same(a, b []byte) bool { return subtle.ConstantTimeCompare(a, b) == 1 }
+func equalConstantTime(a, b []byte) bool { return subtle.ConstantTimeCompare(a, b) == 1 }
 
-// VerifyRequest checks a request. needed says that access must carry a
-// Message-Authenticator: without one whoever is on the way can change it, and forge its
-// answer (CVE-2024-3596). One that is there is checked in any case, and so is that of
-// Status-Server (RFC 5997 section 3), and of EAP (RFC 3579 section 3.2).
-func (p *Packet) VerifyRequest(secret []byte, needed bool) error {
-	sum, at, ok := p.messageAuthenticator(secret, p.hmacAuth())
+// VerifyRequest checks that a request was signed with the secret. If requireMessageAuthenticator
+// is set, an Access-Request must carry a Message-Authenticator: without it, an attacker on the
+// network path can change the request and forge its answer (CVE-2024-3596). Status-Server (RFC
+// 5997 section 3) and EAP (RFC 3579 section 3.2) always need one, and one that is present is
+// always checked.
+func (p *Packet) VerifyRequest(secret []byte, requireMessageAuthenticator bool) error {
+	sum, offset, ok := p.messageAuthenticator(secret, p.hmacAuthenticator())
 	switch {
-	case ok && !same(sum[:], p.attrs[at:at+16]):
-		return ErrBadMessage
-	case !ok && (p.Code == StatusServer || p.Code == AccessRequest && (needed || p.Get(EAPMessage) != nil)):
-		return ErrUnsigned
+	case ok && !equalConstantTime(sum[:], p.attrs[offset:offset+16]):
+		return ErrBadMessageAuthenticator
+	case !ok && (p.Code == StatusServer || p.Code == AccessRequest && (requireMessageAuthenticator || p.Get(EAPMessage) != nil)):
+		return ErrNoMessageAuthenticator
 	case p.Code == AccountingRequest:
-		if want := p.bodyDigest(Authenticator{}, secret); !same(want[:], p.Authenticator[:]) {
-			return ErrBadAuth
+		if want := p.packetDigest(Authenticator{}, secret); !equalConstantTime(want[:], p.Authenticator[:]) {
+			return ErrBadAuthenticator
 		}
 	}
 	return nil
 }
 
-// VerifyAnswer checks an answer to a request with that authenticator. needed is as for
-// VerifyRequest; accounting needs none.
-func (p *Packet) VerifyAnswer(secret []byte, request Authenticator, needed bool) error {
-	if want := p.bodyDigest(request, secret); !same(want[:], p.Authenticator[:]) {
-		return ErrBadAuth
+// VerifyAnswer checks that an answer to the request with that authenticator was signed with the
+// secret. requireMessageAuthenticator is as for VerifyRequest; an Accounting-Response needs no
+// Message-Authenticator.
+func (p *Packet) VerifyAnswer(secret []byte, request Authenticator, requireMessageAuthenticator bool) error {
+	if want := p.packetDigest(request, secret); !equalConstantTime(want[:], p.Authenticator[:]) {
+		return ErrBadAuthenticator
 	}
-	sum, at, ok := p.messageAuthenticator(secret, request)
+	sum, offset, ok := p.messageAuthenticator(secret, request)
 	switch {
-	case ok && !same(sum[:], p.attrs[at:at+16]):
-		return ErrBadMessage
-	case !ok && p.Code != AccountingResponse && (needed || p.Get(EAPMessage) != nil):
-		return ErrUnsigned
+	case ok && !equalConstantTime(sum[:], p.attrs[offset:offset+16]):
+		return ErrBadMessageAuthenticator
+	case !ok && p.Code != AccountingResponse && (requireMessageAuthenticator || p.Get(EAPMessage) != nil):
+		return ErrNoMessageAuthenticator
 	}
 	return nil
 }
--- a/internal/radius/listener/listener.go
+++ b/internal/radius/listener/listener.go
@@ -127,7 +127,7 @@
 
 // Serve takes requests until Close.
 func (l *Listener) Serve() {
-	buf := make([]byte, radius.MaxSize)
+	buf := make([]byte, radius.MaxPacketBytes)
 	for {
 		n, from, err := l.conn.ReadFromUDPAddrPort(buf)
 		switch {
@@ -192,7 +192,7 @@
 		return
 	}
 	switch err := p.VerifyRequest(c.Secret, !c.Unsigned); {
-	case errors.Is(err, radius.ErrUnsigned):
+	case errors.Is(err, radius.ErrNoMessageAuthenticator):
 		l.count(&l.counts.Unsigned)
 		slog.Warn("radius: request dropped", "client", c.Name, "err", err)
 		return
--- a/internal/radius/listener/memory.go
+++ b/internal/radius/listener/memory.go
@@ -69,7 +69,7 @@
 	defer l.mu.Unlock()
 	before := l.table.Len()
 	for _, c := range m.Calls {
-		if len(c.Authenticator) != len(radius.Authenticator{}) || len(c.Event) > eventSize || len(c.Answer) > radius.MaxSize || !c.Client.IsValid() || (c.Answer == nil) == (c.MayHaveRun == "") {
+		if len(c.Authenticator) != len(radius.Authenticator{}) || len(c.Event) > eventSize || len(c.Answer) > radius.MaxPacketBytes || !c.Client.IsValid() || (c.Answer == nil) == (c.MayHaveRun == "") {
 			return l.table.Len() - before, fmt.Errorf("%w: a call that is none", errMemory)
 		}
 		rec := replies.Record{
--- a/internal/radius/proxy.go
+++ b/internal/radius/proxy.go
@@ -6,109 +6,110 @@
 	"errors"
 )
 
-// Hop is one hop's view of a call: its secret, and the request's authenticator on it.
+// Hop holds what a proxy needs to read and sign the packets of one call on one hop, between client
+// and proxy or between proxy and server: the shared secret and the request's authenticator there.
 type Hop struct {
 	Secret        []byte
 	Authenticator Authenticator
 }
 
-// Forward is the request as a proxy sends it to the next hop (RFC 2865 section 2.3): an
-// identifier and an authenticator of that hop, the password hidden under its secret,
-// CHAP's challenge kept, state added as the last Proxy-State, and a
-// Message-Authenticator of the hop's own in front, for access. The Hop returned is what
-// the answer is checked and read by.
-func Forward(p *Packet, from Hop, secret []byte, id byte, auth Authenticator, state []byte) (*Packet, Hop, error) {
-	out := &Packet{Code: p.Code, ID: id, Authenticator: auth, attrs: make([]byte, 0, len(p.attrs)+64)}
+// ForwardRequest returns a client's request as a proxy sends it to a server (RFC 2865 section
+// 2.3). It has the given identifier and authenticator. Its password is hidden under the server's
+// secret, the CHAP challenge is preserved, and proxyState is appended as the last Proxy-State. An
+// Access-Request gets a new Message-Authenticator as its first attribute. The returned Hop is
+// needed to verify and translate the server's answer.
+func ForwardRequest(request *Packet, clientHop Hop, serverSecret []byte, id byte, authenticator Authenticator, proxyState []byte) (*Packet, Hop, error) {
+	out := &Packet{Code: request.Code, ID: id, Authenticator: authenticator, attrs: make([]byte, 0, len(request.attrs)+64)}
 	var err error
 	add := func(t Type, value []byte) {
 		if err == nil {
 			err = out.Add(t, value)
 		}
 	}
-	if p.Code != AccountingRequest || p.Get(MessageAuthenticator) != nil {
+	if request.Code != AccountingRequest || request.Get(MessageAuthenticator) != nil {
 		add(MessageAuthenticator, make([]byte, 16))
 	}
-	challenge := p.Get(CHAPChallenge) != nil
-	for t, value := range p.All {
+	hasChallenge := request.Get(CHAPChallenge) != nil
+	for t, value := range request.All {
 		switch t {
 		case MessageAuthenticator:
 		case UserPassword:
-			clear, rerr := RevealPassword(value, from.Secret, from.Authenticator)
-			if rerr != nil {
-				return nil, Hop{}, rerr
+			plaintext, revealErr := RevealPassword(value, clientHop.Secret, clientHop.Authenticator)
+			if revealErr != nil {
+				return nil, Hop{}, revealErr
 			}
-			add(t, hide(clear, secret, auth[:]))
+			add(t, hideBlocks(plaintext, serverSecret, authenticator[:]))
 		case CHAPPassword:
 			add(t, value)
-			if !challenge { // else the request's authenticator is the challenge, and that changes here
-				add(CHAPChallenge, from.Authenticator[:])
+			if !hasChallenge { // the client's authenticator is the challenge, and the server gets another
+				add(CHAPChallenge, clientHop.Authenticator[:])
 			}
 		default:
 			add(t, value)
 		}
 	}
-	if p.Code != StatusServer { // it belongs to one hop (RFC 5997 section 3)
-		add(ProxyState, state)
+	if request.Code != StatusServer { // Status-Server is for one hop only (RFC 5997 section 3)
+		add(ProxyState, proxyState)
 	}
 	if err != nil {
 		return nil, Hop{}, err
 	}
-	out.SignRequest(secret)
-	return out, Hop{secret, out.Authenticator}, nil
+	out.SignRequest(serverSecret)
+	return out, Hop{serverSecret, out.Authenticator}, nil
 }
 
-// ErrProxyState is the error of an answer that does not give the proxy's own state back.
-var ErrProxyState = errors.New("radius: Proxy-State is not given back")
+// ErrNoProxyState reports an answer that does not contain the proxy's own Proxy-State.
+var ErrNoProxyState = errors.New("radius: answer does not contain the proxy's Proxy-State")
 
-// microsoft is the vendor of the MS-MPPE keys; their types (RFC 2548 section 2.4).
+// The vendor number and the vendor types of the MS-MPPE keys (RFC 2548 section 2.4).
 const (
-	microsoft   = 311
-	mppeSendKey = 16
-	mppeRecvKey = 17
+	vendorMicrosoft = 311
+	mppeSendKey     = 16
+	mppeRecvKey     = 17
 )
 
-// Return is a server's answer as a proxy hands it back: under the request's identifier
-// on its first hop, with the proxy's own Proxy-State taken off and the request's given
-// back in their order, and what is hidden hidden anew. Hidden values are opened under
-// the server's hop and closed under the client's.
-func Return(p, request *Packet, server, client Hop, state []byte) (*Packet, error) {
-	out := &Packet{Code: p.Code, ID: request.ID, attrs: make([]byte, 0, len(p.attrs)+32)}
+// ForwardAnswer returns a server's answer as a proxy sends it to the client: with the identifier
+// of the client's request, and signed with the client's secret. All Proxy-States are replaced by
+// those of the client's request, in their order. Hidden values are revealed under the server's hop
+// and hidden under the client's. It returns an error if the answer does not contain proxyState.
+func ForwardAnswer(answer, request *Packet, serverHop, clientHop Hop, proxyState []byte) (*Packet, error) {
+	out := &Packet{Code: answer.Code, ID: request.ID, attrs: make([]byte, 0, len(answer.attrs)+32)}
 	var err error
 	add := func(t Type, value []byte) {
 		if err == nil {
 			err = out.Add(t, value)
 		}
 	}
-	if p.Code != AccountingResponse || p.Get(MessageAuthenticator) != nil {
+	if answer.Code != AccountingResponse || answer.Get(MessageAuthenticator) != nil {
 		add(MessageAuthenticator, make([]byte, 16))
 	}
-	own := false
-	for t, value := range p.All {
+	hasProxyState := false
+	for t, value := range answer.All {
 		switch t {
 		case MessageAuthenticator:
 		case ProxyState:
-			own = own || bytes.Equal(value, state)
+			hasProxyState = hasProxyState || bytes.Equal(value, proxyState)
 		case TunnelPassword:
 			if len(value) < 1 {
-				return nil, ErrHidden
+				return nil, ErrBadHiddenValue
 			}
-			hidden, rerr := rehideSalted(value[1:], server.Secret, client.Secret, server.Authenticator, client.Authenticator)
-			if rerr != nil {
-				return nil, rerr
+			hidden, rehideErr := rehideSalted(value[1:], serverHop.Secret, clientHop.Secret, serverHop.Authenticator, clientHop.Authenticator)
+			if rehideErr != nil {
+				return nil, rehideErr
 			}
 			add(t, append([]byte{value[0]}, hidden...))
 		case VendorSpecific:
-			again, rerr := rehideVendor(value, server, client)
-			if rerr != nil {
-				return nil, rerr
+			rehidden, rehideErr := rehideVendorAttribute(value, serverHop, clientHop)
+			if rehideErr != nil {
+				return nil, rehideErr
 			}
-			add(t, again)
+			add(t, rehidden)
 		default:
 			add(t, value)
 		}
 	}
-	if !own && request.Code != StatusServer {
-		return nil, ErrProxyState
+	if !hasProxyState && request.Code != StatusServer {
+		return nil, ErrNoProxyState
 	}
 	for t, value := range request.All {
 		if t == ProxyState {
@@ -118,45 +119,47 @@
 	if err != nil {
 		return nil, err
 	}
-	out.SignAnswer(client.Secret, client.Authenticator)
+	out.SignAnswer(clientHop.Secret, clientHop.Authenticator)
 	return out, nil
 }
 
-// rehideVendor hides the MS-MPPE keys within a vendor's attribute anew; others stay.
-func rehideVendor(value []byte, server, client Hop) ([]byte, error) {
-	if len(value) < 4 || binary.BigEndian.Uint32(value) != microsoft {
+// rehideVendorAttribute returns the value of a Vendor-Specific attribute with its MS-MPPE keys
+// hidden under the client's hop instead of the server's. All other values stay as they are.
+func rehideVendorAttribute(value []byte, serverHop, clientHop Hop) ([]byte, error) {
+	if len(value) < 4 || binary.BigEndian.Uint32(value) != vendorMicrosoft {
 		return value, nil
 	}
 	out := append(make([]byte, 0, len(value)), value[:4]...)
 	for rest := value[4:]; len(rest) > 0; {
 		if len(rest) < 2 || rest[1] < 2 || int(rest[1]) > len(rest) {
-			return nil, ErrAttribute
+			return nil, ErrBadAttribute
 		}
-		sub := rest[2:rest[1]]
+		subvalue := rest[2:rest[1]]
 		if rest[0] == mppeSendKey || rest[0] == mppeRecvKey {
-			hidden, err := rehideSalted(sub, server.Secret, client.Secret, server.Authenticator, client.Authenticator)
+			hidden, err := rehideSalted(subvalue, serverHop.Secret, clientHop.Secret, serverHop.Authenticator, clientHop.Authenticator)
 			if err != nil {
 				return nil, err
 			}
-			sub = hidden
+			subvalue = hidden
 		}
-		out = append(append(out, rest[0], rest[1]), sub...)
+		out = append(append(out, rest[0], rest[1]), subvalue...)
 		rest = rest[rest[1]:]
 	}
 	return out, nil
 }
 
-// Answer begins an answer of the proxy's own to a request: its Proxy-States are given
-// back, and access has a Message-Authenticator. Sign it once it is whole.
+// Answer returns an unsigned answer of the proxy itself to a request. It contains the request's
+// Proxy-States and, except for accounting, a Message-Authenticator. The caller adds attributes and
+// then calls SignAnswer.
 func Answer(request *Packet, code Code) *Packet {
-	p := &Packet{Code: code, ID: request.ID}
+	answer := &Packet{Code: code, ID: request.ID}
 	if code != AccountingResponse {
-		p.Add(MessageAuthenticator, make([]byte, 16))
+		answer.Add(MessageAuthenticator, make([]byte, 16))
 	}
 	for t, value := range request.All {
 		if t == ProxyState {
-			p.Add(t, value) // as many as the request had fit
+			answer.Add(t, value) // can't fail: all of them fit into the request
 		}
 	}
-	return p
+	return answer
 }
--- a/internal/radius/transport/socket.go
+++ b/internal/radius/transport/socket.go
@@ -54,7 +54,7 @@
 }
 
 func (k *socket) read() {
-	buf := make([]byte, radius.MaxSize)
+	buf := make([]byte, radius.MaxPacketBytes)
 	for {
 		n, err := k.conn.Read(buf)
 		switch {
@@ -105,7 +105,7 @@
 		slog.Warn("radius: answer dropped", "server", k.server.name, "err", err)
 		return
 	}
-	back, err := radius.Return(p, a.request.Packet, a.hop, a.request.From, a.state)
+	back, err := radius.ForwardAnswer(p, a.request.Packet, a.hop, a.request.From, a.state)
 	if err != nil { // the server's own fault: no other answer will be better
 		t.counts.Malformed++
 		slog.Warn("radius: answer can't be handed back", "server", k.server.name, "err", err)
--- a/internal/radius/transport/transport.go
+++ b/internal/radius/transport/transport.go
@@ -376,7 +376,7 @@
 	rand.Read(auth[:])
 	a.state = make([]byte, stateSize)
 	rand.Read(a.state)
-	p, hop, err := radius.Forward(a.request.Packet, a.request.From, secret, id.Number, auth, a.state)
+	p, hop, err := radius.ForwardRequest(a.request.Packet, a.request.From, secret, id.Number, auth, a.state)
 	if err != nil {
 		slog.Info("radius: request can't be sent on", "err", err)
 		s.ids.Give(t.now(), id, true)
--- a/internal/radius/transport/transport_test.go
+++ b/internal/radius/transport/transport_test.go
@@ -57,7 +57,7 @@
 // get is the next packet.
 func (p *peer) get() []byte {
 	p.t.Helper()
-	buf := make([]byte, radius.MaxSize)
+	buf := make([]byte, radius.MaxPacketBytes)
 	p.conn.SetReadDeadline(time.Now().Add(patience))
 	n, from, err := p.conn.ReadFromUDP(buf)
 	if err != nil {
@@ -71,7 +71,7 @@
 func (p *peer) nothing(within time.Duration) {
 	p.t.Helper()
 	p.conn.SetReadDeadline(time.Now().Add(within))
-	if n, _, err := p.conn.ReadFromUDP(make([]byte, radius.MaxSize)); err == nil {
+	if n, _, err := p.conn.ReadFromUDP(make([]byte, radius.MaxPacketBytes)); err == nil {
 		p.t.Errorf("a packet of %d bytes came", n)
 	}
 }
