--- a/internal/radius/client/client.go
+++ b/internal/radius/client/client.go
@@ -1,5 +1,6 @@
-// Package client asks a RADIUS server or proxy one thing, as a terminal does: the same
-// packet again until its answer comes (RFC 5080 section 2.2.1, without its jitter).
+// Package client sends one RADIUS request to a server or proxy, as a network access server does.
+// It retransmits the same packet until a valid answer comes (RFC 5080 section 2.2.1, but without
+// the jitter of the RFC).
 package client
 
 import (
@@ -14,88 +15,92 @@
 	"chalkrack/internal/radius"
 )
 
-// Config is whom to ask, and how.
+// Config says where a request is sent, with which secret, and how often.
 type Config struct {
 	To     netip.AddrPort
 	Secret []byte
-	Tries  int           // packets at most, 1 to 100
-	Wait   time.Duration // after each packet
-	// Unsigned takes answers to access without Message-Authenticator (CVE-2024-3596).
+	Tries  int           // number of packets sent at most, 1 to 100
+	Wait   time.Duration // time to wait for the answer after each packet
+	// Unsigned accepts answers to Access-Requests without Message-Authenticator, which can be
+	// forged (CVE-2024-3596).
 	Unsigned bool
 }
 
-// Reply is an answer, and what it took.
+// Reply is an answer, with what the exchange took.
 type Reply struct {
 	Packet  *radius.Packet
-	Packets int // sent
-	Dropped int // datagrams that were no answer
-	After   time.Duration
+	Packets int           // packets sent
+	Dropped int           // datagrams received that were not a valid answer
+	After   time.Duration // from the first packet to the answer
 }
 
 var (
-	// ErrNoAnswer says that none came in time.
+	// ErrNoAnswer reports that no valid answer came in time.
 	ErrNoAnswer = errors.New("no answer")
-	// ErrRefused says that nothing listens there.
-	ErrRefused = errors.New("the port is refused")
+	// ErrPortRefused reports that no process listens on the server's port.
+	ErrPortRefused = errors.New("connection refused: nothing listens on the port")
 )
 
-// triesMost bounds what one question sends.
-const triesMost = 100
+// maxTries bounds the packets of one request.
+const maxTries = 100
 
-// Ask signs a request and sends it until its answer comes. An error says how many
-// datagrams came that were no answer: a wrong secret shows in them.
-func Ask(ctx context.Context, cfg Config, p *radius.Packet) (r Reply, err error) {
-	if cfg.Tries < 1 || cfg.Tries > triesMost || cfg.Wait <= 0 {
-		return r, fmt.Errorf("radius: tries must be within 1 and %d, and the wait above 0", triesMost)
+// Ask signs the request, sends it until a valid answer comes, and returns the answer. It blocks
+// until then, until ctx is done, or until all packets were sent and the wait after the last one is
+// over. It first sets the authenticator of an Access-Request or Status-Server to random bytes if it
+// is zero. The error ErrNoAnswer comes with the number of datagrams dropped: with a wrong secret,
+// all answers are.
+func Ask(ctx context.Context, cfg Config, request *radius.Packet) (reply Reply, err error) {
+	if cfg.Tries < 1 || cfg.Tries > maxTries || cfg.Wait <= 0 {
+		return reply, fmt.Errorf("radius: tries must be 1 to %d, and the wait above 0", maxTries)
 	}
-	if p.Code != radius.AccountingRequest && p.Authenticator == (radius.Authenticator{}) {
-		rand.Read(p.Authenticator[:])
+	if request.Code != radius.AccountingRequest && request.Authenticator == (radius.Authenticator{}) {
+		rand.Read(request.Authenticator[:])
 	}
-	p.SignRequest(cfg.Secret)
-	wire := p.Marshal()
+	request.SignRequest(cfg.Secret)
+	wire := request.Marshal()
 	conn, err := net.DialUDP("udp", nil, net.UDPAddrFromAddrPort(cfg.To))
 	if err != nil {
-		return r, fmt.Errorf("radius: %w", err)
+		return reply, fmt.Errorf("radius: %w", err)
 	}
 	defer conn.Close()
 	defer context.AfterFunc(ctx, func() { conn.SetReadDeadline(time.Unix(1, 0)) })()
-	began := time.Now()
-	refused := 0
+	started := time.Now()
+	refusals := 0
 	buf := make([]byte, radius.MaxPacketBytes)
 	for range cfg.Tries {
 		if _, err := conn.Write(wire); err == nil {
-			r.Packets++
+			reply.Packets++
 		}
-		next := time.Now().Add(cfg.Wait)
+		resendAt := time.Now().Add(cfg.Wait)
 		for {
-			conn.SetReadDeadline(next)
+			conn.SetReadDeadline(resendAt)
 			if ctx.Err() != nil {
-				return r, fmt.Errorf("radius: %w", ctx.Err())
+				return reply, fmt.Errorf("radius: %w", ctx.Err())
 			}
 			n, err := conn.Read(buf)
-			var ne net.Error
+			var netErr net.Error
 			switch {
-			case errors.As(err, &ne) && ne.Timeout():
-			case err != nil: // a port that is refused may come up while it waits
-				refused++
+			case errors.As(err, &netErr) && netErr.Timeout():
+			case err != nil: // the port is refused: the server may start before the next packet
+				refusals++
 				select {
 				case <-ctx.Done():
-				case <-time.After(time.Until(next)):
+				case <-time.After(time.Until(resendAt)):
 				}
 			default:
-				a, err := radius.Parse(buf[:n])
-				if err != nil || a.ID != p.ID || !a.Code.Answers(p.Code) || a.VerifyAnswer(cfg.Secret, p.Authenticator, !cfg.Unsigned) != nil {
-					r.Dropped++
+				answer, err := radius.Parse(buf[:n])
+				if err != nil || answer.ID != request.ID || !answer.Code.Answers(request.Code) || answer.VerifyAnswer(cfg.Secret, request.Authenticator, !cfg.Unsigned) != nil {
+					reply.Dropped++
 					continue
 				}
-				r.Packet, r.After = a, time.Since(began)
-				return r, nil
+				reply.Packet, reply.After = answer, time.Since(started)
+				return reply, nil
 			}
 			break
 		}
 	}
-	if refused > 0 && refused >= r.Packets {
-		return r, fmt.Errorf("radius: %w", ErrRefused)
+	if refusals > 0 && refusals >= reply.Packets {
+		return reply, fmt.Errorf("radius: %w", ErrPortRefused)
 	}
-	return r, fmt.Errorf("radius: %w to %d packets, %d datagrams dropped that were none", ErrNoAnswer, r.Packets, r.Dropped)
+	return reply, fmt.Errorf("radius: %w to %d packets, %d datagrams dropped as invalid", ErrNoAnswer, reply.Packets, reply.Dropped)
 }
--- a/internal/radius/conversation/conversation.go
+++ b/internal/radius/conversation/conversation.go
@@ -1,7 +1,7 @@
-// Package conversation remembers which server a State belongs to: the next request of
-// an Access-Challenge goes to the server that gave the challenge (RFC 2865 section 5.24).
-// It has no I/O and no clock. It holds Most entries, the oldest of which give way, each
-// for Keep.
+// Package conversation remembers which server sent a State attribute to a client. The client's
+// response to an Access-Challenge must go to the server that sent the challenge (RFC 2865 section
+// 5.24). The number of entries and their age are bounded; the oldest entries are evicted first.
+// The package has no I/O and no clock: callers pass in the time since a fixed start.
 package conversation
 
 import (
@@ -10,10 +10,10 @@
 	"time"
 )
 
-// Config bounds a Table. Both must be above 0.
+// Config bounds a Table. Both values must be above 0.
 type Config struct {
-	Keep time.Duration
-	Most int
+	Keep time.Duration // how long an entry is kept
+	Most int           // how many entries are kept at most
 }
 
 type key struct {
@@ -27,33 +27,36 @@
 	expires time.Duration
 }
 
-// Table is what is remembered.
+// Table maps a client and a State to the server that sent the State. It is not safe for concurrent
+// use.
 type Table struct {
-	cfg   Config
-	byKey map[key]*list.Element
-	order *list.List // of *entry, the first to expire first
+	cfg      Config
+	byKey    map[key]*list.Element
+	byExpiry *list.List // of *entry, in the order in which they expire
 }
 
 // New returns an empty Table.
 func New(cfg Config) *Table {
-	return &Table{cfg: cfg, byKey: make(map[key]*list.Element), order: list.New()}
+	return &Table{cfg: cfg, byKey: make(map[key]*list.Element), byExpiry: list.New()}
 }
 
-// Bind remembers that a server gave a client a State.
+// Bind records that the server sent the State to the client, evicts what has expired and, above
+// the bound, the oldest entries.
 func (t *Table) Bind(now time.Duration, client netip.Addr, state []byte, server string) {
 	k := key{client, string(state)}
 	if e := t.byKey[k]; e != nil {
-		t.order.Remove(e)
+		t.byExpiry.Remove(e)
 	}
-	t.byKey[k] = t.order.PushBack(&entry{k, server, now + t.cfg.Keep})
-	for e := t.order.Front(); e != nil && (t.order.Len() > t.cfg.Most || e.Value.(*entry).expires <= now); e = t.order.Front() {
-		t.order.Remove(e)
+	t.byKey[k] = t.byExpiry.PushBack(&entry{k, server, now + t.cfg.Keep})
+	for e := t.byExpiry.Front(); e != nil && (t.byExpiry.Len() > t.cfg.Most || e.Value.(*entry).expires <= now); e = t.byExpiry.Front() {
+		t.byExpiry.Remove(e)
 		delete(t.byKey, e.Value.(*entry).key)
 	}
 }
 
-// Server is the server that gave a client a State, empty if that is not known.
-func (t *Table) Server(now time.Duration, client netip.Addr, state []byte) string {
+// ServerFor returns the name of the server that sent the State to the client, empty if it is not
+// known or the entry has expired.
+func (t *Table) ServerFor(now time.Duration, client netip.Addr, state []byte) string {
 	e := t.byKey[key{client, string(state)}]
 	if e == nil || e.Value.(*entry).expires <= now {
 		return ""
@@ -61,5 +64,5 @@
 	return e.Value.(*entry).server
 }
 
-// Len is how many are remembered.
+// Len returns the number of entries, including expired ones that are not evicted yet.
 func (t *Table) Len() int { return len(t.byKey) }
--- a/internal/radius/ident/ident.go
+++ b/internal/radius/ident/ident.go
@@ -1,54 +1,54 @@
-// Package ident gives out the identifiers of RADIUS requests to one server: 256 for
-// each socket (RFC 2865 section 3), as many sockets as are needed up to a limit. It has
-// no I/O and no clock.
+// Package ident allocates the identifiers of RADIUS requests to one server. There are 256 for each
+// socket (RFC 2865 section 3), and as many sockets as needed up to a limit. The package has no I/O
+// and no clock: callers pass in the time since a fixed start.
 //
-// An identifier that is given back after its answer can be used again at once, for the
-// answer's duplicates are told apart by the request's authenticator; one that is given
-// back without an answer rests for as long as a late one may come, so that it meets a
-// socket on which nothing else waits under its number.
+// An identifier that is released after its answer can be used again at once: duplicates of the
+// answer fail the check against the next request's authenticator. An identifier that is released
+// without an answer rests for as long as a late answer may come, so that no other request waits
+// under its number when it does.
 package ident
 
 import "time"
 
-const each = 256 // identifiers of a socket
+const identifiersPerSocket = 256
 
 // ID is an identifier on a socket.
 type ID struct {
-	Socket int // from 0
+	Socket int // index of the socket, from 0
 	Number byte
 }
 
-// Pool gives out identifiers. It holds 12 bytes for each and no more than sockets*256
-// of them.
+// Pool allocates identifiers. It holds at most 256 for each socket: 16 bytes for one that is free,
+// 24 for one that rests. It is not safe for concurrent use.
 type Pool struct {
-	most    int // sockets
-	rest    time.Duration
-	free    []ID // used as a ring: the one that has been free for longest is next
-	resting []resting
-	sockets int
-	out     int
+	maxSockets int
+	restTime   time.Duration // how long an identifier rests after a request without answer
+	free       []ID          // a queue: the identifier that has been free for longest is next
+	resting    []restingID   // in the order in which they become free
+	sockets    int           // in use so far
+	inUse      int           // identifiers in use
 }
 
-type resting struct {
+type restingID struct {
 	id    ID
 	until time.Duration
 }
 
-// New returns a Pool of up to that many sockets, 1 at least, whose identifiers rest for
-// so long after an end without answer.
-func New(sockets int, rest time.Duration) *Pool {
-	return &Pool{most: max(sockets, 1), rest: rest}
+// New returns a Pool for up to maxSockets sockets, at least 1. Its identifiers rest for restTime
+// when they are released without an answer.
+func New(maxSockets int, restTime time.Duration) *Pool {
+	return &Pool{maxSockets: max(maxSockets, 1), restTime: restTime}
 }
 
-// Take gives out an identifier. opened says that its socket is one that was not in use
-// before. ok is false when all are out or resting.
-func (p *Pool) Take(now time.Duration) (id ID, opened, ok bool) {
-	p.wake(now)
+// Acquire allocates an identifier. opened reports that it is the first one of its socket, which
+// the caller has to open. ok is false if all identifiers are in use or resting.
+func (p *Pool) Acquire(now time.Duration) (id ID, opened, ok bool) {
+	p.freeRested(now)
 	if len(p.free) == 0 {
-		if p.sockets == p.most {
+		if p.sockets == p.maxSockets {
 			return ID{}, false, false
 		}
-		for n := range each {
+		for n := range identifiersPerSocket {
 			p.free = append(p.free, ID{p.sockets, byte(n)})
 		}
 		p.sockets++
@@ -56,22 +56,23 @@
 	}
 	id = p.free[0]
 	p.free = p.free[1:]
-	p.out++
+	p.inUse++
 	return id, opened, true
 }
 
-// Give takes an identifier back. answered says that its answer has come.
-func (p *Pool) Give(now time.Duration, id ID, answered bool) {
-	p.out--
+// Release ends the use of an identifier. answered says whether the request's answer came.
+func (p *Pool) Release(now time.Duration, id ID, answered bool) {
+	p.inUse--
 	if answered {
 		p.free = append(p.free, id)
 		return
 	}
-	p.resting = append(p.resting, resting{id, now + p.rest})
+	p.resting = append(p.resting, restingID{id, now + p.restTime})
 }
 
-// wake frees what has rested. All rest equally long, so the first is due first.
-func (p *Pool) wake(now time.Duration) {
+// freeRested frees the identifiers whose rest is over. All rest for the same time, so that the
+// first one in the list is always the next to become free.
+func (p *Pool) freeRested(now time.Duration) {
 	n := 0
 	for n < len(p.resting) && p.resting[n].until <= now {
 		p.free = append(p.free, p.resting[n].id)
@@ -80,8 +81,8 @@
 	p.resting = p.resting[n:]
 }
 
-// Out is how many identifiers are in use, Sockets how many sockets they need.
-func (p *Pool) Out() int { return p.out }
+// InUse returns the number of identifiers in use, without those that rest.
+func (p *Pool) InUse() int { return p.inUse }
 
-// Sockets is how many sockets are in use.
+// Sockets returns the number of sockets that identifiers have been allocated on.
 func (p *Pool) Sockets() int { return p.sockets }
--- a/internal/radius/listener/listener.go
+++ b/internal/radius/listener/listener.go
@@ -291,7 +291,7 @@
 		x.request = &transport.Request{Packet: p, From: hop, Resumes: l.cfg.Accounting}
 	}
 	if state := p.Get(radius.State); state != nil && !l.cfg.Accounting {
-		only = l.talks.Server(l.now(), from.Addr(), state)
+		only = l.talks.ServerFor(l.now(), from.Addr(), state)
 	}
 	l.mu.Unlock()
 	host := l.cfg.Pool(realm(p.Get(radius.UserName)))
--- a/internal/radius/transport/transport.go
+++ b/internal/radius/transport/transport.go
@@ -350,7 +350,7 @@
 		a.adopt(p)
 		return 0, false
 	}
-	id, opened, ok := s.ids.Take(t.now())
+	id, opened, ok := s.ids.Acquire(t.now())
 	if !ok {
 		t.counts.NoIdentifier++
 		a.ended = true
@@ -366,7 +366,7 @@
 	k := s.sockets[id.Socket]
 	if k == nil {
 		if k, _ = t.open(s); k == nil {
-			s.ids.Give(t.now(), id, false)
+			s.ids.Release(t.now(), id, false)
 			a.ended = true
 			return chalkrack.NotSent, true
 		}
@@ -379,7 +379,7 @@
 	p, hop, err := radius.ForwardRequest(a.request.Packet, a.request.From, secret, id.Number, auth, a.state)
 	if err != nil {
 		slog.Info("radius: request can't be sent on", "err", err)
-		s.ids.Give(t.now(), id, true)
+		s.ids.Release(t.now(), id, true)
 		a.ended = true
 		return chalkrack.NotSent, true
 	}
@@ -513,7 +513,7 @@
 		return
 	}
 	a.socket.waiting[a.id.Number] = nil
-	a.server.ids.Give(a.t.now(), a.id, answered)
+	a.server.ids.Release(a.t.now(), a.id, answered)
 	a.socket = nil
 	a.server.waiting--
 	a.t.release(a.server)
