--- a/internal/radius/listener/listener.go
+++ b/internal/radius/listener/listener.go
@@ -106,7 +106,7 @@
 		udp.SetReadBuffer(readBuffer) // as far as the system lets it
 		conn = udp
 	}
-	cfg.Replies.Forget = func(memo any) { memo.(*transport.Request).Forget() }
+	cfg.Replies.OnForget = func(memo any) { memo.(*transport.Request).Forget() }
 	return &Listener{
 		cfg: cfg, conn: conn, start: time.Now(),
 		table: replies.NewTable(cfg.Replies), talks: conversation.New(cfg.Conversations),
@@ -146,7 +146,7 @@
 func (l *Listener) Drain() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.table.Shut()
+	l.table.Drain()
 }
 
 // Shut ends Serve. What is under way gets no answer any more.
@@ -267,19 +267,19 @@
 		l.counts.Remembered++
 		wire := entry.Answer()
 		l.mu.Unlock()
-		if !entry.Under(k) { // the event, in a packet of its own
+		if !entry.HasKey(k) { // the event, in a packet of its own
 			wire = l.own(p, hop, radius.AccountingResponse)
 		}
 		l.send(wire, from)
 		return
-	case replies.Ended:
+	case replies.Retried:
 		l.counts.Retried++
 	}
 	l.counts.Calls++
 	x := &exchange{l: l, entry: entry, first: p, own: hop, latest: p, hop: hop, from: from}
 	entry.State = x
 	only := ""
-	if before, ok := entry.Memo.(*transport.Request); ok {
+	if before, ok := entry.RetryState.(*transport.Request); ok {
 		x.request, only = before, before.SentTo()
 		if before.IsLost() {
 			l.counts.Lost++
@@ -327,7 +327,7 @@
 	}
 	l.mu.Lock()
 	l.counts.Answered++
-	x.entry.Memo = nil
+	x.entry.RetryState = nil
 	latest, hop, from := x.latest, x.hop, x.from
 	if state := a.Packet.Get(radius.State); state != nil && !l.cfg.Accounting {
 		l.talks.Bind(l.now(), from.Addr(), state, a.Server)
@@ -367,7 +367,7 @@
 	} else {
 		l.counts.GivenUp++
 		if l.cfg.Accounting && server != "" {
-			x.entry.Memo = x.request
+			x.entry.RetryState = x.request
 		}
 	}
 	l.table.End(l.now(), x.entry, wire)
--- a/internal/radius/listener/memory.go
+++ b/internal/radius/listener/memory.go
@@ -41,8 +41,8 @@
 	now := time.Now()
 	m := memory{Version: memoryVersion, Saved: now}
 	for _, r := range l.table.Records(l.now()) {
-		c := remembered{Client: r.Key.Client, Code: r.Key.Code, ID: r.Key.ID, Authenticator: r.Key.Authenticator[:], Event: []byte(r.Event), Answer: r.Answer, Until: now.Add(r.Left)}
-		if before, ok := r.Memo.(*transport.Request); ok {
+		c := remembered{Client: r.Key.Client, Code: r.Key.Code, ID: r.Key.ID, Authenticator: r.Key.Authenticator[:], Event: []byte(r.Event), Answer: r.Answer, Until: now.Add(r.Remaining)}
+		if before, ok := r.RetryState.(*transport.Request); ok {
 			c.MayHaveRun = before.SentTo()
 		}
 		if c.Answer != nil || c.MayHaveRun != "" { // what never ran is new when it comes again
@@ -74,10 +74,10 @@
 		}
 		rec := replies.Record{
 			Key:   replies.Key{Client: c.Client, Code: c.Code, ID: c.ID, Authenticator: [16]byte(c.Authenticator)},
-			Event: string(c.Event), Answer: c.Answer, Left: c.Until.Sub(now),
+			Event: string(c.Event), Answer: c.Answer, Remaining: c.Until.Sub(now),
 		}
 		if c.MayHaveRun != "" {
-			rec.Memo = transport.Lost(c.MayHaveRun)
+			rec.RetryState = transport.Lost(c.MayHaveRun)
 		}
 		l.table.Restore(l.now(), rec)
 	}
--- a/internal/radius/replies/replies.go
+++ b/internal/radius/replies/replies.go
@@ -1,16 +1,17 @@
-// Package replies tells a RADIUS client's retransmissions from new calls, and remembers
-// answers for them (RFC 5080 section 2.2.2). It has no I/O and no clock.
+// Package replies tells retransmissions of RADIUS clients from new calls, and remembers the
+// answers of calls for them (RFC 5080 section 2.2.2). It has no I/O and no clock: callers pass in
+// the time since a fixed start.
 //
-// A packet is one that came before if it has the client, the identifier and the
-// authenticator of one that is remembered, whatever port it comes from. An accounting
-// event that comes in a packet of its own, because Acct-Delay-Time has changed with it,
-// is known by its event: see Key.
+// A packet is a retransmission if its client address, code, identifier and authenticator are those
+// of a remembered call; the client's port does not matter. A retransmitted accounting event has
+// another authenticator if its Acct-Delay-Time has changed, and is recognized by the name of the
+// event that the caller passes to Arrive.
 //
-// What is remembered is bounded: each entry for Keep after its answer, and in bytes, in
-// all and for each client. At a client's bound its own oldest answered entry gives way,
-// at the bound of all that of the client that holds most; where none can, the call is
-// not taken. So a flood from one client can neither grow the memory nor push out what
-// is remembered for others beside it.
+// Entries are kept for a bounded time after the end of their call, and their bytes are bounded for
+// each client and in total. At a client's bound, the entry of its call that ended first is evicted.
+// At the total bound, this is done for the client that takes the most bytes. If no entry can be
+// evicted, a new call is not accepted. So a flood from one client can neither grow the memory nor
+// evict the answers of other clients.
 package replies
 
 import (
@@ -19,7 +20,8 @@
 	"time"
 )
 
-// Key names a call.
+// Key identifies a call by the packet that began it. Retransmissions of the packet have the same
+// Key.
 type Key struct {
 	Client        netip.Addr
 	Code          byte
@@ -29,249 +31,258 @@
 
 // Config bounds a Table. All must be above 0.
 type Config struct {
-	Keep       time.Duration // after the answer
-	Bytes      int           // of all entries
-	EachClient int           // of one client's
-	Open       int           // calls of one client under way at once
-	// Forget is told of the Memo of a call that is forgotten and was not retried; nil:
-	// nobody. It must not call back.
-	Forget func(memo any)
+	Keep       time.Duration // how long an entry is kept after the end of its call
+	Bytes      int           // bound of all entries
+	EachClient int           // bound of one client's entries, in bytes
+	Open       int           // bound of one client's calls under way
+	// OnForget is called with the RetryState of a call whose entry is removed before the call was
+	// retried. It may be nil. It must not call methods of the Table.
+	OnForget func(retryState any)
 }
 
-// overhead is what an entry costs beside its answer and its event, in bytes: the two
-// maps, the lists, itself and its client, if it is the only one of it.
-const overhead = 640
+// entryOverheadBytes is the memory that an entry takes besides its answer and its event name:
+// itself, its places in two maps and two lists, and its client if no other entry has it.
+const entryOverheadBytes = 640
 
-// Verdict says what a packet is.
+// Verdict says how a packet relates to the calls that a Table remembers.
 type Verdict int
 
 const (
-	// New is a call to make; End must follow once it has ended.
+	// New is a call to make. The caller must call End once it has ended.
 	New Verdict = iota
 	// Joined repeats a call that is under way.
 	Joined
-	// Answered repeats one that has its answer: Answer is to be sent again.
+	// Answered repeats a call that was answered: Answer must be sent again.
 	Answered
-	// Ended repeats one that ended without answer. It was given up: what comes now is
-	// the client's own retry, and is to be made as a new call: the Table has made
-	// place for it, as for New, and it has the Memo of the one before.
-	Ended
-	// Full says that there is no room: the packet is dropped.
+	// Retried repeats a call that ended without answer. The proxy gave that call up, so this is a
+	// retry by the client, to be made as a new call. As for New, the Table has a new entry for it
+	// and End must follow; the entry has the RetryState of the one before.
+	Retried
+	// Full is a new call or a retry for which there is no room, or which came after Drain. The
+	// packet is dropped.
 	Full
 )
 
-// Call is an entry of the Table. Its owner may hang what it needs on it.
+// Call is an entry of the Table. The caller may attach data of its own in State and RetryState.
 type Call struct {
-	State any // while it is under way
-	Memo  any // what its retry must know; kept after its end too
+	State      any // removed when the call ends
+	RetryState any // what a retry of the call has to know; kept after its end
 
-	key      Key
-	event    string // empty: none
-	client   *client
-	answer   []byte
-	done     bool
-	gone     bool // out of the Table
-	expires  time.Duration
-	inClient *list.Element // among the client's answered ones
-	inAll    *list.Element
-	size     int
+	key           Key
+	event         string // empty if the call has none
+	client        *clientCalls
+	answer        []byte // nil if the call ended without answer
+	ended         bool
+	removed       bool // no longer in the Table
+	expiresAt     time.Duration
+	clientElement *list.Element // in the client's list of ended calls, nil while under way
+	tableElement  *list.Element // in the Table's list of ended calls, nil while under way
+	size          int           // in bytes
 }
 
-type client struct {
+// clientCalls holds the totals and the ended calls of one client.
+type clientCalls struct {
 	addr  netip.Addr
-	size  int
-	done  *list.List // of *Call, the first ended first
-	calls int        // those that have ended included
+	size  int        // bytes of its entries
+	ended *list.List // of *Call, in the order in which they ended
+	calls int        // calls under way and ended
 }
 
-// Table is what is remembered.
+// Table remembers calls. It is not safe for concurrent use.
 type Table struct {
-	cfg     Config
-	byKey   map[Key]*Call
-	byEvent map[string]*Call
-	clients map[netip.Addr]*client
-	done    *list.List // of *Call, in the order of their ends
-	size    int
-	shut    bool // no new calls
+	cfg      Config
+	byKey    map[Key]*Call
+	byEvent  map[string]*Call
+	clients  map[netip.Addr]*clientCalls
+	ended    *list.List // of *Call, in the order in which they ended
+	size     int        // bytes of all entries
+	draining bool       // accepts no new calls
 }
 
 // NewTable returns an empty Table.
 func NewTable(cfg Config) *Table {
-	return &Table{cfg: cfg, byKey: make(map[Key]*Call), byEvent: make(map[string]*Call), clients: make(map[netip.Addr]*client), done: list.New()}
+	return &Table{cfg: cfg, byKey: make(map[Key]*Call), byEvent: make(map[string]*Call), clients: make(map[netip.Addr]*clientCalls), ended: list.New()}
 }
 
-// Arrive takes a packet: its key, and its event, empty where it has none. For Joined
-// and Answered the call is the one that it repeats.
+// Arrive returns how a packet with that key relates to the remembered calls, and its call: for
+// Joined and Answered the one that it repeats, for New and Retried a new one, for Full nil. event
+// names the accounting event that the packet reports, and is empty for others.
 //
-// An event that is remembered under another key is the same call: its answer must be
-// made anew for the packet that came, which has another identifier.
+// A packet that reports a remembered event belongs to that event's call even if its key differs.
+// The remembered answer does not fit it then, and the caller must make another one for the new
+// identifier and authenticator: see HasKey.
 func (t *Table) Arrive(now time.Duration, key Key, event string) (*Call, Verdict) {
-	t.expire(now)
-	c := t.byKey[key]
-	if c == nil && event != "" {
-		c = t.byEvent[event]
+	t.removeExpired(now)
+	call := t.byKey[key]
+	if call == nil && event != "" {
+		call = t.byEvent[event]
 	}
-	verdict, memo := New, any(nil)
-	if c != nil {
+	verdict, retryState := New, any(nil)
+	if call != nil {
 		switch {
-		case !c.done:
-			return c, Joined
-		case c.answer != nil:
-			return c, Answered
+		case !call.ended:
+			return call, Joined
+		case call.answer != nil:
+			return call, Answered
 		}
-		if t.shut {
+		if t.draining {
 			return nil, Full
 		}
-		verdict, memo = Ended, c.Memo
-		c.Memo = nil // it goes on
-		t.drop(c)
+		verdict, retryState = Retried, call.RetryState
+		call.RetryState = nil // it moves on to the new call, so remove must not report it
+		t.remove(call)
 	}
-	size := overhead + len(event)
-	cl := t.clients[key.Client]
-	if cl == nil {
-		cl = &client{addr: key.Client, done: list.New()}
+	size := entryOverheadBytes + len(event)
+	client := t.clients[key.Client]
+	if client == nil {
+		client = &clientCalls{addr: key.Client, ended: list.New()}
 	}
-	if t.shut || cl.calls-cl.done.Len() >= t.cfg.Open || !t.makeRoom(cl, size) {
-		if memo != nil && t.cfg.Forget != nil {
-			t.cfg.Forget(memo)
+	if t.draining || client.calls-client.ended.Len() >= t.cfg.Open || !t.makeRoom(client, size) {
+		if retryState != nil && t.cfg.OnForget != nil {
+			t.cfg.OnForget(retryState)
 		}
 		return nil, Full
 	}
-	t.clients[key.Client] = cl
-	c = &Call{Memo: memo, key: key, event: event, client: cl, size: size}
-	t.byKey[key] = c
+	t.clients[key.Client] = client
+	call = &Call{RetryState: retryState, key: key, event: event, client: client, size: size}
+	t.byKey[key] = call
 	if event != "" {
-		t.byEvent[event] = c
+		t.byEvent[event] = call
 	}
-	cl.calls++
-	cl.size += size
+	client.calls++
+	client.size += size
 	t.size += size
-	return c, verdict
+	return call, verdict
 }
 
-// End ends a call with its answer, nil for none: then the end is remembered, and what
-// repeats it is the client's own retry.
-func (t *Table) End(now time.Duration, c *Call, answer []byte) {
-	if c.done || c.gone {
+// End records the end of a call and its encoded answer, nil if it was given up without one. What
+// repeats a call without answer is a retry by the client. A second End of a call does nothing.
+func (t *Table) End(now time.Duration, call *Call, answer []byte) {
+	if call.ended || call.removed {
 		return
 	}
-	c.done, c.expires = true, now+t.cfg.Keep
-	c.State = nil
-	c.inClient, c.inAll = c.client.done.PushBack(c), t.done.PushBack(c)
-	c.answer = answer
-	c.size += len(answer)
-	c.client.size += len(answer)
+	call.ended, call.expiresAt = true, now+t.cfg.Keep
+	call.State = nil
+	call.clientElement, call.tableElement = call.client.ended.PushBack(call), t.ended.PushBack(call)
+	call.answer = answer
+	call.size += len(answer)
+	call.client.size += len(answer)
 	t.size += len(answer)
-	// The answer has been given: if it does not fit, it is what is forgotten first.
-	if !t.makeRoom(c.client, 0) {
-		t.drop(c)
+	// The client gets the answer in any case. If its bytes do not fit, older entries are evicted and,
+	// if that is not enough, this one.
+	if !t.makeRoom(call.client, 0) {
+		t.remove(call)
 	}
 }
 
-// Shut takes no new call from now on: it is Full for them. What repeats a call is
-// joined or answered as before.
-func (t *Table) Shut() { t.shut = true }
+// Drain makes Arrive return Full for new calls and retries from now on. What repeats a call under
+// way or an answered one is joined or answered as before.
+func (t *Table) Drain() { t.draining = true }
 
-// Record is what a Table tells of a call that has ended, for another that goes on in
-// its place.
+// Record describes a call that has ended, so that it can be handed over to another Table.
 type Record struct {
-	Key    Key
-	Event  string
-	Answer []byte // nil: none
-	Memo   any
-	Left   time.Duration // that it is still remembered for
+	Key        Key
+	Event      string
+	Answer     []byte // nil if the call ended without answer
+	RetryState any
+	Remaining  time.Duration // until the entry expires
 }
 
-// Records is what has ended and is remembered at now, the first ended first.
+// Records returns the calls that have ended and whose entries have not expired, in the order in
+// which they ended.
 func (t *Table) Records(now time.Duration) (all []Record) {
-	for e := t.done.Front(); e != nil; e = e.Next() {
-		if c := e.Value.(*Call); c.expires > now {
-			all = append(all, Record{c.key, c.event, c.answer, c.Memo, c.expires - now})
+	for e := t.ended.Front(); e != nil; e = e.Next() {
+		if c := e.Value.(*Call); c.expiresAt > now {
+			all = append(all, Record{c.key, c.event, c.answer, c.RetryState, c.expiresAt - now})
 		}
 	}
 	return all
 }
 
-// Restore remembers what another Table did, within the bounds of this one. A record
-// for a key or an event that is known is left out, as is one kept for longer than Keep.
-func (t *Table) Restore(now time.Duration, r Record) {
-	if r.Left <= 0 || r.Left > t.cfg.Keep || t.byKey[r.Key] != nil || r.Event != "" && t.byEvent[r.Event] != nil {
+// Restore adds a call that another Table remembered, if the bounds of this one allow it. It ignores
+// a record whose key or event is already known, one that has expired, and one that would be kept
+// for longer than entries of this Table are.
+func (t *Table) Restore(now time.Duration, record Record) {
+	if record.Remaining <= 0 || record.Remaining > t.cfg.Keep || t.byKey[record.Key] != nil || record.Event != "" && t.byEvent[record.Event] != nil {
 		return
 	}
-	c, verdict := t.Arrive(now, r.Key, r.Event)
+	call, verdict := t.Arrive(now, record.Key, record.Event)
 	if verdict != New {
 		return
 	}
-	c.Memo = r.Memo
-	t.End(now-t.cfg.Keep+r.Left, c, r.Answer)
+	call.RetryState = record.RetryState
+	t.End(now-t.cfg.Keep+record.Remaining, call, record.Answer)
 }
 
-// Expire forgets what has been kept for long enough, as each Arrive does.
-func (t *Table) Expire(now time.Duration) { t.expire(now) }
+// Expire removes the entries that have expired, as each Arrive does.
+func (t *Table) Expire(now time.Duration) { t.removeExpired(now) }
 
-// Under says whether a call is known by that key; if not, its event brought it.
-func (c *Call) Under(key Key) bool { return c.key == key }
+// HasKey reports whether the call began with a packet of that key. If not, a packet was recognized
+// as part of the call by its event.
+func (c *Call) HasKey(key Key) bool { return c.key == key }
 
-// Answer is what answered a call.
+// Answer returns the encoded answer of the call, nil if it has none.
 func (c *Call) Answer() []byte { return c.answer }
 
-// makeRoom forgets what is answered until so much more fits.
-func (t *Table) makeRoom(cl *client, size int) bool {
-	for cl.size+size > t.cfg.EachClient {
-		first := cl.done.Front()
+// makeRoom evicts ended calls until size more bytes fit into the bounds of the client and of the
+// Table. It returns false if that is not possible; it may have evicted some by then.
+func (t *Table) makeRoom(client *clientCalls, size int) bool {
+	for client.size+size > t.cfg.EachClient {
+		first := client.ended.Front()
 		if first == nil {
 			return false
 		}
-		t.drop(first.Value.(*Call))
+		t.remove(first.Value.(*Call))
 	}
 	for t.size+size > t.cfg.Bytes {
-		most := cl
-		for _, o := range t.clients {
-			if o.done.Len() > 0 && (most.done.Len() == 0 || o.size > most.size) {
-				most = o
+		largest := client
+		for _, other := range t.clients {
+			if other.ended.Len() > 0 && (largest.ended.Len() == 0 || other.size > largest.size) {
+				largest = other
 			}
 		}
-		first := most.done.Front()
+		first := largest.ended.Front()
 		if first == nil {
 			return false
 		}
-		t.drop(first.Value.(*Call))
+		t.remove(first.Value.(*Call))
 	}
 	return true
 }
 
-// expire forgets what has been kept for long enough.
-func (t *Table) expire(now time.Duration) {
-	for e := t.done.Front(); e != nil && e.Value.(*Call).expires <= now; e = t.done.Front() {
-		t.drop(e.Value.(*Call))
+// removeExpired removes the entries that have expired.
+func (t *Table) removeExpired(now time.Duration) {
+	for e := t.ended.Front(); e != nil && e.Value.(*Call).expiresAt <= now; e = t.ended.Front() {
+		t.remove(e.Value.(*Call))
 	}
 }
 
-func (t *Table) drop(c *Call) {
-	if c.gone {
+// remove removes a call from the Table, and reports its RetryState if no retry has taken it over.
+func (t *Table) remove(call *Call) {
+	if call.removed {
 		return
 	}
-	c.gone = true
-	if c.Memo != nil && t.cfg.Forget != nil {
-		t.cfg.Forget(c.Memo)
+	call.removed = true
+	if call.RetryState != nil && t.cfg.OnForget != nil {
+		t.cfg.OnForget(call.RetryState)
 	}
-	delete(t.byKey, c.key)
-	if t.byEvent[c.event] == c {
-		delete(t.byEvent, c.event)
+	delete(t.byKey, call.key)
+	if t.byEvent[call.event] == call {
+		delete(t.byEvent, call.event)
 	}
-	if c.inAll != nil {
-		t.done.Remove(c.inAll)
-		c.client.done.Remove(c.inClient)
+	if call.tableElement != nil {
+		t.ended.Remove(call.tableElement)
+		call.client.ended.Remove(call.clientElement)
 	}
-	c.client.size -= c.size
-	t.size -= c.size
-	if c.client.calls--; c.client.calls == 0 && t.clients[c.client.addr] == c.client {
-		delete(t.clients, c.client.addr)
+	call.client.size -= call.size
+	t.size -= call.size
+	if call.client.calls--; call.client.calls == 0 && t.clients[call.client.addr] == call.client {
+		delete(t.clients, call.client.addr)
 	}
 }
 
-// Size is how many bytes the Table counts, Len how many calls it remembers.
+// Size returns the estimated memory of all entries in bytes, which is what the bounds apply to.
 func (t *Table) Size() int { return t.size }
 
-// Len is how many calls the Table remembers, those under way included.
+// Len returns the number of calls in the Table, under way and ended.
 func (t *Table) Len() int { return len(t.byKey) }
--- a/internal/radius/replies/replies_test.go
+++ b/internal/radius/replies/replies_test.go
@@ -10,256 +10,263 @@
 	"pgregory.net/rapid"
 )
 
-func cfg() Config {
+func testConfig() Config {
 	return Config{Keep: 10 * time.Second, Bytes: 1 << 20, EachClient: 1 << 18, Open: 1000}
 }
 
-func key(client, id int) Key {
+func testKey(client, id int) Key {
 	return Key{Client: netip.AddrFrom4([4]byte{127, 0, byte(client >> 8), byte(client)}), Code: 1, ID: byte(id), Authenticator: [16]byte{byte(id >> 8), byte(id >> 16)}}
 }
 
-func want(t *testing.T, what string, got, want Verdict) {
+func expectVerdict(t *testing.T, step string, got, want Verdict) {
 	t.Helper()
 	if got != want {
-		t.Errorf("%s: %d, want %d", what, got, want)
+		t.Errorf("%s: %d, want %d", step, got, want)
 	}
 }
 
-// A retransmission joins its call, or gets its answer, for as long as that is kept.
-func TestRetransmission(t *testing.T) {
-	tb := NewTable(cfg())
-	c, v := tb.Arrive(0, key(1, 1), "")
-	want(t, "the first", v, New)
-	again, v := tb.Arrive(time.Second, key(1, 1), "")
-	if want(t, "while it is under way", v, Joined); again != c {
-		t.Error("another call")
+// A retransmission must join its call, or get its answer while that is kept, and not run again.
+// A packet that differs in client, code, identifier or authenticator is another call.
+func TestRetransmissionJoinsOrGetsTheAnswer(t *testing.T) {
+	table := NewTable(testConfig())
+	call, verdict := table.Arrive(0, testKey(1, 1), "")
+	expectVerdict(t, "the first", verdict, New)
+	again, verdict := table.Arrive(time.Second, testKey(1, 1), "")
+	if expectVerdict(t, "while it is under way", verdict, Joined); again != call {
+		t.Error("the retransmission got another call")
 	}
-	tb.End(2*time.Second, c, []byte("answer"))
-	again, v = tb.Arrive(11*time.Second, key(1, 1), "")
-	if want(t, "after its answer", v, Answered); string(again.Answer()) != "answer" {
-		t.Errorf("%q", again.Answer())
+	table.End(2*time.Second, call, []byte("answer"))
+	again, verdict = table.Arrive(11*time.Second, testKey(1, 1), "")
+	if expectVerdict(t, "after its answer", verdict, Answered); string(again.Answer()) != "answer" {
+		t.Errorf("remembered answer %q", again.Answer())
 	}
-	_, v = tb.Arrive(12*time.Second, key(1, 1), "")
-	want(t, "when it is forgotten", v, New)
-	for name, k := range map[string]Key{"another client": key(2, 1), "another identifier": key(1, 2), "another authenticator": key(1, 257)} {
-		_, v = tb.Arrive(12*time.Second, k, "")
-		want(t, name, v, New)
+	_, verdict = table.Arrive(12*time.Second, testKey(1, 1), "")
+	expectVerdict(t, "after the entry expired", verdict, New)
+	for name, k := range map[string]Key{"another client": testKey(2, 1), "another identifier": testKey(1, 2), "another authenticator": testKey(1, 257)} {
+		_, verdict = table.Arrive(12*time.Second, k, "")
+		expectVerdict(t, name, verdict, New)
 	}
-	k := key(1, 1)
+	k := testKey(1, 1)
 	k.Code = 4
-	_, v = tb.Arrive(12*time.Second, k, "")
-	want(t, "another code", v, New)
+	_, verdict = table.Arrive(12*time.Second, k, "")
+	expectVerdict(t, "another code", verdict, New)
 }
 
-// An event is one call under whatever identifiers it comes; another event is another.
-func TestEvent(t *testing.T) {
-	tb := NewTable(cfg())
-	c, v := tb.Arrive(0, key(1, 1), "nas session stop 7")
-	want(t, "the first", v, New)
-	_, v = tb.Arrive(1, key(1, 2), "nas session stop 7")
-	want(t, "with a new identifier", v, Joined)
-	tb.End(2, c, []byte("x"))
-	_, v = tb.Arrive(3, key(1, 3), "nas session stop 7")
-	want(t, "after its answer", v, Answered)
-	_, v = tb.Arrive(3, key(1, 4), "nas session interim 8")
-	want(t, "another event", v, New)
+// A client sends an accounting event again with a new identifier when Acct-Delay-Time changes. The
+// packets must be one call, or the event would be counted twice.
+func TestAccountingEventIsOneCall(t *testing.T) {
+	table := NewTable(testConfig())
+	call, verdict := table.Arrive(0, testKey(1, 1), "nas session stop 7")
+	expectVerdict(t, "the first", verdict, New)
+	_, verdict = table.Arrive(1, testKey(1, 2), "nas session stop 7")
+	expectVerdict(t, "with a new identifier", verdict, Joined)
+	table.End(2, call, []byte("x"))
+	_, verdict = table.Arrive(3, testKey(1, 3), "nas session stop 7")
+	expectVerdict(t, "after its answer", verdict, Answered)
+	_, verdict = table.Arrive(3, testKey(1, 4), "nas session interim 8")
+	expectVerdict(t, "another event", verdict, New)
 }
 
-// What was given up without answer is the client's to try again, as a new call.
-func TestGivenUp(t *testing.T) {
-	tb := NewTable(cfg())
-	c, _ := tb.Arrive(0, key(1, 1), "e")
-	c.Memo = "may have run at s1"
-	tb.End(1, c, nil)
-	again, v := tb.Arrive(2, key(1, 1), "e")
-	if want(t, "its repeat", v, Ended); again == c || again.Memo != "may have run at s1" {
-		t.Error("the call that has ended, or nothing is known of it")
+// When a call was given up without answer, the client's next packet must become a new call that
+// has the first one's RetryState. A late end of the first call must not end the new one.
+func TestCallWithoutAnswerCanBeRetried(t *testing.T) {
+	table := NewTable(testConfig())
+	first, _ := table.Arrive(0, testKey(1, 1), "e")
+	first.RetryState = "may have run at s1"
+	table.End(1, first, nil)
+	again, verdict := table.Arrive(2, testKey(1, 1), "e")
+	if expectVerdict(t, "its repeat", verdict, Retried); again == first || again.RetryState != "may have run at s1" {
+		t.Error("the retry is the ended call itself, or lacks its RetryState")
 	}
-	_, v = tb.Arrive(3, key(1, 1), "e")
-	want(t, "the repeat's repeat", v, Joined)
-	tb.End(4, c, []byte("late")) // of the first: it has ended
-	_, v = tb.Arrive(5, key(1, 1), "e")
-	want(t, "after a late end of the first", v, Joined)
-	tb.End(6, again, []byte("x"))
-	_, v = tb.Arrive(7, key(1, 1), "e")
-	want(t, "answered", v, Answered)
+	_, verdict = table.Arrive(3, testKey(1, 1), "e")
+	expectVerdict(t, "the repeat's repeat", verdict, Joined)
+	table.End(4, first, []byte("late")) // ignored: the first call has ended already
+	_, verdict = table.Arrive(5, testKey(1, 1), "e")
+	expectVerdict(t, "after a late end of the first", verdict, Joined)
+	table.End(6, again, []byte("x"))
+	_, verdict = table.Arrive(7, testKey(1, 1), "e")
+	expectVerdict(t, "answered", verdict, Answered)
 }
 
-// A flood from one client takes its own room only: others' answers stay, and their
-// calls are taken.
-func TestFlood(t *testing.T) {
-	c := Config{Keep: time.Hour, Bytes: 100 * overhead, EachClient: 20 * overhead, Open: 1000}
-	tb := NewTable(c)
-	quiet, _ := tb.Arrive(0, key(1, 1), "")
-	tb.End(0, quiet, []byte("x"))
-	for n := range 500 { // never ended
-		_, v := tb.Arrive(1, key(2, n), "")
-		if n < 20 != (v == New) {
-			t.Fatalf("call %d of the flood: %d", n, v)
+// A flood of calls from one client must use up that client's bound only: the answers of other
+// clients stay and their calls are accepted. A flood from many clients stays within the total.
+func TestFloodOfOneClientLeavesOthers(t *testing.T) {
+	config := Config{Keep: time.Hour, Bytes: 100 * entryOverheadBytes, EachClient: 20 * entryOverheadBytes, Open: 1000}
+	table := NewTable(config)
+	quiet, _ := table.Arrive(0, testKey(1, 1), "")
+	table.End(0, quiet, []byte("x"))
+	for n := range 500 { // calls that never end
+		_, verdict := table.Arrive(1, testKey(2, n), "")
+		if n < 20 != (verdict == New) {
+			t.Fatalf("call %d of the flood: %d", n, verdict)
 		}
 	}
-	for n := range 500 { // answered at once
-		call, v := tb.Arrive(2, key(3, n), "")
-		if want(t, "an answered flood", v, New); v == New {
-			tb.End(2, call, []byte("answer"))
+	for n := range 500 { // calls that are answered at once
+		call, verdict := table.Arrive(2, testKey(3, n), "")
+		if expectVerdict(t, "an answered flood", verdict, New); verdict == New {
+			table.End(2, call, []byte("answer"))
 		}
 	}
-	_, v := tb.Arrive(3, key(1, 1), "")
-	want(t, "the quiet one's answer", v, Answered)
-	for n := range 200 { // many clients: all together are bounded too
-		if call, v := tb.Arrive(4, key(100+n, 1), ""); v == New {
-			tb.End(4, call, []byte("y"))
+	_, verdict := table.Arrive(3, testKey(1, 1), "")
+	expectVerdict(t, "the quiet client's answer", verdict, Answered)
+	for n := range 200 { // many clients, bounded by the total
+		if call, verdict := table.Arrive(4, testKey(100+n, 1), ""); verdict == New {
+			table.End(4, call, []byte("y"))
 		}
 	}
-	if tb.Size() > c.Bytes {
-		t.Errorf("%d bytes, %d at most", tb.Size(), c.Bytes)
+	if table.Size() > config.Bytes {
+		t.Errorf("%d bytes, %d at most", table.Size(), config.Bytes)
 	}
-	_, v = tb.Arrive(5, key(5000, 1), "")
-	want(t, "a new client's call", v, New)
+	_, verdict = table.Arrive(5, testKey(5000, 1), "")
+	expectVerdict(t, "a new client's call", verdict, New)
 }
 
-// What a retry must know is handed on, or forgotten, once.
-func TestMemo(t *testing.T) {
-	c := cfg()
+// The RetryState of a call must be passed on to its retry, or reported to OnForget, and that only
+// once: it stands for resources that must be freed.
+func TestRetryStateIsPassedOnOrForgottenOnce(t *testing.T) {
+	config := testConfig()
 	var forgotten []any
-	c.Forget = func(memo any) { forgotten = append(forgotten, memo) }
-	tb := NewTable(c)
-	call, _ := tb.Arrive(0, key(1, 1), "e")
-	call.Memo = "a"
-	tb.End(0, call, nil)
-	retry, v := tb.Arrive(1, key(1, 1), "e")
-	if want(t, "its retry", v, Ended); retry.Memo != "a" || len(forgotten) > 0 {
-		t.Errorf("%v, forgotten %v", retry.Memo, forgotten)
+	config.OnForget = func(retryState any) { forgotten = append(forgotten, retryState) }
+	table := NewTable(config)
+	call, _ := table.Arrive(0, testKey(1, 1), "e")
+	call.RetryState = "a"
+	table.End(0, call, nil)
+	retry, verdict := table.Arrive(1, testKey(1, 1), "e")
+	if expectVerdict(t, "its retry", verdict, Retried); retry.RetryState != "a" || len(forgotten) > 0 {
+		t.Errorf("%v, forgotten %v", retry.RetryState, forgotten)
 	}
-	tb.End(2, retry, nil)
-	tb.Expire(time.Minute)
-	if fmt.Sprint(forgotten) != "[a]" || tb.Len() != 0 {
+	table.End(2, retry, nil)
+	table.Expire(time.Minute)
+	if fmt.Sprint(forgotten) != "[a]" || table.Len() != 0 {
 		t.Errorf("forgotten %v", forgotten)
 	}
-	// Its retry finds no room: nobody holds it any more.
-	c.Open = 1
-	tb = NewTable(c)
-	call, _ = tb.Arrive(0, key(1, 1), "e")
-	call.Memo = "b"
-	tb.End(0, call, nil)
-	tb.Arrive(0, key(1, 2), "other")
-	if _, v := tb.Arrive(1, key(1, 1), "e"); v != Full || fmt.Sprint(forgotten) != "[a b]" {
-		t.Errorf("%d, forgotten %v", v, forgotten)
+	// There is no room for the retry: its state must be reported, as no entry has it any more.
+	config.Open = 1
+	table = NewTable(config)
+	call, _ = table.Arrive(0, testKey(1, 1), "e")
+	call.RetryState = "b"
+	table.End(0, call, nil)
+	table.Arrive(0, testKey(1, 2), "other")
+	if _, verdict := table.Arrive(1, testKey(1, 1), "e"); verdict != Full || fmt.Sprint(forgotten) != "[a b]" {
+		t.Errorf("retry without room: verdict %d, forgotten %v", verdict, forgotten)
 	}
 }
 
-// A Table that is shut joins and answers, and takes nothing new; what may be retried
-// stays for the one that comes after.
-func TestShut(t *testing.T) {
-	tb := NewTable(cfg())
-	open, _ := tb.Arrive(0, key(1, 1), "open")
-	done, _ := tb.Arrive(0, key(1, 2), "done")
-	tb.End(0, done, []byte("x"))
-	given, _ := tb.Arrive(0, key(1, 3), "given up")
-	given.Memo = "a"
-	tb.End(0, given, nil)
-	tb.Shut()
+// A Table that drains must still join and answer retransmissions, but accept no new calls and no
+// retries. A call that may be retried is handed over to the next Table with its RetryState.
+func TestDrainAndRestore(t *testing.T) {
+	table := NewTable(testConfig())
+	open, _ := table.Arrive(0, testKey(1, 1), "open")
+	done, _ := table.Arrive(0, testKey(1, 2), "done")
+	table.End(0, done, []byte("x"))
+	givenUp, _ := table.Arrive(0, testKey(1, 3), "given up")
+	givenUp.RetryState = "a"
+	table.End(0, givenUp, nil)
+	table.Drain()
 	for n, c := range []struct {
 		id    int
 		event string
 		want  Verdict
 	}{{1, "open", Joined}, {2, "done", Answered}, {3, "given up", Full}, {4, "new", Full}} {
-		_, v := tb.Arrive(1, key(1, c.id), c.event)
-		want(t, fmt.Sprint(n), v, c.want)
+		_, verdict := table.Arrive(1, testKey(1, c.id), c.event)
+		expectVerdict(t, fmt.Sprint(n), verdict, c.want)
 	}
-	tb.End(2, open, []byte("y"))
-	next := NewTable(cfg())
-	for _, r := range tb.Records(3 * time.Second) {
+	table.End(2, open, []byte("y"))
+	next := NewTable(testConfig())
+	for _, r := range table.Records(3 * time.Second) {
 		next.Restore(time.Hour, r)
 	}
-	again, v := next.Arrive(time.Hour+time.Second, key(1, 3), "given up")
-	if want(t, "handed on", v, Ended); again.Memo != "a" {
-		t.Errorf("%v", again.Memo)
+	again, verdict := next.Arrive(time.Hour+time.Second, testKey(1, 3), "given up")
+	if expectVerdict(t, "handed over", verdict, Retried); again.RetryState != "a" {
+		t.Errorf("RetryState %v, want a", again.RetryState)
 	}
 	if next.Expire(time.Hour + 9*time.Second); next.Len() != 1 {
-		t.Errorf("%d are kept past their time", next.Len())
+		t.Errorf("%d entries, want only the retry under way: the others have expired", next.Len())
 	}
 }
 
-// One client has so many calls under way and no more.
-func TestOpen(t *testing.T) {
-	c := cfg()
-	c.Open = 3
-	tb := NewTable(c)
+// The calls under way of one client are bounded; other clients are not affected, and the end of a
+// call makes room for another.
+func TestCallsUnderWayAreBoundedPerClient(t *testing.T) {
+	config := testConfig()
+	config.Open = 3
+	table := NewTable(config)
 	var last *Call
 	for n := range 5 {
-		call, v := tb.Arrive(0, key(1, n), "")
-		if n < 3 != (v == New) {
-			t.Errorf("call %d: %d", n, v)
+		call, verdict := table.Arrive(0, testKey(1, n), "")
+		if n < 3 != (verdict == New) {
+			t.Errorf("call %d: %d", n, verdict)
 		}
 		if call != nil {
 			last = call
 		}
 	}
-	_, v := tb.Arrive(0, key(2, 1), "")
-	want(t, "another client", v, New)
-	tb.End(0, last, nil)
-	_, v = tb.Arrive(0, key(1, 9), "")
-	want(t, "after one has ended", v, New)
+	_, verdict := table.Arrive(0, testKey(2, 1), "")
+	expectVerdict(t, "another client", verdict, New)
+	table.End(0, last, nil)
+	_, verdict = table.Arrive(0, testKey(1, 9), "")
+	expectVerdict(t, "after one has ended", verdict, New)
 }
 
-// An answer larger than there is room for is not remembered, and nothing else is lost.
-func TestHugeAnswer(t *testing.T) {
-	tb := NewTable(Config{Keep: time.Hour, Bytes: 1 << 20, EachClient: 3 * overhead, Open: 1000})
-	c, _ := tb.Arrive(0, key(1, 1), "")
-	tb.End(0, c, make([]byte, 4*overhead))
-	if tb.Len() != 0 || tb.Size() != 0 {
-		t.Errorf("%d calls of %d bytes", tb.Len(), tb.Size())
+// An answer larger than its client's bound must not be remembered, and must leave no bytes counted.
+func TestTooLargeAnswerIsNotRemembered(t *testing.T) {
+	table := NewTable(Config{Keep: time.Hour, Bytes: 1 << 20, EachClient: 3 * entryOverheadBytes, Open: 1000})
+	call, _ := table.Arrive(0, testKey(1, 1), "")
+	table.End(0, call, make([]byte, 4*entryOverheadBytes))
+	if table.Len() != 0 || table.Size() != 0 {
+		t.Errorf("%d calls of %d bytes are remembered, want none", table.Len(), table.Size())
 	}
 }
 
-// In any order the sums are right, the bounds kept, and a call is never two.
-func TestAnyOrder(t *testing.T) {
+// In any order of calls, the totals must match the entries, the bounds must hold, and a
+// retransmission must join its call under way.
+func TestTotalsAndBoundsHoldInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		c := Config{Keep: 5 * time.Second, Bytes: 12 * overhead, EachClient: 5 * overhead, Open: 4}
-		tb := NewTable(c)
+		config := Config{Keep: 5 * time.Second, Bytes: 12 * entryOverheadBytes, EachClient: 5 * entryOverheadBytes, Open: 4}
+		table := NewTable(config)
 		now := time.Duration(0)
-		under := make(map[Key]*Call)
+		underWay := make(map[Key]*Call)
 		for range rapid.IntRange(1, 300).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(0, 1500).Draw(t, "ms")) * time.Millisecond
-			k := key(rapid.IntRange(1, 4).Draw(t, "client"), rapid.IntRange(1, 8).Draw(t, "id"))
-			if call := under[k]; call != nil && rapid.Bool().Draw(t, "end") {
+			key := testKey(rapid.IntRange(1, 4).Draw(t, "client"), rapid.IntRange(1, 8).Draw(t, "id"))
+			if call := underWay[key]; call != nil && rapid.Bool().Draw(t, "end") {
 				var answer []byte
 				if rapid.Bool().Draw(t, "answered") {
-					answer = make([]byte, rapid.IntRange(1, 2*overhead).Draw(t, "size"))
+					answer = make([]byte, rapid.IntRange(1, 2*entryOverheadBytes).Draw(t, "size"))
 				}
-				tb.End(now, call, answer)
-				delete(under, k)
+				table.End(now, call, answer)
+				delete(underWay, key)
 			} else {
 				event := ""
 				if rapid.Bool().Draw(t, "accounting") {
-					event = fmt.Sprint(k)
+					event = fmt.Sprint(key)
 				}
-				call, v := tb.Arrive(now, k, event)
-				if (under[k] != nil) != (v == Joined) {
-					t.Fatalf("%d, under way %v", v, under[k] != nil)
+				call, verdict := table.Arrive(now, key, event)
+				if (underWay[key] != nil) != (verdict == Joined) {
+					t.Fatalf("verdict %d, though under way is %v", verdict, underWay[key] != nil)
 				}
-				if v == New || v == Ended {
-					under[k] = call
+				if verdict == New || verdict == Retried {
+					underWay[key] = call
 				}
 			}
 			sum, calls := 0, 0
-			for _, cl := range tb.clients {
-				if cl.size > c.EachClient {
-					t.Fatalf("a client holds %d", cl.size)
+			for _, client := range table.clients {
+				if client.size > config.EachClient {
+					t.Fatalf("a client's entries have %d bytes: over the bound", client.size)
 				}
-				sum += cl.size
-				calls += cl.calls
+				sum += client.size
+				calls += client.calls
 			}
-			if sum != tb.size || sum > c.Bytes || calls != tb.Len() || tb.Len()-tb.done.Len() != len(under) {
-				t.Fatalf("%d bytes in %d calls, counted %d in %d, %d under way", sum, calls, tb.size, tb.Len(), len(under))
+			if sum != table.size || sum > config.Bytes || calls != table.Len() || table.Len()-table.ended.Len() != len(underWay) {
+				t.Fatalf("%d bytes in %d calls, counted as %d in %d, %d under way", sum, calls, table.size, table.Len(), len(underWay))
 			}
 		}
 	})
 }
 
-// The bytes that are counted are those that are used, within half.
-func TestCountedBytes(t *testing.T) {
+// Size must be close to the memory in use: entries may take at most half as much again as is
+// counted, or the bounds in bytes would not limit the memory.
+func TestSizeIsCloseToUsedMemory(t *testing.T) {
 	heap := func() int {
 		runtime.GC()
 		var m runtime.MemStats
@@ -267,16 +274,16 @@
 		return int(m.HeapAlloc)
 	}
 	before := heap()
-	tb := NewTable(Config{Keep: time.Hour, Bytes: 1 << 30, EachClient: 1 << 30, Open: 1 << 30})
+	table := NewTable(Config{Keep: time.Hour, Bytes: 1 << 30, EachClient: 1 << 30, Open: 1 << 30})
 	const many = 10000
 	for n := range many {
-		c, _ := tb.Arrive(0, key(n, n), fmt.Sprintf("nas-%d session-%08d stop", n, n))
-		tb.End(0, c, make([]byte, 64))
+		call, _ := table.Arrive(0, testKey(n, n), fmt.Sprintf("nas-%d session-%08d stop", n, n))
+		table.End(0, call, make([]byte, 64))
 	}
 	used := heap() - before
-	t.Logf("%d remembered answers: %d KB used, %d KB counted", many, used>>10, tb.Size()>>10)
-	if used > tb.Size()*3/2 {
-		t.Errorf("%d bytes used, %d counted", used, tb.Size())
+	t.Logf("%d remembered answers: %d KB used, %d KB counted", many, used>>10, table.Size()>>10)
+	if used > table.Size()*3/2 {
+		t.Errorf("%d bytes used, %d counted", used, table.Size())
 	}
-	runtime.KeepAlive(tb)
+	runtime.KeepAlive(table)
 }
