--- a/internal/radius/listener/listener.go
+++ b/internal/radius/listener/listener.go
@@ -288,7 +288,7 @@
 			return
 		}
 	} else {
-		x.request = &transport.Request{Packet: p, From: hop, Resumes: l.cfg.Accounting}
+		x.request = &transport.Request{Packet: p, ClientHop: hop, Resumable: l.cfg.Accounting}
 	}
 	if state := p.Get(radius.State); state != nil && !l.cfg.Accounting {
 		only = l.talks.ServerFor(l.now(), from.Addr(), state)
@@ -322,7 +322,7 @@
 	a := answer.(*transport.Answer)
 	l := x.l
 	wire := a.Packet.Marshal()
-	if x.first.Authenticator != x.request.From.Authenticator || x.first.ID != x.request.Packet.ID {
+	if x.first.Authenticator != x.request.ClientHop.Authenticator || x.first.ID != x.request.Packet.ID {
 		wire = l.own(x.first, x.own, radius.AccountingResponse)
 	}
 	l.mu.Lock()
--- a/internal/radius/listener/memory.go
+++ b/internal/radius/listener/memory.go
@@ -77,7 +77,7 @@
 			Event: string(c.Event), Answer: c.Answer, Remaining: c.Until.Sub(now),
 		}
 		if c.MayHaveRun != "" {
-			rec.RetryState = transport.Lost(c.MayHaveRun)
+			rec.RetryState = transport.NewLostRequest(c.MayHaveRun)
 		}
 		l.table.Restore(l.now(), rec)
 	}
--- a/internal/radius/transport/socket.go
+++ b/internal/radius/transport/socket.go
@@ -10,25 +10,28 @@
 	"chalkrack/internal/radius"
 )
 
-// Conn is a way to one server. Only packets from its address come by it.
+// Conn is a datagram socket connected to one server. It delivers packets from the server's address
+// only.
 type Conn interface {
-	Read([]byte) (int, error) // net.ErrClosed after Close
+	Read([]byte) (int, error) // returns net.ErrClosed after Close
 	Write([]byte) (int, error)
 	Close() error
-	// Refused tells of the packets whose port was refused, as far as the system says
-	// so, with their first bytes at least. It is called after each Read.
+	// Refused calls its argument with the first bytes of each sent packet that the server's port
+	// refused, as far as the system has reported it since the last call. It must not block. The
+	// transport calls it after each Read.
 	Refused(func(packet []byte))
 }
 
-// socket is a Conn with what waits on it.
+// socket is a Conn with the attempts that wait for answers on it.
 type socket struct {
-	t       *Transport
-	server  *server
-	conn    Conn
-	waiting [256]*attempt // by identifier; guarded by the Transport's lock
+	transport *Transport
+	server    *server
+	conn      Conn
+	waiting   [256]*attempt // by identifier; guarded by the Transport's lock
 }
 
-func (t *Transport) open(s *server) (*socket, error) {
+// openSocket opens a socket to a server and starts reading from it.
+func (t *Transport) openSocket(s *server) (*socket, error) {
 	dial := t.cfg.Dial
 	if dial == nil {
 		dial = Dial
@@ -37,55 +40,60 @@
 	if err != nil {
 		return nil, err
 	}
-	k := &socket{t: t, server: s, conn: conn}
-	t.wg.Go(k.read)
-	return k, nil
+	sock := &socket{transport: t, server: s, conn: conn}
+	t.wg.Go(sock.readLoop)
+	return sock, nil
 }
 
-// write sends a packet. An error that an earlier packet met is told here at times, in
-// place of sending: then it is sent again. One that can't be sent is as good as lost.
-func (k *socket) write(wire []byte) {
+// write sends a packet, in up to four tries. The system may report the refusal of an earlier packet in place of sending
+// this one, so that it is tried again then. A packet that can't be sent is treated like one that
+// was lost on the way.
+func (s *socket) write(wire []byte) {
 	for range 4 {
-		_, err := k.conn.Write(wire)
+		_, err := s.conn.Write(wire)
 		if !errors.Is(err, syscall.ECONNREFUSED) {
 			return
 		}
 	}
 }
 
-func (k *socket) read() {
+// readLoop handles datagrams and refusals until the Conn is closed.
+func (s *socket) readLoop() {
 	buf := make([]byte, radius.MaxPacketBytes)
 	for {
-		n, err := k.conn.Read(buf)
+		n, err := s.conn.Read(buf)
 		switch {
 		case err == nil:
-			k.take(buf[:n])
+			s.handleDatagram(buf[:n])
 		case errors.Is(err, net.ErrClosed):
 			return
 		}
-		k.conn.Refused(k.refused)
+		s.conn.Refused(s.handleRefusal)
 	}
 }
 
-// refused takes the refusal of a packet.
-func (k *socket) refused(packet []byte) {
+// handleRefusal counts the refusal of a sent packet, and ends its attempt if all its packets were
+// refused. The packet is compared with what the attempt sent: an earlier attempt may have had the
+// same identifier.
+func (s *socket) handleRefusal(packet []byte) {
 	if len(packet) < 20 {
-		return // too little of it to say whose it is
+		return // without the whole header the attempt can't be told
 	}
-	k.t.mu.Lock()
-	k.t.counts.Refusals++
-	a := k.waiting[packet[1]]
-	over := a != nil && string(packet[:20]) == string(a.wire[:20]) && a.refusal()
-	k.t.mu.Unlock()
-	if over {
+	s.transport.mu.Lock()
+	s.transport.counts.Refusals++
+	a := s.waiting[packet[1]]
+	finished := a != nil && string(packet[:20]) == string(a.wire[:20]) && a.countRefusal()
+	s.transport.mu.Unlock()
+	if finished {
 		a.order.Sink.Done(chalkrack.ConnectFailed, nil, chalkrack.LoadReport{})
 	}
 }
 
-// take takes a packet that came. What is no verified answer to what waits is dropped.
-func (k *socket) take(b []byte) {
-	t := k.t
-	p, err := radius.Parse(b)
+// handleDatagram drops a datagram that is not a verified answer to a waiting attempt, and passes
+// on any other. An answer for a parked attempt is kept for the retry of its call.
+func (s *socket) handleDatagram(datagram []byte) {
+	t := s.transport
+	p, err := radius.Parse(datagram)
 	if err != nil {
 		t.mu.Lock()
 		t.counts.Malformed++
@@ -93,7 +101,7 @@
 		return
 	}
 	t.mu.Lock()
-	a := k.waiting[p.ID]
+	a := s.waiting[p.ID]
 	if a == nil || !p.Code.Answers(a.request.Packet.Code) {
 		t.counts.Unasked++
 		t.mu.Unlock()
@@ -102,34 +110,34 @@
 	if err := p.VerifyAnswer(a.hop.Secret, a.hop.Authenticator, !t.cfg.Unsigned); err != nil {
 		t.counts.Unverified++
 		t.mu.Unlock()
-		slog.Warn("radius: answer dropped", "server", k.server.name, "err", err)
+		slog.Warn("radius: answer dropped", "server", s.server.name, "err", err)
 		return
 	}
-	back, err := radius.ForwardAnswer(p, a.request.Packet, a.hop, a.request.From, a.state)
-	if err != nil { // the server's own fault: no other answer will be better
+	translated, err := radius.ForwardAnswer(p, a.request.Packet, a.hop, a.request.ClientHop, a.proxyState)
+	if err != nil { // the server has run the call, so another answer would be no better
 		t.counts.Malformed++
-		slog.Warn("radius: answer can't be handed back", "server", k.server.name, "err", err)
+		slog.Warn("radius: can't translate the answer for the client", "server", s.server.name, "err", err)
 	}
 	t.counts.Answers++
-	if a.request.parked == a { // its call was given up, and may come again
+	if a.request.parked == a { // its call was given up, and the client may retry it
 		if err == nil {
-			a.request.late = &Answer{back, k.server.name}
+			a.request.lateAnswer = &Answer{translated, s.server.name}
 		}
 		t.mu.Unlock()
 		return
 	}
-	over := a.ended
+	alreadyEnded := a.ended
 	a.ended, a.answered = true, true
-	a.free(true)
+	a.releaseOrPark(true)
 	if err != nil {
-		a.request.lose() // it has run: not again
+		a.request.markLost() // the server has run it, so it must not be sent again
 	}
 	t.mu.Unlock()
 	switch {
-	case over:
+	case alreadyEnded:
 	case err != nil:
 		a.order.Sink.Done(chalkrack.Reset, nil, chalkrack.LoadReport{})
 	default:
-		a.order.Sink.Done(chalkrack.OK, &Answer{back, k.server.name}, chalkrack.LoadReport{})
+		a.order.Sink.Done(chalkrack.OK, &Answer{translated, s.server.name}, chalkrack.LoadReport{})
 	}
 }
--- a/internal/radius/transport/transport.go
+++ b/internal/radius/transport/transport.go
@@ -1,19 +1,19 @@
-// Package transport carries RADIUS attempts to servers over UDP, for the core. An
-// attempt is one exchange with one server: one packet, under one identifier and one
-// authenticator. Where the settings say so the very same packet is sent again, to the
-// same server, from the same socket, until its answer comes; a server knows such
-// packets for duplicates and runs them once (RFC 5080 section 2.2.2).
+// Package transport implements the core's transport: it carries RADIUS attempts to servers over
+// UDP. An attempt is one exchange with one server, with one packet, one identifier and one
+// authenticator. If the settings say so, the identical packet is sent again to the same server from
+// the same socket until its answer comes. A server recognizes such packets as duplicates and runs
+// them once (RFC 5080 section 2.2.2).
 //
-// What has run:
+// The outcome of an attempt says whether the server has run the request:
 //
-//	what comes back                               outcome         has it run?
-//	a verified answer                             OK              yes
-//	nothing, until the patience is over           timed out       it may have, or may yet
-//	for each packet sent, a refusal of the port   could not connect  never
-//	no identifier, no socket left                 not sent        never
+//	what comes back                              outcome            did the server run it?
+//	a verified answer                            OK                 yes
+//	nothing before the timeout of the attempt    timed out          it may have, or may yet
+//	a refusal of the port for each packet sent   could not connect  never
+//	nothing is sent: no identifier or no socket  not sent           never
 //
-// A packet that can't be verified, or comes from elsewhere, is dropped and counted; the
-// attempt waits on.
+// A datagram that can't be verified or comes from another address is dropped and counted, and the
+// attempt goes on waiting.
 package transport
 
 import (
@@ -29,42 +29,43 @@
 	"chalkrack/internal/radius/ident"
 )
 
-// Config is what a Transport is told.
+// Config holds the settings of a Transport.
 type Config struct {
-	Secret   func(server string) []byte // of a server; nil: it has none and gets nothing
-	Sockets  int                        // of each server at most, each for 256 attempts
-	Rest     time.Duration              // how long a late answer may come
+	Secret   func(server string) []byte // returns a server's secret; a server without one gets no requests
+	Sockets  int                        // sockets per server at most, each for 256 attempts
+	Rest     time.Duration              // how long after an attempt a late answer may come
 	Patience time.Duration              // how long an attempt waits for its answer
-	Resend   time.Duration              // after how long a packet is sent again; doubled thrice
-	Resends  int                        // how often at most
-	// Unsigned takes answers to access without Message-Authenticator: whoever is on the
-	// way can forge them (CVE-2024-3596).
+	Resend   time.Duration              // wait before a packet is sent again, doubled up to three times
+	Resends  int                        // how often a packet is sent again at most
+	// Unsigned accepts answers to access without Message-Authenticator. An attacker on the network
+	// path can forge them (CVE-2024-3596).
 	Unsigned bool
-	Grace    time.Duration                      // after which nothing new goes to a server that has left
-	Dial     func(netip.AddrPort) (Conn, error) // nil: UDP
+	Grace    time.Duration                      // after a server has left, it gets packets for this long
+	Dial     func(netip.AddrPort) (Conn, error) // opens a Conn to a server; Dial (UDP) if nil
 }
 
-// Request is the payload of a call: a request as it came, and the hop that it came by.
+// Request is the payload of a call: the client's request, and the hop that it came by.
 type Request struct {
-	Packet *radius.Packet
-	From   radius.Hop
-	// Resumes says that a call that is given up may come again: its packet, identifier
-	// and socket are kept until Forget, so that its server knows the next attempt for a
-	// duplicate of this one. An answer that comes meanwhile is kept for it.
-	Resumes bool
-
-	mu     sync.Mutex
-	t      *Transport // whose attempts it has; nil: none yet
-	sent   string     // the server that got a packet of it last and may have run it
-	lost   bool       // it may have run, and nothing is kept to go on with
-	parked *attempt   // guarded by the Transport's lock
-	late   *Answer    // likewise
-}
-
-// Forget frees what is kept for a call that does not come again.
+	Packet    *radius.Packet
+	ClientHop radius.Hop
+	// Resumable says that the client may retry the call after it is given up. The packet, identifier
+	// and socket of its attempt are kept until Forget, so that the server recognizes the packet of
+	// the next attempt as a duplicate. An answer that comes in the meantime is kept for the retry.
+	Resumable bool
+
+	mu         sync.Mutex // guards the next three fields
+	transport  *Transport // that makes attempts for it; nil before the first attempt
+	sentTo     string     // the server that last got a packet of it and may have run it
+	lost       bool       // it may have run, and no attempt is kept that could be resumed
+	parked     *attempt   // given up, kept for a retry; guarded by the Transport's lock
+	lateAnswer *Answer    // answer to the parked attempt; guarded by the Transport's lock
+}
+
+// Forget frees the attempt and the answer that are kept for a retry. It is called when the client
+// will not retry the call any more, and may be called again.
 func (r *Request) Forget() {
 	r.mu.Lock()
-	t := r.t
+	t := r.transport
 	r.mu.Unlock()
 	if t == nil {
 		return
@@ -72,95 +73,97 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if a := r.parked; a != nil {
-		r.parked, r.late = nil, nil
-		t.parked--
+		r.parked, r.lateAnswer = nil, nil
+		t.parkedCount--
 		a.release(false)
 	}
 }
 
-// Lost is the Request of a call that may have run at a server, and can't go on: what
-// was sent for it is not known any more.
-func Lost(server string) *Request { return &Request{Resumes: true, sent: server, lost: true} }
+// NewLostRequest returns the Request of a call that may have run at a server and can't be resumed,
+// since the packet that was sent for it is no longer known.
+func NewLostRequest(server string) *Request {
+	return &Request{Resumable: true, sentTo: server, lost: true}
+}
 
-// IsLost says whether it may have run at a server that would not know another attempt
-// for a duplicate. It is not to be sent again.
+// IsLost reports whether the request may have run at a server that would not recognize another
+// attempt as a duplicate. Such a request must not be sent again.
 func (r *Request) IsLost() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.lost
 }
 
-func (r *Request) lose() {
+func (r *Request) markLost() {
 	r.mu.Lock()
 	r.lost = true
 	r.mu.Unlock()
 }
 
-// ran notes the server that may have run it, empty for none.
-func (r *Request) ran(server string) {
+// setSentTo records the server that may have run the request, empty for none.
+func (r *Request) setSentTo(server string) {
 	r.mu.Lock()
-	r.sent = server
+	r.sentTo = server
 	r.mu.Unlock()
 }
 
-// SentTo is the server that got a packet of it last, empty if none did or it was
-// refused.
+// SentTo returns the name of the server that last got a packet of the request and may have run it.
+// It is empty if no server did, or if the server's port refused all packets.
 func (r *Request) SentTo() string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.sent
+	return r.sentTo
 }
 
-// Answer is a server's answer, as the client's hop is to have it.
+// Answer is a server's answer, translated for the client's hop.
 type Answer struct {
 	Packet *radius.Packet
 	Server string
 }
 
-// Counts is what a Transport has met.
+// Counts holds the event counters of a Transport.
 type Counts struct {
 	Sent, Resent int64
-	Answers      int64
-	Unverified   int64 // dropped: wrong authenticator, or none
-	Unasked      int64 // dropped: nothing waits for it
-	Refusals     int64 // of ports
-	NoIdentifier int64
-	Malformed    int64
+	Answers      int64 // verified answers
+	Unverified   int64 // dropped: authenticator or Message-Authenticator wrong or missing
+	Unasked      int64 // dropped: no attempt waits for it
+	Refusals     int64 // packets refused by a server's port
+	NoIdentifier int64 // attempts not sent because all identifiers were in use or resting
+	Malformed    int64 // dropped: not a RADIUS packet, or an answer that can't be translated
 }
 
 // Transport implements core.Transport.
 type Transport struct {
 	cfg Config
 
-	mu      sync.Mutex
-	servers map[string]*server
-	off     map[*server]bool // dropped, and something waits on their sockets
-	counts  Counts
-	parked  int // attempts that are kept for a call that may come again
-	start   time.Time
-	closed  bool
-	wg      sync.WaitGroup
+	mu          sync.Mutex
+	servers     map[string]*server
+	removed     map[*server]bool // removed, while attempts wait on their sockets
+	counts      Counts
+	parkedCount int // attempts kept for calls that the client may retry
+	start       time.Time
+	closed      bool
+	wg          sync.WaitGroup
 }
 
-// server is where a server is, with its sockets. It stays until nothing waits on it.
+// server is a server at one address, with its sockets. It stays until no attempt waits on it.
 type server struct {
-	name    string
-	addr    netip.AddrPort
-	ids     *ident.Pool
-	sockets []*socket
-	waiting int
-	left    time.Time // zero: it has not
-	gone    bool      // off the list, or moved: its sockets close when nothing waits
+	name         string
+	addr         netip.AddrPort
+	identifiers  *ident.Pool
+	sockets      []*socket // nil for one that could not be opened
+	waitingCount int       // attempts that hold an identifier
+	leftAt       time.Time // when it left; zero if it has not
+	removed      bool      // off the list or at another address now: its sockets close once no attempt waits
 }
 
 // New returns a Transport without servers.
 func New(cfg Config) *Transport {
-	return &Transport{cfg: cfg, servers: make(map[string]*server), off: make(map[*server]bool), start: time.Now()}
+	return &Transport{cfg: cfg, servers: make(map[string]*server), removed: make(map[*server]bool), start: time.Now()}
 }
 
 func (t *Transport) now() time.Duration { return time.Since(t.start) }
 
-// Counts is what it has met so far.
+// Counts returns the event counters.
 func (t *Transport) Counts() Counts {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -171,19 +174,19 @@
 func (t *Transport) AddServer(name, address string, _ time.Duration) {
 	addr, err := netip.ParseAddrPort(address)
 	if err != nil {
-		slog.Warn("radius: server without a usable address", "server", name, "err", err)
+		slog.Warn("radius: server ignored: its address is not an IP address and a port", "server", name, "err", err)
 		return
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if s := t.servers[name]; s != nil {
 		if s.addr == addr {
-			s.left = time.Time{}
+			s.leftAt = time.Time{}
 			return
 		}
-		t.drop(s)
+		t.removeServer(s)
 	}
-	t.servers[name] = &server{name: name, addr: addr, ids: ident.New(t.cfg.Sockets, t.cfg.Rest)}
+	t.servers[name] = &server{name: name, addr: addr, identifiers: ident.New(t.cfg.Sockets, t.cfg.Rest)}
 }
 
 // RetireServer implements core.Transport.
@@ -194,11 +197,11 @@
 	if s == nil {
 		return
 	}
-	if s.left.IsZero() {
-		s.left = time.Now()
+	if s.leftAt.IsZero() {
+		s.leftAt = time.Now()
 	}
 	if gone {
-		t.drop(s)
+		t.removeServer(s)
 	}
 }
 
@@ -208,28 +211,28 @@
 	defer t.mu.Unlock()
 	for name, s := range t.servers {
 		if !listed[name] {
-			if s.left.IsZero() {
-				s.left = time.Now()
+			if s.leftAt.IsZero() {
+				s.leftAt = time.Now()
 			}
-			t.drop(s)
+			t.removeServer(s)
 		}
 	}
 }
 
-// drop takes a server off. Its sockets stay for what waits on them.
-func (t *Transport) drop(s *server) {
-	s.gone = true
-	if s.left.IsZero() {
-		s.left = time.Now()
+// removeServer takes a server off the list. Its sockets stay open while attempts wait on them.
+func (t *Transport) removeServer(s *server) {
+	s.removed = true
+	if s.leftAt.IsZero() {
+		s.leftAt = time.Now()
 	}
 	delete(t.servers, s.name)
-	t.off[s] = true
-	t.release(s)
+	t.removed[s] = true
+	t.closeIfUnused(s)
 }
 
-// release closes the sockets of a server that is off, once nothing waits on them.
-func (t *Transport) release(s *server) {
-	if !s.gone || s.waiting > 0 {
+// closeIfUnused closes the sockets of a removed server once no attempt waits on them.
+func (t *Transport) closeIfUnused(s *server) {
+	if !s.removed || s.waitingCount > 0 {
 		return
 	}
 	for _, k := range s.sockets {
@@ -238,21 +241,22 @@
 		}
 	}
 	s.sockets = nil
-	delete(t.off, s)
+	delete(t.removed, s)
 }
 
-// CloseIdle implements core.Transport: sockets without traffic cost a server nothing.
+// CloseIdle implements core.Transport. It does nothing: idle UDP sockets cost a server nothing.
 func (t *Transport) CloseIdle(string) {}
 
-// Probe implements core.Transport: RADIUS has no load reports.
+// Probe implements core.Transport. It does nothing: RADIUS servers send no load reports.
 func (t *Transport) Probe(string, time.Duration, func(chalkrack.LoadReport)) {}
 
-// Close ends all attempts, as timed out or never sent, and its goroutines.
+// Close ends all attempts as timed out, frees the parked ones, and returns once all reading
+// goroutines have ended. Attempts started afterwards are not sent.
 func (t *Transport) Close() {
 	t.mu.Lock()
 	t.closed = true
 	var all, parked []*attempt
-	for s := range t.off {
+	for s := range t.removed {
 		s.collect(&all, &parked)
 	}
 	for _, s := range t.servers {
@@ -263,13 +267,13 @@
 		a.request.Forget()
 	}
 	for _, a := range all {
-		a.timedOut()
+		a.timeOut()
 	}
 	t.RetainServers(nil)
 	t.wg.Wait()
 }
 
-// collect adds the attempts that wait on a server, and those that are kept.
+// collect adds the attempts that wait on a server to all, but those kept for a retry to parked.
 func (s *server) collect(all, parked *[]*attempt) {
 	for _, k := range s.sockets {
 		if k == nil {
@@ -288,49 +292,53 @@
 }
 
 // NewAttempt implements core.Transport. The payload is a *Request.
-func (t *Transport) NewAttempt(o core.Order) core.Attempt {
-	r := o.Payload.(*Request)
-	r.mu.Lock()
-	r.t = t
-	r.mu.Unlock()
-	return &attempt{t: t, order: o, request: r}
+func (t *Transport) NewAttempt(order core.Order) core.Attempt {
+	request := order.Payload.(*Request)
+	request.mu.Lock()
+	request.transport = t
+	request.mu.Unlock()
+	return &attempt{transport: t, order: order, request: request}
 }
 
-// attempt implements core.Attempt. All below is guarded by the Transport's lock.
+// attempt implements core.Attempt.
 type attempt struct {
-	t       *Transport
-	order   core.Order
-	request *Request
-
-	socket   *socket // nil: it has no identifier
-	id       ident.ID
-	server   *server
-	wire     []byte
-	hop      radius.Hop
-	state    []byte
-	sent     int  // packets
-	refused  int  // of them
-	quiet    bool // the port was refused after a packet that may have been read
-	resends  int
-	began    time.Time
-	until    time.Time // when its patience is over
-	timer    *time.Timer
-	ended    bool // abandoned, or its outcome is told
-	answered bool
-}
-
-// stateSize is that of the Proxy-State that an attempt adds.
-const stateSize = 8
+	transport *Transport
+	order     core.Order
+	request   *Request
+
+	// The fields below are guarded by the Transport's lock.
+
+	socket         *socket // nil if the attempt holds no identifier
+	id             ident.ID
+	server         *server
+	wire           []byte     // the encoded packet
+	hop            radius.Hop // between proxy and server
+	proxyState     []byte     // the Proxy-State that the packet carries
+	packetsSent    int        // packets sent
+	packetsRefused int        // of them, packets that the port refused
+	resendUnsafe   bool       // the port was refused after a packet that the server may have read
+	resends        int        // times that a resend was due
+	startedAt      time.Time
+	timeoutAt      time.Time // when it times out
+	timer          *time.Timer
+	ended          bool // abandoned, or its outcome was reported
+	answered       bool
+}
+
+// proxyStateBytes is the length of the Proxy-State that an attempt adds.
+const proxyStateBytes = 8
 
 // Start implements core.Attempt.
 func (a *attempt) Start() {
-	if o, failed := a.start(); failed {
-		a.order.Sink.Done(o, nil, chalkrack.LoadReport{})
+	if outcome, failed := a.tryStart(); failed {
+		a.order.Sink.Done(outcome, nil, chalkrack.LoadReport{})
 	}
 }
 
-func (a *attempt) start() (o chalkrack.Outcome, failed bool) {
-	t := a.t
+// tryStart sends the first packet, or resumes the request's parked attempt. It returns the outcome
+// and true if the attempt failed at once.
+func (a *attempt) tryStart() (outcome chalkrack.Outcome, failed bool) {
+	t := a.transport
 	secret := t.cfg.Secret(a.order.Server)
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -338,234 +346,242 @@
 		return chalkrack.ConnectFailed, true
 	}
 	s := t.servers[a.order.Server]
-	if s == nil || t.late(s) || t.closed || len(secret) == 0 || !a.order.NotAfter.IsZero() && time.Now().After(a.order.NotAfter) {
+	if s == nil || t.graceOver(s) || t.closed || len(secret) == 0 || !a.order.NotAfter.IsZero() && time.Now().After(a.order.NotAfter) {
 		a.ended = true
 		return chalkrack.ConnectFailed, true
 	}
 	if p := a.request.parked; p != nil {
-		if p.server != s && a.request.late == nil { // it has moved: there nobody knows the packet
+		// A server at another address would not recognize the packet as a duplicate.
+		if p.server != s && a.request.lateAnswer == nil {
 			a.ended = true
 			return chalkrack.NotSent, true
 		}
-		a.adopt(p)
+		a.resume(p)
 		return 0, false
 	}
-	id, opened, ok := s.ids.Acquire(t.now())
+	id, opened, ok := s.identifiers.Acquire(t.now())
 	if !ok {
 		t.counts.NoIdentifier++
 		a.ended = true
 		return chalkrack.NotSent, true
 	}
 	if opened {
-		k, err := t.open(s)
+		sock, err := t.openSocket(s)
 		if err != nil {
-			slog.Warn("radius: no socket", "server", s.name, "err", err)
+			slog.Warn("radius: can't open a socket to the server", "server", s.name, "err", err)
 		}
-		s.sockets = append(s.sockets, k) // nil: what is given an identifier of it is not sent
+		s.sockets = append(s.sockets, sock) // nil after an error: tried again below, and by later attempts
 	}
-	k := s.sockets[id.Socket]
-	if k == nil {
-		if k, _ = t.open(s); k == nil {
-			s.ids.Release(t.now(), id, false)
+	sock := s.sockets[id.Socket]
+	if sock == nil {
+		if sock, _ = t.openSocket(s); sock == nil {
+			s.identifiers.Release(t.now(), id, false)
 			a.ended = true
 			return chalkrack.NotSent, true
 		}
-		s.sockets[id.Socket] = k
+		s.sockets[id.Socket] = sock
 	}
-	var auth radius.Authenticator
-	rand.Read(auth[:])
-	a.state = make([]byte, stateSize)
-	rand.Read(a.state)
-	p, hop, err := radius.ForwardRequest(a.request.Packet, a.request.From, secret, id.Number, auth, a.state)
+	var authenticator radius.Authenticator
+	rand.Read(authenticator[:])
+	a.proxyState = make([]byte, proxyStateBytes)
+	rand.Read(a.proxyState)
+	p, hop, err := radius.ForwardRequest(a.request.Packet, a.request.ClientHop, secret, id.Number, authenticator, a.proxyState)
 	if err != nil {
-		slog.Info("radius: request can't be sent on", "err", err)
-		s.ids.Release(t.now(), id, true)
+		slog.Info("radius: can't translate the request for the server", "err", err)
+		s.identifiers.Release(t.now(), id, true)
 		a.ended = true
 		return chalkrack.NotSent, true
 	}
-	a.server, a.socket, a.id, a.wire, a.hop, a.began = s, k, id, p.Marshal(), hop, time.Now()
-	a.limit()
-	k.waiting[id.Number] = a
-	s.waiting++
+	a.server, a.socket, a.id, a.wire, a.hop, a.startedAt = s, sock, id, p.Marshal(), hop, time.Now()
+	a.setTimeout()
+	sock.waiting[id.Number] = a
+	s.waitingCount++
 	a.send()
-	a.wind()
+	a.startTimer()
 	return 0, false
 }
 
-// adopt goes on with the packet of an attempt that was given up.
-func (a *attempt) adopt(p *attempt) {
-	t := a.t
+// resume takes over the packet, identifier and socket of a parked attempt of the same request. It
+// sends the packet again, or reports the late answer if there is one.
+func (a *attempt) resume(parked *attempt) {
+	t := a.transport
 	a.request.parked = nil
-	t.parked--
-	a.server, a.socket, a.id, a.wire, a.hop, a.state = p.server, p.socket, p.id, p.wire, p.hop, p.state
-	a.sent, a.refused = p.sent, p.refused
-	p.socket = nil
+	t.parkedCount--
+	a.server, a.socket, a.id, a.wire, a.hop, a.proxyState = parked.server, parked.socket, parked.id, parked.wire, parked.hop, parked.proxyState
+	a.packetsSent, a.packetsRefused = parked.packetsSent, parked.packetsRefused
+	parked.socket = nil
 	a.socket.waiting[a.id.Number] = a
-	a.began = time.Now()
-	a.limit()
-	if ans := a.request.late; ans != nil {
-		a.request.late = nil
+	a.startedAt = time.Now()
+	a.setTimeout()
+	if answer := a.request.lateAnswer; answer != nil {
+		a.request.lateAnswer = nil
 		a.ended, a.answered = true, true
 		a.release(true)
-		go a.order.Sink.Done(chalkrack.OK, ans, chalkrack.LoadReport{})
+		go a.order.Sink.Done(chalkrack.OK, answer, chalkrack.LoadReport{})
 		return
 	}
 	a.send()
-	a.wind()
+	a.startTimer()
 }
 
-// limit sets when its patience is over.
-func (a *attempt) limit() {
-	a.until = a.began.Add(a.t.cfg.Patience)
-	if !a.order.Deadline.IsZero() && a.order.Deadline.Before(a.until) {
-		a.until = a.order.Deadline
+// setTimeout sets the time at which the attempt times out, no later than the call's deadline.
+func (a *attempt) setTimeout() {
+	a.timeoutAt = a.startedAt.Add(a.transport.cfg.Patience)
+	if !a.order.Deadline.IsZero() && a.order.Deadline.Before(a.timeoutAt) {
+		a.timeoutAt = a.order.Deadline
 	}
 }
 
-// late says that the grace of a server that left is over. It is called with the lock
-// held, as are the methods below.
-func (t *Transport) late(s *server) bool {
-	return !s.left.IsZero() && time.Since(s.left) > t.cfg.Grace
+// graceOver reports whether a server has left and its grace period is over. It is called with the
+// lock held, as are the methods below.
+func (t *Transport) graceOver(s *server) bool {
+	return !s.leftAt.IsZero() && time.Since(s.leftAt) > t.cfg.Grace
 }
 
 func (a *attempt) send() {
-	a.sent++
-	if a.sent == 1 {
-		a.t.counts.Sent++
-		a.request.ran(a.server.name)
+	a.packetsSent++
+	if a.packetsSent == 1 {
+		a.transport.counts.Sent++
+		a.request.setSentTo(a.server.name)
 	} else {
-		a.t.counts.Resent++
+		a.transport.counts.Resent++
 	}
 	a.socket.write(a.wire)
 }
 
-// resendDoubles is how often the time between two packets of an attempt is doubled.
-const resendDoubles = 3
+// maxResendDoublings is how often the time between two packets of an attempt is doubled.
+const maxResendDoublings = 3
 
-// wind sets the timer for the next packet, or the end.
-func (a *attempt) wind() {
-	left := time.Until(a.until)
-	if a.resends < a.t.cfg.Resends {
-		left = min(left, a.t.cfg.Resend<<min(a.resends, resendDoubles))
+// startTimer starts the timer for the next resend or, after the last one, for the timeout.
+func (a *attempt) startTimer() {
+	wait := time.Until(a.timeoutAt)
+	if a.resends < a.transport.cfg.Resends {
+		wait = min(wait, a.transport.cfg.Resend<<min(a.resends, maxResendDoublings))
 	}
-	a.timer = time.AfterFunc(max(left, 0), a.ring)
+	a.timer = time.AfterFunc(max(wait, 0), a.onTimer)
 }
 
-func (a *attempt) ring() {
-	a.t.mu.Lock()
+// onTimer sends the packet again, or ends the attempt if it has timed out. It takes the lock.
+func (a *attempt) onTimer() {
+	a.transport.mu.Lock()
 	if a.ended {
-		a.t.mu.Unlock()
+		a.transport.mu.Unlock()
 		return
 	}
-	if time.Now().Before(a.until) {
+	if time.Now().Before(a.timeoutAt) {
 		a.resends++
-		// One that has left gets nothing after the grace. One whose port was refused after
-		// a packet of this attempt may have run it and died: back again, it would not know
-		// the next one for a duplicate.
-		if !a.t.late(a.server) && !a.quiet {
+		// A server that has left gets nothing after the grace period. A server whose port refused
+		// a packet after an earlier one of this attempt may have run the request and crashed: once
+		// restarted, it would not recognize another packet as a duplicate.
+		if !a.transport.graceOver(a.server) && !a.resendUnsafe {
 			a.send()
 		}
-		a.wind()
-		a.t.mu.Unlock()
+		a.startTimer()
+		a.transport.mu.Unlock()
 		return
 	}
-	a.t.mu.Unlock()
-	a.timedOut()
+	a.transport.mu.Unlock()
+	a.timeOut()
 }
 
-func (a *attempt) timedOut() {
-	a.t.mu.Lock()
+// timeOut ends the attempt as timed out, unless it has ended. It takes the lock.
+func (a *attempt) timeOut() {
+	a.transport.mu.Lock()
 	if a.ended {
-		a.t.mu.Unlock()
+		a.transport.mu.Unlock()
 		return
 	}
 	a.ended = true
-	a.free(false)
-	a.t.mu.Unlock()
+	a.releaseOrPark(false)
+	a.transport.mu.Unlock()
 	a.order.Sink.Done(chalkrack.TimedOut, nil, chalkrack.LoadReport{})
 }
 
-// free gives its identifier back, or keeps it for a call that may come again.
-func (a *attempt) free(answered bool) {
+// releaseOrPark releases the attempt's identifier. If the client may retry the call and the server
+// may have run it, the attempt is parked instead, so that it can be resumed. If that is not
+// possible, the request is lost.
+func (a *attempt) releaseOrPark(answered bool) {
 	if a.socket == nil {
 		return
 	}
 	if a.timer != nil {
 		a.timer.Stop()
 	}
-	if a.request.Resumes && !answered && a.sent > a.refused {
-		if !a.quiet && a.request.parked == nil && a.t.parked < parkedMost && !a.t.closed {
+	if a.request.Resumable && !answered && a.packetsSent > a.packetsRefused {
+		if !a.resendUnsafe && a.request.parked == nil && a.transport.parkedCount < maxParked && !a.transport.closed {
 			a.request.parked = a
-			a.t.parked++
+			a.transport.parkedCount++
 			return
 		}
-		a.request.lose()
+		a.request.markLost()
 	}
 	a.release(answered)
 }
 
-// parkedMost bounds the attempts that are kept for calls that may come again. What is
-// given up past it is lost.
-const parkedMost = 512
+// maxParked bounds the attempts that are kept for calls that clients may retry. Requests that are
+// given up beyond it are lost.
+const maxParked = 512
 
+// release releases the attempt's identifier, if it holds one.
 func (a *attempt) release(answered bool) {
 	if a.socket == nil {
 		return
 	}
 	a.socket.waiting[a.id.Number] = nil
-	a.server.ids.Release(a.t.now(), a.id, answered)
+	a.server.identifiers.Release(a.transport.now(), a.id, answered)
 	a.socket = nil
-	a.server.waiting--
-	a.t.release(a.server)
+	a.server.waitingCount--
+	a.transport.closeIfUnused(a.server)
 }
 
 // Abandon implements core.Attempt.
 func (a *attempt) Abandon() (began bool) {
-	a.t.mu.Lock()
-	defer a.t.mu.Unlock()
+	a.transport.mu.Lock()
+	defer a.transport.mu.Unlock()
 	a.ended = true
-	return a.sent > a.refused
+	return a.packetsSent > a.packetsRefused
 }
 
 // CancelUnsent implements core.Attempt.
 func (a *attempt) CancelUnsent() bool {
-	a.t.mu.Lock()
-	defer a.t.mu.Unlock()
-	if a.sent > 0 {
+	a.transport.mu.Lock()
+	defer a.transport.mu.Unlock()
+	if a.packetsSent > 0 {
 		return false
 	}
 	a.ended = true
 	return true
 }
 
-// Close implements core.Attempt: the identifier rests until no answer can come.
+// Close implements core.Attempt. An identifier without an answer rests until no late answer can
+// come.
 func (a *attempt) Close() {
-	a.t.mu.Lock()
-	defer a.t.mu.Unlock()
+	a.transport.mu.Lock()
+	defer a.transport.mu.Unlock()
 	if a.request.parked != a {
-		a.free(a.answered)
+		a.releaseOrPark(a.answered)
 	}
 }
 
 // Phase implements core.Attempt.
 func (a *attempt) Phase() string {
-	a.t.mu.Lock()
-	defer a.t.mu.Unlock()
-	if a.sent == 0 {
+	a.transport.mu.Lock()
+	defer a.transport.mu.Unlock()
+	if a.packetsSent == 0 {
 		return "not sent"
 	}
 	return "waiting"
 }
 
-// refusal takes the refusal of a packet. Once all packets of an attempt were refused
-// none can have been read.
-func (a *attempt) refusal() (over bool) {
-	if a.refused++; a.refused < a.sent || a.ended {
-		a.quiet = true
+// countRefusal counts the refusal of a packet. Once all packets of the attempt were refused, the
+// server can't have read any: the attempt ends, and finished is true.
+func (a *attempt) countRefusal() (finished bool) {
+	if a.packetsRefused++; a.packetsRefused < a.packetsSent || a.ended {
+		a.resendUnsafe = true
 		return false
 	}
 	a.ended = true
-	a.request.ran("")
-	a.free(true) // nothing can come
+	a.request.setSentTo("")
+	a.releaseOrPark(true) // no answer can come, so the identifier need not rest
 	return true
 }
--- a/internal/radius/transport/transport_test.go
+++ b/internal/radius/transport/transport_test.go
@@ -25,20 +25,20 @@
 }
 
 var (
-	near = radius.Hop{Secret: []byte("of the terminals"), Authenticator: radius.Authenticator{1}}
-	far  = []byte("of the server")
+	clientHop    = radius.Hop{Secret: []byte("of the terminals"), Authenticator: radius.Authenticator{1}}
+	serverSecret = []byte("of the server")
 )
 
-const patience = 20 * time.Second
+const testTimeout = 20 * time.Second
 
-// peer is a server that does what its test says.
-type peer struct {
+// testServer is a UDP server that a test receives packets from and answers by hand.
+type testServer struct {
 	t    *testing.T
 	conn *net.UDPConn
-	from *net.UDPAddr // of the last packet
+	from *net.UDPAddr // sender of the last packet
 }
 
-func newPeer(t *testing.T, addr string) *peer {
+func newTestServer(t *testing.T, addr string) *testServer {
 	t.Helper()
 	to, err := net.ResolveUDPAddr("udp", addr)
 	if err != nil {
@@ -49,64 +49,65 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { conn.Close() })
-	return &peer{t: t, conn: conn}
+	return &testServer{t: t, conn: conn}
 }
 
-func (p *peer) addr() string { return p.conn.LocalAddr().String() }
+func (s *testServer) addr() string { return s.conn.LocalAddr().String() }
 
-// get is the next packet.
-func (p *peer) get() []byte {
-	p.t.Helper()
+// receive waits for the next packet and returns it.
+func (s *testServer) receive() []byte {
+	s.t.Helper()
 	buf := make([]byte, radius.MaxPacketBytes)
-	p.conn.SetReadDeadline(time.Now().Add(patience))
-	n, from, err := p.conn.ReadFromUDP(buf)
+	s.conn.SetReadDeadline(time.Now().Add(testTimeout))
+	n, from, err := s.conn.ReadFromUDP(buf)
 	if err != nil {
-		p.t.Fatal(err)
+		s.t.Fatal(err)
 	}
-	p.from = from
+	s.from = from
 	return buf[:n]
 }
 
-// nothing says that no packet is there, and none comes within so long.
-func (p *peer) nothing(within time.Duration) {
-	p.t.Helper()
-	p.conn.SetReadDeadline(time.Now().Add(within))
-	if n, _, err := p.conn.ReadFromUDP(make([]byte, radius.MaxPacketBytes)); err == nil {
-		p.t.Errorf("a packet of %d bytes came", n)
+// expectNoPacket fails the test if a packet is there or comes within the given time.
+func (s *testServer) expectNoPacket(within time.Duration) {
+	s.t.Helper()
+	s.conn.SetReadDeadline(time.Now().Add(within))
+	if n, _, err := s.conn.ReadFromUDP(make([]byte, radius.MaxPacketBytes)); err == nil {
+		s.t.Errorf("an unexpected packet of %d bytes came", n)
 	}
 }
 
-// answer answers a packet. keep says whether its Proxy-States are given back.
-func (p *peer) answer(wire []byte, code radius.Code, keep bool) {
-	p.t.Helper()
+// answer sends a signed answer to a request. withProxyStates says whether it contains the request's
+// Proxy-States, as it must.
+func (s *testServer) answer(wire []byte, code radius.Code, withProxyStates bool) {
+	s.t.Helper()
 	request, err := radius.Parse(wire)
 	if err != nil {
-		p.t.Fatal(err)
+		s.t.Fatal(err)
 	}
-	a := &radius.Packet{Code: code, ID: request.ID}
+	answer := &radius.Packet{Code: code, ID: request.ID}
 	if code != radius.AccountingResponse {
-		a.Add(radius.MessageAuthenticator, make([]byte, 16))
+		answer.Add(radius.MessageAuthenticator, make([]byte, 16))
 	}
 	for t, v := range request.All {
-		if t == radius.ProxyState && keep {
-			a.Add(t, v)
+		if t == radius.ProxyState && withProxyStates {
+			answer.Add(t, v)
 		}
 	}
-	a.SignAnswer(far, request.Authenticator)
-	p.conn.WriteToUDP(a.Marshal(), p.from)
+	answer.SignAnswer(serverSecret, request.Authenticator)
+	s.conn.WriteToUDP(answer.Marshal(), s.from)
 }
 
 func newTransport(t *testing.T, change func(*Config)) *Transport {
-	cfg := Config{Secret: func(string) []byte { return far }, Sockets: 1, Rest: time.Minute, Patience: patience, Resend: patience, Grace: time.Minute}
+	cfg := Config{Secret: func(string) []byte { return serverSecret }, Sockets: 1, Rest: time.Minute, Patience: testTimeout, Resend: testTimeout, Grace: time.Minute}
 	if change != nil {
 		change(&cfg)
 	}
-	tr := New(cfg)
-	t.Cleanup(tr.Close)
-	return tr
+	transport := New(cfg)
+	t.Cleanup(transport.Close)
+	return transport
 }
 
-// sink keeps the outcomes of an attempt.
+// sink records the outcomes of an attempt.
 type sink struct {
 	done chan chalkrack.Outcome
 	got  any
@@ -118,462 +119,475 @@
 	s.done <- o
 }
 
-func event() *Request {
+// accountingRequest returns a Request that may be resumed after its call is given up.
+func accountingRequest() *Request {
 	p := &radius.Packet{Code: radius.AccountingRequest, ID: 7}
 	p.Add(radius.AcctSessionID, []byte("s1"))
-	p.SignRequest(near.Secret)
-	return &Request{Packet: p, From: radius.Hop{Secret: near.Secret, Authenticator: p.Authenticator}, Resumes: true}
+	p.SignRequest(clientHop.Secret)
+	return &Request{Packet: p, ClientHop: radius.Hop{Secret: clientHop.Secret, Authenticator: p.Authenticator}, Resumable: true}
 }
 
-func begin(tr *Transport, r *Request) (core.Attempt, *sink) {
-	s := &sink{done: make(chan chalkrack.Outcome, 2)}
-	a := tr.NewAttempt(core.Order{Payload: r, Server: "r1", Sink: s})
-	a.Start()
-	return a, s
+// startAttempt starts an attempt for the request at the server r1.
+func startAttempt(transport *Transport, request *Request) (core.Attempt, *sink) {
+	outcomes := &sink{done: make(chan chalkrack.Outcome, 2)}
+	attempt := transport.NewAttempt(core.Order{Payload: request, Server: "r1", Sink: outcomes})
+	attempt.Start()
+	return attempt, outcomes
 }
 
-func (s *sink) want(t *testing.T, what string, want chalkrack.Outcome) {
+// expectOutcome waits for the attempt's outcome and compares it.
+func (s *sink) expectOutcome(t *testing.T, step string, want chalkrack.Outcome) {
 	t.Helper()
 	select {
 	case got := <-s.done:
 		if got != want {
-			t.Errorf("%s: %v, want %v", what, got, want)
+			t.Errorf("%s: %v, want %v", step, got, want)
 		}
-	case <-time.After(patience):
-		t.Errorf("%s: no outcome", what)
+	case <-time.After(testTimeout):
+		t.Errorf("%s: no outcome", step)
 	}
 }
 
-// What was given up goes on with the very packet, from the very socket.
-func TestResume(t *testing.T) {
-	p := newPeer(t, "127.0.0.2:0")
-	tr := newTransport(t, func(c *Config) { c.Patience = 50 * time.Millisecond })
-	tr.AddServer("r1", p.addr(), 0)
-	r := event()
-	a, s := begin(tr, r)
-	first := p.get()
-	from := p.from.String()
-	s.want(t, "nothing came", chalkrack.TimedOut)
-	a.Close()
-	if r.IsLost() || r.SentTo() != "r1" {
-		t.Errorf("lost %v, sent to %q", r.IsLost(), r.SentTo())
+// A retry of a call that was given up must send the identical packet from the same socket.
+// Otherwise the server would take it for another event and count it twice.
+func TestRetrySendsTheSamePacket(t *testing.T) {
+	server := newTestServer(t, "127.0.0.2:0")
+	transport := newTransport(t, func(c *Config) { c.Patience = 50 * time.Millisecond })
+	transport.AddServer("r1", server.addr(), 0)
+	request := accountingRequest()
+	attempt, outcomes := startAttempt(transport, request)
+	first := server.receive()
+	from := server.from.String()
+	outcomes.expectOutcome(t, "nothing came", chalkrack.TimedOut)
+	attempt.Close()
+	if request.IsLost() || request.SentTo() != "r1" {
+		t.Errorf("lost %v, sent to %q", request.IsLost(), request.SentTo())
 	}
-	tr.cfg.Patience = patience
-	again, s := begin(tr, r)
-	if second := p.get(); !bytes.Equal(first, second) || p.from.String() != from {
-		t.Errorf("%x from %s, then %x from %v", first, from, second, p.from)
+	transport.cfg.Patience = testTimeout
+	again, outcomes := startAttempt(transport, request)
+	if second := server.receive(); !bytes.Equal(first, second) || server.from.String() != from {
+		t.Errorf("first packet %x from %s, then %x from %v: want the same", first, from, second, server.from)
 	}
-	p.answer(first, radius.AccountingResponse, true)
-	s.want(t, "answered", chalkrack.OK)
+	server.answer(first, radius.AccountingResponse, true)
+	outcomes.expectOutcome(t, "answered", chalkrack.OK)
 	again.Close()
-	if tr.parked != 0 {
-		t.Errorf("%d are kept", tr.parked)
+	if transport.parkedCount != 0 {
+		t.Errorf("%d attempts are still parked", transport.parkedCount)
 	}
 }
 
-// An answer that comes after its call was given up is kept for the next, which sends
-// nothing; also when the server has moved meanwhile.
-func TestLateAnswer(t *testing.T) {
+// An answer that comes after its call was given up must be kept for the retry, which then sends
+// nothing, even if the server has another address by then.
+func TestLateAnswerIsKeptForRetry(t *testing.T) {
 	for _, moved := range []bool{false, true} {
-		p, other := newPeer(t, "127.0.0.2:0"), newPeer(t, "127.0.0.2:0")
-		tr := newTransport(t, func(c *Config) { c.Patience = 50 * time.Millisecond })
-		tr.AddServer("r1", p.addr(), 0)
-		r := event()
-		a, s := begin(tr, r)
-		wire := p.get()
-		s.want(t, "nothing came", chalkrack.TimedOut)
-		a.Close()
+		server, other := newTestServer(t, "127.0.0.2:0"), newTestServer(t, "127.0.0.2:0")
+		transport := newTransport(t, func(c *Config) { c.Patience = 50 * time.Millisecond })
+		transport.AddServer("r1", server.addr(), 0)
+		request := accountingRequest()
+		attempt, outcomes := startAttempt(transport, request)
+		wire := server.receive()
+		outcomes.expectOutcome(t, "nothing came", chalkrack.TimedOut)
+		attempt.Close()
 		if moved {
-			tr.AddServer("r1", other.addr(), 0)
+			transport.AddServer("r1", other.addr(), 0)
 		}
-		p.answer(wire, radius.AccountingResponse, true)
-		for end := time.Now().Add(patience); tr.Counts().Answers == 0 && time.Now().Before(end); {
+		server.answer(wire, radius.AccountingResponse, true)
+		for end := time.Now().Add(testTimeout); transport.Counts().Answers == 0 && time.Now().Before(end); {
 			time.Sleep(time.Millisecond)
 		}
-		_, s = begin(tr, r)
-		s.want(t, "the late answer", chalkrack.OK)
-		if s.got == nil {
-			t.Error("no answer with it")
+		_, outcomes = startAttempt(transport, request)
+		outcomes.expectOutcome(t, "the late answer", chalkrack.OK)
+		if outcomes.got == nil {
+			t.Error("the outcome came without the answer")
 		}
-		p.nothing(20 * time.Millisecond)
-		other.nothing(time.Millisecond)
+		server.expectNoPacket(20 * time.Millisecond)
+		other.expectNoPacket(time.Millisecond)
 	}
 }
 
-// At another address nobody knows the packet: nothing is sent there.
-func TestMoved(t *testing.T) {
-	p, other := newPeer(t, "127.0.0.2:0"), newPeer(t, "127.0.0.2:0")
-	tr := newTransport(t, func(c *Config) { c.Patience = 50 * time.Millisecond })
-	tr.AddServer("r1", p.addr(), 0)
-	r := event()
-	a, s := begin(tr, r)
-	p.get()
-	s.want(t, "nothing came", chalkrack.TimedOut)
-	a.Close()
-	tr.AddServer("r1", other.addr(), 0)
-	_, s = begin(tr, r)
-	s.want(t, "moved", chalkrack.NotSent)
-	other.nothing(20 * time.Millisecond)
-	if r.SentTo() != "r1" {
-		t.Errorf("%q may have run it", r.SentTo())
+// After its server moved to another address, a parked attempt must not be resumed there: the
+// server at that address does not recognize the packet as a duplicate.
+func TestRetryIsNotSentToAnotherAddress(t *testing.T) {
+	server, other := newTestServer(t, "127.0.0.2:0"), newTestServer(t, "127.0.0.2:0")
+	transport := newTransport(t, func(c *Config) { c.Patience = 50 * time.Millisecond })
+	transport.AddServer("r1", server.addr(), 0)
+	request := accountingRequest()
+	attempt, outcomes := startAttempt(transport, request)
+	server.receive()
+	outcomes.expectOutcome(t, "nothing came", chalkrack.TimedOut)
+	attempt.Close()
+	transport.AddServer("r1", other.addr(), 0)
+	_, outcomes = startAttempt(transport, request)
+	outcomes.expectOutcome(t, "moved", chalkrack.NotSent)
+	other.expectNoPacket(20 * time.Millisecond)
+	if request.SentTo() != "r1" {
+		t.Errorf("server that may have run it: %q, want r1", request.SentTo())
 	}
 }
 
-// line is a Conn in virtual time, whose far end its test plays.
-type line struct {
-	sent    [][]byte // guarded by mu, as refused
-	refused [][]byte
-	owed    int // writes that tell an earlier packet's error in place of sending
-	mu      sync.Mutex
-	in      chan []byte // nil: a refusal
-	closed  chan struct{}
+// fakeConn is a Conn for tests in virtual time. The test reads what was sent and feeds what comes.
+type fakeConn struct {
+	sent          [][]byte // guarded by mu, as are the next two fields
+	refused       [][]byte
+	pendingErrors int // writes that return the error of an earlier packet in place of sending
+	mu            sync.Mutex
+	in            chan []byte // datagrams to read; nil makes Read report a refusal
+	closed        chan struct{}
 }
 
-func newLine() *line { return &line{in: make(chan []byte, 10), closed: make(chan struct{})} }
+func newFakeConn() *fakeConn {
+	return &fakeConn{in: make(chan []byte, 10), closed: make(chan struct{})}
+}
 
-func (l *line) Read(b []byte) (int, error) {
+func (c *fakeConn) Read(b []byte) (int, error) {
 	select {
-	case p := <-l.in:
+	case p := <-c.in:
 		if p == nil {
 			return 0, syscall.ECONNREFUSED
 		}
 		return copy(b, p), nil
-	case <-l.closed:
+	case <-c.closed:
 		return 0, net.ErrClosed
 	}
 }
 
-func (l *line) Write(b []byte) (int, error) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.owed > 0 {
-		l.owed--
+func (c *fakeConn) Write(b []byte) (int, error) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.pendingErrors > 0 {
+		c.pendingErrors--
 		return 0, syscall.ECONNREFUSED
 	}
-	l.sent = append(l.sent, bytes.Clone(b))
+	c.sent = append(c.sent, bytes.Clone(b))
 	return len(b), nil
 }
 
-func (l *line) Close() error {
-	close(l.closed)
+func (c *fakeConn) Close() error {
+	close(c.closed)
 	return nil
 }
 
-func (l *line) Refused(tell func([]byte)) {
-	l.mu.Lock()
-	all := l.refused
-	l.refused = nil
-	l.mu.Unlock()
+func (c *fakeConn) Refused(report func([]byte)) {
+	c.mu.Lock()
+	all := c.refused
+	c.refused = nil
+	c.mu.Unlock()
 	for _, b := range all {
-		tell(b)
+		report(b)
 	}
 }
 
-// packets is what has been sent so far.
-func (l *line) packets() [][]byte {
+// packets returns the packets sent so far, after all goroutines have become idle.
+func (c *fakeConn) packets() [][]byte {
 	synctest.Wait()
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return slices.Clone(l.sent)
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return slices.Clone(c.sent)
 }
 
-// refuse is the news that a packet's port was refused.
-func (l *line) refuse(packet []byte) {
-	l.mu.Lock()
-	l.refused = append(l.refused, packet)
-	l.mu.Unlock()
-	l.in <- nil
+// refuse reports to the transport that the port refused a packet.
+func (c *fakeConn) refuse(packet []byte) {
+	c.mu.Lock()
+	c.refused = append(c.refused, packet)
+	c.mu.Unlock()
+	c.in <- nil
 	synctest.Wait()
 }
 
-// A server that read a packet and then refuses the next may have died after it counted:
-// nothing more is sent, also when it is back, and the call can't go on.
-func TestRefusedAfterRead(t *testing.T) {
+// A server whose port refuses a second packet after it may have read the first may have crashed
+// after it ran the call. Restarted, it would run another packet again: none may be sent, and the
+// request is lost.
+func TestNoResendAfterRefusalOfLaterPacket(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		l := newLine()
-		tr := newTransport(t, func(c *Config) {
+		conn := newFakeConn()
+		transport := newTransport(t, func(c *Config) {
 			c.Patience, c.Resend, c.Resends = time.Second, 100*time.Millisecond, 10
-			c.Dial = func(netip.AddrPort) (Conn, error) { return l, nil }
+			c.Dial = func(netip.AddrPort) (Conn, error) { return conn, nil }
 		})
-		tr.AddServer("r1", "127.0.0.2:1", 0)
-		r := event()
-		a, s := begin(tr, r)
+		transport.AddServer("r1", "127.0.0.2:1", 0)
+		request := accountingRequest()
+		attempt, outcomes := startAttempt(transport, request)
 		time.Sleep(101 * time.Millisecond)
-		sent := l.packets()
+		sent := conn.packets()
 		if len(sent) != 2 || !bytes.Equal(sent[0], sent[1]) {
-			t.Fatalf("%x", sent)
+			t.Fatalf("sent %x, want the same packet twice", sent)
 		}
-		l.refuse(sent[1])
-		s.want(t, "refused after it was read", chalkrack.TimedOut)
-		if n := len(l.packets()); n != 2 {
-			t.Errorf("%d packets", n)
+		conn.refuse(sent[1])
+		outcomes.expectOutcome(t, "refused after it was read", chalkrack.TimedOut)
+		if n := len(conn.packets()); n != 2 {
+			t.Errorf("%d packets sent, want 2: none after the refusal", n)
 		}
-		a.Close()
-		if !r.IsLost() || r.SentTo() != "r1" {
-			t.Errorf("lost %v, sent to %q", r.IsLost(), r.SentTo())
+		attempt.Close()
+		if !request.IsLost() || request.SentTo() != "r1" {
+			t.Errorf("lost %v, sent to %q", request.IsLost(), request.SentTo())
 		}
 	})
 }
 
-// A write that tells of an earlier packet's refusal has sent nothing: it is made again.
-func TestWriteAgain(t *testing.T) {
+// A write that returns the refusal of an earlier packet has sent nothing, and must be repeated.
+func TestWriteRepeatedAfterEarlierError(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		l := newLine()
-		l.owed = 2
-		tr := newTransport(t, func(c *Config) { c.Dial = func(netip.AddrPort) (Conn, error) { return l, nil } })
-		tr.AddServer("r1", "127.0.0.2:1", 0)
-		begin(tr, event())
-		if n := len(l.packets()); n != 1 {
-			t.Errorf("%d packets", n)
+		conn := newFakeConn()
+		conn.pendingErrors = 2
+		transport := newTransport(t, func(c *Config) { c.Dial = func(netip.AddrPort) (Conn, error) { return conn, nil } })
+		transport.AddServer("r1", "127.0.0.2:1", 0)
+		startAttempt(transport, accountingRequest())
+		if n := len(conn.packets()); n != 1 {
+			t.Errorf("%d packets sent, want 1", n)
 		}
 	})
 }
 
-// Nothing is sent to a server without a secret, and nothing said of an attempt that the
-// core has left, though its answer comes.
-func TestNotSentNotTold(t *testing.T) {
+// Nothing may be sent to a server without a secret. No outcome may be reported for an attempt that
+// the core has abandoned, even if its answer comes.
+func TestNoSecretAndAbandonedAttempt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		l := newLine()
-		secret := far
-		tr := newTransport(t, func(c *Config) {
-			c.Dial = func(netip.AddrPort) (Conn, error) { return l, nil }
+		conn := newFakeConn()
+		secret := serverSecret
+		transport := newTransport(t, func(c *Config) {
+			c.Dial = func(netip.AddrPort) (Conn, error) { return conn, nil }
 			c.Secret = func(string) []byte { return secret }
 		})
-		tr.AddServer("r1", "127.0.0.2:1", 0)
-		a, s := begin(tr, event())
-		if !a.Abandon() {
-			t.Error("it had begun")
+		transport.AddServer("r1", "127.0.0.2:1", 0)
+		attempt, outcomes := startAttempt(transport, accountingRequest())
+		if !attempt.Abandon() {
+			t.Error("Abandon says that the attempt had not begun")
 		}
-		request, err := radius.Parse(l.packets()[0])
+		request, err := radius.Parse(conn.packets()[0])
 		if err != nil {
 			t.Fatal(err)
 		}
 		answer := radius.Answer(request, radius.AccountingResponse)
-		answer.SignAnswer(far, request.Authenticator)
-		l.in <- answer.Marshal()
+		answer.SignAnswer(serverSecret, request.Authenticator)
+		conn.in <- answer.Marshal()
 		synctest.Wait()
-		if c := tr.Counts(); c.Answers != 1 || len(s.done) != 0 {
-			t.Errorf("%+v, %d outcomes", c, len(s.done))
+		if c := transport.Counts(); c.Answers != 1 || len(outcomes.done) != 0 {
+			t.Errorf("%+v, %d outcomes", c, len(outcomes.done))
 		}
-		a.Close()
+		attempt.Close()
 		secret = nil
-		_, s = begin(tr, event())
-		s.want(t, "without a secret", chalkrack.ConnectFailed)
-		if n := len(l.packets()); n != 1 {
-			t.Errorf("%d packets", n)
+		_, outcomes = startAttempt(transport, accountingRequest())
+		outcomes.expectOutcome(t, "without a secret", chalkrack.ConnectFailed)
+		if n := len(conn.packets()); n != 1 {
+			t.Errorf("%d packets sent, want only that of the first attempt", n)
 		}
 	})
 }
 
-// Resends come after Resend, doubled three times at most, and as often as they may.
-func TestResends(t *testing.T) {
+// A packet must be sent again after the configured delay, which doubles three times at most, and
+// no more often than configured.
+func TestResendDelaysAndCount(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		l := newLine()
-		tr := newTransport(t, func(c *Config) {
+		conn := newFakeConn()
+		transport := newTransport(t, func(c *Config) {
 			c.Patience, c.Resend, c.Resends = 5*time.Second, 100*time.Millisecond, 5
-			c.Dial = func(netip.AddrPort) (Conn, error) { return l, nil }
+			c.Dial = func(netip.AddrPort) (Conn, error) { return conn, nil }
 		})
-		tr.AddServer("r1", "127.0.0.2:1", 0)
-		began := time.Now()
-		a, s := begin(tr, event())
+		transport.AddServer("r1", "127.0.0.2:1", 0)
+		started := time.Now()
+		attempt, outcomes := startAttempt(transport, accountingRequest())
 		at := time.Duration(0)
 		for n, wait := range []time.Duration{0, 100, 200, 400, 800, 800} { // ms
 			at += wait * time.Millisecond
-			time.Sleep(time.Until(began.Add(at - time.Millisecond)))
-			if got := len(l.packets()); wait > 0 && got != n {
+			time.Sleep(time.Until(started.Add(at - time.Millisecond)))
+			if got := len(conn.packets()); wait > 0 && got != n {
 				t.Errorf("%d packets just before %v", got, at)
 			}
 			time.Sleep(2 * time.Millisecond)
-			if got := len(l.packets()); got != n+1 {
+			if got := len(conn.packets()); got != n+1 {
 				t.Errorf("%d packets just after %v", got, at)
 			}
 		}
-		s.want(t, "nothing came", chalkrack.TimedOut)
-		if n := len(l.packets()); n != 6 || time.Since(began) != 5*time.Second {
-			t.Errorf("%d packets, ended after %v", n, time.Since(began))
+		outcomes.expectOutcome(t, "nothing came", chalkrack.TimedOut)
+		if n := len(conn.packets()); n != 6 || time.Since(started) != 5*time.Second {
+			t.Errorf("%d packets, timed out after %v, want 6 and 5s", n, time.Since(started))
 		}
-		a.Close()
+		attempt.Close()
 	})
 }
 
-// An attempt that is taken up again ends at its call's deadline, as the first did.
-func TestDeadline(t *testing.T) {
+// A resumed attempt must time out at its call's deadline, as the first one does, and an attempt
+// whose latest start has passed must send nothing.
+func TestResumedAttemptKeepsDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		l := newLine()
-		tr := newTransport(t, func(c *Config) {
+		conn := newFakeConn()
+		transport := newTransport(t, func(c *Config) {
 			c.Patience = time.Minute
-			c.Dial = func(netip.AddrPort) (Conn, error) { return l, nil }
+			c.Dial = func(netip.AddrPort) (Conn, error) { return conn, nil }
 		})
-		tr.AddServer("r1", "127.0.0.2:1", 0)
-		r := event()
+		transport.AddServer("r1", "127.0.0.2:1", 0)
+		request := accountingRequest()
 		for range 2 {
-			began := time.Now()
-			s := &sink{done: make(chan chalkrack.Outcome, 2)}
-			a := tr.NewAttempt(core.Order{Payload: r, Server: "r1", Sink: s, Deadline: began.Add(2 * time.Second)})
-			a.Start()
-			s.want(t, "nothing came", chalkrack.TimedOut)
-			if took := time.Since(began); took != 2*time.Second {
+			started := time.Now()
+			outcomes := &sink{done: make(chan chalkrack.Outcome, 2)}
+			attempt := transport.NewAttempt(core.Order{Payload: request, Server: "r1", Sink: outcomes, Deadline: started.Add(2 * time.Second)})
+			attempt.Start()
+			outcomes.expectOutcome(t, "nothing came", chalkrack.TimedOut)
+			if took := time.Since(started); took != 2*time.Second {
 				t.Errorf("ended after %v", took)
 			}
-			a.Close()
+			attempt.Close()
 		}
-		if n := len(l.packets()); n != 2 {
-			t.Errorf("%d packets", n)
+		if n := len(conn.packets()); n != 2 {
+			t.Errorf("%d packets sent, want one per attempt", n)
 		}
-		late := tr.NewAttempt(core.Order{Payload: event(), Server: "r1", Sink: &sink{done: make(chan chalkrack.Outcome, 2)}, NotAfter: time.Now().Add(-1)})
+		late := transport.NewAttempt(core.Order{Payload: accountingRequest(), Server: "r1", Sink: &sink{done: make(chan chalkrack.Outcome, 2)}, NotAfter: time.Now().Add(-1)})
 		late.Start()
-		if n := len(l.packets()); n != 2 || late.Phase() != "not sent" {
-			t.Errorf("too late to begin, and sent: %d packets", n)
+		if n := len(conn.packets()); n != 2 || late.Phase() != "not sent" {
+			t.Errorf("an attempt past its latest start was sent: %d packets in all, want 2", n)
 		}
 	})
 }
 
-// A port that refuses every packet has run none.
-func TestRefused(t *testing.T) {
-	p := newPeer(t, "127.0.0.2:0")
-	tr := newTransport(t, nil)
-	tr.AddServer("r1", p.addr(), 0)
-	p.conn.Close()
-	r := event()
-	a, s := begin(tr, r)
-	s.want(t, "refused", chalkrack.ConnectFailed)
-	a.Close()
-	if r.IsLost() || r.SentTo() != "" || tr.parked != 0 {
-		t.Errorf("lost %v, sent to %q, %d kept", r.IsLost(), r.SentTo(), tr.parked)
+// If the port refuses every packet, the server has run nothing: the attempt could not connect, and
+// the request may be sent to another server.
+func TestPortRefusesEveryPacket(t *testing.T) {
+	server := newTestServer(t, "127.0.0.2:0")
+	transport := newTransport(t, nil)
+	transport.AddServer("r1", server.addr(), 0)
+	server.conn.Close()
+	request := accountingRequest()
+	attempt, outcomes := startAttempt(transport, request)
+	outcomes.expectOutcome(t, "refused", chalkrack.ConnectFailed)
+	attempt.Close()
+	if request.IsLost() || request.SentTo() != "" || transport.parkedCount != 0 {
+		t.Errorf("lost %v, sent to %q, %d parked", request.IsLost(), request.SentTo(), transport.parkedCount)
 	}
 }
 
-// A refusal of another packet under the identifier says nothing of this one.
-func TestRefusalOfAnother(t *testing.T) {
-	p := newPeer(t, "127.0.0.2:0")
-	tr := newTransport(t, nil)
-	tr.AddServer("r1", p.addr(), 0)
-	_, s := begin(tr, event())
-	wire := p.get()
-	tr.mu.Lock()
-	k := tr.servers["r1"].sockets[0]
-	tr.mu.Unlock()
-	addr := p.addr()
-	p.conn.Close()
+// A refusal of an earlier packet with the same identifier must not end an attempt: its own packet
+// was not refused, and the server may run it.
+func TestRefusalOfEarlierPacketIsIgnored(t *testing.T) {
+	server := newTestServer(t, "127.0.0.2:0")
+	transport := newTransport(t, nil)
+	transport.AddServer("r1", server.addr(), 0)
+	_, outcomes := startAttempt(transport, accountingRequest())
+	wire := server.receive()
+	transport.mu.Lock()
+	sock := transport.servers["r1"].sockets[0]
+	transport.mu.Unlock()
+	addr := server.addr()
+	server.conn.Close()
 	old := bytes.Clone(wire)
-	old[10]++ // that of an attempt before
-	k.write(old)
-	for end := time.Now().Add(patience); tr.Counts().Refusals == 0; time.Sleep(time.Millisecond) {
+	old[10]++ // another authenticator, as of an earlier attempt
+	sock.write(old)
+	for end := time.Now().Add(testTimeout); transport.Counts().Refusals == 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("no refusal")
 		}
 	}
-	back := newPeer(t, addr)
-	back.from = k.conn.(*udp).LocalAddr().(*net.UDPAddr)
-	back.answer(wire, radius.AccountingResponse, true)
-	s.want(t, "answered", chalkrack.OK)
-}
-
-// What does not answer the request, or does not give our state back, is no answer to
-// hand on; the latter has run.
-func TestAnswers(t *testing.T) {
-	p := newPeer(t, "127.0.0.2:0")
-	tr := newTransport(t, nil)
-	tr.AddServer("r1", p.addr(), 0)
-	r := event()
-	_, s := begin(tr, r)
-	wire := p.get()
-	p.answer(wire, radius.AccessAccept, true) // well signed, and for another kind
-	p.answer(wire, radius.AccountingResponse, false)
-	s.want(t, "without our state", chalkrack.Reset)
-	if c := tr.Counts(); c.Unasked != 1 || c.Malformed != 1 || !r.IsLost() {
-		t.Errorf("%+v, lost %v", c, r.IsLost())
+	restarted := newTestServer(t, addr)
+	restarted.from = sock.conn.(*udpConn).LocalAddr().(*net.UDPAddr)
+	restarted.answer(wire, radius.AccountingResponse, true)
+	outcomes.expectOutcome(t, "answered", chalkrack.OK)
+}
+
+// An answer of the wrong kind must be dropped. An answer without the proxy's Proxy-State can't be
+// passed on, but the server has run the call, so that the request is lost.
+func TestAnswersThatCannotBePassedOn(t *testing.T) {
+	server := newTestServer(t, "127.0.0.2:0")
+	transport := newTransport(t, nil)
+	transport.AddServer("r1", server.addr(), 0)
+	request := accountingRequest()
+	_, outcomes := startAttempt(transport, request)
+	wire := server.receive()
+	server.answer(wire, radius.AccessAccept, true) // signed correctly, but not an accounting answer
+	server.answer(wire, radius.AccountingResponse, false)
+	outcomes.expectOutcome(t, "without our state", chalkrack.Reset)
+	if c := transport.Counts(); c.Unasked != 1 || c.Malformed != 1 || !request.IsLost() {
+		t.Errorf("%+v, lost %v", c, request.IsLost())
 	}
 }
 
-// After the grace nothing new goes to a server that has left, and nothing again.
-func TestLeft(t *testing.T) {
+// A server that has left must get new packets and resends during the grace period and none after
+// it, until it is added again.
+func TestServerThatLeftGetsNothingAfterGrace(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		l := newLine()
-		tr := newTransport(t, func(c *Config) {
+		conn := newFakeConn()
+		transport := newTransport(t, func(c *Config) {
 			c.Grace, c.Resend, c.Resends, c.Patience = 250*time.Millisecond, 100*time.Millisecond, 10, 5*time.Second
-			c.Dial = func(netip.AddrPort) (Conn, error) { return l, nil }
+			c.Dial = func(netip.AddrPort) (Conn, error) { return conn, nil }
 		})
-		tr.AddServer("r1", "127.0.0.2:1", 0)
-		_, s := begin(tr, event())
-		tr.RetireServer("r1", false)
+		transport.AddServer("r1", "127.0.0.2:1", 0)
+		_, outcomes := startAttempt(transport, accountingRequest())
+		transport.RetireServer("r1", false)
 		time.Sleep(200 * time.Millisecond)
-		begin(tr, event()) // within the grace
-		if n := len(l.packets()); n != 3 {
+		startAttempt(transport, accountingRequest()) // within the grace
+		if n := len(conn.packets()); n != 3 {
 			t.Errorf("%d packets within the grace", n)
 		}
 		time.Sleep(51 * time.Millisecond)
-		before := len(l.packets())
-		s.want(t, "nothing came", chalkrack.TimedOut)
-		_, s = begin(tr, event())
-		s.want(t, "after the grace", chalkrack.ConnectFailed)
-		if n := len(l.packets()); n != before {
+		before := len(conn.packets())
+		outcomes.expectOutcome(t, "nothing came", chalkrack.TimedOut)
+		_, outcomes = startAttempt(transport, accountingRequest())
+		outcomes.expectOutcome(t, "after the grace", chalkrack.ConnectFailed)
+		if n := len(conn.packets()); n != before {
 			t.Errorf("%d packets after the grace", n-before)
 		}
-		tr.AddServer("r1", "127.0.0.2:1", 0)
-		begin(tr, event()) // it is back
-		if n := len(l.packets()); n != before+1 {
-			t.Errorf("%d packets, and it is back", n-before)
+		transport.AddServer("r1", "127.0.0.2:1", 0)
+		startAttempt(transport, accountingRequest()) // it is back
+		if n := len(conn.packets()); n != before+1 {
+			t.Errorf("%d packets after the server came back, want 1", n-before)
 		}
 	})
 }
 
-// An identifier is not used again while a late answer may come: with one socket the
-// 257th attempt is not sent, though those before have ended.
-func TestIdentifiersRest(t *testing.T) {
-	p := newPeer(t, "127.0.0.2:0")
-	tr := newTransport(t, func(c *Config) { c.Patience = 50 * time.Millisecond })
-	tr.AddServer("r1", p.addr(), 0)
+// An identifier must not be used again while a late answer may come. So with one socket, the 257th
+// attempt is not sent although those before have timed out.
+func TestIdentifiersRestAfterTimeout(t *testing.T) {
+	server := newTestServer(t, "127.0.0.2:0")
+	transport := newTransport(t, func(c *Config) { c.Patience = 50 * time.Millisecond })
+	transport.AddServer("r1", server.addr(), 0)
 	for n := range 256 {
-		r := event()
-		r.Resumes = false
-		a, s := begin(tr, r)
-		s.want(t, "nothing came", chalkrack.TimedOut)
-		a.Close()
+		request := accountingRequest()
+		request.Resumable = false
+		attempt, outcomes := startAttempt(transport, request)
+		outcomes.expectOutcome(t, "nothing came", chalkrack.TimedOut)
+		attempt.Close()
 		if n == 0 {
-			tr.cfg.Patience = time.Microsecond
+			transport.cfg.Patience = time.Microsecond
 		}
 	}
-	_, s := begin(tr, event())
-	s.want(t, "no identifier", chalkrack.NotSent)
-	if c := tr.Counts(); c.NoIdentifier != 1 || c.Sent != 256 {
+	_, outcomes := startAttempt(transport, accountingRequest())
+	outcomes.expectOutcome(t, "no identifier", chalkrack.NotSent)
+	if c := transport.Counts(); c.NoIdentifier != 1 || c.Sent != 256 {
 		t.Errorf("%+v", c)
 	}
 }
 
-// What is kept for calls that may come again is bounded; past that they are lost, and
-// Forget gives the room back.
-func TestParkedMost(t *testing.T) {
-	p := newPeer(t, "127.0.0.2:0")
-	tr := newTransport(t, func(c *Config) { c.Patience, c.Sockets = time.Microsecond, 4 })
-	tr.AddServer("r1", p.addr(), 0)
+// The attempts parked for calls that may be retried are bounded, since clients may never retry.
+// Requests beyond the bound are lost, and Forget makes room again.
+func TestParkedAttemptsAreBounded(t *testing.T) {
+	server := newTestServer(t, "127.0.0.2:0")
+	transport := newTransport(t, func(c *Config) { c.Patience, c.Sockets = time.Microsecond, 4 })
+	transport.AddServer("r1", server.addr(), 0)
 	var all []*Request
-	for range parkedMost + 1 {
-		r := event()
-		a, s := begin(tr, r)
-		s.want(t, "nothing came", chalkrack.TimedOut)
-		a.Close()
-		all = append(all, r)
+	for range maxParked + 1 {
+		request := accountingRequest()
+		attempt, outcomes := startAttempt(transport, request)
+		outcomes.expectOutcome(t, "nothing came", chalkrack.TimedOut)
+		attempt.Close()
+		all = append(all, request)
 	}
-	for n, r := range all {
-		if r.IsLost() != (n == parkedMost) {
-			t.Errorf("%d: lost %v", n, r.IsLost())
+	for n, request := range all {
+		if request.IsLost() != (n == maxParked) {
+			t.Errorf("request %d: lost %v", n, request.IsLost())
 		}
 	}
 	all[0].Forget()
-	all[0].Forget() // once is enough
-	if tr.parked != parkedMost-1 {
-		t.Errorf("%d are kept", tr.parked)
+	all[0].Forget() // a second call does nothing
+	if transport.parkedCount != maxParked-1 {
+		t.Errorf("%d attempts are parked after one was forgotten", transport.parkedCount)
 	}
-	r := event()
-	a, s := begin(tr, r)
-	s.want(t, "nothing came", chalkrack.TimedOut)
-	a.Close()
-	if r.IsLost() {
-		t.Error("lost, and there is room")
+	request := accountingRequest()
+	attempt, outcomes := startAttempt(transport, request)
+	outcomes.expectOutcome(t, "nothing came", chalkrack.TimedOut)
+	attempt.Close()
+	if request.IsLost() {
+		t.Error("a request is lost although there is room")
 	}
-	tr.Close()
-	if tr.parked != 0 {
-		t.Errorf("%d are kept after the end", tr.parked)
+	transport.Close()
+	if transport.parkedCount != 0 {
+		t.Errorf("%d attempts are parked after Close", transport.parkedCount)
 	}
 }
