--- a/internal/radius/listener/event.go
+++ b/internal/radius/listener/event.go
@@ -10,52 +10,55 @@
 
 const acctSessionTime radius.Type = 46
 
-// eventSize is the length of an event's name.
-const eventSize = 16
+// eventNameBytes is the length of an event's name.
+const eventNameBytes = 16
 
-const interim = 3 // Acct-Status-Type Interim-Update (RFC 2869 section 2.1)
+// statusInterimUpdate is the value Interim-Update of Acct-Status-Type (RFC 2869 section 2.1).
+const statusInterimUpdate = 3
 
-// Event names what an Accounting-Request tells of: the NAS, the session, the status and
-// the event's time. It is the same for each retransmission, also with a new identifier
-// and another Acct-Delay-Time (RFC 2866 section 5.2), and differs between the interim
-// updates of a session. It is empty for a request without Acct-Session-Id, which is
-// known by its packet alone.
+// EventName returns the name of the event that an Accounting-Request reports, a hash of 16 bytes.
+// It is the same for all retransmissions of the event, even with another identifier and
+// Acct-Delay-Time (RFC 2866 section 5.2), and differs between the interim updates of a session. It
+// is empty for a request without Acct-Session-Id, whose retransmissions are recognized by their
+// packet only.
 //
-// The time is Event-Timestamp (RFC 2869 section 5.3), else how long the session had
-// lasted. An interim update that has neither is known by all that it tells but for the
-// delay. The client's address belongs to the event: nobody can use up another's.
-func Event(client netip.Addr, p *radius.Packet) string {
-	session := p.Get(radius.AcctSessionID)
+// The name covers the NAS, the session, the status and the time of the event. The time is
+// Event-Timestamp (RFC 2869 section 5.3) or, without it, Acct-Session-Time. For an interim update
+// with neither, the name covers all attributes except the delay and those that each hop changes.
+// The name also covers the client's address, so that a client can't use the names of another's
+// events.
+func EventName(client netip.Addr, request *radius.Packet) string {
+	session := request.Get(radius.AcctSessionID)
 	if len(session) == 0 {
 		return ""
 	}
-	h := sha256.New()
-	add := func(b []byte) {
-		h.Write(binary.BigEndian.AppendUint16(nil, uint16(len(b))))
-		h.Write(b)
+	hash := sha256.New()
+	addField := func(b []byte) {
+		hash.Write(binary.BigEndian.AppendUint16(nil, uint16(len(b))))
+		hash.Write(b)
 	}
 	addr := client.As16()
-	add(addr[:])
+	addField(addr[:])
 	for _, t := range []radius.Type{radius.NASIdentifier, radius.NASIPAddress, radius.NASIPv6Address, radius.AcctSessionID, radius.AcctStatusType} {
-		add(p.Get(t))
+		addField(request.Get(t))
 	}
-	at := p.Get(radius.EventTimestamp)
-	lasted := p.Get(acctSessionTime)
-	status, _ := p.Uint32(radius.AcctStatusType)
+	timestamp := request.Get(radius.EventTimestamp)
+	sessionTime := request.Get(acctSessionTime)
+	status, _ := request.Uint32(radius.AcctStatusType)
 	switch {
-	case at != nil:
-		add(at)
-	case lasted != nil:
-		add(lasted)
-	case status == interim:
-		for t, value := range p.All {
+	case timestamp != nil:
+		addField(timestamp)
+	case sessionTime != nil:
+		addField(sessionTime)
+	case status == statusInterimUpdate:
+		for t, value := range request.All {
 			switch t {
 			case radius.AcctDelayTime, radius.ProxyState, radius.MessageAuthenticator:
 			default:
-				add([]byte{byte(t)})
-				add(value)
+				addField([]byte{byte(t)})
+				addField(value)
 			}
 		}
 	}
-	return string(h.Sum(nil)[:eventSize])
+	return string(hash.Sum(nil)[:eventNameBytes])
 }
--- a/internal/radius/listener/listener.go
+++ b/internal/radius/listener/listener.go
@@ -1,6 +1,6 @@
-// Package listener takes RADIUS requests over UDP and brings them to the core as calls.
-// It tells clients apart, checks what they send, and answers: a retransmission joins
-// its call or gets the remembered answer, and is never a new call.
+// Package listener receives RADIUS requests over UDP and passes them to the core as calls. It
+// finds the client by its address, verifies its requests, and sends the answers. A retransmission
+// joins its call or gets the remembered answer, and never becomes a new call.
 package listener
 
 import (
@@ -20,78 +20,78 @@
 	"chalkrack/internal/radius/transport"
 )
 
-// Client is who may ask: all addresses of a range.
+// Client is a client, or all clients of an address range, whose requests are accepted.
 type Client struct {
 	Name   string
 	Range  netip.Prefix
 	Secret []byte
-	// Unsigned takes access without Message-Authenticator, which whoever is on the way
-	// can change (CVE-2024-3596).
+	// Unsigned accepts Access-Requests without Message-Authenticator, which an attacker on the
+	// network path can change (CVE-2024-3596).
 	Unsigned bool
 }
 
-// Config is what a Listener is told.
+// Config holds the settings of a Listener.
 type Config struct {
-	Accounting bool // accounting is taken, else access
+	Accounting bool // handles accounting, otherwise access
 	Clients    []Client
-	// Pool is the core for a realm: what follows the last '@' of User-Name, empty if
-	// there is none. nil: there is none for it.
+	// Pool returns the core for a realm, nil if there is none. The realm is what follows the last
+	// '@' of User-Name, empty if there is no '@'.
 	Pool          func(realm string) *core.Host
-	Class         string
+	Class         string        // of all calls
 	Wait          time.Duration // how long a client waits for its answer
 	Replies       replies.Config
 	Conversations conversation.Config
-	// Silent gives access that ends without a server's answer none; else it is
-	// rejected with ErrorCause (RFC 5176 section 3.5).
+	// Silent sends no answer to an Access-Request that no server answered. Otherwise it is
+	// rejected, with ErrorCause (RFC 5176 section 3.5) if that is above 0.
 	Silent     bool
 	ErrorCause uint32
-	Conn       Conn // where it listens; nil: a UDP socket
+	Conn       Conn // to listen on; nil for a new UDP socket
 }
 
-// Conn is a socket that takes datagrams from anybody.
+// Conn is a datagram socket that receives from any address.
 type Conn interface {
-	ReadFromUDPAddrPort([]byte) (int, netip.AddrPort, error) // net.ErrClosed after Close
+	ReadFromUDPAddrPort([]byte) (int, netip.AddrPort, error) // returns net.ErrClosed after Close
 	WriteToUDPAddrPort([]byte, netip.AddrPort) (int, error)
 	LocalAddr() net.Addr
 	Close() error
 }
 
-// Counts is what a Listener has met.
+// Counts holds the event counters of a Listener.
 type Counts struct {
-	Requests   int64
-	Unknown    int64 // from no client's range
-	Malformed  int64
-	Unsigned   int64 // without the Message-Authenticator that is needed
-	Unverified int64 // under a wrong secret, or changed
-	Unexpected int64 // codes that have no place here
-	Calls      int64
-	Joined     int64 // repeats of what is under way
-	Remembered int64 // repeats that got the remembered answer
-	Retried    int64 // repeats of what was given up: calls too
-	Full       int64 // no room to remember them
-	Answered   int64 // by servers
-	Rejected   int64 // access given up, and rejected
-	GivenUp    int64 // ended without any answer
-	Lost       int64 // of them, at once: retries of what may have run and can't go on
-	NoRealm    int64
+	Requests   int64 // datagrams received
+	Unknown    int64 // dropped: from an address in no client's range
+	Malformed  int64 // dropped: not a RADIUS packet
+	Unsigned   int64 // dropped: without the required Message-Authenticator
+	Unverified int64 // dropped: signed under a wrong secret, or changed on the way
+	Unexpected int64 // dropped: a code that this Listener does not handle
+	Calls      int64 // new calls and retries
+	Joined     int64 // retransmissions of calls under way
+	Remembered int64 // retransmissions that got the remembered answer
+	Retried    int64 // repeats of calls that were given up, which are counted as calls too
+	Full       int64 // dropped: no room to remember the call, or draining
+	Answered   int64 // calls answered by servers
+	Rejected   int64 // access calls that no server answered, and that were rejected
+	GivenUp    int64 // calls that ended without any answer
+	Lost       int64 // of GivenUp: retries that ended at once, as the first call may have run and can't be resumed
+	NoRealm    int64 // calls for a realm without a core
 }
 
-// readBuffer is what may wait to be read: some thousand requests.
-const readBuffer = 4 << 20
+// readBufferBytes is the size of the socket's receive buffer, enough for some thousand requests.
+const readBufferBytes = 4 << 20
 
-// Listener is one socket.
+// Listener receives requests on one socket.
 type Listener struct {
 	cfg   Config
 	conn  Conn
 	start time.Time
 
-	mu     sync.Mutex
-	table  *replies.Table
-	talks  *conversation.Table
-	counts Counts
+	mu            sync.Mutex
+	table         *replies.Table
+	conversations *conversation.Table
+	counts        Counts
 }
 
-// Listen opens a Listener; Serve makes it work.
+// Listen opens a Listener at an IP address and port. Serve starts receiving.
 func Listen(address string, cfg Config) (*Listener, error) {
 	conn := cfg.Conn
 	if conn == nil {
@@ -103,20 +103,20 @@
 		if err != nil {
 			return nil, fmt.Errorf("radius: %w", err)
 		}
-		udp.SetReadBuffer(readBuffer) // as far as the system lets it
+		udp.SetReadBuffer(readBufferBytes) // the system may limit it to less
 		conn = udp
 	}
-	cfg.Replies.OnForget = func(memo any) { memo.(*transport.Request).Forget() }
+	cfg.Replies.OnForget = func(retryState any) { retryState.(*transport.Request).Forget() }
 	return &Listener{
 		cfg: cfg, conn: conn, start: time.Now(),
-		table: replies.NewTable(cfg.Replies), talks: conversation.New(cfg.Conversations),
+		table: replies.NewTable(cfg.Replies), conversations: conversation.New(cfg.Conversations),
 	}, nil
 }
 
-// Addr is where it listens.
+// Addr returns the address that the Listener listens on.
 func (l *Listener) Addr() netip.AddrPort { return l.conn.LocalAddr().(*net.UDPAddr).AddrPort() }
 
-// Counts is what it has met so far.
+// Counts returns the event counters.
 func (l *Listener) Counts() Counts {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -125,7 +125,8 @@
 
 func (l *Listener) now() time.Duration { return time.Since(l.start) }
 
-// Serve takes requests until Close.
+// Serve receives and handles requests. It blocks until the socket is closed, but does not wait for
+// the answers of servers.
 func (l *Listener) Serve() {
 	buf := make([]byte, radius.MaxPacketBytes)
 	for {
@@ -134,26 +135,27 @@
 		case errors.Is(err, net.ErrClosed):
 			return
 		case err != nil:
-			slog.Warn("radius: can't read", "err", err)
+			slog.Warn("radius: can't read from the listening socket", "err", err)
 			continue
 		}
-		l.take(bytes.Clone(buf[:n]), netip.AddrPortFrom(from.Addr().Unmap(), from.Port()))
+		l.handleDatagram(bytes.Clone(buf[:n]), netip.AddrPortFrom(from.Addr().Unmap(), from.Port()))
 	}
 }
 
-// Drain takes no new call from now on. Its client sends it again, to what listens here
-// next.
+// Drain stops the Listener from accepting new calls: it drops them without an answer. Clients
+// retransmit them to the next process that listens on the address.
 func (l *Listener) Drain() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.table.Drain()
 }
 
-// Shut ends Serve. What is under way gets no answer any more.
+// Shut closes the socket, which ends Serve. Calls under way get no answer any more.
 func (l *Listener) Shut() { l.conn.Close() }
 
-// client is whose range holds an address: the narrowest.
-func (l *Listener) client(addr netip.Addr) *Client {
+// clientFor returns the client whose range contains the address, the narrowest if there are
+// several, nil if there is none.
+func (l *Listener) clientFor(addr netip.Addr) *Client {
 	var best *Client
 	for n := range l.cfg.Clients {
 		c := &l.cfg.Clients[n]
@@ -164,23 +166,25 @@
 	return best
 }
 
-func (l *Listener) count(n *int64) {
+// increment adds 1 to one of the counters.
+func (l *Listener) increment(counter *int64) {
 	l.mu.Lock()
-	*n++
+	*counter++
 	l.mu.Unlock()
 }
 
-// take takes one datagram. Nothing is answered before it is known who sent it.
-func (l *Listener) take(b []byte, from netip.AddrPort) {
-	l.count(&l.counts.Requests)
-	c := l.client(from.Addr())
-	if c == nil {
-		l.count(&l.counts.Unknown)
+// handleDatagram verifies a datagram and handles its request. Nothing is answered before the sender
+// is verified.
+func (l *Listener) handleDatagram(datagram []byte, from netip.AddrPort) {
+	l.increment(&l.counts.Requests)
+	client := l.clientFor(from.Addr())
+	if client == nil {
+		l.increment(&l.counts.Unknown)
 		return
 	}
-	p, err := radius.Parse(b)
+	p, err := radius.Parse(datagram)
 	if err != nil {
-		l.count(&l.counts.Malformed)
+		l.increment(&l.counts.Malformed)
 		return
 	}
 	want := radius.AccessRequest
@@ -188,70 +192,73 @@
 		want = radius.AccountingRequest
 	}
 	if p.Code != want && p.Code != radius.StatusServer {
-		l.count(&l.counts.Unexpected)
+		l.increment(&l.counts.Unexpected)
 		return
 	}
-	switch err := p.VerifyRequest(c.Secret, !c.Unsigned); {
+	switch err := p.VerifyRequest(client.Secret, !client.Unsigned); {
 	case errors.Is(err, radius.ErrNoMessageAuthenticator):
-		l.count(&l.counts.Unsigned)
-		slog.Warn("radius: request dropped", "client", c.Name, "err", err)
+		l.increment(&l.counts.Unsigned)
+		slog.Warn("radius: request dropped", "client", client.Name, "err", err)
 		return
 	case err != nil:
-		l.count(&l.counts.Unverified)
-		slog.Warn("radius: request dropped", "client", c.Name, "err", err)
+		l.increment(&l.counts.Unverified)
+		slog.Warn("radius: request dropped", "client", client.Name, "err", err)
 		return
 	}
-	hop := radius.Hop{Secret: c.Secret, Authenticator: p.Authenticator}
-	if p.Code == radius.StatusServer { // asks whether this is alive (RFC 5997)
+	hop := radius.Hop{Secret: client.Secret, Authenticator: p.Authenticator}
+	if p.Code == radius.StatusServer { // asks whether this proxy is alive (RFC 5997)
 		code := radius.AccessAccept
 		if l.cfg.Accounting {
 			code = radius.AccountingResponse
 		}
-		l.send(l.own(p, hop, code), from)
+		l.send(l.ownAnswer(p, hop, code), from)
 		return
 	}
-	l.request(p, hop, from)
+	l.handleRequest(p, hop, from)
 }
 
-// own is an answer of the proxy's own, signed.
-func (l *Listener) own(p *radius.Packet, hop radius.Hop, code radius.Code) []byte {
-	a := radius.Answer(p, code)
+// ownAnswer returns an encoded and signed answer of the proxy itself to a request.
+func (l *Listener) ownAnswer(p *radius.Packet, hop radius.Hop, code radius.Code) []byte {
+	answer := radius.Answer(p, code)
 	if code == radius.AccessReject && l.cfg.ErrorCause > 0 {
-		a.AddUint32(radius.ErrorCause, l.cfg.ErrorCause)
+		answer.AddUint32(radius.ErrorCause, l.cfg.ErrorCause)
 	}
-	a.SignAnswer(hop.Secret, hop.Authenticator)
-	return a.Marshal()
+	answer.SignAnswer(hop.Secret, hop.Authenticator)
+	return answer.Marshal()
 }
 
 func (l *Listener) send(wire []byte, to netip.AddrPort) {
 	if _, err := l.conn.WriteToUDPAddrPort(wire, to); err != nil && !errors.Is(err, net.ErrClosed) {
-		slog.Info("radius: answer not sent", "err", err)
+		slog.Info("radius: can't send an answer", "err", err)
 	}
 }
 
-// exchange is one call: the core's Caller.
+// exchange is one call of a client. It implements core.Caller.
 type exchange struct {
 	core.Call
-	l       *Listener
-	request *transport.Request // of a retry: that of the call which was given up
-	entry   *replies.Call
-	first   *radius.Packet // by which the entry is known
-	own     radius.Hop     // of it
+	listener    *Listener
+	request     *transport.Request // for a retry, that of the call which was given up
+	entry       *replies.Call
+	firstPacket *radius.Packet // the packet whose key the entry has
+	firstHop    radius.Hop     // of that packet
 
-	// Guarded by the Listener's lock:
-	latest *radius.Packet // the last packet that asked for it
-	hop    radius.Hop
-	from   netip.AddrPort
+	// The last packet that the client sent for the call, its hop and its sender, guarded by the
+	// Listener's lock.
+	latestPacket *radius.Packet
+	latestHop    radius.Hop
+	latestFrom   netip.AddrPort
 }
 
-func (l *Listener) request(p *radius.Packet, hop radius.Hop, from netip.AddrPort) {
-	k := replies.Key{Client: from.Addr(), Code: byte(p.Code), ID: p.ID, Authenticator: p.Authenticator}
+// handleRequest handles a verified request: it answers a retransmission, or passes a new call to
+// the core.
+func (l *Listener) handleRequest(p *radius.Packet, hop radius.Hop, from netip.AddrPort) {
+	key := replies.Key{Client: from.Addr(), Code: byte(p.Code), ID: p.ID, Authenticator: p.Authenticator}
 	event := ""
 	if l.cfg.Accounting {
-		event = Event(from.Addr(), p)
+		event = EventName(from.Addr(), p)
 	}
 	l.mu.Lock()
-	entry, verdict := l.table.Arrive(l.now(), k, event)
+	entry, verdict := l.table.Arrive(l.now(), key, event)
 	switch verdict {
 	case replies.Full:
 		l.counts.Full++
@@ -260,15 +267,15 @@
 	case replies.Joined:
 		l.counts.Joined++
 		x := entry.State.(*exchange)
-		x.latest, x.hop, x.from = p, hop, from // where it listens now
+		x.latestPacket, x.latestHop, x.latestFrom = p, hop, from // where the client expects the answer now
 		l.mu.Unlock()
 		return
 	case replies.Answered:
 		l.counts.Remembered++
 		wire := entry.Answer()
 		l.mu.Unlock()
-		if !entry.HasKey(k) { // the event, in a packet of its own
-			wire = l.own(p, hop, radius.AccountingResponse)
+		if !entry.HasKey(key) { // the same event in another packet, which needs its own answer
+			wire = l.ownAnswer(p, hop, radius.AccountingResponse)
 		}
 		l.send(wire, from)
 		return
@@ -276,39 +283,39 @@
 		l.counts.Retried++
 	}
 	l.counts.Calls++
-	x := &exchange{l: l, entry: entry, first: p, own: hop, latest: p, hop: hop, from: from}
+	x := &exchange{listener: l, entry: entry, firstPacket: p, firstHop: hop, latestPacket: p, latestHop: hop, latestFrom: from}
 	entry.State = x
-	only := ""
-	if before, ok := entry.RetryState.(*transport.Request); ok {
-		x.request, only = before, before.SentTo()
-		if before.IsLost() {
+	onlyServer := ""
+	if earlier, ok := entry.RetryState.(*transport.Request); ok {
+		x.request, onlyServer = earlier, earlier.SentTo()
+		if earlier.IsLost() {
 			l.counts.Lost++
 			l.mu.Unlock()
-			x.giveUp(only)
+			x.giveUp(onlyServer)
 			return
 		}
 	} else {
 		x.request = &transport.Request{Packet: p, ClientHop: hop, Resumable: l.cfg.Accounting}
 	}
 	if state := p.Get(radius.State); state != nil && !l.cfg.Accounting {
-		only = l.talks.ServerFor(l.now(), from.Addr(), state)
+		onlyServer = l.conversations.ServerFor(l.now(), from.Addr(), state)
 	}
 	l.mu.Unlock()
-	host := l.cfg.Pool(realm(p.Get(radius.UserName)))
+	host := l.cfg.Pool(realmOf(p.Get(radius.UserName)))
 	if host == nil {
-		l.count(&l.counts.NoRealm)
+		l.increment(&l.counts.NoRealm)
 		x.giveUp("")
 		return
 	}
 	x.Call = core.Call{Class: l.cfg.Class, Timeout: l.cfg.Wait, Received: time.Now(), Payload: x.request, Caller: x}
-	if only != "" {
-		x.Limits = &core.Limits{OnlyServer: only}
+	if onlyServer != "" {
+		x.Limits = &core.Limits{OnlyServer: onlyServer}
 	}
 	host.Arrive(&x.Call)
 }
 
-// realm is what follows a name's last '@'.
-func realm(name []byte) string {
+// realmOf returns what follows the last '@' of a user name, empty if there is no '@'.
+func realmOf(name []byte) string {
 	for n := len(name) - 1; n >= 0; n-- {
 		if name[n] == '@' {
 			return string(name[n+1:])
@@ -319,29 +326,29 @@
 
 // Serve implements core.Caller.
 func (x *exchange) Serve(answer any) {
-	a := answer.(*transport.Answer)
-	l := x.l
-	wire := a.Packet.Marshal()
-	if x.first.Authenticator != x.request.ClientHop.Authenticator || x.first.ID != x.request.Packet.ID {
-		wire = l.own(x.first, x.own, radius.AccountingResponse)
+	serverAnswer := answer.(*transport.Answer)
+	l := x.listener
+	wire := serverAnswer.Packet.Marshal()
+	if x.firstPacket.Authenticator != x.request.ClientHop.Authenticator || x.firstPacket.ID != x.request.Packet.ID {
+		wire = l.ownAnswer(x.firstPacket, x.firstHop, radius.AccountingResponse)
 	}
 	l.mu.Lock()
 	l.counts.Answered++
 	x.entry.RetryState = nil
-	latest, hop, from := x.latest, x.hop, x.from
-	if state := a.Packet.Get(radius.State); state != nil && !l.cfg.Accounting {
-		l.talks.Bind(l.now(), from.Addr(), state, a.Server)
+	latest, hop, from := x.latestPacket, x.latestHop, x.latestFrom
+	if state := serverAnswer.Packet.Get(radius.State); state != nil && !l.cfg.Accounting {
+		l.conversations.Bind(l.now(), from.Addr(), state, serverAnswer.Server)
 	}
 	l.table.End(l.now(), x.entry, wire)
 	l.mu.Unlock()
-	if latest.Authenticator != x.first.Authenticator || latest.ID != x.first.ID {
-		wire = l.own(latest, hop, radius.AccountingResponse)
+	if latest.Authenticator != x.firstPacket.Authenticator || latest.ID != x.firstPacket.ID {
+		wire = l.ownAnswer(latest, hop, radius.AccountingResponse)
 	}
 	l.send(wire, from)
 }
 
-// Refuse implements core.Caller. RADIUS has no word for when to come back: a client
-// does by its own timers.
+// Refuse implements core.Caller. RADIUS can't tell a client when to retry: clients do so by timers
+// of their own.
 func (x *exchange) Refuse(_ time.Duration, unsent bool) {
 	server := ""
 	if !unsent {
@@ -353,16 +360,16 @@
 // Fail implements core.Caller.
 func (x *exchange) Fail() { x.giveUp(x.request.SentTo()) }
 
-// giveUp ends a call that no server answered; server is the one that may have run it.
-// Access is rejected at once. Accounting has no negative answer: none is sent, and what
-// comes again is the client's own retry. Where the first may have run it goes to that
-// server only, which knows the event; counted at another it would be counted twice.
+// giveUp ends a call that no server answered. server is the one that may have run it, empty if none
+// did. Access is rejected at once, unless the Listener is silent. Accounting has no negative answer,
+// so that none is sent, and the client retries. If a server may have run the call, the retry goes
+// to that server only: it recognizes the event, which another server would count a second time.
 func (x *exchange) giveUp(server string) {
-	l := x.l
+	l := x.listener
 	l.mu.Lock()
 	var wire []byte
 	if !l.cfg.Accounting && !l.cfg.Silent {
-		wire = l.own(x.latest, x.hop, radius.AccessReject)
+		wire = l.ownAnswer(x.latestPacket, x.latestHop, radius.AccessReject)
 		l.counts.Rejected++
 	} else {
 		l.counts.GivenUp++
@@ -371,7 +378,7 @@
 		}
 	}
 	l.table.End(l.now(), x.entry, wire)
-	from := x.from
+	from := x.latestFrom
 	l.mu.Unlock()
 	if wire != nil {
 		l.send(wire, from)
@@ -380,8 +387,8 @@
 	slog.Warn("radius: given up without an answer", "accounting", l.cfg.Accounting, "client", from.Addr(), "may_have_run", server)
 }
 
-// Stream implements core.Caller: no answer is that long.
+// Stream implements core.Caller. It returns nil: RADIUS answers are never streamed.
 func (x *exchange) Stream(any, func()) core.Stream { return nil }
 
-// Release implements core.Caller.
+// Release implements core.Caller. There is nothing to release.
 func (x *exchange) Release() {}
--- a/internal/radius/listener/memory.go
+++ b/internal/radius/listener/memory.go
@@ -13,73 +13,76 @@
 	"chalkrack/internal/radius/transport"
 )
 
-// memory is the form of what a Listener hands on to the next.
-type memory struct {
+// savedState is the JSON format of the calls that one Listener hands over to the next. The names of
+// its fields are part of the format.
+type savedState struct {
 	Version int
 	Saved   time.Time
-	Calls   []remembered
+	Calls   []savedCall
 }
 
-type remembered struct {
+// savedCall is a call that has ended.
+type savedCall struct {
 	Client        netip.Addr
 	Code, ID      byte
 	Authenticator []byte
 	Event         []byte
-	Answer        []byte `json:",omitempty"`
-	MayHaveRun    string `json:",omitempty"` // the server, of what was given up
-	Until         time.Time
+	Answer        []byte    `json:",omitempty"`
+	MayHaveRun    string    `json:",omitempty"` // the server that may have run a call without answer
+	Until         time.Time // when the entry expires
 }
 
-const memoryVersion = 1
+const savedStateVersion = 1
 
-var errMemory = errors.New("radius: no memory of a listener")
+var errBadSavedState = errors.New("radius: not a valid saved state of a listener")
 
-// Save writes down the calls that have ended and are remembered. Answers under way are
-// none of it: wait for them first.
+// Save writes the calls that have ended and are remembered. Calls under way are not included: the
+// caller should let them end first.
 func (l *Listener) Save(w io.Writer) error {
 	l.mu.Lock()
 	now := time.Now()
-	m := memory{Version: memoryVersion, Saved: now}
-	for _, r := range l.table.Records(l.now()) {
-		c := remembered{Client: r.Key.Client, Code: r.Key.Code, ID: r.Key.ID, Authenticator: r.Key.Authenticator[:], Event: []byte(r.Event), Answer: r.Answer, Until: now.Add(r.Remaining)}
-		if before, ok := r.RetryState.(*transport.Request); ok {
-			c.MayHaveRun = before.SentTo()
+	state := savedState{Version: savedStateVersion, Saved: now}
+	for _, record := range l.table.Records(l.now()) {
+		call := savedCall{Client: record.Key.Client, Code: record.Key.Code, ID: record.Key.ID, Authenticator: record.Key.Authenticator[:], Event: []byte(record.Event), Answer: record.Answer, Until: now.Add(record.Remaining)}
+		if request, ok := record.RetryState.(*transport.Request); ok {
+			call.MayHaveRun = request.SentTo()
 		}
-		if c.Answer != nil || c.MayHaveRun != "" { // what never ran is new when it comes again
-			m.Calls = append(m.Calls, c)
+		// A call that no server can have run is a new call when it is retried.
+		if call.Answer != nil || call.MayHaveRun != "" {
+			state.Calls = append(state.Calls, call)
 		}
 	}
 	l.mu.Unlock()
-	return json.NewEncoder(w).Encode(m)
+	return json.NewEncoder(w).Encode(state)
 }
 
-// Load remembers what another Listener has saved, as far as its time is not over. What
-// was given up and may have run is lost: its packet went with the other's sockets. It
-// says how many calls it has taken over.
+// Load adds the calls that another Listener saved and that have not expired, and returns their
+// number. A call that was given up and may have run is lost: its packet and the socket that it was
+// sent from went with the other Listener's process.
 func (l *Listener) Load(r io.Reader) (int, error) {
-	var m memory
-	if err := json.NewDecoder(r).Decode(&m); err != nil {
-		return 0, fmt.Errorf("%w: %w", errMemory, err)
+	var state savedState
+	if err := json.NewDecoder(r).Decode(&state); err != nil {
+		return 0, fmt.Errorf("%w: %w", errBadSavedState, err)
 	}
 	now := time.Now()
-	if m.Version != memoryVersion || m.Saved.After(now) {
-		return 0, fmt.Errorf("%w: version %d, saved at %v", errMemory, m.Version, m.Saved)
+	if state.Version != savedStateVersion || state.Saved.After(now) {
+		return 0, fmt.Errorf("%w: version %d, saved at %v", errBadSavedState, state.Version, state.Saved)
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	before := l.table.Len()
-	for _, c := range m.Calls {
-		if len(c.Authenticator) != len(radius.Authenticator{}) || len(c.Event) > eventSize || len(c.Answer) > radius.MaxPacketBytes || !c.Client.IsValid() || (c.Answer == nil) == (c.MayHaveRun == "") {
-			return l.table.Len() - before, fmt.Errorf("%w: a call that is none", errMemory)
+	for _, call := range state.Calls {
+		if len(call.Authenticator) != len(radius.Authenticator{}) || len(call.Event) > eventNameBytes || len(call.Answer) > radius.MaxPacketBytes || !call.Client.IsValid() || (call.Answer == nil) == (call.MayHaveRun == "") {
+			return l.table.Len() - before, fmt.Errorf("%w: a call has a missing or invalid field", errBadSavedState)
 		}
-		rec := replies.Record{
-			Key:   replies.Key{Client: c.Client, Code: c.Code, ID: c.ID, Authenticator: [16]byte(c.Authenticator)},
-			Event: string(c.Event), Answer: c.Answer, Remaining: c.Until.Sub(now),
+		record := replies.Record{
+			Key:   replies.Key{Client: call.Client, Code: call.Code, ID: call.ID, Authenticator: [16]byte(call.Authenticator)},
+			Event: string(call.Event), Answer: call.Answer, Remaining: call.Until.Sub(now),
 		}
-		if c.MayHaveRun != "" {
-			rec.RetryState = transport.NewLostRequest(c.MayHaveRun)
+		if call.MayHaveRun != "" {
+			record.RetryState = transport.NewLostRequest(call.MayHaveRun)
 		}
-		l.table.Restore(l.now(), rec)
+		l.table.Restore(l.now(), record)
 	}
 	return l.table.Len() - before, nil
 }
