--- a/internal/load/scenario.go
+++ b/internal/load/scenario.go
@@ -146,7 +146,7 @@
 
 func (s *Scenario) check() error {
 	bad := func(field, want string) error { return fmt.Errorf("%s must be %s", field, want) }
-	span := func(d duration.Duration) bool { return d >= 0 && time.Duration(d) <= schedule.LengthMost }
+	span := func(d duration.Duration) bool { return d >= 0 && time.Duration(d) <= schedule.MaxLength }
 	switch {
 	case s.Version != ScenarioVersion:
 		return bad("version", fmt.Sprint(ScenarioVersion))
@@ -381,8 +381,8 @@
 		}
 		c := p.mix.call(class)
 		c.Path = e.Path
-		if e.Body > 0 {
-			c.Body = int(e.Body)
+		if e.BodyBytes > 0 {
+			c.Body = int(e.BodyBytes)
 		}
 		if e.Key != "" && class.Effect == Keyed {
 			c.Key = e.Key
--- a/internal/load/schedule/schedule.go
+++ b/internal/load/schedule/schedule.go
@@ -1,6 +1,6 @@
-// Package schedule says when calls are due, before any is sent: arrivals at a rate that
-// is a product of shapes over time. It has no clock and no I/O, and plays out the same
-// for the same seed.
+// Package schedule computes the times at which calls are due, independently of how they are sent.
+// The arrival rate is a product of shapes over time. The package uses no clock and no I/O, and the
+// same seed gives the same times.
 package schedule
 
 import (
@@ -14,38 +14,38 @@
 	"chalkrack/internal/duration"
 )
 
-// Bounds of what a schedule may be.
+// Bounds of a schedule.
 const (
-	RateMost   = 1e6 // arrivals a second
-	LengthMost = 24 * time.Hour
-	PointsMost = 1 << 16
-	shapesMost = 16
-	// step is how finely the rate is integrated: where it jumps within a step, arrivals
-	// may be off by this.
-	step = time.Millisecond
+	MaxRate   = 1e6 // arrivals per second
+	MaxLength = 24 * time.Hour
+	MaxPoints = 1 << 16 // of one piecewise shape
+	maxShapes = 16      // of one plan
+	// integrationStep is the resolution at which the rate is integrated. Where the rate jumps within
+	// a step, arrivals may be off by this time.
+	integrationStep = time.Millisecond
 )
 
-// Point is a rate, or a factor, at a time.
+// Point is a rate or a factor at a time.
 type Point struct {
 	At   duration.Duration `toml:"at"`
 	Rate float64           `toml:"rate"`
 }
 
-// Shape is one factor of the rate. Those of a schedule are multiplied: one of them is
-// usually a constant in calls a second, the others are factors round 1.
+// Shape is one factor of the rate as a function of time. The shapes of a schedule are multiplied:
+// usually one is a constant in calls per second and the others are factors around 1.
 type Shape struct {
-	Kind string `toml:"kind"`
-	// Rate is that of a constant; Points are of a piecewise, straight between them, the
-	// first before and the last behind.
+	Kind string `toml:"kind"` // constant, ramp, surge, sine, on-off or piecewise
+	// Rate is the value of a constant. Points are for a piecewise shape, which is linear between
+	// them and keeps the first rate before and the last rate after them.
 	Rate   float64 `toml:"rate"`
 	Points []Point `toml:"points"`
-	// A ramp goes from From to To, from At on, within Over, and stays.
+	// A ramp begins at At, changes linearly from From to To within Over, and stays there.
 	From float64           `toml:"from"`
 	To   float64           `toml:"to"`
 	At   duration.Duration `toml:"at"`
 	Over duration.Duration `toml:"over"`
-	// A surge is 1, from At on rises to Factor within Rise, stays for Hold and falls
-	// back within Fall. With Every above 0 it comes again so long after each beginning.
+	// A surge is 1 until At, rises to Factor within Rise, stays there for Hold and falls back to 1
+	// within Fall. With Every above 0 it repeats with that period.
 	Factor float64           `toml:"factor"`
 	Rise   duration.Duration `toml:"rise"`
 	Hold   duration.Duration `toml:"hold"`
@@ -55,13 +55,13 @@
 	Amplitude float64           `toml:"amplitude"`
 	Period    duration.Duration `toml:"period"`
 	Phase     duration.Duration `toml:"phase"`
-	// An on-off is 1 for On and Low for Off, in turn.
+	// An on-off shape alternates between 1 for On and Low for Off.
 	On  duration.Duration `toml:"on"`
 	Off duration.Duration `toml:"off"`
 	Low float64           `toml:"low"`
 }
 
-// At is the factor at a time.
+// Value returns the factor at a time, or 0 for an unknown kind.
 func (s *Shape) Value(at time.Duration) float64 {
 	t := at.Seconds()
 	switch s.Kind {
@@ -109,64 +109,65 @@
 	return 0
 }
 
-func good(v float64) bool { return v >= 0 && v <= RateMost }
+// validRate reports whether v is a rate within bounds; NaN is not.
+func validRate(v float64) bool { return v >= 0 && v <= MaxRate }
 
-// Check says what is wrong with a shape, by its field.
+// Check returns an error that names the first field with a value out of range.
 func (s *Shape) Check() error {
-	bad := func(field, want string) error { return fmt.Errorf("%s of a %s must be %s", field, s.Kind, want) }
-	span := func(d duration.Duration) bool { return d >= 0 && time.Duration(d) <= LengthMost }
+	invalid := func(field, want string) error { return fmt.Errorf("%s of a %s shape must be %s", field, s.Kind, want) }
+	validSpan := func(d duration.Duration) bool { return d >= 0 && time.Duration(d) <= MaxLength }
 	switch s.Kind {
 	case "constant":
-		if !good(s.Rate) {
-			return bad("rate", "within 0 and 1e6")
+		if !validRate(s.Rate) {
+			return invalid("rate", "between 0 and 1e6")
 		}
 	case "ramp":
 		switch {
-		case !good(s.From):
-			return bad("from", "within 0 and 1e6")
-		case !good(s.To):
-			return bad("to", "within 0 and 1e6")
-		case !span(s.At):
-			return bad("at", "within 0 and 24h")
-		case !span(s.Over) || s.Over == 0:
-			return bad("over", "above 0, 24h at most")
+		case !validRate(s.From):
+			return invalid("from", "between 0 and 1e6")
+		case !validRate(s.To):
+			return invalid("to", "between 0 and 1e6")
+		case !validSpan(s.At):
+			return invalid("at", "between 0 and 24h")
+		case !validSpan(s.Over) || s.Over == 0:
+			return invalid("over", "above 0 and at most 24h")
 		}
 	case "surge":
 		switch {
-		case !good(s.Factor):
-			return bad("factor", "within 0 and 1e6")
-		case !span(s.At) || !span(s.Rise) || !span(s.Hold) || !span(s.Fall):
-			return bad("at, rise, hold and fall", "within 0 and 24h")
+		case !validRate(s.Factor):
+			return invalid("factor", "between 0 and 1e6")
+		case !validSpan(s.At) || !validSpan(s.Rise) || !validSpan(s.Hold) || !validSpan(s.Fall):
+			return invalid("at, rise, hold and fall", "between 0 and 24h")
 		case s.Rise+s.Hold+s.Fall == 0:
-			return bad("rise, hold and fall", "above 0 together")
-		case s.Every != 0 && (!span(s.Every) || s.Every < s.Rise+s.Hold+s.Fall):
-			return bad("every", "0, or no less than rise, hold and fall together")
+			return invalid("rise, hold and fall", "above 0 in total")
+		case s.Every != 0 && (!validSpan(s.Every) || s.Every < s.Rise+s.Hold+s.Fall):
+			return invalid("every", "0, or at most 24h and no less than the total of rise, hold and fall")
 		}
 	case "sine":
 		switch {
 		case !(s.Amplitude >= 0 && s.Amplitude <= 1):
-			return bad("amplitude", "within 0 and 1")
-		case !span(s.Period) || time.Duration(s.Period) < 10*step:
-			return bad("period", "within 10ms and 24h")
-		case !span(s.Phase):
-			return bad("phase", "within 0 and 24h")
+			return invalid("amplitude", "between 0 and 1")
+		case !validSpan(s.Period) || time.Duration(s.Period) < 10*integrationStep:
+			return invalid("period", "between 10ms and 24h")
+		case !validSpan(s.Phase):
+			return invalid("phase", "between 0 and 24h")
 		}
 	case "on-off":
 		switch {
-		case !span(s.On) || s.On == 0:
-			return bad("on", "above 0, 24h at most")
-		case !span(s.Off) || s.Off == 0:
-			return bad("off", "above 0, 24h at most")
+		case !validSpan(s.On) || s.On == 0:
+			return invalid("on", "above 0 and at most 24h")
+		case !validSpan(s.Off) || s.Off == 0:
+			return invalid("off", "above 0 and at most 24h")
 		case !(s.Low >= 0 && s.Low <= 1):
-			return bad("low", "within 0 and 1")
+			return invalid("low", "between 0 and 1")
 		}
 	case "piecewise":
-		if len(s.Points) == 0 || len(s.Points) > PointsMost {
-			return bad("points", fmt.Sprintf("1 to %d", PointsMost))
+		if len(s.Points) == 0 || len(s.Points) > MaxPoints {
+			return invalid("points", fmt.Sprintf("a list of 1 to %d", MaxPoints))
 		}
 		for n, p := range s.Points {
-			if !good(p.Rate) || !span(p.At) || n > 0 && p.At <= s.Points[n-1].At {
-				return bad(fmt.Sprintf("points[%d]", n), "of a rate within 0 and 1e6, and later than the one before")
+			if !validRate(p.Rate) || !validSpan(p.At) || n > 0 && p.At <= s.Points[n-1].At {
+				return invalid(fmt.Sprintf("points[%d]", n), "of a rate between 0 and 1e6, within 24h, and later than the point before")
 			}
 		}
 	default:
@@ -175,97 +176,98 @@
 	return nil
 }
 
-// Plan is a whole schedule.
+// Plan is a complete schedule.
 type Plan struct {
 	Shapes  []Shape
 	Length  time.Duration
-	Poisson bool // arrivals by chance; otherwise evenly spaced by the rate
+	Poisson bool // random arrivals of a Poisson process; otherwise evenly spaced by the rate
 	Seed    uint64
 }
 
-// Check says what is wrong with a plan, by its field.
+// Check returns an error that names the first field with a value out of range.
 func (p *Plan) Check() error {
-	if len(p.Shapes) == 0 || len(p.Shapes) > shapesMost {
-		return fmt.Errorf("there must be 1 to %d shapes", shapesMost)
+	if len(p.Shapes) == 0 || len(p.Shapes) > maxShapes {
+		return fmt.Errorf("arrivals must be a list of 1 to %d shapes", maxShapes)
 	}
 	for n := range p.Shapes {
 		if err := p.Shapes[n].Check(); err != nil {
 			return fmt.Errorf("arrivals[%d]: %w", n, err)
 		}
 	}
-	if p.Length <= 0 || p.Length > LengthMost {
-		return fmt.Errorf("length must be above 0, %v at most", LengthMost)
+	if p.Length <= 0 || p.Length > MaxLength {
+		return fmt.Errorf("length must be above 0 and at most %v", MaxLength)
 	}
 	return nil
 }
 
-// Rate is the rate at a time, in arrivals a second, RateMost at most.
+// Rate returns the rate at a time in arrivals per second, at most MaxRate.
 func (p *Plan) Rate(at time.Duration) float64 {
 	r := 1.0
 	for n := range p.Shapes {
 		r *= p.Shapes[n].Value(at)
 	}
-	return min(r, RateMost)
+	return min(r, MaxRate)
 }
 
-// Arrivals are the times of a plan, one after another. It keeps nothing of those before.
+// Arrivals iterates over the arrival times of a plan. It keeps no earlier times.
 type Arrivals struct {
-	plan *Plan
-	rng  *rand.Rand
-	at   time.Duration // of the step
-	sum  float64       // the integral of the rate up to at
-	here float64       // that over the step
-	due  float64       // the integral at which the next one is due
+	plan         *Plan
+	rng          *rand.Rand
+	stepStart    time.Duration // beginning of the current step
+	integral     float64       // integral of the rate up to stepStart
+	stepIntegral float64       // integral of the rate over the current step
+	nextDue      float64       // integral at which the next arrival is due
 }
 
-// Arrivals begins a plan.
+// Arrivals returns an iterator at the beginning of the plan.
 func (p *Plan) Arrivals() *Arrivals {
-	a := &Arrivals{plan: p, rng: rand.New(rand.NewPCG(p.Seed, 0x5c4ed)), at: -step}
-	a.due = a.gap()
-	if !p.Poisson { // the first at its place in the middle
-		a.due = 0.5
+	a := &Arrivals{plan: p, rng: rand.New(rand.NewPCG(p.Seed, 0x5c4ed)), stepStart: -integrationStep}
+	a.nextDue = a.nextGap()
+	if !p.Poisson { // the first arrival is in the middle of its interval
+		a.nextDue = 0.5
 	}
-	a.step()
+	a.advance()
 	return a
 }
 
-// gap is how much of the integral lies between two arrivals: time-rescaling makes a
-// Poisson process of any rate from one of rate 1 (Daley and Vere-Jones, An Introduction
-// to the Theory of Point Processes, section 7.4).
-func (a *Arrivals) gap() float64 {
+// nextGap returns the integral of the rate between two arrivals. Time rescaling turns a Poisson
+// process of rate 1 into one of any rate (Daley and Vere-Jones, An Introduction to the Theory of
+// Point Processes, section 7.4).
+func (a *Arrivals) nextGap() float64 {
 	if a.plan.Poisson {
 		return a.rng.ExpFloat64()
 	}
 	return 1
 }
 
-func (a *Arrivals) step() {
-	a.sum += a.here
-	a.at += step
-	a.here = a.plan.Rate(a.at+step/2) * step.Seconds()
+// advance moves to the next step.
+func (a *Arrivals) advance() {
+	a.integral += a.stepIntegral
+	a.stepStart += integrationStep
+	a.stepIntegral = a.plan.Rate(a.stepStart+integrationStep/2) * integrationStep.Seconds()
 }
 
-// Next is when the next call is due, from the beginning; false at the end.
+// Next returns the time of the next arrival, counted from the beginning, and false at the end.
 func (a *Arrivals) Next() (time.Duration, bool) {
-	for a.at < a.plan.Length {
-		if a.here > 0 && a.sum+a.here >= a.due {
-			at := a.at + time.Duration((a.due-a.sum)/a.here*float64(step))
-			a.due += a.gap()
-			if at >= a.plan.Length {
+	for a.stepStart < a.plan.Length {
+		if a.stepIntegral > 0 && a.integral+a.stepIntegral >= a.nextDue {
+			due := a.stepStart + time.Duration((a.nextDue-a.integral)/a.stepIntegral*float64(integrationStep))
+			a.nextDue += a.nextGap()
+			if due >= a.plan.Length {
 				return 0, false
 			}
-			return at, true
+			return due, true
 		}
-		a.step()
+		a.advance()
 	}
 	return 0, false
 }
 
-// Expect is how many arrivals the plan has in the mean.
-func (p *Plan) Expect() float64 {
+// ExpectedCount returns the mean number of arrivals of the plan.
+func (p *Plan) ExpectedCount() float64 {
 	sum := 0.0
-	for at := time.Duration(0); at < p.Length; at += step {
-		sum += p.Rate(at+step/2) * min(step, p.Length-at).Seconds()
+	for at := time.Duration(0); at < p.Length; at += integrationStep {
+		sum += p.Rate(at+integrationStep/2) * min(integrationStep, p.Length-at).Seconds()
 	}
 	return sum
 }
--- a/internal/load/trace/trace.go
+++ b/internal/load/trace/trace.go
@@ -1,6 +1,5 @@
-// Package trace reads recorded traffic, of several forms, into one: JSON lines in the
-// order of their times, with what a replay needs and no more. What could not be taken
-// over is counted by its reason.
+// Package trace converts recorded traffic from several formats to one: JSON lines in order of time,
+// with only the fields that a replay needs. Lines that cannot be converted are counted by reason.
 package trace
 
 import (
@@ -19,124 +18,127 @@
 
 // Bounds of a trace.
 const (
-	LineMost    = 64 << 10
-	EntriesMost = 5_000_000 // they are sorted in memory
-	bodyMost    = 1 << 30
-	nameMost    = 1 << 10
+	MaxLineBytes = 64 << 10  // of an input line or a trace line
+	MaxEntries   = 5_000_000 // entries are sorted in memory
+	maxBodyBytes = 1 << 30
+	maxNameBytes = 1 << 10 // of a path, class or key
 )
 
 // Entry is one call of a trace.
 type Entry struct {
-	At    time.Duration `json:"at_ns"` // since the first
-	Class string        `json:"class"`
-	Path  string        `json:"path,omitempty"`
-	Key   string        `json:"key,omitempty"`
-	Body  int64         `json:"body,omitempty"` // bytes
+	At        time.Duration `json:"at_ns"` // time since the first call
+	Class     string        `json:"class"`
+	Path      string        `json:"path,omitempty"`
+	Key       string        `json:"key,omitempty"`
+	BodyBytes int64         `json:"body,omitempty"`
 }
 
-// Note is what became of the lines of a recording.
-type Note struct {
-	Lines   int64            `json:"lines"`
-	Taken   int64            `json:"taken"`
-	LeftOut map[string]int64 `json:"left_out"` // by reason
-	First   time.Time        `json:"first"`
-	Span    time.Duration    `json:"span_ns"`
+// ImportSummary says how many lines of a recording were imported, and why others were not.
+type ImportSummary struct {
+	Lines   int64            `json:"lines"`    // lines read, without empty ones
+	Taken   int64            `json:"taken"`    // lines imported
+	LeftOut map[string]int64 `json:"left_out"` // lines not imported, by reason
+	First   time.Time        `json:"first"`    // time of the first call
+	Span    time.Duration    `json:"span_ns"`  // time from the first to the last call
 }
 
-// Options say how a recording is read.
+// Options says how a recording is read.
 type Options struct {
 	Form string // json, csv, haproxy or combined
-	// Columns names the columns of a CSV file, or the fields of JSON lines, that hold
-	// at, class, path, key and body: 'at=ts,class=kind'.
+	// Columns maps at, class, path, key and body to the columns of a CSV file, or the fields of JSON
+	// lines, that hold them, as in 'at=ts,class=kind'. The default is a column of the same name.
 	Columns map[string]string
-	// Prefixes has the class of paths that begin so; the longest counts. Without any
-	// the class is the first part of the path.
+	// Prefixes maps path prefixes to classes; the longest matching prefix applies. Without any, the
+	// class is the first segment of the path.
 	Prefixes map[string]string
 }
 
+// record is one line of a recording.
 type record struct {
 	at                       time.Time
 	method, path, class, key string
-	body                     int64
+	bodyBytes                int64
 }
 
+// errNoTime is the reason for lines without a time or with one in an unknown format.
 var errNoTime = errors.New("no time that can be read")
 
-// Import reads a recording and writes a trace. An error says that it can't be read or
-// written at all; single lines are left out and counted.
-func Import(in io.Reader, out io.Writer, opt Options) (*Note, error) {
-	n := &Note{LeftOut: make(map[string]int64)}
+// Import reads a recording and writes a trace. It returns an error if the input cannot be read, the
+// output cannot be written, or there are more than MaxEntries calls. Single lines that cannot be
+// converted are skipped and counted.
+func Import(in io.Reader, out io.Writer, options Options) (*ImportSummary, error) {
+	summary := &ImportSummary{LeftOut: make(map[string]int64)}
 	type timed struct {
-		at time.Time
-		e  Entry
+		at    time.Time
+		entry Entry
 	}
-	var all []timed
-	take := func(r record, err error) error {
-		n.Lines++
+	var entries []timed
+	addRecord := func(r record, err error) error {
+		summary.Lines++
 		if err == nil {
-			err = opt.classify(&r)
+			err = options.classify(&r)
 		}
 		if err != nil {
-			n.LeftOut[err.Error()]++
+			summary.LeftOut[err.Error()]++
 			return nil
 		}
-		if len(all) >= EntriesMost {
-			return fmt.Errorf("trace: over %d calls: cut the recording", EntriesMost)
+		if len(entries) >= MaxEntries {
+			return fmt.Errorf("trace: the recording has more than %d calls: split it", MaxEntries)
 		}
-		all = append(all, timed{r.at, Entry{Class: r.class, Path: r.path, Key: r.key, Body: r.body}})
+		entries = append(entries, timed{r.at, Entry{Class: r.class, Path: r.path, Key: r.key, BodyBytes: r.bodyBytes}})
 		return nil
 	}
 	var err error
-	switch opt.Form {
+	switch options.Form {
 	case "json":
-		err = eachLine(in, func(line []byte) error { return take(opt.json(line)) })
+		err = eachLine(in, func(line []byte) error { return addRecord(options.parseJSON(line)) })
 	case "haproxy":
-		err = eachLine(in, func(line []byte) error { return take(haproxy(string(line))) })
+		err = eachLine(in, func(line []byte) error { return addRecord(parseHAProxy(string(line))) })
 	case "combined":
-		err = eachLine(in, func(line []byte) error { return take(combined(string(line))) })
+		err = eachLine(in, func(line []byte) error { return addRecord(parseCombined(string(line))) })
 	case "csv":
-		err = opt.csv(in, take)
+		err = options.readCSV(in, addRecord)
 	default:
-		return nil, fmt.Errorf("trace: form %q is none of json, csv, haproxy and combined", opt.Form)
+		return nil, fmt.Errorf("trace: unknown form %q: expected json, csv, haproxy or combined", options.Form)
 	}
 	if err != nil {
 		return nil, err
 	}
-	slices.SortStableFunc(all, func(a, b timed) int { return a.at.Compare(b.at) })
-	w := bufio.NewWriter(out)
-	enc := json.NewEncoder(w)
-	for _, t := range all {
-		if n.Taken == 0 {
-			n.First = t.at
+	slices.SortStableFunc(entries, func(a, b timed) int { return a.at.Compare(b.at) })
+	writer := bufio.NewWriter(out)
+	encoder := json.NewEncoder(writer)
+	for _, t := range entries {
+		if summary.Taken == 0 {
+			summary.First = t.at
 		}
-		n.Taken++
-		t.e.At = t.at.Sub(n.First)
-		n.Span = t.e.At
-		if err := enc.Encode(t.e); err != nil {
+		summary.Taken++
+		t.entry.At = t.at.Sub(summary.First)
+		summary.Span = t.entry.At
+		if err := encoder.Encode(t.entry); err != nil {
 			return nil, err
 		}
 	}
-	return n, w.Flush()
+	return summary, writer.Flush()
 }
 
-// eachLine calls do with each line that is not empty; one that is too long is passed on
-// cut, and does not parse.
+// eachLine calls do with each line that is not empty. For a line that is longer than MaxLineBytes it
+// calls do with nil, which does not parse. It stops at the first error.
 func eachLine(in io.Reader, do func([]byte) error) error {
-	r := bufio.NewReaderSize(in, LineMost)
+	reader := bufio.NewReaderSize(in, MaxLineBytes)
 	for {
-		line, err := r.ReadSlice('\n')
+		line, err := reader.ReadSlice('\n')
 		for errors.Is(err, bufio.ErrBufferFull) {
 			line = line[:0]
-			_, err = r.ReadSlice('\n')
+			_, err = reader.ReadSlice('\n')
 			if err == nil || err == io.EOF {
-				if derr := do(nil); derr != nil {
-					return derr
+				if doErr := do(nil); doErr != nil {
+					return doErr
 				}
 			}
 		}
 		if line = []byte(strings.TrimSpace(string(line))); len(line) > 0 {
-			if derr := do(line); derr != nil {
-				return derr
+			if doErr := do(line); doErr != nil {
+				return doErr
 			}
 		}
 		if err == io.EOF {
@@ -148,25 +150,26 @@
 	}
 }
 
+// column returns the name of the column that holds a field.
 func (o *Options) column(field string) string { return cmp.Or(o.Columns[field], field) }
 
-// classify says of what class a record is, and whether it can be replayed.
+// classify sets the class of a record. It returns an error if the record cannot be replayed.
 func (o *Options) classify(r *record) error {
 	if r.path != "" {
 		path, _, _ := strings.Cut(r.path, "?")
 		if !strings.HasPrefix(r.path, "/") || strings.ContainsFunc(r.path, func(c rune) bool { return c <= ' ' || c >= 0x7f }) {
 			return errors.New("a path that is none")
 		}
-		best := ""
+		longestPrefix := ""
 		for prefix := range o.Prefixes {
-			if strings.HasPrefix(path, prefix) && len(prefix) >= len(best) {
-				best = prefix
+			if strings.HasPrefix(path, prefix) && len(prefix) >= len(longestPrefix) {
+				longestPrefix = prefix
 			}
 		}
 		switch {
 		case r.class != "":
-		case best != "":
-			r.class = o.Prefixes[best]
+		case longestPrefix != "":
+			r.class = o.Prefixes[longestPrefix]
 		case len(o.Prefixes) > 0:
 			return errors.New("a path of no class")
 		default:
@@ -178,44 +181,45 @@
 		return errNoTime
 	case r.class == "":
 		return errors.New("no class")
-	case len(r.path) > nameMost || len(r.class) > nameMost || len(r.key) > nameMost:
+	case len(r.path) > maxNameBytes || len(r.class) > maxNameBytes || len(r.key) > maxNameBytes:
 		return errors.New("a name that is too long")
 	case strings.ContainsFunc(r.key+r.class, func(c rune) bool { return c <= ' ' || c >= 0x7f }):
 		return errors.New("a class or key with odd characters")
-	case r.body < 0 || r.body > bodyMost:
+	case r.bodyBytes < 0 || r.bodyBytes > maxBodyBytes:
 		return errors.New("a body of an impossible length")
 	}
 	return nil
 }
 
-// when reads a time: RFC 3339, or seconds, milliseconds, micro- or nanoseconds since
-// 1970, told apart by their size.
-func when(text string) (time.Time, error) {
+// parseTime parses a time in RFC 3339, or a number of seconds, milliseconds, microseconds or
+// nanoseconds since 1970. The unit is inferred from the magnitude.
+func parseTime(text string) (time.Time, error) {
 	if t, err := time.Parse(time.RFC3339Nano, text); err == nil {
 		return t, nil
 	}
-	v, err := strconv.ParseFloat(text, 64)
-	if err != nil || !(v > 0 && v < 9e18) {
+	value, err := strconv.ParseFloat(text, 64)
+	if err != nil || !(value > 0 && value < 9e18) {
 		return time.Time{}, errNoTime
 	}
 	for unit := float64(time.Second); unit >= 1; unit /= 1000 {
-		if v*unit < 4e18 { // before the year 2096
+		if value*unit < 4e18 { // the first unit that gives a time before the year 2096
 			if whole, err := strconv.ParseInt(text, 10, 64); err == nil {
 				return time.Unix(0, whole*int64(unit)), nil
 			}
-			return time.Unix(0, int64(v*unit)), nil
+			return time.Unix(0, int64(value*unit)), nil
 		}
 	}
 	return time.Time{}, errNoTime
 }
 
-func (o *Options) json(line []byte) (r record, err error) {
-	var m map[string]any
-	if err := json.Unmarshal(line, &m); err != nil {
+// parseJSON parses a JSON line.
+func (o *Options) parseJSON(line []byte) (r record, err error) {
+	var values map[string]any
+	if err := json.Unmarshal(line, &values); err != nil {
 		return r, errors.New("no JSON")
 	}
-	text := func(field string) string {
-		switch v := m[o.column(field)].(type) {
+	fieldText := func(field string) string {
+		switch v := values[o.column(field)].(type) {
 		case string:
 			return v
 		case float64:
@@ -223,47 +227,48 @@
 		}
 		return ""
 	}
-	return fields(text)
+	return parseFields(fieldText)
 }
 
-// fields reads a record whose fields are texts.
-func fields(text func(field string) string) (r record, err error) {
-	if r.at, err = when(text("at")); err != nil {
+// parseFields makes a record from the texts that fieldText returns for its fields.
+func parseFields(fieldText func(field string) string) (r record, err error) {
+	if r.at, err = parseTime(fieldText("at")); err != nil {
 		return r, err
 	}
-	r.class, r.path, r.key = text("class"), text("path"), text("key")
-	if b := text("body"); b != "" {
-		if r.body, err = strconv.ParseInt(b, 10, 64); err != nil {
+	r.class, r.path, r.key = fieldText("class"), fieldText("path"), fieldText("key")
+	if body := fieldText("body"); body != "" {
+		if r.bodyBytes, err = strconv.ParseInt(body, 10, 64); err != nil {
 			return r, errors.New("a body of an impossible length")
 		}
 	}
 	return r, nil
 }
 
-func (o *Options) csv(in io.Reader, take func(record, error) error) error {
-	c := csv.NewReader(in)
-	c.FieldsPerRecord, c.ReuseRecord = -1, true
-	head, err := c.Read()
+// readCSV calls take with each row of a CSV file, whose first row holds the column names.
+func (o *Options) readCSV(in io.Reader, addRecord func(record, error) error) error {
+	reader := csv.NewReader(in)
+	reader.FieldsPerRecord, reader.ReuseRecord = -1, true
+	header, err := reader.Read()
 	if err != nil {
-		return fmt.Errorf("trace: first line: %w", err)
+		return fmt.Errorf("trace: header line of the CSV file: %w", err)
 	}
-	at := make(map[string]int)
-	for n, name := range head {
-		at[strings.TrimSpace(name)] = n
+	columnIndex := make(map[string]int)
+	for n, name := range header {
+		columnIndex[strings.TrimSpace(name)] = n
 	}
 	for field, column := range o.Columns {
-		if _, ok := at[column]; !ok {
-			return fmt.Errorf("trace: there is no column %q for %s", column, field)
+		if _, ok := columnIndex[column]; !ok {
+			return fmt.Errorf("trace: the CSV file has no column %q for %s", column, field)
 		}
 	}
 	for {
-		row, err := c.Read()
+		row, err := reader.Read()
 		if err == io.EOF {
 			return nil
 		}
-		var bad *csv.ParseError
-		if errors.As(err, &bad) {
-			if err := take(record{}, errors.New("no CSV")); err != nil {
+		var parseErr *csv.ParseError
+		if errors.As(err, &parseErr) {
+			if err := addRecord(record{}, errors.New("no CSV")); err != nil {
 				return err
 			}
 			continue
@@ -271,20 +276,20 @@
 		if err != nil {
 			return err
 		}
-		r, err := fields(func(field string) string {
-			if n, ok := at[o.column(field)]; ok && n < len(row) {
+		r, err := parseFields(func(field string) string {
+			if n, ok := columnIndex[o.column(field)]; ok && n < len(row) {
 				return strings.Clone(row[n])
 			}
 			return ""
 		})
-		if err := take(r, err); err != nil {
+		if err := addRecord(r, err); err != nil {
 			return err
 		}
 	}
 }
 
-// request reads the quoted request of an access log.
-func request(text string) (method, path string, err error) {
+// parseRequest parses the quoted request line of an access log.
+func parseRequest(text string) (method, path string, err error) {
 	words := strings.Fields(text)
 	if len(words) != 3 || !strings.HasPrefix(words[2], "HTTP/") {
 		return "", "", errors.New("no request that can be read")
@@ -292,9 +297,9 @@
 	return words[0], words[1], nil
 }
 
-// combined reads a line of the combined log format of Apache's mod_log_config (the
-// common one too): host ident user [time] "request" status bytes ...
-func combined(line string) (r record, err error) {
+// parseCombined parses a line in the combined or common log format of Apache's mod_log_config:
+// host ident user [time] "request" status bytes ...
+func parseCombined(line string) (r record, err error) {
 	_, rest, ok := strings.Cut(line, "[")
 	date, rest, ok2 := strings.Cut(rest, "]")
 	if !ok || !ok2 {
@@ -308,63 +313,64 @@
 	if !ok {
 		return r, errors.New("no request that can be read")
 	}
-	r.method, r.path, err = request(text)
+	r.method, r.path, err = parseRequest(text)
 	return r, err
 }
 
-// haproxy reads a line of HAProxy's HTTP log format (configuration manual, section
-// 8.2.3): ... client [accept date] frontend backend/server timers status bytes ...
-// "request". The date has milliseconds and no zone: UTC is taken.
-func haproxy(line string) (r record, err error) {
-	at := strings.Index(line, "] ")
-	from := strings.LastIndexByte(line[:max(at, 0)], '[')
-	if at < 0 || from < 0 {
+// parseHAProxy parses a line in HAProxy's HTTP log format (configuration manual, section 8.2.3):
+// ... client [accept date] frontend backend/server timers status bytes ... "request". The date has
+// milliseconds but no time zone; UTC is assumed.
+func parseHAProxy(line string) (r record, err error) {
+	dateEnd := strings.Index(line, "] ")
+	dateStart := strings.LastIndexByte(line[:max(dateEnd, 0)], '[')
+	if dateEnd < 0 || dateStart < 0 {
 		return r, errNoTime
 	}
-	if r.at, err = time.Parse("02/Jan/2006:15:04:05.000", line[from+1:at]); err != nil {
+	if r.at, err = time.Parse("02/Jan/2006:15:04:05.000", line[dateStart+1:dateEnd]); err != nil {
 		return r, errNoTime
 	}
-	first, last := strings.IndexByte(line[at:], '"'), strings.LastIndexByte(line, '"')
-	if first < 0 || at+first >= last {
+	quoteStart, quoteEnd := strings.IndexByte(line[dateEnd:], '"'), strings.LastIndexByte(line, '"')
+	if quoteStart < 0 || dateEnd+quoteStart >= quoteEnd {
 		return r, errors.New("no request that can be read")
 	}
-	text := line[at+first+1 : last]
-	if strings.HasPrefix(text, "<") { // <BADREQ>
+	text := line[dateEnd+quoteStart+1 : quoteEnd]
+	if strings.HasPrefix(text, "<") { // <BADREQ> in place of a request
 		return r, errors.New("no request that can be read")
 	}
-	r.method, r.path, err = request(text)
+	r.method, r.path, err = parseRequest(text)
 	return r, err
 }
 
 // Reader reads a trace that Import wrote.
 type Reader struct {
-	s    *bufio.Scanner
-	line int
-	last time.Duration
+	scanner *bufio.Scanner
+	line    int
+	lastAt  time.Duration
 }
 
-// NewReader returns a Reader.
+// NewReader returns a Reader of in. The error is always nil.
 func NewReader(in io.Reader) (*Reader, error) {
 	s := bufio.NewScanner(in)
-	s.Buffer(make([]byte, 4096), LineMost)
-	return &Reader{s: s}, nil
+	s.Buffer(make([]byte, 4096), MaxLineBytes)
+	return &Reader{scanner: s}, nil
 }
 
-// Next is the next call; io.EOF at the end.
+// Next returns the next call, and io.EOF at the end. Entries out of order, or with a body length out
+// of range, are errors.
 func (r *Reader) Next() (e Entry, err error) {
-	if !r.s.Scan() {
-		if err := r.s.Err(); err != nil {
+	if !r.scanner.Scan() {
+		if err := r.scanner.Err(); err != nil {
 			return e, fmt.Errorf("trace: line %d: %w", r.line+1, err)
 		}
 		return e, io.EOF
 	}
 	r.line++
-	if err := json.Unmarshal(r.s.Bytes(), &e); err != nil {
+	if err := json.Unmarshal(r.scanner.Bytes(), &e); err != nil {
 		return e, fmt.Errorf("trace: line %d: %w", r.line, err)
 	}
-	if e.At < r.last || e.Body < 0 || e.Body > bodyMost {
-		return e, fmt.Errorf("trace: line %d: out of order, or of an impossible length", r.line)
+	if e.At < r.lastAt || e.BodyBytes < 0 || e.BodyBytes > maxBodyBytes {
+		return e, fmt.Errorf("trace: line %d: at_ns is less than in the line before, or body is out of range", r.line)
 	}
-	r.last = e.At
+	r.lastAt = e.At
 	return e, nil
 }
--- a/internal/load/trace/trace_test.go
+++ b/internal/load/trace/trace_test.go
@@ -8,15 +8,16 @@
 	"time"
 )
 
-// Each form is read, brought into the order of its times, and what can't be taken is
-// counted by its reason.
-func TestForms(t *testing.T) {
+// Recordings contain lines that are malformed, out of order or without a class. In each format, the
+// usable calls must be imported in order of time and every other line counted by its reason, so that
+// no part of the traffic is lost unnoticed.
+func TestImportFormats(t *testing.T) {
 	prefixes := map[string]string{"/api/": "other", "/api/act": "activate", "/status": "status-check"}
 	for name, c := range map[string]struct {
-		opt  Options
-		text string
-		want []Entry
-		out  map[string]int64
+		options Options
+		text    string
+		want    []Entry
+		leftOut map[string]int64
 	}{
 		"json": {Options{Form: "json", Columns: map[string]string{"at": "ts", "class": "kind"}},
 			`{"ts":1700000002.5,"kind":"b","body":12}
@@ -48,7 +49,7 @@
 			map[string]int64{"no request that can be read": 1, errNoTime.Error(): 1}},
 	} {
 		var out bytes.Buffer
-		n, err := Import(strings.NewReader(c.text), &out, c.opt)
+		summary, err := Import(strings.NewReader(c.text), &out, c.options)
 		if err != nil {
 			t.Errorf("%s: %v", name, err)
 			continue
@@ -65,19 +66,19 @@
 			}
 			got = append(got, e)
 		}
-		if len(got) != len(c.want) || n.Taken != int64(len(got)) {
-			t.Errorf("%s: %+v, taken %d", name, got, n.Taken)
+		if len(got) != len(c.want) || summary.Taken != int64(len(got)) {
+			t.Errorf("%s: imported %+v, %d counted as taken", name, got, summary.Taken)
 			continue
 		}
-		left := int64(0)
-		for why, k := range n.LeftOut {
-			left += k
-			if c.out[why] != k {
-				t.Errorf("%s: left out %d with %q, want %d", name, k, why, c.out[why])
+		leftOutTotal := int64(0)
+		for reason, count := range summary.LeftOut {
+			leftOutTotal += count
+			if c.leftOut[reason] != count {
+				t.Errorf("%s: left out %d with %q, want %d", name, count, reason, c.leftOut[reason])
 			}
 		}
-		if n.Lines != n.Taken+left {
-			t.Errorf("%s: %d lines, %d taken, %d left out", name, n.Lines, n.Taken, left)
+		if summary.Lines != summary.Taken+leftOutTotal {
+			t.Errorf("%s: %d lines, %d taken, %d left out", name, summary.Lines, summary.Taken, leftOutTotal)
 		}
 		for i := range got {
 			if got[i] != c.want[i] {
@@ -86,14 +87,15 @@
 		}
 	}
 	if _, err := Import(strings.NewReader("a,b\n"), io.Discard, Options{Form: "csv", Columns: map[string]string{"at": "c"}}); err == nil {
-		t.Error("a column that is not there")
+		t.Error("no error for a column that does not exist")
 	}
 	if _, err := Import(strings.NewReader(""), io.Discard, Options{Form: "xml"}); err == nil {
-		t.Error("a form that is none")
+		t.Error("no error for an unknown form")
 	}
 }
 
-// Whatever comes in, the lines add up and what goes out can be read.
+// FuzzImport checks that for any input the taken and left-out lines add up to the total and that
+// Reader can read the trace.
 func FuzzImport(f *testing.F) {
 	for _, form := range []string{"json", "csv", "haproxy", "combined"} {
 		f.Add(form, []byte("at,class\n1,a\n"))
@@ -103,22 +105,22 @@
 	}
 	f.Fuzz(func(t *testing.T, form string, data []byte) {
 		var out bytes.Buffer
-		n, err := Import(bytes.NewReader(data), &out, Options{Form: form})
+		summary, err := Import(bytes.NewReader(data), &out, Options{Form: form})
 		if err != nil {
 			return
 		}
-		sum := n.Taken
-		for _, k := range n.LeftOut {
+		sum := summary.Taken
+		for _, k := range summary.LeftOut {
 			sum += k
 		}
-		if sum != n.Lines {
-			t.Fatalf("%+v", n)
+		if sum != summary.Lines {
+			t.Fatalf("%+v", summary)
 		}
 		r, _ := NewReader(&out)
 		for k := int64(0); ; k++ {
 			if _, err := r.Next(); err == io.EOF {
-				if k != n.Taken {
-					t.Fatalf("%d read, %d taken", k, n.Taken)
+				if k != summary.Taken {
+					t.Fatalf("%d calls read, want %d as taken", k, summary.Taken)
 				}
 				return
 			} else if err != nil {
