--- a/internal/load/bench_test.go
+++ b/internal/load/bench_test.go
@@ -16,8 +16,8 @@
 	"chalkrack/internal/standin"
 )
 
-// TestMain is also the server of a benchmark, in a process of its own: the generator's
-// CPU is then what this one uses.
+// TestMain serves as a stand-in server if LOAD_SERVER is set. Benchmarks start it so in a process of
+// its own, so that the CPU time of their process is that of the generator alone.
 func TestMain(m *testing.M) {
 	if os.Getenv("LOAD_SERVER") == "" {
 		os.Exit(m.Run())
@@ -27,10 +27,11 @@
 		panic(err)
 	}
 	fmt.Println(server.Addr())
-	io.Copy(io.Discard, os.Stdin) // until its parent ends it
+	io.Copy(io.Discard, os.Stdin) // until the parent closes the pipe
 }
 
-func serverProcess(b *testing.B) (addr string) {
+// startServerProcess starts a server process for a benchmark and returns its address.
+func startServerProcess(b *testing.B) (addr string) {
 	b.Helper()
 	cmd := exec.Command(os.Args[0])
 	cmd.Env = append(os.Environ(), "LOAD_SERVER=1")
@@ -49,33 +50,33 @@
 	return addr
 }
 
-// BenchmarkRate is the most calls a second that one core sends with less than 1 ms of
-// lateness at p99, and the CPU of a call, beside a naive closed loop of 16 connections.
+// BenchmarkRate reports the highest rate of calls per second that one core sends with a p99 delay
+// under 1 ms, and the CPU time per call, compared with a closed loop of 16 connections.
 // go test ./internal/load -run '^$' -bench Rate -benchtime 1x
 func BenchmarkRate(b *testing.B) {
-	addr := serverProcess(b)
+	addr := startServerProcess(b)
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1))
 	best, cost := 0.0, 0.0
 	for rate := 2000.0; rate <= 64000; rate *= 1.2 {
 		good := 0
-		for range 3 { // one hiccup of the machine's is not the generator's
-			s := constant(rate, 2*time.Second)
-			s.Poisson = true
-			s.Classes = Activation()
-			s.Limits.Connections, s.Limits.Outstanding = 256, 4096
-			cfg, end, err := s.Run(Config{Protocol: &HTTP1{Addr: addr}})
+		for range 3 { // a single delay caused by the machine does not count
+			scenario := constantLoad(rate, 2*time.Second)
+			scenario.Poisson = true
+			scenario.Classes = DefaultClasses()
+			scenario.Limits.Connections, scenario.Limits.Outstanding = 256, 4096
+			cfg, closeSource, err := scenario.Run(Config{Protocol: &HTTP1{Addr: addr}})
 			if err != nil {
 				b.Fatal(err)
 			}
-			rep, err := Run(b.Context(), cfg)
-			end()
+			report, err := Run(b.Context(), cfg)
+			closeSource()
 			if err != nil {
 				b.Fatal(err)
 			}
-			b.Logf("%.0f calls a second: late by %.2f ms at p99, %d dropped, %.1f us of CPU a call; %s", rate, rep.Lag.P99, rep.Dropped, 1e6*rep.CPU/float64(max(rep.Sent, 1)), rep.Verdict())
-			if rep.Lag.P99 < 1 && rep.Dropped == 0 {
+			b.Logf("%.0f calls per second: p99 send delay of %.2f ms, %d dropped, %.1f us of CPU per call; %s", rate, report.SendDelay.P99, report.Dropped, 1e6*report.CPU/float64(max(report.Sent, 1)), report.Verdict())
+			if report.SendDelay.P99 < 1 && report.Dropped == 0 {
 				good++
-				cost = 1e6 * rep.CPU / float64(rep.Sent)
+				cost = 1e6 * report.CPU / float64(report.Sent)
 			}
 		}
 		if good < 2 {
@@ -83,9 +84,9 @@
 		}
 		best = rate
 	}
-	classes := Activation()
+	classes := DefaultClasses()
 	var wg sync.WaitGroup
-	before, began := cpu(), time.Now()
+	before, began := processCPU(), time.Now()
 	var mu sync.Mutex
 	calls := 0
 	for g := range 16 {
@@ -112,12 +113,12 @@
 	b.ReportMetric(best, "calls/s-a-core")
 	b.ReportMetric(cost, "us-CPU/call")
 	b.ReportMetric(float64(calls)/time.Since(began).Seconds(), "closed-calls/s-a-core")
-	b.ReportMetric(float64((cpu()-before).Microseconds())/float64(calls), "closed-us-CPU/call")
+	b.ReportMetric(float64((processCPU()-before).Microseconds())/float64(calls), "closed-us-CPU/call")
 	b.ReportMetric(0, "ns/op")
 }
 
-// BenchmarkStall freezes a server for two seconds on real sockets and sets the reported
-// percentiles beside those worked out from the schedule.
+// BenchmarkStall freezes a server for two seconds, over real sockets, and logs the reported
+// percentiles beside those calculated from the schedule.
 // go test ./internal/load -run '^$' -bench Stall -benchtime 1x
 func BenchmarkStall(b *testing.B) {
 	server, err := standin.NewServer(standin.ServerConfig{Name: "s", Script: standin.Always(standin.Act{Delay: 10 * time.Millisecond})})
@@ -125,14 +126,14 @@
 		b.Fatal(err)
 	}
 	defer server.Close()
-	s := constant(200, 12*time.Second)
-	s.Classes[0].Deadline = duration.Duration(20 * time.Second)
-	s.Arrivals = []schedule.Shape{{Kind: "constant", Rate: 200}}
-	cfg, end, err := s.Run(Config{Protocol: &HTTP1{Addr: server.Addr()}})
+	scenario := constantLoad(200, 12*time.Second)
+	scenario.Classes[0].Deadline = duration.Duration(20 * time.Second)
+	scenario.Arrivals = []schedule.Shape{{Kind: "constant", Rate: 200}}
+	cfg, closeSource, err := scenario.Run(Config{Protocol: &HTTP1{Addr: server.Addr()}})
 	if err != nil {
 		b.Fatal(err)
 	}
-	defer end()
+	defer closeSource()
 	var frozen, thawed time.Time
 	began := time.Now().Add(10 * time.Millisecond)
 	go func() {
@@ -143,27 +144,27 @@
 		thawed = time.Now()
 		server.Thaw()
 	}()
-	rep, err := Run(b.Context(), cfg)
+	report, err := Run(b.Context(), cfg)
 	if err != nil {
 		b.Fatal(err)
 	}
 	var want []time.Duration
-	for a := s.plan().Arrivals(); ; {
-		at, ok := a.Next()
+	for arrivals := scenario.plan().Arrivals(); ; {
+		at, ok := arrivals.Next()
 		if !ok {
 			break
 		}
 		took := 10 * time.Millisecond
 		if due := began.Add(at); due.After(frozen.Add(-took)) && due.Before(thawed) {
-			took = max(took, thawed.Sub(due)) // what is at work when it freezes waits too
+			took = max(took, thawed.Sub(due)) // calls in progress when it freezes wait too
 			if due.After(frozen) {
 				took = thawed.Sub(due) + 10*time.Millisecond
 			}
 		}
 		want = append(want, took)
 	}
-	for n, p := range quantileList {
-		b.Logf("p%v: %.1f ms reported, %.1f ms worked out, naive %.1f ms", p, *rep.Latency.at(n), exact(want, p), *rep.Naive.at(n))
+	for n, p := range reportedPercentiles {
+		b.Logf("p%v: %.1f ms reported, %.1f ms calculated, naive %.1f ms", p, *report.Latency.byIndex(n), exactPercentile(want, p), *report.Naive.byIndex(n))
 	}
-	b.Log(rep.Verdict())
+	b.Log(report.Verdict())
 }
--- a/internal/load/http1.go
+++ b/internal/load/http1.go
@@ -12,22 +12,22 @@
 	"time"
 )
 
-// HTTP1 sends calls over HTTP/1.1 in the platform's form: GET for what is safe to
-// repeat, POST with Idempotency-Key for what carries a key, POST for the rest.
+// HTTP1 sends calls over HTTP/1.1 in the platform's form: safe calls as GET, keyed calls as POST
+// with Idempotency-Key, all others as POST.
 type HTTP1 struct {
 	Addr string
-	Host string // empty: app
+	Host string // value of the Host header; empty means app
 }
 
-// errClose is with a good reply whose connection ends.
-var errClose = errors.New("load: last answer of its connection")
+// errLastReply accompanies a valid reply after which the connection cannot be used again.
+var errLastReply = errors.New("load: the connection ends with this answer")
 
-// Local makes an error of a system call ErrLocal where it is this machine that lacks
-// something.
-func Local(err error) error {
-	for _, e := range []syscall.Errno{syscall.EMFILE, syscall.ENFILE, syscall.EADDRNOTAVAIL, syscall.ENOBUFS, syscall.ENOMEM} {
-		if errors.Is(err, e) {
-			return fmt.Errorf("%w: %w", ErrLocal, err)
+// WrapLocalError wraps an error of a system call in ErrLocalResource if this machine is out of
+// descriptors, ports, buffers or memory, and returns any other error unchanged.
+func WrapLocalError(err error) error {
+	for _, errno := range []syscall.Errno{syscall.EMFILE, syscall.ENFILE, syscall.EADDRNOTAVAIL, syscall.ENOBUFS, syscall.ENOMEM} {
+		if errors.Is(err, errno) {
+			return fmt.Errorf("%w: %w", ErrLocalResource, err)
 		}
 	}
 	return err
@@ -35,28 +35,30 @@
 
 // Dial implements Protocol.
 func (h *HTTP1) Dial(deadline time.Time) (Conn, error) {
-	d := net.Dialer{Deadline: deadline, KeepAlive: -1}
-	c, err := d.Dial("tcp", h.Addr)
+	dialer := net.Dialer{Deadline: deadline, KeepAlive: -1}
+	conn, err := dialer.Dial("tcp", h.Addr)
 	if err != nil {
-		return nil, Local(err)
+		return nil, WrapLocalError(err)
 	}
 	host := h.Host
 	if host == "" {
 		host = "app"
 	}
-	return &http1{Conn: c, br: bufio.NewReader(c), host: host}, nil
+	return &http1{Conn: conn, reader: bufio.NewReader(conn), host: host}, nil
 }
 
+// http1 is an HTTP/1.1 connection.
 type http1 struct {
 	net.Conn
-	br   *bufio.Reader
-	buf  []byte
-	host string
-	uses int
+	reader        *bufio.Reader
+	requestBuffer []byte
+	host          string
+	callCount     int // calls begun on the connection
 }
 
-// filler is what bodies are made of: hex digits, as keys and numbers are.
-var filler = func() []byte {
+// bodyFiller is the content of request bodies: pseudo-random hex digits, which resemble keys and
+// numbers.
+var bodyFiller = func() []byte {
 	p := make([]byte, 64<<10)
 	x := uint32(2463534242)
 	for i := range p {
@@ -70,8 +72,8 @@
 
 // Do implements Conn.
 func (c *http1) Do(call *Call) (Reply, error) {
-	used := c.uses > 0
-	c.uses++
+	reused := c.callCount > 0
+	c.callCount++
 	c.SetDeadline(call.Deadline)
 	method := http.MethodPost
 	if call.Class.Effect == Safe {
@@ -81,52 +83,53 @@
 	if path == "" {
 		path = "/" + call.Class.Name
 	}
-	wait := max(1, time.Until(call.Deadline).Milliseconds())
-	b := fmt.Appendf(c.buf[:0], "%s %s HTTP/1.1\r\nHost: %s\r\nReq-Id: %s\r\nReq-Kind: %s\r\nReq-Deadline-Ms: %d\r\n", method, path, c.host, call.ID, call.Class.Name, wait)
+	remainingMillis := max(1, time.Until(call.Deadline).Milliseconds())
+	request := fmt.Appendf(c.requestBuffer[:0], "%s %s HTTP/1.1\r\nHost: %s\r\nReq-Id: %s\r\nReq-Kind: %s\r\nReq-Deadline-Ms: %d\r\n", method, path, c.host, call.ID, call.Class.Name, remainingMillis)
 	if call.Key != "" {
-		b = append(append(append(b, "Idempotency-Key: "...), call.Key...), "\r\n"...)
+		request = append(append(append(request, "Idempotency-Key: "...), call.Key...), "\r\n"...)
 	}
 	if call.Retry {
-		b = append(b, "Req-Retry: 1\r\n"...)
+		request = append(request, "Req-Retry: 1\r\n"...)
 	}
-	size := call.Body
+	bodyBytes := call.BodyBytes
 	if method == http.MethodGet {
-		size = 0
+		bodyBytes = 0
 	} else {
-		b = strconv.AppendInt(append(b, "Content-Length: "...), int64(size), 10)
-		b = append(b, "\r\n"...)
+		request = strconv.AppendInt(append(request, "Content-Length: "...), int64(bodyBytes), 10)
+		request = append(request, "\r\n"...)
 	}
-	b = append(b, "\r\n"...)
-	n := min(size, len(filler))
-	b = append(b, filler[:n]...)
-	c.buf = b
-	_, err := c.Write(b)
-	for size -= n; size > 0 && err == nil; size -= n {
-		n = min(size, len(filler))
-		_, err = c.Write(filler[:n])
+	request = append(request, "\r\n"...)
+	chunk := min(bodyBytes, len(bodyFiller))
+	request = append(request, bodyFiller[:chunk]...)
+	c.requestBuffer = request
+	_, err := c.Write(request)
+	for bodyBytes -= chunk; bodyBytes > 0 && err == nil; bodyBytes -= chunk {
+		chunk = min(bodyBytes, len(bodyFiller))
+		_, err = c.Write(bodyFiller[:chunk])
 	}
-	// Also after a write that failed: the answer may have come before.
-	if _, rerr := c.br.Peek(1); rerr != nil {
-		if used && (errors.Is(rerr, io.EOF) || errors.Is(rerr, syscall.ECONNRESET) || errors.Is(rerr, syscall.EPIPE)) {
-			return Reply{}, ErrStale
+	// The answer is also read after a failed write, since the server may have sent it before the end
+	// of the body.
+	if _, readErr := c.reader.Peek(1); readErr != nil {
+		if reused && (errors.Is(readErr, io.EOF) || errors.Is(readErr, syscall.ECONNRESET) || errors.Is(readErr, syscall.EPIPE)) {
+			return Reply{}, ErrStaleConn
 		}
-		return Reply{}, rerr
+		return Reply{}, readErr
 	}
-	resp, rerr := http.ReadResponse(c.br, &http.Request{Method: method})
-	if rerr != nil {
-		return Reply{}, rerr
+	response, readErr := http.ReadResponse(c.reader, &http.Request{Method: method})
+	if readErr != nil {
+		return Reply{}, readErr
 	}
-	if _, rerr = io.Copy(io.Discard, resp.Body); rerr != nil {
-		return Reply{}, rerr
+	if _, readErr = io.Copy(io.Discard, response.Body); readErr != nil {
+		return Reply{}, readErr
 	}
-	r := Reply{Status: resp.StatusCode}
-	if s, perr := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64); perr == nil && s >= 0 && s < 3600 {
-		r.RetryAfter = time.Duration(s * float64(time.Second))
+	reply := Reply{Status: response.StatusCode}
+	if seconds, parseErr := strconv.ParseFloat(response.Header.Get("Retry-After"), 64); parseErr == nil && seconds >= 0 && seconds < 3600 {
+		reply.RetryAfter = time.Duration(seconds * float64(time.Second))
 	}
-	if err != nil || resp.Close {
-		return r, errClose
+	if err != nil || response.Close {
+		return reply, errLastReply
 	}
-	return r, nil
+	return reply, nil
 }
 
 // Close implements Conn.
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -1,7 +1,7 @@
-// Package load sends calls at the times of a schedule, whatever becomes of those before
-// (an open loop), and measures each from the time at which it was due to its last byte.
-// A server or proxy that stalls therefore shows in full; what the generator itself could
-// not keep up with is told beside the figures, never as the server's latency.
+// Package load is an open-loop load generator: it sends each call at its scheduled time, whether or
+// not earlier calls have ended, and measures latency from that due time to the last byte of the
+// answer. A stall of a server or proxy therefore appears in full. Calls that the generator itself
+// sends late or drops are reported separately and never counted as server latency.
 package load
 
 import (
@@ -15,89 +15,91 @@
 	"chalkrack/internal/duration"
 )
 
-// Effect is what a class of calls allows.
+// Effect says whether calls of a class may be repeated.
 type Effect string
 
 const (
-	Safe  Effect = "safe"
-	Keyed Effect = "keyed"
-	Once  Effect = "once"
+	Safe  Effect = "safe"  // may run any number of times
+	Keyed Effect = "keyed" // carries an idempotency key; servers drop repeats of it
+	Once  Effect = "once"  // must not run twice
 )
 
-// Class is a class of calls.
+// Class describes one class of calls in a scenario.
 type Class struct {
-	Name     string            `toml:"name"`
-	Share    float64           `toml:"share"` // of all calls; only proportions count
-	Effect   Effect            `toml:"effect"`
-	Aim      duration.Duration `toml:"aim"` // an answer within it earns the worth
-	Deadline duration.Duration `toml:"deadline"`
-	Worth    float64           `toml:"worth"`
-	Body     int               `toml:"body"`      // bytes, at least
-	BodyMost int               `toml:"body_most"` // at most; 0: Body
+	Name         string            `toml:"name"`
+	Share        float64           `toml:"share"` // of all calls, relative to the other classes' shares
+	Effect       Effect            `toml:"effect"`
+	Aim          duration.Duration `toml:"aim"` // an answer within this time earns Worth
+	Deadline     duration.Duration `toml:"deadline"`
+	Worth        float64           `toml:"worth"`
+	MinBodyBytes int               `toml:"body"`      // smallest body in bytes
+	MaxBodyBytes int               `toml:"body_most"` // largest body in bytes; 0 means equal to MinBodyBytes
 }
 
-// Retries is what clients do when they are turned away, as the scenario tells.
+// Retries says how the simulated clients retry calls that were refused or that failed.
 type Retries struct {
-	Most    int               `toml:"most"`    // further tries of one call
-	Backoff duration.Duration `toml:"backoff"` // before the first of them
-	Growth  float64           `toml:"growth"`  // of the backoff with each
-	Jitter  float64           `toml:"jitter"`  // the part of it that is random
-	Heed    float64           `toml:"heed"`    // the share of clients that wait as Retry-After says
+	MaxRetries      int               `toml:"most"`    // retries of one call
+	Backoff         duration.Duration `toml:"backoff"` // wait before the first retry
+	BackoffGrowth   float64           `toml:"growth"`  // factor by which the backoff grows with each further retry
+	Jitter          float64           `toml:"jitter"`  // random share of the backoff, from 0 to 1
+	RetryAfterShare float64           `toml:"heed"`    // share of clients that wait at least as long as Retry-After says
 }
 
-// Limits are the generator's own. What they keep it from sending is counted.
+// Limits bounds the generator itself. Calls that it cannot send because of a limit are counted as
+// dropped.
 type Limits struct {
-	Connections int               `toml:"connections"`
-	Outstanding int               `toml:"outstanding"` // calls under way, those that wait for a retry included
-	Lag         duration.Duration `toml:"lag"`         // how late a second's sends may leave at p99 for its figures to hold
-	CPU         float64           `toml:"cpu"`         // cores used in a second beyond which its figures don't hold; 0: nine tenths of all
+	Connections  int               `toml:"connections"`
+	Outstanding  int               `toml:"outstanding"` // calls in progress, including those waiting for a retry
+	MaxSendDelay duration.Duration `toml:"lag"`         // largest p99 delay of sends in a second with valid figures
+	MaxCores     float64           `toml:"cpu"`         // most cores used in a second with valid figures; 0 means nine tenths of all
 }
 
-// Call is one try of one call, as a Conn sends it.
+// Call is one attempt of a call, as a Conn sends it.
 type Call struct {
-	ID       string
-	Class    *Class
-	Path     string // empty: the class's
-	Key      string
-	Retry    bool
-	Deadline time.Time
-	Body     int // bytes
+	ID        string
+	Class     *Class
+	Path      string // empty means / followed by the class's name
+	Key       string
+	Retry     bool
+	Deadline  time.Time
+	BodyBytes int
 }
 
-// Reply is what came of a try.
+// Reply is the outcome of one attempt.
 type Reply struct {
-	Status     int // as HTTP has it; 0: none came
+	Status     int // HTTP status code; 0 means that no answer arrived
 	RetryAfter time.Duration
 }
 
-// Errors of a Conn that are the generator's own, and one that asks for another Conn.
+// Errors of Dial and Do that Run treats differently from a missing answer.
 var (
-	// ErrLocal is for what this machine lacks: descriptors, ports, memory.
-	ErrLocal = errors.New("load: out of descriptors or ports")
-	// ErrStale says that a kept connection was closed before any of the answer came:
-	// the call is sent once more on a new one, as the platform's clients do.
-	ErrStale = errors.New("load: kept connection was closed")
+	// ErrLocalResource reports that this machine is out of descriptors, ports or memory.
+	ErrLocalResource = errors.New("load: this machine is out of descriptors, ports or memory")
+	// ErrStaleConn reports that a kept-alive connection was closed before any byte of the answer
+	// arrived. The call is then sent again on a new connection, as the platform's clients do.
+	ErrStaleConn = errors.New("load: kept-alive connection was closed before the answer")
 )
 
-// Conn carries one call at a time.
+// Conn carries one call at a time. Do blocks until the answer has been read, an error occurs or
+// the call's deadline passes.
 type Conn interface {
 	Do(c *Call) (Reply, error)
 	Close()
 }
 
-// Protocol makes connections. HTTP/1.1 is HTTP1; others fill in here.
+// Protocol makes connections. HTTP1 implements it for HTTP/1.1; package protocol has others.
 type Protocol interface {
 	Dial(deadline time.Time) (Conn, error)
 }
 
-// Source says what is due when: a schedule with classes, or a trace.
+// Source supplies the calls to send and their times: from a schedule and classes, or from a trace.
 type Source interface {
-	// Next is when the next call is due, from the beginning, and what it is; false at
-	// the end. Times do not go back.
+	// Next returns the next call and the time at which it is due, counted from the beginning of
+	// the run. ok is false at the end. Times never decrease.
 	Next() (at time.Duration, c Call, ok bool)
 }
 
-// Config is what a run is told.
+// Config is the configuration of a run.
 type Config struct {
 	Protocol Protocol
 	Source   Source
@@ -105,262 +107,268 @@
 	Retries  Retries
 	Limits   Limits
 	Seed     uint64
-	Length   time.Duration // as planned, for the view
-	// View is told the state once a second; nil: nobody.
+	Length   time.Duration // planned length, shown by View; 0 means unknown
+	// View, if not nil, is called with the state of the run once a second.
 	View func(Progress)
 
-	until func(ctx context.Context, at time.Time) bool // nil: a clock of its own; tests have a virtual one
+	waitUntil func(ctx context.Context, at time.Time) bool // nil means a real clock; tests set a virtual one
 }
 
-// Progress is a run's state for a view.
+// Progress is the state of a run, as passed to Config.View.
 type Progress struct {
 	At, Length  time.Duration
 	Sent, Done  int64
 	Outstanding int
-	Last        Second // the last whole second
+	Last        Second // the latest second that is complete
 }
 
-// Line is the state as a line.
+// Line returns the state as one line of text.
 func (p Progress) Line() string {
-	left := ""
+	remaining := ""
 	if p.Length > 0 {
-		left = fmt.Sprintf(" of %v, %v left", p.Length, max(0, (p.Length-p.At).Round(time.Second)))
+		remaining = fmt.Sprintf(" of %v, %v left", p.Length, max(0, (p.Length-p.At).Round(time.Second)))
 	}
-	return fmt.Sprintf("%v%s: %d sent, %d ended, %d under way, p99 %.1f ms", p.At.Round(time.Second), left, p.Sent, p.Done, p.Outstanding, p.Last.P99)
+	return fmt.Sprintf("%v%s: %d sent, %d ended, %d under way, p99 %.1f ms", p.At.Round(time.Second), remaining, p.Sent, p.Done, p.Outstanding, p.Last.P99)
 }
 
-// Run sends all of a source, or as much as ctx leaves time for, and returns the report.
-// It holds Limits.Connections connections and Limits.Outstanding calls at most, and a
-// row of about 200 bytes for each second.
-func Run(ctx context.Context, cfg Config) (*Report, error) {
-	if len(cfg.Classes) == 0 {
+// Run sends the calls of a source until it ends or ctx is done, waits for those in progress, and
+// returns the report. It holds at most Limits.Connections connections and Limits.Outstanding calls,
+// and a row of about 200 bytes for each second of the run.
+func Run(ctx context.Context, config Config) (*Report, error) {
+	if len(config.Classes) == 0 {
 		return nil, errors.New("load: no classes")
 	}
-	r := &run{cfg: cfg, rec: newRecorder(cfg.Classes, cfg.Limits), workers: make([]*worker, 0, 64)}
-	r.begin = time.Now().Add(10 * time.Millisecond) // for the first to be on time
-	r.rec.start(r.begin)
-	stop := make(chan struct{})
-	var ticking sync.WaitGroup
-	ticking.Go(func() { r.tick(stop) })
-	cut := r.dispatch(ctx)
-	// Calls under way end by themselves: each has a deadline.
-	r.calls.Wait()
+	r := &run{config: config, recorder: newRecorder(config.Classes, config.Limits), idleWorkers: make([]*worker, 0, 64)}
+	r.begin = time.Now().Add(10 * time.Millisecond) // so that the first call is not late because of the setup
+	r.recorder.start(r.begin)
+	stopTicker := make(chan struct{})
+	var tickerGroup sync.WaitGroup
+	tickerGroup.Go(func() { r.runTicker(stopTicker) })
+	cutShort := r.dispatch(ctx)
+	// Calls in progress end by themselves, since each has a deadline.
+	r.pendingCalls.Wait()
 	r.mu.Lock()
 	r.closed = true
-	workers := r.workers
-	r.workers = nil
+	workers := r.idleWorkers
+	r.idleWorkers = nil
 	r.mu.Unlock()
 	for _, w := range workers {
 		close(w.jobs)
 	}
-	r.conns.Wait()
-	close(stop)
-	ticking.Wait()
-	return r.rec.report(time.Since(r.begin), cut), nil
+	r.runningWorkers.Wait()
+	close(stopTicker)
+	tickerGroup.Wait()
+	return r.recorder.report(time.Since(r.begin), cutShort), nil
 }
 
-// job is one call on its way through its tries.
+// job is one call with the state of its attempts.
 type job struct {
-	call  Call
-	class int
-	due   time.Time // of its first try
-	try   int       // from 0
-	heeds bool
-	mark  uint64 // of its random draws
-	sent  time.Time
+	call              Call
+	classIndex        int
+	due               time.Time // time of the first attempt
+	attempt           int       // number of the attempt, from 0
+	honoursRetryAfter bool      // whether the client waits as Retry-After says
+	backoffSeed       uint64    // seed of the random part of its backoff
+	sentAt            time.Time
 }
 
+// worker sends jobs over one connection, one at a time.
 type worker struct {
 	jobs chan *job
-	conn Conn // nil: none yet; its goroutine's own
+	conn Conn // nil before it is dialled; used only by the worker's goroutine
 }
 
+// run is the state of one call of Run.
 type run struct {
-	cfg   Config
-	begin time.Time
-	rec   *recorder
-	calls sync.WaitGroup
-	conns sync.WaitGroup
+	config         Config
+	begin          time.Time
+	recorder       *recorder
+	pendingCalls   sync.WaitGroup
+	runningWorkers sync.WaitGroup
 
-	mu      sync.Mutex
-	workers []*worker // idle, the one used last on top
-	open    int       // workers
-	held    int       // calls under way
-	closed  bool
+	mu              sync.Mutex
+	idleWorkers     []*worker // idle workers, the most recently used last
+	workerCount     int       // number of workers, busy or idle
+	callsInProgress int       // calls in progress
+	closed          bool
 }
 
-// dispatch sends each call at its time; true if it was cut short.
-func (r *run) dispatch(ctx context.Context) (cut bool) {
-	until := r.cfg.until
-	if until == nil {
+// dispatch sends each call at its due time. It returns true if ctx ended before the source did.
+func (r *run) dispatch(ctx context.Context) (cutShort bool) {
+	waitUntil := r.config.waitUntil
+	if waitUntil == nil {
 		clock := newClock()
 		defer clock.close()
-		until = clock.until
+		waitUntil = clock.waitUntil
 	}
-	rng := rand.New(rand.NewPCG(r.cfg.Seed, 0xca11))
+	rng := rand.New(rand.NewPCG(r.config.Seed, 0xca11))
 	for {
-		at, c, ok := r.cfg.Source.Next()
+		offset, call, ok := r.config.Source.Next()
 		if !ok {
 			return false
 		}
-		due := r.begin.Add(at)
-		if !until(ctx, due) {
+		due := r.begin.Add(offset)
+		if !waitUntil(ctx, due) {
 			return true
 		}
-		class := 0
-		for n := range r.cfg.Classes {
-			if &r.cfg.Classes[n] == c.Class {
-				class = n
+		classIndex := 0
+		for n := range r.config.Classes {
+			if &r.config.Classes[n] == call.Class {
+				classIndex = n
 			}
 		}
-		j := &job{call: c, class: class, due: due, heeds: rng.Float64() < r.cfg.Retries.Heed, mark: rng.Uint64()}
+		j := &job{call: call, classIndex: classIndex, due: due, honoursRetryAfter: rng.Float64() < r.config.Retries.RetryAfterShare, backoffSeed: rng.Uint64()}
 		r.mu.Lock()
-		full := r.held >= r.cfg.Limits.Outstanding
+		full := r.callsInProgress >= r.config.Limits.Outstanding
 		if !full {
-			r.held++
+			r.callsInProgress++
 		}
 		r.mu.Unlock()
 		if full {
-			r.rec.dropped(due, class, "outstanding")
+			r.recorder.recordDropped(due, classIndex, "outstanding")
 			continue
 		}
-		r.calls.Add(1)
+		r.pendingCalls.Add(1)
 		r.send(j)
 	}
 }
 
-// send hands a try to an idle connection, or to a new one.
+// send hands an attempt to an idle worker or, within the limit of connections, to a new one.
 func (r *run) send(j *job) {
 	r.mu.Lock()
-	if n := len(r.workers); n > 0 {
-		w := r.workers[n-1]
-		r.workers = r.workers[:n-1]
+	if n := len(r.idleWorkers); n > 0 {
+		w := r.idleWorkers[n-1]
+		r.idleWorkers = r.idleWorkers[:n-1]
 		r.mu.Unlock()
-		w.jobs <- j // it is idle: there is room
+		w.jobs <- j // does not block: the channel of an idle worker is empty
 		return
 	}
-	if r.open >= r.cfg.Limits.Connections {
+	if r.workerCount >= r.config.Limits.Connections {
 		r.mu.Unlock()
-		if j.try == 0 {
-			r.rec.dropped(j.due, j.class, "connections")
-			r.over()
+		if j.attempt == 0 {
+			r.recorder.recordDropped(j.due, j.classIndex, "connections")
+			r.release()
 			return
 		}
-		r.end(j, Reply{}, "no connection left for a retry")
+		r.finish(j, Reply{}, "no connection left for a retry")
 		return
 	}
-	r.open++
+	r.workerCount++
 	r.mu.Unlock()
 	w := &worker{jobs: make(chan *job, 1)}
 	w.jobs <- j
-	r.conns.Go(func() { r.work(w) })
+	r.runningWorkers.Go(func() { r.runWorker(w) })
 }
 
-// over ends a call.
-func (r *run) over() {
+// release counts a call as no longer in progress.
+func (r *run) release() {
 	r.mu.Lock()
-	r.held--
+	r.callsInProgress--
 	r.mu.Unlock()
-	r.calls.Done()
+	r.pendingCalls.Done()
 }
 
-func (r *run) work(w *worker) {
+// runWorker sends the jobs of a worker until its connection ends or the run is closed.
+func (r *run) runWorker(w *worker) {
 	defer func() {
 		if w.conn != nil {
 			w.conn.Close()
 		}
 		r.mu.Lock()
-		r.open--
+		r.workerCount--
 		r.mu.Unlock()
 	}()
 	for j := range w.jobs {
-		reply, why, keep := r.try(w, j)
-		if !keep && w.conn != nil {
+		reply, failure, keepConn := r.attempt(w, j)
+		if !keepConn && w.conn != nil {
 			w.conn.Close()
 			w.conn = nil
 		}
 		r.mu.Lock()
-		idle := keep && !r.closed
+		idle := keepConn && !r.closed
 		if idle {
-			r.workers = append(r.workers, w)
+			r.idleWorkers = append(r.idleWorkers, w)
 		}
 		r.mu.Unlock()
-		r.after(j, reply, why)
+		r.finishOrRetry(j, reply, failure)
 		if !idle {
 			return
 		}
 	}
 }
 
-// try makes one try, and says whether the connection can go on.
-func (r *run) try(w *worker, j *job) (reply Reply, why string, keep bool) {
-	j.sent = time.Now()
-	if j.try == 0 {
-		r.rec.sent(j.due, j.sent, j.class)
+// attempt makes one attempt of a call, which is sent again on a new connection if the kept-alive one
+// was closed. failure says why there is no reply, or is empty. keepConn says whether the connection
+// can be used again.
+func (r *run) attempt(w *worker, j *job) (reply Reply, failure string, keepConn bool) {
+	j.sentAt = time.Now()
+	if j.attempt == 0 {
+		r.recorder.recordSent(j.due, j.sentAt, j.classIndex)
 	}
-	j.call.Deadline = j.sent.Add(time.Duration(j.call.Class.Deadline))
-	if j.try == 0 { // clients wait from when they meant to ask
+	j.call.Deadline = j.sentAt.Add(time.Duration(j.call.Class.Deadline))
+	if j.attempt == 0 { // clients count their deadline from the time at which the call was due
 		j.call.Deadline = j.due.Add(time.Duration(j.call.Class.Deadline))
 	}
-	for fresh := false; ; fresh = true {
+	for freshConn := false; ; freshConn = true {
 		var err error
 		if w.conn == nil {
-			if w.conn, err = r.cfg.Protocol.Dial(j.call.Deadline); err != nil {
+			if w.conn, err = r.config.Protocol.Dial(j.call.Deadline); err != nil {
 				w.conn = nil
-				if errors.Is(err, ErrLocal) {
+				if errors.Is(err, ErrLocalResource) {
 					return Reply{}, "local", false
 				}
 				return Reply{}, "no connection", false
 			}
-			fresh = true
+			freshConn = true
 		}
 		reply, err = w.conn.Do(&j.call)
 		switch {
 		case err == nil:
 			return reply, "", true
-		case errors.Is(err, errClose):
+		case errors.Is(err, errLastReply):
 			return reply, "", false
-		case errors.Is(err, ErrStale) && !fresh:
+		case errors.Is(err, ErrStaleConn) && !freshConn:
 			w.conn.Close()
 			w.conn = nil
 			continue
-		case errors.Is(err, ErrLocal):
+		case errors.Is(err, ErrLocalResource):
 			return Reply{}, "local", false
 		}
 		return Reply{}, "no answer", false
 	}
 }
 
-// after ends a call, or has it tried again later.
-func (r *run) after(j *job, reply Reply, why string) {
-	if why == "local" {
-		r.rec.dropped(j.due, j.class, "descriptors or ports")
-		r.over()
+// finishOrRetry ends a call or schedules its next attempt.
+func (r *run) finishOrRetry(j *job, reply Reply, failure string) {
+	if failure == "local" {
+		r.recorder.recordDropped(j.due, j.classIndex, "descriptors or ports")
+		r.release()
 		return
 	}
-	if j.try < r.cfg.Retries.Most && retries(j.call.Class, reply) {
-		rng := rand.New(rand.NewPCG(j.mark, uint64(j.try)))
-		wait := time.Duration(r.cfg.Retries.Backoff)
-		for range j.try {
-			wait = time.Duration(float64(wait) * r.cfg.Retries.Growth)
+	if j.attempt < r.config.Retries.MaxRetries && shouldRetry(j.call.Class, reply) {
+		rng := rand.New(rand.NewPCG(j.backoffSeed, uint64(j.attempt)))
+		wait := time.Duration(r.config.Retries.Backoff)
+		for range j.attempt {
+			wait = time.Duration(float64(wait) * r.config.Retries.BackoffGrowth)
 		}
-		wait -= time.Duration(rng.Float64() * r.cfg.Retries.Jitter * float64(wait))
-		if j.heeds {
+		wait -= time.Duration(rng.Float64() * r.config.Retries.Jitter * float64(wait))
+		if j.honoursRetryAfter {
 			wait = max(wait, reply.RetryAfter)
 		}
-		j.try++
-		j.call.ID = fmt.Sprintf("%s-%d", j.call.ID, j.try)
+		j.attempt++
+		j.call.ID = fmt.Sprintf("%s-%d", j.call.ID, j.attempt)
 		j.call.Retry = true
-		r.rec.retried(j.class)
+		r.recorder.recordRetry(j.classIndex)
 		time.AfterFunc(wait, func() { r.send(j) })
 		return
 	}
-	r.end(j, reply, why)
+	r.finish(j, reply, failure)
 }
 
-// retries says whether a client asks again: after a refusal always, after what it did
-// wrong itself never, after anything else only what may run again.
-func retries(c *Class, r Reply) bool {
+// shouldRetry reports whether a client retries after a reply: always after a refusal (429 or 503),
+// never after an error of its own (any other 4xx but 408), and after anything else only calls that
+// are safe to repeat.
+func shouldRetry(c *Class, r Reply) bool {
 	switch {
 	case r.Status == 200:
 		return false
@@ -372,29 +380,30 @@
 	return c.Effect == Safe
 }
 
-func (r *run) end(j *job, reply Reply, why string) {
-	r.rec.done(j, reply, time.Now())
-	r.over()
+// finish records the final reply of a call.
+func (r *run) finish(j *job, reply Reply, failure string) {
+	r.recorder.recordDone(j, reply, time.Now())
+	r.release()
 }
 
-// tick ends seconds, and tells the view.
-func (r *run) tick(stop chan struct{}) {
-	t := time.NewTicker(time.Second)
-	defer t.Stop()
+// runTicker closes the rows of ended seconds once a second and calls the view, until stop is closed.
+func (r *run) runTicker(stop chan struct{}) {
+	ticker := time.NewTicker(time.Second)
+	defer ticker.Stop()
 	for {
 		select {
 		case <-stop:
 			return
-		case now := <-t.C:
-			last := r.rec.turn(now)
-			if r.cfg.View == nil {
+		case now := <-ticker.C:
+			last := r.recorder.closeSeconds(now)
+			if r.config.View == nil {
 				continue
 			}
 			r.mu.Lock()
-			held := r.held
+			callsInProgress := r.callsInProgress
 			r.mu.Unlock()
-			sent, done := r.rec.counts()
-			r.cfg.View(Progress{At: now.Sub(r.begin), Length: r.cfg.Length, Sent: sent, Done: done, Outstanding: held, Last: last})
+			sent, done := r.recorder.counts()
+			r.config.View(Progress{At: now.Sub(r.begin), Length: r.config.Length, Sent: sent, Done: done, Outstanding: callsInProgress, Last: last})
 		}
 	}
 }
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -23,8 +23,8 @@
 	"chalkrack/internal/standin"
 )
 
-// virtual waits by the timers of a bubble.
-func virtual(ctx context.Context, at time.Time) bool {
+// waitVirtual waits in the virtual time of a synctest bubble.
+func waitVirtual(ctx context.Context, at time.Time) bool {
 	select {
 	case <-ctx.Done():
 		return false
@@ -33,160 +33,163 @@
 	}
 }
 
-// world is a server in virtual time: do says how long a call that begins now takes.
-type world struct {
-	dial func(now time.Time) (time.Duration, error)
-	do   func(now time.Time, c *Call) (time.Duration, Reply, error)
-	mu   sync.Mutex
-	got  []string
-	open int
+// fakeServer is a Protocol with a server in virtual time. dial and do return how long a connection
+// attempt or a call that begins now takes, and its result.
+type fakeServer struct {
+	dial        func(now time.Time) (time.Duration, error)
+	do          func(now time.Time, c *Call) (time.Duration, Reply, error)
+	mu          sync.Mutex
+	receivedIDs []string
+	openConns   int
 }
 
-func (w *world) Dial(deadline time.Time) (Conn, error) {
-	if w.dial != nil {
-		d, err := w.dial(time.Now())
+func (s *fakeServer) Dial(deadline time.Time) (Conn, error) {
+	if s.dial != nil {
+		delay, err := s.dial(time.Now())
 		if err != nil {
 			return nil, err
 		}
-		if d = min(d, time.Until(deadline)); d == time.Until(deadline) {
-			time.Sleep(d)
+		if delay = min(delay, time.Until(deadline)); delay == time.Until(deadline) {
+			time.Sleep(delay)
 			return nil, errors.New("too late")
 		}
-		time.Sleep(d)
+		time.Sleep(delay)
 	}
-	w.mu.Lock()
-	w.open++
-	w.mu.Unlock()
-	return &worldConn{w}, nil
+	s.mu.Lock()
+	s.openConns++
+	s.mu.Unlock()
+	return &fakeConn{s}, nil
 }
 
-type worldConn struct{ w *world }
+type fakeConn struct{ server *fakeServer }
 
-func (c *worldConn) Do(call *Call) (Reply, error) {
-	d, r, err := c.w.do(time.Now(), call)
-	if left := time.Until(call.Deadline); d > left {
-		d, r, err = left, Reply{}, errors.New("no answer")
+func (c *fakeConn) Do(call *Call) (Reply, error) {
+	delay, reply, err := c.server.do(time.Now(), call)
+	if remaining := time.Until(call.Deadline); delay > remaining {
+		delay, reply, err = remaining, Reply{}, errors.New("no answer")
 	}
-	time.Sleep(d)
-	c.w.mu.Lock()
-	c.w.got = append(c.w.got, call.ID)
-	c.w.mu.Unlock()
-	return r, err
+	time.Sleep(delay)
+	c.server.mu.Lock()
+	c.server.receivedIDs = append(c.server.receivedIDs, call.ID)
+	c.server.mu.Unlock()
+	return reply, err
 }
 
-func (c *worldConn) Close() {
-	c.w.mu.Lock()
-	c.w.open--
-	c.w.mu.Unlock()
+func (c *fakeConn) Close() {
+	c.server.mu.Lock()
+	c.server.openConns--
+	c.server.mu.Unlock()
 }
 
-func constant(rate float64, length time.Duration) *Scenario {
-	s := &Scenario{Version: 1, Seed: 3, Length: duration.Duration(length), Arrivals: []schedule.Shape{{Kind: "constant", Rate: rate}},
+// constantLoad returns a scenario of one class at a constant rate per second.
+func constantLoad(rate float64, length time.Duration) *Scenario {
+	scenario := &Scenario{Version: 1, Seed: 3, Length: duration.Duration(length), Arrivals: []schedule.Shape{{Kind: "constant", Rate: rate}},
 		Classes: []Class{{Name: "a", Share: 1, Effect: Safe, Aim: duration.Duration(time.Second), Deadline: duration.Duration(8 * time.Second), Worth: 1}}}
-	s.defaults()
-	s.Limits.Connections, s.Limits.Outstanding = 5000, 5000
-	return s
+	scenario.setDefaults()
+	scenario.Limits.Connections, scenario.Limits.Outstanding = 5000, 5000
+	return scenario
 }
 
-func play(t *testing.T, s *Scenario, w Protocol) *Report {
+// runScenario runs a scenario in virtual time.
+func runScenario(t *testing.T, scenario *Scenario, protocol Protocol) *Report {
 	t.Helper()
-	if err := s.check(); err != nil {
+	if err := scenario.check(); err != nil {
 		t.Fatal(err)
 	}
-	cfg, end, err := s.Run(Config{Protocol: w, until: virtual})
+	cfg, closeSource, err := scenario.Run(Config{Protocol: protocol, waitUntil: waitVirtual})
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer end()
-	rep, err := Run(t.Context(), cfg)
+	defer closeSource()
+	report, err := Run(t.Context(), cfg)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return rep
+	return report
 }
 
-// piped is servers at the other end of pipes: HTTP1's own code in virtual time. It holds
-// a goroutine a connection, until that is closed.
-type piped func(r *http.Request, c net.Conn)
+// pipeServer is a Protocol that runs HTTP1's own connection code in virtual time, over pipes to a
+// server. It holds a goroutine per connection until that is closed.
+type pipeServer func(r *http.Request, c net.Conn)
 
-func (serve piped) Dial(time.Time) (Conn, error) {
-	c, s := net.Pipe()
+func (serve pipeServer) Dial(time.Time) (Conn, error) {
+	clientConn, serverConn := net.Pipe()
 	go func() {
-		defer s.Close()
-		for br := bufio.NewReader(s); ; {
-			r, err := http.ReadRequest(br)
+		defer serverConn.Close()
+		for reader := bufio.NewReader(serverConn); ; {
+			request, err := http.ReadRequest(reader)
 			if err != nil {
 				return
 			}
-			serve(r, s)
+			serve(request, serverConn)
 		}
 	}()
-	return &http1{Conn: c, br: bufio.NewReader(c), host: "app"}, nil
+	return &http1{Conn: clientConn, reader: bufio.NewReader(clientConn), host: "app"}, nil
 }
 
-// exact is the quantile of what was worked out, in milliseconds.
-func exact(all []time.Duration, p float64) float64 {
-	slices.Sort(all)
-	n := int(math.Ceil(p/100*float64(len(all)))) - 1
-	return float64(all[max(n, 0)]) / 1e6
+// exactPercentile returns a percentile of expected latencies in milliseconds.
+func exactPercentile(latencies []time.Duration, percentile float64) float64 {
+	slices.Sort(latencies)
+	n := int(math.Ceil(percentile/100*float64(len(latencies)))) - 1
+	return float64(latencies[max(n, 0)]) / 1e6
 }
 
-// A stall of two seconds shows in full, whatever it is a stall of: each reported
-// percentile is the one worked out from the schedule, within 1 % or 2 ms. The naive
-// figure, beside it, hides what waited for a connection.
-func TestInjectedStallShowsInFull(t *testing.T) {
+// A load generator that measures from the send time hides a stall from its figures. A stall of two
+// seconds, at any stage of a call, must change every reported percentile to the one calculated from
+// the schedule, within 1 % or 2 ms. The naive figure hides the wait for a connection.
+func TestReportedLatencyIncludesStalls(t *testing.T) {
 	const work = 20 * time.Millisecond
-	const from, stall = 4 * time.Second, 2 * time.Second
-	stalled := func(at time.Duration) time.Duration { // how long what begins then waits
-		if at >= from && at < from+stall {
-			return from + stall - at
+	const stallStart, stall = 4 * time.Second, 2 * time.Second
+	remainingStall := func(at time.Duration) time.Duration { // remaining stall for an action that begins at at
+		if at >= stallStart && at < stallStart+stall {
+			return stallStart + stall - at
 		}
 		return 0
 	}
 	for name, c := range map[string]struct {
-		conns int
-		world func(begin *time.Time) Protocol
-		took  func(at time.Duration) time.Duration
+		conns       int
+		newProtocol func(begin *time.Time) Protocol
+		took        func(at time.Duration) time.Duration
 	}{
 		"a reader that stops": {5000, func(begin *time.Time) Protocol {
-			return piped(func(r *http.Request, c net.Conn) {
-				time.Sleep(stalled(time.Since(*begin))) // the body waits in the sender
+			return pipeServer(func(r *http.Request, c net.Conn) {
+				time.Sleep(remainingStall(time.Since(*begin))) // the client cannot finish writing the body
 				io.Copy(io.Discard, r.Body)
 				time.Sleep(work)
 				io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nbody")
 			})
-		}, func(at time.Duration) time.Duration { return work + stalled(at) }},
+		}, func(at time.Duration) time.Duration { return work + remainingStall(at) }},
 		"an answer that stops half way": {5000, func(begin *time.Time) Protocol {
-			return piped(func(r *http.Request, c net.Conn) {
+			return pipeServer(func(r *http.Request, c net.Conn) {
 				io.Copy(io.Discard, r.Body)
 				time.Sleep(work)
 				io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nbo")
-				time.Sleep(stalled(time.Since(*begin)))
+				time.Sleep(remainingStall(time.Since(*begin)))
 				io.WriteString(c, "dy")
 			})
-		}, func(at time.Duration) time.Duration { return work + stalled(at+work) }},
+		}, func(at time.Duration) time.Duration { return work + remainingStall(at+work) }},
 		"a server that stops": {5000, func(begin *time.Time) Protocol {
-			return &world{do: func(now time.Time, _ *Call) (time.Duration, Reply, error) {
-				return work + stalled(now.Sub(*begin)), Reply{Status: 200}, nil
+			return &fakeServer{do: func(now time.Time, _ *Call) (time.Duration, Reply, error) {
+				return work + remainingStall(now.Sub(*begin)), Reply{Status: 200}, nil
 			}}
-		}, func(at time.Duration) time.Duration { return work + stalled(at) }},
+		}, func(at time.Duration) time.Duration { return work + remainingStall(at) }},
 		"connections that don't come up": {5000, func(begin *time.Time) Protocol {
-			return &world{
-				dial: func(now time.Time) (time.Duration, error) { return stalled(now.Sub(*begin)), nil },
+			return &fakeServer{
+				dial: func(now time.Time) (time.Duration, error) { return remainingStall(now.Sub(*begin)), nil },
 				do: func(time.Time, *Call) (time.Duration, Reply, error) {
-					return work, Reply{Status: 200}, errClose // each call needs a new one
+					return work, Reply{Status: 200}, errLastReply // each call needs a new connection
 				},
 			}
-		}, func(at time.Duration) time.Duration { return work + stalled(at) }},
+		}, func(at time.Duration) time.Duration { return work + remainingStall(at) }},
 		"half an answer": {5000, func(begin *time.Time) Protocol {
-			return &world{do: func(now time.Time, _ *Call) (time.Duration, Reply, error) {
-				if at := now.Sub(*begin); at >= from && at < from+stall {
-					return time.Hour, Reply{}, nil // begins, and never ends
+			return &fakeServer{do: func(now time.Time, _ *Call) (time.Duration, Reply, error) {
+				if at := now.Sub(*begin); at >= stallStart && at < stallStart+stall {
+					return time.Hour, Reply{}, nil // never ends before the deadline
 				}
 				return work, Reply{Status: 200}, nil
 			}}
 		}, func(at time.Duration) time.Duration {
-			if at >= from && at < from+stall {
+			if at >= stallStart && at < stallStart+stall {
 				return 8 * time.Second // the deadline
 			}
 			return work
@@ -194,120 +197,122 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				begin := time.Now().Add(10 * time.Millisecond) // as Run has it
-				s := constant(200, 10*time.Second)
-				s.Limits.Connections = c.conns
-				s.Classes[0].Effect, s.Classes[0].Body = Once, 20000
-				rep := play(t, s, c.world(&begin))
+				begin := time.Now().Add(10 * time.Millisecond) // the delay that Run begins with
+				scenario := constantLoad(200, 10*time.Second)
+				scenario.Limits.Connections = c.conns
+				scenario.Classes[0].Effect, scenario.Classes[0].MinBodyBytes = Once, 20000
+				report := runScenario(t, scenario, c.newProtocol(&begin))
 				var want []time.Duration
-				for a := s.plan().Arrivals(); ; {
+				for a := scenario.plan().Arrivals(); ; {
 					at, ok := a.Next()
 					if !ok {
 						break
 					}
 					want = append(want, c.took(at))
 				}
-				if rep.Sent != int64(len(want)) || !rep.Holds {
-					t.Fatalf("%d of %d sent: %s", rep.Sent, len(want), rep.Verdict())
+				if report.Sent != int64(len(want)) || !report.Holds {
+					t.Fatalf("%d of %d sent: %s", report.Sent, len(want), report.Verdict())
 				}
-				for n, p := range quantileList {
-					got, want := *rep.Latency.at(n), exact(want, p)
-					t.Logf("p%v: %.1f ms reported, %.1f worked out, %.1f naive", p, got, want, *rep.Naive.at(n))
+				for n, p := range reportedPercentiles {
+					got, want := *report.Latency.byIndex(n), exactPercentile(want, p)
+					t.Logf("p%v: %.1f ms reported, %.1f ms calculated, %.1f ms naive", p, got, want, *report.Naive.byIndex(n))
 					if math.Abs(got-want) > max(2, want/100) {
-						t.Errorf("p%v: %.2f ms, worked out: %.2f ms", p, got, want)
+						t.Errorf("p%v: %.2f ms reported, want %.2f ms as calculated from the schedule", p, got, want)
 					}
 				}
-				if rep.Latency.P99 < 1500 {
-					t.Errorf("p99 %.1f ms hides the stall", rep.Latency.P99)
+				if report.Latency.P99 < 1500 {
+					t.Errorf("p99 is %.1f ms, want at least 1500 ms: the stall is hidden", report.Latency.P99)
 				}
 			})
 		})
 	}
 }
 
-// With one connection what waits for it is the generator's limit, and is said to be
-// that: calls are dropped and the figures do not hold from that second on.
-func TestOwnLimitsAreTold(t *testing.T) {
+// Too few connections, missing ports and late sends are limits of the generator. Reported as server
+// latency they would falsify the figures. The report must say which limit was reached and that the
+// figures are not valid from that second on.
+func TestGeneratorLimitsAreReported(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		begin := time.Now().Add(10 * time.Millisecond)
-		slow := &world{do: func(now time.Time, _ *Call) (time.Duration, Reply, error) {
+		slow := &fakeServer{do: func(now time.Time, _ *Call) (time.Duration, Reply, error) {
 			if at := now.Sub(begin); at > 3*time.Second && at < 5*time.Second {
 				return 500 * time.Millisecond, Reply{Status: 200}, nil
 			}
 			return time.Millisecond, Reply{Status: 200}, nil
 		}}
-		s := constant(100, 6*time.Second)
-		s.Limits.Connections = 5
-		rep := play(t, s, slow)
-		if rep.Holds || rep.LimitFrom != 3 || rep.Limit != "calls were dropped" || rep.Dropped == 0 {
-			t.Errorf("%s; %d dropped", rep.Verdict(), rep.Dropped)
+		scenario := constantLoad(100, 6*time.Second)
+		scenario.Limits.Connections = 5
+		report := runScenario(t, scenario, slow)
+		if report.Holds || report.LimitFromSecond != 3 || report.Limit != "calls were dropped" || report.Dropped == 0 {
+			t.Errorf("with 5 connections: %s; %d dropped", report.Verdict(), report.Dropped)
 		}
-		if rep.Sent+rep.Dropped != 600 {
-			t.Errorf("%d sent, %d dropped of 600", rep.Sent, rep.Dropped)
+		if report.Sent+report.Dropped != 600 {
+			t.Errorf("%d sent, %d dropped of 600", report.Sent, report.Dropped)
 		}
 	})
 	synctest.Test(t, func(t *testing.T) {
-		n := 0
+		dials := 0
 		var mu sync.Mutex
-		starved := &world{
+		starved := &fakeServer{
 			dial: func(time.Time) (time.Duration, error) {
 				mu.Lock()
 				defer mu.Unlock()
-				if n++; n > 50 {
-					return 0, fmt.Errorf("%w: test", ErrLocal)
+				if dials++; dials > 50 {
+					return 0, fmt.Errorf("%w: test", ErrLocalResource)
 				}
 				return 0, nil
 			},
 			do: func(time.Time, *Call) (time.Duration, Reply, error) {
-				return time.Millisecond, Reply{Status: 200}, errClose
+				return time.Millisecond, Reply{Status: 200}, errLastReply
 			},
 		}
-		rep := play(t, constant(20, 5*time.Second), starved)
-		if rep.Holds || rep.LimitFrom != 2 || rep.Classes[0].None != 0 || rep.Dropped != 50 {
-			t.Errorf("out of ports: %s; dropped %d, no answer %d", rep.Verdict(), rep.Dropped, rep.Classes[0].None)
+		report := runScenario(t, constantLoad(20, 5*time.Second), starved)
+		if report.Holds || report.LimitFromSecond != 2 || report.Classes[0].None != 0 || report.Dropped != 50 {
+			t.Errorf("out of ports: %s; dropped %d, no answer %d", report.Verdict(), report.Dropped, report.Classes[0].None)
 		}
 	})
-	synctest.Test(t, func(t *testing.T) { // sends that leave late, as without CPU
-		s := constant(100, 4*time.Second)
-		cfg, end, err := s.Run(Config{Protocol: &world{do: func(time.Time, *Call) (time.Duration, Reply, error) {
+	synctest.Test(t, func(t *testing.T) { // late sends, as when the CPU is busy
+		scenario := constantLoad(100, 4*time.Second)
+		cfg, closeSource, err := scenario.Run(Config{Protocol: &fakeServer{do: func(time.Time, *Call) (time.Duration, Reply, error) {
 			return time.Millisecond, Reply{Status: 200}, nil
 		}}})
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer end()
+		defer closeSource()
 		began := time.Now()
-		cfg.until = func(ctx context.Context, at time.Time) bool {
+		cfg.waitUntil = func(ctx context.Context, at time.Time) bool {
 			if at.Sub(began) > 2*time.Second {
 				at = at.Add(20 * time.Millisecond)
 			}
-			return virtual(ctx, at)
+			return waitVirtual(ctx, at)
 		}
-		rep, err := Run(t.Context(), cfg)
+		report, err := Run(t.Context(), cfg)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if rep.Holds || rep.LimitFrom < 1 || rep.LimitFrom > 2 || rep.Limit != "sends left late" {
-			t.Errorf("late sends: %s", rep.Verdict())
+		if report.Holds || report.LimitFromSecond < 1 || report.LimitFromSecond > 2 || report.Limit != "sends left late" {
+			t.Errorf("late sends: %s", report.Verdict())
 		}
-		if rep.Latency.P50 > 1.5+20 { // it counts from when calls were due all the same
-			t.Errorf("p50 %v", rep.Latency.P50)
+		if report.Latency.P50 > 1.5+20 { // latency still counts from the due time
+			t.Errorf("late sends: p50 is %v ms, want at most 21.5 ms", report.Latency.P50)
 		}
 	})
 }
 
-// Clients come again as they are told, or not, and what comes of it is booked to their
-// first try; what may not run again comes only after a refusal.
-func TestRetriesAreBookedToTheirFirstTry(t *testing.T) {
+// A call and its retries count as one call with the latency of all its attempts, so that retries
+// cannot hide the wait. Calls that must not run twice are retried only after a refusal, and the set
+// share of clients waits as Retry-After says.
+func TestCallAndItsRetriesCountOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		tries := make(map[string][]time.Time)
+		attempts := make(map[string][]time.Time)
 		var mu sync.Mutex
-		w := &world{do: func(now time.Time, c *Call) (time.Duration, Reply, error) {
+		server := &fakeServer{do: func(now time.Time, c *Call) (time.Duration, Reply, error) {
 			mu.Lock()
 			defer mu.Unlock()
 			id, _, _ := strings.Cut(c.ID, "-")
-			tries[id] = append(tries[id], now)
-			switch n := len(tries[id]); {
+			attempts[id] = append(attempts[id], now)
+			switch n := len(attempts[id]); {
 			case c.Class.Name == "refused" && n < 3:
 				return time.Millisecond, Reply{Status: 503, RetryAfter: time.Second}, nil
 			case c.Class.Name == "broken":
@@ -315,100 +320,102 @@
 			}
 			return time.Millisecond, Reply{Status: 200}, nil
 		}}
-		s := constant(50, 4*time.Second)
-		d := duration.Duration(8 * time.Second)
-		s.Classes = []Class{
-			{"refused", 1, Once, d, d, 1, 0, 0},
-			{"broken", 1, Once, d, d, 1, 0, 0},
-		}
-		s.Retries = Retries{Most: 2, Backoff: duration.Duration(100 * time.Millisecond), Growth: 2, Heed: 0.5}
-		rep := play(t, s, w)
-		r, b := rep.Classes[0], rep.Classes[1]
-		if r.Served != r.Sent || r.Retries != 2*r.Sent || b.Failed != b.Sent || b.Retries != 0 {
-			t.Errorf("%+v\n%+v", r, b)
+		scenario := constantLoad(50, 4*time.Second)
+		deadline := duration.Duration(8 * time.Second)
+		scenario.Classes = []Class{
+			{"refused", 1, Once, deadline, deadline, 1, 0, 0},
+			{"broken", 1, Once, deadline, deadline, 1, 0, 0},
+		}
+		scenario.Retries = Retries{MaxRetries: 2, Backoff: duration.Duration(100 * time.Millisecond), BackoffGrowth: 2, RetryAfterShare: 0.5}
+		report := runScenario(t, scenario, server)
+		refused, broken := report.Classes[0], report.Classes[1]
+		if refused.Served != refused.Sent || refused.Retries != 2*refused.Sent || broken.Failed != broken.Sent || broken.Retries != 0 {
+			t.Errorf("%+v\n%+v", refused, broken)
 		}
 		heeded := 0
-		for _, at := range tries {
-			if len(at) == 3 {
-				if first, second := at[1].Sub(at[0]), at[2].Sub(at[1]); first >= time.Second && second >= time.Second {
+		for _, times := range attempts {
+			if len(times) == 3 {
+				if first, second := times[1].Sub(times[0]), times[2].Sub(times[1]); first >= time.Second && second >= time.Second {
 					heeded++
 				} else if first > 150*time.Millisecond || second > 250*time.Millisecond {
-					t.Errorf("a client waits %v and %v", first, second)
+					t.Errorf("a client that ignores Retry-After waits %v and %v, want at most 150ms and 250ms", first, second)
 				}
 			}
 		}
-		if share := float64(heeded) / float64(r.Sent); math.Abs(share-0.5) > 0.15 {
-			t.Errorf("%.2f of the clients heed Retry-After, want 0.5", share)
+		if share := float64(heeded) / float64(refused.Sent); math.Abs(share-0.5) > 0.15 {
+			t.Errorf("a share of %.2f of the clients heeds Retry-After, want 0.5", share)
 		}
-		if r.Latency.P50 < 300 || r.Naive.P50 > 5 {
-			t.Errorf("latency %.1f ms from when it was due, %.1f ms naive", r.Latency.P50, r.Naive.P50)
+		if refused.Latency.P50 < 300 || refused.Naive.P50 > 5 {
+			t.Errorf("p50 of %.1f ms from the due time, %.1f ms naive, want at least 300 ms and at most 5 ms", refused.Latency.P50, refused.Naive.P50)
 		}
-		if r.Earned != 1 || b.Earned != 0 {
-			t.Errorf("earned %v and %v", r.Earned, b.Earned)
+		if refused.Earned != 1 || broken.Earned != 0 {
+			t.Errorf("earned %v and %v, want 1 and 0", refused.Earned, broken.Earned)
 		}
 	})
 }
 
-// A server that answers nothing, for long, at a limit of memory; and an end in the
-// middle: each gives a whole report.
-func TestNothingAnswersAndCutShort(t *testing.T) {
-	silent := func() *world {
-		return &world{do: func(time.Time, *Call) (time.Duration, Reply, error) { return time.Hour, Reply{}, nil }}
+// A server that never answers during a run of ten minutes, and a run that is cancelled, must both
+// give a complete report. Otherwise the runs with the worst results would leave no figures.
+func TestReportsOfSilentServerAndCancelledRun(t *testing.T) {
+	silent := func() *fakeServer {
+		return &fakeServer{do: func(time.Time, *Call) (time.Duration, Reply, error) { return time.Hour, Reply{}, nil }}
 	}
 	synctest.Test(t, func(t *testing.T) {
-		s := constant(200, 10*time.Minute)
-		s.Classes[0].Deadline = duration.Duration(2 * time.Second)
-		w := silent()
-		rep := play(t, s, w)
-		if rep.Classes[0].None != rep.Sent || rep.Sent != 120000 || len(rep.Seconds) != 600 || w.open != 0 {
-			t.Errorf("%d sent, %d without answer, %d seconds, %d connections open", rep.Sent, rep.Classes[0].None, len(rep.Seconds), w.open)
+		scenario := constantLoad(200, 10*time.Minute)
+		scenario.Classes[0].Deadline = duration.Duration(2 * time.Second)
+		server := silent()
+		report := runScenario(t, scenario, server)
+		if report.Classes[0].None != report.Sent || report.Sent != 120000 || len(report.Seconds) != 600 || server.openConns != 0 {
+			t.Errorf("%d sent, %d without answer, %d seconds, %d connections open", report.Sent, report.Classes[0].None, len(report.Seconds), server.openConns)
 		}
-		if math.Abs(rep.Latency.P50-2000) > 20 {
-			t.Errorf("p50 %v", rep.Latency.P50)
+		if math.Abs(report.Latency.P50-2000) > 20 {
+			t.Errorf("p50 is %v ms, want the deadline of 2000 ms", report.Latency.P50)
 		}
 	})
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithTimeout(t.Context(), 3*time.Second)
 		defer cancel()
-		s := constant(100, time.Minute)
-		cfg, end, err := s.Run(Config{Protocol: silent(), until: virtual})
+		scenario := constantLoad(100, time.Minute)
+		cfg, closeSource, err := scenario.Run(Config{Protocol: silent(), waitUntil: waitVirtual})
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer end()
-		rep, err := Run(ctx, cfg)
-		if err != nil || !rep.Cut || rep.Sent < 290 || rep.Sent > 301 || rep.Classes[0].None != rep.Sent {
-			t.Errorf("%+v, %v", rep, err)
+		defer closeSource()
+		report, err := Run(ctx, cfg)
+		if err != nil || !report.CutShort || report.Sent < 290 || report.Sent > 301 || report.Classes[0].None != report.Sent {
+			t.Errorf("%+v, %v", report, err)
 		}
 		var text, page bytes.Buffer
-		if err := errors.Join(rep.WriteText(&text), rep.WriteHTML(&page)); err != nil || !strings.Contains(text.String(), "cut short") || !strings.Contains(page.String(), "cut short") {
+		if err := errors.Join(report.WriteText(&text), report.WriteHTML(&page)); err != nil || !strings.Contains(text.String(), "cut short") || !strings.Contains(page.String(), "cut short") {
 			t.Errorf("%v\n%s", err, text.String())
 		}
-		if _, err := json.Marshal(rep); err != nil {
+		if _, err := json.Marshal(report); err != nil {
 			t.Error(err)
 		}
 	})
 }
 
-// 50,000 calls in one second leave in the order of their schedule and are all counted.
-func TestBurst(t *testing.T) {
+// A generator that cannot keep up with a burst drops calls of it. A burst of 50,000 calls in one
+// second must be sent in full in that second, and each call counted.
+func TestBurstIsSentInFull(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := constant(100, 3*time.Second)
-		s.Limits.Connections, s.Limits.Outstanding = 1<<16, 1<<17
-		s.Arrivals = []schedule.Shape{{Kind: "piecewise", Points: []schedule.Point{{At: 0, Rate: 100}, {At: duration.Duration(time.Second), Rate: 100},
+		scenario := constantLoad(100, 3*time.Second)
+		scenario.Limits.Connections, scenario.Limits.Outstanding = 1<<16, 1<<17
+		scenario.Arrivals = []schedule.Shape{{Kind: "piecewise", Points: []schedule.Point{{At: 0, Rate: 100}, {At: duration.Duration(time.Second), Rate: 100},
 			{At: duration.Duration(time.Second + 1), Rate: 50000}, {At: duration.Duration(2 * time.Second), Rate: 50000}, {At: duration.Duration(2*time.Second + 1), Rate: 100}}}}
-		rep := play(t, s, &world{do: func(time.Time, *Call) (time.Duration, Reply, error) {
+		report := runScenario(t, scenario, &fakeServer{do: func(time.Time, *Call) (time.Duration, Reply, error) {
 			return 100 * time.Millisecond, Reply{Status: 200}, nil
 		}})
-		if rep.Dropped != 0 || rep.Seconds[1].Sent < 49900 || rep.Seconds[1].Sent > 50100 || rep.Classes[0].Served != rep.Sent {
-			t.Errorf("%d in the burst, %d dropped, %d of %d served", rep.Seconds[1].Sent, rep.Dropped, rep.Classes[0].Served, rep.Sent)
+		if report.Dropped != 0 || report.Seconds[1].Sent < 49900 || report.Seconds[1].Sent > 50100 || report.Classes[0].Served != report.Sent {
+			t.Errorf("%d sent in the burst, %d dropped, %d of %d served", report.Seconds[1].Sent, report.Dropped, report.Classes[0].Served, report.Sent)
 		}
 	})
 }
 
-// HTTP/1.1 on real sockets, in the platform's form: each effect has its method and key,
-// bodies have their length; a kept connection that was closed is not an answer lost, a
-// half-answer and a reset are.
+// Over real sockets, calls must be sent as HTTP/1.1 with the method and key of their effect and with
+// bodies of the set length. A kept-alive connection that the server closed gives ErrStaleConn, so
+// that the call is sent again. An answer that stops half way must not, because that call may have
+// run. A refused connection must not count as a lack of ports or descriptors of this machine.
 func TestHTTP1(t *testing.T) {
 	ledger := standin.NewLedger(0)
 	server, err := standin.NewServer(standin.ServerConfig{Name: "s", Ledger: ledger})
@@ -420,9 +427,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	classes := Activation()
+	classes := DefaultClasses()
 	call := func(class int, id string, body int) (Reply, error) {
-		c := &Call{ID: id, Class: &classes[class], Body: body, Deadline: time.Now().Add(20 * time.Second)}
+		c := &Call{ID: id, Class: &classes[class], BodyBytes: body, Deadline: time.Now().Add(20 * time.Second)}
 		if classes[class].Effect == Keyed {
 			c.Key = "k" + id
 		}
@@ -446,13 +453,13 @@
 		t.Errorf("%+v, %v", r, err)
 	}
 	server.Do(standin.Always(standin.Act{Kind: standin.ShortBody}))
-	if r, err := call(0, "half", 0); err == nil || errors.Is(err, ErrStale) {
+	if r, err := call(0, "half", 0); err == nil || errors.Is(err, ErrStaleConn) {
 		t.Errorf("half an answer: %+v, %v", r, err)
 	}
 	server.Kill()
 	conn.Close()
-	if _, err := (&HTTP1{Addr: server.Addr()}).Dial(time.Now().Add(time.Second)); err == nil || errors.Is(err, ErrLocal) {
-		t.Errorf("a server that is down: %v", err)
+	if _, err := (&HTTP1{Addr: server.Addr()}).Dial(time.Now().Add(time.Second)); err == nil || errors.Is(err, ErrLocalResource) {
+		t.Errorf("a server that is down: error %v, want one that is not local", err)
 	}
 	if err := server.Restart(); err != nil {
 		t.Fatal(err)
@@ -465,14 +472,15 @@
 		t.Fatal(err)
 	}
 	server.Kill()
-	if _, err := call(2, "second", 10); !errors.Is(err, ErrStale) && !errors.Is(err, net.ErrClosed) {
-		t.Errorf("a kept connection that was closed: %v", err)
+	if _, err := call(2, "second", 10); !errors.Is(err, ErrStaleConn) && !errors.Is(err, net.ErrClosed) {
+		t.Errorf("a kept-alive connection that was closed: %v", err)
 	}
 	conn.Close()
 }
 
-// Scenarios are strict: each of these is refused by the name of what is wrong.
-func TestScenariosAreChecked(t *testing.T) {
+// A misspelt field or a value out of range would silently give another load than intended. Each of
+// these scenarios must be rejected with an error that names the field.
+func TestInvalidScenariosAreRejected(t *testing.T) {
 	const good = "version = 1\nlength = \"1s\"\n[[arrivals]]\nkind = \"constant\"\nrate = 1\n"
 	if _, err := ParseScenario([]byte(good)); err != nil {
 		t.Fatal(err)
@@ -499,34 +507,35 @@
 		good + "[aims]\nearned = 2.0\n": "aims.earned",
 	} {
 		if _, err := ParseScenario([]byte(text)); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%q: %v, want a complaint of %s", text, err, want)
+			t.Errorf("%q: error %v, want one that names %s", text, err, want)
 		}
 	}
 }
 
+// FuzzScenario checks that any scenario that passes the checks can be scheduled without a panic.
 func FuzzScenario(f *testing.F) {
 	f.Add([]byte("version = 1\nlength = \"1s\"\n[[arrivals]]\nkind = \"constant\"\nrate = 1\n"))
 	f.Add([]byte("version = 1\ntrace = \"x\"\nspeed = 2.5\n[[classes]]\nname = \"a\"\nshare = 1.0\neffect = \"safe\"\naim = \"1s\"\ndeadline = \"1s\"\n"))
 	f.Fuzz(func(t *testing.T, data []byte) {
-		s, err := ParseScenario(data)
-		if err != nil || s.Trace != "" {
+		scenario, err := ParseScenario(data)
+		if err != nil || scenario.Trace != "" {
 			return
 		}
-		a := s.plan().Arrivals()
+		arrivals := scenario.plan().Arrivals()
 		for range 100 {
-			if _, ok := a.Next(); !ok {
+			if _, ok := arrivals.Next(); !ok {
 				break
 			}
 		}
 	})
 }
 
-// Who asks again: after a refusal all, after a mistake of their own nobody, after anything
-// else what may run again.
-func TestWhoAsksAgain(t *testing.T) {
+// Clients that retry calls with an effect after an error would run them twice. All retry after a
+// refusal, none after a client error, and after any other outcome only safe calls are retried.
+func TestShouldRetry(t *testing.T) {
 	for status, want := range map[int][2]bool{200: {}, 429: {true, true}, 503: {true, true}, 404: {}, 403: {}, 413: {}, 408: {true, false}, 500: {true, false}, 502: {true, false}, 0: {true, false}} {
-		if got := [2]bool{retries(&Class{Effect: Safe}, Reply{Status: status}), retries(&Class{Effect: Once}, Reply{Status: status})}; got != want {
-			t.Errorf("after %d: safe and once %v, want %v", status, got, want)
+		if got := [2]bool{shouldRetry(&Class{Effect: Safe}, Reply{Status: status}), shouldRetry(&Class{Effect: Once}, Reply{Status: status})}; got != want {
+			t.Errorf("after status %d: retries of safe and once calls %v, want %v", status, got, want)
 		}
 	}
 }
--- a/internal/load/protocol/plugin.go
+++ b/internal/load/protocol/plugin.go
@@ -1,5 +1,5 @@
-// Package protocol has the ways of load's calls that need more than HTTP/1.1: the
-// plug-in in the generator's own process, and RADIUS as counter terminals speak it.
+// Package protocol has the implementations of load.Protocol other than plain HTTP/1.1: the plug-in
+// in the generator's own process, and RADIUS as counter terminals use it.
 package protocol
 
 import (
@@ -15,46 +15,47 @@
 	"chalkrack/internal/load"
 )
 
-// Plugin sends calls through the plug-in, which chooses servers itself or goes by way of
-// a daemon. All its Conns share one Transport, as an application's calls do.
+// Plugin sends calls through the plug-in, which chooses servers itself or sends to a daemon. All its
+// Conns share one Transport, as the calls of an application do.
 type Plugin struct {
-	t *client.Transport
+	transport *client.Transport
 }
 
-// NewPlugin returns a Plugin. cfg says where its servers and its daemon are; without
-// Platform its classes are those of the load.
+// NewPlugin returns a Plugin, which the caller closes. cfg says where the servers and the daemon are.
+// Without cfg.Platform the plug-in gets the classes of the load.
 func NewPlugin(cfg client.Config, classes []load.Class) (*Plugin, error) {
 	if len(cfg.Platform) == 0 {
 		effects := map[load.Effect]client.Effect{load.Safe: client.Safe, load.Keyed: client.Keyed, load.Once: client.Unsafe}
-		for _, c := range classes {
-			k := client.Class{Name: c.Name, Effect: effects[c.Effect], Aim: time.Duration(c.Aim), Deadline: time.Duration(c.Deadline), Worth: c.Worth}
-			if c.Effect == load.Keyed {
-				k.Window = time.Duration(c.Aim) // servers' promise is not known here
+		for _, loadClass := range classes {
+			class := client.Class{Name: loadClass.Name, Effect: effects[loadClass.Effect], Aim: time.Duration(loadClass.Aim), Deadline: time.Duration(loadClass.Deadline), Worth: loadClass.Worth}
+			if loadClass.Effect == load.Keyed {
+				class.Window = time.Duration(loadClass.Aim) // the window that servers guarantee is not known here
 			}
-			cfg.Classes = append(cfg.Classes, k)
+			cfg.Classes = append(cfg.Classes, class)
 		}
 	}
-	t, err := client.New(cfg)
+	transport, err := client.New(cfg)
 	if err != nil {
 		return nil, err
 	}
-	return &Plugin{t}, nil
+	return &Plugin{transport}, nil
 }
 
-// closeWait is how long calls that are still under way at the end are waited for.
-const closeWait = 5 * time.Second
+// closeTimeout bounds the wait for calls that are still in progress at the end.
+const closeTimeout = 5 * time.Second
 
-// Close ends the Transport.
+// Close closes the Transport. It waits up to closeTimeout for calls in progress.
 func (p *Plugin) Close() {
-	ctx, cancel := context.WithTimeout(context.Background(), closeWait)
+	ctx, cancel := context.WithTimeout(context.Background(), closeTimeout)
 	defer cancel()
-	p.t.Close(ctx)
+	p.transport.Close(ctx)
 }
 
 // Dial implements load.Protocol.
-func (p *Plugin) Dial(time.Time) (load.Conn, error) { return pluginConn{p.t}, nil }
+func (p *Plugin) Dial(time.Time) (load.Conn, error) { return pluginConn{p.transport}, nil }
 
-type pluginConn struct{ t *client.Transport }
+// pluginConn sends calls over the shared Transport.
+type pluginConn struct{ transport *client.Transport }
 
 // Do implements load.Conn.
 func (c pluginConn) Do(call *load.Call) (load.Reply, error) {
@@ -66,50 +67,50 @@
 	}
 	method, body := http.MethodGet, io.Reader(nil)
 	if call.Class.Effect != load.Safe {
-		method, body = http.MethodPost, io.LimitReader(digits{}, int64(call.Body))
+		method, body = http.MethodPost, io.LimitReader(digitReader{}, int64(call.BodyBytes))
 	}
-	r, err := http.NewRequestWithContext(ctx, method, "http://app"+path, body)
+	request, err := http.NewRequestWithContext(ctx, method, "http://app"+path, body)
 	if err != nil {
 		return load.Reply{}, fmt.Errorf("load: %w", err)
 	}
 	if body != nil {
-		r.ContentLength = int64(call.Body)
+		request.ContentLength = int64(call.BodyBytes)
 	}
-	r.Header.Set("Req-Id", call.ID)
-	r.Header.Set("Req-Kind", call.Class.Name)
+	request.Header.Set("Req-Id", call.ID)
+	request.Header.Set("Req-Kind", call.Class.Name)
 	if call.Key != "" {
-		r.Header.Set("Idempotency-Key", call.Key)
+		request.Header.Set("Idempotency-Key", call.Key)
 	}
 	if call.Retry {
-		r.Header.Set("Req-Retry", "1")
+		request.Header.Set("Req-Retry", "1")
 	}
-	resp, err := c.t.RoundTrip(r)
+	response, err := c.transport.RoundTrip(request)
 	if err != nil {
-		if errors.Is(err, client.ErrBodyTooLarge) { // it answers so, without having sent any of it
+		if errors.Is(err, client.ErrBodyTooLarge) { // the plug-in rejects the body before it sends any of it
 			return load.Reply{Status: http.StatusRequestEntityTooLarge}, nil
 		}
 		return load.Reply{}, err
 	}
-	_, err = io.Copy(io.Discard, resp.Body)
-	resp.Body.Close()
+	_, err = io.Copy(io.Discard, response.Body)
+	response.Body.Close()
 	if err != nil {
 		return load.Reply{}, fmt.Errorf("load: %w", err)
 	}
-	reply := load.Reply{Status: resp.StatusCode}
-	if s, err := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64); err == nil && s >= 0 && s < 3600 {
+	reply := load.Reply{Status: response.StatusCode}
+	if s, err := strconv.ParseFloat(response.Header.Get("Retry-After"), 64); err == nil && s >= 0 && s < 3600 {
 		reply.RetryAfter = time.Duration(s * float64(time.Second))
 	}
 	return reply, nil
 }
 
-// Close implements load.Conn: the Transport's connections are its own.
+// Close implements load.Conn. It does nothing, since the Transport owns the connections.
 func (c pluginConn) Close() {}
 
-// digits is a body without end.
-type digits struct{}
+// digitReader is an endless body of hex digits.
+type digitReader struct{}
 
 // Read implements io.Reader.
-func (digits) Read(p []byte) (int, error) {
+func (digitReader) Read(p []byte) (int, error) {
 	for n := range p {
 		p[n] = "0123456789abcdef"[n&15]
 	}
--- a/internal/load/protocol/protocol_test.go
+++ b/internal/load/protocol/protocol_test.go
@@ -13,36 +13,37 @@
 	"chalkrack/internal/standin"
 )
 
-// scenario sends a few calls of all three effects within a second.
-func scenario(t *testing.T) *load.Scenario {
+// newScenario returns a scenario that sends a few calls of all three effects within a second.
+func newScenario(t *testing.T) *load.Scenario {
 	t.Helper()
-	s, err := load.ParseScenario([]byte("version = 1\nlength = \"1s\"\n[limits]\nlag = \"10s\"\ncpu = 1000.0\n[[arrivals]]\nkind = \"constant\"\nrate = 60\n"))
+	scenario, err := load.ParseScenario([]byte("version = 1\nlength = \"1s\"\n[limits]\nlag = \"10s\"\ncpu = 1000.0\n[[arrivals]]\nkind = \"constant\"\nrate = 60\n"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.Arrivals = []schedule.Shape{{Kind: "constant", Rate: 60}}
-	for n := range s.Classes { // slow machines are not the matter here
-		s.Classes[n].Aim, s.Classes[n].Deadline = duration.Duration(10*time.Second), duration.Duration(10*time.Second)
+	scenario.Arrivals = []schedule.Shape{{Kind: "constant", Rate: 60}}
+	for n := range scenario.Classes { // long enough for a slow machine
+		scenario.Classes[n].Aim, scenario.Classes[n].Deadline = duration.Duration(10*time.Second), duration.Duration(10*time.Second)
 	}
-	return s
+	return scenario
 }
 
-func play(t *testing.T, s *load.Scenario, p load.Protocol) *load.Report {
+// runScenario runs a scenario over a protocol.
+func runScenario(t *testing.T, scenario *load.Scenario, protocol load.Protocol) *load.Report {
 	t.Helper()
-	cfg, end, err := s.Run(load.Config{Protocol: p})
+	cfg, closeSource, err := scenario.Run(load.Config{Protocol: protocol})
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer end()
-	rep, err := load.Run(t.Context(), cfg)
+	defer closeSource()
+	report, err := load.Run(t.Context(), cfg)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return rep
+	return report
 }
 
-// Through the plug-in each call arrives with its class, key and body, and a server that
-// turns calls away shows as the plug-in's own answer, not as none.
+// Each call sent through the plug-in must reach the server with its class, key and body. If the
+// server refuses all calls, the plug-in's own refusal must be counted as refused, not as no answer.
 func TestPlugin(t *testing.T) {
 	for _, refuse := range []bool{false, true} {
 		t.Run(fmt.Sprint("refuse ", refuse), func(t *testing.T) {
@@ -56,14 +57,14 @@
 				t.Fatal(err)
 			}
 			defer server.Close()
-			s := scenario(t)
-			p, err := NewPlugin(client.Config{Nodes: []client.Node{{Address: server.Addr()}}, Seed: 1}, s.Classes)
+			scenario := newScenario(t)
+			plugin, err := NewPlugin(client.Config{Nodes: []client.Node{{Address: server.Addr()}}, Seed: 1}, scenario.Classes)
 			if err != nil {
 				t.Fatal(err)
 			}
-			defer p.Close()
-			rep := play(t, s, p)
-			for _, c := range rep.Classes {
+			defer plugin.Close()
+			report := runScenario(t, scenario, plugin)
+			for _, c := range report.Classes {
 				if c.None != 0 || !refuse && c.Served != c.Sent || refuse && c.Refused != c.Sent {
 					t.Errorf("%+v", c)
 				}
@@ -77,15 +78,15 @@
 					bodies++
 				}
 			}
-			if got := rep.Classes[1].Sent + rep.Classes[2].Sent; int64(bodies) != got {
-				t.Errorf("%d bodies arrived, %d were sent", bodies, got)
+			if got := report.Classes[1].Sent + report.Classes[2].Sent; int64(bodies) != got {
+				t.Errorf("%d bodies arrived, want %d as sent", bodies, got)
 			}
 		})
 	}
 }
 
-// Over RADIUS what carries a key is one event, though its packets come again, and a
-// reject is an answer that is not asked for again.
+// An accounting packet that is resent because its answer is late must count as one event, and a
+// reject is a final answer that clients do not retry.
 func TestRADIUS(t *testing.T) {
 	ledger := standin.NewRadiusLedger()
 	server, err := standin.NewRadiusServer("s", "secret", ledger)
@@ -94,15 +95,15 @@
 	}
 	defer server.Close()
 	server.Do(func(seen standin.RadiusSeen) standin.RadiusAct {
-		if seen.Password == "" { // accounting: the first packet's answer is late
+		if seen.Password == "" { // accounting: answered after Resend, so the packet is sent again
 			return standin.RadiusAct{Delay: 150 * time.Millisecond}
 		}
 		return standin.RadiusAct{Kind: standin.RadiusReject}
 	})
-	s := scenario(t)
+	scenario := newScenario(t)
 	addr := netip.MustParseAddrPort(server.Addr())
-	rep := play(t, s, &RADIUS{Access: addr, Accounting: addr, Secret: []byte("secret"), Resend: 50 * time.Millisecond})
-	for n, c := range rep.Classes {
+	report := runScenario(t, scenario, &RADIUS{Access: addr, Accounting: addr, Secret: []byte("secret"), Resend: 50 * time.Millisecond})
+	for n, c := range report.Classes {
 		if c.None != 0 || c.Retries != 0 || n == 1 && c.Served != c.Sent || n != 1 && c.Failed != c.Sent {
 			t.Errorf("%+v", c)
 		}
@@ -111,7 +112,7 @@
 	for _, c := range ledger.All() {
 		packets, effects = packets+c.Packets, max(effects, c.Effects)
 	}
-	if int64(packets) <= rep.Sent || effects != 1 {
-		t.Errorf("%d packets of %d calls, most effects of one %d", packets, rep.Sent, effects)
+	if int64(packets) <= report.Sent || effects != 1 {
+		t.Errorf("%d packets for %d calls, want more packets than calls; up to %d effects per call, want 1", packets, report.Sent, effects)
 	}
 }
--- a/internal/load/record.go
+++ b/internal/load/record.go
@@ -11,267 +11,281 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Histograms count microseconds from 1 to an hour. Those of a class have three digits,
-// so percentiles are within a thousandth; those of a second two.
+// Histograms count microseconds from 1 to one hour. Those of a class have three significant digits,
+// so percentiles are exact to one thousandth; those of a second have two.
 const (
-	longest     = int64(time.Hour / time.Microsecond)
-	classDigits = 3
-	secDigits   = 2
+	maxMicros    = int64(time.Hour / time.Microsecond)
+	classDigits  = 3
+	secondDigits = 2
 )
 
-func micros(d time.Duration) int64 { return min(max(int64(d/time.Microsecond), 1), longest) }
+// clampMicros returns d in microseconds, within the range of the histograms.
+func clampMicros(d time.Duration) int64 { return min(max(int64(d/time.Microsecond), 1), maxMicros) }
 
-// secondNow is a second whose calls may still be under way.
-type secondNow struct {
-	n                                   int
-	due, sent, drops                    int64
-	served, late, refused, failed, none int64
-	latency, lag                        *hdrhistogram.Histogram
-	open                                int64 // calls due in it that have not ended
-	cpu                                 time.Duration
+// openSecond holds the counts of a second some of whose calls may still be in progress.
+type openSecond struct {
+	index                                   int
+	due, sent, dropped                      int64
+	served, late, refused, failed, noAnswer int64
+	latency, sendDelay                      *hdrhistogram.Histogram
+	inProgress                              int64 // calls due in this second that have not ended
+	cpu                                     time.Duration
 }
 
-type classNow struct {
-	sent, served, late, refused, failed, none, retries int64
-	drops                                              map[string]int64
-	worth, earned                                      float64
-	latency, naive                                     *hdrhistogram.Histogram
+// classCounts holds the counts of a class.
+type classCounts struct {
+	sent, served, late, refused, failed, noAnswer, retries int64
+	dropped                                                map[string]int64 // by limit of the generator
+	offeredWorth, earnedWorth                              float64
+	latency, naive                                         *hdrhistogram.Histogram
 }
 
-// recorder counts. It keeps a histogram for each second in which calls are under way,
-// and a row for each that is over.
+// recorder counts the calls of a run. It keeps histograms for each second that still has calls in
+// progress, and one row for each second that is complete. It is safe for concurrent use.
 type recorder struct {
 	classes []Class
 	limits  Limits
 
-	mu      sync.Mutex
-	begin   time.Time
-	by      []*classNow
-	all     *hdrhistogram.Histogram // from the intended time
-	naive   *hdrhistogram.Histogram // from the sending
-	lag     *hdrhistogram.Histogram
-	seconds map[int]*secondNow
-	rows    []Second
-	spare   []*hdrhistogram.Histogram
-	used    time.Duration // CPU up to the last turn
-	first   time.Duration
-	nsent   int64
-	ndone   int64
+	mu              sync.Mutex
+	begin           time.Time
+	perClass        []*classCounts
+	latency         *hdrhistogram.Histogram // latency from the due time
+	naive           *hdrhistogram.Histogram // latency from the last send
+	sendDelay       *hdrhistogram.Histogram // delay of sends after their due time
+	openSeconds     map[int]*openSecond
+	rows            []Second
+	spareHistograms []*hdrhistogram.Histogram // for reuse by later seconds
+	cpuAtLastClose  time.Duration             // CPU time at the last call of closeSeconds
+	cpuAtStart      time.Duration             // CPU time at the beginning
+	sentCount       int64
+	doneCount       int64
 }
 
 func newRecorder(classes []Class, limits Limits) *recorder {
-	r := &recorder{classes: classes, limits: limits, seconds: make(map[int]*secondNow)}
-	h := func() *hdrhistogram.Histogram { return hdrhistogram.New(1, longest, classDigits) }
-	r.all, r.naive, r.lag = h(), h(), h()
+	r := &recorder{classes: classes, limits: limits, openSeconds: make(map[int]*openSecond)}
+	newHistogram := func() *hdrhistogram.Histogram { return hdrhistogram.New(1, maxMicros, classDigits) }
+	r.latency, r.naive, r.sendDelay = newHistogram(), newHistogram(), newHistogram()
 	for range classes {
-		r.by = append(r.by, &classNow{latency: h(), naive: h(), drops: make(map[string]int64)})
+		r.perClass = append(r.perClass, &classCounts{latency: newHistogram(), naive: newHistogram(), dropped: make(map[string]int64)})
 	}
-	if r.limits.CPU == 0 {
-		r.limits.CPU = 0.9 * float64(runtime.GOMAXPROCS(0))
+	if r.limits.MaxCores == 0 {
+		r.limits.MaxCores = 0.9 * float64(runtime.GOMAXPROCS(0))
 	}
 	return r
 }
 
+// start sets the beginning of the run.
 func (r *recorder) start(begin time.Time) {
-	r.begin, r.used = begin, cpu()
-	r.first = r.used
+	r.begin, r.cpuAtLastClose = begin, processCPU()
+	r.cpuAtStart = r.cpuAtLastClose
 }
 
-func (r *recorder) second(at time.Time) *secondNow {
-	n := max(0, int(at.Sub(r.begin)/time.Second))
-	s := r.seconds[n]
-	if s == nil {
-		h := func() *hdrhistogram.Histogram {
-			if k := len(r.spare); k > 0 {
-				h := r.spare[k-1]
-				r.spare = r.spare[:k-1]
+// second returns the counts of the second that a time lies in. The caller holds r.mu.
+func (r *recorder) second(at time.Time) *openSecond {
+	index := max(0, int(at.Sub(r.begin)/time.Second))
+	second := r.openSeconds[index]
+	if second == nil {
+		newHistogram := func() *hdrhistogram.Histogram {
+			if k := len(r.spareHistograms); k > 0 {
+				h := r.spareHistograms[k-1]
+				r.spareHistograms = r.spareHistograms[:k-1]
 				h.Reset()
 				return h
 			}
-			return hdrhistogram.New(1, longest, secDigits)
+			return hdrhistogram.New(1, maxMicros, secondDigits)
 		}
-		s = &secondNow{n: n, latency: h(), lag: h()}
-		r.seconds[n] = s
+		second = &openSecond{index: index, latency: newHistogram(), sendDelay: newHistogram()}
+		r.openSeconds[index] = second
 	}
-	return s
+	return second
 }
 
-func (r *recorder) sent(due, at time.Time, class int) {
+// recordSent counts the first attempt of a call, due at due and sent at sentAt.
+func (r *recorder) recordSent(due, sentAt time.Time, class int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.nsent++
-	r.by[class].sent++
-	r.by[class].worth += r.classes[class].Worth
-	lag := micros(at.Sub(due))
-	r.lag.RecordValue(lag)
-	s := r.second(due)
-	s.due++
-	s.sent++
-	s.open++
-	s.lag.RecordValue(lag)
+	r.sentCount++
+	r.perClass[class].sent++
+	r.perClass[class].offeredWorth += r.classes[class].Worth
+	delayMicros := clampMicros(sentAt.Sub(due))
+	r.sendDelay.RecordValue(delayMicros)
+	second := r.second(due)
+	second.due++
+	second.sent++
+	second.inProgress++
+	second.sendDelay.RecordValue(delayMicros)
 }
 
-// dropped counts what a limit of the generator's kept from being sent, or from ending
-// as it would have. One that was sent already is not counted as sent then.
-func (r *recorder) dropped(due time.Time, class int, why string) {
+// recordDropped counts a call that a limit of the generator kept from being sent or completed. A
+// call that failed for want of descriptors or ports was counted as sent and due before, so only its
+// end is counted here.
+func (r *recorder) recordDropped(due time.Time, class int, limit string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.by[class].drops[why]++
-	s := r.second(due)
-	s.drops++
-	if why == "descriptors or ports" {
-		s.open--
-		r.ndone++
+	r.perClass[class].dropped[limit]++
+	second := r.second(due)
+	second.dropped++
+	if limit == "descriptors or ports" {
+		second.inProgress--
+		r.doneCount++
 	} else {
-		s.due++
+		second.due++
 	}
 }
 
-func (r *recorder) retried(class int) {
+// recordRetry counts a retry.
+func (r *recorder) recordRetry(class int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.by[class].retries++
+	r.perClass[class].retries++
 }
 
-// done books how a call ended to its first try.
-func (r *recorder) done(j *job, reply Reply, at time.Time) {
+// recordDone counts the final reply of a call, in the second in which its first attempt was due.
+func (r *recorder) recordDone(j *job, reply Reply, endedAt time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.ndone++
-	c, s := r.by[j.class], r.second(j.due)
-	s.open--
-	took := at.Sub(j.due)
+	r.doneCount++
+	class, second := r.perClass[j.classIndex], r.second(j.due)
+	second.inProgress--
+	latency := endedAt.Sub(j.due)
 	switch reply.Status {
 	case 200:
-		c.served++
-		s.served++
-		if took <= time.Duration(j.call.Class.Aim) {
-			c.earned += j.call.Class.Worth
+		class.served++
+		second.served++
+		if latency <= time.Duration(j.call.Class.Aim) {
+			class.earnedWorth += j.call.Class.Worth
 		} else {
-			c.late++
-			s.late++
+			class.late++
+			second.late++
 		}
 	case 0:
-		c.none++
-		s.none++
+		class.noAnswer++
+		second.noAnswer++
 	case 429, 503:
-		c.refused++
-		s.refused++
+		class.refused++
+		second.refused++
 	default:
-		c.failed++
-		s.failed++
+		class.failed++
+		second.failed++
 	}
-	// A call without an answer has waited too: leaving it out would hide a stall.
-	for _, h := range []*hdrhistogram.Histogram{r.all, c.latency, s.latency} {
-		h.RecordValue(micros(took))
+	// Calls without an answer are included: leaving out their wait would hide a stall.
+	for _, h := range []*hdrhistogram.Histogram{r.latency, class.latency, second.latency} {
+		h.RecordValue(clampMicros(latency))
 	}
-	naive := at.Sub(j.sent)
-	r.naive.RecordValue(micros(naive))
-	c.naive.RecordValue(micros(naive))
+	sinceLastSend := endedAt.Sub(j.sentAt)
+	r.naive.RecordValue(clampMicros(sinceLastSend))
+	class.naive.RecordValue(clampMicros(sinceLastSend))
 }
 
+// counts returns the numbers of calls sent and ended so far.
 func (r *recorder) counts() (sent, done int64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.nsent, r.ndone
+	return r.sentCount, r.doneCount
 }
 
-// turn ends the seconds that are over, and returns the last row.
-func (r *recorder) turn(now time.Time) (last Second) {
+// closeSeconds adds the CPU time since it was last called to the last complete second, makes rows of
+// the complete seconds that have no calls in progress, and returns the last row.
+func (r *recorder) closeSeconds(now time.Time) (lastRow Second) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	over := int(now.Sub(r.begin)/time.Second) - 1
-	used := cpu()
-	if over >= 0 {
-		if s := r.seconds[over]; s != nil { // else nothing was due in it
-			s.cpu += used - r.used
+	lastComplete := int(now.Sub(r.begin)/time.Second) - 1
+	cpuTime := processCPU()
+	if lastComplete >= 0 {
+		if s := r.openSeconds[lastComplete]; s != nil { // nil if no call was due in it
+			s.cpu += cpuTime - r.cpuAtLastClose
 		}
-		r.used = used
+		r.cpuAtLastClose = cpuTime
 	}
-	for _, n := range slices.Sorted(maps.Keys(r.seconds)) {
-		if s := r.seconds[n]; n <= over && s.open == 0 {
-			r.row(s)
+	for _, n := range slices.Sorted(maps.Keys(r.openSeconds)) {
+		if s := r.openSeconds[n]; n <= lastComplete && s.inProgress == 0 {
+			r.closeSecond(s)
 		}
 	}
 	if len(r.rows) > 0 {
-		last = r.rows[len(r.rows)-1]
+		lastRow = r.rows[len(r.rows)-1]
 	}
-	return last
+	return lastRow
 }
 
-func (r *recorder) row(s *secondNow) {
-	row := Second{Second: s.n, Due: s.due, Sent: s.sent, Dropped: s.drops, Served: s.served, Late: s.late, Refused: s.refused, Failed: s.failed, None: s.none,
-		CPU: s.cpu.Seconds()}
-	if s.latency.TotalCount() > 0 {
-		row.P50, row.P99, row.Most = ms(s.latency.ValueAtQuantile(50)), ms(s.latency.ValueAtQuantile(99)), ms(s.latency.Max())
+// closeSecond makes a row of a second, and says in it which limit of the generator makes its figures
+// invalid, if any. The caller holds r.mu.
+func (r *recorder) closeSecond(second *openSecond) {
+	row := Second{Second: second.index, Due: second.due, Sent: second.sent, Dropped: second.dropped, Served: second.served, Late: second.late, Refused: second.refused, Failed: second.failed, None: second.noAnswer,
+		CPU: second.cpu.Seconds()}
+	if second.latency.TotalCount() > 0 {
+		row.P50, row.P99, row.Most = millis(second.latency.ValueAtQuantile(50)), millis(second.latency.ValueAtQuantile(99)), millis(second.latency.Max())
 	}
-	if s.lag.TotalCount() > 0 {
-		row.LagP99, row.LagMost = ms(s.lag.ValueAtQuantile(99)), ms(s.lag.Max())
+	if second.sendDelay.TotalCount() > 0 {
+		row.LagP99, row.SendDelayMax = millis(second.sendDelay.ValueAtQuantile(99)), millis(second.sendDelay.Max())
 	}
 	switch {
-	case s.drops > 0:
+	case second.dropped > 0:
 		row.Limit = "calls were dropped"
-	case row.LagP99 > float64(time.Duration(r.limits.Lag))/1e6:
+	case row.LagP99 > float64(time.Duration(r.limits.MaxSendDelay))/1e6:
 		row.Limit = "sends left late"
-	case row.CPU > r.limits.CPU:
+	case row.CPU > r.limits.MaxCores:
 		row.Limit = "out of CPU"
 	}
 	r.rows = append(r.rows, row)
-	r.spare = append(r.spare, s.latency, s.lag)
-	delete(r.seconds, s.n)
+	r.spareHistograms = append(r.spareHistograms, second.latency, second.sendDelay)
+	delete(r.openSeconds, second.index)
 }
 
-func ms(us int64) float64 { return float64(us) / 1000 }
+// millis converts microseconds to milliseconds.
+func millis(micros int64) float64 { return float64(micros) / 1000 }
 
-// report closes the books.
-func (r *recorder) report(took time.Duration, cut bool) *Report {
+// report closes all remaining seconds and returns the report of a run of the given duration.
+func (r *recorder) report(duration time.Duration, cutShort bool) *Report {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, n := range slices.Sorted(maps.Keys(r.seconds)) {
-		r.row(r.seconds[n])
+	for _, n := range slices.Sorted(maps.Keys(r.openSeconds)) {
+		r.closeSecond(r.openSeconds[n])
 	}
 	slices.SortFunc(r.rows, func(a, b Second) int { return a.Second - b.Second })
-	rep := &Report{Version: ReportVersion, Took: took.Seconds(), Cut: cut, Seconds: r.rows, Lag: quantiles(r.lag), Latency: quantiles(r.all), Naive: quantiles(r.naive),
-		CPU: (cpu() - r.first).Seconds()}
-	worth, earned := 0.0, 0.0
-	for n, c := range r.by {
-		row := ClassReport{Class: r.classes[n].Name, Sent: c.sent, Served: c.served, Late: c.late, Refused: c.refused, Failed: c.failed, None: c.none, Retries: c.retries,
+	report := &Report{Version: ReportVersion, Took: duration.Seconds(), CutShort: cutShort, Seconds: r.rows, SendDelay: quantiles(r.sendDelay), Latency: quantiles(r.latency), Naive: quantiles(r.naive),
+		CPU: (processCPU() - r.cpuAtStart).Seconds()}
+	offeredWorth, earnedWorth := 0.0, 0.0
+	for n, c := range r.perClass {
+		row := ClassReport{Class: r.classes[n].Name, Sent: c.sent, Served: c.served, Late: c.late, Refused: c.refused, Failed: c.failed, None: c.noAnswer, Retries: c.retries,
 			Latency: quantiles(c.latency), Naive: quantiles(c.naive)}
-		for _, why := range slices.Sorted(maps.Keys(c.drops)) {
-			row.Dropped += c.drops[why]
-			rep.Drops = append(rep.Drops, fmt.Sprintf("%s: %d by the limit of %s", row.Class, c.drops[why], why))
+		for _, limit := range slices.Sorted(maps.Keys(c.dropped)) {
+			row.Dropped += c.dropped[limit]
+			report.DropReasons = append(report.DropReasons, fmt.Sprintf("%s: %d by the limit of %s", row.Class, c.dropped[limit], limit))
 		}
-		if c.worth > 0 {
-			row.Earned = c.earned / c.worth
+		if c.offeredWorth > 0 {
+			row.Earned = c.earnedWorth / c.offeredWorth
 		}
-		worth, earned = worth+c.worth, earned+c.earned
-		rep.Sent += c.sent
-		rep.Dropped += row.Dropped
-		rep.Classes = append(rep.Classes, row)
+		offeredWorth, earnedWorth = offeredWorth+c.offeredWorth, earnedWorth+c.earnedWorth
+		report.Sent += c.sent
+		report.Dropped += row.Dropped
+		report.Classes = append(report.Classes, row)
 	}
-	if worth > 0 {
-		rep.Earned = earned / worth
+	if offeredWorth > 0 {
+		report.Earned = earnedWorth / offeredWorth
 	}
-	rep.Holds = true
-	for _, s := range rep.Seconds {
+	report.Holds = true
+	for _, s := range report.Seconds {
 		if s.Limit != "" {
-			rep.Holds, rep.LimitFrom, rep.Limit = false, s.Second, s.Limit
+			report.Holds, report.LimitFromSecond, report.Limit = false, s.Second, s.Limit
 			break
 		}
 	}
-	return rep
+	return report
 }
 
-// quantileList are those that reports tell.
-var quantileList = []float64{50, 90, 99, 99.9, 99.99, 100}
+// reportedPercentiles are the percentiles in reports, in the order of Quantiles.byIndex.
+var reportedPercentiles = []float64{50, 90, 99, 99.9, 99.99, 100}
 
-func quantiles(h *hdrhistogram.Histogram) (q Quantiles) {
-	if h.TotalCount() == 0 {
-		return q
+// quantiles returns the percentiles and the mean of a histogram in milliseconds, all 0 if it is
+// empty.
+func quantiles(histogram *hdrhistogram.Histogram) (summary Quantiles) {
+	if histogram.TotalCount() == 0 {
+		return summary
 	}
-	for n, p := range quantileList {
-		*q.at(n) = ms(h.ValueAtQuantile(p))
+	for n, percentile := range reportedPercentiles {
+		*summary.byIndex(n) = millis(histogram.ValueAtQuantile(percentile))
 	}
-	q.Mean = h.Mean() / 1000
-	return q
+	summary.Mean = histogram.Mean() / 1000
+	return summary
 }
--- a/internal/load/report.go
+++ b/internal/load/report.go
@@ -6,10 +6,10 @@
 	"text/tabwriter"
 )
 
-// ReportVersion is that of a report's JSON.
+// ReportVersion is the version of the report's JSON format.
 const ReportVersion = 1
 
-// Quantiles are of a latency, in milliseconds.
+// Quantiles summarises a latency distribution in milliseconds.
 type Quantiles struct {
 	Mean  float64 `json:"mean"`
 	P50   float64 `json:"p50"`
@@ -17,35 +17,36 @@
 	P99   float64 `json:"p99"`
 	P999  float64 `json:"p99_9"`
 	P9999 float64 `json:"p99_99"`
-	Most  float64 `json:"most"`
+	Max   float64 `json:"most"`
 }
 
-// at is the place of the n-th of quantileList.
-func (q *Quantiles) at(n int) *float64 {
-	return []*float64{&q.P50, &q.P90, &q.P99, &q.P999, &q.P9999, &q.Most}[n]
+// byIndex returns the field for reportedPercentiles[n].
+func (q *Quantiles) byIndex(n int) *float64 {
+	return []*float64{&q.P50, &q.P90, &q.P99, &q.P999, &q.P9999, &q.Max}[n]
 }
 
-// Second is what became of the calls that were due in one second, from 0.
+// Second counts the outcomes of the calls that were due in one second of the run. Seconds are
+// numbered from 0.
 type Second struct {
-	Second  int     `json:"second"`
-	Due     int64   `json:"due"`
-	Sent    int64   `json:"sent"`
-	Dropped int64   `json:"dropped"`
-	Served  int64   `json:"served"`
-	Late    int64   `json:"late"` // of those served
-	Refused int64   `json:"refused"`
-	Failed  int64   `json:"failed"`
-	None    int64   `json:"no_answer"`
-	P50     float64 `json:"p50_ms"`
-	P99     float64 `json:"p99_ms"`
-	Most    float64 `json:"most_ms"`
-	LagP99  float64 `json:"lag_p99_ms"` // how late sends left
-	LagMost float64 `json:"lag_most_ms"`
-	CPU     float64 `json:"cpu"`             // cores that the generator used
-	Limit   string  `json:"limit,omitempty"` // why its figures do not hold
+	Second       int     `json:"second"`
+	Due          int64   `json:"due"`
+	Sent         int64   `json:"sent"`
+	Dropped      int64   `json:"dropped"`
+	Served       int64   `json:"served"`
+	Late         int64   `json:"late"` // part of Served
+	Refused      int64   `json:"refused"`
+	Failed       int64   `json:"failed"`
+	None         int64   `json:"no_answer"` // calls without an answer
+	P50          float64 `json:"p50_ms"`
+	P99          float64 `json:"p99_ms"`
+	Most         float64 `json:"most_ms"`
+	LagP99       float64 `json:"lag_p99_ms"` // delay of sends after their due time
+	SendDelayMax float64 `json:"lag_most_ms"`
+	CPU          float64 `json:"cpu"`             // cores used by the generator
+	Limit        string  `json:"limit,omitempty"` // why the figures of this second are not valid; empty if they are
 }
 
-// ClassReport is what became of a class's calls. Retries are booked to their first try.
+// ClassReport counts the outcomes of the calls of a class. A call and its retries count as one call.
 type ClassReport struct {
 	Class   string    `json:"class"`
 	Sent    int64     `json:"sent"`
@@ -54,58 +55,58 @@
 	Late    int64     `json:"late"`
 	Refused int64     `json:"refused"`
 	Failed  int64     `json:"failed"`
-	None    int64     `json:"no_answer"`
+	None    int64     `json:"no_answer"` // calls without an answer
 	Retries int64     `json:"retries"`
-	Earned  float64   `json:"earned"`     // part of the worth answered within the aim
-	Latency Quantiles `json:"latency_ms"` // from the time a call was due
-	Naive   Quantiles `json:"naive_ms"`   // from its last sending: hides what waited before
+	Earned  float64   `json:"earned"`     // share of the worth answered within the aim, from 0 to 1
+	Latency Quantiles `json:"latency_ms"` // from the time at which a call was due
+	Naive   Quantiles `json:"naive_ms"`   // from the last send, so without the time that a call waited before it
 }
 
-// Report is what a run found.
+// Report is the result of a run.
 type Report struct {
-	Version   int           `json:"version"`
-	Name      string        `json:"name"`
-	Took      float64       `json:"took_s"`
-	Cut       bool          `json:"cut_short"`
-	Holds     bool          `json:"figures_hold"`
-	LimitFrom int           `json:"limit_from_second,omitempty"`
-	Limit     string        `json:"limit,omitempty"`
-	Sent      int64         `json:"sent"`
-	Dropped   int64         `json:"dropped"`
-	Drops     []string      `json:"drops,omitempty"`
-	Earned    float64       `json:"earned"`
-	Latency   Quantiles     `json:"latency_ms"`
-	Naive     Quantiles     `json:"naive_ms"`
-	Lag       Quantiles     `json:"lag_ms"`
-	CPU       float64       `json:"cpu_s"`
-	Classes   []ClassReport `json:"classes"`
-	Seconds   []Second      `json:"seconds"`
-	// Judged is what a rehearsal found of the rules; empty: it was none.
+	Version         int           `json:"version"`
+	Name            string        `json:"name"`
+	Took            float64       `json:"took_s"` // seconds
+	CutShort        bool          `json:"cut_short"`
+	Holds           bool          `json:"figures_hold"`                // whether the figures of all seconds are valid
+	LimitFromSecond int           `json:"limit_from_second,omitempty"` // first second with invalid figures
+	Limit           string        `json:"limit,omitempty"`             // why they are not valid
+	Sent            int64         `json:"sent"`
+	Dropped         int64         `json:"dropped"`
+	DropReasons     []string      `json:"drops,omitempty"`
+	Earned          float64       `json:"earned"`
+	Latency         Quantiles     `json:"latency_ms"`
+	Naive           Quantiles     `json:"naive_ms"`
+	SendDelay       Quantiles     `json:"lag_ms"` // delay of sends after their due time
+	CPU             float64       `json:"cpu_s"`  // CPU time of the generator in seconds
+	Classes         []ClassReport `json:"classes"`
+	Seconds         []Second      `json:"seconds"`
+	// Judged holds the findings of a rehearsal; it is empty for other runs.
 	Judged []Finding `json:"judged,omitempty"`
 }
 
-// Finding is one rule or aim of a rehearsal, and whether it was kept.
+// Finding says whether a rehearsal kept one rule or aim.
 type Finding struct {
 	Rule  string `json:"rule"`
 	Kept  bool   `json:"kept"`
 	Found string `json:"found"`
 }
 
-// Verdict is whether the figures hold, in words.
+// Verdict says in words whether the figures are valid and, if not, from which second on and why.
 func (r *Report) Verdict() string {
 	if r.Holds {
 		return "these figures hold"
 	}
-	return fmt.Sprintf("the generator was the limit from second %d on: %s", r.LimitFrom, r.Limit)
+	return fmt.Sprintf("the generator was the limit from second %d on: %s", r.LimitFromSecond, r.Limit)
 }
 
-// WriteText writes the report for people.
+// WriteText writes the report as text tables.
 func (r *Report) WriteText(out io.Writer) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	if r.Name != "" {
 		fmt.Fprintf(out, "%s\n", r.Name)
 	}
-	if r.Cut {
+	if r.CutShort {
 		fmt.Fprintf(out, "cut short after %.1f s\n", r.Took)
 	}
 	fmt.Fprintln(w, "class\tsent\tdropped\tserved\tlate\trefused\tfailed\tno answer\tretries\tearned\t")
@@ -117,16 +118,16 @@
 	fmt.Fprintln(out)
 	fmt.Fprintln(w, "ms\tmean\tp50\tp90\tp99\tp99.9\tp99.99\tmost\t")
 	row := func(name string, q Quantiles) {
-		fmt.Fprintf(w, "%s\t%.2f\t%.2f\t%.2f\t%.2f\t%.2f\t%.2f\t%.2f\t\n", name, q.Mean, q.P50, q.P90, q.P99, q.P999, q.P9999, q.Most)
+		fmt.Fprintf(w, "%s\t%.2f\t%.2f\t%.2f\t%.2f\t%.2f\t%.2f\t%.2f\t\n", name, q.Mean, q.P50, q.P90, q.P99, q.P999, q.P9999, q.Max)
 	}
 	for _, c := range r.Classes {
 		row(c.Class, c.Latency)
 	}
 	row("all", r.Latency)
 	row("all, naive", r.Naive)
-	row("sends left late by", r.Lag)
+	row("sends left late by", r.SendDelay)
 	w.Flush()
-	for _, d := range r.Drops {
+	for _, d := range r.DropReasons {
 		fmt.Fprintln(out, "dropped,", d)
 	}
 	for _, f := range r.Judged {
--- a/internal/load/scenario.go
+++ b/internal/load/scenario.go
@@ -16,12 +16,13 @@
 	"chalkrack/internal/load/trace"
 )
 
-// ScenarioVersion is the only one of a scenario file's form so far.
+// ScenarioVersion is the only supported version of the scenario file format.
 const ScenarioVersion = 1
 
-const scenarioMost = 1 << 20
+const maxScenarioBytes = 1 << 20
 
-// Scenario is a load, and for a rehearsal what it meets and what must be kept.
+// Scenario describes a load and, for a rehearsal, the site that receives it, the events that happen
+// there and the result to be reached.
 type Scenario struct {
 	Version  int               `toml:"version"`
 	Name     string            `toml:"name"`
@@ -30,52 +31,52 @@
 	Length   duration.Duration `toml:"length"`
 	Poisson  bool              `toml:"poisson"`
 	Arrivals []schedule.Shape  `toml:"arrivals"`
-	Trace    string            `toml:"trace"` // in place of arrivals: a file of 'fawnctl load import'
-	Speed    float64           `toml:"speed"` // of the trace; 0: 1
+	Trace    string            `toml:"trace"` // in place of arrivals: the path of a file written by 'fawnctl load import'
+	Speed    float64           `toml:"speed"` // speed of the replay; 0 means 1
 	Classes  []Class           `toml:"classes"`
 	Retries  Retries           `toml:"retries"`
 	Limits   Limits            `toml:"limits"`
 
-	Site   *Site   `toml:"site"`   // for a rehearsal
-	Events []Event `toml:"events"` // in it
-	Aims   Aims    `toml:"aims"`   // of it
+	Site   *Site   `toml:"site"`   // set for a rehearsal
+	Events []Event `toml:"events"` // events of the rehearsal
+	Aims   Aims    `toml:"aims"`   // aims of the rehearsal
 }
 
-// Site is the fleet of stand-ins that a rehearsal makes.
+// Site describes the stand-in servers that a rehearsal starts.
 type Site struct {
 	Servers  int               `toml:"servers"`
-	Zones    []string          `toml:"zones"` // of the servers, in turn; empty: one
-	Rate     float64           `toml:"rate"`  // requests a second of one server when warm; 0: any
-	WorkFrom duration.Duration `toml:"work_from"`
-	WorkTo   duration.Duration `toml:"work_to"`
-	Cold     float64           `toml:"cold"` // share of the rate that a fresh one has
-	WarmIn   duration.Duration `toml:"warm_in"`
-	FallBy   float64           `toml:"fall_by"` // times what it can do, for FallFor, fells a cold one
+	Zones    []string          `toml:"zones"`     // assigned to the servers in turn; empty means a single zone
+	Rate     float64           `toml:"rate"`      // requests per second that a warm server can handle; 0 means no limit
+	WorkFrom duration.Duration `toml:"work_from"` // shortest time that a request takes
+	WorkTo   duration.Duration `toml:"work_to"`   // longest time that a request takes
+	Cold     float64           `toml:"cold"`      // share of the rate that a newly started server can handle
+	WarmIn   duration.Duration `toml:"warm_in"`   // time from a start to the full rate
+	FallBy   float64           `toml:"fall_by"`   // a cold server fails when offered this many times its rate for FallFor
 	FallFor  duration.Duration `toml:"fall_for"`
-	Window   duration.Duration `toml:"window"`   // for which servers drop a key's repeats
-	Features string            `toml:"features"` // text of the daemon's features file
+	Window   duration.Duration `toml:"window"`   // time for which servers drop repeats of a key
+	Features string            `toml:"features"` // content of the daemon's features file
 }
 
-// Event is something that happens in a rehearsal.
+// Event is an action that a rehearsal carries out at a set time.
 type Event struct {
 	At      duration.Duration `toml:"at"`
 	Do      string            `toml:"do"`
-	Servers []int             `toml:"servers"` // from 1
-	Zone    string            `toml:"zone"`    // all servers of it
-	By      duration.Duration `toml:"by"`      // of lag
+	Servers []int             `toml:"servers"` // server numbers, from 1
+	Zone    string            `toml:"zone"`    // applies the action to all servers of this zone
+	By      duration.Duration `toml:"by"`      // delay of discovery, for the action lag
 }
 
-// deeds are what events do, and whether they need servers.
-var deeds = map[string]bool{"freeze": true, "thaw": true, "kill": true, "restart": true, "drain": true, "undrain": true,
+// eventActions has the known actions of events, and whether they need servers or a zone.
+var eventActions = map[string]bool{"freeze": true, "thaw": true, "kill": true, "restart": true, "drain": true, "undrain": true,
 	"lag": false, "break-discovery": false}
 
-// Aims are what a rehearsal is held to beside the operators' rules.
+// Aims are the results that a rehearsal must reach in addition to the operators' rules.
 type Aims struct {
-	Earned float64 `toml:"earned"` // part of the worth answered within its aim, at least
+	Earned float64 `toml:"earned"` // smallest share of the worth answered within the aim
 }
 
-// Defaults of what a scenario leaves out.
-func (s *Scenario) defaults() {
+// setDefaults fills in the fields that a scenario leaves out.
+func (s *Scenario) setDefaults() {
 	if s.Speed == 0 {
 		s.Speed = 1
 	}
@@ -85,31 +86,32 @@
 	if s.Limits.Outstanding == 0 {
 		s.Limits.Outstanding = 8192
 	}
-	if s.Limits.Lag == 0 {
-		s.Limits.Lag = duration.Duration(5 * time.Millisecond)
+	if s.Limits.MaxSendDelay == 0 {
+		s.Limits.MaxSendDelay = duration.Duration(5 * time.Millisecond)
 	}
-	if s.Retries.Growth == 0 {
-		s.Retries.Growth = 2
+	if s.Retries.BackoffGrowth == 0 {
+		s.Retries.BackoffGrowth = 2
 	}
 	if len(s.Classes) == 0 {
-		s.Classes = Activation()
+		s.Classes = DefaultClasses()
 	}
 	if s.Site != nil && s.Site.Window == 0 {
 		s.Site.Window = duration.Duration(1500 * time.Millisecond)
 	}
 }
 
-// Activation is the operators' three classes.
-func Activation() []Class {
-	d := func(v time.Duration) duration.Duration { return duration.Duration(v) }
+// DefaultClasses returns the operators' three classes, which a scenario without classes has.
+func DefaultClasses() []Class {
+	scenarioDuration := func(v time.Duration) duration.Duration { return duration.Duration(v) }
 	return []Class{
-		{"status-check", 0.52, Safe, d(800 * time.Millisecond), d(3 * time.Second), 1, 0, 0},
-		{"id-register", 0.27, Keyed, d(time.Second), d(2500 * time.Millisecond), 3, 400, 4000},
-		{"activate", 0.21, Once, d(750 * time.Millisecond), d(2500 * time.Millisecond), 10, 200, 400},
+		{"status-check", 0.52, Safe, scenarioDuration(800 * time.Millisecond), scenarioDuration(3 * time.Second), 1, 0, 0},
+		{"id-register", 0.27, Keyed, scenarioDuration(time.Second), scenarioDuration(2500 * time.Millisecond), 3, 400, 4000},
+		{"activate", 0.21, Once, scenarioDuration(750 * time.Millisecond), scenarioDuration(2500 * time.Millisecond), 10, 200, 400},
 	}
 }
 
-// ReadScenario reads a scenario's file. Errors name the field.
+// ReadScenario reads and checks a scenario file. Errors name the file and the field. A relative path
+// of a trace is taken from the scenario's directory.
 func ReadScenario(path string) (*Scenario, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -125,10 +127,11 @@
 	return s, nil
 }
 
-// ParseScenario reads a scenario. It is strict.
+// ParseScenario parses and checks a scenario. Unknown fields and values out of range are errors that
+// name the field.
 func ParseScenario(data []byte) (*Scenario, error) {
-	if len(data) > scenarioMost {
-		return nil, fmt.Errorf("over %d bytes long", scenarioMost)
+	if len(data) > maxScenarioBytes {
+		return nil, fmt.Errorf("the scenario is larger than the limit of %d bytes", maxScenarioBytes)
 	}
 	s := new(Scenario)
 	if err := toml.NewDecoder(bytes.NewReader(data)).DisallowUnknownFields().Decode(s); err != nil {
@@ -136,147 +139,151 @@
 		if errors.As(err, &missing) && len(missing.Errors) > 0 {
 			e := &missing.Errors[0]
 			line, _ := e.Position()
-			return nil, fmt.Errorf("line %d: there is no field %v", line, e.Key())
+			return nil, fmt.Errorf("line %d: unknown field %v", line, e.Key())
 		}
 		return nil, err
 	}
-	s.defaults()
+	s.setDefaults()
 	return s, s.check()
 }
 
+// check returns an error that names the first field with a value out of range.
 func (s *Scenario) check() error {
-	bad := func(field, want string) error { return fmt.Errorf("%s must be %s", field, want) }
-	span := func(d duration.Duration) bool { return d >= 0 && time.Duration(d) <= schedule.MaxLength }
+	invalid := func(field, want string) error { return fmt.Errorf("%s must be %s", field, want) }
+	validSpan := func(d duration.Duration) bool { return d >= 0 && time.Duration(d) <= schedule.MaxLength }
 	switch {
 	case s.Version != ScenarioVersion:
-		return bad("version", fmt.Sprint(ScenarioVersion))
+		return invalid("version", fmt.Sprint(ScenarioVersion))
 	case (s.Trace == "") == (len(s.Arrivals) == 0):
-		return errors.New("one of arrivals and trace must be there")
+		return errors.New("either arrivals or trace must be set, and not both")
 	case !(s.Speed > 0 && s.Speed <= 1000):
-		return bad("speed", "above 0, 1000 at most")
+		return invalid("speed", "above 0 and at most 1000")
 	case len(s.Classes) > 64:
-		return bad("classes", "64 at most")
-	case s.Retries.Most < 0 || s.Retries.Most > 10:
-		return bad("retries.most", "within 0 and 10")
-	case !span(s.Retries.Backoff) || time.Duration(s.Retries.Backoff) > time.Minute:
-		return bad("retries.backoff", "within 0 and 1m")
-	case !(s.Retries.Growth >= 1 && s.Retries.Growth <= 10):
-		return bad("retries.growth", "within 1 and 10")
+		return invalid("classes", "at most 64")
+	case s.Retries.MaxRetries < 0 || s.Retries.MaxRetries > 10:
+		return invalid("retries.most", "between 0 and 10")
+	case !validSpan(s.Retries.Backoff) || time.Duration(s.Retries.Backoff) > time.Minute:
+		return invalid("retries.backoff", "between 0 and 1m")
+	case !(s.Retries.BackoffGrowth >= 1 && s.Retries.BackoffGrowth <= 10):
+		return invalid("retries.growth", "between 1 and 10")
 	case !(s.Retries.Jitter >= 0 && s.Retries.Jitter <= 1):
-		return bad("retries.jitter", "within 0 and 1")
-	case !(s.Retries.Heed >= 0 && s.Retries.Heed <= 1):
-		return bad("retries.heed", "within 0 and 1")
+		return invalid("retries.jitter", "between 0 and 1")
+	case !(s.Retries.RetryAfterShare >= 0 && s.Retries.RetryAfterShare <= 1):
+		return invalid("retries.heed", "between 0 and 1")
 	case s.Limits.Connections < 1 || s.Limits.Connections > 1<<16:
-		return bad("limits.connections", "within 1 and 65536")
+		return invalid("limits.connections", "between 1 and 65536")
 	case s.Limits.Outstanding < 1 || s.Limits.Outstanding > 1<<20:
-		return bad("limits.outstanding", "within 1 and 1048576")
-	case !span(s.Limits.Lag) || s.Limits.Lag == 0:
-		return bad("limits.lag", "above 0")
-	case !(s.Limits.CPU >= 0 && s.Limits.CPU <= 1024):
-		return bad("limits.cpu", "within 0 and 1024")
+		return invalid("limits.outstanding", "between 1 and 1048576")
+	case !validSpan(s.Limits.MaxSendDelay) || s.Limits.MaxSendDelay == 0:
+		return invalid("limits.lag", "above 0")
+	case !(s.Limits.MaxCores >= 0 && s.Limits.MaxCores <= 1024):
+		return invalid("limits.cpu", "between 0 and 1024")
 	case !(s.Aims.Earned >= 0 && s.Aims.Earned <= 1):
-		return bad("aims.earned", "within 0 and 1")
+		return invalid("aims.earned", "between 0 and 1")
 	}
-	share := 0.0
+	totalShare := 0.0
 	for n, c := range s.Classes {
-		at := fmt.Sprintf("classes[%d].", n)
-		share += c.Share
+		fieldPrefix := fmt.Sprintf("classes[%d].", n)
+		totalShare += c.Share
 		switch {
 		case c.Name == "":
-			return bad(at+"name", "set")
+			return invalid(fieldPrefix+"name", "set")
 		case !(c.Share >= 0 && c.Share <= 1e6):
-			return bad(at+"share", "within 0 and 1e6")
+			return invalid(fieldPrefix+"share", "between 0 and 1e6")
 		case c.Effect != Safe && c.Effect != Keyed && c.Effect != Once:
-			return bad(at+"effect", "safe, keyed or once")
-		case !span(c.Deadline) || c.Deadline == 0 || time.Duration(c.Deadline) > 10*time.Minute:
-			return bad(at+"deadline", "above 0, 10m at most")
+			return invalid(fieldPrefix+"effect", "safe, keyed or once")
+		case !validSpan(c.Deadline) || c.Deadline == 0 || time.Duration(c.Deadline) > 10*time.Minute:
+			return invalid(fieldPrefix+"deadline", "above 0 and at most 10m")
 		case c.Aim <= 0 || c.Aim > c.Deadline:
-			return bad(at+"aim", "above 0 and no more than the deadline")
+			return invalid(fieldPrefix+"aim", "above 0 and no longer than the deadline")
 		case !(c.Worth >= 0 && c.Worth <= 1e6):
-			return bad(at+"worth", "within 0 and 1e6")
-		case c.Body < 0 || c.Body > 1<<30 || c.BodyMost < 0 || c.BodyMost > 1<<30 || c.BodyMost > 0 && c.BodyMost < c.Body:
-			return bad(at+"body", "within 0 and 1 GiB, and no more than body_most")
+			return invalid(fieldPrefix+"worth", "between 0 and 1e6")
+		case c.MinBodyBytes < 0 || c.MinBodyBytes > 1<<30 || c.MaxBodyBytes < 0 || c.MaxBodyBytes > 1<<30 || c.MaxBodyBytes > 0 && c.MaxBodyBytes < c.MinBodyBytes:
+			return invalid(fieldPrefix+"body", "between 0 and 1 GiB and no larger than body_most")
 		}
 	}
-	if share <= 0 {
-		return bad("classes", "of shares above 0")
+	if totalShare <= 0 {
+		return invalid("classes", "a list with at least one share above 0")
 	}
 	if s.Trace == "" {
 		if err := s.plan().Check(); err != nil {
 			return err
 		}
 	}
-	return s.checkSite(bad, span)
+	return s.checkSite(invalid, validSpan)
 }
 
-func (s *Scenario) checkSite(bad func(field, want string) error, span func(duration.Duration) bool) error {
-	t := s.Site
-	if t == nil {
+// checkSite checks the site and its events. invalid makes an error for a field, and validSpan reports
+// whether a duration is within bounds.
+func (s *Scenario) checkSite(invalid func(field, want string) error, validSpan func(duration.Duration) bool) error {
+	site := s.Site
+	if site == nil {
 		if len(s.Events) > 0 {
-			return errors.New("events need a site")
+			return errors.New("events are set, but there is no [site] for them")
 		}
 		return nil
 	}
 	switch {
-	case t.Servers < 1 || t.Servers > 400:
-		return bad("site.servers", "within 1 and 400")
-	case len(t.Zones) > 32:
-		return bad("site.zones", "32 at most")
-	case !(t.Rate >= 0 && t.Rate <= 1e6):
-		return bad("site.rate", "within 0 and 1e6")
-	case !span(t.WorkFrom) || !span(t.WorkTo) || t.WorkTo < t.WorkFrom || time.Duration(t.WorkTo) > time.Minute:
-		return bad("site.work_from and work_to", "in this order, 1m at most")
-	case !(t.Cold >= 0 && t.Cold <= 1):
-		return bad("site.cold", "within 0 and 1")
-	case !span(t.WarmIn) || !span(t.FallFor) || !span(t.Window):
-		return bad("site.warm_in, fall_for and window", "within 0 and 24h")
-	case !(t.FallBy >= 0 && t.FallBy <= 1000):
-		return bad("site.fall_by", "within 0 and 1000")
+	case site.Servers < 1 || site.Servers > 400:
+		return invalid("site.servers", "between 1 and 400")
+	case len(site.Zones) > 32:
+		return invalid("site.zones", "at most 32")
+	case !(site.Rate >= 0 && site.Rate <= 1e6):
+		return invalid("site.rate", "between 0 and 1e6")
+	case !validSpan(site.WorkFrom) || !validSpan(site.WorkTo) || site.WorkTo < site.WorkFrom || time.Duration(site.WorkTo) > time.Minute:
+		return invalid("site.work_from and work_to", "in ascending order and at most 1m")
+	case !(site.Cold >= 0 && site.Cold <= 1):
+		return invalid("site.cold", "between 0 and 1")
+	case !validSpan(site.WarmIn) || !validSpan(site.FallFor) || !validSpan(site.Window):
+		return invalid("site.warm_in, fall_for and window", "between 0 and 24h")
+	case !(site.FallBy >= 0 && site.FallBy <= 1000):
+		return invalid("site.fall_by", "between 0 and 1000")
 	}
 	for n, e := range s.Events {
-		at := fmt.Sprintf("events[%d].", n)
-		needs, known := deeds[e.Do]
+		fieldPrefix := fmt.Sprintf("events[%d].", n)
+		needsServers, known := eventActions[e.Do]
 		switch {
 		case !known:
-			return bad(at+"do", "freeze, thaw, kill, restart, drain, undrain, lag or break-discovery")
-		case !span(e.At) || s.Trace == "" && e.At > s.Length:
-			return bad(at+"at", "within 0 and the length")
-		case !span(e.By):
-			return bad(at+"by", "within 0 and 24h")
-		case needs && len(e.Servers) == 0 && e.Zone == "":
-			return bad(at+"servers", "set, or zone")
+			return invalid(fieldPrefix+"do", "freeze, thaw, kill, restart, drain, undrain, lag or break-discovery")
+		case !validSpan(e.At) || s.Trace == "" && e.At > s.Length:
+			return invalid(fieldPrefix+"at", "between 0 and the length, and at most 24h")
+		case !validSpan(e.By):
+			return invalid(fieldPrefix+"by", "between 0 and 24h")
+		case needsServers && len(e.Servers) == 0 && e.Zone == "":
+			return invalid(fieldPrefix+"servers", "set, unless zone is set")
 		}
 		for _, server := range e.Servers {
-			if server < 1 || server > t.Servers {
-				return bad(at+"servers", fmt.Sprintf("within 1 and %d", t.Servers))
+			if server < 1 || server > site.Servers {
+				return invalid(fieldPrefix+"servers", fmt.Sprintf("between 1 and %d", site.Servers))
 			}
 		}
 		known = e.Zone == ""
-		for _, z := range t.Zones {
-			known = known || z == e.Zone
+		for _, zone := range site.Zones {
+			known = known || zone == e.Zone
 		}
 		if !known {
-			return bad(at+"zone", "one of the site's")
+			return invalid(fieldPrefix+"zone", "a zone of the site")
 		}
 	}
 	return nil
 }
 
+// plan returns the schedule of a scenario with arrivals.
 func (s *Scenario) plan() *schedule.Plan {
 	return &schedule.Plan{Shapes: s.Arrivals, Length: time.Duration(s.Length), Poisson: s.Poisson, Seed: s.Seed}
 }
 
-// Source is what the scenario sends. close ends it.
-func (s *Scenario) Source() (src Source, close func(), err error) {
-	m := newMix(s.Classes, s.Seed)
+// Source opens the scenario's source of calls. The caller calls closeSource when the run is over.
+func (s *Scenario) Source() (source Source, closeSource func(), err error) {
+	generator := newCallGenerator(s.Classes, s.Seed)
 	if s.Trace == "" {
-		return &planned{mix: m, arrivals: s.plan().Arrivals()}, func() {}, nil
+		return &scheduleSource{generator: generator, arrivals: s.plan().Arrivals()}, func() {}, nil
 	}
 	f, err := os.Open(s.Trace)
 	if err != nil {
 		return nil, nil, err
 	}
-	r, err := trace.NewReader(f)
+	reader, err := trace.NewReader(f)
 	if err != nil {
 		f.Close()
 		return nil, nil, fmt.Errorf("%s: %w", s.Trace, err)
@@ -285,108 +292,112 @@
 	for n := range s.Classes {
 		byName[s.Classes[n].Name] = &s.Classes[n]
 	}
-	return &replayed{mix: m, r: r, speed: s.Speed, classes: byName}, func() { f.Close() }, nil
+	return &traceSource{generator: generator, reader: reader, speed: s.Speed, classes: byName}, func() { f.Close() }, nil
 }
 
-// Run plays the scenario's load through a protocol.
-func (s *Scenario) Run(cfg Config) (Config, func(), error) {
-	src, closeSource, err := s.Source()
+// Run returns config completed for a run of the scenario, and a function that the caller calls when
+// the run is over. It sends nothing itself.
+func (s *Scenario) Run(config Config) (Config, func(), error) {
+	source, closeSource, err := s.Source()
 	if err != nil {
-		return cfg, nil, err
+		return config, nil, err
 	}
-	cfg.Source, cfg.Classes, cfg.Retries, cfg.Limits, cfg.Seed, cfg.Length = src, s.Classes, s.Retries, s.Limits, s.Seed, time.Duration(s.Length)
-	return cfg, closeSource, nil
+	config.Source, config.Classes, config.Retries, config.Limits, config.Seed, config.Length = source, s.Classes, s.Retries, s.Limits, s.Seed, time.Duration(s.Length)
+	return config, closeSource, nil
 }
 
-// mix draws what calls are. It is the same for the same seed.
-type mix struct {
-	classes []Class
-	total   float64
-	rng     *rand.Rand
-	n       uint64
-	run     uint64
+// callGenerator makes calls, with their classes and sizes drawn at random. The same seed gives the
+// same classes and sizes.
+type callGenerator struct {
+	classes    []Class
+	totalShare float64
+	rng        *rand.Rand
+	count      uint64
+	runID      uint64
 }
 
-func newMix(classes []Class, seed uint64) *mix {
-	m := &mix{classes: classes, rng: rand.New(rand.NewPCG(seed, 0xc1a55)), run: rand.Uint64()}
+// newCallGenerator returns a callGenerator.
+func newCallGenerator(classes []Class, seed uint64) *callGenerator {
+	generator := &callGenerator{classes: classes, rng: rand.New(rand.NewPCG(seed, 0xc1a55)), runID: rand.Uint64()}
 	for _, c := range classes {
-		m.total += c.Share
+		generator.totalShare += c.Share
 	}
-	return m
+	return generator
 }
 
-// call draws a call; class nil: also its class. Ids differ from run to run, for servers
-// remember keys.
-func (m *mix) call(class *Class) Call {
+// next returns a call of a class; if class is nil, the class is drawn by the shares. IDs and keys
+// differ from run to run, because servers remember keys.
+func (g *callGenerator) next(class *Class) Call {
 	if class == nil {
-		at := m.rng.Float64() * m.total
-		class = &m.classes[len(m.classes)-1]
-		for n := range m.classes {
-			if at < m.classes[n].Share {
-				class = &m.classes[n]
+		position := g.rng.Float64() * g.totalShare
+		class = &g.classes[len(g.classes)-1]
+		for n := range g.classes {
+			if position < g.classes[n].Share {
+				class = &g.classes[n]
 				break
 			}
-			at -= m.classes[n].Share
+			position -= g.classes[n].Share
 		}
 	}
-	m.n++
-	c := Call{ID: fmt.Sprintf("%08x%08x", uint32(m.run), m.n), Class: class, Body: class.Body}
-	if class.BodyMost > class.Body {
-		c.Body += m.rng.IntN(class.BodyMost - class.Body + 1)
+	g.count++
+	call := Call{ID: fmt.Sprintf("%08x%08x", uint32(g.runID), g.count), Class: class, BodyBytes: class.MinBodyBytes}
+	if class.MaxBodyBytes > class.MinBodyBytes {
+		call.BodyBytes += g.rng.IntN(class.MaxBodyBytes - class.MinBodyBytes + 1)
 	}
 	if class.Effect == Keyed {
-		c.Key = fmt.Sprintf("%016x%016x", m.run, m.n)
+		call.Key = fmt.Sprintf("%016x%016x", g.runID, g.count)
 	}
-	return c
+	return call
 }
 
-// planned is a schedule as a Source.
-type planned struct {
-	mix      *mix
-	arrivals *schedule.Arrivals
+// scheduleSource is a Source that follows a schedule.
+type scheduleSource struct {
+	generator *callGenerator
+	arrivals  *schedule.Arrivals
 }
 
 // Next implements Source.
-func (p *planned) Next() (time.Duration, Call, bool) {
-	at, ok := p.arrivals.Next()
+func (s *scheduleSource) Next() (time.Duration, Call, bool) {
+	at, ok := s.arrivals.Next()
 	if !ok {
 		return 0, Call{}, false
 	}
-	return at, p.mix.call(nil), true
+	return at, s.generator.next(nil), true
 }
 
-// replayed is a trace as a Source.
-type replayed struct {
-	mix     *mix
-	r       *trace.Reader
-	speed   float64
-	classes map[string]*Class
-	// Err is what ended it before its end, Unknown how many calls had no class here.
+// traceSource is a Source that replays a trace.
+type traceSource struct {
+	generator *callGenerator
+	reader    *trace.Reader
+	speed     float64
+	classes   map[string]*Class
+	// Err is the error that Next ended with, io.EOF at the end of the trace. Unknown counts calls whose
+	// class the scenario does not have; they are skipped.
 	Err     error
 	Unknown int64
 }
 
 // Next implements Source.
-func (p *replayed) Next() (time.Duration, Call, bool) {
+func (s *traceSource) Next() (time.Duration, Call, bool) {
 	for {
-		e, err := p.r.Next()
+		entry, err := s.reader.Next()
 		if err != nil {
-			p.Err = err
+			s.Err = err
 			return 0, Call{}, false
 		}
-		class := p.classes[e.Class]
+		class := s.classes[entry.Class]
 		if class == nil {
-			p.Unknown++
+			s.Unknown++
 			continue
 		}
-		c := p.mix.call(class)
-		c.Path = e.Path
-		if e.BodyBytes > 0 {
-			c.Body = int(e.BodyBytes)
+		call := s.generator.next(class)
+		call.Path = entry.Path
+		if entry.BodyBytes > 0 {
+			call.BodyBytes = int(entry.BodyBytes)
 		}
-		if e.Key != "" && class.Effect == Keyed {
-			c.Key = e.Key
+		if entry.Key != "" && class.Effect == Keyed {
+			call.Key = entry.Key
 		}
-		return time.Duration(float64(e.At) / p.speed), c, true
+		return time.Duration(float64(entry.At) / s.speed), call, true
 	}
 }
