--- a/cmd/fawnctl/config.go
+++ b/cmd/fawnctl/config.go
@@ -17,108 +17,112 @@
 )
 
 type configCmd struct {
-	Plan     planCmd     `cmd:"" help:"Compare a configuration with the one that runs: what would change, and what must not."`
-	Apply    applyCmd    `cmd:"" help:"Put a configuration on trial in a running daemon."`
-	Status   configState `cmd:"" help:"What runs, what is on trial, and how it does."`
-	Rollback rollbackCmd `cmd:"" help:"End a trial at once, or go back to the configuration that was kept before."`
-	History  historyCmd  `cmd:"" help:"What became of the last changes."`
+	Plan     configPlanCmd     `cmd:"" help:"Compare a configuration with the running one: list the changes, and those that are refused."`
+	Apply    configApplyCmd    `cmd:"" help:"Apply a configuration on trial in a running daemon."`
+	Status   configStatusCmd   `cmd:"" help:"Show the running configuration, the one on trial and the progress of the trial."`
+	Rollback configRollbackCmd `cmd:"" help:"End a trial at once, or return to the configuration that was kept before."`
+	History  configHistoryCmd  `cmd:"" help:"List the last changes and their outcomes."`
 }
 
-type planCmd struct {
-	Running         string `arg:"" help:"The platform's JSON that runs."`
-	Next            string `arg:"" help:"The one that is to run."`
-	RunningFeatures string `help:"The operators' own settings that run; none if left out."`
-	NextFeatures    string `help:"Those that are to run; none if left out."`
-	Held            int    `help:"Requests that are held now."`
-	MemoryMB        int    `name:"memory-mb" help:"Memory that is in use now."`
-	Sockets         int    `help:"Sockets that are open now."`
+type configPlanCmd struct {
+	Running         string `arg:"" help:"File with the platform's JSON that runs."`
+	Next            string `arg:"" help:"File with the platform's JSON to compare with it."`
+	RunningFeatures string `help:"File with the operators' settings that run; none by default."`
+	NextFeatures    string `help:"File with the operators' settings to compare with them; none by default."`
+	Held            int    `help:"Number of requests held now."`
+	MemoryMB        int    `name:"memory-mb" help:"Memory in use now, in MB."`
+	Sockets         int    `help:"Number of sockets open now."`
 }
 
-// proposed are the files that are to run; those left out stay as they are.
-type proposed struct {
-	Platform string `help:"The platform's JSON that is to run; as it is if left out."`
-	Features string `help:"The operators' own settings that are to run; as they are if left out."`
+// proposalFlags name the files to apply. Settings whose file is not given stay unchanged.
+type proposalFlags struct {
+	Platform string `help:"File with the platform's JSON to apply; unchanged by default."`
+	Features string `help:"File with the operators' settings to apply; unchanged by default."`
 }
 
-func (c *proposed) proposal() (p changes.Proposal, err error) {
+// readProposal reads the files and returns their texts. It checks that the platform's file is JSON,
+// and leaves every other check to the daemon.
+func (c *proposalFlags) readProposal() (proposal changes.Proposal, err error) {
 	if c.Platform != "" {
 		text, err := os.ReadFile(c.Platform)
 		if err != nil {
-			return p, err
+			return proposal, err
 		}
 		if !json.Valid(text) {
-			return p, fmt.Errorf("%s: no JSON", c.Platform)
+			return proposal, fmt.Errorf("%s: not valid JSON", c.Platform)
 		}
-		p.Platform = text
+		proposal.Platform = text
 	}
 	if c.Features != "" {
 		text, err := os.ReadFile(c.Features)
 		if err != nil {
-			return p, err
+			return proposal, err
 		}
-		own := string(text)
-		p.Features = &own
+		features := string(text)
+		proposal.Features = &features
 	}
-	return p, nil
+	return proposal, nil
 }
 
-// do asks a daemon for a deed: exit status 1 with all reasons if it does not do it, 3 if
-// it can't be asked.
-func (f *socketFlags) do(s *streams, deed string, with, v any) (done bool, err error) {
+// postAction sends body to an action of the daemon's admin interface and decodes the answer into
+// result. If the daemon refuses, it prints all reasons and returns errChangeRefused, exit status 1;
+// if the daemon can't be reached, it returns errDaemonUnreachable, exit status 3. With --json it
+// prints the answer as it came and returns printed true.
+func (f *socketFlags) postAction(streams *stdStreams, action string, body, result any) (printed bool, err error) {
 	var raw json.RawMessage
-	if err := admin.Do(context.Background(), f.Socket, deed, with, &raw); err != nil {
+	if err := admin.Do(context.Background(), f.Socket, action, body, &raw); err != nil {
 		var refused admin.RefusedError
 		if errors.As(err, &refused) {
 			for line := range strings.Lines(string(refused)) {
-				fmt.Fprintln(s.err, "refused:", strings.TrimSpace(line))
+				fmt.Fprintln(streams.err, "refused:", strings.TrimSpace(line))
 			}
-			return false, errRefused
+			return false, errChangeRefused
 		}
-		return false, fmt.Errorf("%w: %w", errAway, err)
+		return false, fmt.Errorf("%w: %w", errDaemonUnreachable, err)
 	}
 	if f.JSON {
-		fmt.Fprintf(s.out, "%s\n", raw)
+		fmt.Fprintf(streams.out, "%s\n", raw)
 	}
-	return f.JSON, json.Unmarshal(raw, v)
+	return f.JSON, json.Unmarshal(raw, result)
 }
 
-type applyCmd struct {
+type configApplyCmd struct {
 	socketFlags
-	proposed
-	Why  string `help:"The reason, for the history."`
-	Wait bool   `help:"Wait for the verdict; exit status 1 if it is undone."`
+	proposalFlags
+	Why  string `help:"The reason, recorded in the history."`
+	Wait bool   `help:"Wait for the verdict; exit status 1 if the change is undone."`
 }
 
-// Run proposes it.
-func (c *applyCmd) Run(s *streams) error {
-	p, err := c.proposal()
+// Run applies the configuration. With --wait it returns when the trial's verdict is known.
+func (c *configApplyCmd) Run(streams *stdStreams) error {
+	proposal, err := c.readProposal()
 	if err != nil {
 		return err
 	}
-	p.Why = c.Why
-	var out changes.Outcome
-	done, err := c.do(s, "config/apply", p, &out)
+	proposal.Why = c.Why
+	var outcome changes.Outcome
+	printed, err := c.postAction(streams, "config/apply", proposal, &outcome)
 	if err != nil {
 		return err
 	}
-	if !done {
-		if out.ID == 0 {
-			fmt.Fprintln(s.out, "nothing changes")
+	if !printed {
+		if outcome.ID == 0 {
+			fmt.Fprintln(streams.out, "nothing changes")
 		} else {
-			fmt.Fprintf(s.out, "configuration %d is on trial, %d fields differ\n", out.ID, len(out.Changes))
+			fmt.Fprintf(streams.out, "configuration %d is on trial, %d fields differ\n", outcome.ID, len(outcome.Changes))
 		}
 	}
-	for c.Wait && out.ID != 0 {
-		time.Sleep(waitEach)
-		var st changes.Status
-		if err := admin.Get(context.Background(), c.Socket, "config", &st); err != nil {
-			return fmt.Errorf("%w: %w", errAway, err)
+	for c.Wait && outcome.ID != 0 {
+		time.Sleep(verdictPollInterval)
+		var status changes.Status
+		if err := admin.Get(context.Background(), c.Socket, "config", &status); err != nil {
+			return fmt.Errorf("%w: %w", errDaemonUnreachable, err)
 		}
-		for _, e := range st.Events {
-			if e.ID == out.ID && e.What != "applied" {
-				fmt.Fprintf(s.out, "%s: %s\n", e.What, e.Why)
-				if e.What != "kept" {
-					return errUndone
+		for _, event := range status.Events {
+			if event.ID == outcome.ID && event.What != "applied" {
+				fmt.Fprintf(streams.out, "%s: %s\n", event.What, event.Why)
+				if event.What != "kept" {
+					return errChangeUndone
 				}
 				return nil
 			}
@@ -127,74 +131,76 @@
 	return nil
 }
 
-// waitEach is how often a verdict is asked for.
-const waitEach = 200 * time.Millisecond
+// verdictPollInterval is the time between two requests for the verdict.
+const verdictPollInterval = 200 * time.Millisecond
 
-var errUndone = errors.New("the change was undone")
+// errChangeUndone is returned by 'config apply --wait'; exit status 1.
+var errChangeUndone = errors.New("the change was undone")
 
-type configState struct{ socketFlags }
+type configStatusCmd struct{ socketFlags }
 
-// Run shows what runs and what is on trial.
-func (c *configState) Run(s *streams) error {
-	var st changes.Status
-	if done, err := c.ask(s, "config", &st); done || err != nil {
+// Run prints the running configuration and the one on trial.
+func (c *configStatusCmd) Run(streams *stdStreams) error {
+	var status changes.Status
+	if printed, err := c.fetchPage(streams, "config", &status); printed || err != nil {
 		return err
 	}
-	w := tabwriter.NewWriter(s.out, 0, 0, 2, ' ', 0)
-	fmt.Fprintf(w, "runs\tconfiguration %d\n", st.Running)
+	w := tabwriter.NewWriter(streams.out, 0, 0, 2, ' ', 0)
+	fmt.Fprintf(w, "runs\tconfiguration %d\n", status.Running)
 	switch {
-	case st.Alone:
-		fmt.Fprintf(w, "trial\tconfiguration %d, alone since a start %.1f s ago; kept after %.0f s\n", st.Trial, st.Since, st.Bake)
-	case st.Trial != 0:
-		fmt.Fprintf(w, "trial\tconfiguration %d, for %.1f of %.0f s, %d calls; %d are needed for a verdict\n", st.Trial, st.Since, st.Bake, st.Calls, st.Needed)
+	case status.Alone:
+		fmt.Fprintf(w, "trial\tconfiguration %d, without another to compare it with since a start %.1f s ago; kept after %.0f s\n", status.Trial, status.Since, status.Bake)
+	case status.Trial != 0:
+		fmt.Fprintf(w, "trial\tconfiguration %d, for %.1f of %.0f s, %d calls; %d are needed for a verdict\n", status.Trial, status.Since, status.Bake, status.Calls, status.Needed)
 	default:
 		fmt.Fprintf(w, "trial\tnone\n")
 	}
-	if st.Pending {
-		fmt.Fprintf(w, "waiting\tthe files hold another one, for the trial's end\n")
+	if status.Pending {
+		fmt.Fprintf(w, "waiting\ta SIGHUP arrived: the files are read again after the trial\n")
 	}
-	fmt.Fprintf(w, "memory\t%s\n", map[bool]string{true: "outlives a start", false: "ends with the process: no [config] folder"}[st.Lasting])
-	if st.Problem != "" {
-		fmt.Fprintf(w, "problem\t%s\n", st.Problem)
+	fmt.Fprintf(w, "memory\t%s\n", map[bool]string{true: "survives a restart", false: "ends with the process: no [config] folder"}[status.Lasting])
+	if status.Problem != "" {
+		fmt.Fprintf(w, "problem\t%s\n", status.Problem)
 	}
 	return w.Flush()
 }
 
-type historyCmd struct{ socketFlags }
+type configHistoryCmd struct{ socketFlags }
 
-// Run shows what became of changes, the oldest first.
-func (c *historyCmd) Run(s *streams) error {
-	var st changes.Status
-	if done, err := c.ask(s, "config", &st); done || err != nil {
+// Run lists the changes and their outcomes, the oldest first.
+func (c *configHistoryCmd) Run(streams *stdStreams) error {
+	var status changes.Status
+	if printed, err := c.fetchPage(streams, "config", &status); printed || err != nil {
 		return err
 	}
-	w := tabwriter.NewWriter(s.out, 0, 0, 2, ' ', 0)
-	for _, e := range st.Events {
-		fmt.Fprintf(w, "%s\t%d\t%s\t%s\n", e.At.Format(time.DateTime), e.ID, e.What, e.Why)
+	w := tabwriter.NewWriter(streams.out, 0, 0, 2, ' ', 0)
+	for _, event := range status.Events {
+		fmt.Fprintf(w, "%s\t%d\t%s\t%s\n", event.At.Format(time.DateTime), event.ID, event.What, event.Why)
 	}
 	return w.Flush()
 }
 
-type rollbackCmd struct{ socketFlags }
+type configRollbackCmd struct{ socketFlags }
 
-// Run goes back.
-func (c *rollbackCmd) Run(s *streams) error {
-	done, err := c.do(s, "config/rollback", struct{}{}, new(json.RawMessage))
-	if !done && err == nil {
-		fmt.Fprintln(s.out, "done: fawnctl config status has what runs")
+// Run ends the trial, or returns to the configuration before.
+func (c *configRollbackCmd) Run(streams *stdStreams) error {
+	printed, err := c.postAction(streams, "config/rollback", struct{}{}, new(json.RawMessage))
+	if !printed && err == nil {
+		fmt.Fprintln(streams.out, "done: 'fawnctl config status' shows what runs")
 	}
 	return err
 }
 
-var errRefused = errors.New("the change must not be made while it runs")
+// errChangeRefused follows the printed reasons for a refusal; exit status 1.
+var errChangeRefused = errors.New("the change is not possible while the daemon runs")
 
-// read checks a configuration alone, as a start does.
-func read(platform, own string) (change.Document, error) {
-	if own == "" {
-		own = os.DevNull
+// loadDocument loads and validates a configuration as the daemon does when it starts.
+func loadDocument(platformFile, featuresFile string) (change.Document, error) {
+	if featuresFile == "" {
+		featuresFile = os.DevNull
 	}
 	c, err := config.Load(func(name string) string {
-		return map[string]string{"BALANCER_CONFIG": platform, "FAWN_FEATURES": own}[name]
+		return map[string]string{"BALANCER_CONFIG": platformFile, "FAWN_FEATURES": featuresFile}[name]
 	})
 	if err != nil {
 		return change.Document{}, err
@@ -202,13 +208,13 @@
 	return c.Document(), nil
 }
 
-// Run prints the plan, and what is refused with all reasons.
-func (c *planCmd) Run(s *streams) error {
-	running, err := read(c.Running, c.RunningFeatures)
+// Run prints the changes, and all reasons for refusing them.
+func (c *configPlanCmd) Run(streams *stdStreams) error {
+	running, err := loadDocument(c.Running, c.RunningFeatures)
 	if err != nil {
 		return fmt.Errorf("%s: %w", c.Running, err)
 	}
-	next, err := read(c.Next, c.NextFeatures)
+	next, err := loadDocument(c.Next, c.NextFeatures)
 	if err != nil {
 		return fmt.Errorf("%s: %w", c.Next, err)
 	}
@@ -217,16 +223,16 @@
 		return err
 	}
 	if len(plan.Changes) == 0 {
-		fmt.Fprintln(s.out, "nothing changes")
+		fmt.Fprintln(streams.out, "nothing changes")
 	}
 	for _, ch := range plan.Changes {
-		fmt.Fprintln(s.out, ch)
+		fmt.Fprintln(streams.out, ch)
 	}
 	for _, r := range plan.Refusals {
-		fmt.Fprintln(s.err, "refused:", r)
+		fmt.Fprintln(streams.err, "refused:", r)
 	}
 	if len(plan.Refusals) > 0 {
-		return errRefused
+		return errChangeRefused
 	}
 	return nil
 }
--- a/cmd/fawnctl/council.go
+++ b/cmd/fawnctl/council.go
@@ -18,35 +18,37 @@
 	"chalkrack/internal/council"
 )
 
-// errNoCouncil is of a council that has no majority, or can't be reached.
-var errNoCouncil = errors.New("the council can't be asked")
+// errCouncilUnreachable means that the council has no majority or that no member can be reached;
+// exit status 3.
+var errCouncilUnreachable = errors.New("the council can't be asked")
 
-// councilWait is how long a command waits for a council that has a majority.
-const councilWait = 10 * time.Second
+// councilTimeout bounds one call of the council, including the wait for a majority.
+const councilTimeout = 10 * time.Second
 
+// councilFlags are the flags of commands that call a council.
 type councilFlags struct {
-	Council string `required:"" help:"A member's file, or one with its key and members alone."`
-	JSON    bool   `name:"json" help:"As JSON."`
+	Council string `required:"" help:"A member's settings file, or a file with only the key and the members."`
+	JSON    bool   `name:"json" help:"Print JSON."`
 }
 
 type (
 	councilStatusCmd struct{ councilFlags }
 	councilAddCmd    struct {
 		councilFlags
-		ID   uint64 `arg:"" help:"The id that the new member's log says as it waits."`
-		Name string `arg:"" help:"Its name."`
-		Addr string `arg:"" help:"Where it listens."`
+		ID   uint64 `arg:"" help:"The id that the new member logs while it waits."`
+		Name string `arg:"" help:"The new member's name."`
+		Addr string `arg:"" help:"The address where the new member listens."`
 	}
 	councilRemoveCmd struct {
 		councilFlags
-		ID uint64 `arg:"" help:"The member's id, as the status has it."`
+		ID uint64 `arg:"" help:"The member's id, as 'council status' prints it."`
 	}
 )
 
 type councilCmd struct {
-	Status councilStatusCmd `cmd:"" help:"Each member's view: who leads, how far its log is."`
-	Add    councilAddCmd    `cmd:"" help:"Add a member that waits with join = true."`
-	Remove councilRemoveCmd `cmd:"" help:"Remove a member: it has no vote from then on."`
+	Status councilStatusCmd `cmd:"" help:"Show for each member whether it leads, the end of its log and the version in force."`
+	Add    councilAddCmd    `cmd:"" help:"Add a member that was started with join = true and waits."`
+	Remove councilRemoveCmd `cmd:"" help:"Remove a member, which then has no vote."`
 }
 
 type (
@@ -55,78 +57,81 @@
 	settingsBoundCmd   struct{ councilFlags }
 	settingsProposeCmd struct {
 		councilFlags
-		File   string        `arg:"" help:"TOML with [rules] and [floor]: a level by key."`
-		Base   uint64        `required:"" help:"The version that the file was written against, as 'show' has it."`
-		Reason string        `required:"" help:"Why; it stays with the version."`
-		Who    string        `help:"Who asks; the user by default."`
-		Key    string        `help:"Sent again under the same key it is the same proposal. One is drawn by default."`
-		Wait   time.Duration `default:"30s" help:"How long to wait until it is settled, refused or withdrawn; 0: not at all."`
+		File   string        `arg:"" help:"TOML file with the tables [rules] and [floor], each with levels by key."`
+		Base   uint64        `required:"" help:"The version in force that the file was written against, as 'settings show' prints it."`
+		Reason string        `required:"" help:"The reason, recorded with the version."`
+		Who    string        `help:"Who asks; the current user by default."`
+		Key    string        `help:"Identifies the proposal: sent again under the same key it is the same proposal. Random by default."`
+		Wait   time.Duration `default:"30s" help:"How long to wait until the proposal is settled, refused or withdrawn; 0 does not wait."`
 	}
 	settingsWithdrawCmd struct {
 		councilFlags
-		Version uint64 `arg:"" help:"Of the proposal that is on its way."`
-		Reason  string `required:"" help:"Why."`
-		Who     string `help:"Who asks; the user by default."`
+		Version uint64 `arg:"" help:"The version of the pending proposal."`
+		Reason  string `required:"" help:"The reason, recorded with the entry."`
+		Who     string `help:"Who asks; the current user by default."`
 	}
 	settingsForgetCmd struct {
 		councilFlags
-		Sidecar string `arg:"" help:"A sidecar that is silent, and is known to be no more."`
-		Reason  string `required:"" help:"Why."`
-		Who     string `help:"Who asks; the user by default."`
+		Sidecar string `arg:"" help:"A silent sidecar that is known not to run any more."`
+		Reason  string `required:"" help:"The reason, recorded with the entry."`
+		Who     string `help:"Who asks; the current user by default."`
 	}
 )
 
 type settingsCmd struct {
-	Show     settingsShowCmd     `cmd:"" help:"What is in force and what is on its way, and whom that waits for."`
-	Propose  settingsProposeCmd  `cmd:"" help:"Propose a version; wait until each live sidecar acts on it."`
-	Withdraw settingsWithdrawCmd `cmd:"" help:"Withdraw what is on its way."`
-	Forget   settingsForgetCmd   `cmd:"" help:"Say that a silent sidecar is no more, so that nothing waits for it."`
-	History  settingsHistoryCmd  `cmd:"" help:"What became of the last proposals."`
-	Bound    settingsBoundCmd    `cmd:"" help:"For how long two sidecars may contradict each other."`
+	Show     settingsShowCmd     `cmd:"" help:"Show the version in force, the pending proposal, and the sidecars that it waits for."`
+	Propose  settingsProposeCmd  `cmd:"" help:"Propose a version, and wait until each live sidecar acts on it."`
+	Withdraw settingsWithdrawCmd `cmd:"" help:"Withdraw the pending proposal."`
+	Forget   settingsForgetCmd   `cmd:"" help:"Remove a silent sidecar, so that no proposal waits for it."`
+	History  settingsHistoryCmd  `cmd:"" help:"List the last proposals and their outcomes."`
+	Bound    settingsBoundCmd    `cmd:"" help:"Show for how long two sidecars may act on contradictory settings."`
 }
 
-// reach is the council of the flags.
-func (c *councilFlags) reach() (council.ClientConfig, error) {
+// clientConfig reads the council's key and members from the file that --council names.
+func (c *councilFlags) clientConfig() (council.ClientConfig, error) {
 	text, err := os.ReadFile(c.Council)
 	if err != nil {
 		return council.ClientConfig{}, err
 	}
-	r, err := council.ReadClientConfig(text)
+	cfg, err := council.ReadClientConfig(text)
 	if err != nil {
-		return r, fmt.Errorf("%s: %w", c.Council, err)
+		return cfg, fmt.Errorf("%s: %w", c.Council, err)
 	}
-	return r, nil
+	return cfg, nil
 }
 
-// with calls the council, whoever leads it.
-func (c *councilFlags) with(do func(context.Context, *council.Client) (council.Status, error)) (st council.Status, err error) {
-	r, err := c.reach()
+// callCouncil passes call a client of the council, which finds the leader by itself. It returns a
+// *council.Refusal unchanged, and any other error of call within errCouncilUnreachable.
+func (c *councilFlags) callCouncil(call func(context.Context, *council.Client) (council.Status, error)) (status council.Status, err error) {
+	cfg, err := c.clientConfig()
 	if err != nil {
-		return st, err
+		return status, err
 	}
-	client := r.NewClient()
+	client := cfg.NewClient()
 	defer client.Close()
-	ctx, cancel := context.WithTimeout(context.Background(), councilWait)
+	ctx, cancel := context.WithTimeout(context.Background(), councilTimeout)
 	defer cancel()
-	if st, err = do(ctx, client); err == nil {
-		return st, nil
+	if status, err = call(ctx, client); err == nil {
+		return status, nil
 	}
-	var no *council.Refusal
-	if errors.As(err, &no) {
-		return st, no
+	var refusal *council.Refusal
+	if errors.As(err, &refusal) {
+		return status, refusal
 	}
-	return st, fmt.Errorf("%w: %w", errNoCouncil, err)
+	return status, fmt.Errorf("%w: %w", errCouncilUnreachable, err)
 }
 
-func (c *councilFlags) print(s *streams, v any) error {
-	text, err := json.MarshalIndent(v, "", "  ")
+// printJSON prints a value as indented JSON.
+func (c *councilFlags) printJSON(streams *stdStreams, value any) error {
+	text, err := json.MarshalIndent(value, "", "  ")
 	if err == nil {
-		_, err = fmt.Fprintln(s.out, string(text))
+		_, err = fmt.Fprintln(streams.out, string(text))
 	}
 	return err
 }
 
-func orUser(who string) string {
+// requesterName returns who or, if that is empty, the current user's name.
+func requesterName(who string) string {
 	if who != "" {
 		return who
 	}
@@ -136,111 +141,115 @@
 	return "somebody"
 }
 
-// Run asks each member of the file for itself.
-func (c *councilStatusCmd) Run(s *streams) error {
-	r, err := c.reach()
+// Run asks each member of the file for its own view. It fails if none of them leads.
+func (c *councilStatusCmd) Run(streams *stdStreams) error {
+	cfg, err := c.clientConfig()
 	if err != nil {
 		return err
 	}
-	all, leads := make(map[string]any), false
-	w := tabwriter.NewWriter(s.out, 0, 0, 2, ' ', 0)
+	views, hasLeader := make(map[string]any), false
+	w := tabwriter.NewWriter(streams.out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "member\taddress\tleads\tlog\tin force\tid")
-	for _, name := range sortedKeys(r.Members) {
-		one := council.NewClient(r.Key, 0, map[string]string{name: r.Members[name]})
+	for _, name := range sortedKeys(cfg.Members) {
+		client := council.NewClient(cfg.Key, 0, map[string]string{name: cfg.Members[name]})
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
-		st, err := one.Status(ctx)
+		status, err := client.Status(ctx)
 		cancel()
-		one.Close()
+		client.Close()
 		if err != nil {
-			all[name] = err.Error()
-			fmt.Fprintf(w, "%s\t%s\t-\t-\t-\tno answer\n", name, r.Members[name])
+			views[name] = err.Error()
+			fmt.Fprintf(w, "%s\t%s\t-\t-\t-\tno answer\n", name, cfg.Members[name])
 			continue
 		}
-		all[name], leads = st, leads || st.IsLeader
+		views[name], hasLeader = status, hasLeader || status.IsLeader
 		id := uint64(0)
-		for n, p := range st.Members {
-			if p.Name == st.Name {
-				id = n
+		for memberID, endpoint := range status.Members {
+			if endpoint.Name == status.Name {
+				id = memberID
 			}
 		}
-		fmt.Fprintf(w, "%s\t%s\t%v\t%d\t%d\t%d\n", name, r.Members[name], st.IsLeader, st.Index, st.InForce.Version, id)
+		fmt.Fprintf(w, "%s\t%s\t%v\t%d\t%d\t%d\n", name, cfg.Members[name], status.IsLeader, status.Index, status.InForce.Version, id)
 	}
 	if c.JSON {
-		err = c.print(s, all)
+		err = c.printJSON(streams, views)
 	} else {
 		err = w.Flush()
 	}
-	if err == nil && !leads {
-		return errors.New("nobody leads: nothing can be agreed on, and sidecars go to the stricter before their leases end")
+	if err == nil && !hasLeader {
+		return errors.New("nobody leads: no proposal can be decided, and each sidecar goes over to the stricter settings before its lease ends")
 	}
 	return err
 }
 
 // Run adds the member.
-func (c *councilAddCmd) Run(s *streams) error {
-	return c.change(s, c.ID, council.Endpoint{Name: c.Name, Addr: c.Addr}, false)
+func (c *councilAddCmd) Run(streams *stdStreams) error {
+	return c.changeMember(streams, c.ID, council.Endpoint{Name: c.Name, Addr: c.Addr}, false)
 }
 
-// Run removes it.
-func (c *councilRemoveCmd) Run(s *streams) error { return c.change(s, c.ID, council.Endpoint{}, true) }
+// Run removes the member.
+func (c *councilRemoveCmd) Run(streams *stdStreams) error {
+	return c.changeMember(streams, c.ID, council.Endpoint{}, true)
+}
 
-func (c *councilFlags) change(s *streams, id uint64, p council.Endpoint, remove bool) error {
-	st, err := c.with(func(ctx context.Context, client *council.Client) (council.Status, error) {
-		return client.ChangeMember(ctx, id, p, remove)
+// changeMember adds or removes a member, and returns once the council has accepted the change.
+func (c *councilFlags) changeMember(streams *stdStreams, id uint64, endpoint council.Endpoint, remove bool) error {
+	status, err := c.callCouncil(func(ctx context.Context, client *council.Client) (council.Status, error) {
+		return client.ChangeMember(ctx, id, endpoint, remove)
 	})
 	if err != nil {
 		return err
 	}
-	fmt.Fprintf(s.out, "on its way; %d members until it holds: 'fawnctl council status' shows it\n", len(st.Members))
+	fmt.Fprintf(streams.out, "accepted; %d members until the change takes effect: see 'fawnctl council status'\n", len(status.Members))
 	return nil
 }
 
-// sure is what the council knows, nothing missing.
-func (c *councilFlags) sure() (council.Status, error) {
-	return c.with(func(ctx context.Context, client *council.Client) (council.Status, error) { return client.Latest(ctx) })
+// latestStatus returns the leader's status, with everything committed before the call.
+func (c *councilFlags) latestStatus() (council.Status, error) {
+	return c.callCouncil(func(ctx context.Context, client *council.Client) (council.Status, error) { return client.Latest(ctx) })
 }
 
-// Run shows what is in force.
-func (c *settingsShowCmd) Run(s *streams) error {
-	st, err := c.sure()
+// Run prints the version in force and the pending one.
+func (c *settingsShowCmd) Run(streams *stdStreams) error {
+	status, err := c.latestStatus()
 	if err != nil {
 		return err
 	}
 	if c.JSON {
-		return c.print(s, st)
+		return c.printJSON(streams, status)
 	}
-	return settingsText(s, &st)
+	return printSettings(streams, &status)
 }
 
-func settingsText(s *streams, st *council.Status) error {
+// printSettings prints the version in force, the pending proposal and the sidecars of a status.
+func printSettings(streams *stdStreams, status *council.Status) error {
 	live, silent := 0, []string{}
-	for _, name := range sortedKeys(st.Sidecars) {
-		if st.Sidecars[name].LeaseExpired {
-			silent = append(silent, fmt.Sprintf("%s (acts on %d or stricter)", name, st.Sidecars[name].ActiveVersion))
+	for _, name := range sortedKeys(status.Sidecars) {
+		if status.Sidecars[name].LeaseExpired {
+			silent = append(silent, fmt.Sprintf("%s (acts on %d or stricter)", name, status.Sidecars[name].ActiveVersion))
 		} else {
 			live++
 		}
 	}
-	w := tabwriter.NewWriter(s.out, 0, 0, 2, ' ', 0)
+	w := tabwriter.NewWriter(streams.out, 0, 0, 2, ' ', 0)
 	settled := "settled"
-	if !st.IsSettled {
+	if !status.IsSettled {
 		settled = "not settled"
 	}
-	fmt.Fprintf(w, "in force\tversion %d, %s\n", st.InForce.Version, settled)
-	if d := st.InForce; d.Version > 0 {
-		fmt.Fprintf(w, "\tby %s: %s\n", d.Who, d.Reason)
-		for _, k := range sortedKeys(d.Rules) {
-			fmt.Fprintf(w, "\t%s = %d\n", k, d.Rules[k])
+	fmt.Fprintf(w, "in force\tversion %d, %s\n", status.InForce.Version, settled)
+	if doc := status.InForce; doc.Version > 0 {
+		fmt.Fprintf(w, "\tby %s: %s\n", doc.Who, doc.Reason)
+		for _, key := range sortedKeys(doc.Rules) {
+			fmt.Fprintf(w, "\t%s = %d\n", key, doc.Rules[key])
 		}
-		for _, k := range sortedKeys(d.Floor) {
-			fmt.Fprintf(w, "\t%s is %d at least where a sidecar may be stale\n", k, d.Floor[k])
+		for _, key := range sortedKeys(doc.Floor) {
+			fmt.Fprintf(w, "\t%s is at least %d in a sidecar whose settings may be out of date\n", key, doc.Floor[key])
 		}
 	}
-	if st.Pending != nil {
-		fmt.Fprintf(w, "on its way\tversion %d, by %s: %s\n", st.Pending.Version, st.Pending.Who, st.Pending.Reason)
+	if status.Pending != nil {
+		fmt.Fprintf(w, "on its way\tversion %d, by %s: %s\n", status.Pending.Version, status.Pending.Who, status.Pending.Reason)
 	}
-	if len(st.PendingSidecars) > 0 {
-		fmt.Fprintf(w, "waits for\t%s\n", strings.Join(st.PendingSidecars, ", "))
+	if len(status.PendingSidecars) > 0 {
+		fmt.Fprintf(w, "waits for\t%s\n", strings.Join(status.PendingSidecars, ", "))
 	}
 	fmt.Fprintf(w, "sidecars\t%d live, %d silent\n", live, len(silent))
 	for _, name := range silent {
@@ -249,8 +258,9 @@
 	return w.Flush()
 }
 
-// Run proposes the file, and waits for what becomes of it.
-func (c *settingsProposeCmd) Run(s *streams) error {
+// Run proposes the file's settings, and waits until they are settled, refused or withdrawn, or
+// until --wait has passed.
+func (c *settingsProposeCmd) Run(streams *stdStreams) error {
 	text, err := os.ReadFile(c.File)
 	if err != nil {
 		return err
@@ -259,100 +269,104 @@
 		Rules agreed.Rules `toml:"rules"`
 		Floor agreed.Rules `toml:"floor"`
 	}
-	d := toml.NewDecoder(strings.NewReader(string(text)))
-	d.DisallowUnknownFields()
-	if err := d.Decode(&file); err != nil {
+	decoder := toml.NewDecoder(strings.NewReader(string(text)))
+	decoder.DisallowUnknownFields()
+	if err := decoder.Decode(&file); err != nil {
 		return fmt.Errorf("%s: %w", c.File, err)
 	}
 	if c.Key == "" {
 		c.Key = rand.Text()
 	}
-	doc := &agreed.Doc{Rules: file.Rules, Floor: file.Floor, Key: c.Key, Who: orUser(c.Who), Reason: c.Reason}
+	doc := &agreed.Doc{Rules: file.Rules, Floor: file.Floor, Key: c.Key, Who: requesterName(c.Who), Reason: c.Reason}
 	if err := doc.Validate(); err != nil {
 		return fmt.Errorf("%s: %w", c.File, err)
 	}
-	st, err := c.with(func(ctx context.Context, client *council.Client) (council.Status, error) {
+	status, err := c.callCouncil(func(ctx context.Context, client *council.Client) (council.Status, error) {
 		return client.Apply(ctx, agreed.Entry{Kind: agreed.KindPropose, BaseVersion: c.Base, Doc: doc})
 	})
 	if err != nil {
 		return err
 	}
-	waits := ""
-	for end := time.Now().Add(c.Wait); ; time.Sleep(200 * time.Millisecond) {
-		done := ending(&st, c.Key)
+	lastWaiting := ""
+	for deadline := time.Now().Add(c.Wait); ; time.Sleep(200 * time.Millisecond) {
+		result := proposalResult(&status, c.Key)
 		switch {
-		case done.Outcome == agreed.OutcomeRefused || done.Outcome == agreed.OutcomeWithdrawn:
-			return fmt.Errorf("version %d was %s by %s: %s", done.Version, done.Outcome, done.Who, done.Reason)
-		case done.Outcome == agreed.OutcomeInForce && (st.IsSettled || st.InForce.Version > done.Version):
-			fmt.Fprintf(s.out, "version %d is in force and settled\n", done.Version)
+		case result.Outcome == agreed.OutcomeRefused || result.Outcome == agreed.OutcomeWithdrawn:
+			return fmt.Errorf("version %d was %s by %s: %s", result.Version, result.Outcome, result.Who, result.Reason)
+		case result.Outcome == agreed.OutcomeInForce && (status.IsSettled || status.InForce.Version > result.Version):
+			fmt.Fprintf(streams.out, "version %d is in force and settled\n", result.Version)
 			return nil
-		case time.Now().After(end):
-			return fmt.Errorf("version %d is not settled yet: waits for %s", done.Version, strings.Join(st.PendingSidecars, ", "))
+		case time.Now().After(deadline):
+			return fmt.Errorf("version %d is not settled yet: waits for %s", result.Version, strings.Join(status.PendingSidecars, ", "))
 		}
-		if text := strings.Join(st.PendingSidecars, ", "); text != waits {
-			waits = text
-			fmt.Fprintf(s.out, "version %d %s, waits for %s\n", done.Version, done.Outcome, text)
+		if text := strings.Join(status.PendingSidecars, ", "); text != lastWaiting {
+			lastWaiting = text
+			fmt.Fprintf(streams.out, "version %d %s, waits for %s\n", result.Version, result.Outcome, text)
 		}
-		if st, err = c.sure(); err != nil {
+		if status, err = c.latestStatus(); err != nil {
 			return err
 		}
 	}
 }
 
-// ending is what is known of a proposal.
-func ending(st *council.Status, key string) agreed.ProposalResult {
-	for _, e := range st.Results {
-		if e.Key == key {
-			return e
+// proposalResult returns the result of the proposal with the key. Its Outcome is preparing while
+// the proposal is pending, and empty if the status does not have the proposal.
+func proposalResult(status *council.Status, key string) agreed.ProposalResult {
+	for _, result := range status.Results {
+		if result.Key == key {
+			return result
 		}
 	}
-	if st.Pending != nil && st.Pending.Key == key {
-		return agreed.ProposalResult{Key: key, Version: st.Pending.Version, Outcome: agreed.OutcomePreparing}
+	if status.Pending != nil && status.Pending.Key == key {
+		return agreed.ProposalResult{Key: key, Version: status.Pending.Version, Outcome: agreed.OutcomePreparing}
 	}
 	return agreed.ProposalResult{Key: key}
 }
 
-func (c *councilFlags) enter(s *streams, e agreed.Entry) error {
-	st, err := c.with(func(ctx context.Context, client *council.Client) (council.Status, error) { return client.Apply(ctx, e) })
+// applyEntry submits an operator's entry to the council and prints the settings after it.
+func (c *councilFlags) applyEntry(streams *stdStreams, entry agreed.Entry) error {
+	status, err := c.callCouncil(func(ctx context.Context, client *council.Client) (council.Status, error) {
+		return client.Apply(ctx, entry)
+	})
 	if err != nil {
 		return err
 	}
-	return settingsText(s, &st)
+	return printSettings(streams, &status)
 }
 
 // Run withdraws the proposal.
-func (c *settingsWithdrawCmd) Run(s *streams) error {
-	return c.enter(s, agreed.Entry{Kind: agreed.KindWithdraw, Version: c.Version, Who: orUser(c.Who), Reason: c.Reason})
+func (c *settingsWithdrawCmd) Run(streams *stdStreams) error {
+	return c.applyEntry(streams, agreed.Entry{Kind: agreed.KindWithdraw, Version: c.Version, Who: requesterName(c.Who), Reason: c.Reason})
 }
 
-// Run has the sidecar forgotten.
-func (c *settingsForgetCmd) Run(s *streams) error {
-	return c.enter(s, agreed.Entry{Kind: agreed.KindRemove, Sidecar: c.Sidecar, Who: orUser(c.Who), Reason: c.Reason})
+// Run removes the sidecar from the council's records.
+func (c *settingsForgetCmd) Run(streams *stdStreams) error {
+	return c.applyEntry(streams, agreed.Entry{Kind: agreed.KindRemove, Sidecar: c.Sidecar, Who: requesterName(c.Who), Reason: c.Reason})
 }
 
-// Run shows the last proposals.
-func (c *settingsHistoryCmd) Run(s *streams) error {
-	st, err := c.sure()
+// Run lists the last proposals and their outcomes.
+func (c *settingsHistoryCmd) Run(streams *stdStreams) error {
+	status, err := c.latestStatus()
 	if err != nil || c.JSON {
-		return errors.Join(err, c.print(s, st.Results))
+		return errors.Join(err, c.printJSON(streams, status.Results))
 	}
-	w := tabwriter.NewWriter(s.out, 0, 0, 2, ' ', 0)
+	w := tabwriter.NewWriter(streams.out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "version\tbecame\tby\twhy")
-	for _, e := range st.Results {
-		fmt.Fprintf(w, "%d\t%s\t%s\t%s\n", e.Version, e.Outcome, e.Who, e.Reason)
+	for _, result := range status.Results {
+		fmt.Fprintf(w, "%d\t%s\t%s\t%s\n", result.Version, result.Outcome, result.Who, result.Reason)
 	}
 	return w.Flush()
 }
 
-// Run shows T.
-func (c *settingsBoundCmd) Run(s *streams) error {
-	st, err := c.sure()
+// Run prints the longest time after which no sidecar acts on settings laxer than those in force.
+func (c *settingsBoundCmd) Run(streams *stdStreams) error {
+	status, err := c.latestStatus()
 	if err != nil {
 		return err
 	}
 	if c.JSON {
-		return c.print(s, map[string]any{"bound_ns": st.MaxStaleness})
+		return c.printJSON(streams, map[string]any{"bound_ns": status.MaxStaleness})
 	}
-	fmt.Fprintf(s.out, "%v after a version comes into force nothing runs any more by a laxer one\n", st.MaxStaleness.Round(time.Millisecond))
+	fmt.Fprintf(streams.out, "%v after a version comes into force, no sidecar acts on a laxer one any more\n", status.MaxStaleness.Round(time.Millisecond))
 	return nil
 }
--- a/cmd/fawnctl/duty.go
+++ b/cmd/fawnctl/duty.go
@@ -11,44 +11,45 @@
 
 type dutyCmd struct {
 	socketFlags
-	Mine bool `help:"Only the nodes that are this sidecar's to watch."`
+	Mine bool `help:"Show only the nodes that this sidecar watches."`
 }
 
-// Run shows who is alive, who watches what, and how old each finding is.
-func (c *dutyCmd) Run(s *streams) error {
-	var v duties.View
-	if done, err := c.ask(s, "duty", &v); done || err != nil {
+// Run prints the live sidecars, the counts of probes and notes, and for each node its state, the
+// age of that finding and who made it.
+func (c *dutyCmd) Run(streams *stdStreams) error {
+	var view duties.View
+	if printed, err := c.fetchPage(streams, "duty", &view); printed || err != nil {
 		return err
 	}
-	w := tabwriter.NewWriter(s.out, 0, 0, 2, ' ', 0)
-	fmt.Fprintf(w, "self\t%s\n", v.Self)
-	fmt.Fprintf(w, "alive\t%d, this one too\n", v.Alive)
-	if len(v.Suspects) > 0 {
-		fmt.Fprintf(w, "suspected\t%s\n", strings.Join(v.Suspects, " "))
+	w := tabwriter.NewWriter(streams.out, 0, 0, 2, ' ', 0)
+	fmt.Fprintf(w, "self\t%s\n", view.Self)
+	fmt.Fprintf(w, "alive\t%d, including this one\n", view.Alive)
+	if len(view.Suspects) > 0 {
+		fmt.Fprintf(w, "suspected\t%s\n", strings.Join(view.Suspects, " "))
 	}
-	if len(v.Dead) > 0 {
-		fmt.Fprintf(w, "dead\t%s\n", strings.Join(v.Dead, " "))
+	if len(view.Dead) > 0 {
+		fmt.Fprintf(w, "dead\t%s\n", strings.Join(view.Dead, " "))
 	}
-	k := v.Counts
-	fmt.Fprintf(w, "probes\t%d, of them %d in others' place; %d put off by the budget\n", k.Probes, k.Takeovers, k.Deferred)
-	fmt.Fprintf(w, "notes\t%d sent, %d heard, %d not sent by the budget, %d of strangers, %d unreadable\n", k.Notes, k.Received, k.Dropped, k.UnknownSender, v.Unread)
+	counts := view.Counts
+	fmt.Fprintf(w, "probes\t%d, of them %d in place of other sidecars; %d deferred by the budget\n", counts.Probes, counts.Takeovers, counts.Deferred)
+	fmt.Fprintf(w, "notes\t%d sent, %d received, %d not sent because of the budget, %d from unknown senders, %d unreadable\n", counts.Notes, counts.Received, counts.Dropped, counts.UnknownSender, view.Unread)
 	fmt.Fprintln(w, "node\tstate\tage\tseen by\tplace")
-	for _, n := range v.Servers {
-		if c.Mine && !n.IsWatcher {
+	for _, node := range view.Servers {
+		if c.Mine && !node.IsWatcher {
 			continue
 		}
-		by := "others"
-		if n.IsOwn {
-			by = "this one"
+		observer := "others"
+		if node.IsOwn {
+			observer = "this one"
 		}
-		if n.State == "unknown" {
-			by = "nobody"
+		if node.State == "unknown" {
+			observer = "nobody"
 		}
-		place := fmt.Sprint(n.Rank)
-		if n.IsWatcher {
+		place := fmt.Sprint(node.Rank)
+		if node.IsWatcher {
 			place += ", watches"
 		}
-		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\n", n.Name, n.State, n.Age.Round(10*time.Millisecond), by, place)
+		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\n", node.Name, node.State, node.Age.Round(10*time.Millisecond), observer, place)
 	}
 	return w.Flush()
 }
--- a/cmd/fawnctl/explain.go
+++ b/cmd/fawnctl/explain.go
@@ -13,16 +13,16 @@
 )
 
 type explainCmd struct {
-	Logs    []string `arg:"" name:"log" help:"Logs with traces, or folders of them."`
-	Against []string `placeholder:"LOG" help:"Other logs, to show beside the first."`
-	Class   string   `help:"Only this class."`
-	Top     int      `default:"15" help:"How many causes."`
-	JSON    bool     `help:"Print groups with an example of each, as JSON."`
+	Logs    []string `arg:"" name:"log" help:"Log files with traces, or folders of them."`
+	Against []string `placeholder:"LOG" help:"Other logs to compare with."`
+	Class   string   `help:"Show only this class."`
+	Top     int      `default:"15" help:"How many causes to show."`
+	JSON    bool     `help:"Print the groups as JSON, with an example of each."`
 }
 
-// read reads logs, and all files of folders.
+// readTraces reads the log files, and all files in the folders, into one log.
 func readTraces(paths []string) (*calltrace.Log, error) {
-	l := new(calltrace.Log)
+	traces := new(calltrace.Log)
 	for _, path := range paths {
 		files := []string{path}
 		if info, err := os.Stat(path); err == nil && info.IsDir() {
@@ -38,31 +38,32 @@
 			if err != nil {
 				return nil, err
 			}
-			err = l.Read(f)
+			err = traces.Read(f)
 			f.Close()
 			if err != nil {
 				return nil, fmt.Errorf("%s: %w", name, err)
 			}
 		}
 	}
-	return l, nil
+	return traces, nil
 }
 
-// Run groups the traces of logs by cause.
-func (c *explainCmd) Run(s *streams) error {
-	l, err := readTraces(c.Logs)
+// Run groups the traces by cause and prints the groups. With --against it prints the two logs'
+// causes side by side.
+func (c *explainCmd) Run(streams *stdStreams) error {
+	traces, err := readTraces(c.Logs)
 	if err != nil {
 		return err
 	}
-	w := tabwriter.NewWriter(s.out, 0, 0, 2, ' ', 0)
+	w := tabwriter.NewWriter(streams.out, 0, 0, 2, ' ', 0)
 	if len(c.Against) > 0 {
 		other, err := readTraces(c.Against)
 		if err != nil {
 			return err
 		}
-		rows := calltrace.Compare(l, other, c.Class)
+		rows := calltrace.Compare(traces, other, c.Class)
 		if c.JSON {
-			return json.NewEncoder(s.out).Encode(rows)
+			return json.NewEncoder(streams.out).Encode(rows)
 		}
 		fmt.Fprintln(w, "worth\tcalls\tworth, other\tcalls, other\tcause")
 		for _, r := range rows[:min(len(rows), c.Top)] {
@@ -70,11 +71,11 @@
 		}
 		return w.Flush()
 	}
-	groups := l.Groups(c.Class)
+	groups := traces.Groups(c.Class)
 	if c.JSON {
-		return json.NewEncoder(s.out).Encode(groups)
+		return json.NewEncoder(streams.out).Encode(groups)
 	}
-	fmt.Fprintf(s.out, "%d calls not served within their aim (%d other lines)\n", len(l.Traces), l.OtherLines)
+	fmt.Fprintf(streams.out, "%d calls not served within their aim (%d other lines)\n", len(traces.Traces), traces.OtherLines)
 	fmt.Fprintln(w, "share\tworth\tcalls\tcause\tclasses")
 	for _, g := range groups[:min(len(groups), c.Top)] {
 		classes := ""
--- a/cmd/fawnctl/fleet.go
+++ b/cmd/fawnctl/fleet.go
@@ -17,20 +17,20 @@
 )
 
 type fleetRunCmd struct {
-	Schedule string  `arg:"" help:"A file, or one of the shipped: see 'fawnctl fleet list'."`
-	Binary   string  `default:"bin/fawnrock" help:"The built daemon."`
-	Sidecars int     `help:"How many, in place of the schedule's."`
-	Servers  int     `help:"How many in each zone, in place of the schedule's."`
-	Rate     float64 `help:"Calls a second of each client, in place of the schedule's."`
-	Seed     uint64  `help:"In place of the schedule's."`
-	Features string  `help:"A file with the sidecars' own settings, in place of the schedule's."`
-	History  string  `help:"Where the history goes." placeholder:"FILE"`
-	HTML     string  `help:"Where a page with lanes of processes goes." placeholder:"FILE"`
+	Schedule string  `arg:"" help:"A schedule's file, or the name of a shipped schedule: see 'fawnctl fleet list'."`
+	Binary   string  `default:"bin/fawnrock" help:"The daemon's binary."`
+	Sidecars int     `help:"Number of sidecars, in place of the schedule's."`
+	Servers  int     `help:"Number of servers in each zone, in place of the schedule's."`
+	Rate     float64 `help:"Calls per second of each client, in place of the schedule's."`
+	Seed     uint64  `help:"Random seed, in place of the schedule's."`
+	Features string  `help:"File with the sidecars' settings, in place of the schedule's."`
+	History  string  `help:"Write the run's history to this file." placeholder:"FILE"`
+	HTML     string  `help:"Write a page with a lane for each process to this file." placeholder:"FILE"`
 }
 
 type fleetReportCmd struct {
-	History string `arg:"" help:"What 'fleet run --history' wrote."`
-	HTML    string `help:"Where a page with lanes of processes goes." placeholder:"FILE"`
+	History string `arg:"" help:"A history file that 'fleet run --history' wrote."`
+	HTML    string `help:"Write a page with a lane for each process to this file." placeholder:"FILE"`
 }
 
 type fleetListCmd struct{}
@@ -38,69 +38,70 @@
 type fleetHuntCmd struct {
 	fleetRunCmd
 	From   uint64 `default:"1" help:"The first seed."`
-	Count  int    `default:"10" help:"How many seeds."`
-	Faults int    `default:"4" help:"Random faults at the most, beside the schedule's own."`
-	Worst  string `placeholder:"FILE" help:"Where the shrunk schedule of the first breach goes."`
+	Count  int    `default:"10" help:"Number of seeds."`
+	Faults int    `default:"4" help:"Maximum number of random faults, added to the schedule's own."`
+	Worst  string `placeholder:"FILE" help:"Write the shrunk schedule of the first broken rule to this file."`
 }
 
-type processesCmd struct {
-	Run    fleetRunCmd    `cmd:"" help:"Start several sidecars with stand-ins, play a schedule of faults, and check the rules."`
-	Report fleetReportCmd `cmd:"" help:"Show what a run's history tells, and check the rules again."`
-	Hunt   fleetHuntCmd   `cmd:"" help:"Add random faults to a schedule, seed by seed, and shrink what breaks a rule."`
-	List   fleetListCmd   `cmd:"" help:"The schedules that are shipped."`
+// fleetCmd has the commands that inject faults into several sidecar processes.
+type fleetCmd struct {
+	Run    fleetRunCmd    `cmd:"" help:"Start several sidecars with stand-in servers, inject a schedule's faults, and check the rules."`
+	Report fleetReportCmd `cmd:"" help:"Show a run's history, and check the rules on it again."`
+	Hunt   fleetHuntCmd   `cmd:"" help:"Add random faults to a schedule, seed by seed, and shrink the first schedule that breaks a rule."`
+	List   fleetListCmd   `cmd:"" help:"List the shipped schedules."`
 }
 
-// errBroken is for a run whose history breaks a rule: exit status 1.
-var errBroken = errors.New("a rule was broken")
+// errRuleBroken means that the history of a run breaks a rule; exit status 1.
+var errRuleBroken = errors.New("a rule was broken")
 
-// Run lists the shipped schedules.
-func (c *fleetListCmd) Run(s *streams) error {
+// Run lists the shipped schedules, each with the comment in its first line.
+func (c *fleetListCmd) Run(streams *stdStreams) error {
 	for _, name := range schedules.Names() {
 		text, err := schedules.Text(name)
 		if err != nil {
 			return err
 		}
 		first, _, _ := strings.Cut(string(text), "\n")
-		fmt.Fprintf(s.out, "%-16s %s\n", name, strings.TrimPrefix(first, "# "))
+		fmt.Fprintf(streams.out, "%-16s %s\n", name, strings.TrimPrefix(first, "# "))
 	}
 	return nil
 }
 
-// Run hunts for a breach.
-func (c *fleetHuntCmd) Run(s *streams) error {
-	plan, binary, err := c.plan()
+// Run tries one seed after another until a schedule breaks a rule, and shrinks that schedule.
+func (c *fleetHuntCmd) Run(streams *stdStreams) error {
+	schedule, binary, err := c.loadSchedule()
 	if err != nil {
 		return err
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	breaks := func(x *fleet.Schedule) (bool, error) {
-		h, err := fleet.Run(ctx, x, binary)
+	breaksRule := func(candidate *fleet.Schedule) (bool, error) {
+		history, err := fleet.Run(ctx, candidate, binary)
 		if err != nil {
 			return false, err
 		}
-		all := fleet.Held(fleet.Check(h))
-		for n, f := range all[:min(len(all), 3)] {
-			fmt.Fprintf(s.out, "  %d of %d: %v\n", n+1, len(all), f)
+		findings := fleet.Held(fleet.Check(history))
+		for n, f := range findings[:min(len(findings), 3)] {
+			fmt.Fprintf(streams.out, "  %d of %d: %v\n", n+1, len(findings), f)
 		}
-		return len(all) > 0, nil
+		return len(findings) > 0, nil
 	}
 	for seed := c.From; seed < c.From+uint64(c.Count); seed++ {
-		x := fleet.Draw(*plan, seed, c.Faults)
-		fmt.Fprintf(s.out, "seed %d: %v\n", seed, x.Faults)
-		broken, err := breaks(x)
+		candidate := fleet.Draw(*schedule, seed, c.Faults)
+		fmt.Fprintf(streams.out, "seed %d: %v\n", seed, candidate.Faults)
+		broken, err := breaksRule(candidate)
 		if err != nil {
 			return err
 		}
 		if !broken {
 			continue
 		}
-		if x, err = fleet.Shrink(x, breaks); err != nil {
+		if candidate, err = fleet.Shrink(candidate, breaksRule); err != nil {
 			return err
 		}
-		fmt.Fprintf(s.out, "shrunk to %v\n", x.Faults)
+		fmt.Fprintf(streams.out, "shrunk to %v\n", candidate.Faults)
 		if c.Worst != "" {
-			text, err := x.Text()
+			text, err := candidate.Text()
 			if err == nil {
 				err = os.WriteFile(c.Worst, text, 0o644)
 			}
@@ -108,14 +109,14 @@
 				return err
 			}
 		}
-		return errBroken
+		return errRuleBroken
 	}
 	return nil
 }
 
-// plan is the schedule that is meant, with what the flags change of it, and the daemon's
-// binary.
-func (c *fleetRunCmd) plan() (plan *fleet.Schedule, binary string, err error) {
+// loadSchedule returns the schedule with the changes that the flags make, and the absolute path of
+// the daemon's binary.
+func (c *fleetRunCmd) loadSchedule() (schedule *fleet.Schedule, binary string, err error) {
 	text, err := os.ReadFile(c.Schedule)
 	if errors.Is(err, os.ErrNotExist) && !strings.ContainsAny(c.Schedule, "./") {
 		text, err = schedules.Text(c.Schedule)
@@ -123,22 +124,22 @@
 	if err != nil {
 		return nil, "", err
 	}
-	plan, err = fleet.Read(text)
+	schedule, err = fleet.Read(text)
 	if err != nil {
 		return nil, "", err
 	}
-	plan.Scale(c.Sidecars, c.Servers, c.Rate)
+	schedule.Scale(c.Sidecars, c.Servers, c.Rate)
 	if c.Seed > 0 {
-		plan.Seed = c.Seed
+		schedule.Seed = c.Seed
 	}
 	if c.Features != "" {
-		own, err := os.ReadFile(c.Features)
+		features, err := os.ReadFile(c.Features)
 		if err != nil {
 			return nil, "", err
 		}
-		plan.Features = string(own)
+		schedule.Features = string(features)
 	}
-	if err := plan.Validate(); err != nil {
+	if err := schedule.Validate(); err != nil {
 		return nil, "", err
 	}
 	binary, err = filepath.Abs(c.Binary)
@@ -148,67 +149,70 @@
 	if _, err := os.Stat(binary); err != nil {
 		return nil, "", fmt.Errorf("--binary: %w", err)
 	}
-	return plan, binary, nil
+	return schedule, binary, nil
 }
 
-// Run plays a schedule.
-func (c *fleetRunCmd) Run(s *streams) error {
-	plan, binary, err := c.plan()
+// Run runs a schedule, writes its history and prints the report.
+func (c *fleetRunCmd) Run(streams *stdStreams) error {
+	schedule, binary, err := c.loadSchedule()
 	if err != nil {
 		return err
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	fmt.Fprintf(s.err, "%s: %d sidecars, %v\n", plan.Name, plan.Sidecars, time.Duration(plan.Length))
-	h, err := fleet.Run(ctx, plan, binary)
+	fmt.Fprintf(streams.err, "%s: %d sidecars, %v\n", schedule.Name, schedule.Sidecars, time.Duration(schedule.Length))
+	history, err := fleet.Run(ctx, schedule, binary)
 	if err != nil {
 		return err
 	}
 	if c.History != "" {
-		if err := toFile(c.History, h.Write); err != nil {
+		if err := writeFile(c.History, history.Write); err != nil {
 			return err
 		}
 	}
-	return fleetText(s, h, c.HTML)
+	return printHistory(streams, history, c.HTML)
 }
 
-// Run shows a history.
-func (c *fleetReportCmd) Run(s *streams) error {
-	f, err := os.Open(c.History)
+// Run prints the report of a recorded history.
+func (c *fleetReportCmd) Run(streams *stdStreams) error {
+	file, err := os.Open(c.History)
 	if err != nil {
 		return err
 	}
-	defer f.Close()
-	h, err := fleet.ReadHistory(f)
+	defer file.Close()
+	history, err := fleet.ReadHistory(file)
 	if err != nil {
 		return err
 	}
-	return fleetText(s, h, c.HTML)
+	return printHistory(streams, history, c.HTML)
 }
 
-func fleetText(s *streams, h *fleet.History, page string) error {
-	if err := h.Text(s.out); err != nil {
+// printHistory prints the report of a history and writes it as a page, if htmlPath is not empty. It
+// returns errRuleBroken if the history breaks a rule.
+func printHistory(streams *stdStreams, history *fleet.History, htmlPath string) error {
+	if err := history.Text(streams.out); err != nil {
 		return err
 	}
-	if page != "" {
-		if err := toFile(page, h.HTML); err != nil {
+	if htmlPath != "" {
+		if err := writeFile(htmlPath, history.HTML); err != nil {
 			return err
 		}
 	}
-	if len(fleet.Held(fleet.Check(h))) > 0 {
-		return errBroken
+	if len(fleet.Held(fleet.Check(history))) > 0 {
+		return errRuleBroken
 	}
 	return nil
 }
 
-func toFile(path string, write func(io.Writer) error) error {
-	f, err := os.Create(path)
+// writeFile creates a file and fills it with write.
+func writeFile(path string, write func(io.Writer) error) error {
+	file, err := os.Create(path)
 	if err != nil {
 		return err
 	}
-	if err := write(f); err != nil {
-		f.Close()
+	if err := write(file); err != nil {
+		file.Close()
 		return err
 	}
-	return f.Close()
+	return file.Close()
 }
--- a/cmd/fawnctl/import.go
+++ b/cmd/fawnctl/import.go
@@ -18,55 +18,57 @@
 )
 
 type importCmd struct {
-	Haproxy haproxyCmd `cmd:"" name:"haproxy" help:"Read HAProxy's configuration and make routes and pools of it, with a verdict on each directive."`
+	Haproxy importHaproxyCmd `cmd:"" name:"haproxy" help:"Convert HAProxy's configuration to routes and pools, with a verdict on each directive."`
 }
 
-type haproxyCmd struct {
-	Files   []string `arg:"" name:"file" help:"Files, or folders whose *.cfg files are taken in their order."`
-	Out     string   `placeholder:"DIR" help:"Write features.toml there; without it nothing is written."`
-	Report  string   `enum:"text,json" default:"text" help:"text or json."`
-	Version string   `help:"Of the HAProxy that the files are for, as 2.8; conditional blocks ask for it."`
-	Safe    string   `name:"safe-class" help:"The class of imported requests by GET, HEAD and OPTIONS; without it their paths name it."`
-	Other   string   `name:"other-class" help:"That of all others, which --safe-class needs."`
-	Classes []string `help:"The platform's classes, by name: checks must not ask for their paths."`
+type importHaproxyCmd struct {
+	Files   []string `arg:"" name:"file" help:"Files, or folders whose *.cfg files are read in order of their names."`
+	Out     string   `placeholder:"DIR" help:"Write features.toml to this folder; by default nothing is written."`
+	Report  string   `enum:"text,json" default:"text" help:"Format of the report: text or json."`
+	Version string   `help:"HAProxy version that the files are for, such as 2.8; conditional blocks test it."`
+	Safe    string   `name:"safe-class" help:"Class of imported requests with GET, HEAD and OPTIONS; by default a request's path determines its class."`
+	Other   string   `name:"other-class" help:"Class of all other imported requests; required with --safe-class."`
+	Classes []string `help:"Names of the platform's classes: health checks must not request their paths."`
 }
 
-// What an import found, by its exit status.
+// Results of an import that have their own exit status: 1, 2 and 3. Other commands return
+// errUnreadable as well.
 var (
-	errLosses     = errors.New("not everything was carried over")
-	errDangers    = errors.New("something dangerous was left out: decide by hand")
-	errUnreadable = errors.New("the files can't be read as they stand")
+	errPartialImport       = errors.New("not everything was carried over")
+	errDangerousDirectives = errors.New("something dangerous was left out: decide by hand")
+	errUnreadable          = errors.New("the files can't be read or parsed")
 )
 
-// sources reads files, and the *.cfg of folders.
-func sources(paths []string) (all []haproxy.Source, err error) {
-	for _, p := range paths {
-		files := []string{p}
-		if info, err := os.Stat(p); err == nil && info.IsDir() {
-			if files, err = filepath.Glob(filepath.Join(p, "*.cfg")); err != nil {
+// readSources reads the files, and the *.cfg files of folders in order of their names. It reads one
+// byte more than haproxy.Read accepts, so that Read reports a file that is too long.
+func readSources(paths []string) (sources []haproxy.Source, err error) {
+	for _, path := range paths {
+		files := []string{path}
+		if info, err := os.Stat(path); err == nil && info.IsDir() {
+			if files, err = filepath.Glob(filepath.Join(path, "*.cfg")); err != nil {
 				return nil, err
 			}
 		}
-		for _, f := range files {
-			r, err := os.Open(f)
+		for _, name := range files {
+			file, err := os.Open(name)
 			if err != nil {
 				return nil, err
 			}
-			text, err := io.ReadAll(io.LimitReader(r, haproxy.TextMost+1))
-			r.Close()
+			text, err := io.ReadAll(io.LimitReader(file, haproxy.TextMost+1))
+			file.Close()
 			if err != nil {
 				return nil, err
 			}
-			all = append(all, haproxy.Source{Name: f, Text: string(text)})
+			sources = append(sources, haproxy.Source{Name: name, Text: string(text)})
 		}
 	}
-	return all, nil
+	return sources, nil
 }
 
-// known says whether a directive is one that the importer has a verdict for.
+// knownDirective reports whether the importer has a verdict for a directive.
 func knownDirective(_, name string) bool {
-	for k := range translate.Keywords {
-		if first, _, _ := strings.Cut(k, " "); first == name {
+	for keyword := range translate.Keywords {
+		if first, _, _ := strings.Cut(keyword, " "); first == name {
 			return true
 		}
 	}
@@ -77,29 +79,30 @@
 	return false
 }
 
-// Run imports.
-func (c *haproxyCmd) Run(s *streams) error {
+// Run converts the files, writes features.toml and prints the verdicts. The error follows from the
+// worst verdict.
+func (c *importHaproxyCmd) Run(streams *stdStreams) error {
 	if (c.Safe == "") != (c.Other == "") {
 		return errors.New("--safe-class and --other-class go together")
 	}
-	files, err := sources(c.Files)
+	files, err := readSources(c.Files)
 	if err != nil {
 		return fmt.Errorf("%w: %w", errUnreadable, err)
 	}
 	cfg := haproxy.Read(files, haproxy.Options{Env: os.LookupEnv, Version: c.Version, Directive: knownDirective})
-	r := translate.Translate(cfg, translate.Options{Classes: c.Classes, SafeClass: c.Safe, OtherClass: c.Other})
-	own := struct {
+	translation := translate.Translate(cfg, translate.Options{Classes: c.Classes, SafeClass: c.Safe, OtherClass: c.Other})
+	settings := struct {
 		Version   int                 `toml:"version"`
 		Listeners []features.Listener `toml:"listeners,omitempty"`
 		Pools     []features.Pool     `toml:"pools,omitempty"`
 		Routes    []features.Route    `toml:"routes,omitempty"`
-	}{features.Version, r.Listeners, r.Pools, r.Routes}
-	text, err := toml.Marshal(own)
+	}{features.Version, translation.Listeners, translation.Pools, translation.Routes}
+	text, err := toml.Marshal(settings)
 	if err != nil {
 		return err
 	}
 	if _, err := features.Parse("features.toml", text); err != nil {
-		return fmt.Errorf("what was made is no good: %w", err)
+		return fmt.Errorf("the converted settings are not valid: %w", err)
 	}
 	if c.Out != "" {
 		if err := os.WriteFile(filepath.Join(c.Out, "features.toml"), text, 0o600); err != nil {
@@ -107,34 +110,34 @@
 		}
 	}
 	counts := make(map[string]int)
-	for _, e := range r.Entries {
-		counts[e.Word]++
+	for _, entry := range translation.Entries {
+		counts[entry.Word]++
 	}
 	if c.Report == "json" {
-		err = json.NewEncoder(s.out).Encode(map[string]any{"directives": r.Entries, "counts": counts, "problems": cfg.Problems, "pools": len(r.Pools), "routes": len(r.Routes)})
+		err = json.NewEncoder(streams.out).Encode(map[string]any{"directives": translation.Entries, "counts": counts, "problems": cfg.Problems, "pools": len(translation.Pools), "routes": len(translation.Routes)})
 	} else {
-		w := tabwriter.NewWriter(s.out, 0, 0, 2, ' ', 0)
-		for _, e := range r.Entries {
-			if e.Verdict != translate.Carried {
-				fmt.Fprintf(w, "%s\t%s\t%s\t%s\n", e.At, e.Word, e.Text, e.Why)
+		w := tabwriter.NewWriter(streams.out, 0, 0, 2, ' ', 0)
+		for _, entry := range translation.Entries {
+			if entry.Verdict != translate.Carried {
+				fmt.Fprintf(w, "%s\t%s\t%s\t%s\n", entry.At, entry.Word, entry.Text, entry.Why)
 			}
 		}
 		w.Flush()
 		for _, p := range cfg.Problems {
-			fmt.Fprintln(s.err, p)
+			fmt.Fprintln(streams.err, p)
 		}
-		_, err = fmt.Fprintf(s.out, "%d directives: %d carried, %d with a difference, %d not carried, %d dangerous; %d pools, %d routes\n",
-			len(r.Entries), r.Count(translate.Carried), r.Count(translate.Different), r.Count(translate.Lost), r.Count(translate.Danger), len(r.Pools), len(r.Routes))
+		_, err = fmt.Fprintf(streams.out, "%d directives: %d carried, %d with a difference, %d not carried, %d dangerous; %d pools, %d routes\n",
+			len(translation.Entries), translation.Count(translate.Carried), translation.Count(translate.Different), translation.Count(translate.Lost), translation.Count(translate.Danger), len(translation.Pools), len(translation.Routes))
 	}
 	switch {
 	case err != nil:
 		return err
 	case len(cfg.Problems) > 0:
 		return errUnreadable
-	case r.Count(translate.Danger) > 0:
-		return errDangers
-	case r.Count(translate.Lost)+r.Count(translate.Different) > 0:
-		return errLosses
+	case translation.Count(translate.Danger) > 0:
+		return errDangerousDirectives
+	case translation.Count(translate.Lost)+translation.Count(translate.Different) > 0:
+		return errPartialImport
 	}
 	return nil
 }
--- a/cmd/fawnctl/import_test.go
+++ b/cmd/fawnctl/import_test.go
@@ -18,25 +18,26 @@
 	"chalkrack/internal/standin"
 )
 
-// asked is a request at an imported setup, and what the manual says becomes of it.
-type askedOf struct {
-	host, method, path, field string
-	status                    int
-	servers                   string // any of them
-	attempts                  int    // 0: any number
-	by                        string // E: the further listener; empty: the platform's
+// sampleRequest is a request to a daemon with imported settings, and the result that HAProxy's
+// manual requires.
+type sampleRequest struct {
+	host, method, path, header string
+	wantStatus                 int
+	wantServers                string // names of the servers that may serve it; empty: none
+	wantAttempts               int    // 0: any number
+	listener                   string // E: the second listener; empty: the platform's
 }
 
-// samples are configurations in the shapes of real ones. A to D stand for the addresses
-// of stand-ins. Each request goes where HAProxy's manual says; each text in says is a
-// line's verdict with a part of the directive.
+// samples are configurations like those in use. A to D stand for the addresses of stand-in servers,
+// E for the address of a second listener. Each request must go where HAProxy's manual says. Each
+// text in wantVerdicts is the verdict on a line and a part of the directive.
 var samples = []struct {
-	name, text string
-	exit       int
-	asks       []askedOf
-	says       []string
-	down       string                  // a server that is dead
-	does       map[string]standin.Kind // what servers do in place of answering
+	name, text   string
+	wantExit     int
+	requests     []sampleRequest
+	wantVerdicts []string
+	deadServer   string                  // name of a server that is killed
+	serverKinds  map[string]standin.Kind // what servers do in place of answering, by name
 }{
 	{name: "web farm", text: `
 global
@@ -55,8 +56,8 @@
 	balance roundrobin
 	server a A check
 	server b B check weight 10
-`, exit: 1, asks: []askedOf{{"x", "GET", "/", "", 200, "a b", 0, ""}, {"x", "POST", "/buy", "", 200, "a b", 0, ""}},
-		says: []string{"not carried|maxconn 2000", "carried with a difference|retries 2", "carried|option redispatch", "carried|server a A check"}},
+`, wantExit: 1, requests: []sampleRequest{{"x", "GET", "/", "", 200, "a b", 0, ""}, {"x", "POST", "/buy", "", 200, "a b", 0, ""}},
+		wantVerdicts: []string{"not carried|maxconn 2000", "carried with a difference|retries 2", "carried|option redispatch", "carried|server a A check"}},
 	{name: "api gateway, order of rules", text: `
 frontend api
 	mode http
@@ -82,10 +83,10 @@
 backend three
 	mode http
 	server c C
-`, exit: 1, asks: []askedOf{
+`, wantExit: 1, requests: []sampleRequest{
 		{"x", "GET", "/V1/Admin/x", "", 403, "", 0, ""}, {"x", "GET", "/v1/a", "", 200, "a", 0, ""}, {"x", "GET", "/v1/late", "", 403, "", 0, ""}, {"x", "POST", "/v1/a", "", 200, "b", 0, ""},
 		{"x", "GET", "/other", "X-Beta: 1", 200, "b", 0, ""}, {"shop.example", "GET", "/other", "", 200, "c", 0, ""}, {"shop.example:80", "GET", "/v1/a", "", 200, "a", 0, ""},
-	}, says: []string{"carried|http-request deny if admin", "carried|use_backend two if v1 write || beta"}},
+	}, wantVerdicts: []string{"carried|http-request deny if admin", "carried|use_backend two if v1 write || beta"}},
 	{name: "redirects, answers, a backup", text: `
 listen all
 	mode http
@@ -96,8 +97,8 @@
 	http-request deny deny_status 405 if { method TRACE }
 	server a A check inter 2s fall 1
 	server b B check backup
-`, exit: 1, asks: []askedOf{{"x", "GET", "/old", "", 301, "", 0, ""}, {"x", "GET", "/a.probe", "", 200, "", 0, ""}, {"x", "TRACE", "/", "", 405, "", 0, ""}, {"x", "GET", "/", "", 200, "a", 0, ""}},
-		says: []string{"carried with a difference|option httpchk GET /ping", "carried|server b B check backup"}},
+`, wantExit: 1, requests: []sampleRequest{{"x", "GET", "/old", "", 301, "", 0, ""}, {"x", "GET", "/a.probe", "", 200, "", 0, ""}, {"x", "TRACE", "/", "", 405, "", 0, ""}, {"x", "GET", "/", "", 200, "a", 0, ""}},
+		wantVerdicts: []string{"carried with a difference|option httpchk GET /ping", "carried|server b B check backup"}},
 	{name: "what would repeat, inherited", text: `
 defaults base
 	mode http
@@ -111,8 +112,8 @@
 backend b from web
 	http-check send meth PUT uri /touch
 	server a A check
-`, exit: 2, asks: []askedOf{{"x", "GET", "/", "", 200, "a", 0, ""}},
-		says: []string{"dangerous|retry-on all-retryable-errors", "dangerous|option httpchk POST", "dangerous|http-check send meth PUT"}},
+`, wantExit: 2, requests: []sampleRequest{{"x", "GET", "/", "", 200, "a", 0, ""}},
+		wantVerdicts: []string{"dangerous|retry-on all-retryable-errors", "dangerous|option httpchk POST", "dangerous|http-check send meth PUT"}},
 	{name: "TCP, TLS, tables, unknown sections", text: `
 peers mine
 	peer p1 192.0.2.1:1024
@@ -145,8 +146,8 @@
 	server a A ssl verify none
 	server b db.example.com:80
 	server c C cookie c
-`, exit: 3, asks: []askedOf{{"x", "GET", "/", "", 200, "c", 0, ""}},
-		says: []string{"not carried|peer p1", "not carried|what 1", "not carried|use_backend %[", "not carried|use_backend nowhere", "not carried|unless", "not carried|surprise me",
+`, wantExit: 3, requests: []sampleRequest{{"x", "GET", "/", "", 200, "c", 0, ""}},
+		wantVerdicts: []string{"not carried|peer p1", "not carried|what 1", "not carried|use_backend %[", "not carried|use_backend nowhere", "not carried|unless", "not carried|surprise me",
 			"not carried|server a A ssl", "not carried|server b db", "carried with a difference|server c C cookie", "not carried|frontend second", "not carried|frontend db", "not carried|cookie SRV"}},
 	{name: "blocks", text: `
 frontend f
@@ -165,7 +166,7 @@
 backend two
 	mode http
 	server b B
-`, exit: 2, asks: []askedOf{{"x", "GET", "/", "", 200, "a", 0, ""}}, says: []string{"dangerous|http-request deny", "not carried|default_backend two"}},
+`, wantExit: 2, requests: []sampleRequest{{"x", "GET", "/", "", 200, "a", 0, ""}}, wantVerdicts: []string{"dangerous|http-request deny", "not carried|default_backend two"}},
 	{name: "blue and green", text: `
 defaults
 	mode http
@@ -178,8 +179,8 @@
 	server a A
 backend green
 	server b B
-`, exit: 1, asks: []askedOf{{"x", "GET", "/", "", 200, "a", 0, ""}, {"x", "GET", "/", "X-Env: green", 200, "b", 0, ""}, {"green.example", "POST", "/", "", 200, "b", 0, ""}, {"x", "GET", "/", "X-Env: greener", 200, "a", 0, ""}},
-		says: []string{"carried|default-server check", "carried|default_backend blue"}},
+`, wantExit: 1, requests: []sampleRequest{{"x", "GET", "/", "", 200, "a", 0, ""}, {"x", "GET", "/", "X-Env: green", 200, "b", 0, ""}, {"green.example", "POST", "/", "", 200, "b", 0, ""}, {"x", "GET", "/", "X-Env: greener", 200, "a", 0, ""}},
+		wantVerdicts: []string{"carried|default-server check", "carried|default_backend blue"}},
 	{name: "a page for maintenance", text: `
 frontend f
 	mode http
@@ -188,8 +189,8 @@
 backend one
 	mode http
 	server a A
-`, exit: 1, asks: []askedOf{{"x", "GET", "/shop/x", "", 503, "", 0, ""}, {"x", "GET", "/shopping", "", 503, "", 0, ""}, {"x", "GET", "/", "", 200, "a", 0, ""}},
-		says: []string{"carried with a difference|http-request return"}},
+`, wantExit: 1, requests: []sampleRequest{{"x", "GET", "/shop/x", "", 503, "", 0, ""}, {"x", "GET", "/shopping", "", 503, "", 0, ""}, {"x", "GET", "/", "", 200, "a", 0, ""}},
+		wantVerdicts: []string{"carried with a difference|http-request return"}},
 	{name: "several files", text: `
 defaults common
 	mode http
@@ -203,7 +204,7 @@
 	server a A
 backend two from common
 	server b B
-`, exit: 1, asks: []askedOf{{"x", "GET", "/two", "", 200, "b", 0, ""}, {"x", "GET", "/two/x", "", 200, "a", 0, ""}}, says: []string{"carried with a difference|retries 1", "carried|backend two from common"}},
+`, wantExit: 1, requests: []sampleRequest{{"x", "GET", "/two", "", 200, "b", 0, ""}, {"x", "GET", "/two/x", "", 200, "a", 0, ""}}, wantVerdicts: []string{"carried with a difference|retries 1", "carried|backend two from common"}},
 	{name: "many services, the first rule that holds", text: `
 frontend f
 	mode http
@@ -227,10 +228,10 @@
 backend d
 	mode http
 	server d D
-`, exit: 1, asks: []askedOf{
+`, wantExit: 1, requests: []sampleRequest{
 		{"x", "GET", "/orders/admin", "", 200, "b", 0, ""}, {"x", "GET", "/basket", "", 200, "a", 0, ""}, {"x", "GET", "/v12/x", "", 200, "c", 0, ""},
 		{"x", "GET", "/a/status/b", "", 200, "c", 0, ""}, {"x", "GET", "/vx", "", 200, "d", 0, ""}, {"x", "GET", "/status-check", "X-Key: 1", 200, "s1", 0, ""},
-	}, says: []string{"not carried|use_backend d if is_orders is_admin", "carried|use_backend c if", "carried|use_backend d if !{"}},
+	}, wantVerdicts: []string{"not carried|use_backend d if is_orders is_admin", "carried|use_backend c if", "carried|use_backend d if !{"}},
 	{name: "variables and quotes", text: `
 frontend f
 	mode http
@@ -243,7 +244,7 @@
 backend other
 	mode http
 	server b B weight 10 # twice as much as nothing
-`, exit: 1, asks: []askedOf{{"x", "GET", "/a%20b", "", 200, "a", 0, ""}, {"x", "GET", "/", "", 200, "b", 0, ""}}, says: []string{"carried|use_backend \"$FAWN_TEST_POOL\""}},
+`, wantExit: 1, requests: []sampleRequest{{"x", "GET", "/a%20b", "", 200, "a", 0, ""}, {"x", "GET", "/", "", 200, "b", 0, ""}}, wantVerdicts: []string{"carried|use_backend \"$FAWN_TEST_POOL\""}},
 	{name: "static files by their ends", text: `
 frontend f
 	mode http
@@ -257,7 +258,7 @@
 backend app
 	mode http
 	server b B
-`, exit: 1, asks: []askedOf{{"x", "GET", "/x.PNG", "", 200, "a", 0, ""}, {"x", "POST", "/x.png", "", 200, "b", 0, ""}, {"x", "GET", "/x.png/y", "", 200, "b", 0, ""}}, says: []string{"carried|use_backend files if static get"}},
+`, wantExit: 1, requests: []sampleRequest{{"x", "GET", "/x.PNG", "", 200, "a", 0, ""}, {"x", "POST", "/x.png", "", 200, "b", 0, ""}, {"x", "GET", "/x.png/y", "", 200, "b", 0, ""}}, wantVerdicts: []string{"carried|use_backend files if static get"}},
 	{name: "names that are wrong", text: `
 defaults a from b
 	mode http
@@ -275,7 +276,7 @@
 	server b B
 backend lonely from nowhere
 	server c C
-`, exit: 3, asks: []askedOf{{"x", "GET", "/", "", 200, "a", 0, ""}}, says: []string{"not carried|frontend f"}},
+`, wantExit: 3, requests: []sampleRequest{{"x", "GET", "/", "", 200, "a", 0, ""}}, wantVerdicts: []string{"not carried|frontend f"}},
 	{name: "a server that is down", text: `
 defaults
 	mode http
@@ -285,16 +286,16 @@
 listen all
 	server a A
 	server b B
-`, exit: 1, down: "a", asks: []askedOf{{"x", "GET", "/", "", 200, "b", 1, ""}, {"x", "POST", "/", "", 200, "b", 1, ""}, {"x", "POST", "/", "", 200, "b", 1, ""}, {"x", "POST", "/", "", 200, "b", 1, ""}},
-		says: []string{"carried|retry-on conn-failure", "carried with a difference|retries 3"}},
+`, wantExit: 1, deadServer: "a", requests: []sampleRequest{{"x", "GET", "/", "", 200, "b", 1, ""}, {"x", "POST", "/", "", 200, "b", 1, ""}, {"x", "POST", "/", "", 200, "b", 1, ""}, {"x", "POST", "/", "", 200, "b", 1, ""}},
+		wantVerdicts: []string{"carried|retry-on conn-failure", "carried with a difference|retries 3"}},
 	{name: "what may have run", text: `
 listen all
 	mode http
 	retries 1
 	server a A
 	server b B
-`, exit: 1, does: map[string]standin.Kind{"a": standin.ResetLate, "b": standin.ResetLate},
-		asks: []askedOf{{"x", "POST", "/", "", 502, "a b", 1, ""}, {"x", "GET", "/", "", 503, "a b", 2, ""}}, says: []string{"carried with a difference|retries 1"}},
+`, wantExit: 1, serverKinds: map[string]standin.Kind{"a": standin.ResetLate, "b": standin.ResetLate},
+		requests: []sampleRequest{{"x", "POST", "/", "", 502, "a b", 1, ""}, {"x", "GET", "/", "", 503, "a b", 2, ""}}, wantVerdicts: []string{"carried with a difference|retries 1"}},
 	{name: "sticky sessions", text: `
 frontend f
 	mode http
@@ -305,8 +306,8 @@
 	stick-table type ip size 200k expire 30m
 	stick on src
 	server a A cookie a check
-`, exit: 1, asks: []askedOf{{"x", "GET", "/", "Cookie: SRV=b", 200, "a", 1, ""}},
-		says: []string{"not carried|cookie SRV", "not carried|stick-table", "not carried|stick on", "carried with a difference|server a"}},
+`, wantExit: 1, requests: []sampleRequest{{"x", "GET", "/", "Cookie: SRV=b", 200, "a", 1, ""}},
+		wantVerdicts: []string{"not carried|cookie SRV", "not carried|stick-table", "not carried|stick on", "carried with a difference|server a"}},
 	{name: "a database alone", text: `
 listen db
 	mode tcp
@@ -314,7 +315,7 @@
 	option tcp-check
 	server d D check
 	server c C check backup
-`, exit: 1, asks: []askedOf{{"x", "GET", "/status-check", "", 200, "s1", 1, ""}}, says: []string{"not carried|server d", "not carried|listen db"}},
+`, wantExit: 1, requests: []sampleRequest{{"x", "GET", "/status-check", "", 200, "s1", 1, ""}}, wantVerdicts: []string{"not carried|server d", "not carried|listen db"}},
 	{name: "a check with a host", text: `
 listen all
 	mode http
@@ -322,7 +323,7 @@
 	http-check send meth GET uri /ping hdr Host www
 	http-check expect status 200
 	server a A check inter 2s rise 1 fall 2
-`, exit: 1, asks: []askedOf{{"x", "GET", "/", "", 200, "a", 1, ""}}, says: []string{"carried with a difference|http-check send", "carried with a difference|http-check expect"}},
+`, wantExit: 1, requests: []sampleRequest{{"x", "GET", "/", "", 200, "a", 1, ""}}, wantVerdicts: []string{"carried with a difference|http-check send", "carried with a difference|http-check expect"}},
 	{name: "servers that are left out", text: `
 listen all
 	mode http
@@ -331,8 +332,8 @@
 	server b B weight 256 maxconn 10 slowstart 2s
 	server c C disabled
 	server d D mystery
-`, exit: 1, asks: []askedOf{{"x", "GET", "/", "", 200, "b", 1, ""}, {"x", "POST", "/", "", 200, "b", 1, ""}},
-		says: []string{"not carried|server a", "carried with a difference|server b", "not carried|server c", "not carried|server d", "not carried|fullconn"}},
+`, wantExit: 1, requests: []sampleRequest{{"x", "GET", "/", "", 200, "b", 1, ""}, {"x", "POST", "/", "", 200, "b", 1, ""}},
+		wantVerdicts: []string{"not carried|server a", "carried with a difference|server b", "not carried|server c", "not carried|server d", "not carried|fullconn"}},
 	{name: "a queue", text: `
 defaults
 	mode http
@@ -346,8 +347,8 @@
 backend one_is_open
 	server d D
 	server c C maxconn 0
-`, exit: 1, asks: []askedOf{{"x", "GET", "/", "", 200, "a b", 1, ""}},
-		says: []string{"carried with a difference|timeout queue", "carried with a difference|server a"}},
+`, wantExit: 1, requests: []sampleRequest{{"x", "GET", "/", "", 200, "a b", 1, ""}},
+		wantVerdicts: []string{"carried with a difference|timeout queue", "carried with a difference|server a"}},
 	{name: "two frontends", text: `
 defaults
 	mode http
@@ -366,10 +367,10 @@
 	server b B
 backend three
 	server c C
-`, exit: 1, asks: []askedOf{
+`, wantExit: 1, requests: []sampleRequest{
 		{"x", "GET", "/one", "", 200, "a", 1, ""}, {"x", "GET", "/two", "", 200, "b", 1, ""},
 		{"x", "GET", "/one", "", 403, "", 0, "E"}, {"x", "GET", "/two", "", 200, "c", 1, "E"},
-	}, says: []string{"carried|frontend inner", "carried with a difference|bind E", "not carried|bind 127.0.0.1:82"}},
+	}, wantVerdicts: []string{"carried|frontend inner", "carried with a difference|bind E", "not carried|bind 127.0.0.1:82"}},
 	{name: "what keeps requests out", text: `
 frontend f
 	mode http
@@ -385,44 +386,45 @@
 	http-request deny if { path /x }
 	http-request tarpit if { path /y }
 	server a A
-`, exit: 2, asks: []askedOf{{"x", "GET", "/", "", 200, "a", 0, ""}, {"x", "HEAD", "/slow", "", 429, "", 0, ""}},
-		says: []string{"dangerous|http-request deny if !inside", "dangerous|http-request auth", "carried|deny_status 429", "dangerous|tcp-request connection reject",
+`, wantExit: 2, requests: []sampleRequest{{"x", "GET", "/", "", 200, "a", 0, ""}, {"x", "HEAD", "/slow", "", 429, "", 0, ""}},
+		wantVerdicts: []string{"dangerous|http-request deny if !inside", "dangerous|http-request auth", "carried|deny_status 429", "dangerous|tcp-request connection reject",
 			"not carried|inspect-delay", "dangerous|http-request deny if { path /x }", "dangerous|http-request tarpit"}},
 }
 
-// Each sample imports with a verdict on every directive and the exit status that its
-// worst one asks for, and what it became does with requests what HAProxy would.
+// Guards the import against a directive that is dropped or changed without a verdict. Each sample
+// must give one verdict for each directive, the exit status of the worst verdict, and settings with
+// which the daemon treats requests as HAProxy does.
 func TestImportHaproxy(t *testing.T) {
 	slog.SetDefault(slog.New(slog.DiscardHandler))
-	for _, c := range samples {
-		t.Run(c.name, func(t *testing.T) {
+	for _, sample := range samples {
+		t.Run(sample.name, func(t *testing.T) {
 			site, err := rig.NewSite(rig.SiteConfig{Servers: 1, Classes: rig.Patient(), NoHedge: true})
 			if err != nil {
 				t.Fatal(err)
 			}
 			defer site.Close()
-			text := c.text
-			var names []string // addresses back to what stands for them
+			text := sample.text
+			var names []string // pairs of an address and its letter, to restore the letters in the report
 			for _, name := range []string{"a", "b", "c", "d"} {
-				s, err := standin.NewServer(standin.ServerConfig{Name: name, Ledger: site.Ledger, Script: standin.Always(standin.Act{Kind: c.does[name]})})
+				s, err := standin.NewServer(standin.ServerConfig{Name: name, Ledger: site.Ledger, Script: standin.Always(standin.Act{Kind: sample.serverKinds[name]})})
 				if err != nil {
 					t.Fatal(err)
 				}
 				defer s.Close()
-				if name == c.down {
+				if name == sample.deadServer {
 					s.Kill()
 				}
 				text = strings.ReplaceAll(text, " "+strings.ToUpper(name), " "+s.Addr())
 				names = append(names, s.Addr(), strings.ToUpper(name))
 			}
 			dir := t.TempDir()
-			ln, err := net.Listen("tcp", "127.0.0.3:0") // free, and taken by nobody who goes out
+			listener, err := net.Listen("tcp", "127.0.0.3:0") // a free port; outgoing connections come from 127.0.0.1 and can't take it
 			if err != nil {
 				t.Fatal(err)
 			}
-			ln.Close()
-			text = strings.ReplaceAll(text, " E\n", " "+ln.Addr().String()+"\n")
-			names = append(names, ln.Addr().String(), "E")
+			listener.Close()
+			text = strings.ReplaceAll(text, " E\n", " "+listener.Addr().String()+"\n")
+			names = append(names, listener.Addr().String(), "E")
 			t.Setenv("FAWN_TEST_POOL", "shop")
 			for n, part := range strings.Split(text, "---\n") {
 				if err := os.WriteFile(filepath.Join(dir, fmt.Sprint(n, ".cfg")), []byte(part), 0o600); err != nil {
@@ -430,15 +432,15 @@
 				}
 			}
 			var out, errs bytes.Buffer
-			status := run([]string{"import", "haproxy", dir, "--out", dir, "--report", "json", "--safe-class", "status-check", "--other-class", "activate", "--classes", "status-check,activate"}, &streams{strings.NewReader(""), &out, &errs})
-			if status != c.exit {
-				t.Errorf("exit %d, want %d: %s", status, c.exit, errs.String())
+			status := run([]string{"import", "haproxy", dir, "--out", dir, "--report", "json", "--safe-class", "status-check", "--other-class", "activate", "--classes", "status-check,activate"}, &stdStreams{strings.NewReader(""), &out, &errs})
+			if status != sample.wantExit {
+				t.Errorf("exit %d, want %d: %s", status, sample.wantExit, errs.String())
 			}
-			var rep struct {
+			var decoded struct {
 				Directives []struct{ At, Directive, Verdict, Why string }
 				Counts     map[string]int
 			}
-			if err := json.Unmarshal(out.Bytes(), &rep); err != nil {
+			if err := json.Unmarshal(out.Bytes(), &decoded); err != nil {
 				t.Fatalf("%v\n%s", err, out.String())
 			}
 			lines, sum := 0, 0
@@ -447,84 +449,84 @@
 					lines++
 				}
 			}
-			for _, n := range rep.Counts {
+			for _, n := range decoded.Counts {
 				sum += n
 			}
-			if sum != lines || len(rep.Directives) != lines {
-				t.Errorf("%d lines, %d verdicts, counts %v", lines, len(rep.Directives), rep.Counts)
+			if sum != lines || len(decoded.Directives) != lines {
+				t.Errorf("%d lines, %d verdicts, counts %v", lines, len(decoded.Directives), decoded.Counts)
 			}
-			for _, s := range c.says {
+			for _, s := range sample.wantVerdicts {
 				verdict, part, _ := strings.Cut(s, "|")
-				for _, name := range []string{" A", " B", " C", " E"} { // addresses are the system's
+				for _, name := range []string{" A", " B", " C", " E"} { // addresses differ in each run
 					part, _, _ = strings.Cut(part, name)
 				}
-				if !slices.ContainsFunc(rep.Directives, func(d struct{ At, Directive, Verdict, Why string }) bool {
+				if !slices.ContainsFunc(decoded.Directives, func(d struct{ At, Directive, Verdict, Why string }) bool {
 					return d.Verdict == verdict && strings.Contains(d.Directive, part)
 				}) {
-					t.Errorf("%q is not said to be %s: %+v", part, verdict, rep.Directives)
+					t.Errorf("no directive with %q has the verdict %s: %+v", part, verdict, decoded.Directives)
 				}
 			}
 			var report strings.Builder
-			for _, d := range rep.Directives {
+			for _, d := range decoded.Directives {
 				fmt.Fprintf(&report, "%s\t%s\t%s\t%s\n", filepath.Base(d.At), d.Verdict, d.Directive, d.Why)
 			}
-			own, err := os.ReadFile(filepath.Join(dir, "features.toml"))
+			settings, err := os.ReadFile(filepath.Join(dir, "features.toml"))
 			if err != nil {
 				t.Fatal(err)
 			}
 			names = append(names, dir+string(filepath.Separator), "")
-			golden(t, c.name, strings.NewReplacer(names...).Replace(report.String()+"\n"+string(own)))
-			d, err := site.StartDaemon(1, string(own))
+			checkGolden(t, sample.name, strings.NewReplacer(names...).Replace(report.String()+"\n"+string(settings)))
+			daemon, err := site.StartDaemon(1, string(settings))
 			if err != nil {
-				t.Fatalf("%v\n%s", err, own)
+				t.Fatalf("%v\n%s", err, settings)
 			}
-			defer d.Stop()
-			for n, a := range c.asks {
+			defer daemon.Stop()
+			for n, request := range sample.requests {
 				id := fmt.Sprint("q", n)
-				to := d.Addr
-				if a.by != "" {
-					to = ln.Addr().String()
+				addr := daemon.Addr
+				if request.listener != "" {
+					addr = listener.Addr().String()
 				}
-				r, err := http.NewRequestWithContext(t.Context(), a.method, "http://"+to+a.path, nil)
+				httpRequest, err := http.NewRequestWithContext(t.Context(), request.method, "http://"+addr+request.path, nil)
 				if err != nil {
 					t.Fatal(err)
 				}
-				r.Host = a.host
-				r.Header.Set("Req-Id", id)
-				if name, value, ok := strings.Cut(a.field, ": "); ok {
-					r.Header.Set(name, value)
+				httpRequest.Host = request.host
+				httpRequest.Header.Set("Req-Id", id)
+				if name, value, ok := strings.Cut(request.header, ": "); ok {
+					httpRequest.Header.Set(name, value)
 				}
-				resp, err := (&http.Transport{DisableKeepAlives: true}).RoundTrip(r)
+				resp, err := (&http.Transport{DisableKeepAlives: true}).RoundTrip(httpRequest)
 				if err != nil {
 					t.Fatal(err)
 				}
 				io.Copy(io.Discard, resp.Body)
 				resp.Body.Close()
-				if got := site.Ledger.ID(id).Attempts; a.attempts > 0 && got != a.attempts {
-					t.Errorf("%s %s: %d attempts, want %d", a.method, a.path, got, a.attempts)
+				if got := site.Ledger.ID(id).Attempts; request.wantAttempts > 0 && got != request.wantAttempts {
+					t.Errorf("%s %s: %d attempts, want %d", request.method, request.path, got, request.wantAttempts)
 				}
-				if resp.StatusCode != a.status || (site.Ledger.ID(id).Attempts > 0) != (a.servers != "") {
-					t.Errorf("%s %s%s: %d, want %d\n%s", a.method, a.host, a.path, resp.StatusCode, a.status, own)
+				if resp.StatusCode != request.wantStatus || (site.Ledger.ID(id).Attempts > 0) != (request.wantServers != "") {
+					t.Errorf("%s %s%s: %d, want %d\n%s", request.method, request.host, request.path, resp.StatusCode, request.wantStatus, settings)
 				}
 				for _, got := range site.Ledger.Log() {
-					if got.ID == id && !slices.Contains(strings.Fields(a.servers), got.Server) {
-						t.Errorf("%s %s%s went to %s, want %s", a.method, a.host, a.path, got.Server, a.servers)
+					if got.ID == id && !slices.Contains(strings.Fields(request.wantServers), got.Server) {
+						t.Errorf("%s %s%s went to %s, want %s", request.method, request.host, request.path, got.Server, request.wantServers)
 					}
 				}
 			}
 		})
 	}
-	for _, e := range []example{
+	for _, e := range []commandCase{
 		{"haproxy nowhere.cfg", 3, "", "can't be read"},
 		{"haproxy " + os.DevNull, 0, "0 directives", ""},
 		{"haproxy " + os.DevNull + " --safe-class a", 1, "", "go together"},
 	} {
-		e.try(t, "import")
+		e.runAndCheck(t, "import")
 	}
 }
 
-// golden holds a report against the one in testdata. FAWN_GOLDEN=1 writes it anew.
-func golden(t *testing.T, name, got string) {
+// checkGolden compares a report with the one in testdata. FAWN_GOLDEN=1 writes that file anew.
+func checkGolden(t *testing.T, name, got string) {
 	t.Helper()
 	path := filepath.Join("testdata", "import", strings.Map(func(r rune) rune {
 		if r == ' ' || r == ',' {
@@ -542,6 +544,6 @@
 	}
 	want, err := os.ReadFile(path)
 	if err != nil || got != string(want) {
-		t.Errorf("not the report in %s (%v):\n%s", path, err, got)
+		t.Errorf("the report differs from %s (%v):\n%s", path, err, got)
 	}
 }
--- a/cmd/fawnctl/level.go
+++ b/cmd/fawnctl/level.go
@@ -27,137 +27,141 @@
 type levelCmd struct {
 	socketFlags
 	Pin   string        `placeholder:"LEVEL" help:"Hold a level by hand: normal, saving, trimmed, essential or emergency."`
-	For   time.Duration `default:"15m" help:"How long --pin holds it."`
+	For   time.Duration `default:"15m" help:"How long --pin holds the level."`
 	Unpin bool          `help:"End a --pin."`
-	Serve string        `placeholder:"ADDRESS" help:"Show it as a page (/), as JSON (/level) and for Prometheus (/metrics) at an address, until it is ended."`
+	Serve string        `placeholder:"ADDRESS" help:"Serve the level over HTTP at this address until interrupted: as a page (/), as JSON (/level) and for Prometheus (/metrics)."`
 }
 
-// Run shows or pins the level of service.
-func (c *levelCmd) Run(s *streams) error {
+// Run shows, pins or serves the level, as the flags say.
+func (c *levelCmd) Run(streams *stdStreams) error {
 	switch {
 	case c.Pin != "" && c.Unpin:
 		return errors.New("--pin and --unpin exclude each other")
 	case c.Pin != "" || c.Unpin:
-		ask := levels.PinRequest{Level: c.Pin, For: c.For}
+		request := levels.PinRequest{Level: c.Pin, For: c.For}
 		if c.Unpin {
-			ask.For = 0
+			request.For = 0
 		}
-		var v level.View
-		if err := admin.Do(context.Background(), c.Socket, "level/pin", ask, &v); err != nil {
-			var no admin.RefusedError
-			if errors.As(err, &no) {
-				return no
+		var view level.View
+		if err := admin.Do(context.Background(), c.Socket, "level/pin", request, &view); err != nil {
+			var refusal admin.RefusedError
+			if errors.As(err, &refusal) {
+				return refusal
 			}
-			return fmt.Errorf("%w: %w", errAway, err)
+			return fmt.Errorf("%w: %w", errDaemonUnreachable, err)
 		}
-		return levelText(s.out, &v)
+		return printLevel(streams.out, &view)
 	case c.Serve != "":
-		return c.serve(s)
+		return c.serve(streams)
 	}
-	var v level.View
-	if done, err := c.ask(s, "level", &v); done || err != nil {
+	var view level.View
+	if printed, err := c.fetchPage(streams, "level", &view); printed || err != nil {
 		return err
 	}
-	return levelText(s.out, &v)
+	return printLevel(streams.out, &view)
 }
 
-func levelText(out io.Writer, v *level.View) error {
+// printLevel prints the level, the classes it turns away, the sensors and the last changes, the
+// newest first.
+func printLevel(out io.Writer, view *level.View) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
-	fmt.Fprintf(w, "level\t%s, for %s\n", v.Level, v.Since.Round(time.Second))
-	if v.Pinned != "" {
-		fmt.Fprintf(w, "pinned\tfor another %s; by its conditions it would be %s\n", v.PinLeft.Round(time.Second), v.Free)
+	fmt.Fprintf(w, "level\t%s, for %s\n", view.Level, view.Since.Round(time.Second))
+	if view.Pinned != "" {
+		fmt.Fprintf(w, "pinned\tfor another %s; by its conditions it would be %s\n", view.PinLeft.Round(time.Second), view.Free)
 	}
-	if v.Holds > 0 {
-		fmt.Fprintf(w, "leaves\tafter %s of calm, of which %s have passed\n", v.Holds.Round(time.Second), v.Calm.Round(time.Second))
+	if view.Holds > 0 {
+		fmt.Fprintf(w, "leaves\tafter %s of calm, of which %s have passed\n", view.Holds.Round(time.Second), view.Calm.Round(time.Second))
 	}
-	for _, name := range sortedKeys(v.Cut) {
-		fmt.Fprintf(w, "cut\t%s\t%s\t%d turned away\n", name, v.Cut[name], v.Turned[name])
+	for _, name := range sortedKeys(view.Cut) {
+		fmt.Fprintf(w, "cut\t%s\t%s\t%d turned away\n", name, view.Cut[name], view.Turned[name])
 	}
 	fmt.Fprintln(w, "sensor\tvalue\tnext level at\tleft below")
-	for _, k := range v.Conditions {
-		value := fmt.Sprintf("%.3f", k.Value)
-		if !k.Counts {
-			value += " (says nothing)"
+	for _, condition := range view.Conditions {
+		value := fmt.Sprintf("%.3f", condition.Value)
+		if !condition.Counts {
+			value += " (no usable value)"
 		}
-		fmt.Fprintf(w, "%s\t%s\t%s\t%s\n", k.Sensor, value, threshold(k.Enter), threshold(k.Leave))
+		fmt.Fprintf(w, "%s\t%s\t%s\t%s\n", condition.Sensor, value, formatThreshold(condition.Enter), formatThreshold(condition.Leave))
 	}
-	for n := len(v.Changes) - 1; n >= 0; n-- {
-		k := v.Changes[n]
-		fmt.Fprintf(w, "%s ago\t%s to %s\t%s\n", (v.Now - k.At).Round(time.Second), k.From, k.To, k.Why)
+	for n := len(view.Changes) - 1; n >= 0; n-- {
+		change := view.Changes[n]
+		fmt.Fprintf(w, "%s ago\t%s to %s\t%s\n", (view.Now - change.At).Round(time.Second), change.From, change.To, change.Why)
 	}
 	return w.Flush()
 }
 
-func threshold(x float64) string {
-	if x == 0 {
+// formatThreshold formats a sensor's threshold; 0 means that there is none.
+func formatThreshold(value float64) string {
+	if value == 0 {
 		return "-"
 	}
-	return fmt.Sprintf("%.3f", x)
+	return fmt.Sprintf("%.3f", value)
 }
 
 //go:embed level.html
 var levelPage string
 
-// collector asks the daemon at each scrape.
-type collector struct{ socket string }
+// levelCollector collects the metrics by asking the daemon at each scrape.
+type levelCollector struct{ socket string }
 
 var (
-	levelDesc   = prometheus.NewDesc("fawnrock_level", "The level of service: 0 normal to 4 emergency.", nil, nil)
-	freeDesc    = prometheus.NewDesc("fawnrock_level_by_conditions", "The level that the conditions ask for.", nil, nil)
-	changesDesc = prometheus.NewDesc("fawnrock_level_changes_total", "Changes of the level.", nil, nil)
-	sensorDesc  = prometheus.NewDesc("fawnrock_level_sensor", "What a sensor says.", []string{"sensor"}, nil)
-	turnedDesc  = prometheus.NewDesc("fawnrock_level_turned_away_total", "Requests turned away by the level.", []string{"class"}, nil)
+	levelDesc         = prometheus.NewDesc("fawnrock_level", "The level of service: 0 normal to 4 emergency.", nil, nil)
+	unpinnedLevelDesc = prometheus.NewDesc("fawnrock_level_by_conditions", "The level that the conditions ask for, which a pin overrides.", nil, nil)
+	levelChangesDesc  = prometheus.NewDesc("fawnrock_level_changes_total", "Number of changes of the level.", nil, nil)
+	sensorDesc        = prometheus.NewDesc("fawnrock_level_sensor", "Value of a sensor, if it is usable.", []string{"sensor"}, nil)
+	turnedAwayDesc    = prometheus.NewDesc("fawnrock_level_turned_away_total", "Requests turned away by the level.", []string{"class"}, nil)
 )
 
 // Describe implements prometheus.Collector.
-func (c *collector) Describe(to chan<- *prometheus.Desc) {
-	for _, d := range []*prometheus.Desc{levelDesc, freeDesc, changesDesc, sensorDesc, turnedDesc} {
-		to <- d
+func (c *levelCollector) Describe(descs chan<- *prometheus.Desc) {
+	for _, d := range []*prometheus.Desc{levelDesc, unpinnedLevelDesc, levelChangesDesc, sensorDesc, turnedAwayDesc} {
+		descs <- d
 	}
 }
 
 // Collect implements prometheus.Collector.
-func (c *collector) Collect(to chan<- prometheus.Metric) {
-	var v level.View
-	if err := admin.Get(context.Background(), c.socket, "level", &v); err != nil {
-		to <- prometheus.NewInvalidMetric(levelDesc, err)
+func (c *levelCollector) Collect(metrics chan<- prometheus.Metric) {
+	var view level.View
+	if err := admin.Get(context.Background(), c.socket, "level", &view); err != nil {
+		metrics <- prometheus.NewInvalidMetric(levelDesc, err)
 		return
 	}
-	gauge := func(d *prometheus.Desc, kind prometheus.ValueType, x float64, labels ...string) {
-		to <- prometheus.MustNewConstMetric(d, kind, x, labels...)
+	send := func(d *prometheus.Desc, valueType prometheus.ValueType, value float64, labels ...string) {
+		metrics <- prometheus.MustNewConstMetric(d, valueType, value, labels...)
 	}
-	now, _ := level.Parse(v.Level)
-	free, _ := level.Parse(v.Free)
-	gauge(levelDesc, prometheus.GaugeValue, float64(now))
-	gauge(freeDesc, prometheus.GaugeValue, float64(free))
-	gauge(changesDesc, prometheus.CounterValue, float64(v.ChangeCount))
-	for _, k := range v.Conditions {
-		if k.Counts {
-			gauge(sensorDesc, prometheus.GaugeValue, k.Value, k.Sensor)
+	current, _ := level.Parse(view.Level)
+	unpinned, _ := level.Parse(view.Free)
+	send(levelDesc, prometheus.GaugeValue, float64(current))
+	send(unpinnedLevelDesc, prometheus.GaugeValue, float64(unpinned))
+	send(levelChangesDesc, prometheus.CounterValue, float64(view.ChangeCount))
+	for _, condition := range view.Conditions {
+		if condition.Counts {
+			send(sensorDesc, prometheus.GaugeValue, condition.Value, condition.Sensor)
 		}
 	}
-	for _, name := range sortedKeys(v.Turned) {
-		gauge(turnedDesc, prometheus.CounterValue, float64(v.Turned[name]), name)
+	for _, name := range sortedKeys(view.Turned) {
+		send(turnedAwayDesc, prometheus.CounterValue, float64(view.Turned[name]), name)
 	}
 }
 
-// handler shows the level of the daemon at a socket.
+// levelHandler returns a handler that asks the daemon at the socket on each request. It answers 502
+// if the daemon can't be reached.
 func levelHandler(socket string) http.Handler {
 	page := template.Must(template.New("level").Funcs(template.FuncMap{
-		"round": func(d time.Duration) string { return d.Round(time.Second).String() }, "threshold": threshold,
+		"round": func(d time.Duration) string { return d.Round(time.Second).String() }, "threshold": formatThreshold,
 	}).Parse(levelPage))
 	registry := prometheus.NewRegistry()
-	registry.MustRegister(&collector{socket})
+	registry.MustRegister(&levelCollector{socket})
 	mux := http.NewServeMux()
 	mux.Handle("GET /metrics", promhttp.HandlerFor(registry, promhttp.HandlerOpts{}))
 	mux.HandleFunc("GET /{$}", func(w http.ResponseWriter, r *http.Request) {
-		var v level.View
-		if err := admin.Get(r.Context(), socket, "level", &v); err != nil {
+		var view level.View
+		if err := admin.Get(r.Context(), socket, "level", &view); err != nil {
 			http.Error(w, err.Error(), http.StatusBadGateway)
 			return
 		}
 		var text bytes.Buffer
-		if err := page.Execute(&text, &v); err != nil {
+		if err := page.Execute(&text, &view); err != nil {
 			http.Error(w, err.Error(), http.StatusInternalServerError)
 			return
 		}
@@ -166,31 +170,32 @@
 		w.Write(text.Bytes())
 	})
 	mux.HandleFunc("GET /level", func(w http.ResponseWriter, r *http.Request) {
-		var v level.View
-		if err := admin.Get(r.Context(), socket, "level", &v); err != nil {
+		var view level.View
+		if err := admin.Get(r.Context(), socket, "level", &view); err != nil {
 			http.Error(w, err.Error(), http.StatusBadGateway)
 			return
 		}
 		w.Header().Set("Content-Type", "application/json")
-		json.NewEncoder(w).Encode(&v)
+		json.NewEncoder(w).Encode(&view)
 	})
 	return mux
 }
 
-func (c *levelCmd) serve(s *streams) error {
-	ln, err := net.Listen("tcp", c.Serve)
+// serve serves the level at the address of --serve until SIGINT or SIGTERM.
+func (c *levelCmd) serve(streams *stdStreams) error {
+	listener, err := net.Listen("tcp", c.Serve)
 	if err != nil {
 		return fmt.Errorf("--serve: %w", err)
 	}
-	fmt.Fprintf(s.out, "http://%s\n", ln.Addr())
+	fmt.Fprintf(streams.out, "http://%s\n", listener.Addr())
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
-	srv := &http.Server{Handler: levelHandler(c.Socket), ReadTimeout: 5 * time.Second, WriteTimeout: 10 * time.Second, IdleTimeout: 30 * time.Second, MaxHeaderBytes: 8 << 10}
+	server := &http.Server{Handler: levelHandler(c.Socket), ReadTimeout: 5 * time.Second, WriteTimeout: 10 * time.Second, IdleTimeout: 30 * time.Second, MaxHeaderBytes: 8 << 10}
 	go func() {
 		<-ctx.Done()
-		srv.Close()
+		server.Close()
 	}()
-	if err := srv.Serve(ln); !errors.Is(err, http.ErrServerClosed) {
+	if err := server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
 		return err
 	}
 	return nil
--- a/cmd/fawnctl/level_test.go
+++ b/cmd/fawnctl/level_test.go
@@ -14,28 +14,28 @@
 	"chalkrack/internal/standin"
 )
 
-// The level of a daemon is shown, pinned, and does what it says; the page and Prometheus'
-// text have the same.
-func TestLevel(t *testing.T) {
+// Guards that a pinned level takes effect: at "essential" the cheapest class is turned away and the
+// dearest is served. The command's output, the page, the JSON and the metrics must show that level.
+func TestLevelCommandAndPage(t *testing.T) {
 	site, err := rig.NewSite(rig.SiteConfig{Servers: 2, Classes: rig.Patient(), NoHedge: true})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer site.Close()
 	socket := filepath.Join(t.TempDir(), "s")
-	d, err := site.StartDaemon(1, fmt.Sprintf("version = 1\n[admin]\nsocket = %q\n[level]\nenabled = true\n[level.saving]\nenter = { lag = 0.0, memory = 0.0 }\n[level.trimmed]\nenter = { lag = 0.0, memory = 0.0 }\n[level.essential]\nenter = { lag = 0.0, memory = 0.0 }\n[level.emergency]\nenter = { lag = 0.0, memory = 0.0 }\n", socket))
+	daemon, err := site.StartDaemon(1, fmt.Sprintf("version = 1\n[admin]\nsocket = %q\n[level]\nenabled = true\n[level.saving]\nenter = { lag = 0.0, memory = 0.0 }\n[level.trimmed]\nenter = { lag = 0.0, memory = 0.0 }\n[level.essential]\nenter = { lag = 0.0, memory = 0.0 }\n[level.emergency]\nenter = { lag = 0.0, memory = 0.0 }\n", socket))
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer d.Stop()
-	client := standin.NewClient(d.Addr)
+	defer daemon.Stop()
+	client := standin.NewClient(daemon.Addr)
 	defer client.Close()
-	ask := func(class string) int {
+	sendRequest := func(class string) int {
 		t.Helper()
-		n := map[string]standin.Effect{"status-check": standin.Safe, "activate": standin.Unsafe}[class]
-		return client.Do(t.Context(), standin.Ask{Class: standin.Class{Name: class, Effect: n}, ID: fmt.Sprint(class, t.Name(), len(site.Ledger.Log())), Deadline: 0}).Status
+		effect := map[string]standin.Effect{"status-check": standin.Safe, "activate": standin.Unsafe}[class]
+		return client.Do(t.Context(), standin.Ask{Class: standin.Class{Name: class, Effect: effect}, ID: fmt.Sprint(class, t.Name(), len(site.Ledger.Log())), Deadline: 0}).Status
 	}
-	for _, c := range []example{
+	for _, c := range []commandCase{
 		{"--socket " + socket, 0, "normal", ""},
 		{"--socket " + socket, 0, "sensor", ""},
 		{"--socket " + socket + " --pin essential --for 10m", 0, "pinned", ""},
@@ -45,19 +45,19 @@
 		{"--socket " + socket + " --pin normal --unpin", 1, "", "exclude"},
 		{"--socket " + filepath.Join(t.TempDir(), "none"), 3, "", "can't be asked"},
 	} {
-		c.try(t, "level")
+		c.runAndCheck(t, "level")
 	}
-	if got := ask("status-check"); got != 503 {
+	if got := sendRequest("status-check"); got != 503 {
 		t.Errorf("the cheapest class at essential: %d", got)
 	}
-	if got := ask("activate"); got != 200 {
+	if got := sendRequest("activate"); got != 200 {
 		t.Errorf("the dearest class at essential: %d", got)
 	}
-	srv := httptest.NewServer(levelHandler(socket))
-	defer srv.Close()
-	get := func(path string) string {
+	server := httptest.NewServer(levelHandler(socket))
+	defer server.Close()
+	getBody := func(path string) string {
 		t.Helper()
-		resp, err := http.Get(srv.URL + path)
+		resp, err := http.Get(server.URL + path)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -68,21 +68,21 @@
 	for path, want := range map[string]string{
 		"/metrics": "fawnrock_level 3", "/level": `"pinned":"essential"`, "/": `class="essential" id="level"`,
 	} {
-		if got := get(path); !strings.Contains(got, want) {
-			t.Errorf("%s does not say %q:\n%s", path, want, got)
+		if got := getBody(path); !strings.Contains(got, want) {
+			t.Errorf("%s does not contain %q:\n%s", path, want, got)
 		}
 	}
-	if text := get("/metrics"); !strings.Contains(text, `fawnrock_level_turned_away_total{class="status-check"} 1`) {
+	if text := getBody("/metrics"); !strings.Contains(text, `fawnrock_level_turned_away_total{class="status-check"} 1`) {
 		t.Errorf("%s", text)
 	}
-	example{"--socket " + socket + " --unpin", 0, "normal", ""}.try(t, "level")
-	if got := ask("status-check"); got != 200 && got != 503 { // on the way back it is a ramp
+	commandCase{"--socket " + socket + " --unpin", 0, "normal", ""}.runAndCheck(t, "level")
+	if got := sendRequest("status-check"); got != 200 && got != 503 { // the share turned away falls in steps after the pin ends
 		t.Errorf("the cheapest class at normal: %d", got)
 	}
-	dom := string(headless.Run(t, srv.URL+"/", "--dump-dom"))
+	page := string(headless.Run(t, server.URL+"/", "--dump-dom"))
 	for _, want := range []string{`id="level">normal`, "status-check", "pinned by hand"} {
-		if !strings.Contains(dom, want) {
-			t.Errorf("the page in a browser does not show %q:\n%s", want, dom)
+		if !strings.Contains(page, want) {
+			t.Errorf("the page in a browser does not show %q:\n%s", want, page)
 		}
 	}
 }
--- a/cmd/fawnctl/load.go
+++ b/cmd/fawnctl/load.go
@@ -26,111 +26,116 @@
 )
 
 type loadCmd struct {
-	Run    loadRunCmd    `cmd:"" help:"Send the load of a scenario to an address."`
-	Import loadImportCmd `cmd:"" help:"Make a trace of recorded traffic, for a scenario to replay."`
+	Run    loadRunCmd    `cmd:"" help:"Send a scenario's load to an address, and report."`
+	Import loadImportCmd `cmd:"" help:"Convert recorded traffic to a trace, for a scenario to replay."`
 }
 
-// errLimit is for a run whose figures do not hold: exit status 2.
-var errLimit = errors.New("the generator was the limit")
+// errGeneratorLimited means that the generator, not the target, limited the run, so that the
+// figures do not hold; exit status 2. The report has the reason.
+var errGeneratorLimited = errors.New("the generator was the limit")
 
+// reportFlags are the flags of commands that write a load report.
 type reportFlags struct {
-	JSON string `placeholder:"FILE" help:"Write the report as JSON; - for standard output."`
-	HTML string `placeholder:"FILE" help:"Write the report as one HTML page."`
-	Live bool   `help:"Show a live view; q ends the run, with a whole report."`
+	JSON string `placeholder:"FILE" help:"Write the report as JSON to this file; - for standard output."`
+	HTML string `placeholder:"FILE" help:"Write the report as one HTML page to this file."`
+	Live bool   `help:"Show a live view; q ends the run and writes the whole report."`
 }
 
-// write writes a report as asked, and says by its error what it found.
-func (f *reportFlags) write(s *streams, rep *load.Report) error {
+// writeReport writes the report in the forms that the flags name. It returns errCheckFailed if a
+// rule of the scenario was not kept, and errGeneratorLimited if the figures do not hold.
+func (f *reportFlags) writeReport(streams *stdStreams, report *load.Report) error {
 	if f.JSON != "-" {
-		if err := rep.WriteText(s.out); err != nil {
+		if err := report.WriteText(streams.out); err != nil {
 			return err
 		}
 	}
-	files := map[string]func(io.Writer) error{f.HTML: rep.WriteHTML, f.JSON: func(w io.Writer) error { return json.NewEncoder(w).Encode(rep) }}
+	files := map[string]func(io.Writer) error{f.HTML: report.WriteHTML, f.JSON: func(file io.Writer) error { return json.NewEncoder(file).Encode(report) }}
 	for path, write := range files {
 		switch path {
 		case "":
 		case "-":
-			if err := write(s.out); err != nil {
+			if err := write(streams.out); err != nil {
 				return err
 			}
 		default:
-			w, err := os.Create(path)
+			file, err := os.Create(path)
 			if err != nil {
 				return err
 			}
-			err = write(w)
-			if cerr := w.Close(); err == nil {
-				err = cerr
+			err = write(file)
+			if closeErr := file.Close(); err == nil {
+				err = closeErr
 			}
 			if err != nil {
 				return err
 			}
 		}
 	}
-	for _, j := range rep.Judged {
-		if !j.Kept {
-			return errBad
+	for _, rule := range report.Judged {
+		if !rule.Kept {
+			return errCheckFailed
 		}
 	}
-	if !rep.Holds {
-		return errLimit
+	if !report.Holds {
+		return errGeneratorLimited
 	}
 	return nil
 }
 
-// watched runs do with the view that is asked for; its context ends with SIGINT, SIGTERM
-// or q.
-func (f *reportFlags) watched(s *streams, name string, do func(context.Context, func(load.Progress), func(string)) (*load.Report, error)) (*load.Report, error) {
+// runWithProgress calls runLoad with a function that shows progress and one that shows a note: in
+// the live view or as lines, where progress is limited to one line in 10 s unless standard error is
+// a terminal. SIGINT, SIGTERM and q in the live view cancel the context of runLoad.
+func (f *reportFlags) runWithProgress(streams *stdStreams, name string, runLoad func(context.Context, func(load.Progress), func(string)) (*load.Report, error)) (*load.Report, error) {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	if !f.Live {
-		last := time.Now()
+		lastPrinted := time.Now()
 		progress := func(p load.Progress) {
-			if !terminal(s.err) && time.Since(last) < 10*time.Second {
+			if !isTerminal(streams.err) && time.Since(lastPrinted) < 10*time.Second {
 				return
 			}
-			last = time.Now()
-			fmt.Fprintf(s.err, "%s\n", p.Line())
+			lastPrinted = time.Now()
+			fmt.Fprintf(streams.err, "%s\n", p.Line())
 		}
-		return do(ctx, progress, func(text string) { fmt.Fprintln(s.err, "  *", text) })
+		return runLoad(ctx, progress, func(text string) { fmt.Fprintln(streams.err, "  *", text) })
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	m := &loadView{name: name, cancel: cancel}
-	p := tea.NewProgram(m, tea.WithInput(s.in), tea.WithOutput(s.out), tea.WithoutSignalHandler())
-	var rep *load.Report
+	view := &loadView{name: name, cancel: cancel}
+	program := tea.NewProgram(view, tea.WithInput(streams.in), tea.WithOutput(streams.out), tea.WithoutSignalHandler())
+	var report *load.Report
 	var err error
 	var wg sync.WaitGroup
 	wg.Go(func() {
-		rep, err = do(ctx, func(g load.Progress) { p.Send(g) }, func(text string) { p.Send(noted(text)) })
-		p.Quit()
+		report, err = runLoad(ctx, func(p load.Progress) { program.Send(p) }, func(text string) { program.Send(noteMsg(text)) })
+		program.Quit()
 	})
-	_, verr := p.Run()
+	_, viewErr := program.Run()
 	cancel()
 	wg.Wait()
-	return rep, errors.Join(err, verr)
+	return report, errors.Join(err, viewErr)
 }
 
-type noted string
+// noteMsg is a note for the live view.
+type noteMsg string
 
 // loadView is the live view of a run.
 type loadView struct {
-	name   string
-	cancel func()
-	now    load.Progress
-	p99    []float64
-	notes  []string
-	ending bool
+	name       string
+	cancel     func()
+	progress   load.Progress
+	p99History []float64
+	notes      []string
+	ending     bool
 }
 
 // Init implements tea.Model.
 func (m *loadView) Init() tea.Cmd { return nil }
 
-// sparksMost and notesMost bound what the view keeps.
+// maxSparkBars and maxNotes limit the history that the view keeps.
 const (
-	sparksMost = 60
-	notesMost  = 5
+	maxSparkBars = 60
+	maxNotes     = 5
 )
 
 // Update implements tea.Model.
@@ -140,30 +145,30 @@
 		switch msg.String() {
 		case "q", "esc", "ctrl+c":
 			m.ending = true
-			m.cancel() // the run ends, and then the view
+			m.cancel() // the view ends after the run
 		}
 	case load.Progress:
-		m.now = msg
-		if m.p99 = append(m.p99, msg.Last.P99); len(m.p99) > sparksMost {
-			m.p99 = m.p99[1:]
+		m.progress = msg
+		if m.p99History = append(m.p99History, msg.Last.P99); len(m.p99History) > maxSparkBars {
+			m.p99History = m.p99History[1:]
 		}
-	case noted:
-		if m.notes = append(m.notes, string(msg)); len(m.notes) > notesMost {
+	case noteMsg:
+		if m.notes = append(m.notes, string(msg)); len(m.notes) > maxNotes {
 			m.notes = m.notes[1:]
 		}
 	}
 	return m, nil
 }
 
-// sparks draws values as a line of bars.
-func sparks(values []float64) string {
-	top := 0.0
+// sparkline draws the values as a line of bars; the largest value has the tallest bar.
+func sparkline(values []float64) string {
+	maxValue := 0.0
 	for _, v := range values {
-		top = max(top, v)
+		maxValue = max(maxValue, v)
 	}
 	var b strings.Builder
 	for _, v := range values {
-		b.WriteRune([]rune("▁▂▃▄▅▆▇█")[int(v/max(top, 1e-9)*7.999/1.0001)])
+		b.WriteRune([]rune("▁▂▃▄▅▆▇█")[int(v/max(maxValue, 1e-9)*7.999/1.0001)])
 	}
 	return b.String()
 }
@@ -171,20 +176,20 @@
 // View implements tea.Model.
 func (m *loadView) View() tea.View {
 	var b strings.Builder
-	p := m.now
-	fmt.Fprintf(&b, "%s\n\n%s\n\n", m.name, p.Line())
-	l := p.Last
+	progress := m.progress
+	fmt.Fprintf(&b, "%s\n\n%s\n\n", m.name, progress.Line())
+	second := progress.Last
 	fmt.Fprintf(&b, "second %d: %d due, %d sent, %d dropped; %d served (%d late), %d refused, %d failed, %d without answer\n",
-		l.Second, l.Due, l.Sent, l.Dropped, l.Served, l.Late, l.Refused, l.Failed, l.None)
-	fmt.Fprintf(&b, "latency p50 %.1f ms, p99 %.1f ms, most %.1f ms; sends left late by %.2f ms at p99; %.2f cores\n", l.P50, l.P99, l.Most, l.LagP99, l.CPU)
-	fmt.Fprintf(&b, "p99 %s\n\n", sparks(m.p99))
+		second.Second, second.Due, second.Sent, second.Dropped, second.Served, second.Late, second.Refused, second.Failed, second.None)
+	fmt.Fprintf(&b, "latency p50 %.1f ms, p99 %.1f ms, max %.1f ms; sends left late by %.2f ms at p99; %.2f cores\n", second.P50, second.P99, second.Most, second.LagP99, second.CPU)
+	fmt.Fprintf(&b, "p99 %s\n\n", sparkline(m.p99History))
 	for _, n := range m.notes {
 		fmt.Fprintf(&b, "  * %s\n", n)
 	}
 	if m.ending {
-		b.WriteString("\nending: calls under way are waited for\n")
+		b.WriteString("\nending: waiting for outstanding calls\n")
 	} else {
-		b.WriteString("\nq ends it, with a whole report\n")
+		b.WriteString("\nq ends the run and writes the whole report\n")
 	}
 	v := tea.NewView(b.String())
 	v.AltScreen = true
@@ -192,23 +197,24 @@
 }
 
 type loadRunCmd struct {
-	Scenario   string `arg:"" help:"A scenario's file, or the name of one of the library."`
-	Target     string `required:"" help:"The address to send to: loopback, unless --not-loopback allows others. For the plug-in that of discovery, for RADIUS that of access."`
-	Protocol   string `enum:"http1,plugin,radius" default:"http1" help:"How calls go: http1, plugin (in this process, to servers that discovery names) or radius."`
-	Daemon     string `help:"With the plug-in: the daemon that its calls go by while it is there."`
-	Accounting string `help:"With RADIUS: the address for what carries a key."`
-	SecretFile string `help:"With RADIUS: a file with the secret; without it FAWN_RADIUS_SECRET is taken."`
-	Realm      string `help:"With RADIUS: the realm behind users' names."`
-	Allow      bool   `name:"not-loopback" help:"Allow a target that is not on this machine."`
+	Scenario   string `arg:"" help:"A scenario's file, or the name of a scenario in the library."`
+	Target     string `required:"" help:"Address to send to; it must be loopback unless --not-loopback is set. With plugin it is the address of discovery, with radius that of access."`
+	Protocol   string `enum:"http1,plugin,radius" default:"http1" help:"How calls are sent: http1, plugin (by the plug-in in this process, to servers that discovery lists) or radius."`
+	Daemon     string `help:"With plugin: address of the daemon that carries the calls while it is available."`
+	Accounting string `help:"With radius: address for calls that carry a key."`
+	SecretFile string `help:"With radius: file with the shared secret; FAWN_RADIUS_SECRET by default."`
+	Realm      string `help:"With radius: realm at the end of user names."`
+	Allow      bool   `name:"not-loopback" help:"Allow addresses that are not loopback."`
 	reportFlags
 }
 
-// protocol is the way that was asked for; end closes it.
-func (c *loadRunCmd) protocol(classes []load.Class) (p load.Protocol, end func(), err error) {
+// newProtocol returns the protocol that --protocol names, and a function that closes it. It returns
+// an error for an address that is not loopback, unless --not-loopback is set.
+func (c *loadRunCmd) newProtocol(classes []load.Class) (p load.Protocol, closeProtocol func(), err error) {
 	addresses := []struct{ flag, addr string }{{"--target", c.Target}, {"--daemon", c.Daemon}, {"--accounting", c.Accounting}}
 	for _, a := range addresses {
 		if a.addr != "" && !c.Allow {
-			if err := loopback(a.addr); err != nil {
+			if err := requireLoopback(a.addr); err != nil {
 				return nil, nil, fmt.Errorf("%s: %w", a.flag, err)
 			}
 		}
@@ -228,7 +234,7 @@
 		if r.Accounting, err = netip.ParseAddrPort(c.Accounting); err != nil {
 			return nil, nil, fmt.Errorf("--accounting: %w", err)
 		}
-		secret, err := hidden(c.SecretFile, "FAWN_RADIUS_SECRET")
+		secret, err := readSecret(c.SecretFile, "FAWN_RADIUS_SECRET")
 		if err != nil {
 			return nil, nil, fmt.Errorf("--secret-file: %w", err)
 		}
@@ -241,8 +247,8 @@
 	return &load.HTTP1{Addr: c.Target}, func() {}, nil
 }
 
-// loopback says whether an address is one of this machine's own.
-func loopback(addr string) error {
+// requireLoopback returns an error unless addr is a loopback address with a port.
+func requireLoopback(addr string) error {
 	host, _, err := net.SplitHostPort(addr)
 	if err != nil {
 		return err
@@ -253,44 +259,45 @@
 	return nil
 }
 
-// Run sends a scenario's load.
-func (c *loadRunCmd) Run(s *streams) error {
-	sc, err := rehearse.Read(c.Scenario)
+// Run sends the scenario's load and writes the report.
+func (c *loadRunCmd) Run(streams *stdStreams) error {
+	scenario, err := rehearse.Read(c.Scenario)
 	if err != nil {
 		return err
 	}
-	way, closeWay, err := c.protocol(sc.Classes)
+	callProtocol, closeProtocol, err := c.newProtocol(scenario.Classes)
 	if err != nil {
 		return err
 	}
-	defer closeWay()
-	rep, err := c.watched(s, sc.Name, func(ctx context.Context, view func(load.Progress), _ func(string)) (*load.Report, error) {
-		cfg, end, err := sc.Run(load.Config{Protocol: way, View: view})
+	defer closeProtocol()
+	report, err := c.runWithProgress(streams, scenario.Name, func(ctx context.Context, view func(load.Progress), _ func(string)) (*load.Report, error) {
+		cfg, closeScenario, err := scenario.Run(load.Config{Protocol: callProtocol, View: view})
 		if err != nil {
 			return nil, err
 		}
-		defer end()
+		defer closeScenario()
 		return load.Run(ctx, cfg)
 	})
 	if err != nil {
 		return err
 	}
-	rep.Name = sc.Name
-	return c.write(s, rep)
+	report.Name = scenario.Name
+	return c.writeReport(streams, report)
 }
 
 type loadImportCmd struct {
 	File    string            `arg:"" help:"The recording; - for standard input."`
-	Out     string            `required:"" help:"Where the trace goes."`
-	Form    string            `required:"" enum:"json,csv,haproxy,combined" help:"What it is: json (lines), csv, haproxy or combined (access logs)."`
-	Columns map[string]string `help:"Which column or field holds what: at=ts;class=kind;path=...;key=...;body=..."`
-	Class   map[string]string `help:"The class of paths that begin so: /api/act=activate;..."`
-	JSON    bool              `help:"Say what became of it as JSON."`
+	Out     string            `required:"" help:"Write the trace to this file."`
+	Form    string            `required:"" enum:"json,csv,haproxy,combined" help:"Format of the recording: json (lines), csv, haproxy or combined (access logs)."`
+	Columns map[string]string `help:"Column or field of each value: at=ts;class=kind;path=...;key=...;body=..."`
+	Class   map[string]string `help:"Class by the prefix of the path: /api/act=activate;..."`
+	JSON    bool              `help:"Print the summary as JSON."`
 }
 
-// Run makes a trace.
-func (c *loadImportCmd) Run(s *streams) error {
-	in := s.in
+// Run converts the recording and prints how many of its lines were used, and why others were left
+// out.
+func (c *loadImportCmd) Run(streams *stdStreams) error {
+	in := streams.in
 	if c.File != "-" {
 		f, err := os.Open(c.File)
 		if err != nil {
@@ -303,55 +310,56 @@
 	if err != nil {
 		return err
 	}
-	note, err := trace.Import(in, out, trace.Options{Form: c.Form, Columns: c.Columns, Prefixes: c.Class})
-	if cerr := out.Close(); err == nil {
-		err = cerr
+	summary, err := trace.Import(in, out, trace.Options{Form: c.Form, Columns: c.Columns, Prefixes: c.Class})
+	if closeErr := out.Close(); err == nil {
+		err = closeErr
 	}
 	if err != nil {
 		return err
 	}
 	if c.JSON {
-		return json.NewEncoder(s.out).Encode(note)
+		return json.NewEncoder(streams.out).Encode(summary)
 	}
-	fmt.Fprintf(s.out, "%d of %d lines taken, over %v from %s\n", note.Taken, note.Lines, note.Span.Round(time.Millisecond), note.First.Format(time.RFC3339))
-	for why, n := range note.LeftOut {
-		fmt.Fprintf(s.out, "left out: %d with %s\n", n, why)
+	fmt.Fprintf(streams.out, "%d of %d lines taken, over %v from %s\n", summary.Taken, summary.Lines, summary.Span.Round(time.Millisecond), summary.First.Format(time.RFC3339))
+	for reason, count := range summary.LeftOut {
+		fmt.Fprintf(streams.out, "left out: %d with %s\n", count, reason)
 	}
 	return nil
 }
 
 type rehearseCmd struct {
-	Scenario string `arg:"" optional:"" help:"The name of one of the library, or a file."`
-	By       string `enum:"daemon,plugin,both" default:"daemon" help:"Who decides: the daemon, the plug-in in the clients' process, or the plug-in by way of the daemon."`
+	Scenario string `arg:"" optional:"" help:"A scenario's file, or the name of a scenario in the library; the library is listed by default."`
+	By       string `enum:"daemon,plugin,both" default:"daemon" help:"What handles the calls: the daemon, the plug-in in the clients' process, or both (the plug-in through the daemon)."`
 	List     bool   `help:"List the library."`
 	Log      bool   `help:"Show the daemon's log."`
 	reportFlags
 }
 
-// Run plays a scenario with a daemon and stand-in servers, and judges it.
-func (c *rehearseCmd) Run(s *streams) error {
+// Run runs the scenario with a daemon and stand-in servers, and writes the report with the verdict
+// on each rule.
+func (c *rehearseCmd) Run(streams *stdStreams) error {
 	if c.List || c.Scenario == "" {
 		for _, name := range rehearse.Names() {
-			sc, err := rehearse.Read(name)
+			scenario, err := rehearse.Read(name)
 			if err != nil {
 				return err
 			}
-			fmt.Fprintf(s.out, "%-18s %s (%v)\n", name, sc.About, time.Duration(sc.Length))
+			fmt.Fprintf(streams.out, "%-18s %s (%v)\n", name, scenario.About, time.Duration(scenario.Length))
 		}
 		return nil
 	}
-	sc, err := rehearse.Read(c.Scenario)
+	scenario, err := rehearse.Read(c.Scenario)
 	if err != nil {
 		return err
 	}
 	if !c.Log {
 		slog.SetDefault(slog.New(slog.DiscardHandler))
 	}
-	rep, err := c.watched(s, sc.Name, func(ctx context.Context, view func(load.Progress), note func(string)) (*load.Report, error) {
-		return rehearse.Run(ctx, sc, rehearse.By(c.By), view, note)
+	report, err := c.runWithProgress(streams, scenario.Name, func(ctx context.Context, view func(load.Progress), note func(string)) (*load.Report, error) {
+		return rehearse.Run(ctx, scenario, rehearse.By(c.By), view, note)
 	})
 	if err != nil {
 		return err
 	}
-	return c.write(s, rep)
+	return c.writeReport(streams, report)
 }
--- a/cmd/fawnctl/operate.go
+++ b/cmd/fawnctl/operate.go
@@ -11,13 +11,13 @@
 )
 
 type operateCmd struct {
-	Management string   `env:"BALANCER_MANAGEMENT" help:"Where the sidecar is called, host:port."`
-	Socket     string   `help:"The operators' Unix socket, in place of it."`
-	Call       []string `arg:"" help:"ready, stats, disable ID, enable ID, drain or undrain."`
+	Management string   `env:"BALANCER_MANAGEMENT" help:"Address of the sidecar's management interface, host:port."`
+	Socket     string   `help:"The daemon's Unix socket for operators, used in place of --management."`
+	Call       []string `arg:"" help:"The call: ready, stats, disable ID, enable ID, drain or undrain."`
 }
 
-// Run makes one call and shows the answer.
-func (c *operateCmd) Run(s *streams) error {
+// Run makes one call and prints the answer.
+func (c *operateCmd) Run(streams *stdStreams) error {
 	line := strings.Join(append([]string{strings.ToUpper(c.Call[0])}, c.Call[1:]...), " ")
 	var answer string
 	var err error
@@ -29,11 +29,11 @@
 	case c.Management != "":
 		answer, err = management.Send(context.Background(), c.Management, line)
 	default:
-		return errors.New("--management or --socket says where the sidecar is called")
+		return errors.New("--management or --socket must be set")
 	}
 	if err != nil {
 		return err
 	}
-	fmt.Fprint(s.out, answer)
+	fmt.Fprint(streams.out, answer)
 	return nil
 }
--- a/cmd/fawnctl/radius_test.go
+++ b/cmd/fawnctl/radius_test.go
@@ -9,7 +9,8 @@
 	"chalkrack/internal/standin"
 )
 
-// The three requests against a stand-in server, whose codec is another than ours.
+// Guards the output and exit status of the three requests. The stand-in server encodes packets with
+// another library, so an error in our codec shows. No output may contain a secret.
 func TestRadiusSend(t *testing.T) {
 	ledger := standin.NewRadiusLedger()
 	server, err := standin.NewRadiusServer("r1", "of the shop", ledger)
@@ -43,39 +44,39 @@
 	}
 	t.Setenv("FAWN_RADIUS_PASSWORD", "1234")
 	t.Setenv("FAWN_RADIUS_SECRET", "")
-	to := " --wait 5s --to " + server.Addr() + " --secret-file " + secret + " "
-	brief := " --wait 30ms --tries 2 --to " + server.Addr() + " --secret-file "
-	for _, c := range []example{
-		{"access --user nemo" + to, 0, "Access-Accept", ""},
-		{"access --user nemo" + to, 0, `Reply-Message = "welcome from r1"`, ""},
-		{"access --user chap --chap" + to, 0, "Access-Accept", ""},
-		{"access --user asked" + to, 0, "State = 7374617465", ""},
-		{"access --user asked --state 00ff" + to, 0, "Access-Accept", ""},
-		{"access --user asked --state xx" + to, 1, "", "--state"},
-		{"access --user nemo --password-file " + wrong + to, 1, "Access-Reject", "rejected"},
-		{"access --user bare" + brief + secret, 1, "", "2 datagrams dropped"},
-		{"access --user bare --unsigned" + to, 0, "Access-Accept", ""},
-		{"access --user nemo" + brief + wrong, 1, "", "no answer to 2 packets"},
-		{"access --user nemo" + brief + long, 1, "", "4096"},
+	validFlags := " --wait 5s --to " + server.Addr() + " --secret-file " + secret + " "
+	shortWaitFlags := " --wait 30ms --tries 2 --to " + server.Addr() + " --secret-file "
+	for _, c := range []commandCase{
+		{"access --user nemo" + validFlags, 0, "Access-Accept", ""},
+		{"access --user nemo" + validFlags, 0, `Reply-Message = "welcome from r1"`, ""},
+		{"access --user chap --chap" + validFlags, 0, "Access-Accept", ""},
+		{"access --user asked" + validFlags, 0, "State = 7374617465", ""},
+		{"access --user asked --state 00ff" + validFlags, 0, "Access-Accept", ""},
+		{"access --user asked --state xx" + validFlags, 1, "", "--state"},
+		{"access --user nemo --password-file " + wrong + validFlags, 1, "Access-Reject", "rejected"},
+		{"access --user bare" + shortWaitFlags + secret, 1, "", "2 datagrams dropped"},
+		{"access --user bare --unsigned" + validFlags, 0, "Access-Accept", ""},
+		{"access --user nemo" + shortWaitFlags + wrong, 1, "", "no answer to 2 packets"},
+		{"access --user nemo" + shortWaitFlags + long, 1, "", "4096"},
 		{"access --user nemo --to " + server.Addr(), 1, "", "no secret"},
-		{"access --user " + strings.Repeat("u", 300) + to, 1, "", "--user"},
-		{"access --user nemo --id 256" + to, 1, "", "--id"},
-		{"access --user nemo --tries 0" + to, 1, "", "tries"},
+		{"access --user " + strings.Repeat("u", 300) + validFlags, 1, "", "--user"},
+		{"access --user nemo --id 256" + validFlags, 1, "", "--id"},
+		{"access --user nemo --tries 0" + validFlags, 1, "", "tries"},
 		{"access --user nemo --to here --secret-file " + secret, 1, "", "--to"},
-		{"access" + to, 1, "", "--user"},
-		{"accounting --session s1 --at 7 --id 3" + to, 0, "Accounting-Response", ""},
-		{"accounting --session s1 --at 7 --id 3" + to, 0, "Accounting-Response", ""},
-		{"accounting --session s1 --event later" + to, 1, "", "--event"},
-		{"accounting --session quiet" + brief + secret, 1, "", "no answer to 2 packets"},
-		{"status" + to, 0, "Message-Authenticator is right", ""},
+		{"access" + validFlags, 1, "", "--user"},
+		{"accounting --session s1 --at 7 --id 3" + validFlags, 0, "Accounting-Response", ""},
+		{"accounting --session s1 --at 7 --id 3" + validFlags, 0, "Accounting-Response", ""},
+		{"accounting --session s1 --event later" + validFlags, 1, "", "--event"},
+		{"accounting --session quiet" + shortWaitFlags + secret, 1, "", "no answer to 2 packets"},
+		{"status" + validFlags, 0, "Message-Authenticator is right", ""},
 		{"status --wait 30ms --to " + dead.Addr() + " --secret-file " + secret, 1, "", "refused"},
 	} {
-		all := c.try(t, "radius", "send")
-		if strings.Contains(all, "of the shop") || strings.Contains(all, "1234") {
-			t.Errorf("%s: a secret shows", c.args)
+		output := c.runAndCheck(t, "radius", "send")
+		if strings.Contains(output, "of the shop") || strings.Contains(output, "1234") {
+			t.Errorf("%s: the output contains a secret", c.args)
 		}
 	}
-	if n := ledger.Of("fawnctl s1 1 7"); n.Effects != 2 { // each run has a port of its own, as another terminal
+	if n := ledger.Of("fawnctl s1 1 7"); n.Effects != 2 { // each run sends from its own port, so the server sees two terminals
 		t.Errorf("%+v", n)
 	}
 }
--- a/cmd/fawnctl/rehearse_zones.go
+++ b/cmd/fawnctl/rehearse_zones.go
@@ -16,25 +16,27 @@
 )
 
 type zoneRehearseCmd struct {
-	Features  string   `type:"existingfile" help:"The file whose [zones] are rehearsed; without it the defaults are."`
-	Sidecars  int      `default:"40" help:"How many."`
-	Servers   int      `default:"3" help:"How many in each zone."`
-	Zones     []string `default:"a,b,c" help:"Their names."`
-	Schedules int      `default:"200" help:"How many random schedules of up to five faults are played."`
-	From      uint64   `default:"1" help:"The seed of the first."`
+	Features  string   `type:"existingfile" help:"File with the [zones] to rehearse; the default settings if left out."`
+	Sidecars  int      `default:"40" help:"Number of sidecars."`
+	Servers   int      `default:"3" help:"Number of servers in each zone."`
+	Zones     []string `default:"a,b,c" help:"Names of the zones."`
+	Schedules int      `default:"200" help:"Number of random schedules to run, each of up to five faults."`
+	From      uint64   `default:"1" help:"The seed of the first schedule."`
 }
 
-// errRehearsal is for a rehearsal in which something broke: exit status 1.
+// errRehearsal means that a schedule of a rehearsal broke an invariant; exit status 1.
 var errRehearsal = errors.New("a zone was left with no cause, or the fleet did not come to the same")
 
-// Bounds of a rehearsal.
+// maxRehearsedProcesses limits the sidecars, and the servers of all zones; maxRehearsedSchedules
+// the schedules.
 const (
-	rehearsedCars = 5000
-	rehearsedMost = 1000000
+	maxRehearsedProcesses = 5000
+	maxRehearsedSchedules = 1000000
 )
 
-// Run plays the schedules, as many at once as there are cores, and sums up.
-func (c *zoneRehearseCmd) Run(s *streams) error {
+// Run runs the schedules, as many at once as GOMAXPROCS, and prints a summary. Schedules that broke
+// an invariant are printed with their seeds.
+func (c *zoneRehearseCmd) Run(streams *stdStreams) error {
 	file := features.Default()
 	if c.Features != "" {
 		var err error
@@ -44,63 +46,63 @@
 	}
 	cfg := daemon.BaseEvacuationConfig(&file.Zones)
 	switch {
-	case c.Sidecars < 2 || c.Sidecars > rehearsedCars:
-		return fmt.Errorf("--sidecars: must be within 2 and %d", rehearsedCars)
-	case c.Servers < 1 || c.Servers*len(c.Zones) > rehearsedCars:
-		return fmt.Errorf("--servers: must be 1 at least, and %d at most in all zones", rehearsedCars)
-	case c.Schedules < 1 || c.Schedules > rehearsedMost:
-		return fmt.Errorf("--schedules: must be within 1 and %d", rehearsedMost)
+	case c.Sidecars < 2 || c.Sidecars > maxRehearsedProcesses:
+		return fmt.Errorf("--sidecars: must be between 2 and %d", maxRehearsedProcesses)
+	case c.Servers < 1 || c.Servers*len(c.Zones) > maxRehearsedProcesses:
+		return fmt.Errorf("--servers: must be at least 1, and at most %d in all zones together", maxRehearsedProcesses)
+	case c.Schedules < 1 || c.Schedules > maxRehearsedSchedules:
+		return fmt.Errorf("--schedules: must be between 1 and %d", maxRehearsedSchedules)
 	}
 	var (
-		mu                    sync.Mutex
-		left, settled         []time.Duration
-		never, departed, away int
-		notes, bytes          float64
-		broken                int
-		fail                  error
-		all                   sync.WaitGroup
-		room                  = make(chan struct{}, runtime.GOMAXPROCS(0))
+		mu                                       sync.Mutex
+		leaveTimes, settleTimes                  []time.Duration
+		neverLeft, departures, played            int
+		totalNotesPerSecond, totalBytesPerSecond float64
+		broken                                   int
+		runErr                                   error
+		wg                                       sync.WaitGroup
+		slots                                    = make(chan struct{}, runtime.GOMAXPROCS(0))
 	)
 	for seed := c.From; seed < c.From+uint64(c.Schedules); seed++ {
-		room <- struct{}{}
-		all.Go(func() {
-			defer func() { <-room }()
-			o, faults, err := zonal.RunRandomFaults(cfg, seed, c.Sidecars, c.Servers, c.Zones...)
+		slots <- struct{}{}
+		wg.Go(func() {
+			defer func() { <-slots }()
+			outcome, faults, err := zonal.RunRandomFaults(cfg, seed, c.Sidecars, c.Servers, c.Zones...)
 			mu.Lock()
 			defer mu.Unlock()
 			if err != nil {
-				fail = err
+				runErr = err
 				return
 			}
-			for _, d := range o.LeaveTimes {
+			for _, d := range outcome.LeaveTimes {
 				if d < 0 {
-					never++
+					neverLeft++
 				} else {
-					left = append(left, d)
+					leaveTimes = append(leaveTimes, d)
 				}
 			}
-			for n := range maps.Values(o.Departures) {
-				departed += int(n)
+			for count := range maps.Values(outcome.Departures) {
+				departures += int(count)
 			}
-			settled = append(settled, o.SettleTime)
-			notes, bytes, away = notes+o.NotesPerSecond, bytes+o.BytesPerSecond, away+1
-			if len(o.Violations) > 0 {
+			settleTimes = append(settleTimes, outcome.SettleTime)
+			totalNotesPerSecond, totalBytesPerSecond, played = totalNotesPerSecond+outcome.NotesPerSecond, totalBytesPerSecond+outcome.BytesPerSecond, played+1
+			if len(outcome.Violations) > 0 {
 				broken++
-				fmt.Fprintf(s.out, "seed %d: %v by %v\n", seed, o.Violations, faults)
+				fmt.Fprintf(streams.out, "seed %d: %v by %v\n", seed, outcome.Violations, faults)
 			}
 		})
 	}
-	all.Wait()
-	if fail != nil {
-		return fail
+	wg.Wait()
+	if runErr != nil {
+		return runErr
 	}
-	w := tabwriter.NewWriter(s.out, 0, 0, 2, ' ', 0)
-	fmt.Fprintf(w, "played\t%d schedules with %d sidecars, %d servers in each of %d zones\n", away, c.Sidecars, c.Servers, len(c.Zones))
+	w := tabwriter.NewWriter(streams.out, 0, 0, 2, ' ', 0)
+	fmt.Fprintf(w, "played\t%d schedules with %d sidecars, %d servers in each of %d zones\n", played, c.Sidecars, c.Servers, len(c.Zones))
 	fmt.Fprintf(w, "broken\t%d\n", broken)
-	fmt.Fprintf(w, "departures\t%d\n", departed)
-	fmt.Fprintf(w, "all out after\t%s; %d of the faults ended before, or the zone was all there was\n", spread(left), never)
-	fmt.Fprintf(w, "all back after\t%s, from the last fault's end\n", spread(settled))
-	fmt.Fprintf(w, "notes\t%.1f a sidecar a second, %.0f bytes of the zones' part\n", notes/float64(max(away, 1)), bytes/float64(max(away, 1)))
+	fmt.Fprintf(w, "departures\t%d\n", departures)
+	fmt.Fprintf(w, "all out after\t%s; not in %d cases, where the fault ended before or there was no other zone\n", formatSpread(leaveTimes), neverLeft)
+	fmt.Fprintf(w, "all back after\t%s, from the last fault's end\n", formatSpread(settleTimes))
+	fmt.Fprintf(w, "notes\t%.1f a sidecar a second, %.0f bytes of the zones' part\n", totalNotesPerSecond/float64(max(played, 1)), totalBytesPerSecond/float64(max(played, 1)))
 	if err := w.Flush(); err != nil {
 		return err
 	}
@@ -110,14 +112,15 @@
 	return nil
 }
 
-// spread is the middle, the ninth tenth and the most of some times.
-func spread(all []time.Duration) string {
-	if len(all) == 0 {
+// formatSpread formats the median, the 90th percentile and the maximum of the durations. It sorts
+// them.
+func formatSpread(durations []time.Duration) string {
+	if len(durations) == 0 {
 		return "-"
 	}
-	slices.Sort(all)
-	at := func(part float64) time.Duration {
-		return all[int(part*float64(len(all)-1))].Round(10 * time.Millisecond)
+	slices.Sort(durations)
+	quantile := func(fraction float64) time.Duration {
+		return durations[int(fraction*float64(len(durations)-1))].Round(10 * time.Millisecond)
 	}
-	return fmt.Sprintf("%v in the middle, %v for nine tenths, %v at the most (of %d)", at(0.5), at(0.9), at(1), len(all))
+	return fmt.Sprintf("%v in the middle, %v for nine tenths, %v at the most (of %d)", quantile(0.5), quantile(0.9), quantile(1), len(durations))
 }
--- a/cmd/fawnctl/status.go
+++ b/cmd/fawnctl/status.go
@@ -18,86 +18,89 @@
 	"chalkrack/internal/weights"
 )
 
+// socketFlags are the flags of commands that call a running daemon.
 type socketFlags struct {
 	Socket string `required:"" env:"FAWN_SOCKET" help:"The daemon's socket for operators ([admin] socket in its features file)."`
-	JSON   bool   `help:"Print what the daemon says, as JSON."`
+	JSON   bool   `help:"Print the daemon's answer as JSON."`
 }
 
-// errAway is for a daemon that can't be asked: exit status 3.
-var errAway = errors.New("the daemon can't be asked")
+// errDaemonUnreachable means that the daemon can't be reached or gives an error; exit status 3.
+var errDaemonUnreachable = errors.New("the daemon can't be asked")
 
-// ask gets a page; with --json it is printed as it came, and done says so.
-func (f *socketFlags) ask(s *streams, page string, v any) (done bool, err error) {
+// fetchPage gets a page of the daemon's admin interface and decodes it into result. With --json it
+// prints the page as it came instead, and returns printed true.
+func (f *socketFlags) fetchPage(streams *stdStreams, page string, result any) (printed bool, err error) {
 	var raw json.RawMessage
 	if err := admin.Get(context.Background(), f.Socket, page, &raw); err != nil {
-		return false, fmt.Errorf("%w: %w", errAway, err)
+		return false, fmt.Errorf("%w: %w", errDaemonUnreachable, err)
 	}
 	if f.JSON {
-		_, err := fmt.Fprintf(s.out, "%s\n", raw)
+		_, err := fmt.Fprintf(streams.out, "%s\n", raw)
 		return true, err
 	}
-	return false, json.Unmarshal(raw, v)
+	return false, json.Unmarshal(raw, result)
 }
 
-type stateCmd struct{ socketFlags }
+type daemonStatusCmd struct{ socketFlags }
 
-// Run shows the state of a daemon.
-func (c *stateCmd) Run(s *streams) error {
-	var st daemon.Status
-	if done, err := c.ask(s, "status", &st); done || err != nil {
+// Run prints the state of a daemon.
+func (c *daemonStatusCmd) Run(streams *stdStreams) error {
+	var status daemon.Status
+	if printed, err := c.fetchPage(streams, "status", &status); printed || err != nil {
 		return err
 	}
-	w := tabwriter.NewWriter(s.out, 0, 0, 2, ' ', 0)
-	fmt.Fprintf(w, "process\t%d, since %s\n", st.PID, st.StartTime.Format(time.DateTime))
-	fmt.Fprintf(w, "listens\t%s, ready: %v\n", st.Listen, st.Ready)
-	fmt.Fprintf(w, "calls held\t%d\n", st.HeldCalls)
-	fmt.Fprintf(w, "connections\t%d of clients, %d to servers\n", st.ClientConns, st.Servers)
-	fmt.Fprintf(w, "limits\t%d MB, %d sockets\n", st.MemoryMB, st.Sockets)
-	if st.BodyMemory != nil {
-		fmt.Fprintf(w, "bodies\t%s in memory, disk %s\n", amount(*st.BodyMemory), st.DiskState)
+	w := tabwriter.NewWriter(streams.out, 0, 0, 2, ' ', 0)
+	fmt.Fprintf(w, "process\t%d, since %s\n", status.PID, status.StartTime.Format(time.DateTime))
+	fmt.Fprintf(w, "listens\t%s, ready: %v\n", status.Listen, status.Ready)
+	fmt.Fprintf(w, "calls held\t%d\n", status.HeldCalls)
+	fmt.Fprintf(w, "connections\t%d of clients, %d to servers\n", status.ClientConns, status.Servers)
+	fmt.Fprintf(w, "limits\t%d MB, %d sockets\n", status.MemoryMB, status.Sockets)
+	if status.BodyMemory != nil {
+		fmt.Fprintf(w, "bodies\t%s in memory, disk %s\n", formatAmount(*status.BodyMemory), status.DiskState)
 	} else {
 		fmt.Fprintf(w, "bodies\t[bodies] is off\n")
 	}
-	var plan weights.View
-	if err := admin.Get(context.Background(), c.Socket, "weights", &plan); err == nil {
-		why := ""
-		if plan.Reason != weights.None {
-			why = ": " + string(plan.Reason)
+	var planView weights.View
+	if err := admin.Get(context.Background(), c.Socket, "weights", &planView); err == nil {
+		reason := ""
+		if planView.Reason != weights.None {
+			reason = ": " + string(planView.Reason)
 		}
-		fmt.Fprintf(w, "weights\thold %.2f%s; of %s, until %s; %d servers known, %d not\n", plan.Hold, why, plan.Made.Format(time.DateTime), plan.Until.Format(time.DateTime), plan.KnownNodes, plan.UnknownNodes)
+		fmt.Fprintf(w, "weights\thold %.2f%s; of %s, until %s; %d servers known, %d not\n", planView.Hold, reason, planView.Made.Format(time.DateTime), planView.Until.Format(time.DateTime), planView.KnownNodes, planView.UnknownNodes)
 	}
 	return w.Flush()
 }
 
 type bodiesCmd struct {
 	socketFlags
-	Watch bool          `help:"Show it live; q ends it."`
-	Every time.Duration `default:"1s" help:"How often --watch asks."`
+	Watch bool          `help:"Show a live view; q ends it."`
+	Every time.Duration `default:"1s" help:"Time between two requests of --watch."`
 }
 
-// Run shows where bodies are kept and what became of them.
-func (c *bodiesCmd) Run(s *streams) error {
+// Run prints where bodies are kept and how many were retried, refused or failed, once or as a live
+// view.
+func (c *bodiesCmd) Run(streams *stdStreams) error {
 	if c.Watch && !c.JSON {
 		if c.Every < 50*time.Millisecond {
-			return fmt.Errorf("--every: must be 50ms at least, not %v", c.Every)
+			return fmt.Errorf("--every: must be at least 50ms, not %v", c.Every)
 		}
-		m := &watch{flags: &c.socketFlags, every: c.Every}
-		p := tea.NewProgram(m, tea.WithInput(s.in), tea.WithOutput(s.out))
-		if _, err := p.Run(); err != nil {
+		model := &bodiesModel{flags: &c.socketFlags, interval: c.Every}
+		program := tea.NewProgram(model, tea.WithInput(streams.in), tea.WithOutput(streams.out))
+		if _, err := program.Run(); err != nil {
 			return err
 		}
-		return m.err
+		return model.lastErr
 	}
-	var v body.View
-	if done, err := c.ask(s, "bodies", &v); done || err != nil {
+	var view body.View
+	if printed, err := c.fetchPage(streams, "bodies", &view); printed || err != nil {
 		return err
 	}
-	_, err := io.WriteString(s.out, bodiesText(&v, nil, 0))
+	_, err := io.WriteString(streams.out, formatBodies(&view, nil, 0))
 	return err
 }
 
-// size is a number of bytes as people read it.
-func size(n int64) string {
+// formatBytes formats a number of bytes in the largest unit of which there are at least 10.
+func formatBytes(n int64) string {
 	switch {
 	case n >= 10<<30:
 		return fmt.Sprintf("%d GiB", n>>30)
@@ -109,118 +112,123 @@
 	return fmt.Sprintf("%d B", n)
 }
 
-func amount(a body.Amount) string {
-	return fmt.Sprintf("%s of %s (most %s)", size(a.Now), size(a.Limit), size(a.Max))
+// formatAmount formats an amount of bytes: now, the limit and the maximum so far.
+func formatAmount(amount body.Amount) string {
+	return fmt.Sprintf("%s of %s (most %s)", formatBytes(amount.Now), formatBytes(amount.Limit), formatBytes(amount.Max))
 }
 
-// bar is an amount as a picture, with a mark at the most that it was.
-func bar(a body.Amount, width int) string {
-	if a.Limit <= 0 {
+// drawBar draws an amount as a bar of width characters, with a mark at the maximum so far.
+func drawBar(amount body.Amount, width int) string {
+	if amount.Limit <= 0 {
 		return strings.Repeat("-", width)
 	}
-	at := func(n int64) int { return min(int(n*int64(width)/a.Limit), width) }
-	b := []byte(strings.Repeat("#", at(a.Now)) + strings.Repeat(".", width-at(a.Now)))
-	if m := at(a.Max); m > at(a.Now) {
-		b[m-1] = '|'
+	column := func(n int64) int { return min(int(n*int64(width)/amount.Limit), width) }
+	cells := []byte(strings.Repeat("#", column(amount.Now)) + strings.Repeat(".", width-column(amount.Now)))
+	if mark := column(amount.Max); mark > column(amount.Now) {
+		cells[mark-1] = '|'
 	}
-	return string(b)
+	return string(cells)
 }
 
-// bodiesText is the state as a page; with the one before, and the time between, it
-// shows what came meanwhile.
-func bodiesText(v, before *body.View, between time.Duration) string {
-	var b strings.Builder
-	w := tabwriter.NewWriter(&b, 0, 0, 2, ' ', 0)
-	fmt.Fprintf(w, "memory\t%s\t%s\n", bar(v.Memory, 30), amount(v.Memory))
-	if v.DiskState != "off" {
-		fmt.Fprintf(w, "files\t%s\t%s\n", bar(v.Disk, 30), amount(v.Disk))
-		fmt.Fprintf(w, "open\t%s\t%d of %d (most %d)\n", bar(v.Files, 30), v.Files.Now, v.Files.Limit, v.Files.Max)
-	}
-	fmt.Fprintf(w, "passing\t%s\t%d of %d (most %d)\n", bar(v.Streams, 30), v.Streams.Now, v.Streams.Limit, v.Streams.Max)
+// formatBodies formats the state of bodies as a page. If previous is not nil, the page has the rate
+// of new bodies of each class, over the time elapsed since previous.
+func formatBodies(view, previous *body.View, elapsed time.Duration) string {
+	var text strings.Builder
+	w := tabwriter.NewWriter(&text, 0, 0, 2, ' ', 0)
+	fmt.Fprintf(w, "memory\t%s\t%s\n", drawBar(view.Memory, 30), formatAmount(view.Memory))
+	if view.DiskState != "off" {
+		fmt.Fprintf(w, "files\t%s\t%s\n", drawBar(view.Disk, 30), formatAmount(view.Disk))
+		fmt.Fprintf(w, "open\t%s\t%d of %d (most %d)\n", drawBar(view.Files, 30), view.Files.Now, view.Files.Limit, view.Files.Max)
+	}
+	fmt.Fprintf(w, "passing\t%s\t%d of %d (most %d)\n", drawBar(view.Streams, 30), view.Streams.Now, view.Streams.Limit, view.Streams.Max)
 	w.Flush()
 	switch {
-	case v.DiskState == "off":
-		b.WriteString("disk: no files are set\n")
+	case view.DiskState == "off":
+		text.WriteString("disk: not used\n")
 	default:
-		fmt.Fprintf(&b, "disk: %s since %s, changed %d times\n", v.DiskState, v.DiskSince.Format(time.DateTime), v.DiskChanges)
+		fmt.Fprintf(&text, "disk: %s since %s, changed %d times\n", view.DiskState, view.DiskSince.Format(time.DateTime), view.DiskChanges)
 	}
-	if v.Tight {
-		b.WriteString("memory is tight: nothing is borrowed, long bodies move to files\n")
+	if view.Tight {
+		text.WriteString("memory is tight: classes borrow no memory, and long bodies move to files\n")
 	}
-	b.WriteByte('\n')
+	text.WriteByte('\n')
 	fmt.Fprintln(w, "class\tin memory\tin a file\tnot kept\tno room\tmoved\tretried from memory\tfrom a file\trefused, not kept\tfailed, not kept\theld\ton disk")
-	for n, c := range v.Classes {
+	for n, class := range view.Classes {
 		rate := ""
-		if before != nil && n < len(before.Classes) && between > 0 {
-			o := before.Classes[n]
-			came := c.Memory + c.File + c.NotKept + c.Refused - o.Memory - o.File - o.NotKept - o.Refused
-			rate = fmt.Sprintf(" (%.0f/s)", float64(came)/between.Seconds())
+		if previous != nil && n < len(previous.Classes) && elapsed > 0 {
+			old := previous.Classes[n]
+			newBodies := class.Memory + class.File + class.NotKept + class.Refused - old.Memory - old.File - old.NotKept - old.Refused
+			rate = fmt.Sprintf(" (%.0f/s)", float64(newBodies)/elapsed.Seconds())
 		}
-		fmt.Fprintf(w, "%s%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%s\t%s\n", c.Class, rate, c.Memory, c.File, c.NotKept, c.Refused, c.Moved,
-			c.RetriedMemory, c.RetriedFile, c.UnkeptRefused, c.UnkeptFailed, size(c.Bytes), size(c.DiskBytes))
+		fmt.Fprintf(w, "%s%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%s\t%s\n", class.Class, rate, class.Memory, class.File, class.NotKept, class.Refused, class.Moved,
+			class.RetriedMemory, class.RetriedFile, class.UnkeptRefused, class.UnkeptFailed, formatBytes(class.Bytes), formatBytes(class.DiskBytes))
 	}
 	w.Flush()
-	return b.String()
+	return text.String()
 }
 
-// watch is the live view: it asks, shows, waits, and asks again.
-type watch struct {
-	flags  *socketFlags
-	every  time.Duration
-	now    *body.View
-	before *body.View
-	at     time.Time // of now
-	took   time.Duration
-	err    error // of the last question
+// bodiesModel is the live view of bodies. It asks the daemon every interval, and shows the last
+// view with the rates since the one before.
+type bodiesModel struct {
+	flags    *socketFlags
+	interval time.Duration
+	view     *body.View
+	previous *body.View
+	viewTime time.Time     // time of the request for view
+	elapsed  time.Duration // from previous to view
+	lastErr  error         // error of the last request
 }
 
-type asked struct {
-	v   *body.View
-	err error
-	at  time.Time
+// viewMsg is an answer of the daemon.
+type viewMsg struct {
+	view        *body.View
+	err         error
+	requestTime time.Time
 }
 
-type again struct{}
+// tickMsg says that it is time to ask the daemon again.
+type tickMsg struct{}
 
-func (m *watch) question() tea.Msg {
-	a := asked{v: new(body.View), at: time.Now()}
-	_, a.err = m.flags.ask(nil, "bodies", a.v)
-	return a
+// fetchView asks the daemon for the state of bodies.
+func (m *bodiesModel) fetchView() tea.Msg {
+	msg := viewMsg{view: new(body.View), requestTime: time.Now()}
+	_, msg.err = m.flags.fetchPage(nil, "bodies", msg.view)
+	return msg
 }
 
 // Init implements tea.Model.
-func (m *watch) Init() tea.Cmd { return m.question }
+func (m *bodiesModel) Init() tea.Cmd { return m.fetchView }
 
 // Update implements tea.Model.
-func (m *watch) Update(msg tea.Msg) (tea.Model, tea.Cmd) {
+func (m *bodiesModel) Update(msg tea.Msg) (tea.Model, tea.Cmd) {
 	switch msg := msg.(type) {
 	case tea.KeyPressMsg:
 		switch msg.String() {
 		case "q", "esc", "ctrl+c":
 			return m, tea.Quit
 		}
-	case asked:
-		if m.err = msg.err; msg.err == nil {
-			m.before, m.took = m.now, msg.at.Sub(m.at)
-			m.now, m.at = msg.v, msg.at
+	case viewMsg:
+		if m.lastErr = msg.err; msg.err == nil {
+			m.previous, m.elapsed = m.view, msg.requestTime.Sub(m.viewTime)
+			m.view, m.viewTime = msg.view, msg.requestTime
 		}
-		return m, tea.Tick(m.every, func(time.Time) tea.Msg { return again{} })
-	case again:
-		return m, m.question
+		return m, tea.Tick(m.interval, func(time.Time) tea.Msg { return tickMsg{} })
+	case tickMsg:
+		return m, m.fetchView
 	}
 	return m, nil
 }
 
 // View implements tea.Model.
-func (m *watch) View() tea.View {
+func (m *bodiesModel) View() tea.View {
 	text := "asking " + m.flags.Socket + "\n"
-	if m.now != nil {
-		text = bodiesText(m.now, m.before, m.took)
+	if m.view != nil {
+		text = formatBodies(m.view, m.previous, m.elapsed)
 	}
-	if m.err != nil {
-		text += "\n" + m.err.Error() + "\n"
+	if m.lastErr != nil {
+		text += "\n" + m.lastErr.Error() + "\n"
 	}
-	v := tea.NewView(text + "\nq ends\n")
+	v := tea.NewView(text + "\nq ends the view\n")
 	v.AltScreen = true
 	return v
 }
--- a/cmd/fawnctl/zone.go
+++ b/cmd/fawnctl/zone.go
@@ -14,11 +14,12 @@
 	"chalkrack/internal/rooms/zones"
 )
 
-type zoneOrder struct {
+// zoneOrderFlags are the flags of the commands that send an order for a zone.
+type zoneOrderFlags struct {
 	socketFlags
 	Zone   string `arg:"" help:"The zone, or a region of [zones.regions]."`
-	Reason string `required:"" help:"Why; all sidecars show it. 40 bytes at most."`
-	Who    string `help:"Who asks; the user by default. 16 bytes at most."`
+	Reason string `required:"" help:"The reason, shown by all sidecars. At most 40 bytes."`
+	Who    string `help:"Who asks; the current user by default. At most 16 bytes."`
 }
 
 type (
@@ -26,94 +27,96 @@
 		socketFlags
 		Changes bool `help:"Show each zone's last changes too."`
 	}
-	zoneLeaveCmd  struct{ zoneOrder }
-	zoneReturnCmd struct{ zoneOrder }
-	zoneHoldCmd   struct{ zoneOrder }
-	zoneAutoCmd   struct{ zoneOrder }
+	zoneLeaveCmd  struct{ zoneOrderFlags }
+	zoneReturnCmd struct{ zoneOrderFlags }
+	zoneHoldCmd   struct{ zoneOrderFlags }
+	zoneAutoCmd   struct{ zoneOrderFlags }
 )
 
 type zoneCmd struct {
-	Status zoneStatusCmd `cmd:"" help:"For each zone its stage, what holds it, the evidence and since when."`
-	Leave  zoneLeaveCmd  `cmd:"" help:"Have the whole fleet leave a zone, until it is told to return."`
-	Return zoneReturnCmd `cmd:"" help:"Have the fleet return to a zone, in stages."`
-	Hold   zoneHoldCmd   `cmd:"" help:"Keep a zone as it is, whatever the evidence says."`
-	Auto   zoneAutoCmd   `cmd:"" help:"Leave a zone to evidence again."`
+	Status zoneStatusCmd `cmd:"" help:"Show for each zone its stage, since when, the evidence, and an order that holds it."`
+	Leave  zoneLeaveCmd  `cmd:"" help:"Order the whole fleet to leave a zone, until an order to return."`
+	Return zoneReturnCmd `cmd:"" help:"Order the fleet to return to a zone, in stages."`
+	Hold   zoneHoldCmd   `cmd:"" help:"Keep a zone in its stage, whatever the evidence is."`
+	Auto   zoneAutoCmd   `cmd:"" help:"Let the evidence decide on a zone again."`
 
-	Rehearse zoneRehearseCmd `cmd:"" help:"Play random faults against a fleet in virtual time, by the settings of a file."`
+	Rehearse zoneRehearseCmd `cmd:"" help:"Simulate random faults against a fleet in virtual time, with the settings of a file."`
 }
 
-// Run gives the order.
-func (c *zoneLeaveCmd) Run(s *streams) error  { return c.order(s, "leave") }
-func (c *zoneReturnCmd) Run(s *streams) error { return c.order(s, "return") }
-func (c *zoneHoldCmd) Run(s *streams) error   { return c.order(s, "hold") }
-func (c *zoneAutoCmd) Run(s *streams) error   { return c.order(s, "auto") }
+// Run sends the order.
+func (c *zoneLeaveCmd) Run(streams *stdStreams) error  { return c.sendOrder(streams, "leave") }
+func (c *zoneReturnCmd) Run(streams *stdStreams) error { return c.sendOrder(streams, "return") }
+func (c *zoneHoldCmd) Run(streams *stdStreams) error   { return c.sendOrder(streams, "hold") }
+func (c *zoneAutoCmd) Run(streams *stdStreams) error   { return c.sendOrder(streams, "auto") }
 
-func (c *zoneOrder) order(s *streams, action string) error {
+// sendOrder sends the order to the daemon and prints the zones after it.
+func (c *zoneOrderFlags) sendOrder(streams *stdStreams, action string) error {
 	who := c.Who
 	if who == "" {
 		if u, err := user.Current(); err == nil {
 			who = u.Username[:min(len(u.Username), evacuation.MaxWhoBytes)]
 		}
 	}
-	var v zones.View
-	err := admin.Do(context.Background(), c.Socket, "zones/order", zones.Order{Zone: c.Zone, Action: action, Who: who, Reason: c.Reason}, &v)
+	var view zones.View
+	err := admin.Do(context.Background(), c.Socket, "zones/order", zones.Order{Zone: c.Zone, Action: action, Who: who, Reason: c.Reason}, &view)
 	if err != nil {
-		var no admin.RefusedError
-		if errors.As(err, &no) {
-			return no
+		var refusal admin.RefusedError
+		if errors.As(err, &refusal) {
+			return refusal
 		}
-		return fmt.Errorf("%w: %w", errAway, err)
+		return fmt.Errorf("%w: %w", errDaemonUnreachable, err)
 	}
-	return zoneText(s, &v, false)
+	return printZones(streams, &view, false)
 }
 
-// Run shows the zones.
-func (c *zoneStatusCmd) Run(s *streams) error {
-	var v zones.View
-	if done, err := c.ask(s, "zones", &v); done || err != nil {
+// Run prints the zones.
+func (c *zoneStatusCmd) Run(streams *stdStreams) error {
+	var view zones.View
+	if printed, err := c.fetchPage(streams, "zones", &view); printed || err != nil {
 		return err
 	}
-	return zoneText(s, &v, c.Changes)
+	return printZones(streams, &view, c.Changes)
 }
 
-func zoneText(s *streams, v *zones.View, changes bool) error {
-	w := tabwriter.NewWriter(s.out, 0, 0, 2, ' ', 0)
-	fmt.Fprintf(w, "heard\t%d of %d other sidecars lately\n", v.RecentPeers, v.Peers)
+// printZones prints a line for each zone and, if wanted, the zones' last changes.
+func printZones(streams *stdStreams, view *zones.View, changes bool) error {
+	w := tabwriter.NewWriter(streams.out, 0, 0, 2, ' ', 0)
+	fmt.Fprintf(w, "heard\t%d of %d other sidecars recently\n", view.RecentPeers, view.Peers)
 	fmt.Fprintln(w, "zone\tstage\tsince\tseen here\tfailing/fine\tservers\tnext\tby")
-	for _, z := range v.Zones {
-		name, stage := z.Zone, z.Stage
-		if z.Region != "" {
-			name += " (" + z.Region + ")"
+	for _, zone := range view.Zones {
+		name, stage := zone.Zone, zone.Stage
+		if zone.Region != "" {
+			name += " (" + zone.Region + ")"
 		}
-		if z.LeftLocally {
+		if zone.LeftLocally {
 			stage = "left alone"
-		} else if z.InUse && z.StageRate > 0 {
-			stage += ", this one goes first"
+		} else if zone.InUse && zone.StageRate > 0 {
+			stage += ", this sidecar returns first"
 		}
-		var seen []string
-		for _, k := range sortedKeys(z.Results) {
-			seen = append(seen, fmt.Sprintf("%.1f %s", z.Results[k], k))
+		var results []string
+		for _, k := range sortedKeys(zone.Results) {
+			results = append(results, fmt.Sprintf("%.1f %s", zone.Results[k], k))
 		}
-		evidence := z.Verdict
-		if len(seen) > 0 {
-			evidence += ": " + strings.Join(seen, ", ")
+		evidence := zone.Verdict
+		if len(results) > 0 {
+			evidence += ": " + strings.Join(results, ", ")
 		}
 		next := "-"
-		if z.NextStageIn > 0 {
-			next = z.NextStageIn.Round(100 * time.Millisecond).String()
+		if zone.NextStageIn > 0 {
+			next = zone.NextStageIn.Round(100 * time.Millisecond).String()
 		}
-		by := "evidence"
-		if z.Order != nil && z.Order.Action != evacuation.ActionAuto {
-			by = fmt.Sprintf("order %d, %s: %s (%s)", z.Order.Version, z.Order.Action, z.Order.Reason, z.Order.Who)
+		decidedBy := "evidence"
+		if zone.Order != nil && zone.Order.Action != evacuation.ActionAuto {
+			decidedBy = fmt.Sprintf("order %d, %s: %s (%s)", zone.Order.Version, zone.Order.Action, zone.Order.Reason, zone.Order.Who)
 		}
-		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%d/%d\t%d\t%s\t%s\n", name, stage, z.Since.Round(100*time.Millisecond), evidence, z.Failing, z.Fine, z.Servers, next, by)
+		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%d/%d\t%d\t%s\t%s\n", name, stage, zone.Since.Round(100*time.Millisecond), evidence, zone.Failing, zone.Fine, zone.Servers, next, decidedBy)
 	}
 	if err := w.Flush(); err != nil || !changes {
 		return err
 	}
-	for _, z := range v.Zones {
-		for _, c := range z.Changes {
-			fmt.Fprintf(s.out, "%s: %s to %s: %s\n", c.Zone, c.From, c.To, c.Reason)
+	for _, zone := range view.Zones {
+		for _, change := range zone.Changes {
+			fmt.Fprintf(streams.out, "%s: %s to %s: %s\n", change.Zone, change.From, change.To, change.Reason)
 		}
 	}
 	return nil
