--- a/cmd/fawnctl/level.go
+++ b/cmd/fawnctl/level.go
@@ -106,9 +106,9 @@
 
 var (
 	levelDesc         = prometheus.NewDesc("fawnrock_level", "The level of service: 0 normal to 4 emergency.", nil, nil)
-	unpinnedLevelDesc = prometheus.NewDesc("fawnrock_level_by_conditions", "The level that the conditions ask for, which a pin overrides.", nil, nil)
-	levelChangesDesc  = prometheus.NewDesc("fawnrock_level_changes_total", "Number of changes of the level.", nil, nil)
-	sensorDesc        = prometheus.NewDesc("fawnrock_level_sensor", "Value of a sensor, if it is usable.", []string{"sensor"}, nil)
+	unpinnedLevelDesc = prometheus.NewDesc("fawnrock_level_by_conditions", "The level that the conditions ask for.", nil, nil)
+	levelChangesDesc  = prometheus.NewDesc("fawnrock_level_changes_total", "Changes of the level.", nil, nil)
+	sensorDesc        = prometheus.NewDesc("fawnrock_level_sensor", "What a sensor says.", []string{"sensor"}, nil)
 	turnedAwayDesc    = prometheus.NewDesc("fawnrock_level_turned_away_total", "Requests turned away by the level.", []string{"class"}, nil)
 )
 
