--- a/internal/plan/brute_test.go
+++ b/internal/plan/brute_test.go
@@ -10,245 +10,251 @@
 	"chalkrack/internal/racing"
 )
 
-// network is a flow network with lower bounds, small enough to be solved by paths. It
-// shares nothing with the linear programme but the fleet: work is one commodity, which
-// flows from classes by pins to nodes, and through their zones.
+// network is a flow network with lower bounds, small enough to be solved by augmenting paths. It
+// shares no code with the linear programme: work is a single commodity that flows from classes over
+// pins to nodes and then through their zones. Edge e and its reverse e^1 are adjacent.
 type network struct {
-	to, next []int
-	left     []float64
-	first    []int
-	over     []float64 // by vertex, what lower bounds bring in, less what they take out
+	targets, nextEdge []int     // by edge, its target and the next edge of the same vertex; -1: none
+	residual          []float64 // by edge, the residual capacity
+	firstEdge         []int     // by vertex, its first edge; -1: none
+	excess            []float64 // by vertex, lower bounds of edges into it less those of edges out of it
 }
 
 func newNetwork(n int) *network {
-	w := &network{first: make([]int, n), over: make([]float64, n)}
-	for i := range w.first {
-		w.first[i] = -1
+	w := &network{firstEdge: make([]int, n), excess: make([]float64, n)}
+	for i := range w.firstEdge {
+		w.firstEdge[i] = -1
 	}
 	return w
 }
 
-func (w *network) edge(a, b int, least, most float64) int {
-	w.over[b] += least
-	w.over[a] -= least
-	w.to = append(w.to, b, a)
-	w.left = append(w.left, most-least, 0)
-	w.next = append(w.next, w.first[a], w.first[b])
-	w.first[a], w.first[b] = len(w.to)-2, len(w.to)-1
-	return len(w.to) - 2
+// addEdge adds an edge with a lower and an upper bound and returns its index.
+func (w *network) addEdge(from, to int, lower, upper float64) int {
+	w.excess[to] += lower
+	w.excess[from] -= lower
+	w.targets = append(w.targets, to, from)
+	w.residual = append(w.residual, upper-lower, 0)
+	w.nextEdge = append(w.nextEdge, w.firstEdge[from], w.firstEdge[to])
+	w.firstEdge[from], w.firstEdge[to] = len(w.targets)-2, len(w.targets)-1
+	return len(w.targets) - 2
 }
 
-// push sends all it can from a to b by shortest paths.
-func (w *network) push(a, b int) (sum float64) {
+// maxFlow adds as much flow from source to sink as fits, by shortest augmenting paths, and returns
+// how much that is.
+func (w *network) maxFlow(source, sink int) (sum float64) {
 	for {
-		by := make([]int, len(w.first))
-		for i := range by {
-			by[i] = -1
+		edgeInto := make([]int, len(w.firstEdge))
+		for i := range edgeInto {
+			edgeInto[i] = -1
 		}
-		queue := []int{a}
-		for len(queue) > 0 && by[b] < 0 {
+		queue := []int{source}
+		for len(queue) > 0 && edgeInto[sink] < 0 {
 			v := queue[0]
 			queue = queue[1:]
-			for e := w.first[v]; e >= 0; e = w.next[e] {
-				if u := w.to[e]; w.left[e] > 1e-12 && by[u] < 0 && u != a {
-					by[u] = e
+			for e := w.firstEdge[v]; e >= 0; e = w.nextEdge[e] {
+				if u := w.targets[e]; w.residual[e] > 1e-12 && edgeInto[u] < 0 && u != source {
+					edgeInto[u] = e
 					queue = append(queue, u)
 				}
 			}
 		}
-		if by[b] < 0 {
+		if edgeInto[sink] < 0 {
 			return sum
 		}
-		least := math.Inf(1)
-		for v := b; v != a; v = w.to[by[v]^1] {
-			least = min(least, w.left[by[v]])
+		bottleneck := math.Inf(1)
+		for v := sink; v != source; v = w.targets[edgeInto[v]^1] {
+			bottleneck = min(bottleneck, w.residual[edgeInto[v]])
 		}
-		for v := b; v != a; v = w.to[by[v]^1] {
-			w.left[by[v]] -= least
-			w.left[by[v]^1] += least
+		for v := sink; v != source; v = w.targets[edgeInto[v]^1] {
+			w.residual[edgeInto[v]] -= bottleneck
+			w.residual[edgeInto[v]^1] += bottleneck
 		}
-		sum += least
+		sum += bottleneck
 	}
 }
 
-// flowOf is the network of a fleet with some of its nodes in use: source 0, sink 1, then
-// classes, pins, nodes and zones.
-func flowOf(f *Fleet, use uint, off holding) (w *network, demand []int) {
-	zones := f.Zones()
-	nc, np, nn := len(f.Classes), len(f.Pins), len(f.Nodes)
-	w = newNetwork(2 + nc + np + nn + len(zones) + 2)
-	total := 0.0
-	for _, c := range f.Classes {
-		total += c.Rate * c.WorkMS / 1000
+// flowNetwork returns the network of a fleet with a subset of its nodes in use, and the edge of
+// each class's demand. Vertex 0 is the source and 1 the sink; then come classes, pins, nodes and
+// zones, and two vertices for hasCirculation.
+func flowNetwork(fleet *Fleet, subset uint, disabled disabledLimits) (w *network, demandEdges []int) {
+	zones := fleet.Zones()
+	classCount, pinCount, nodeCount := len(fleet.Classes), len(fleet.Pins), len(fleet.Nodes)
+	w = newNetwork(2 + classCount + pinCount + nodeCount + len(zones) + 2)
+	totalWork := 0.0
+	for _, class := range fleet.Classes {
+		totalWork += class.Rate * class.WorkMS / 1000
 	}
-	l := &f.Limits
-	for n := range f.Classes {
-		c := &f.Classes[n]
-		work := c.Rate * c.WorkMS / 1000
-		least := 0.0
-		if c.AtLeast > 0 && off.on(atLeastOf(c)) {
-			least = c.AtLeast * work
-		}
-		demand = append(demand, w.edge(0, 2+n, least, work))
+	limits := &fleet.Limits
+	for n := range fleet.Classes {
+		class := &fleet.Classes[n]
+		work := class.Rate * class.WorkMS / 1000
+		lower := 0.0
+		if class.MinServedShare > 0 && disabled.enforces(minServedLimit(class)) {
+			lower = class.MinServedShare * work
+		}
+		demandEdges = append(demandEdges, w.addEdge(0, 2+n, lower, work))
 		pinned := make(map[int]int)
-		for i := range f.Pins {
-			p := &f.Pins[i]
-			if p.Class != c.Name {
+		for i := range fleet.Pins {
+			p := &fleet.Pins[i]
+			if p.Class != class.Name {
 				continue
 			}
-			least := 0.0
-			if off.on(pinOf(i, p)) {
-				least = p.Least * work
+			lower := 0.0
+			if disabled.enforces(pinLimit(i, p)) {
+				lower = p.MinShare * work
 			}
-			w.edge(2+n, 2+nc+i, least, max(work, least))
-			for k := range f.Nodes {
-				if f.Nodes[k].is(p.At) {
-					pinned[k] = 2 + nc + i
+			w.addEdge(2+n, 2+classCount+i, lower, max(work, lower))
+			for k := range fleet.Nodes {
+				if fleet.Nodes[k].matches(p.Places) {
+					pinned[k] = 2 + classCount + i
 				}
 			}
 		}
-		for k := range f.Nodes {
-			d := &f.Nodes[k]
-			if (len(c.Only) > 0 && off.on(onlyOf(c)) && !d.is(c.Only)) || (len(c.Not) > 0 && off.on(notOf(c)) && d.is(c.Not)) {
+		for k := range fleet.Nodes {
+			node := &fleet.Nodes[k]
+			if (len(class.OnlyPlaces) > 0 && disabled.enforces(onlyPlacesLimit(class)) && !node.matches(class.OnlyPlaces)) || (len(class.ExcludedPlaces) > 0 && disabled.enforces(excludedPlacesLimit(class)) && node.matches(class.ExcludedPlaces)) {
 				continue
 			}
 			from := 2 + n
 			if v, ok := pinned[k]; ok {
 				from = v
 			}
-			w.edge(from, 2+nc+np+k, 0, math.Inf(1))
+			w.addEdge(from, 2+classCount+pinCount+k, 0, math.Inf(1))
 		}
 	}
-	for k := range f.Nodes {
-		d := &f.Nodes[k]
-		size := float64(d.Cores) * d.Speed
-		if l.Free > 0 && off.on(freeOf(l)) {
-			size *= 1 - l.Free
+	for k := range fleet.Nodes {
+		node := &fleet.Nodes[k]
+		capacity := float64(node.Cores) * node.Speed
+		if limits.Free > 0 && disabled.enforces(freeShareLimit(limits)) {
+			capacity *= 1 - limits.Free
 		}
-		if !off.on(capacityOf(d.Zone)) {
-			size = total
+		if !disabled.enforces(capacityLimit(node.Zone)) {
+			capacity = totalWork
 		}
-		if l.MostOfNode > 0 && off.on(nodeShareOf(l)) {
-			size = min(size, l.MostOfNode*total)
+		if limits.MaxNodeShare > 0 && disabled.enforces(nodeShareLimit(limits)) {
+			capacity = min(capacity, limits.MaxNodeShare*totalWork)
 		}
-		if use&(1<<k) == 0 || d.Drain && off.on(drainOf(d)) {
-			size = 0
+		if subset&(1<<k) == 0 || node.Drain && disabled.enforces(drainLimit(node)) {
+			capacity = 0
 		}
-		w.edge(2+nc+np+k, 2+nc+np+nn+slices.Index(zones, d.Zone), 0, size)
+		w.addEdge(2+classCount+pinCount+k, 2+classCount+pinCount+nodeCount+slices.Index(zones, node.Zone), 0, capacity)
 	}
 	for z, name := range zones {
-		most := math.Inf(1)
-		if l.MostOfZone > 0 && off.on(zoneShareOf(l, name)) {
-			most = l.MostOfZone * total
+		upper := math.Inf(1)
+		if limits.MaxZoneShare > 0 && disabled.enforces(zoneShareLimit(limits, name)) {
+			upper = limits.MaxZoneShare * totalWork
 		}
-		w.edge(2+nc+np+nn+z, 1, 0, most)
+		w.addEdge(2+classCount+pinCount+nodeCount+z, 1, 0, upper)
 	}
-	return w, demand
+	return w, demandEdges
 }
 
-// circulates says whether lower bounds can be met (Hoffman's circulations).
-func (w *network) circulates() bool {
-	w.edge(1, 0, 0, math.Inf(1))
-	a, b := len(w.first)-2, len(w.first)-1
-	need := 0.0
-	for v, over := range slices.Clone(w.over) {
-		if over > 0 {
-			w.edge(a, v, 0, over)
-			need += over
-		} else if over < 0 {
-			w.edge(v, b, 0, -over)
+// hasCirculation reports whether some flow meets all lower bounds (Hoffman's circulation theorem).
+func (w *network) hasCirculation() bool {
+	w.addEdge(1, 0, 0, math.Inf(1))
+	source, sink := len(w.firstEdge)-2, len(w.firstEdge)-1
+	required := 0.0
+	for v, excess := range slices.Clone(w.excess) {
+		if excess > 0 {
+			w.addEdge(source, v, 0, excess)
+			required += excess
+		} else if excess < 0 {
+			w.addEdge(v, sink, 0, -excess)
 		}
 	}
-	return w.push(a, b) >= need-1e-9*max(1, need)
+	return w.maxFlow(source, sink) >= required-1e-9*max(1, required)
 }
 
-// subsets are the choices of nodes that limits on numbers and prices leave.
-func subsets(f *Fleet, off holding) (all []uint) {
-	every := uint(1)<<len(f.Nodes) - 1
-	if !f.Choose {
-		return []uint{every}
+// allowedSubsets returns the choices of nodes that meet the limits on number and price and use no
+// drained node.
+func allowedSubsets(fleet *Fleet, disabled disabledLimits) (allowed []uint) {
+	allNodes := uint(1)<<len(fleet.Nodes) - 1
+	if !fleet.Choose {
+		return []uint{allNodes}
 	}
-	for use := uint(0); use <= every; use++ {
+	for subset := uint(0); subset <= allNodes; subset++ {
 		price, count := 0.0, 0
 		drained := false
-		for k := range f.Nodes {
-			if use&(1<<k) != 0 {
-				price += f.Nodes[k].Price
+		for k := range fleet.Nodes {
+			if subset&(1<<k) != 0 {
+				price += fleet.Nodes[k].Price
 				count++
-				drained = drained || f.Nodes[k].Drain && off.on(drainOf(&f.Nodes[k]))
+				drained = drained || fleet.Nodes[k].Drain && disabled.enforces(drainLimit(&fleet.Nodes[k]))
 			}
 		}
-		l := &f.Limits
-		if drained || l.MostNodes > 0 && off.on(mostNodesOf(l)) && count > l.MostNodes || l.MostPrice > 0 && off.on(mostPriceOf(l)) && price > l.MostPrice+1e-9 {
+		limits := &fleet.Limits
+		if drained || limits.MaxNodes > 0 && disabled.enforces(maxNodesLimit(limits)) && count > limits.MaxNodes || limits.MaxPrice > 0 && disabled.enforces(maxPriceLimit(limits)) && price > limits.MaxPrice+1e-9 {
 			continue
 		}
-		all = append(all, use)
+		allowed = append(allowed, subset)
 	}
-	return all
+	return allowed
 }
 
-func bruteMeets(f *Fleet, off holding) bool {
-	for _, use := range subsets(f, off) {
-		if w, _ := flowOf(f, use, off); w.circulates() {
+// feasibleByBruteForce reports whether some allowed subset of nodes meets all limits that are not
+// disabled.
+func feasibleByBruteForce(fleet *Fleet, disabled disabledLimits) bool {
+	for _, subset := range allowedSubsets(fleet, disabled) {
+		if w, _ := flowNetwork(fleet, subset, disabled); w.hasCirculation() {
 			return true
 		}
 	}
 	return false
 }
 
-// bruteBest is late, worth and, where nothing crosses for a price, cost of the best plan
-// of a fleet without pins and at_least. What can be served of several classes at once is a
-// polymatroid (flows from sources), so that the greedy in the order of what a second of
-// work is worth is the best there is (Edmonds 1970).
-func bruteBest(f *Fleet) (best []float64) {
-	order := make([]int, len(f.Classes))
+// bestByBruteForce returns late, worth and cost of the best plan of a fleet without pins, at_least
+// and prices of crossings. The amounts of several classes that can be served together form a
+// polymatroid (flows from several sources), so that it is optimal to serve classes greedily, in
+// the order of what a second of their work is worth (Edmonds 1970).
+func bestByBruteForce(fleet *Fleet) (best []float64) {
+	order := make([]int, len(fleet.Classes))
 	for n := range order {
 		order[n] = n
 	}
-	value := func(n int) (must, worth float64) {
-		c := &f.Classes[n]
-		if c.Must {
+	valueOfWork := func(n int) (must, worth float64) {
+		c := &fleet.Classes[n]
+		if c.MustNotBeLate {
 			must = 1 / c.WorkMS
 		}
 		return must, c.Worth / c.WorkMS
 	}
 	slices.SortStableFunc(order, func(a, b int) int {
-		am, aw := value(a)
-		bm, bw := value(b)
-		return lexical([]float64{bm, bw}, []float64{am, aw})
+		am, aw := valueOfWork(a)
+		bm, bw := valueOfWork(b)
+		return compareLexicographic([]float64{bm, bw}, []float64{am, aw})
 	})
-	for _, use := range subsets(f, nil) {
-		w, demand := flowOf(f, use, nil)
-		open := make([]float64, len(demand))
-		for n, e := range demand {
-			open[n], w.left[e] = w.left[e], 0
+	for _, subset := range allowedSubsets(fleet, nil) {
+		w, demandEdges := flowNetwork(fleet, subset, nil)
+		demands := make([]float64, len(demandEdges))
+		for n, e := range demandEdges {
+			demands[n], w.residual[e] = w.residual[e], 0
 		}
-		v := make([]float64, 3)
+		values := make([]float64, 3)
 		for _, n := range order {
-			w.left[demand[n]] = open[n]
-			got := w.push(0, 1)
-			c := &f.Classes[n]
-			missing := max(0, c.Rate-got*1000/c.WorkMS)
-			if c.Must {
-				v[0] += missing
+			w.residual[demandEdges[n]] = demands[n]
+			served := w.maxFlow(0, 1)
+			c := &fleet.Classes[n]
+			missing := max(0, c.Rate-served*1000/c.WorkMS)
+			if c.MustNotBeLate {
+				values[0] += missing
 			}
-			v[1] += c.Worth * missing
+			values[1] += c.Worth * missing
 		}
-		for k := range f.Nodes {
-			if use&(1<<k) != 0 {
-				v[2] += f.Nodes[k].Price
+		for k := range fleet.Nodes {
+			if subset&(1<<k) != 0 {
+				values[2] += fleet.Nodes[k].Price
 			}
 		}
-		if best == nil || lexical(v, best) < 0 {
-			best = v
+		if best == nil || compareLexicographic(values, best) < 0 {
+			best = values
 		}
 	}
 	return best
 }
 
-// fleetOf is a fleet of up to eight nodes with limits of all kinds; numbers are small and
-// whole, so that ties abound.
-func fleetOf(rng *rand.Rand, hard bool) *Fleet {
+// randomFleet returns a fleet of up to eight nodes with limits of all kinds, with pins and at_least
+// only if withMinimums is set. Its numbers are small integers, so that ties are frequent.
+func randomFleet(rng *rand.Rand, withMinimums bool) *Fleet {
 	f := &Fleet{Version: 1, Choose: rng.IntN(2) == 0}
 	zones := []string{"a", "b", "c"}[:1+rng.IntN(3)]
 	for n := range 1 + rng.IntN(8) {
@@ -257,39 +263,39 @@
 	}
 	places := []string{"zone:" + f.Nodes[0].Zone, "kind:" + f.Nodes[0].Kind, f.Nodes[len(f.Nodes)-1].Name}
 	for n := range 1 + rng.IntN(3) {
-		c := Class{Name: fmt.Sprint("c", n), Rate: float64(rng.IntN(60)), WorkMS: float64(50 * (1 + rng.IntN(4))), AimMS: 800, Worth: float64(rng.IntN(11)), Must: rng.IntN(3) == 0}
+		c := Class{Name: fmt.Sprint("c", n), Rate: float64(rng.IntN(60)), WorkMS: float64(50 * (1 + rng.IntN(4))), AimMS: 800, Worth: float64(rng.IntN(11)), MustNotBeLate: rng.IntN(3) == 0}
 		if rng.IntN(2) == 0 {
 			c.Zones = map[string]float64{zones[0]: 1}
 		}
 		if rng.IntN(4) == 0 {
-			c.Only = places[rng.IntN(3):][:1]
+			c.OnlyPlaces = places[rng.IntN(3):][:1]
 		}
 		if rng.IntN(5) == 0 {
-			c.Not = places[rng.IntN(3):][:1]
+			c.ExcludedPlaces = places[rng.IntN(3):][:1]
 		}
-		if hard && rng.IntN(2) == 0 {
-			c.AtLeast = []float64{0.5, 0.9, 1}[rng.IntN(3)]
+		if withMinimums && rng.IntN(2) == 0 {
+			c.MinServedShare = []float64{0.5, 0.9, 1}[rng.IntN(3)]
 		}
 		f.Classes = append(f.Classes, c)
 	}
-	l := &f.Limits
-	l.Free = []float64{0, 0, 0.25}[rng.IntN(3)]
-	l.MostOfNode = []float64{0, 0, 0.5}[rng.IntN(3)]
-	l.MostOfZone = []float64{0, 0, 0.5, 0.75}[rng.IntN(4)]
+	limits := &f.Limits
+	limits.Free = []float64{0, 0, 0.25}[rng.IntN(3)]
+	limits.MaxNodeShare = []float64{0, 0, 0.5}[rng.IntN(3)]
+	limits.MaxZoneShare = []float64{0, 0, 0.5, 0.75}[rng.IntN(4)]
 	if f.Choose {
-		l.MostNodes = []int{0, 0, 1 + rng.IntN(4)}[rng.IntN(3)]
-		l.MostPrice = []float64{0, 0, float64(1 + rng.IntN(8))}[rng.IntN(3)]
+		limits.MaxNodes = []int{0, 0, 1 + rng.IntN(4)}[rng.IntN(3)]
+		limits.MaxPrice = []float64{0, 0, float64(1 + rng.IntN(8))}[rng.IntN(3)]
 	}
-	if hard && rng.IntN(2) == 0 {
-		f.Pins = append(f.Pins, Pin{Class: "c0", At: places[rng.IntN(3):][:1], Least: []float64{0.2, 0.6, 1}[rng.IntN(3)]})
+	if withMinimums && rng.IntN(2) == 0 {
+		f.Pins = append(f.Pins, Pin{Class: "c0", Places: places[rng.IntN(3):][:1], MinShare: []float64{0.2, 0.6, 1}[rng.IntN(3)]})
 	}
 	return f
 }
 
-// Against brute force over every choice of nodes, with flows in place of the programme:
-// the same optimum, the same verdict on contradictions, and every set of limits said to
-// contradict is one, and least.
-func TestBruteForce(t *testing.T) {
+// Compares Solve with brute force over every choice of nodes, which uses network flows instead of
+// the linear programme. It fails if the optimum differs, if they disagree whether the limits
+// contradict each other, or if a set of limits reported as a conflict is not one or not minimal.
+func TestSolveAgainstBruteForce(t *testing.T) {
 	const seed = 11
 	fleets := 10000
 	if testing.Short() || racing.On {
@@ -297,59 +303,59 @@
 	}
 	rng := rand.New(rand.NewPCG(seed, 0))
 	seen := make(map[Status]int)
-	sets, sizes := 0, make(map[int]int)
+	setCount, setSizes := 0, make(map[int]int)
 	for n := range fleets {
-		f := fleetOf(rng, n%2 == 0)
-		p, err := Solve(f, Options{})
+		fleet := randomFleet(rng, n%2 == 0)
+		plan, err := Solve(fleet, Options{})
 		if err != nil {
 			t.Fatalf("seed %d, fleet %d: %v", seed, n, err)
 		}
-		seen[p.Status]++
-		if good := bruteMeets(f, nil); good == (p.Status == Contradictory) {
-			t.Fatalf("seed %d, fleet %d: %v, by brute force it can be met: %v\n%+v", seed, n, p.Status, good, f)
+		seen[plan.Status]++
+		if feasible := feasibleByBruteForce(fleet, nil); feasible == (plan.Status == Contradictory) {
+			t.Fatalf("seed %d, fleet %d: status %v, brute force says that the limits can be met: %v\n%+v", seed, n, plan.Status, feasible, fleet)
 		}
-		if p.Status == Contradictory {
-			if len(p.Conflicts) == 0 {
-				t.Fatalf("seed %d, fleet %d: no set of limits", seed, n)
+		if plan.Status == Contradictory {
+			if len(plan.Conflicts) == 0 {
+				t.Fatalf("seed %d, fleet %d: contradictory without a set of conflicting limits", seed, n)
 			}
-			for _, set := range p.Conflicts {
-				sets++
-				sizes[len(set)]++
-				off := make(holding)
-				for _, l := range f.limits() {
-					off[l] = !slices.Contains(set, string(l))
+			for _, set := range plan.Conflicts {
+				setCount++
+				setSizes[len(set)]++
+				disabled := make(disabledLimits)
+				for _, l := range fleet.allLimits() {
+					disabled[l] = !slices.Contains(set, string(l))
 				}
-				if bruteMeets(f, off) {
-					t.Fatalf("seed %d, fleet %d: %q can be met", seed, n, set)
+				if feasibleByBruteForce(fleet, disabled) {
+					t.Fatalf("seed %d, fleet %d: the limits %q are reported as a conflict and can be met", seed, n, set)
 				}
 				for _, l := range set {
-					off[limit(l)] = true
-					if !bruteMeets(f, off) {
-						t.Fatalf("seed %d, fleet %d: %q is not least: without %q it can't be met either", seed, n, set, l)
+					disabled[limit(l)] = true
+					if !feasibleByBruteForce(fleet, disabled) {
+						t.Fatalf("seed %d, fleet %d: the conflict %q is not minimal: without %q it can't be met either", seed, n, set, l)
 					}
-					off[limit(l)] = false
+					disabled[limit(l)] = false
 				}
 			}
 			continue
 		}
-		if n%2 == 0 { // pins and at_least: greedy is no proof
+		if n%2 == 0 { // with pins and at_least the greedy order need not be optimal
 			continue
 		}
-		want := bruteBest(f)
-		got := []float64{p.Values["late"], p.Values["worth"], p.Values["cost"]}
-		if !f.Choose {
+		want := bestByBruteForce(fleet)
+		got := []float64{plan.Values["late"], plan.Values["worth"], plan.Values["cost"]}
+		if !fleet.Choose {
 			want[2] = got[2]
-		} else if p.Search != nil {
-			got[2] = p.Search.Best[2]
+		} else if plan.Search != nil {
+			got[2] = plan.Search.Best[2]
 		}
 		for i := range want {
 			if math.Abs(want[i]-got[i]) > 1e-6*max(1, want[i]) {
-				t.Fatalf("seed %d, fleet %d: %v, by brute force %v\n%+v", seed, n, got, want, f)
+				t.Fatalf("seed %d, fleet %d: late, worth, cost %v, by brute force %v\n%+v", seed, n, got, want, fleet)
 			}
 		}
 	}
-	t.Logf("%v; %d sets of limits by size %v", seen, sets, sizes)
-	if seen[Held] < fleets/20 || seen[Short] < fleets/20 || seen[Contradictory] < fleets/20 || sizes[2] == 0 || sizes[3] == 0 {
-		t.Errorf("the sample says too little: %v, %v", seen, sizes)
+	t.Logf("%v; %d conflicts, by size %v", seen, setCount, setSizes)
+	if seen[Satisfied] < fleets/20 || seen[Short] < fleets/20 || seen[Contradictory] < fleets/20 || setSizes[2] == 0 || setSizes[3] == 0 {
+		t.Errorf("too few of a kind in the sample: statuses %v, sizes of conflicts %v", seen, setSizes)
 	}
 }
--- a/internal/plan/capacity.go
+++ b/internal/plan/capacity.go
@@ -2,51 +2,52 @@
 
 import "math"
 
-// Usable is the work, in seconds of a core of speed 1 a second, that a node can do with at
-// most a share late of requests that it could not begin in time and a share full that find
-// no room. Where both are 0 it is all that its cores can do.
+// UsableCapacity returns the work that a node can do, in seconds of a core of speed 1 per second,
+// if at most the share maxLate of the requests start too late to meet their aim and at most the
+// share maxFull find the queue full. If both are 0 it is the whole capacity of the cores.
 //
-// A node counts as a queue M/M/c (Erlang's C formula; Gross and Harris, "Fundamentals of
-// Queueing Theory", section 2.3): a request waits longer than t with the chance
-// C(c, rho) exp(-c mu (1-rho) t), where t is what its aim leaves beside the time that 19
-// of 20 requests take, and finds K waiting with C(c, rho) rho^K.
-func Usable(d *Node, workMS, aimMS, late, full float64) float64 {
-	cores := float64(d.Cores) * d.Speed
-	if d.Cores == 0 || late == 0 && full == 0 {
-		return cores
+// The node is modelled as an M/M/c queue (Erlang's C formula; Gross and Harris, "Fundamentals of
+// Queueing Theory", section 2.3) with c cores, service rate mu per core and utilization rho. A
+// request waits longer than t with the probability C(c, rho) exp(-c mu (1-rho) t), where t is the
+// aim less the time within which 19 of 20 requests are served. It finds K requests waiting with
+// the probability C(c, rho) rho^K.
+func UsableCapacity(node *Node, workMS, aimMS, maxLate, maxFull float64) float64 {
+	rawCapacity := float64(node.Cores) * node.Speed
+	if node.Cores == 0 || maxLate == 0 && maxFull == 0 {
+		return rawCapacity
 	}
-	mu := d.Speed / (workMS / 1000) // requests a second a core
-	spare := aimMS/1000 - 3/mu      // e^-3 is a twentieth
-	if spare < 0 {
-		spare = 0
+	serviceRate := node.Speed / (workMS / 1000) // requests per second and core
+	slackSeconds := aimMS/1000 - 3/serviceRate  // e^-3 is about 1/20: 19 of 20 requests take at most 3/mu
+	if slackSeconds < 0 {
+		slackSeconds = 0
 	}
-	good := func(rho float64) bool {
-		c := erlangC(d.Cores, rho)
-		if late > 0 && c*math.Exp(-float64(d.Cores)*mu*(1-rho)*spare) > late {
+	acceptable := func(utilization float64) bool {
+		waitChance := erlangC(node.Cores, utilization)
+		if maxLate > 0 && waitChance*math.Exp(-float64(node.Cores)*serviceRate*(1-utilization)*slackSeconds) > maxLate {
 			return false
 		}
-		return full == 0 || d.Queue == 0 || c*math.Pow(rho, float64(d.Queue)) <= full
+		return maxFull == 0 || node.Queue == 0 || waitChance*math.Pow(utilization, float64(node.Queue)) <= maxFull
 	}
-	lo, hi := 0.0, 1.0
-	for range 40 { // both chances rise with rho
-		if mid := (lo + hi) / 2; good(mid) {
-			lo = mid
+	low, high := 0.0, 1.0
+	for range 40 { // both probabilities grow with the utilization; 40 halvings reach 1e-12
+		if middle := (low + high) / 2; acceptable(middle) {
+			low = middle
 		} else {
-			hi = mid
+			high = middle
 		}
 	}
-	return lo * cores
+	return low * rawCapacity
 }
 
-// erlangC is the chance that a request has to wait at c servers of which each is busy for
-// the share rho of the time.
-func erlangC(c int, rho float64) float64 {
-	if rho >= 1 {
+// erlangC returns the probability that a request has to wait at a number of servers that are each
+// busy for the given share of the time.
+func erlangC(servers int, utilization float64) float64 {
+	if utilization >= 1 {
 		return 1
 	}
-	a, b := rho*float64(c), 1.0 // b: Erlang's B, by its recursion
-	for n := 1; n <= c; n++ {
-		b = a * b / (float64(n) + a*b)
+	load, blocking := utilization*float64(servers), 1.0 // blocking is Erlang's B, computed by its recursion
+	for n := 1; n <= servers; n++ {
+		blocking = load * blocking / (float64(n) + load*blocking)
 	}
-	return b / (1 - rho*(1-b))
+	return blocking / (1 - utilization*(1-blocking))
 }
--- a/internal/plan/loss.go
+++ b/internal/plan/loss.go
@@ -7,205 +7,214 @@
 	"chalkrack/internal/simplex"
 )
 
-// loss is something that may go wrong: a zone or one node of a group lost, or all nodes
-// at their slowest and all classes at their busiest.
-type loss struct {
-	name  string
-	zone  int // -1: none
-	group int // -1: none
-	bad   bool
+// lossCase is a failure that a plan is checked against: a lost zone, one lost node of a group, or
+// all nodes at their slow speed and all classes at their busy rate.
+type lossCase struct {
+	name       string
+	zoneIndex  int  // the lost zone; -1: none
+	groupIndex int  // the group that loses a node; -1: none
+	worstCase  bool // slow nodes and busy classes, see Fleet.worstCase
 }
 
-// Loss is what a loss would leave.
+// Loss is the effect of a failure on a plan.
 type Loss struct {
-	What   string             `json:"what"`
-	Held   bool               `json:"held"` // nothing more is late or lost than without it
+	What string `json:"what"`
+	// Held is true if no more requests are late and no more worth is lost than without the failure.
+	Held   bool               `json:"held"`
 	Served map[string]float64 `json:"served"`
-	Worth  float64            `json:"worth_lost_s"` // of requests not served, a second, beside the plan
+	// Worth is the worth per second that the plan serves and that is lost after the failure.
+	Worth float64 `json:"worth_lost_s"`
 }
 
-// losses are all that a fleet is held against.
-func (m *model) losses() (all []loss) {
-	for z, name := range m.zones {
-		if slices.ContainsFunc(m.groups, func(g *group) bool { return g.zone == z && !g.drains }) {
-			all = append(all, loss{name: "zone " + name, zone: z, group: -1})
+// lossCases returns the failures that a fleet is checked against.
+func (m *model) lossCases() (cases []lossCase) {
+	for z, name := range m.zoneNames {
+		if slices.ContainsFunc(m.groups, func(g *group) bool { return g.zoneIndex == z && !g.unusable }) {
+			cases = append(cases, lossCase{name: "zone " + name, zoneIndex: z, groupIndex: -1})
 		}
 	}
 	for n, g := range m.groups {
-		if g.drains {
+		if g.unusable {
 			continue
 		}
-		d := &m.f.Nodes[g.nodes[0]]
-		name := "node " + d.Name
-		if len(g.nodes) > 1 {
-			name = fmt.Sprintf("one of %d nodes like %s", len(g.nodes), d.Name)
+		node := &m.fleet.Nodes[g.nodeIndexes[0]]
+		name := "node " + node.Name
+		if len(g.nodeIndexes) > 1 {
+			name = fmt.Sprintf("one of %d nodes like %s", len(g.nodeIndexes), node.Name)
 		}
-		all = append(all, loss{name: name, zone: -1, group: n})
+		cases = append(cases, lossCase{name: name, zoneIndex: -1, groupIndex: n})
 	}
-	if _, some := m.f.bad(); some {
-		all = append(all, loss{name: "slowest nodes and busiest classes", zone: -1, group: -1, bad: true})
+	if _, differs := m.fleet.worstCase(); differs {
+		cases = append(cases, lossCase{name: "slowest nodes and busiest classes", zoneIndex: -1, groupIndex: -1, worstCase: true})
 	}
-	return all
+	return cases
 }
 
-// after is the programme of what a loss leaves, in which nodes in use are the variables
-// busy. What must hold on a good day (pins, at_least, numbers of nodes) does not bind it.
-type after struct {
+// lossModel is the linear programme of a fleet after a loss. The availableVar of each group is
+// bounded by the number of its nodes that are left. Limits that need not be met after a loss are
+// disabled: pins, at_least, and the number and price of nodes in use.
+type lossModel struct {
 	*model
 }
 
-func newAfter(f *Fleet) *after {
-	off := make(holding)
-	for n := range f.Classes {
-		off[atLeastOf(&f.Classes[n])] = true
-	}
-	for n := range f.Pins {
-		off[pinOf(n, &f.Pins[n])] = true
-	}
-	off[mostNodesOf(&f.Limits)], off[mostPriceOf(&f.Limits)] = true, true
-	g := *f
-	g.Choose = true // nothing has to be in use
-	return &after{newModel(&g, off, false)}
+// newLossModel returns the linear programme of a fleet after a loss.
+func newLossModel(fleet *Fleet) *lossModel {
+	disabled := make(disabledLimits)
+	for n := range fleet.Classes {
+		disabled[minServedLimit(&fleet.Classes[n])] = true
+	}
+	for n := range fleet.Pins {
+		disabled[pinLimit(n, &fleet.Pins[n])] = true
+	}
+	disabled[maxNodesLimit(&fleet.Limits)], disabled[maxPriceLimit(&fleet.Limits)] = true, true
+	relaxed := *fleet
+	relaxed.Choose = true // no node has to be in use
+	return &lossModel{newModel(&relaxed, disabled, false)}
 }
 
-// left is how many nodes of a group are there after a loss, of so many in use.
-func (l *loss) left(n int, g *group, count float64) float64 {
+// nodesLeft returns how many of the open nodes of a group are left after a loss.
+func (l *lossCase) nodesLeft(groupIndex int, g *group, openNodes float64) float64 {
 	switch {
-	case l.zone == g.zone:
+	case l.zoneIndex == g.zoneIndex:
 		return 0
-	case l.group == n:
-		return max(0, count-1)
+	case l.groupIndex == groupIndex:
+		return max(0, openNodes-1)
 	}
-	return count
+	return openNodes
 }
 
-// solve is the best that can be done after a loss with so many nodes of each group in use.
-func (a *after) solve(l *loss, count []float64, all []aim, stop func() bool) (values []float64, sol *simplex.Solution, err error) {
-	for n, g := range a.groups {
-		a.p.SetBounds(g.busy, 0, l.left(n, g, count[n]))
+// solveAfter minimises the objectives after a loss, where openNodes are the nodes of each group in
+// use before it. It returns an error if it was stopped.
+func (m *lossModel) solveAfter(loss *lossCase, openNodes []float64, objectives []objective, stop func() bool) (values []float64, solution *simplex.Solution, err error) {
+	for n, g := range m.groups {
+		m.problem.SetBounds(g.availableVar, 0, loss.nodesLeft(n, g, openNodes[n]))
 	}
-	values, sol, _, err = lexicographic(a.p, all, stop)
-	if err == nil && sol.Status != simplex.Optimal {
+	values, solution, _, err = solveLexicographic(m.problem, objectives, stop)
+	if err == nil && solution.Status != simplex.Optimal {
 		err = ErrLeft
 	}
-	return values, sol, err
+	return values, solution, err
 }
 
-// served is the share of each class that a solution serves.
-func (m *model) served(x []float64) map[string]float64 {
-	all := make(map[string]float64)
-	for c := range m.f.Classes {
-		miss := 0.0
-		for _, t := range m.missOf(c) {
-			miss += t.Value * x[t.Var]
+// servedShares returns the share of each class that a solution serves.
+func (m *model) servedShares(values []float64) map[string]float64 {
+	shares := make(map[string]float64)
+	for class := range m.fleet.Classes {
+		unserved := 0.0
+		for _, t := range m.unservedTerms(class) {
+			unserved += t.Value * values[t.Var]
 		}
-		all[m.f.Classes[c].Name] = max(0, 1-miss)
+		shares[m.fleet.Classes[class].Name] = max(0, 1-unserved)
 	}
-	return all
+	return shares
 }
 
-// bear mends a placement until it bears every loss as well as all nodes together would,
-// in what must not be late: each loss that it does not bear adds a cut to the choice of
-// nodes (Benders 1962). The value of what is late after a loss falls with the nodes that
-// are left and is convex in them, so that its reduced costs bound it everywhere. Nodes of
-// a group from which one is lost count less one where any is in use. weak are losses that
-// all nodes together don't bear.
-func (m *model) bear(count []float64, stop func() bool, progress func(Search)) (mended []float64, s Search, weak []string, err error) {
-	all := m.aims()[:late+1]
-	if len(all[late].costs) == 0 { // nothing must: then worth counts
-		all = m.aims()[worth : worth+1]
-	}
-	every := make([]float64, len(m.groups))
+// makeRobust changes a choice of nodes until, after every loss, no more requests that must not be
+// late are late than if all nodes had been in use (or, if no class has MustNotBeLate set, no more
+// worth is lost). It returns the new choice, or nil if there is none.
+//
+// Each loss that the choice does not survive adds a cut to the choice of nodes (Benders 1962). What
+// is late after a loss decreases with the nodes that are left and is convex in them, so that its
+// reduced costs bound it everywhere. A group that loses a node counts one node less if any of its
+// nodes is in use. unsurvivable names the losses that even all nodes together do not survive
+// without late requests.
+func (m *model) makeRobust(counts []float64, stop func() bool, progress func(Search)) (robustCounts []float64, summary Search, unsurvivable []string, err error) {
+	objectives := m.objectives()[:lateObjective+1]
+	if len(objectives[lateObjective].costs) == 0 { // no class must not be late: worth counts instead
+		objectives = m.objectives()[worthObjective : worthObjective+1]
+	}
+	allNodes := make([]float64, len(m.groups))
 	for n, g := range m.groups {
-		_, every[n] = m.p.Bounds(g.open)
-	}
-	type held struct {
-		loss
-		after *after
-		most  float64
-	}
-	var losses []held
-	normal := newAfter(m.f)
-	bad, some := m.f.bad()
-	var worst *after
-	if some {
-		worst = newAfter(bad)
-	}
-	for _, l := range m.losses() {
-		h := held{loss: l, after: normal}
-		if l.bad {
-			h.after = worst
+		_, allNodes[n] = m.problem.Bounds(g.openVar)
+	}
+	type checkedLoss struct {
+		lossCase
+		model     *lossModel
+		bestValue float64
+	}
+	var checkedLosses []checkedLoss
+	normalModel := newLossModel(m.fleet)
+	worstFleet, differs := m.fleet.worstCase()
+	var worstModel *lossModel
+	if differs {
+		worstModel = newLossModel(worstFleet)
+	}
+	for _, loss := range m.lossCases() {
+		checked := checkedLoss{lossCase: loss, model: normalModel}
+		if loss.worstCase {
+			checked.model = worstModel
 		}
-		values, _, err := h.after.solve(&l, every, all, stop)
+		values, _, err := checked.model.solveAfter(&loss, allNodes, objectives, stop)
 		if err != nil {
-			return nil, s, nil, err
+			return nil, summary, nil, err
 		}
-		if h.most = values[0]; h.most > alike {
-			weak = append(weak, l.name)
+		if checked.bestValue = values[0]; checked.bestValue > valueTolerance {
+			unsurvivable = append(unsurvivable, loss.name)
 		}
-		losses = append(losses, h)
+		checkedLosses = append(checkedLosses, checked)
 	}
-	cuts := 0
+	cutCount := 0
 	for {
-		cut := false
-		for _, h := range losses {
-			if h.group >= 0 && count[h.group] < 0.5 {
-				continue // there is none to lose
+		cutAdded := false
+		for _, checked := range checkedLosses {
+			if checked.groupIndex >= 0 && counts[checked.groupIndex] < 0.5 {
+				continue // no node of the group is in use, so none can be lost
 			}
-			values, sol, err := h.after.solve(&h.loss, count, all, stop)
+			values, solution, err := checked.model.solveAfter(&checked.lossCase, counts, objectives, stop)
 			if err != nil {
-				return nil, s, weak, err
+				return nil, summary, unsurvivable, err
 			}
-			if values[0] <= h.most+alike*max(1, h.most) {
+			if values[0] <= checked.bestValue+valueTolerance*max(1, checked.bestValue) {
 				continue
 			}
-			if cuts++; cuts > cutsMost {
-				return nil, s, weak, ErrLeft
+			if cutCount++; cutCount > maxCuts {
+				return nil, summary, unsurvivable, ErrLeft
 			}
-			cut = true
-			right := h.most - values[0]
-			var row []simplex.Term
-			any := 0.0
-			for n, g := range h.after.groups {
-				d := sol.Reduced[g.busy]
-				if d >= 0 || h.zone == g.zone {
+			cutAdded = true
+			rhs := checked.bestValue - values[0]
+			var terms []simplex.Term
+			anyCoefficient := 0.0
+			for n, g := range checked.model.groups {
+				reducedCost := solution.ReducedCosts[g.availableVar]
+				if reducedCost >= 0 || checked.zoneIndex == g.zoneIndex {
 					continue
 				}
-				right += d * h.left(n, g, count[n])
-				row = append(row, simplex.Term{Var: m.groups[n].open, Value: d})
-				if h.group == n {
-					any -= d
+				rhs += reducedCost * checked.nodesLeft(n, g, counts[n])
+				terms = append(terms, simplex.Term{Var: m.groups[n].openVar, Value: reducedCost})
+				if checked.groupIndex == n {
+					anyCoefficient -= reducedCost
 				}
 			}
-			if h.group >= 0 { // it binds only where there is a node to lose
-				row = append(row, simplex.Term{Var: m.anyVar(h.group), Value: any + all[0].most()})
-				right += all[0].most()
+			if checked.groupIndex >= 0 { // the cut binds only if a node of the group is in use
+				terms = append(terms, simplex.Term{Var: m.anyOpenVar(checked.groupIndex), Value: anyCoefficient + objectives[0].maxValue()})
+				rhs += objectives[0].maxValue()
 			}
-			m.p.Row(simplex.LE, right, row...)
+			m.problem.AddRow(simplex.LE, rhs, terms...)
 		}
-		if !cut {
-			s.Cuts = cuts
-			return count, s, weak, nil
+		if !cutAdded {
+			summary.Cuts = cutCount
+			return counts, summary, unsurvivable, nil
 		}
-		next, search, err := m.place(false, stop, progress)
+		nextCounts, search, err := m.chooseNodeCounts(false, stop, progress)
 		if search.Left && err == nil {
 			err = ErrLeft
 		}
-		if err != nil || next == nil {
-			return nil, search, weak, err
+		if err != nil || nextCounts == nil {
+			return nil, search, unsurvivable, err
 		}
-		count, s = next[:len(m.groups)], search
+		counts, summary = nextCounts[:len(m.groups)], search
 	}
 }
 
-// anyVar is the variable that is 1 where any node of a group is in use.
-func (m *model) anyVar(n int) int {
-	v, ok := m.anyOf[n]
+// anyOpenVar returns the variable that is 1 if any node of a group is in use, and adds it if it
+// does not exist yet.
+func (m *model) anyOpenVar(groupIndex int) int {
+	variable, ok := m.anyOpenVarByGroup[groupIndex]
 	if !ok {
-		v = m.p.Var(0, 1, 0)
-		m.any, m.anyOf[n] = append(m.any, v), v
-		_, most := m.p.Bounds(m.groups[n].open)
-		m.p.Row(simplex.LE, 0, simplex.Term{Var: m.groups[n].open, Value: 1}, simplex.Term{Var: v, Value: -max(most, 1)})
+		variable = m.problem.AddVar(0, 1, 0)
+		m.anyOpenVars, m.anyOpenVarByGroup[groupIndex] = append(m.anyOpenVars, variable), variable
+		_, maxOpen := m.problem.Bounds(m.groups[groupIndex].openVar)
+		m.problem.AddRow(simplex.LE, 0, simplex.Term{Var: m.groups[groupIndex].openVar, Value: 1}, simplex.Term{Var: variable, Value: -max(maxOpen, 1)})
 	}
-	return v
+	return variable
 }
--- a/internal/plan/model.go
+++ b/internal/plan/model.go
@@ -9,456 +9,474 @@
 	"chalkrack/internal/simplex"
 )
 
-// limit is one of the operators' limits, in their words: what can contradict others.
+// limit describes a limit that the operators have set, in the words of the fleet file. Sets of
+// limits can contradict each other.
 type limit string
 
-// group is nodes that are alike in all that the programme knows.
+// group is a set of nodes that are identical in everything that the linear programme uses.
 type group struct {
-	zone   int
-	kind   string
-	each   float64 // usable by one node
-	shared bool    // by limits.most_of_node, not by its capacity
-	price  float64
-	drains bool // nothing goes there: it is to be left, or out of use by choice
-	out    bool
-	allow  []bool  // by class
-	today  float64 // of all of them
-	nodes  []int
-	// variables
-	open, busy int // how many are in use; how many of these are there after a loss
-	work       []int
+	zoneIndex      int
+	kind           string
+	nodeCapacity   float64 // usable capacity of one node, as a share of all work
+	limitedByShare bool    // nodeCapacity is set by limits.most_of_node rather than by the cores
+	price          float64 // of one node
+	unusable       bool    // gets no work: the nodes are drained or left out of use
+	notChosen      bool    // left out of use by the choice of nodes
+	allowed        []bool  // by class, whether its requests may go there
+	currentShare   float64 // current share of all work, of all nodes of the group together
+	nodeIndexes    []int   // indexes in Fleet.Nodes
+	// Variables of the linear programme: the number of nodes in use, the number of these that
+	// remain after a loss, and by class the share of the class's work that the group does.
+	openVar, availableVar int
+	workVars              []int
 }
 
-// model is a fleet's linear programme. Work is in parts of all work, flows are parts of
-// their class's: the sizes of numbers say nothing about their units.
+// model is the linear programme of a fleet. Work is expressed as a share of all work, and flows
+// as shares of the demand of a class in a zone, so that the magnitudes of the coefficients do not
+// depend on units.
 type model struct {
-	f      *Fleet
-	zones  []string
-	p      *simplex.Problem
-	groups []*group
-	total  float64     // work of all, in core seconds a second
-	demand [][]float64 // by class and zone, part of the class's work
-	part   []float64   // by class, part of all work
-	rate   []float64   // by class
-	// variables
-	miss  [][]int   // by class and zone: part of that demand that is not served; -1: there is none
-	flow  [][][]int // by class, zone of origin and of the node
-	level int       // the most that a group is busy
-	moves []int
-	// words are the limits that rows stand for.
-	words map[int]limit
-	rowOf []int // by group, its capacity
-	any   []int // for cuts, whether any node of a group is in use; anyOf is a group's
-	anyOf map[int]int
+	fleet        *Fleet
+	zoneNames    []string
+	problem      *simplex.Problem
+	groups       []*group
+	totalWork    float64     // all work, in seconds of a core of speed 1 per second; 1 without demand
+	demandShares [][]float64 // by class and zone, share of the class's work
+	workShares   []float64   // by class, share of all work
+	rates        []float64   // by class, requests per second
+	// Variables of the linear programme.
+	unservedVars [][]int   // by class and zone: share of that demand that is not served; -1: no demand
+	flowVars     [][][]int // by class, zone of origin and zone of the nodes: share of the demand
+	maxBusyVar   int       // largest load of a group, relative to its capacity
+	moveVars     []int     // two for each group: work that it gains and that it loses
+	// rowLimits holds the limit that a row expresses, by row.
+	rowLimits    map[int]limit
+	capacityRows []int // by group, the row of its capacity
+	// Variables that cuts add, 1 if any node of a group is in use: all of them, and by group.
+	anyOpenVars       []int
+	anyOpenVarByGroup map[int]int
 }
 
-// words of limits
-func capacityOf(zone string) limit { return limit("the capacity of zone " + zone) }
-func atLeastOf(c *Class) limit {
-	return limit(fmt.Sprintf("classes: %s: at_least %v of it is served", c.Name, c.AtLeast))
+// capacityLimit and the functions below it return descriptions of limits. A description also
+// identifies its limit.
+func capacityLimit(zone string) limit { return limit("the capacity of zone " + zone) }
+func minServedLimit(class *Class) limit {
+	return limit(fmt.Sprintf("classes: %s: at_least %v of its requests are served", class.Name, class.MinServedShare))
 }
-func onlyOf(c *Class) limit {
-	return limit(fmt.Sprintf("classes: %s: only %s", c.Name, strings.Join(c.Only, ", ")))
+func onlyPlacesLimit(class *Class) limit {
+	return limit(fmt.Sprintf("classes: %s: only %s", class.Name, strings.Join(class.OnlyPlaces, ", ")))
 }
-func notOf(c *Class) limit {
-	return limit(fmt.Sprintf("classes: %s: not %s", c.Name, strings.Join(c.Not, ", ")))
+func excludedPlacesLimit(class *Class) limit {
+	return limit(fmt.Sprintf("classes: %s: not %s", class.Name, strings.Join(class.ExcludedPlaces, ", ")))
 }
-func pinOf(n int, p *Pin) limit {
-	return limit(fmt.Sprintf("pins[%d]: at least %v of %s goes to %s", n, p.Least, p.Class, strings.Join(p.At, ", ")))
+func pinLimit(index int, pin *Pin) limit {
+	return limit(fmt.Sprintf("pins[%d]: at least %v of class %s goes to %s", index, pin.MinShare, pin.Class, strings.Join(pin.Places, ", ")))
 }
-func drainOf(d *Node) limit { return limit("nodes: " + d.Name + " is to be drained") }
-func freeOf(l *Limits) limit {
-	return limit(fmt.Sprintf("limits.free: %v of each node stays free", l.Free))
+func drainLimit(node *Node) limit { return limit("nodes: " + node.Name + " has drain = true") }
+func freeShareLimit(limits *Limits) limit {
+	return limit(fmt.Sprintf("limits.free: %v of each node's capacity stays unused", limits.Free))
 }
-func nodeShareOf(l *Limits) limit {
-	return limit(fmt.Sprintf("limits.most_of_node: %v of all work at one node", l.MostOfNode))
+func nodeShareLimit(limits *Limits) limit {
+	return limit(fmt.Sprintf("limits.most_of_node: at most %v of all work on one node", limits.MaxNodeShare))
 }
-func zoneShareOf(l *Limits, zone string) limit {
-	return limit(fmt.Sprintf("limits.most_of_zone: %v of all work in zone %s", l.MostOfZone, zone))
+func zoneShareLimit(limits *Limits, zone string) limit {
+	return limit(fmt.Sprintf("limits.most_of_zone: at most %v of all work in zone %s", limits.MaxZoneShare, zone))
 }
-func mostNodesOf(l *Limits) limit {
-	return limit(fmt.Sprintf("limits.most_nodes: %d nodes in use", l.MostNodes))
+func maxNodesLimit(limits *Limits) limit {
+	return limit(fmt.Sprintf("limits.most_nodes: at most %d nodes in use", limits.MaxNodes))
 }
-func mostPriceOf(l *Limits) limit {
-	return limit(fmt.Sprintf("limits.most_price: %v an hour", l.MostPrice))
+func maxPriceLimit(limits *Limits) limit {
+	return limit(fmt.Sprintf("limits.most_price: the nodes in use cost at most %v per hour", limits.MaxPrice))
 }
 
-// limits are all that the operators have set, in the order of the file.
-func (f *Fleet) limits() (all []limit) {
+// allLimits returns all limits that the operators have set, in the order of the fleet file.
+func (f *Fleet) allLimits() (descriptions []limit) {
 	for _, z := range f.Zones() {
-		all = append(all, capacityOf(z))
+		descriptions = append(descriptions, capacityLimit(z))
 	}
 	for n := range f.Nodes {
 		if f.Nodes[n].Drain {
-			all = append(all, drainOf(&f.Nodes[n]))
+			descriptions = append(descriptions, drainLimit(&f.Nodes[n]))
 		}
 	}
 	for n := range f.Classes {
-		c := &f.Classes[n]
-		if c.AtLeast > 0 {
-			all = append(all, atLeastOf(c))
+		class := &f.Classes[n]
+		if class.MinServedShare > 0 {
+			descriptions = append(descriptions, minServedLimit(class))
 		}
-		if len(c.Only) > 0 {
-			all = append(all, onlyOf(c))
+		if len(class.OnlyPlaces) > 0 {
+			descriptions = append(descriptions, onlyPlacesLimit(class))
 		}
-		if len(c.Not) > 0 {
-			all = append(all, notOf(c))
+		if len(class.ExcludedPlaces) > 0 {
+			descriptions = append(descriptions, excludedPlacesLimit(class))
 		}
 	}
 	for n := range f.Pins {
-		all = append(all, pinOf(n, &f.Pins[n]))
+		descriptions = append(descriptions, pinLimit(n, &f.Pins[n]))
 	}
-	l := &f.Limits
-	if l.Free > 0 {
-		all = append(all, freeOf(l))
+	limits := &f.Limits
+	if limits.Free > 0 {
+		descriptions = append(descriptions, freeShareLimit(limits))
 	}
-	if l.MostOfNode > 0 {
-		all = append(all, nodeShareOf(l))
+	if limits.MaxNodeShare > 0 {
+		descriptions = append(descriptions, nodeShareLimit(limits))
 	}
-	if l.MostOfZone > 0 {
+	if limits.MaxZoneShare > 0 {
 		for _, z := range f.Zones() {
-			all = append(all, zoneShareOf(l, z))
+			descriptions = append(descriptions, zoneShareLimit(limits, z))
 		}
 	}
-	if l.MostNodes > 0 {
-		all = append(all, mostNodesOf(l))
+	if limits.MaxNodes > 0 {
+		descriptions = append(descriptions, maxNodesLimit(limits))
 	}
-	if l.MostPrice > 0 {
-		all = append(all, mostPriceOf(l))
+	if limits.MaxPrice > 0 {
+		descriptions = append(descriptions, maxPriceLimit(limits))
 	}
-	return all
+	return descriptions
 }
 
-// holding says which limits hold: all but those that are off.
-type holding map[limit]bool
+// disabledLimits is the set of limits that a model leaves out.
+type disabledLimits map[limit]bool
 
-func (off holding) on(l limit) bool { return !off[l] }
+// enforces reports whether the limit is not disabled.
+func (disabled disabledLimits) enforces(l limit) bool { return !disabled[l] }
 
-// newModel makes the programme of a fleet without the limits that are off. Where moves
-// count each node is by itself.
-func newModel(f *Fleet, off holding, moves bool) *model {
-	m := &model{f: f, zones: f.Zones(), p: new(simplex.Problem), words: make(map[int]limit), anyOf: make(map[int]int)}
-	m.demands()
-	m.group(off, moves)
-	m.variables(off)
-	m.rows(off)
+// newModel returns the linear programme of a fleet without the disabled limits. With perNode each
+// node forms a group of its own, which moved work needs: it is computed for each group.
+func newModel(fleet *Fleet, disabled disabledLimits, perNode bool) *model {
+	m := &model{fleet: fleet, zoneNames: fleet.Zones(), problem: new(simplex.Problem), rowLimits: make(map[int]limit), anyOpenVarByGroup: make(map[int]int)}
+	m.computeDemand()
+	m.groupNodes(disabled, perNode)
+	m.addVariables(disabled)
+	m.addRows(disabled)
 	return m
 }
 
-func (m *model) zone(name string) int { return slices.Index(m.zones, name) }
+// zoneIndex returns the index of a zone in zoneNames, or -1.
+func (m *model) zoneIndex(name string) int { return slices.Index(m.zoneNames, name) }
 
-func (m *model) demands() {
-	for n := range m.f.Classes {
-		c := &m.f.Classes[n]
-		by := make([]float64, len(m.zones))
-		for z, name := range m.zones {
-			by[z] = c.Zones[name]
-			if len(c.Zones) == 0 {
-				by[z] = 1 / float64(len(m.zones))
+// computeDemand computes the demand of each class and zone and the total work.
+func (m *model) computeDemand() {
+	for n := range m.fleet.Classes {
+		class := &m.fleet.Classes[n]
+		shares := make([]float64, len(m.zoneNames))
+		for z, name := range m.zoneNames {
+			shares[z] = class.Zones[name]
+			if len(class.Zones) == 0 {
+				shares[z] = 1 / float64(len(m.zoneNames))
 			}
 		}
-		m.demand = append(m.demand, by)
-		m.rate = append(m.rate, c.Rate)
-		m.part = append(m.part, c.Rate*c.WorkMS/1000)
-		m.total += c.Rate * c.WorkMS / 1000
+		m.demandShares = append(m.demandShares, shares)
+		m.rates = append(m.rates, class.Rate)
+		m.workShares = append(m.workShares, class.Rate*class.WorkMS/1000)
+		m.totalWork += class.Rate * class.WorkMS / 1000
 	}
-	if m.total == 0 {
-		m.total = 1 // no demand: all parts are nothing
+	if m.totalWork == 0 {
+		m.totalWork = 1 // without demand all shares are 0
 	}
-	for n := range m.part {
-		m.part[n] /= m.total
+	for n := range m.workShares {
+		m.workShares[n] /= m.totalWork
 	}
 }
 
-// mix is the mean work of a request and the shortest aim, which say what a node can bear.
-func (f *Fleet) mix() (workMS, aimMS float64) {
-	rate := 0.0
+// requestMix returns the mean work of a request and the shortest aim of a class, from which the
+// usable capacity of a node is computed.
+func (f *Fleet) requestMix() (workMS, aimMS float64) {
+	totalRate := 0.0
 	for _, c := range f.Classes {
-		rate += c.Rate
+		totalRate += c.Rate
 		workMS += c.Rate * c.WorkMS
 		if aimMS == 0 || c.AimMS < aimMS {
 			aimMS = c.AimMS
 		}
 	}
-	if rate == 0 {
+	if totalRate == 0 {
 		return f.Classes[0].WorkMS, aimMS
 	}
-	return workMS / rate, aimMS
+	return workMS / totalRate, aimMS
 }
 
-// group puts nodes together that are alike.
-func (m *model) group(off holding, moves bool) {
-	f, l := m.f, &m.f.Limits
-	workMS, aimMS := f.mix()
-	by := make(map[string]*group)
-	for n := range f.Nodes {
-		d := &f.Nodes[n]
-		each := Usable(d, workMS, aimMS, l.Late, l.Full) / m.total
-		if l.Free > 0 && off.on(freeOf(l)) {
-			each *= 1 - l.Free
-		}
-		if !off.on(capacityOf(d.Zone)) {
-			each = 1
-		}
-		if l.MostOfNode > 0 && off.on(nodeShareOf(l)) {
-			each = min(each, l.MostOfNode)
-		}
-		g := &group{zone: m.zone(d.Zone), kind: d.Kind, each: each, shared: l.MostOfNode > 0 && each == l.MostOfNode, price: d.Price, out: d.out, drains: d.out || d.Drain && off.on(drainOf(d))}
-		key := fmt.Sprint(g.zone, " ", g.kind, " ", each, " ", g.price, " ", g.drains, " ", g.out, " ", d.Speed, " ", d.SlowSpeed, " ", d.Cores, " ", d.Queue)
-		for i := range f.Classes {
-			c := &f.Classes[i]
-			may := (len(c.Only) == 0 || !off.on(onlyOf(c)) || d.is(c.Only)) && (len(c.Not) == 0 || !off.on(notOf(c)) || !d.is(c.Not))
-			g.allow = append(g.allow, may)
-			key += fmt.Sprint(" ", may)
-		}
-		for i := range f.Pins {
-			key += fmt.Sprint(" ", d.is(f.Pins[i].At))
-		}
-		if moves {
-			key += " " + d.Name
-		}
-		if by[key] == nil {
-			by[key] = g
-			m.groups = append(m.groups, g)
-		}
-		g = by[key]
-		g.nodes = append(g.nodes, n)
-		g.today += d.Today
+// groupNodes puts identical nodes into groups.
+func (m *model) groupNodes(disabled disabledLimits, perNode bool) {
+	fleet, limits := m.fleet, &m.fleet.Limits
+	workMS, aimMS := fleet.requestMix()
+	groupsByKey := make(map[string]*group)
+	for n := range fleet.Nodes {
+		node := &fleet.Nodes[n]
+		capacity := UsableCapacity(node, workMS, aimMS, limits.MaxLateShare, limits.MaxFullShare) / m.totalWork
+		if limits.Free > 0 && disabled.enforces(freeShareLimit(limits)) {
+			capacity *= 1 - limits.Free
+		}
+		if !disabled.enforces(capacityLimit(node.Zone)) {
+			capacity = 1
+		}
+		if limits.MaxNodeShare > 0 && disabled.enforces(nodeShareLimit(limits)) {
+			capacity = min(capacity, limits.MaxNodeShare)
+		}
+		nodeGroup := &group{zoneIndex: m.zoneIndex(node.Zone), kind: node.Kind, nodeCapacity: capacity, limitedByShare: limits.MaxNodeShare > 0 && capacity == limits.MaxNodeShare, price: node.Price, notChosen: node.notChosen, unusable: node.notChosen || node.Drain && disabled.enforces(drainLimit(node))}
+		key := fmt.Sprint(nodeGroup.zoneIndex, " ", nodeGroup.kind, " ", capacity, " ", nodeGroup.price, " ", nodeGroup.unusable, " ", nodeGroup.notChosen, " ", node.Speed, " ", node.SlowSpeed, " ", node.Cores, " ", node.Queue)
+		for i := range fleet.Classes {
+			class := &fleet.Classes[i]
+			allowed := (len(class.OnlyPlaces) == 0 || !disabled.enforces(onlyPlacesLimit(class)) || node.matches(class.OnlyPlaces)) && (len(class.ExcludedPlaces) == 0 || !disabled.enforces(excludedPlacesLimit(class)) || !node.matches(class.ExcludedPlaces))
+			nodeGroup.allowed = append(nodeGroup.allowed, allowed)
+			key += fmt.Sprint(" ", allowed)
+		}
+		for i := range fleet.Pins {
+			key += fmt.Sprint(" ", node.matches(fleet.Pins[i].Places))
+		}
+		if perNode {
+			key += " " + node.Name
+		}
+		if groupsByKey[key] == nil {
+			groupsByKey[key] = nodeGroup
+			m.groups = append(m.groups, nodeGroup)
+		}
+		nodeGroup = groupsByKey[key]
+		nodeGroup.nodeIndexes = append(nodeGroup.nodeIndexes, n)
+		nodeGroup.currentShare += node.Today
 	}
 }
 
-func (m *model) variables(off holding) {
-	inf := math.Inf(1)
-	for c := range m.f.Classes {
-		miss := make([]int, len(m.zones))
-		flow := make([][]int, len(m.zones))
-		for z := range m.zones {
-			miss[z] = -1
-			if m.demand[c][z]*m.part[c] <= 0 {
+// addVariables adds the variables of the linear programme and their bounds.
+func (m *model) addVariables(disabled disabledLimits) {
+	infinity := math.Inf(1)
+	for c := range m.fleet.Classes {
+		unserved := make([]int, len(m.zoneNames))
+		flows := make([][]int, len(m.zoneNames))
+		for z := range m.zoneNames {
+			unserved[z] = -1
+			if m.demandShares[c][z]*m.workShares[c] <= 0 {
 				continue
 			}
-			miss[z] = m.p.Var(0, 1, 0)
-			flow[z] = make([]int, len(m.zones))
-			for to := range m.zones {
-				flow[z][to] = m.p.Var(0, inf, 0)
+			unserved[z] = m.problem.AddVar(0, 1, 0)
+			flows[z] = make([]int, len(m.zoneNames))
+			for to := range m.zoneNames {
+				flows[z][to] = m.problem.AddVar(0, infinity, 0)
 			}
 		}
-		m.miss, m.flow = append(m.miss, miss), append(m.flow, flow)
+		m.unservedVars, m.flowVars = append(m.unservedVars, unserved), append(m.flowVars, flows)
 	}
 	for _, g := range m.groups {
-		most, least := float64(len(g.nodes)), float64(len(g.nodes))
-		if m.f.Choose {
-			least = 0
-		}
-		if g.drains {
-			most, least = 0, 0
-		}
-		g.open = m.p.Var(least, most, 0)
-		g.busy = m.p.Var(0, most, 0)
-		g.work = make([]int, len(m.f.Classes))
-		for c := range g.work {
-			hi := inf
-			if !g.allow[c] || m.part[c] == 0 {
-				hi = 0
+		maxOpen, minOpen := float64(len(g.nodeIndexes)), float64(len(g.nodeIndexes))
+		if m.fleet.Choose {
+			minOpen = 0
+		}
+		if g.unusable {
+			maxOpen, minOpen = 0, 0
+		}
+		g.openVar = m.problem.AddVar(minOpen, maxOpen, 0)
+		g.availableVar = m.problem.AddVar(0, maxOpen, 0)
+		g.workVars = make([]int, len(m.fleet.Classes))
+		for c := range g.workVars {
+			upper := infinity
+			if !g.allowed[c] || m.workShares[c] == 0 {
+				upper = 0
 			}
-			g.work[c] = m.p.Var(0, hi, 0)
+			g.workVars[c] = m.problem.AddVar(0, upper, 0)
 		}
 	}
-	m.level = m.p.Var(0, inf, 0)
+	m.maxBusyVar = m.problem.AddVar(0, infinity, 0)
 	for range m.groups {
-		m.moves = append(m.moves, m.p.Var(0, inf, 0), m.p.Var(0, inf, 0))
+		m.moveVars = append(m.moveVars, m.problem.AddVar(0, infinity, 0), m.problem.AddVar(0, infinity, 0))
 	}
 }
 
-func (m *model) rows(off holding) {
-	p, l := m.p, &m.f.Limits
-	for c := range m.f.Classes {
-		for z := range m.zones {
-			if m.miss[c][z] < 0 {
+// addRows adds the rows of the linear programme.
+func (m *model) addRows(disabled disabledLimits) {
+	problem, limits := m.problem, &m.fleet.Limits
+	for class := range m.fleet.Classes {
+		for z := range m.zoneNames {
+			if m.unservedVars[class][z] < 0 {
 				continue
 			}
-			row := []simplex.Term{{Var: m.miss[c][z], Value: 1}}
-			for to := range m.zones {
-				row = append(row, simplex.Term{Var: m.flow[c][z][to], Value: 1})
+			row := []simplex.Term{{Var: m.unservedVars[class][z], Value: 1}}
+			for to := range m.zoneNames {
+				row = append(row, simplex.Term{Var: m.flowVars[class][z][to], Value: 1})
 			}
-			p.Row(simplex.EQ, 1, row...)
+			problem.AddRow(simplex.EQ, 1, row...)
 		}
-		if m.part[c] == 0 {
+		if m.workShares[class] == 0 {
 			continue
 		}
-		for to := range m.zones { // what comes to a zone is done at its nodes
+		for to := range m.zoneNames { // the work that comes to a zone is done by the zone's nodes
 			var row []simplex.Term
-			for z := range m.zones {
-				if m.miss[c][z] >= 0 {
-					row = append(row, simplex.Term{Var: m.flow[c][z][to], Value: m.demand[c][z]})
+			for z := range m.zoneNames {
+				if m.unservedVars[class][z] >= 0 {
+					row = append(row, simplex.Term{Var: m.flowVars[class][z][to], Value: m.demandShares[class][z]})
 				}
 			}
 			for _, g := range m.groups {
-				if g.zone == to {
-					row = append(row, simplex.Term{Var: g.work[c], Value: -1})
+				if g.zoneIndex == to {
+					row = append(row, simplex.Term{Var: g.workVars[class], Value: -1})
 				}
 			}
-			p.Row(simplex.EQ, 0, row...)
+			problem.AddRow(simplex.EQ, 0, row...)
 		}
 	}
 	for n, g := range m.groups {
-		p.Row(simplex.LE, 0, simplex.Term{Var: g.busy, Value: 1}, simplex.Term{Var: g.open, Value: -1})
-		row := append(m.workOf(g), simplex.Term{Var: g.busy, Value: -g.each})
-		at := p.Row(simplex.LE, 0, row...)
-		m.rowOf = append(m.rowOf, at)
-		m.words[at] = capacityOf(m.zones[g.zone])
-		if g.shared {
-			m.words[at] = nodeShareOf(l)
+		problem.AddRow(simplex.LE, 0, simplex.Term{Var: g.availableVar, Value: 1}, simplex.Term{Var: g.openVar, Value: -1})
+		row := append(m.workTerms(g), simplex.Term{Var: g.availableVar, Value: -g.nodeCapacity})
+		rowIndex := problem.AddRow(simplex.LE, 0, row...)
+		m.capacityRows = append(m.capacityRows, rowIndex)
+		m.rowLimits[rowIndex] = capacityLimit(m.zoneNames[g.zoneIndex])
+		if g.limitedByShare {
+			m.rowLimits[rowIndex] = nodeShareLimit(limits)
 		}
-		if g.each > 0 {
-			p.Row(simplex.LE, 0, append(m.workOf(g), simplex.Term{Var: m.level, Value: -g.each * float64(len(g.nodes))})...)
+		if g.nodeCapacity > 0 {
+			problem.AddRow(simplex.LE, 0, append(m.workTerms(g), simplex.Term{Var: m.maxBusyVar, Value: -g.nodeCapacity * float64(len(g.nodeIndexes))})...)
 		}
-		p.Row(simplex.EQ, g.today, append(m.workOf(g), simplex.Term{Var: m.moves[2*n], Value: -1}, simplex.Term{Var: m.moves[2*n+1], Value: 1})...)
+		problem.AddRow(simplex.EQ, g.currentShare, append(m.workTerms(g), simplex.Term{Var: m.moveVars[2*n], Value: -1}, simplex.Term{Var: m.moveVars[2*n+1], Value: 1})...)
 	}
-	for z, name := range m.zones {
-		if l.MostOfZone > 0 && off.on(zoneShareOf(l, name)) {
+	for z, name := range m.zoneNames {
+		if limits.MaxZoneShare > 0 && disabled.enforces(zoneShareLimit(limits, name)) {
 			var row []simplex.Term
 			for _, g := range m.groups {
-				if g.zone == z {
-					row = append(row, m.workOf(g)...)
+				if g.zoneIndex == z {
+					row = append(row, m.workTerms(g)...)
 				}
 			}
-			m.words[p.Row(simplex.LE, l.MostOfZone, row...)] = zoneShareOf(l, name)
+			m.rowLimits[problem.AddRow(simplex.LE, limits.MaxZoneShare, row...)] = zoneShareLimit(limits, name)
 		}
 	}
-	for n := range m.f.Classes {
-		c := &m.f.Classes[n]
-		if c.AtLeast > 0 && m.part[n] > 0 && off.on(atLeastOf(c)) {
-			m.words[p.Row(simplex.LE, 1-c.AtLeast, m.missOf(n)...)] = atLeastOf(c)
+	for n := range m.fleet.Classes {
+		class := &m.fleet.Classes[n]
+		if class.MinServedShare > 0 && m.workShares[n] > 0 && disabled.enforces(minServedLimit(class)) {
+			m.rowLimits[problem.AddRow(simplex.LE, 1-class.MinServedShare, m.unservedTerms(n)...)] = minServedLimit(class)
 		}
 	}
-	for n := range m.f.Pins {
-		pin := &m.f.Pins[n]
-		c := slices.IndexFunc(m.f.Classes, func(c Class) bool { return c.Name == pin.Class })
-		if pin.Least == 0 || m.part[c] == 0 || !off.on(pinOf(n, pin)) {
+	for n := range m.fleet.Pins {
+		pin := &m.fleet.Pins[n]
+		class := slices.IndexFunc(m.fleet.Classes, func(class Class) bool { return class.Name == pin.Class })
+		if pin.MinShare == 0 || m.workShares[class] == 0 || !disabled.enforces(pinLimit(n, pin)) {
 			continue
 		}
 		var row []simplex.Term
 		for _, g := range m.groups {
-			if m.f.Nodes[g.nodes[0]].is(pin.At) {
-				row = append(row, simplex.Term{Var: g.work[c], Value: 1})
+			if m.fleet.Nodes[g.nodeIndexes[0]].matches(pin.Places) {
+				row = append(row, simplex.Term{Var: g.workVars[class], Value: 1})
 			}
 		}
-		m.words[p.Row(simplex.GE, pin.Least, row...)] = pinOf(n, pin)
+		m.rowLimits[problem.AddRow(simplex.GE, pin.MinShare, row...)] = pinLimit(n, pin)
 	}
-	if l.MostNodes > 0 && off.on(mostNodesOf(l)) {
-		m.words[p.Row(simplex.LE, float64(l.MostNodes), m.openOf(func(*group) float64 { return 1 })...)] = mostNodesOf(l)
+	if limits.MaxNodes > 0 && disabled.enforces(maxNodesLimit(limits)) {
+		m.rowLimits[problem.AddRow(simplex.LE, float64(limits.MaxNodes), m.openTerms(func(*group) float64 { return 1 })...)] = maxNodesLimit(limits)
 	}
-	if l.MostPrice > 0 && off.on(mostPriceOf(l)) {
-		m.words[p.Row(simplex.LE, l.MostPrice, m.openOf(func(g *group) float64 { return g.price })...)] = mostPriceOf(l)
+	if limits.MaxPrice > 0 && disabled.enforces(maxPriceLimit(limits)) {
+		m.rowLimits[problem.AddRow(simplex.LE, limits.MaxPrice, m.openTerms(func(g *group) float64 { return g.price })...)] = maxPriceLimit(limits)
 	}
 }
 
-// workOf is a group's work, in parts of all work.
-func (m *model) workOf(g *group) (row []simplex.Term) {
-	for c, v := range g.work {
-		row = append(row, simplex.Term{Var: v, Value: m.part[c]})
+// workTerms returns the sum of a group's work, as a share of all work.
+func (m *model) workTerms(g *group) (terms []simplex.Term) {
+	for c, v := range g.workVars {
+		terms = append(terms, simplex.Term{Var: v, Value: m.workShares[c]})
 	}
-	return row
+	return terms
 }
 
-// missOf is the part of a class that is not served.
-func (m *model) missOf(c int) (row []simplex.Term) {
-	for z, v := range m.miss[c] {
+// unservedTerms returns the sum of the demand of a class that is not served, as a share of the
+// class.
+func (m *model) unservedTerms(class int) (terms []simplex.Term) {
+	for z, v := range m.unservedVars[class] {
 		if v >= 0 {
-			row = append(row, simplex.Term{Var: v, Value: m.demand[c][z]})
+			terms = append(terms, simplex.Term{Var: v, Value: m.demandShares[class][z]})
 		}
 	}
-	return row
+	return terms
 }
 
-func (m *model) openOf(of func(*group) float64) (row []simplex.Term) {
+// openTerms returns the sum of a value over all nodes in use.
+func (m *model) openTerms(value func(*group) float64) (terms []simplex.Term) {
 	for _, g := range m.groups {
-		row = append(row, simplex.Term{Var: g.open, Value: of(g)})
+		terms = append(terms, simplex.Term{Var: g.openVar, Value: value(g)})
 	}
-	return row
+	return terms
 }
 
-// aim is one of the things that a plan is to do best at, as costs of variables.
-type aim struct {
+// objective is a quantity that a plan minimises, given by the costs of variables.
+type objective struct {
 	name  string
 	costs []simplex.Term
 }
 
-// most is more than an aim's value can be where its variables are shares.
-func (a *aim) most() (sum float64) {
-	for _, t := range a.costs {
+// maxValue returns an upper bound of the objective's value if its variables are shares of 0 to 1.
+func (o *objective) maxValue() (sum float64) {
+	for _, t := range o.costs {
 		sum += t.Value
 	}
 	return sum
 }
 
-// The aims, in their order.
+// The objectives, in the order in which they are minimised.
 const (
-	late = iota
-	worth
-	cost
-	moves
-	even
-	aims
+	lateObjective = iota
+	worthObjective
+	costObjective
+	movesObjective
+	evennessObjective
+	objectiveCount
 )
 
-func (m *model) aims() []aim {
-	all := make([]aim, aims)
-	all[late].name, all[worth].name, all[cost].name, all[moves].name, all[even].name = "late", "worth", "cost", "moves", "evenness"
-	for c := range m.f.Classes {
-		k := &m.f.Classes[c]
-		for z, v := range m.miss[c] {
+// objectives returns all objectives in their order: late requests per second of classes that must
+// not be late, worth lost per second, cost per hour, share of the work moved, and the largest load
+// of a group relative to its capacity.
+func (m *model) objectives() []objective {
+	objectives := make([]objective, objectiveCount)
+	objectives[lateObjective].name, objectives[worthObjective].name, objectives[costObjective].name, objectives[movesObjective].name, objectives[evennessObjective].name = "late", "worth", "cost", "moves", "evenness"
+	for c := range m.fleet.Classes {
+		class := &m.fleet.Classes[c]
+		for z, v := range m.unservedVars[c] {
 			if v < 0 {
 				continue
 			}
-			n := m.rate[c] * m.demand[c][z]
-			if k.Must {
-				all[late].costs = append(all[late].costs, simplex.Term{Var: v, Value: n})
+			requestRate := m.rates[c] * m.demandShares[c][z]
+			if class.MustNotBeLate {
+				objectives[lateObjective].costs = append(objectives[lateObjective].costs, simplex.Term{Var: v, Value: requestRate})
 			}
-			all[worth].costs = append(all[worth].costs, simplex.Term{Var: v, Value: n * k.Worth})
-			for _, p := range m.f.Prices {
-				if to := m.zone(p.To); p.From == m.zones[z] && to >= 0 {
-					all[cost].costs = append(all[cost].costs, simplex.Term{Var: m.flow[c][z][to], Value: n * p.Per * 3600})
+			objectives[worthObjective].costs = append(objectives[worthObjective].costs, simplex.Term{Var: v, Value: requestRate * class.Worth})
+			for _, price := range m.fleet.Prices {
+				if to := m.zoneIndex(price.To); price.From == m.zoneNames[z] && to >= 0 {
+					objectives[costObjective].costs = append(objectives[costObjective].costs, simplex.Term{Var: m.flowVars[c][z][to], Value: requestRate * price.PerRequest * 3600})
 				}
 			}
 		}
 	}
-	all[cost].costs = append(all[cost].costs, m.openOf(func(g *group) float64 { return g.price })...)
-	for _, v := range m.moves {
-		all[moves].costs = append(all[moves].costs, simplex.Term{Var: v, Value: 0.5})
+	objectives[costObjective].costs = append(objectives[costObjective].costs, m.openTerms(func(g *group) float64 { return g.price })...)
+	for _, v := range m.moveVars {
+		objectives[movesObjective].costs = append(objectives[movesObjective].costs, simplex.Term{Var: v, Value: 0.5})
 	}
-	all[even].costs = []simplex.Term{{Var: m.level, Value: 1}}
-	return all
+	objectives[evennessObjective].costs = []simplex.Term{{Var: m.maxBusyVar, Value: 1}}
+	return objectives
 }
 
-// lexicographic solves for one aim after the other: what an aim's reduced costs say to be
-// at its bound in every best solution stays there for those that follow, which leaves
-// exactly the best ones. It works on a copy, which it returns with the last solution.
-func lexicographic(p *simplex.Problem, all []aim, stop func() bool) (values []float64, sol *simplex.Solution, q *simplex.Problem, err error) {
-	q = p.Clone()
-	n, rows := q.Size()
-	for _, a := range all {
-		for v := range n {
-			q.SetCost(v, 0)
-		}
-		for _, t := range a.costs {
-			q.SetCost(t.Var, t.Value)
-		}
-		if sol, err = q.Solve(stop); err != nil || sol.Status != simplex.Optimal {
-			return values, sol, q, err
-		}
-		values = append(values, sol.Objective)
-		for v := range n {
-			if sol.Reduced[v] != 0 {
-				q.SetBounds(v, sol.X[v], sol.X[v])
+// solveLexicographic minimises the objectives one after the other. After each, variables and
+// slacks whose reduced cost is nonzero, and which are therefore at the same bound in every optimal
+// solution, are fixed there; exactly the optimal solutions remain for the next objective. It works
+// on a clone of the problem, which it returns with the values and the last solution. If an
+// objective has no optimum, it returns there with fewer values and that solution's status.
+func solveLexicographic(problem *simplex.Problem, objectives []objective, stop func() bool) (values []float64, solution *simplex.Solution, working *simplex.Problem, err error) {
+	working = problem.Clone()
+	varCount, rowCount := working.Size()
+	for _, current := range objectives {
+		for v := range varCount {
+			working.SetCost(v, 0)
+		}
+		for _, t := range current.costs {
+			working.SetCost(t.Var, t.Value)
+		}
+		if solution, err = working.Solve(stop); err != nil || solution.Status != simplex.Optimal {
+			return values, solution, working, err
+		}
+		values = append(values, solution.Objective)
+		for v := range varCount {
+			if solution.ReducedCosts[v] != 0 {
+				working.SetBounds(v, solution.Values[v], solution.Values[v])
 			}
 		}
-		for r := range rows {
-			if sol.SlackReduced[r] != 0 {
-				q.Hold(r)
+		for r := range rowCount {
+			if solution.SlackReducedCosts[r] != 0 {
+				working.MakeEquality(r)
 			}
 		}
 	}
-	return values, sol, q, nil
+	return values, solution, working, nil
 }
--- a/internal/plan/picture/picture.go
+++ b/internal/plan/picture/picture.go
@@ -15,54 +15,56 @@
 	"chalkrack/internal/plan"
 )
 
-// barsMost bounds a picture: of a larger fleet every n-th node is drawn, and it says so.
-const barsMost = 120
+// maxBars bounds the number of bars. Of a larger fleet only every n-th node is drawn, which the
+// title says.
+const maxBars = 120
 
-// SVG writes the picture of a plan's nodes: what each can do, and what it has to.
-func SVG(w io.Writer, p *plan.Plan) error {
-	nodes := slices.Clone(p.Nodes)
+// SVG writes a bar chart of a plan's nodes as an SVG image: the usable capacity and the load of
+// each node, ordered by zone.
+func SVG(w io.Writer, fleetPlan *plan.Plan) error {
+	nodes := slices.Clone(fleetPlan.Nodes)
 	slices.SortStableFunc(nodes, func(a, b plan.NodePlan) int { return bytes.Compare([]byte(a.Zone), []byte(b.Zone)) })
-	every := (len(nodes) + barsMost - 1) / barsMost
-	pl := plot.New()
-	pl.Title.Text = fmt.Sprintf("%s: work %.4g s a second, capacity %.4g", p.Status, p.Demand, p.Capacity)
-	if every > 1 {
-		pl.Title.Text += fmt.Sprintf("; one of %d nodes is drawn", every)
+	stride := (len(nodes) + maxBars - 1) / maxBars
+	chart := plot.New()
+	chart.Title.Text = fmt.Sprintf("%s: work %.4g s per second, capacity %.4g", fleetPlan.Status, fleetPlan.Demand, fleetPlan.Capacity)
+	if stride > 1 {
+		chart.Title.Text += fmt.Sprintf("; 1 of every %d nodes is drawn", stride)
 	}
-	pl.Y.Label.Text = "seconds of work a second"
-	pl.Y.Min = 0
+	chart.Y.Label.Text = "seconds of work per second"
+	chart.Y.Min = 0
 	var capacity, load plotter.Values
 	var names []string
 	zone := ""
-	for n := 0; n < len(nodes); n += every {
-		d := nodes[n]
-		capacity, load = append(capacity, d.Capacity), append(load, d.Load)
-		if d.Zone != zone {
-			zone = d.Zone
+	for n := 0; n < len(nodes); n += stride {
+		node := nodes[n]
+		capacity, load = append(capacity, node.Capacity), append(load, node.Load)
+		if node.Zone != zone {
+			zone = node.Zone
 			names = append(names, zone)
 		} else {
 			names = append(names, "")
 		}
 	}
 	width := vg.Points(max(3, 600/float64(len(names))))
-	can, err := plotter.NewBarChart(capacity, width)
+	capacityBars, err := plotter.NewBarChart(capacity, width)
 	if err != nil {
 		return err
 	}
-	can.Color, can.LineStyle.Width = color.Gray{215}, 0
-	has, err := plotter.NewBarChart(load, width)
+	capacityBars.Color, capacityBars.LineStyle.Width = color.Gray{215}, 0
+	loadBars, err := plotter.NewBarChart(load, width)
 	if err != nil {
 		return err
 	}
-	has.Color, has.LineStyle.Width = color.RGBA{40, 90, 160, 255}, 0
-	pl.Add(can, has)
-	pl.Legend.Add("can do", can)
-	pl.Legend.Add("has to do", has)
-	pl.Legend.Top = true
-	pl.NominalX(names...)
-	to, err := pl.WriterTo(vg.Length(max(400, 8*len(names)+120)), 300, "svg")
+	loadBars.Color, loadBars.LineStyle.Width = color.RGBA{40, 90, 160, 255}, 0
+	chart.Add(capacityBars, loadBars)
+	chart.Legend.Add("capacity", capacityBars)
+	chart.Legend.Add("load", loadBars)
+	chart.Legend.Top = true
+	chart.NominalX(names...)
+	image, err := chart.WriterTo(vg.Length(max(400, 8*len(names)+120)), 300, "svg")
 	if err != nil {
 		return err
 	}
-	_, err = to.WriteTo(w)
+	_, err = image.WriteTo(w)
 	return err
 }
--- a/internal/plan/place.go
+++ b/internal/plan/place.go
@@ -10,46 +10,49 @@
 )
 
 const (
-	// whole is how near a number of nodes must be to a whole one.
-	whole = 1e-6
-	// stepsMost bounds a search by its steps, each a few linear programmes.
-	stepsMost = 4000
-	// cutsMost bounds how often a placement is mended for a loss that it can't bear.
-	cutsMost = 400
-	// alike is how near two values must be to count as one.
-	alike = 1e-7
+	// integerTolerance is how near a number of nodes must be to an integer to count as one.
+	integerTolerance = 1e-6
+	// maxSearchSteps bounds the steps of a search. Each solves a few linear programmes.
+	maxSearchSteps = 4000
+	// maxCuts bounds the cuts that one search for a choice of nodes that survives losses adds.
+	maxCuts = 400
+	// valueTolerance is how near two values must be to count as equal, relative to the larger of
+	// them and 1.
+	valueTolerance = 1e-7
 )
 
-// Search is how a search for the number of nodes went.
+// Search describes a search for the number of nodes in use.
 type Search struct {
 	Steps int       `json:"steps"`
 	Cuts  int       `json:"cuts,omitempty"`
-	Bound []float64 `json:"bound"` // late, worth, cost: no placement does better
-	Best  []float64 `json:"best"`  // of what was found
-	// Gap is what Best misses of Bound at the first of the three where they differ, of
-	// its size; 0: it is proven to be the best.
+	Bound []float64 `json:"bound"` // late, worth, cost: no choice of nodes has lower values
+	Best  []float64 `json:"best"`  // late, worth, cost of the best choice found
+	// Gap is the difference of Best and Bound at the first of the three values that differs,
+	// relative to Best; 0 if Best is proven to be optimal.
 	Gap  float64 `json:"gap"`
-	Left bool    `json:"left,omitempty"` // ended before its end
+	Left bool    `json:"left,omitempty"` // the search was stopped before Best was proven to be optimal
 }
 
-// ErrLeft is of a search that was ended before it found anything.
-var ErrLeft = errors.New("plan: left before an answer was found")
+// ErrLeft is returned if the search was stopped before it found any answer.
+var ErrLeft = errors.New("plan: the search was stopped before it found an answer")
 
-// searchNode is one part of the search: bounds on how many nodes of each group are in use.
+// searchNode is a node of the branch-and-bound tree: bounds on the integer variables, the values
+// of the parent's relaxation (nil at the root) and the sequence number.
 type searchNode struct {
-	lo, hi []float64
-	bound  []float64
-	n      int
+	lower, upper []float64
+	bound        []float64
+	sequence     int
 }
 
+// frontier is a heap of the open search nodes, the one with the lowest bound first.
 type frontier []*searchNode
 
 func (f frontier) Len() int { return len(f) }
 func (f frontier) Less(i, j int) bool {
-	if c := lexical(f[i].bound, f[j].bound); c != 0 {
+	if c := compareLexicographic(f[i].bound, f[j].bound); c != 0 {
 		return c < 0
 	}
-	return f[i].n > f[j].n // of equals the newest, which is the deepest
+	return f[i].sequence > f[j].sequence // among equal bounds the newest node, which is the deepest
 }
 func (f frontier) Swap(i, j int) { f[i], f[j] = f[j], f[i] }
 func (f *frontier) Push(x any)   { *f = append(*f, x.(*searchNode)) }
@@ -60,10 +63,11 @@
 	return x
 }
 
-// lexical compares values in their order, those that are alike as one.
-func lexical(a, b []float64) int {
+// compareLexicographic compares values in their order, with those within valueTolerance as equal,
+// and returns -1, 0 or 1.
+func compareLexicographic(a, b []float64) int {
 	for n := range a {
-		if d := a[n] - b[n]; math.Abs(d) > alike*max(1, math.Abs(a[n]), math.Abs(b[n])) {
+		if d := a[n] - b[n]; math.Abs(d) > valueTolerance*max(1, math.Abs(a[n]), math.Abs(b[n])) {
 			if d < 0 {
 				return -1
 			}
@@ -73,212 +77,221 @@
 	return 0
 }
 
-// place finds how many nodes of each group should be in use, by best-first branch and
-// bound (Land and Doig 1960): the relaxation's values, in the order of the aims, bound
-// those of all whole numbers below it. feasible stops at the first that meets the limits.
-// A nil count says that there is none, or none was found before the search was left.
-func (m *model) place(feasible bool, stop func() bool, progress func(Search)) (count []float64, s Search, err error) {
-	all := m.aims()[:moves]
-	if feasible {
-		all = all[:0:0]
-		all = append(all, aim{})
+// chooseNodeCounts returns the number of nodes of each group that should be in use, followed by the
+// values of anyOpenVars. It searches by best-first branch and bound (Land and Doig 1960): the
+// values of a relaxation, in the order of the objectives, bound those of all integer solutions
+// below it in the tree. With feasibleOnly it ends at the first solution that meets the limits,
+// whatever its values. The counts are nil if there is no solution, or if none was found before the
+// search was stopped; the returned Search tells which.
+func (m *model) chooseNodeCounts(feasibleOnly bool, stop func() bool, progress func(Search)) (bestCounts []float64, search Search, err error) {
+	objectives := m.objectives()[:movesObjective]
+	if feasibleOnly {
+		objectives = objectives[:0:0]
+		objectives = append(objectives, objective{})
 	}
 	root := &searchNode{}
-	for _, v := range m.ints() {
-		lo, hi := m.p.Bounds(v)
-		root.lo, root.hi = append(root.lo, lo), append(root.hi, hi)
+	for _, v := range m.integerVars() {
+		lower, upper := m.problem.Bounds(v)
+		root.lower, root.upper = append(root.lower, lower), append(root.upper, upper)
 	}
-	defer m.bound(root)
+	defer m.setNodeBounds(root)
 	open := &frontier{root}
-	next := 0
-	var best []float64
+	nextSequence := 0
+	var bestValues []float64
 	for open.Len() > 0 {
-		at := heap.Pop(open).(*searchNode)
-		if best != nil && at.bound != nil && lexical(at.bound, best) >= 0 {
-			break // so are all others
+		current := heap.Pop(open).(*searchNode)
+		if bestValues != nil && current.bound != nil && compareLexicographic(current.bound, bestValues) >= 0 {
+			break // all other nodes have bounds that are no lower
 		}
-		if s.Steps >= stepsMost || stop != nil && stop() {
-			s.Left = true
-			heap.Push(open, at)
+		if search.Steps >= maxSearchSteps || stop != nil && stop() {
+			search.Left = true
+			heap.Push(open, current)
 			break
 		}
-		s.Steps++
-		values, counts, serr := m.relax(at, all, stop)
-		if errors.Is(serr, ErrLeft) {
-			s.Left = true
-			heap.Push(open, at)
+		search.Steps++
+		values, counts, relaxErr := m.solveRelaxation(current, objectives, stop)
+		if errors.Is(relaxErr, ErrLeft) {
+			search.Left = true
+			heap.Push(open, current)
 			break
 		}
-		if serr != nil {
-			return nil, s, serr
+		if relaxErr != nil {
+			return nil, search, relaxErr
 		}
-		if values == nil || best != nil && lexical(values, best) >= 0 {
+		if values == nil || bestValues != nil && compareLexicographic(values, bestValues) >= 0 {
 			continue
 		}
-		branch, far := -1, whole
+		branch, maxFraction := -1, integerTolerance
 		for n, x := range counts {
-			if d := math.Abs(x - math.Round(x)); d > far {
-				branch, far = n, d
+			if d := math.Abs(x - math.Round(x)); d > maxFraction {
+				branch, maxFraction = n, d
 			}
 		}
 		if branch < 0 {
-			best, count = values, rounded(counts, math.Round)
-			if feasible {
+			bestValues, bestCounts = values, roundAll(counts, math.Round)
+			if feasibleOnly {
 				break
 			}
-			s.Best = best
+			search.Best = bestValues
 			if progress != nil {
-				progress(s)
+				progress(search)
 			}
 			continue
 		}
-		// All rounded up often serves as well as the relaxation, and prunes the rest.
-		up := &searchNode{lo: rounded(counts, ceil), hi: rounded(counts, ceil)}
-		if v, c, serr := m.relax(up, all, stop); serr == nil && v != nil && (best == nil || lexical(v, best) < 0) {
-			best, count = v, rounded(c, math.Round)
-			s.Best = best
-			if feasible {
+		// All counts rounded up often serve as much as the relaxation; a good solution found
+		// early prunes the tree.
+		roundedUp := &searchNode{lower: roundAll(counts, ceilWithTolerance), upper: roundAll(counts, ceilWithTolerance)}
+		if upValues, upCounts, relaxErr := m.solveRelaxation(roundedUp, objectives, stop); relaxErr == nil && upValues != nil && (bestValues == nil || compareLexicographic(upValues, bestValues) < 0) {
+			bestValues, bestCounts = upValues, roundAll(upCounts, math.Round)
+			search.Best = bestValues
+			if feasibleOnly {
 				break
 			}
 			if progress != nil {
-				progress(s)
+				progress(search)
 			}
 		}
 		for _, higher := range []bool{false, true} {
-			child := &searchNode{lo: slices.Clone(at.lo), hi: slices.Clone(at.hi), bound: values, n: next}
-			next++
+			child := &searchNode{lower: slices.Clone(current.lower), upper: slices.Clone(current.upper), bound: values, sequence: nextSequence}
+			nextSequence++
 			if higher {
-				child.lo[branch] = math.Ceil(counts[branch])
+				child.lower[branch] = math.Ceil(counts[branch])
 			} else {
-				child.hi[branch] = math.Floor(counts[branch])
+				child.upper[branch] = math.Floor(counts[branch])
 			}
 			heap.Push(open, child)
 		}
 	}
-	s.Best, s.Bound = best, best
-	if s.Left && open.Len() > 0 {
-		if s.Bound = (*open)[0].bound; s.Bound != nil && best != nil {
-			for n := range best {
-				if d := best[n] - s.Bound[n]; d > alike*max(1, math.Abs(best[n])) {
-					s.Gap = d / max(math.Abs(best[n]), 1e-9)
+	search.Best, search.Bound = bestValues, bestValues
+	if search.Left && open.Len() > 0 {
+		if search.Bound = (*open)[0].bound; search.Bound != nil && bestValues != nil {
+			for n := range bestValues {
+				if d := bestValues[n] - search.Bound[n]; d > valueTolerance*max(1, math.Abs(bestValues[n])) {
+					search.Gap = d / max(math.Abs(bestValues[n]), 1e-9)
 					break
 				}
 			}
 		}
 	}
-	return count, s, nil
+	return bestCounts, search, nil
 }
 
-func ceil(x float64) float64 { return math.Ceil(x - whole) }
+// ceilWithTolerance rounds up, but rounds a number just above an integer down to it.
+func ceilWithTolerance(x float64) float64 { return math.Ceil(x - integerTolerance) }
 
-func rounded(all []float64, by func(float64) float64) []float64 {
-	out := make([]float64, len(all))
-	for n, x := range all {
-		out[n] = by(x)
+// roundAll applies a rounding function to all values.
+func roundAll(values []float64, round func(float64) float64) []float64 {
+	result := make([]float64, len(values))
+	for n, x := range values {
+		result[n] = round(x)
 	}
-	return out
+	return result
 }
 
-// ints are the variables that must be whole: how many nodes of each group are in use, then
-// whether any is, of groups that a cut names.
-func (m *model) ints() (all []int) {
+// integerVars returns the variables that must be integers: the number of nodes in use of each
+// group, then for groups that a cut names whether any node is in use.
+func (m *model) integerVars() (variables []int) {
 	for _, g := range m.groups {
-		all = append(all, g.open)
+		variables = append(variables, g.openVar)
 	}
-	return append(all, m.any...)
+	return append(variables, m.anyOpenVars...)
 }
 
-// bound sets how many nodes may be in use.
-func (m *model) bound(at *searchNode) {
-	for n, v := range m.ints() {
-		m.p.SetBounds(v, at.lo[n], at.hi[n])
+// setNodeBounds sets the bounds of the integer variables to those of a search node.
+func (m *model) setNodeBounds(node *searchNode) {
+	for n, v := range m.integerVars() {
+		m.problem.SetBounds(v, node.lower[n], node.upper[n])
 	}
 }
 
-// relax solves a part of the search without whole numbers; nil values: nothing meets it.
-func (m *model) relax(at *searchNode, all []aim, stop func() bool) (values, counts []float64, err error) {
-	m.bound(at)
-	values, sol, _, err := lexicographic(m.p, all, stop)
+// solveRelaxation solves a search node without the integrality of its variables. It returns nil
+// values if the node has no solution, and an error if it was stopped.
+func (m *model) solveRelaxation(node *searchNode, objectives []objective, stop func() bool) (values, counts []float64, err error) {
+	m.setNodeBounds(node)
+	values, solution, _, err := solveLexicographic(m.problem, objectives, stop)
 	switch {
 	case err != nil:
 		return nil, nil, err
-	case sol.Status == simplex.Stopped:
+	case solution.Status == simplex.Stopped:
 		return nil, nil, ErrLeft
-	case sol.Status != simplex.Optimal:
+	case solution.Status != simplex.Optimal:
 		return nil, nil, nil
 	}
-	for _, v := range m.ints() {
-		counts = append(counts, sol.X[v])
+	for _, v := range m.integerVars() {
+		counts = append(counts, solution.Values[v])
 	}
 	return values, counts, nil
 }
 
-// meets says whether the limits that are not off can be met together.
-func (f *Fleet) meets(off holding, stop func() bool) (bool, error) {
-	m := newModel(f, off, false)
+// limitsFeasible reports whether some plan meets all limits that are not disabled.
+func (f *Fleet) limitsFeasible(disabled disabledLimits, stop func() bool) (bool, error) {
+	m := newModel(f, disabled, false)
 	if f.Choose {
-		count, s, err := m.place(true, stop, nil)
-		if count == nil && s.Left && err == nil {
+		counts, search, err := m.chooseNodeCounts(true, stop, nil)
+		if counts == nil && search.Left && err == nil {
 			err = ErrLeft
 		}
-		return count != nil, err
+		return counts != nil, err
 	}
-	_, sol, _, err := lexicographic(m.p, []aim{{}}, stop)
-	if err == nil && sol.Status == simplex.Stopped {
+	_, solution, _, err := solveLexicographic(m.problem, []objective{{}}, stop)
+	if err == nil && solution.Status == simplex.Stopped {
 		err = ErrLeft
 	}
-	return err == nil && sol.Status == simplex.Optimal, err
+	return err == nil && solution.Status == simplex.Optimal, err
 }
 
-// Conflicts are least sets of limits that contradict each other: with any one of a set
-// taken away the rest of the set can be met. Sets share no limit; none: all can be met.
-// It is QuickXplain (Junker 2004), again and again without the limits found before.
+// Conflicts returns minimal sets of limits that contradict each other: without any one limit of a
+// set, the others of the set can be met. Sets share no limit, and there are at most eight; there
+// is none if all limits can be met. It runs QuickXplain (Junker 2004) repeatedly, each time without
+// the limits of the sets found before.
 func (f *Fleet) Conflicts(stop func() bool) (sets [][]string, err error) {
-	all := f.limits()
-	var gone []limit
+	limits := f.allLimits()
+	var found []limit
 	for range 8 {
-		left := slices.DeleteFunc(slices.Clone(all), func(l limit) bool { return slices.Contains(gone, l) })
-		ok := func(on []limit) (bool, error) {
-			off := make(holding)
-			for _, l := range all {
-				off[l] = !slices.Contains(on, l)
+		remaining := slices.DeleteFunc(slices.Clone(limits), func(l limit) bool { return slices.Contains(found, l) })
+		feasible := func(enforced []limit) (bool, error) {
+			disabled := make(disabledLimits)
+			for _, l := range limits {
+				disabled[l] = !slices.Contains(enforced, l)
 			}
-			return f.meets(off, stop)
+			return f.limitsFeasible(disabled, stop)
 		}
-		if good, err := ok(left); good || err != nil {
+		if met, err := feasible(remaining); met || err != nil {
 			return sets, err
 		}
-		set, err := explain(nil, left, false, ok)
+		set, err := minimalConflict(nil, remaining, false, feasible)
 		if err != nil || len(set) == 0 {
 			return sets, err
 		}
-		var words []string
-		for _, l := range all { // in the order of the file
+		var descriptions []string
+		for _, l := range limits { // in the order of the fleet file
 			if slices.Contains(set, l) {
-				words = append(words, string(l))
+				descriptions = append(descriptions, string(l))
 			}
 		}
-		sets, gone = append(sets, words), append(gone, set...)
+		sets, found = append(sets, descriptions), append(found, set...)
 	}
 	return sets, nil
 }
 
-// explain finds a least set within some of limits that contradicts with those of base.
-func explain(base, some []limit, fresh bool, ok func([]limit) (bool, error)) ([]limit, error) {
-	if fresh {
-		if good, err := ok(base); !good || err != nil {
+// minimalConflict returns a minimal subset of the candidates that contradicts the limits of base.
+// The candidates together with base must contradict each other. baseGrew says that base has limits
+// that the caller has not checked: if base alone is contradictory, the subset is empty.
+func minimalConflict(base, candidates []limit, baseGrew bool, feasible func([]limit) (bool, error)) ([]limit, error) {
+	if baseGrew {
+		if met, err := feasible(base); !met || err != nil {
 			return nil, err
 		}
 	}
-	if len(some) == 1 {
-		return some, nil
+	if len(candidates) == 1 {
+		return candidates, nil
 	}
-	half := len(some) / 2
-	first, second := some[:half], some[half:]
-	right, err := explain(slices.Concat(base, first), second, len(first) > 0, ok)
+	half := len(candidates) / 2
+	first, second := candidates[:half], candidates[half:]
+	fromSecond, err := minimalConflict(slices.Concat(base, first), second, len(first) > 0, feasible)
 	if err != nil {
 		return nil, err
 	}
-	left, err := explain(slices.Concat(base, right), first, len(right) > 0, ok)
-	return slices.Concat(left, right), err
+	fromFirst, err := minimalConflict(slices.Concat(base, fromSecond), first, len(fromSecond) > 0, feasible)
+	return slices.Concat(fromFirst, fromSecond), err
 }
--- a/internal/plan/solve.go
+++ b/internal/plan/solve.go
@@ -11,63 +11,67 @@
 	"chalkrack/internal/simplex"
 )
 
-// Status is how a plan ended.
+// Status is the result of planning a fleet.
 type Status string
 
 const (
-	Held          Status = "held"          // all is served
-	Short         Status = "short"         // not all: Served says what
-	Contradictory Status = "contradictory" // no plan meets the limits: Conflicts says which
+	Satisfied     Status = "held"          // all demand is served
+	Short         Status = "short"         // some demand is not served: see Plan.Served
+	Contradictory Status = "contradictory" // no plan meets all limits: see Plan.Conflicts
 )
 
-// Options of a solution.
+// Options control Solve.
 type Options struct {
-	Stop     func() bool  // asked now and then: true ends it with the best found
-	Progress func(Search) // told of each better choice of nodes
-	Losses   bool         // hold the plan against the loss of each zone and node
-	Robust   bool         // with Choose: choose nodes that bear them
-	Gains    bool         // what one more node of each kind would bring
+	Stop     func() bool  // nil or called at intervals; once true, Solve ends with the best plan found
+	Progress func(Search) // nil or called with each better choice of nodes
+	Losses   bool         // compute the effect of the loss of each zone and node
+	Robust   bool         // with Fleet.Choose: choose nodes that survive these losses
+	Gains    bool         // compute what one more node of each kind in each zone would gain
 }
 
-// Plan is what was worked out.
+// Plan is the result of Solve. If Status is Contradictory, only Conflicts is set.
 type Plan struct {
 	Status    Status     `json:"status"`
 	Conflicts [][]string `json:"conflicts,omitempty"`
 
-	Demand   float64            `json:"demand"`   // work, in seconds of a core of speed 1 a second
-	Capacity float64            `json:"capacity"` // usable, of the nodes in use
-	Served   map[string]float64 `json:"served"`   // share, by class
-	Values   map[string]float64 `json:"values"`   // of the aims: late requests a second, worth lost a second, cost an hour, work moved, most busy
+	Demand   float64            `json:"demand"`   // work, in seconds of a core of speed 1 per second
+	Capacity float64            `json:"capacity"` // usable capacity of the nodes in use, as Demand
+	Served   map[string]float64 `json:"served"`   // share of its demand, by class
+	// Values holds the values of the objectives by name: late requests per second, worth lost per
+	// second, cost per hour, share of the work moved and load of the busiest group.
+	Values   map[string]float64 `json:"values"`
 	Missing  []Missing          `json:"missing,omitempty"`
-	Binding  []string           `json:"binding,omitempty"` // limits that more would be served without
+	Binding  []string           `json:"binding,omitempty"` // limits without which more demand would be served
 	Gains    []Gain             `json:"gains,omitempty"`
 	Losses   []Loss             `json:"losses,omitempty"`
 	Nodes    []NodePlan         `json:"nodes"`
-	Crossing float64            `json:"crossing"`       // share of the work that leaves its zone
-	Left     []string           `json:"left,omitempty"` // parts that were not worked out to their end
+	Crossing float64            `json:"crossing"`       // share of the work that is done outside its zone of origin
+	Left     []string           `json:"left,omitempty"` // parts that were not computed because Options.Stop ended them
 
 	Search *Search `json:"search,omitempty"`
-	// Robust says what bearing losses costs: the price an hour beside the plan without,
-	// and which losses no choice of these nodes bears.
+	// Robust gives the price of a choice of nodes that survives losses, and the losses that no
+	// choice survives. It is set by Options.Robust.
 	Robust *Robust `json:"robust,omitempty"`
 }
 
-// Robust is the price of bearing losses.
+// Robust compares the price per hour of the nodes in use with and without Options.Robust.
 type Robust struct {
-	Without float64  `json:"cost_without"`
-	With    float64  `json:"cost_with"`
-	Weak    []string `json:"weak,omitempty"`
+	Without float64 `json:"cost_without"`
+	With    float64 `json:"cost_with"`
+	// Losses that no choice of nodes survives, and why no robust choice was found, if so.
+	Weak []string `json:"weak,omitempty"`
 }
 
-// Missing is demand that is not served.
+// Missing is the demand of a class in a zone that is not served.
 type Missing struct {
 	Class string  `json:"class"`
 	Zone  string  `json:"zone"`
-	Rate  float64 `json:"rate"` // requests a second
+	Rate  float64 `json:"rate"` // requests per second
 }
 
-// Gain is what one more node of a kind in a zone would bring in worth served a second:
-// what the dual price promises at the most, and what solving again finds.
+// Gain is how much more worth per second would be served with one more node of a kind in a zone:
+// the upper bound that the dual price of capacity gives, and the actual gain, found by solving
+// with that node.
 type Gain struct {
 	Kind  string  `json:"kind"`
 	Zone  string  `json:"zone"`
@@ -75,66 +79,69 @@
 	Again float64 `json:"again"`
 }
 
-// NodePlan is one node's part.
+// NodePlan is the part of a plan for one node.
 type NodePlan struct {
 	Name     string  `json:"name"`
 	Zone     string  `json:"zone"`
 	Kind     string  `json:"kind"`
 	Used     bool    `json:"used"`
-	Capacity float64 `json:"capacity"` // usable work
+	Capacity float64 `json:"capacity"` // usable capacity, as Plan.Demand
 	Load     float64 `json:"load"`
-	Busy     float64 `json:"busy"`  // Load of Capacity
-	Share    float64 `json:"share"` // of all work served
-	// Weights are its share of what comes from each zone.
+	Busy     float64 `json:"busy"`  // Load divided by Capacity
+	Share    float64 `json:"share"` // share of all work served
+	// Weights holds the node's share of the work that comes from each zone, by zone.
 	Weights map[string]float64 `json:"weights"`
 	Why     []string           `json:"why"`
 }
 
-// Solve works out the plan of a valid fleet.
-func Solve(f *Fleet, o Options) (*Plan, error) {
-	if err := f.Validate(); err != nil {
+// Solve validates a fleet and computes its plan. It returns the error of Validate, or the error of
+// a search that was stopped before it found any plan.
+func Solve(fleet *Fleet, options Options) (*Plan, error) {
+	if err := fleet.Validate(); err != nil {
 		return nil, err
 	}
-	good, err := f.meets(nil, o.Stop)
+	feasible, err := fleet.limitsFeasible(nil, options.Stop)
 	if err != nil {
 		return nil, err
 	}
-	if !good {
-		p := &Plan{Status: Contradictory}
-		p.Conflicts, err = f.Conflicts(o.Stop)
-		return p, err
+	if !feasible {
+		plan := &Plan{Status: Contradictory}
+		plan.Conflicts, err = fleet.Conflicts(options.Stop)
+		return plan, err
 	}
-	p := &Plan{Values: make(map[string]float64)}
-	used := f
-	if f.Choose {
-		if used, err = p.choose(f, o); err != nil {
+	plan := &Plan{Values: make(map[string]float64)}
+	used := fleet
+	if fleet.Choose {
+		if used, err = plan.chooseNodes(fleet, options); err != nil {
 			return nil, err
 		}
 	}
-	// What was chosen is told whole: its split is a few programmes of bounded steps.
-	whole := o
-	if f.Choose {
-		whole.Stop = nil
+	// Once nodes are chosen the split ignores Stop: it is a few linear programmes, each of
+	// bounded steps, and a choice without a split would be of no use.
+	splitOptions := options
+	if fleet.Choose {
+		splitOptions.Stop = nil
 	}
-	if err := p.split(used, whole); err != nil {
+	if err := plan.splitWork(used, splitOptions); err != nil {
 		return nil, err
 	}
-	// What comes on top may be left for want of time, and is said to be.
-	if p.Status == Short {
-		if err := p.without("shortage", p.shortage(used, o)); err != nil {
+	// The rest is optional: parts that are stopped are listed in the plan.
+	if plan.Status == Short {
+		if err := plan.noteSkipped("shortage", plan.explainShortage(used, options)); err != nil {
 			return nil, err
 		}
 	}
-	if o.Losses {
-		if err := p.without("losses", p.hold(used, o)); err != nil {
+	if options.Losses {
+		if err := plan.noteSkipped("losses", plan.checkLosses(used, options)); err != nil {
 			return nil, err
 		}
 	}
-	return p, nil
+	return plan, nil
 }
 
-// without notes a part that was left for want of time.
-func (p *Plan) without(part string, err error) error {
+// noteSkipped lists a part as not computed if err says that it was stopped, and returns other
+// errors.
+func (p *Plan) noteSkipped(part string, err error) error {
 	if errors.Is(err, ErrLeft) {
 		p.Left = append(p.Left, part)
 		return nil
@@ -142,297 +149,299 @@
 	return err
 }
 
-// choose finds the nodes in use and returns the fleet of these alone.
-func (p *Plan) choose(f *Fleet, o Options) (*Fleet, error) {
-	m := newModel(f, nil, false)
-	count, search, err := m.place(false, o.Stop, o.Progress)
-	if err == nil && count == nil {
+// chooseNodes finds the nodes to use and returns a fleet in which all others are marked notChosen.
+func (p *Plan) chooseNodes(fleet *Fleet, options Options) (*Fleet, error) {
+	m := newModel(fleet, nil, false)
+	counts, search, err := m.chooseNodeCounts(false, options.Stop, options.Progress)
+	if err == nil && counts == nil {
 		err = ErrLeft
 	}
 	if err != nil {
 		return nil, err
 	}
 	p.Search = &search
-	if o.Robust {
-		with, mended, weak, err := m.bear(count[:len(m.groups)], o.Stop, o.Progress)
-		p.Robust = &Robust{Without: m.priceOf(count), Weak: weak}
+	if options.Robust {
+		robustCounts, robustSearch, unsurvivable, err := m.makeRobust(counts[:len(m.groups)], options.Stop, options.Progress)
+		p.Robust = &Robust{Without: m.totalPrice(counts), Weak: unsurvivable}
 		switch {
 		case errors.Is(err, ErrLeft):
-			p.Robust.Weak = append(p.Robust.Weak, "the search was left before a choice was found that bears the losses")
-			p.Search.Left, with = true, count
+			p.Robust.Weak = append(p.Robust.Weak, "the search was stopped before it found a choice of nodes that survives the losses")
+			p.Search.Left, robustCounts = true, counts
 		case err != nil:
 			return nil, err
-		case with == nil:
-			p.Robust.Weak = append(p.Robust.Weak, "no choice within the limits bears what all nodes together would")
-			with = count
+		case robustCounts == nil:
+			p.Robust.Weak = append(p.Robust.Weak, "no choice of nodes within the limits survives the losses that all nodes together would")
+			robustCounts = counts
 		}
-		count = with
-		p.Robust.With = m.priceOf(count)
-		p.Search.Cuts = mended.Cuts
-		p.Search.Steps += mended.Steps
-	}
-	g := *f
-	g.Choose, g.Nodes = false, slices.Clone(f.Nodes)
-	keep := make([]bool, len(f.Nodes))
-	for n, group := range m.groups {
-		// Those that have most today, then in their order.
-		nodes := slices.Clone(group.nodes)
-		slices.SortStableFunc(nodes, func(a, b int) int { return cmp.Compare(f.Nodes[b].Today, f.Nodes[a].Today) })
-		for _, at := range nodes[:int(count[n])] {
-			keep[at] = true
+		counts = robustCounts
+		p.Robust.With = m.totalPrice(counts)
+		p.Search.Cuts = robustSearch.Cuts
+		p.Search.Steps += robustSearch.Steps
+	}
+	chosen := *fleet
+	chosen.Choose, chosen.Nodes = false, slices.Clone(fleet.Nodes)
+	keep := make([]bool, len(fleet.Nodes))
+	for n, nodeGroup := range m.groups {
+		// Nodes with the largest current share come first, then those first in the fleet file.
+		nodes := slices.Clone(nodeGroup.nodeIndexes)
+		slices.SortStableFunc(nodes, func(a, b int) int { return cmp.Compare(fleet.Nodes[b].Today, fleet.Nodes[a].Today) })
+		for _, node := range nodes[:int(counts[n])] {
+			keep[node] = true
 		}
 	}
-	for n := range g.Nodes {
-		g.Nodes[n].out = !keep[n]
+	for n := range chosen.Nodes {
+		chosen.Nodes[n].notChosen = !keep[n]
 	}
-	g.Limits.MostNodes, g.Limits.MostPrice = 0, 0 // kept by the choice
-	return &g, nil
+	chosen.Limits.MaxNodes, chosen.Limits.MaxPrice = 0, 0 // already met by the choice
+	return &chosen, nil
 }
 
-// priceOf is what nodes in use cost an hour.
-func (m *model) priceOf(count []float64) (sum float64) {
+// totalPrice returns the price per hour of the nodes in use.
+func (m *model) totalPrice(counts []float64) (sum float64) {
 	for n, g := range m.groups {
-		sum += g.price * count[n]
+		sum += g.price * counts[n]
 	}
 	return sum
 }
 
-// split works out how work is split over the nodes in use.
-func (p *Plan) split(used *Fleet, o Options) error {
-	known := slices.ContainsFunc(used.Nodes, func(d Node) bool { return d.Today > 0 })
-	m := newModel(used, nil, known)
-	all := m.aims()
-	if !known {
-		all = slices.Delete(all, moves, moves+1)
-	}
-	values, sol, _, err := lexicographic(m.p, all, o.Stop)
+// splitWork computes how the work is split over the nodes in use, and sets the plan's status.
+func (p *Plan) splitWork(used *Fleet, options Options) error {
+	sharesKnown := slices.ContainsFunc(used.Nodes, func(d Node) bool { return d.Today > 0 })
+	m := newModel(used, nil, sharesKnown)
+	objectives := m.objectives()
+	if !sharesKnown {
+		objectives = slices.Delete(objectives, movesObjective, movesObjective+1)
+	}
+	values, solution, _, err := solveLexicographic(m.problem, objectives, options.Stop)
 	if err != nil {
 		return err
 	}
-	if sol.Status != simplex.Optimal {
-		return fmt.Errorf("%w: the split is %v", ErrLeft, sol.Status)
+	if solution.Status != simplex.Optimal {
+		return fmt.Errorf("%w: the linear programme of the split ended as %v", ErrLeft, solution.Status)
 	}
-	for n, a := range all {
-		p.Values[a.name] = values[n]
+	for n, current := range objectives {
+		p.Values[current.name] = values[n]
 	}
-	p.Status = Held
-	p.Demand = m.total
-	p.Served = m.served(sol.X)
+	p.Status = Satisfied
+	p.Demand = m.totalWork
+	p.Served = m.servedShares(solution.Values)
 	for c := range used.Classes {
-		for z, v := range m.miss[c] {
-			if v >= 0 && sol.X[v] > alike {
+		for z, v := range m.unservedVars[c] {
+			if v >= 0 && solution.Values[v] > valueTolerance {
 				p.Status = Short
-				p.Missing = append(p.Missing, Missing{used.Classes[c].Name, m.zones[z], sol.X[v] * m.rate[c] * m.demand[c][z]})
+				p.Missing = append(p.Missing, Missing{used.Classes[c].Name, m.zoneNames[z], solution.Values[v] * m.rates[c] * m.demandShares[c][z]})
 			}
 		}
 	}
-	m.fill(p, sol.X)
+	m.fillNodes(p, solution.Values)
 	return nil
 }
 
-// fill tells each node's part. Nodes that are alike have equal ones.
-func (m *model) fill(p *Plan, x []float64) {
-	zones := len(m.zones)
-	into := make([][]float64, len(m.part)) // by class and zone of the nodes
-	for c := range m.part {
-		into[c] = make([]float64, zones)
+// fillNodes sets the plan's nodes, capacity and crossing work. Identical nodes get equal parts.
+func (m *model) fillNodes(plan *Plan, values []float64) {
+	zoneCount := len(m.zoneNames)
+	classWork := make([][]float64, len(m.workShares)) // by class and zone of the nodes, share of the class's work
+	for c := range m.workShares {
+		classWork[c] = make([]float64, zoneCount)
 		for _, g := range m.groups {
-			into[c][g.zone] += x[g.work[c]]
+			classWork[c][g.zoneIndex] += values[g.workVars[c]]
 		}
 	}
-	from := make([]float64, zones) // work of each zone that is served
-	home := 0.0
-	at := make(map[string]*NodePlan)
-	served := 0.0
-	for c := range m.part {
-		for z := range zones {
-			for to := range zones {
-				if m.miss[c][z] < 0 {
+	servedByZone := make([]float64, zoneCount) // by zone of origin, work that is served
+	localWork := 0.0
+	plansByName := make(map[string]*NodePlan)
+	servedWork := 0.0
+	for c := range m.workShares {
+		for z := range zoneCount {
+			for to := range zoneCount {
+				if m.unservedVars[c][z] < 0 {
 					continue
 				}
-				w := m.part[c] * m.demand[c][z] * x[m.flow[c][z][to]]
-				from[z] += w
-				served += w
+				work := m.workShares[c] * m.demandShares[c][z] * values[m.flowVars[c][z][to]]
+				servedByZone[z] += work
+				servedWork += work
 				if z == to {
-					home += w
+					localWork += work
 				}
 			}
 		}
 	}
 	for _, g := range m.groups {
-		for _, n := range g.nodes {
-			d := &m.f.Nodes[n]
-			np := &NodePlan{Name: d.Name, Zone: d.Zone, Kind: d.Kind, Used: !g.drains, Capacity: g.each * m.total, Weights: make(map[string]float64)}
-			for c := range m.part {
-				mine := x[g.work[c]] / float64(len(g.nodes))
-				np.Load += mine * m.part[c] * m.total
-				for z, name := range m.zones {
-					if m.miss[c][z] < 0 || from[z] == 0 || into[c][g.zone] == 0 {
+		for _, n := range g.nodeIndexes {
+			node := &m.fleet.Nodes[n]
+			nodePlan := &NodePlan{Name: node.Name, Zone: node.Zone, Kind: node.Kind, Used: !g.unusable, Capacity: g.nodeCapacity * m.totalWork, Weights: make(map[string]float64)}
+			for c := range m.workShares {
+				nodeShare := values[g.workVars[c]] / float64(len(g.nodeIndexes))
+				nodePlan.Load += nodeShare * m.workShares[c] * m.totalWork
+				for z, name := range m.zoneNames {
+					if m.unservedVars[c][z] < 0 || servedByZone[z] == 0 || classWork[c][g.zoneIndex] == 0 {
 						continue
 					}
-					np.Weights[name] += m.part[c] * m.demand[c][z] * x[m.flow[c][z][g.zone]] / from[z] * mine / into[c][g.zone]
+					nodePlan.Weights[name] += m.workShares[c] * m.demandShares[c][z] * values[m.flowVars[c][z][g.zoneIndex]] / servedByZone[z] * nodeShare / classWork[c][g.zoneIndex]
 				}
 			}
-			if np.Capacity > 0 {
-				np.Busy = np.Load / np.Capacity
+			if nodePlan.Capacity > 0 {
+				nodePlan.Busy = nodePlan.Load / nodePlan.Capacity
 			}
-			if served > 0 {
-				np.Share = np.Load / m.total / served
+			if servedWork > 0 {
+				nodePlan.Share = nodePlan.Load / m.totalWork / servedWork
 			}
-			np.Why = m.why(g, d, np)
-			at[d.Name] = np
-			if np.Used {
-				p.Capacity += np.Capacity
+			nodePlan.Why = m.explainNode(g, node, nodePlan)
+			plansByName[node.Name] = nodePlan
+			if nodePlan.Used {
+				plan.Capacity += nodePlan.Capacity
 			}
 		}
 	}
-	for n := range m.f.Nodes { // in the file's order
-		p.Nodes = append(p.Nodes, *at[m.f.Nodes[n].Name])
+	for n := range m.fleet.Nodes { // in the order of the fleet file
+		plan.Nodes = append(plan.Nodes, *plansByName[m.fleet.Nodes[n].Name])
 	}
-	if served > 0 {
-		p.Crossing = max(0, 1-home/served)
+	if servedWork > 0 {
+		plan.Crossing = max(0, 1-localWork/servedWork)
 	}
 }
 
-// why says in the operators' words what makes a node's part what it is.
-func (m *model) why(g *group, d *Node, np *NodePlan) (all []string) {
-	add := func(text string, args ...any) { all = append(all, fmt.Sprintf(text, args...)) }
-	raw := float64(d.Cores) * d.Speed
-	add("%d cores at %.3g of the yardstick are %.3g s of work a second, of which %.3g can be used", d.Cores, d.Speed, raw, g.each*m.total)
-	var barred []string
-	for c, may := range g.allow {
-		if !may {
-			barred = append(barred, m.f.Classes[c].Name)
+// explainNode returns sentences for the operators that explain a node's part.
+func (m *model) explainNode(g *group, node *Node, nodePlan *NodePlan) (reasons []string) {
+	add := func(text string, args ...any) { reasons = append(reasons, fmt.Sprintf(text, args...)) }
+	rawCapacity := float64(node.Cores) * node.Speed
+	add("%d cores of speed %.3g can do %.3g s of work per second, of which %.3g is usable", node.Cores, node.Speed, rawCapacity, g.nodeCapacity*m.totalWork)
+	var barredClasses []string
+	for c, allowed := range g.allowed {
+		if !allowed {
+			barredClasses = append(barredClasses, m.fleet.Classes[c].Name)
 		}
 	}
 	switch {
-	case g.out:
-		add("not needed: what it would add is not worth its price, or its place within limits")
-	case g.drains:
-		add("it is to be drained: nothing goes there")
-	case len(barred) == len(g.allow):
-		add("no class may go there")
-	case len(barred) > 0:
-		add("%s may not go there", strings.Join(barred, ", "))
-	}
-	for n := range m.f.Pins {
-		if d.is(m.f.Pins[n].At) {
-			add("pins[%d] wants %v of %s there or at its like", n, m.f.Pins[n].Least, m.f.Pins[n].Class)
+	case g.notChosen:
+		add("not chosen: what it would add is not worth its price or its place within the limits")
+	case g.unusable:
+		add("it is being drained and gets no work")
+	case len(barredClasses) == len(g.allowed):
+		add("it may not serve any class")
+	case len(barredClasses) > 0:
+		add("it may not serve %s", strings.Join(barredClasses, ", "))
+	}
+	for n := range m.fleet.Pins {
+		if node.matches(m.fleet.Pins[n].Places) {
+			add("pins[%d] sends at least %v of class %s to the places that include it", n, m.fleet.Pins[n].MinShare, m.fleet.Pins[n].Class)
 		}
 	}
 	switch {
-	case g.drains:
-	case g.each > 0 && np.Busy > 1-1e-6 && g.shared:
-		add("it has as much as limits.most_of_node lets one node have")
-	case g.each > 0 && np.Busy > 1-1e-6:
-		add("it is full: its capacity binds")
-	case np.Load == 0:
-		add("nothing goes there: others do it cheaper, or all")
+	case g.unusable:
+	case g.nodeCapacity > 0 && nodePlan.Busy > 1-1e-6 && g.limitedByShare:
+		add("it has as much of all work as limits.most_of_node allows")
+	case g.nodeCapacity > 0 && nodePlan.Busy > 1-1e-6:
+		add("its usable capacity is used up")
+	case nodePlan.Load == 0:
+		add("it gets no work: other nodes do all of it, or at a lower cost")
 	default:
-		add("%.0f %% of what it can do: as even as the limits and prices let the most loaded be", 100*np.Busy)
+		add("%.0f %% of its usable capacity: the load is as even as the limits and prices allow", 100*nodePlan.Busy)
 	}
-	if l := m.f.Limits.MostOfZone; l > 0 {
-		sum := 0.0
-		for _, o := range m.groups {
-			if o.zone == g.zone {
-				sum += o.each * float64(len(o.nodes))
+	if maxShare := m.fleet.Limits.MaxZoneShare; maxShare > 0 {
+		zoneCapacity := 0.0
+		for _, other := range m.groups {
+			if other.zoneIndex == g.zoneIndex {
+				zoneCapacity += other.nodeCapacity * float64(len(other.nodeIndexes))
 			}
 		}
-		if sum > l {
-			add("its zone may have %v of all work, less than its nodes could do", l)
+		if zoneCapacity > maxShare {
+			add("limits.most_of_zone allows its zone %v of all work, less than its nodes can do", maxShare)
 		}
 	}
-	return all
+	return reasons
 }
 
-// shortage says what binds and what one more node of each kind would bring.
-func (p *Plan) shortage(used *Fleet, o Options) error {
+// explainShortage sets the binding limits of a plan that does not serve all demand, and the gains
+// if the options ask for them.
+func (p *Plan) explainShortage(used *Fleet, options Options) error {
 	m := newModel(used, nil, false)
-	all := m.aims()[worth : worth+1]
-	if len(all[0].costs) == 0 {
+	objectives := m.objectives()[worthObjective : worthObjective+1]
+	if len(objectives[0].costs) == 0 {
 		return nil
 	}
-	values, sol, _, err := lexicographic(m.p, all, o.Stop)
-	if err == nil && sol.Status != simplex.Optimal {
+	values, solution, _, err := solveLexicographic(m.problem, objectives, options.Stop)
+	if err == nil && solution.Status != simplex.Optimal {
 		err = ErrLeft
 	}
 	if err != nil {
 		return err
 	}
 	binding := make(map[limit]bool)
-	for r, l := range m.words {
-		if math.Abs(sol.Dual[r]) > alike {
+	for r, l := range m.rowLimits {
+		if math.Abs(solution.Duals[r]) > valueTolerance {
 			binding[l] = true
 		}
 	}
-	for n := range used.Classes { // what may not go somewhere, where it could
+	for n := range used.Classes { // where a class is not allowed but would be served
 		c := &used.Classes[n]
 		for _, g := range m.groups {
-			if !g.allow[n] && sol.Reduced[g.work[n]] < -alike {
-				if len(c.Only) > 0 {
-					binding[onlyOf(c)] = true
+			if !g.allowed[n] && solution.ReducedCosts[g.workVars[n]] < -valueTolerance {
+				if len(c.OnlyPlaces) > 0 {
+					binding[onlyPlacesLimit(c)] = true
 				}
-				if len(c.Not) > 0 {
-					binding[notOf(c)] = true
+				if len(c.ExcludedPlaces) > 0 {
+					binding[excludedPlacesLimit(c)] = true
 				}
 			}
 		}
 	}
-	for _, l := range used.limits() {
+	for _, l := range used.allLimits() {
 		if binding[l] {
 			p.Binding = append(p.Binding, string(l))
 		}
 	}
-	if !o.Gains {
+	if !options.Gains {
 		return nil
 	}
-	// The most that the price of capacity promises, for each kind in each zone.
+	// The dual price of capacity gives an upper bound of the gain. Only the first group of each
+	// kind in each zone is examined.
 	seen := make(map[string]bool)
 	for n, g := range m.groups {
-		key := m.zones[g.zone] + " " + g.kind
-		if seen[key] || g.drains {
+		key := m.zoneNames[g.zoneIndex] + " " + g.kind
+		if seen[key] || g.unusable {
 			continue
 		}
 		seen[key] = true
-		more := *used
-		d := used.Nodes[g.nodes[0]]
-		d.Name, d.like, d.Today = d.Name+" again", d.Name, 0
-		more.Nodes = append(slices.Clone(used.Nodes), d)
-		mm := newModel(&more, nil, false)
-		again, sol2, _, err := lexicographic(mm.p, mm.aims()[worth:worth+1], o.Stop)
-		if err == nil && sol2.Status != simplex.Optimal {
+		larger := *used
+		added := used.Nodes[g.nodeIndexes[0]]
+		added.Name, added.sameLimitsAs, added.Today = added.Name+" again", added.Name, 0
+		larger.Nodes = append(slices.Clone(used.Nodes), added)
+		largerModel := newModel(&larger, nil, false)
+		largerValues, largerSolution, _, err := solveLexicographic(largerModel.problem, largerModel.objectives()[worthObjective:worthObjective+1], options.Stop)
+		if err == nil && largerSolution.Status != simplex.Optimal {
 			err = ErrLeft
 		}
 		if err != nil {
 			return err
 		}
-		p.Gains = append(p.Gains, Gain{Kind: g.kind, Zone: m.zones[g.zone], Dual: -sol.Dual[m.rowOf[n]] * g.each, Again: values[0] - again[0]})
+		p.Gains = append(p.Gains, Gain{Kind: g.kind, Zone: m.zoneNames[g.zoneIndex], Dual: -solution.Duals[m.capacityRows[n]] * g.nodeCapacity, Again: values[0] - largerValues[0]})
 	}
 	slices.SortStableFunc(p.Gains, func(a, b Gain) int { return cmp.Compare(b.Again, a.Again) })
 	return nil
 }
 
-// hold tells what each loss would leave.
-func (p *Plan) hold(used *Fleet, o Options) error {
+// checkLosses computes the effect of each loss on the plan.
+func (p *Plan) checkLosses(used *Fleet, options Options) error {
 	m := newModel(used, nil, false)
-	count := make([]float64, len(m.groups))
+	openNodes := make([]float64, len(m.groups))
 	for n, g := range m.groups {
-		_, count[n] = m.p.Bounds(g.open)
-	}
-	normal := newAfter(used)
-	for _, l := range m.losses() {
-		a := normal
-		if l.bad {
-			worse, _ := used.bad()
-			a = newAfter(worse)
+		_, openNodes[n] = m.problem.Bounds(g.openVar)
+	}
+	normalModel := newLossModel(used)
+	for _, loss := range m.lossCases() {
+		afterLoss := normalModel
+		if loss.worstCase {
+			worstFleet, _ := used.worstCase()
+			afterLoss = newLossModel(worstFleet)
 		}
-		values, sol, err := a.solve(&l, count, a.aims()[:cost], o.Stop)
+		values, solution, err := afterLoss.solveAfter(&loss, openNodes, afterLoss.objectives()[:costObjective], options.Stop)
 		if err != nil {
 			return err
 		}
-		lost := max(0, values[worth]-p.Values["worth"])
-		held := values[late] <= p.Values["late"]+alike*max(1, p.Values["late"]) && lost <= alike*max(1, values[worth])
-		p.Losses = append(p.Losses, Loss{What: l.name, Held: held, Served: a.served(sol.X), Worth: lost})
+		worthLost := max(0, values[worthObjective]-p.Values["worth"])
+		survived := values[lateObjective] <= p.Values["late"]+valueTolerance*max(1, p.Values["late"]) && worthLost <= valueTolerance*max(1, values[worthObjective])
+		p.Losses = append(p.Losses, Loss{What: loss.name, Held: survived, Served: afterLoss.servedShares(solution.Values), Worth: worthLost})
 	}
 	return nil
 }
--- a/internal/simplex/certificate.go
+++ b/internal/simplex/certificate.go
@@ -5,90 +5,93 @@
 	"math"
 )
 
-// Certificate is what a solution's own numbers prove, worked out from the problem alone.
+// Certificate says how exact a solution is, computed from the problem and the solution alone.
 type Certificate struct {
-	Primal float64 // by how much the worst row or bound is missed, of its own size
-	Gap    float64 // between the objective and what the duals prove to be the least, of their size
+	Primal float64 // largest violation of a row or bound, relative to its size
+	Gap    float64 // difference of the objective and the bound that the duals prove, relative to their size
 }
 
-// Check holds an optimal solution against the problem. That the objective is the least
-// follows from weak duality alone, whatever way led there.
-func (p *Problem) Check(s *Solution) Certificate {
-	var c Certificate
-	rows, size := make([]float64, len(p.rhs)), make([]float64, len(p.rhs))
+// Certify returns how far an optimal solution violates the rows and bounds, and how far its
+// objective is from the lower bound that its duals prove by weak duality. It uses nothing that
+// the solver computed on the way.
+func (p *Problem) Certify(solution *Solution) Certificate {
+	var certificate Certificate
+	rowSums, rowScales := make([]float64, len(p.rhs)), make([]float64, len(p.rhs))
 	for v := range p.cols {
 		for k, r := range p.cols[v].rows {
-			t := p.cols[v].vals[k] * s.X[v]
-			rows[r] += t
-			size[r] = max(size[r], math.Abs(t))
+			t := p.cols[v].coeffs[k] * solution.Values[v]
+			rowSums[r] += t
+			rowScales[r] = max(rowScales[r], math.Abs(t))
 		}
-		if lo := p.lo[v]; !math.IsInf(lo, 0) {
-			c.Primal = max(c.Primal, (lo-s.X[v])/(1+math.Abs(lo)))
+		if lower := p.lower[v]; !math.IsInf(lower, 0) {
+			certificate.Primal = max(certificate.Primal, (lower-solution.Values[v])/(1+math.Abs(lower)))
 		}
-		if hi := p.hi[v]; !math.IsInf(hi, 0) {
-			c.Primal = max(c.Primal, (s.X[v]-hi)/(1+math.Abs(hi)))
+		if upper := p.upper[v]; !math.IsInf(upper, 0) {
+			certificate.Primal = max(certificate.Primal, (solution.Values[v]-upper)/(1+math.Abs(upper)))
 		}
 	}
 	for r, b := range p.rhs {
-		miss := rows[r] - b
-		if p.sense[r] == LE && miss < 0 || p.sense[r] == GE && miss > 0 {
+		miss := rowSums[r] - b
+		if p.senses[r] == LE && miss < 0 || p.senses[r] == GE && miss > 0 {
 			miss = 0
 		}
-		c.Primal = max(c.Primal, math.Abs(miss)/max(size[r], math.Abs(b), 1e-300))
+		certificate.Primal = max(certificate.Primal, math.Abs(miss)/max(rowScales[r], math.Abs(b), 1e-300))
 	}
-	bound, of := p.lagrange(s.Dual, p.cost)
-	c.Gap = math.Abs(s.Objective-bound) / max(1e-300, of, math.Abs(s.Objective))
-	return c
+	bound, magnitude := p.dualBound(solution.Duals, p.costs)
+	certificate.Gap = math.Abs(solution.Objective-bound) / max(1e-300, magnitude, math.Abs(solution.Objective))
+	return certificate
 }
 
-// Proves says whether an infeasible solution's duals prove that no values meet the rows.
-func (p *Problem) Proves(s *Solution) error {
-	bound, of := p.lagrange(s.Dual, make([]float64, len(p.cols)))
-	if !(bound > 1e-10*of) {
-		return fmt.Errorf("simplex: the rows by their factors add up to %g of %g at the least, which is no contradiction", bound, of)
+// VerifyInfeasible returns nil if the duals of an infeasible solution prove that no values
+// within the bounds meet the rows.
+func (p *Problem) VerifyInfeasible(solution *Solution) error {
+	bound, magnitude := p.dualBound(solution.Duals, make([]float64, len(p.cols)))
+	if !(bound > 1e-10*magnitude) {
+		return fmt.Errorf("simplex: the duals prove no infeasibility: the lower bound of the weighted rows is %g at a magnitude of %g, expected above 0", bound, magnitude)
 	}
 	return nil
 }
 
-// lagrange is the least of cost x + y (b - A x - s) over the bounds of x and of the slacks
-// s, a bound from below of the objective over all that meets the rows; and the size of
-// what it is made of. What is nothing beside what it is made of counts as nothing.
-func (p *Problem) lagrange(y, cost []float64) (bound, of float64) {
-	top := 0.0
-	for _, c := range cost {
-		top = max(top, math.Abs(c))
+// dualBound returns the minimum of cost x + y (b - A x - s) over the bounds of x and of the
+// slacks s, where y are the duals: a lower bound of the objective over all values that meet the
+// rows. It also returns the largest absolute term of that sum. Reduced costs that are no larger
+// than the rounding error of the terms they are computed from count as 0.
+func (p *Problem) dualBound(duals, costs []float64) (bound, magnitude float64) {
+	maxCost := 0.0
+	for _, c := range costs {
+		maxCost = max(maxCost, math.Abs(c))
 	}
-	add := func(d, size, lo, hi float64) {
-		if math.Abs(d) <= 1e-9*size || math.Abs(d) <= noise*top {
+	addTerm := func(reducedCost, scale, lower, upper float64) {
+		if math.Abs(reducedCost) <= 1e-9*scale || math.Abs(reducedCost) <= dualNoise*maxCost {
 			return
 		}
-		at := lo
-		if d < 0 {
-			at = hi
+		extreme := lower
+		if reducedCost < 0 {
+			extreme = upper
 		}
-		bound += d * at
-		if !math.IsInf(at, 0) {
-			of = max(of, math.Abs(d*at))
+		bound += reducedCost * extreme
+		if !math.IsInf(extreme, 0) {
+			magnitude = max(magnitude, math.Abs(reducedCost*extreme))
 		}
 	}
 	for r, b := range p.rhs {
-		bound += y[r] * b
-		of = max(of, math.Abs(y[r]*b))
-		switch p.sense[r] {
-		case LE: // slack from 0 up
-			add(-y[r], 0, 0, math.Inf(1))
+		bound += duals[r] * b
+		magnitude = max(magnitude, math.Abs(duals[r]*b))
+		switch p.senses[r] {
+		case LE: // the slack is 0 or more
+			addTerm(-duals[r], 0, 0, math.Inf(1))
 		case GE:
-			add(-y[r], 0, math.Inf(-1), 0)
+			addTerm(-duals[r], 0, math.Inf(-1), 0)
 		}
 	}
 	for v := range p.cols {
-		d, size := cost[v], math.Abs(cost[v])
+		reducedCost, scale := costs[v], math.Abs(costs[v])
 		for k, r := range p.cols[v].rows {
-			t := y[r] * p.cols[v].vals[k]
-			d -= t
-			size += math.Abs(t)
+			t := duals[r] * p.cols[v].coeffs[k]
+			reducedCost -= t
+			scale += math.Abs(t)
 		}
-		add(d, size, p.lo[v], p.hi[v])
+		addTerm(reducedCost, scale, p.lower[v], p.upper[v])
 	}
-	return bound, of
+	return bound, magnitude
 }
--- a/internal/simplex/simplex.go
+++ b/internal/simplex/simplex.go
@@ -1,15 +1,18 @@
-// Package simplex solves linear programmes exactly enough to be believed: each answer can
-// be held against a certificate that does not trust the way it was found.
+// Package simplex solves linear programmes. Each answer can be checked by a certificate that
+// is computed from the problem and the answer alone, independently of the solver.
 //
-// The method is the revised primal simplex with bounds on all variables (Dantzig, Orden
-// and Wolfe 1955; Chvátal, "Linear Programming", chapter 8), its basis kept as a product
-// of eta columns that is made anew every so often, a first phase that minimises the sum of
-// infeasibilities from any basis, so that a changed bound or a further row goes on from
-// where it was, Harris' ratio test (1973), and Bland's rule (1977) while it stalls, which
-// makes cycles impossible. Rows and columns are scaled by powers of two, which loses
-// nothing.
+// The method is the revised primal simplex with bounds on all variables (Dantzig, Orden and
+// Wolfe 1955; Chvátal, "Linear Programming", chapter 8):
+//   - The inverse of the basis is kept as a product of eta columns and refactorized at
+//     intervals.
+//   - The first phase minimises the sum of infeasibilities from any basis, so that after a
+//     changed bound or an added row the solver continues from the last basis.
+//   - The leaving variable is chosen by Harris' ratio test (1973), and by Bland's rule (1977)
+//     while the solver stalls, which makes cycles impossible.
+//   - Rows and columns are scaled by powers of two, which causes no rounding error.
 //
-// It has no I/O, clock or goroutines. The same problem takes the same steps everywhere.
+// The package has no I/O, clock or goroutines. The same problem takes the same steps on every
+// machine.
 package simplex
 
 import (
@@ -19,22 +22,22 @@
 	"slices"
 )
 
-// Status is how a solution ended.
+// Status says how a run of the solver ended.
 type Status int
 
 const (
 	Optimal Status = iota
 	Infeasible
 	Unbounded
-	Stopped // by the caller, or at the most steps: what is there is feasible or not, no more
+	Stopped // by the caller or by the limit on steps: the values may or may not be feasible
 )
 
-// String is the status for people.
+// String returns the status as a lower-case word.
 func (s Status) String() string {
 	return [...]string{"optimal", "infeasible", "unbounded", "stopped"}[s]
 }
 
-// Sense is a row's relation to its right side.
+// Sense is the relation between a row's sum and its right-hand side: <=, = or >=.
 type Sense int
 
 const (
@@ -43,219 +46,239 @@
 	GE
 )
 
-// Term is one coefficient.
+// Term is the coefficient Value of the variable Var in a row. Var is an index that AddVar
+// returned.
 type Term struct {
 	Var   int
 	Value float64
 }
 
 const (
-	feasible = 1e-9  // by which a scaled bound may be missed
-	optimal  = 1e-9  // by which a reduced cost may be wrong, of what it is made of
-	noise    = 1e-11 // what is left of duals that cancel out, the largest cost being one
-	least    = 1e-9  // a pivot's size
-	renew    = 64    // steps between two makings of the basis
-	stepsMin = 20000 // steps at most, or stepsPer a row and column
-	stepsPer = 50
-	// sizeMost bounds memory: about 100 bytes a row, column and coefficient.
-	sizeMost = 1 << 22
+	// feasibilityTolerance is by how much a scaled value may violate a bound, relative to
+	// 1 + |bound|.
+	feasibilityTolerance = 1e-9
+	// reducedCostTolerance is the size below which a reduced cost counts as 0, relative to the sum
+	// of the absolute terms that it is computed from.
+	reducedCostTolerance = 1e-9
+	// dualNoise is the absolute size below which a reduced cost counts as 0, where the largest
+	// cost is scaled to 1: rounding leaves about this much when duals cancel out.
+	dualNoise        = 1e-11
+	minPivot         = 1e-9 // smallest absolute value of a pivot
+	refactorInterval = 64   // steps between two refactorizations of the basis
+	// The limit on steps is minStepLimit, or stepLimitPerDimension for each row and column if
+	// that is more.
+	minStepLimit          = 20000
+	stepLimitPerDimension = 50
+	// maxSize bounds the sum of variables, rows and coefficients, and so the memory: each
+	// takes about 100 bytes.
+	maxSize = 1 << 22
 )
 
-// ErrSize is of a problem over the bound on memory, or one with numbers that are none.
-var ErrSize = errors.New("simplex: too large")
+// ErrSize is returned for a problem with more variables, rows and coefficients than maxSize.
+var ErrSize = errors.New("simplex: the problem has too many variables, rows and coefficients")
 
-// Problem is one linear programme, minimised. Variables and rows may be added and bounds
-// and costs changed between two solutions; the next goes on from the last basis.
+// Problem is a linear programme whose cost is minimised. Between two calls of Solve, variables
+// and rows may be added and bounds and costs changed; the next call starts from the last basis.
+// It is not safe for concurrent use.
 type Problem struct {
-	cols       []column // of variables; slacks of rows are implied
-	lo, hi     []float64
-	cost       []float64
-	sense      []Sense
-	rhs        []float64
-	rowScale   []float64
-	colScale   []float64
-	scaled     bool
-	terms      int
-	basis      []int // the variable of each row; -1-r: the slack of row r
-	at         []place
-	slackPlace []place
-	Steps      int // made in all
-	Refreshes  int // of the basis
+	cols             []column // by variable; the rows' slack columns are implied
+	lower, upper     []float64
+	costs            []float64
+	senses           []Sense
+	rhs              []float64
+	rowScale         []float64
+	colScale         []float64
+	scaled           bool
+	termCount        int
+	basis            []int // by row, the basic variable; -1-r: the slack of row r
+	statuses         []varStatus
+	slackStatuses    []varStatus
+	Steps            int // simplex steps of all calls of Solve
+	Refactorizations int // refactorizations of the basis, of all calls of Solve
 }
 
-// place is where a variable is: in the basis, or at a bound.
-type place int8
+// varStatus says whether a variable is in the basis, or else at which bound it is.
+type varStatus int8
 
 const (
-	atLower place = iota
+	atLower varStatus = iota
 	atUpper
-	atZero // free and out of the basis
+	atZero // without bounds and not in the basis
 	inBasis
 )
 
+// column holds the nonzero coefficients of a variable and their rows.
 type column struct {
-	rows []int32
-	vals []float64
+	rows   []int32
+	coeffs []float64
 }
 
-// Var adds a variable within lo and hi, either of which may be infinite.
-func (p *Problem) Var(lo, hi, cost float64) int {
+// AddVar adds a variable with bounds, either of which may be infinite, and returns its index.
+func (p *Problem) AddVar(lower, upper, cost float64) int {
 	p.cols = append(p.cols, column{})
-	p.lo, p.hi, p.cost = append(p.lo, lo), append(p.hi, hi), append(p.cost, cost)
-	p.at = append(p.at, start(lo, hi))
+	p.lower, p.upper, p.costs = append(p.lower, lower), append(p.upper, upper), append(p.costs, cost)
+	p.statuses = append(p.statuses, initialStatus(lower, upper))
 	p.scaled = false
 	return len(p.cols) - 1
 }
 
-func start(lo, hi float64) place {
+// initialStatus returns the status of a variable that is not in the basis: at its lower bound,
+// at its upper bound if the lower one is infinite, or at 0 if both are.
+func initialStatus(lower, upper float64) varStatus {
 	switch {
-	case !math.IsInf(lo, 0):
+	case !math.IsInf(lower, 0):
 		return atLower
-	case !math.IsInf(hi, 0):
+	case !math.IsInf(upper, 0):
 		return atUpper
 	}
 	return atZero
 }
 
-// Row adds a row over variables that are there, each named once.
-func (p *Problem) Row(sense Sense, rhs float64, terms ...Term) int {
-	n := len(p.rhs)
+// AddRow adds a row and returns its index. The terms name variables that have been added, each
+// at most once.
+func (p *Problem) AddRow(sense Sense, rhs float64, terms ...Term) int {
+	row := len(p.rhs)
 	for _, t := range terms {
 		if t.Value != 0 {
 			c := &p.cols[t.Var]
-			c.rows, c.vals = append(c.rows, int32(n)), append(c.vals, t.Value)
-			p.terms++
+			c.rows, c.coeffs = append(c.rows, int32(row)), append(c.coeffs, t.Value)
+			p.termCount++
 		}
 	}
-	p.sense, p.rhs = append(p.sense, sense), append(p.rhs, rhs)
-	p.basis = append(p.basis, -1-n)
-	p.slackPlace = append(p.slackPlace, inBasis)
+	p.senses, p.rhs = append(p.senses, sense), append(p.rhs, rhs)
+	p.basis = append(p.basis, -1-row)
+	p.slackStatuses = append(p.slackStatuses, inBasis)
 	p.scaled = false
-	return n
+	return row
 }
 
-// Size is the number of variables and rows.
+// Size returns the number of variables and rows.
 func (p *Problem) Size() (vars, rows int) { return len(p.cols), len(p.rhs) }
 
-// SetCost changes a variable's cost.
-func (p *Problem) SetCost(v int, cost float64) { p.cost[v] = cost }
+// SetCost sets the cost of a variable.
+func (p *Problem) SetCost(variable int, cost float64) { p.costs[variable] = cost }
 
-// SetBounds changes a variable's bounds.
-func (p *Problem) SetBounds(v int, lo, hi float64) {
-	p.lo[v], p.hi[v] = lo, hi
-	if p.at[v] != inBasis {
-		if p.at[v] == atZero || p.at[v] == atLower && math.IsInf(lo, 0) || p.at[v] == atUpper && math.IsInf(hi, 0) {
-			p.at[v] = start(lo, hi)
+// SetBounds sets the bounds of a variable. One that is at a bound which becomes infinite moves
+// to the other bound, or to 0.
+func (p *Problem) SetBounds(variable int, lower, upper float64) {
+	p.lower[variable], p.upper[variable] = lower, upper
+	if p.statuses[variable] != inBasis {
+		if p.statuses[variable] == atZero || p.statuses[variable] == atLower && math.IsInf(lower, 0) || p.statuses[variable] == atUpper && math.IsInf(upper, 0) {
+			p.statuses[variable] = initialStatus(lower, upper)
 		}
 	}
 }
 
-// Bounds are a variable's.
-func (p *Problem) Bounds(v int) (lo, hi float64) { return p.lo[v], p.hi[v] }
+// Bounds returns the bounds of a variable.
+func (p *Problem) Bounds(v int) (lower, upper float64) { return p.lower[v], p.upper[v] }
 
-// SetRight changes a row's right side.
-func (p *Problem) SetRight(row int, rhs float64) { p.rhs[row] = rhs }
+// SetRHS sets the right-hand side of a row.
+func (p *Problem) SetRHS(row int, rhs float64) { p.rhs[row] = rhs }
 
-// Solution is what a solution found, in the problem's own units.
+// Solution is the result of Solve, in the problem's own units.
 type Solution struct {
 	Status    Status
 	Objective float64
-	X         []float64 // by variable
-	// Dual is the price of each row's right side: what the objective changes by for one
-	// more of it. Where the problem is infeasible it is Farkas' proof instead: the rows
-	// by these factors add up to something that no values within bounds can meet.
-	Dual []float64
-	// Reduced is each variable's reduced cost, and SlackReduced each row's: away from
-	// zero only where every optimal solution has it at the bound where it is.
-	Reduced, SlackReduced []float64
+	Values    []float64 // by variable
+	// Duals holds each row's dual price: by how much the objective changes if the right-hand
+	// side grows by one. If the problem is infeasible it is a Farkas certificate instead: the
+	// sum of the rows, weighted by these factors, holds for no values within the bounds.
+	Duals []float64
+	// ReducedCosts holds each variable's reduced cost, and SlackReducedCosts that of each
+	// row's slack. One is nonzero only if every optimal solution has that variable or slack at
+	// the bound at which it is here.
+	ReducedCosts, SlackReducedCosts []float64
 }
 
-// check says which numbers can't be used.
-func (p *Problem) check() error {
-	if len(p.cols)+len(p.rhs)+p.terms > sizeMost {
+// validate returns ErrSize if the problem is too large, and an error that names the variable
+// or row if a number is NaN or infinite where it must not be.
+func (p *Problem) validate() error {
+	if len(p.cols)+len(p.rhs)+p.termCount > maxSize {
 		return ErrSize
 	}
 	for v := range p.cols {
-		if math.IsNaN(p.cost[v]) || math.IsInf(p.cost[v], 0) || math.IsNaN(p.lo[v]) || math.IsNaN(p.hi[v]) || math.IsInf(p.lo[v], 1) || math.IsInf(p.hi[v], -1) {
-			return fmt.Errorf("simplex: variable %d: cost or bounds are no numbers", v)
+		if math.IsNaN(p.costs[v]) || math.IsInf(p.costs[v], 0) || math.IsNaN(p.lower[v]) || math.IsNaN(p.upper[v]) || math.IsInf(p.lower[v], 1) || math.IsInf(p.upper[v], -1) {
+			return fmt.Errorf("simplex: variable %d: the cost must be a finite number, and the bounds numbers other than a lower one of +Inf and an upper one of -Inf", v)
 		}
-		for _, a := range p.cols[v].vals {
+		for _, a := range p.cols[v].coeffs {
 			if math.IsNaN(a) || math.IsInf(a, 0) {
-				return fmt.Errorf("simplex: variable %d: a coefficient is no number", v)
+				return fmt.Errorf("simplex: variable %d: a coefficient is not a finite number", v)
 			}
 		}
 	}
 	for r, b := range p.rhs {
 		if math.IsNaN(b) || math.IsInf(b, 0) {
-			return fmt.Errorf("simplex: row %d: the right side is no number", r)
+			return fmt.Errorf("simplex: row %d: the right-hand side is not a finite number", r)
 		}
 	}
 	return nil
 }
 
-// scale finds powers of two that bring the coefficients near one.
-func (p *Problem) scale() {
-	n, m := len(p.cols), len(p.rhs)
-	p.colScale, p.rowScale = ones(n), ones(m)
-	lo, hi := make([]float64, m), make([]float64, m)
+// computeScales sets the factors of rows and columns, powers of two, that bring the
+// coefficients near 1.
+func (p *Problem) computeScales() {
+	varCount, rowCount := len(p.cols), len(p.rhs)
+	p.colScale, p.rowScale = ones(varCount), ones(rowCount)
+	rowMin, rowMax := make([]float64, rowCount), make([]float64, rowCount)
 	for range 4 {
-		for r := range m {
-			lo[r], hi[r] = math.Inf(1), 0
+		for r := range rowCount {
+			rowMin[r], rowMax[r] = math.Inf(1), 0
 		}
 		for v, c := range p.cols {
 			for k, r := range c.rows {
-				a := math.Abs(c.vals[k]) * p.colScale[v]
-				lo[r], hi[r] = min(lo[r], a), max(hi[r], a)
+				a := math.Abs(c.coeffs[k]) * p.colScale[v]
+				rowMin[r], rowMax[r] = min(rowMin[r], a), max(rowMax[r], a)
 			}
 		}
-		for r := range m {
-			if hi[r] > 0 {
-				p.rowScale[r] = power(1 / math.Sqrt(lo[r]*hi[r]))
+		for r := range rowCount {
+			if rowMax[r] > 0 {
+				p.rowScale[r] = nearestPowerOfTwo(1 / math.Sqrt(rowMin[r]*rowMax[r]))
 			}
 		}
 		for v, c := range p.cols {
-			l, h := math.Inf(1), 0.0
+			colMin, colMax := math.Inf(1), 0.0
 			for k, r := range c.rows {
-				a := math.Abs(c.vals[k]) * p.rowScale[r]
-				l, h = min(l, a), max(h, a)
+				a := math.Abs(c.coeffs[k]) * p.rowScale[r]
+				colMin, colMax = min(colMin, a), max(colMax, a)
 			}
-			if h > 0 {
-				p.colScale[v] = power(1 / math.Sqrt(l*h))
+			if colMax > 0 {
+				p.colScale[v] = nearestPowerOfTwo(1 / math.Sqrt(colMin*colMax))
 			}
 		}
 	}
 	p.scaled = true
 }
 
-func ones(n int) []float64 {
-	all := make([]float64, n)
-	for i := range all {
-		all[i] = 1
+func ones(count int) []float64 {
+	values := make([]float64, count)
+	for i := range values {
+		values[i] = 1
 	}
-	return all
+	return values
 }
 
-// power is the power of two next to x.
-func power(x float64) float64 {
+// nearestPowerOfTwo returns the power of two whose logarithm is nearest to that of x, or 1 if x
+// is not positive and finite.
+func nearestPowerOfTwo(x float64) float64 {
 	if !(x > 0) || math.IsInf(x, 0) {
 		return 1
 	}
 	return math.Ldexp(1, int(math.Round(math.Log2(x))))
 }
 
-// Hold makes a row's slack stay where it is: at nothing.
-func (p *Problem) Hold(row int) { p.sense[row] = EQ }
+// MakeEquality turns a row into an equality, which fixes its slack at 0.
+func (p *Problem) MakeEquality(row int) { p.senses[row] = EQ }
 
-// Clone returns a problem of its own, with the basis of this one.
+// Clone returns an independent copy of the problem with the same basis.
 func (p *Problem) Clone() *Problem {
-	q := *p
-	q.cols = make([]column, len(p.cols))
+	clone := *p
+	clone.cols = make([]column, len(p.cols))
 	for v, c := range p.cols {
-		q.cols[v] = column{rows: slices.Clip(c.rows), vals: slices.Clip(c.vals)}
+		clone.cols[v] = column{rows: slices.Clip(c.rows), coeffs: slices.Clip(c.coeffs)}
 	}
-	q.lo, q.hi, q.cost = slices.Clone(p.lo), slices.Clone(p.hi), slices.Clone(p.cost)
-	q.sense, q.rhs = slices.Clone(p.sense), slices.Clone(p.rhs)
-	q.rowScale, q.colScale = slices.Clone(p.rowScale), slices.Clone(p.colScale)
-	q.basis, q.at, q.slackPlace = slices.Clone(p.basis), slices.Clone(p.at), slices.Clone(p.slackPlace)
-	return &q
+	clone.lower, clone.upper, clone.costs = slices.Clone(p.lower), slices.Clone(p.upper), slices.Clone(p.costs)
+	clone.senses, clone.rhs = slices.Clone(p.senses), slices.Clone(p.rhs)
+	clone.rowScale, clone.colScale = slices.Clone(p.rowScale), slices.Clone(p.colScale)
+	clone.basis, clone.statuses, clone.slackStatuses = slices.Clone(p.basis), slices.Clone(p.statuses), slices.Clone(p.slackStatuses)
+	return &clone
 }
--- a/internal/simplex/solve.go
+++ b/internal/simplex/solve.go
@@ -6,326 +6,341 @@
 	"slices"
 )
 
-// run is one solution under way: the scaled problem with slacks as further columns, n+r
-// for row r. Row r reads: its terms and its slack add up to its right side.
-type run struct {
-	p      *Problem
-	n, m   int
-	cols   []column
-	lo, hi []float64
-	cost   []float64
-	rhs    []float64
-	at     []place
-	basis  []int // by row
-	x      []float64
-	etas   []eta
-	fresh  int // etas of the last making
-	y, d   []float64
-	col    []float64
-	phase1 bool
-	stall  int
+// solver is the state of one call of Solve: the scaled problem, with the slack of row r as column
+// varCount+r. In each row the terms and the slack add up to the right-hand side.
+type solver struct {
+	problem             *Problem
+	varCount, rowCount  int
+	cols                []column
+	lower, upper        []float64
+	costs               []float64
+	rhs                 []float64
+	statuses            []varStatus
+	basis               []int // by row
+	values              []float64
+	etas                []eta
+	refactoredEtas      int       // number of etas after the last refactorization
+	duals, reducedCosts []float64 // by row; by column
+	pivotColumn         []float64 // the basis' inverse times the column that ftran was called with
+	inPhase1            bool
+	stalledSteps        int // steps since the last one of a length above feasibilityTolerance
 }
 
-// eta is one factor of the basis' inverse: the identity but for a column.
+// eta is one factor of the basis' inverse: the identity matrix except for column pivotRow.
 type eta struct {
-	row  int
-	at   []int32
-	vals []float64
-	piv  float64
+	pivotRow     int
+	rows         []int32
+	coeffs       []float64
+	inversePivot float64
 }
 
-// Solve finds the least cost. stop, where not nil, is asked now and then whether to give
-// up. An error is of numbers that can't be used.
+// Solve minimises the cost. If stop is not nil, it is called every 16 steps, and the status is
+// Stopped once it returns true. An error says that the problem is too large or has an invalid
+// number.
 func (p *Problem) Solve(stop func() bool) (*Solution, error) {
-	if err := p.check(); err != nil {
+	if err := p.validate(); err != nil {
 		return nil, err
 	}
 	if !p.scaled {
-		p.scale()
+		p.computeScales()
 	}
-	s := p.begin()
-	status := s.solve(stop)
-	return s.finish(status), nil
+	s := p.newSolver()
+	status := s.iterate(stop)
+	return s.buildSolution(status), nil
 }
 
-func (p *Problem) begin() *run {
-	n, m := len(p.cols), len(p.rhs)
-	s := &run{p: p, n: n, m: m, cols: make([]column, n+m), lo: make([]float64, n+m), hi: make([]float64, n+m),
-		cost: make([]float64, n+m), rhs: make([]float64, m), at: make([]place, n+m), basis: make([]int, m),
-		x: make([]float64, n+m), y: make([]float64, m), d: make([]float64, n+m), col: make([]float64, m)}
-	// The largest cost counts as one: the scale of costs changes nothing, and sizes of
-	// reduced costs are told from nothing by what they are made of.
-	top := 0.0
-	for v := range n {
-		top = max(top, math.Abs(p.cost[v]*p.colScale[v]))
-	}
-	top = cmp.Or(power(top), 1)
-	for v := range n {
-		c := column{rows: p.cols[v].rows, vals: make([]float64, len(p.cols[v].vals))}
+// newSolver returns a solver of the scaled problem that starts from the last basis.
+func (p *Problem) newSolver() *solver {
+	varCount, rowCount := len(p.cols), len(p.rhs)
+	s := &solver{problem: p, varCount: varCount, rowCount: rowCount,
+		cols: make([]column, varCount+rowCount), lower: make([]float64, varCount+rowCount), upper: make([]float64, varCount+rowCount),
+		costs: make([]float64, varCount+rowCount), rhs: make([]float64, rowCount),
+		statuses: make([]varStatus, varCount+rowCount), basis: make([]int, rowCount), values: make([]float64, varCount+rowCount),
+		duals: make([]float64, rowCount), reducedCosts: make([]float64, varCount+rowCount), pivotColumn: make([]float64, rowCount)}
+	// Costs are divided so that the largest is about 1, which does not change the optimum:
+	// dualNoise assumes that scale.
+	maxCost := 0.0
+	for v := range varCount {
+		maxCost = max(maxCost, math.Abs(p.costs[v]*p.colScale[v]))
+	}
+	maxCost = cmp.Or(nearestPowerOfTwo(maxCost), 1)
+	for v := range varCount {
+		c := column{rows: p.cols[v].rows, coeffs: make([]float64, len(p.cols[v].coeffs))}
 		for k, r := range c.rows {
-			c.vals[k] = p.cols[v].vals[k] * p.colScale[v] * p.rowScale[r]
+			c.coeffs[k] = p.cols[v].coeffs[k] * p.colScale[v] * p.rowScale[r]
 		}
 		s.cols[v] = c
-		s.lo[v], s.hi[v], s.cost[v] = p.lo[v]/p.colScale[v], p.hi[v]/p.colScale[v], p.cost[v]*p.colScale[v]/top
-		s.at[v] = p.at[v]
+		s.lower[v], s.upper[v], s.costs[v] = p.lower[v]/p.colScale[v], p.upper[v]/p.colScale[v], p.costs[v]*p.colScale[v]/maxCost
+		s.statuses[v] = p.statuses[v]
 	}
-	for r := range m {
-		s.cols[n+r] = column{rows: []int32{int32(r)}, vals: []float64{1}}
+	for r := range rowCount {
+		s.cols[varCount+r] = column{rows: []int32{int32(r)}, coeffs: []float64{1}}
 		s.rhs[r] = p.rhs[r] * p.rowScale[r]
-		switch p.sense[r] {
+		switch p.senses[r] {
 		case LE:
-			s.lo[n+r], s.hi[n+r] = 0, math.Inf(1)
+			s.lower[varCount+r], s.upper[varCount+r] = 0, math.Inf(1)
 		case GE:
-			s.lo[n+r], s.hi[n+r] = math.Inf(-1), 0
+			s.lower[varCount+r], s.upper[varCount+r] = math.Inf(-1), 0
 		}
-		s.at[n+r] = p.slackPlace[r]
+		s.statuses[varCount+r] = p.slackStatuses[r]
 		if s.basis[r] = p.basis[r]; s.basis[r] < 0 {
-			s.basis[r] = n - 1 - p.basis[r]
+			s.basis[r] = varCount - 1 - p.basis[r]
 		}
 	}
 	return s
 }
 
-// rest is the value of a variable out of the basis.
-func (s *run) rest(j int) float64 {
-	switch s.at[j] {
+// nonbasicValue returns the value of a variable that is not in the basis.
+func (s *solver) nonbasicValue(variable int) float64 {
+	switch s.statuses[variable] {
 	case atLower:
-		return s.lo[j]
+		return s.lower[variable]
 	case atUpper:
-		return s.hi[j]
+		return s.upper[variable]
 	}
 	return 0
 }
 
-// refresh makes the basis' inverse anew from its columns, and the values with it.
-// Columns that depend on others leave for slacks: the first phase mends what that breaks.
-func (s *run) refresh() {
-	s.p.Refreshes++
+// refactorize recomputes the basis' inverse from its columns, and the values from the inverse.
+// Columns that depend linearly on others are replaced by slacks; if values then violate their
+// bounds, the first phase repairs that.
+func (s *solver) refactorize() {
+	s.problem.Refactorizations++
 	s.etas = s.etas[:0]
-	members := slices.Clone(s.basis)
-	// Short columns first, slacks before all: most of a basis is nearly a triangle.
-	slices.SortFunc(members, func(a, b int) int {
+	basicVars := slices.Clone(s.basis)
+	// Short columns come first, slacks before all others: most of a basis is nearly triangular,
+	// and this order adds few nonzeros.
+	slices.SortFunc(basicVars, func(a, b int) int {
 		return cmp.Or(cmp.Compare(len(s.cols[a].rows), len(s.cols[b].rows)), cmp.Compare(b, a))
 	})
-	taken := make([]bool, s.m)
-	count := make([]int, s.m) // columns yet to come that touch a row
-	for _, j := range members {
+	takenRows := make([]bool, s.rowCount)
+	pendingColumns := make([]int, s.rowCount) // by row, columns not yet processed that have a coefficient there
+	for _, j := range basicVars {
 		for _, r := range s.cols[j].rows {
-			count[r]++
+			pendingColumns[r]++
 		}
 	}
 	var dropped []int
-	for _, j := range members {
+	for _, j := range basicVars {
 		s.ftran(j)
 		for _, r := range s.cols[j].rows {
-			count[r]--
+			pendingColumns[r]--
 		}
-		best, size := -1, 0.0
-		for r, a := range s.col {
-			if !taken[r] {
-				size = max(size, math.Abs(a))
+		pivotRow, maxAbs := -1, 0.0
+		for r, a := range s.pivotColumn {
+			if !takenRows[r] {
+				maxAbs = max(maxAbs, math.Abs(a))
 			}
 		}
-		if size > least {
-			for r, a := range s.col {
-				if !taken[r] && math.Abs(a) >= 0.1*size && (best < 0 || count[r] < count[best]) {
-					best = r
+		if maxAbs > minPivot {
+			for r, a := range s.pivotColumn {
+				if !takenRows[r] && math.Abs(a) >= 0.1*maxAbs && (pivotRow < 0 || pendingColumns[r] < pendingColumns[pivotRow]) {
+					pivotRow = r
 				}
 			}
 		}
-		if best < 0 {
+		if pivotRow < 0 {
 			dropped = append(dropped, j)
 			continue
 		}
-		taken[best] = true
-		s.basis[best] = j
-		s.push(best)
+		takenRows[pivotRow] = true
+		s.basis[pivotRow] = j
+		s.appendEta(pivotRow)
 	}
-	for r := range s.m {
-		if taken[r] {
+	for r := range s.rowCount {
+		if takenRows[r] {
 			continue
 		}
 		j := dropped[0]
 		dropped = dropped[1:]
-		s.at[j] = nearest(s.lo[j], s.hi[j], s.x[j])
-		s.at[s.n+r], s.basis[r] = inBasis, s.n+r
-		s.ftran(s.n + r)
-		s.push(r)
+		s.statuses[j] = nearestBound(s.lower[j], s.upper[j], s.values[j])
+		s.statuses[s.varCount+r], s.basis[r] = inBasis, s.varCount+r
+		s.ftran(s.varCount + r)
+		s.appendEta(r)
 	}
-	s.fresh = len(s.etas)
-	s.values()
+	s.refactoredEtas = len(s.etas)
+	s.computeBasicValues()
 }
 
-func nearest(lo, hi, x float64) place {
+// nearestBound returns the status that puts a variable at the finite bound nearest to value.
+func nearestBound(lower, upper, value float64) varStatus {
 	switch {
-	case math.IsInf(lo, 0) && math.IsInf(hi, 0):
+	case math.IsInf(lower, 0) && math.IsInf(upper, 0):
 		return atZero
-	case math.IsInf(hi, 0) || x-lo <= hi-x:
+	case math.IsInf(upper, 0) || value-lower <= upper-value:
 		return atLower
 	}
 	return atUpper
 }
 
-// values works the basis' values out from those of the rest.
-func (s *run) values() {
-	b := slices.Clone(s.rhs)
+// computeBasicValues computes the values of the basic variables from those of all others.
+func (s *solver) computeBasicValues() {
+	rhs := slices.Clone(s.rhs)
 	for j := range s.cols {
-		if s.at[j] == inBasis {
+		if s.statuses[j] == inBasis {
 			continue
 		}
-		if s.x[j] = s.rest(j); s.x[j] != 0 {
+		if s.values[j] = s.nonbasicValue(j); s.values[j] != 0 {
 			for k, r := range s.cols[j].rows {
-				b[r] -= s.cols[j].vals[k] * s.x[j]
+				rhs[r] -= s.cols[j].coeffs[k] * s.values[j]
 			}
 		}
 	}
-	s.apply(b)
+	s.applyInverse(rhs)
 	for r, j := range s.basis {
-		s.x[j] = b[r]
+		s.values[j] = rhs[r]
 	}
 }
 
-// ftran puts the basis' inverse times a column into col.
-func (s *run) ftran(j int) {
-	clear(s.col)
-	for k, r := range s.cols[j].rows {
-		s.col[r] = s.cols[j].vals[k]
-	}
-	s.apply(s.col)
+// ftran (forward transformation) sets pivotColumn to the basis' inverse times the column of a
+// variable.
+func (s *solver) ftran(variable int) {
+	clear(s.pivotColumn)
+	for k, r := range s.cols[variable].rows {
+		s.pivotColumn[r] = s.cols[variable].coeffs[k]
+	}
+	s.applyInverse(s.pivotColumn)
 }
 
-func (s *run) apply(v []float64) {
+// applyInverse multiplies a column vector by the basis' inverse, in place.
+func (s *solver) applyInverse(vector []float64) {
 	for i := range s.etas {
 		e := &s.etas[i]
-		t := v[e.row]
+		t := vector[e.pivotRow]
 		if t == 0 {
 			continue
 		}
-		v[e.row] = e.piv * t
-		for k, r := range e.at {
-			v[r] += e.vals[k] * t
+		vector[e.pivotRow] = e.inversePivot * t
+		for k, r := range e.rows {
+			vector[r] += e.coeffs[k] * t
 		}
 	}
 }
 
-// btran puts a row vector times the basis' inverse into y.
-func (s *run) btran() {
+// btran (backward transformation) multiplies duals, taken as a row vector, by the basis'
+// inverse, in place.
+func (s *solver) btran() {
 	for i := len(s.etas) - 1; i >= 0; i-- {
 		e := &s.etas[i]
-		t := e.piv * s.y[e.row]
-		for k, r := range e.at {
-			t += e.vals[k] * s.y[r]
+		t := e.inversePivot * s.duals[e.pivotRow]
+		for k, r := range e.rows {
+			t += e.coeffs[k] * s.duals[r]
 		}
-		s.y[e.row] = t
+		s.duals[e.pivotRow] = t
 	}
 }
 
-// push adds the factor that makes col the unit column of a row.
-func (s *run) push(row int) {
-	e := eta{row: row, piv: 1 / s.col[row]}
-	for r, a := range s.col {
+// appendEta appends the factor that turns pivotColumn into the unit column of a row.
+func (s *solver) appendEta(row int) {
+	e := eta{pivotRow: row, inversePivot: 1 / s.pivotColumn[row]}
+	for r, a := range s.pivotColumn {
 		if r != row && math.Abs(a) > 1e-14 {
-			e.at = append(e.at, int32(r))
-			e.vals = append(e.vals, -a/s.col[row])
+			e.rows = append(e.rows, int32(r))
+			e.coeffs = append(e.coeffs, -a/s.pivotColumn[row])
 		}
 	}
 	s.etas = append(s.etas, e)
 }
 
-// over is by how much a value is above its bounds; below 0: below them; 0: within.
-func (s *run) over(j int) float64 {
-	x := s.x[j]
-	if miss := s.lo[j] - x; miss > feasible*(1+math.Abs(s.lo[j])) {
-		return -miss
+// boundViolation returns by how much a value is above its upper bound, as a negative number by
+// how much it is below its lower bound, or 0 if it is within both, up to feasibilityTolerance.
+func (s *solver) boundViolation(variable int) float64 {
+	value := s.values[variable]
+	if excess := s.lower[variable] - value; excess > feasibilityTolerance*(1+math.Abs(s.lower[variable])) {
+		return -excess
 	}
-	if miss := x - s.hi[j]; miss > feasible*(1+math.Abs(s.hi[j])) {
-		return miss
+	if excess := value - s.upper[variable]; excess > feasibilityTolerance*(1+math.Abs(s.upper[variable])) {
+		return excess
 	}
 	return 0
 }
 
-// price fills in duals and reduced costs, and returns the variable that should move, -1
-// for none.
-func (s *run) price(bland bool) int {
-	s.phase1 = false
+// chooseEntering computes duals and reduced costs and returns the variable that enters the
+// basis: the one with the largest reduced cost, or under Bland's rule the first that improves the
+// objective. It returns -1 if no variable does. While a basic variable violates a bound, the
+// objective is the sum of infeasibilities (inPhase1).
+func (s *solver) chooseEntering(bland bool) int {
+	s.inPhase1 = false
 	for r, j := range s.basis {
-		o := s.over(j)
-		s.y[r] = 0
-		if o != 0 {
-			s.phase1 = true
-			s.y[r] = math.Copysign(1, o)
+		violation := s.boundViolation(j)
+		s.duals[r] = 0
+		if violation != 0 {
+			s.inPhase1 = true
+			s.duals[r] = math.Copysign(1, violation)
 		}
 	}
-	if !s.phase1 {
+	if !s.inPhase1 {
 		for r, j := range s.basis {
-			s.y[r] = s.cost[j]
+			s.duals[r] = s.costs[j]
 		}
 	}
 	s.btran()
-	best, size := -1, 0.0
+	entering, maxReducedCost := -1, 0.0
 	for j := range s.cols {
-		if s.at[j] == inBasis {
-			s.d[j] = 0
+		if s.statuses[j] == inBasis {
+			s.reducedCosts[j] = 0
 			continue
 		}
-		d, of := 0.0, 0.0
-		if !s.phase1 {
-			d = s.cost[j]
-			of = math.Abs(d)
+		reducedCost, magnitude := 0.0, 0.0
+		if !s.inPhase1 {
+			reducedCost = s.costs[j]
+			magnitude = math.Abs(reducedCost)
 		}
 		for k, r := range s.cols[j].rows {
-			t := s.y[r] * s.cols[j].vals[k]
-			d -= t
-			of += math.Abs(t)
+			t := s.duals[r] * s.cols[j].coeffs[k]
+			reducedCost -= t
+			magnitude += math.Abs(t)
 		}
-		if math.Abs(d) <= optimal*of || math.Abs(d) <= noise {
-			d = 0
+		if math.Abs(reducedCost) <= reducedCostTolerance*magnitude || math.Abs(reducedCost) <= dualNoise {
+			reducedCost = 0
 		}
-		s.d[j] = d
-		if d == 0 || s.lo[j] == s.hi[j] || s.at[j] == atLower && d > 0 || s.at[j] == atUpper && d < 0 {
+		s.reducedCosts[j] = reducedCost
+		if reducedCost == 0 || s.lower[j] == s.upper[j] || s.statuses[j] == atLower && reducedCost > 0 || s.statuses[j] == atUpper && reducedCost < 0 {
 			continue
 		}
 		if bland {
 			return j
 		}
-		if math.Abs(d) > size {
-			best, size = j, math.Abs(d)
+		if math.Abs(reducedCost) > maxReducedCost {
+			entering, maxReducedCost = j, math.Abs(reducedCost)
 		}
 	}
-	return best
+	return entering
 }
 
-func (s *run) solve(stop func() bool) Status {
-	s.refresh()
-	most := max(stepsMin, stepsPer*(s.n+s.m))
+// iterate takes simplex steps until the problem is solved, proven to have no solution or
+// unbounded, or until it is stopped.
+func (s *solver) iterate(stop func() bool) Status {
+	s.refactorize()
+	maxSteps := max(minStepLimit, stepLimitPerDimension*(s.varCount+s.rowCount))
 	for steps := 0; ; steps++ {
-		if steps >= most || steps%16 == 0 && stop != nil && stop() {
-			s.price(false)
+		if steps >= maxSteps || steps%16 == 0 && stop != nil && stop() {
+			s.chooseEntering(false)
 			return Stopped
 		}
-		if len(s.etas)-s.fresh >= renew {
-			s.refresh()
+		if len(s.etas)-s.refactoredEtas >= refactorInterval {
+			s.refactorize()
 		}
-		bland := s.stall > 2*s.m+100
-		j := s.price(bland)
-		if j < 0 {
-			if len(s.etas) > s.fresh { // what was found must hold with a new basis
-				s.refresh()
-				if j = s.price(bland); j >= 0 {
+		bland := s.stalledSteps > 2*s.rowCount+100
+		entering := s.chooseEntering(bland)
+		if entering < 0 {
+			if len(s.etas) > s.refactoredEtas { // the result must also hold after a refactorization
+				s.refactorize()
+				if entering = s.chooseEntering(bland); entering >= 0 {
 					continue
 				}
 			}
-			if s.phase1 {
+			if s.inPhase1 {
 				return Infeasible
 			}
 			return Optimal
 		}
-		s.p.Steps++
-		if !s.step(j, bland) {
-			if s.phase1 { // nothing bounds it: the sum of infeasibilities can't be; numbers are lost
-				s.refresh()
-				s.stall++
-				if s.stall > 4*s.m+1000 {
+		s.problem.Steps++
+		if !s.pivot(entering, bland) {
+			if s.inPhase1 { // rounding error: the sum of infeasibilities can't be unbounded
+				s.refactorize()
+				s.stalledSteps++
+				if s.stalledSteps > 4*s.rowCount+1000 {
 					return Stopped
 				}
 				continue
@@ -335,140 +350,146 @@
 	}
 }
 
-// step moves j as far as its own bounds and those of the basis let it; false if nothing
-// stops it.
-func (s *run) step(j int, bland bool) bool {
-	s.ftran(j)
-	dir := 1.0
-	if s.d[j] > 0 {
-		dir = -1
-	}
-	// Where each basic value stops: within bounds at the next one, outside at the one
-	// that it misses.
-	limit := func(r int) (room float64, up, stops bool) {
-		k, rate := s.basis[r], -dir*s.col[r]
-		if math.Abs(rate) <= least {
+// pivot moves the entering variable as far as its own bounds and those of the basic variables
+// allow, and exchanges it for the variable that blocks it. It returns false if nothing does.
+func (s *solver) pivot(entering int, bland bool) bool {
+	s.ftran(entering)
+	direction := 1.0
+	if s.reducedCosts[entering] > 0 {
+		direction = -1
+	}
+	// blockingStep returns how far the entering variable can move until the basic variable of a
+	// row reaches a bound, whether that is its upper bound, and whether there is such a bound. A
+	// variable within its bounds stops at the next one, and one outside at the bound that it
+	// violates.
+	blockingStep := func(row int) (distance float64, upperBound, blocks bool) {
+		basicVar, rate := s.basis[row], -direction*s.pivotColumn[row]
+		if math.Abs(rate) <= minPivot {
 			return 0, false, false
 		}
-		o := s.over(k)
+		violation := s.boundViolation(basicVar)
 		switch {
-		case rate > 0 && o < 0:
-			return (s.lo[k] - s.x[k]) / rate, false, true
-		case rate > 0 && o == 0 && !math.IsInf(s.hi[k], 0):
-			return (s.hi[k] - s.x[k]) / rate, true, true
-		case rate < 0 && o > 0:
-			return (s.hi[k] - s.x[k]) / rate, true, true
-		case rate < 0 && o == 0 && !math.IsInf(s.lo[k], 0):
-			return (s.lo[k] - s.x[k]) / rate, false, true
+		case rate > 0 && violation < 0:
+			return (s.lower[basicVar] - s.values[basicVar]) / rate, false, true
+		case rate > 0 && violation == 0 && !math.IsInf(s.upper[basicVar], 0):
+			return (s.upper[basicVar] - s.values[basicVar]) / rate, true, true
+		case rate < 0 && violation > 0:
+			return (s.upper[basicVar] - s.values[basicVar]) / rate, true, true
+		case rate < 0 && violation == 0 && !math.IsInf(s.lower[basicVar], 0):
+			return (s.lower[basicVar] - s.values[basicVar]) / rate, false, true
 		}
 		return 0, false, false
 	}
-	// Harris: first how far one may go with a little slack, then the largest pivot so far.
-	most := math.Inf(1)
-	for r := range s.m {
-		if room, _, stops := limit(r); stops {
-			slack := feasible / math.Abs(s.col[r])
+	// Harris' ratio test: find the maximum step with bounds widened by the tolerance, then take
+	// the largest pivot among the rows that block within it. Under Bland's rule there is no
+	// tolerance, and the blocking variable with the lowest index leaves.
+	maxStep := math.Inf(1)
+	for row := range s.rowCount {
+		if distance, _, blocks := blockingStep(row); blocks {
+			tolerance := feasibilityTolerance / math.Abs(s.pivotColumn[row])
 			if bland {
-				slack = 0
+				tolerance = 0
 			}
-			most = min(most, max(room, 0)+slack)
+			maxStep = min(maxStep, max(distance, 0)+tolerance)
 		}
 	}
-	leave, upper, size := -1, false, 0.0
-	for r := range s.m {
-		room, up, stops := limit(r)
-		if !stops || max(room, 0) > most {
+	leavingRow, leavesAtUpper, pivotSize := -1, false, 0.0
+	for row := range s.rowCount {
+		distance, upperBound, blocks := blockingStep(row)
+		if !blocks || max(distance, 0) > maxStep {
 			continue
 		}
-		a := math.Abs(s.col[r])
-		if bland && leave >= 0 && s.basis[r] > s.basis[leave] || !bland && a <= size {
+		a := math.Abs(s.pivotColumn[row])
+		if bland && leavingRow >= 0 && s.basis[row] > s.basis[leavingRow] || !bland && a <= pivotSize {
 			continue
 		}
-		leave, upper, size = r, up, a
+		leavingRow, leavesAtUpper, pivotSize = row, upperBound, a
 	}
-	t := math.Inf(1)
-	if leave >= 0 {
-		room, _, _ := limit(leave)
-		t = max(room, 0)
+	stepLength := math.Inf(1)
+	if leavingRow >= 0 {
+		distance, _, _ := blockingStep(leavingRow)
+		stepLength = max(distance, 0)
 	}
-	own := s.hi[j] - s.lo[j]
-	if own <= t && !math.IsInf(own, 0) { // to its other bound, and the basis stays
-		s.shift(j, dir*own)
-		if s.at[j] == atLower {
-			s.at[j] = atUpper
+	boundRange := s.upper[entering] - s.lower[entering]
+	if boundRange <= stepLength && !math.IsInf(boundRange, 0) { // moves to its other bound; the basis stays
+		s.moveVariable(entering, direction*boundRange)
+		if s.statuses[entering] == atLower {
+			s.statuses[entering] = atUpper
 		} else {
-			s.at[j] = atLower
+			s.statuses[entering] = atLower
 		}
-		s.x[j] = s.rest(j)
-		s.stall = 0
+		s.values[entering] = s.nonbasicValue(entering)
+		s.stalledSteps = 0
 		return true
 	}
-	if leave < 0 {
+	if leavingRow < 0 {
 		return false
 	}
-	if t > feasible {
-		s.stall = 0
+	if stepLength > feasibilityTolerance {
+		s.stalledSteps = 0
 	} else {
-		s.stall++
+		s.stalledSteps++
 	}
-	s.shift(j, dir*t)
-	k := s.basis[leave]
-	s.at[k], s.at[j] = atLower, inBasis
-	if upper {
-		s.at[k] = atUpper
+	s.moveVariable(entering, direction*stepLength)
+	basicVar := s.basis[leavingRow]
+	s.statuses[basicVar], s.statuses[entering] = atLower, inBasis
+	if leavesAtUpper {
+		s.statuses[basicVar] = atUpper
 	}
-	s.x[k] = s.rest(k)
-	s.basis[leave] = j
-	s.push(leave)
+	s.values[basicVar] = s.nonbasicValue(basicVar)
+	s.basis[leavingRow] = entering
+	s.appendEta(leavingRow)
 	return true
 }
 
-// shift moves j by so much, and the basis with it.
-func (s *run) shift(j int, by float64) {
-	if by == 0 {
+// moveVariable adds an amount to a variable that is not in the basis and adjusts the basic
+// variables. pivotColumn must be that variable's column times the basis' inverse.
+func (s *solver) moveVariable(variable int, amount float64) {
+	if amount == 0 {
 		return
 	}
-	s.x[j] += by
-	for r, a := range s.col {
+	s.values[variable] += amount
+	for r, a := range s.pivotColumn {
 		if a != 0 {
-			s.x[s.basis[r]] -= a * by
+			s.values[s.basis[r]] -= a * amount
 		}
 	}
 }
 
-// finish takes the basis back for the next solution and tells this one in the problem's
-// units.
-func (s *run) finish(status Status) *Solution {
-	p := s.p
-	sol := &Solution{Status: status, X: make([]float64, s.n), Dual: make([]float64, s.m), Reduced: make([]float64, s.n), SlackReduced: make([]float64, s.m)}
-	top := 0.0
-	for v := range s.n {
-		top = max(top, math.Abs(p.cost[v]*p.colScale[v]))
-	}
-	top = cmp.Or(power(top), 1)
-	if s.phase1 {
-		top = 1
-	}
-	for v := range s.n {
-		p.at[v] = s.at[v]
-		x := s.x[v] * p.colScale[v]
-		sol.X[v] = min(max(x, p.lo[v]), p.hi[v])
-		sol.Objective += p.cost[v] * sol.X[v]
-		sol.Reduced[v] = s.d[v] / p.colScale[v] * top
-	}
-	for r := range s.m {
-		p.slackPlace[r] = s.at[s.n+r]
-		if p.basis[r] = s.basis[r]; s.basis[r] >= s.n {
-			p.basis[r] = -1 - (s.basis[r] - s.n)
-		}
-		// A slack's reduced cost is its row's dual, but for the sign, and has no noise. One in
-		// the basis has none, unless it is what can't be met.
-		y := -s.d[s.n+r]
-		if s.at[s.n+r] == inBasis && s.phase1 && s.over(s.n+r) != 0 {
-			y = s.y[r]
-		}
-		sol.Dual[r] = y * p.rowScale[r] * top
-		sol.SlackReduced[r] = s.d[s.n+r] * p.rowScale[r] * top
-	}
-	return sol
+// buildSolution stores the basis in the problem for the next call of Solve and returns the
+// solution in the problem's units.
+func (s *solver) buildSolution(status Status) *Solution {
+	p := s.problem
+	solution := &Solution{Status: status, Values: make([]float64, s.varCount), Duals: make([]float64, s.rowCount), ReducedCosts: make([]float64, s.varCount), SlackReducedCosts: make([]float64, s.rowCount)}
+	maxCost := 0.0
+	for v := range s.varCount {
+		maxCost = max(maxCost, math.Abs(p.costs[v]*p.colScale[v]))
+	}
+	maxCost = cmp.Or(nearestPowerOfTwo(maxCost), 1)
+	if s.inPhase1 {
+		maxCost = 1
+	}
+	for v := range s.varCount {
+		p.statuses[v] = s.statuses[v]
+		x := s.values[v] * p.colScale[v]
+		solution.Values[v] = min(max(x, p.lower[v]), p.upper[v])
+		solution.Objective += p.costs[v] * solution.Values[v]
+		solution.ReducedCosts[v] = s.reducedCosts[v] / p.colScale[v] * maxCost
+	}
+	for r := range s.rowCount {
+		p.slackStatuses[r] = s.statuses[s.varCount+r]
+		if p.basis[r] = s.basis[r]; s.basis[r] >= s.varCount {
+			p.basis[r] = -1 - (s.basis[r] - s.varCount)
+		}
+		// A slack's reduced cost is the negated dual of its row, with rounding noise already
+		// removed. A basic slack has a dual of 0 unless it violates its bounds in an infeasible
+		// problem.
+		dual := -s.reducedCosts[s.varCount+r]
+		if s.statuses[s.varCount+r] == inBasis && s.inPhase1 && s.boundViolation(s.varCount+r) != 0 {
+			dual = s.duals[r]
+		}
+		solution.Duals[r] = dual * p.rowScale[r] * maxCost
+		solution.SlackReducedCosts[r] = s.reducedCosts[s.varCount+r] * p.rowScale[r] * maxCost
+	}
+	return solution
 }
