--- a/internal/radius/proxy/bench_test.go
+++ b/internal/radius/proxy/bench_test.go
@@ -13,110 +13,111 @@
 	lr "layeh.com/radius"
 )
 
-// plain is the least that a relay of datagrams can do: one socket each way, and who
-// asked under which identifier. What it costs is what the system asks for the way.
-type plain struct {
-	front, back *net.UDPConn
-	wg          sync.WaitGroup
+// plainRelay forwards datagrams with as little work as possible: one socket in each direction,
+// and the client address of each RADIUS identifier. Its cost is what the operating system takes
+// for an extra hop.
+type plainRelay struct {
+	clientConn, serverConn *net.UDPConn
+	wg                     sync.WaitGroup
 
-	mu    sync.Mutex
-	asked [256]*net.UDPAddr
+	mu         sync.Mutex
+	clientByID [256]*net.UDPAddr
 }
 
-func newPlain(b *testing.B, to string) *plain {
-	addr, err := net.ResolveUDPAddr("udp", to)
+func newPlainRelay(b *testing.B, serverAddr string) *plainRelay {
+	addr, err := net.ResolveUDPAddr("udp", serverAddr)
 	if err != nil {
 		b.Fatal(err)
 	}
-	p := new(plain)
-	if p.front, err = net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)}); err != nil {
+	relay := new(plainRelay)
+	if relay.clientConn, err = net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)}); err != nil {
 		b.Fatal(err)
 	}
-	if p.back, err = net.DialUDP("udp", nil, addr); err != nil {
+	if relay.serverConn, err = net.DialUDP("udp", nil, addr); err != nil {
 		b.Fatal(err)
 	}
-	p.wg.Go(func() {
+	relay.wg.Go(func() {
 		buf := make([]byte, 4096)
 		for {
-			n, from, err := p.front.ReadFromUDP(buf)
+			n, from, err := relay.clientConn.ReadFromUDP(buf)
 			if err != nil {
 				return
 			}
-			p.mu.Lock()
-			p.asked[buf[1]] = from
-			p.mu.Unlock()
-			p.back.Write(buf[:n])
+			relay.mu.Lock()
+			relay.clientByID[buf[1]] = from
+			relay.mu.Unlock()
+			relay.serverConn.Write(buf[:n])
 		}
 	})
-	p.wg.Go(func() {
+	relay.wg.Go(func() {
 		buf := make([]byte, 4096)
 		for {
-			n, err := p.back.Read(buf)
+			n, err := relay.serverConn.Read(buf)
 			if err != nil {
 				return
 			}
-			p.mu.Lock()
-			to := p.asked[buf[1]]
-			p.mu.Unlock()
-			p.front.WriteToUDP(buf[:n], to)
+			relay.mu.Lock()
+			serverAddr := relay.clientByID[buf[1]]
+			relay.mu.Unlock()
+			relay.clientConn.WriteToUDP(buf[:n], serverAddr)
 		}
 	})
 	b.Cleanup(func() {
-		p.front.Close()
-		p.back.Close()
-		p.wg.Wait()
+		relay.clientConn.Close()
+		relay.serverConn.Close()
+		relay.wg.Wait()
 	})
-	return p
+	return relay
 }
 
-// terminalsAtOnce is how many terminals ask in BenchmarkPackets, each with a socket and
-// an identifier of its own.
-const terminalsAtOnce = 16
+// concurrentTerminals is the number of terminals in BenchmarkAccessCalls. Each has its own
+// socket and its own identifier.
+const concurrentTerminals = 16
 
-// BenchmarkPackets is access calls straight to a stand-in, through a plain relay of
-// datagrams and through the proxy. Terminals and stand-in are in the process and in its
-// CPU; what a way costs is what it has over the straight one.
-func BenchmarkPackets(b *testing.B) {
-	r := start(b, 1, func(s *features.Radius) { s.RememberTTL = ms(1000) })
-	for _, way := range []struct{ name, to, secret string }{
-		{"straight", r.servers[0].Addr(), ofServer + "r1"},
-		{"relay", newPlain(b, r.servers[0].Addr()).front.LocalAddr().String(), ofServer + "r1"},
-		{"proxy", r.p.Addr(false).String(), terminals},
+// BenchmarkAccessCalls measures access calls sent directly to a stand-in, through a plain relay
+// of datagrams, and through the proxy. The terminals and the stand-in run in the same process,
+// so the CPU time of a route is its difference from the direct one.
+func BenchmarkAccessCalls(b *testing.B) {
+	fixture := startProxy(b, 1, func(s *features.Radius) { s.RememberTTL = millis(1000) })
+	for _, route := range []struct{ name, addr, secret string }{
+		{"straight", fixture.servers[0].Addr(), serverSecret + "r1"},
+		{"relay", newPlainRelay(b, fixture.servers[0].Addr()).clientConn.LocalAddr().String(), serverSecret + "r1"},
+		{"proxy", fixture.proxy.Addr(false).String(), clientSecret},
 	} {
-		c := standin.NewRadiusClient(way.to, way.secret, "")
-		b.Run(way.name, func(b *testing.B) {
+		client := standin.NewRadiusClient(route.addr, route.secret, "")
+		b.Run(route.name, func(b *testing.B) {
 			var next atomic.Int64
 			var wg sync.WaitGroup
-			before, began := cpu(), time.Now()
-			for n := range terminalsAtOnce {
+			cpuBefore, startTime := processCPUTime(), time.Now()
+			for terminal := range concurrentTerminals {
 				wg.Go(func() {
-					conn, err := net.Dial("udp", way.to)
+					conn, err := net.Dial("udp", route.addr)
 					if err != nil {
 						b.Error(err)
 						return
 					}
 					defer conn.Close()
 					buf := make([]byte, 4096)
-					var auth [16]byte
+					var authenticator [16]byte
 					for {
-						k := next.Add(1)
-						if k > int64(b.N) {
+						call := next.Add(1)
+						if call > int64(b.N) {
 							return
 						}
-						binary.BigEndian.PutUint64(auth[:], uint64(time.Now().UnixNano()))
-						auth[15] = byte(n)
-						conn.Write(c.Packet(access("u"), byte(n), auth, 0))
-						conn.SetReadDeadline(time.Now().Add(patience))
+						binary.BigEndian.PutUint64(authenticator[:], uint64(time.Now().UnixNano()))
+						authenticator[15] = byte(terminal)
+						conn.Write(client.Packet(accessRequest("u"), byte(terminal), authenticator, 0))
+						conn.SetReadDeadline(time.Now().Add(testTimeout))
 						if size, err := conn.Read(buf); err != nil || size < 20 || lr.Code(buf[0]) != lr.CodeAccessAccept {
-							b.Errorf("%v %v", err, buf[0])
+							b.Errorf("no Access-Accept: error %v, code %v", err, buf[0])
 							return
 						}
 					}
 				})
 			}
 			wg.Wait()
-			b.ReportMetric(float64(b.N)/time.Since(began).Seconds(), "calls/s")
-			b.ReportMetric(float64((cpu()-before).Nanoseconds())/1000/float64(b.N), "cpu-us/call")
+			b.ReportMetric(float64(b.N)/time.Since(startTime).Seconds(), "calls/s")
+			b.ReportMetric(float64((processCPUTime()-cpuBefore).Nanoseconds())/1000/float64(b.N), "cpu-us/call")
 		})
 	}
 }
--- a/internal/radius/proxy/health.go
+++ b/internal/radius/proxy/health.go
@@ -2,47 +2,50 @@
 
 import "time"
 
-// health judges servers by probes: one that misses so many in a row is taken for gone,
-// until one is answered. It has no I/O and no clock.
+// health tracks which servers are down by the results of probes. A server is down after
+// maxMisses unanswered probes in a row, until it answers one. health does no I/O and reads no
+// clock. The caller guards it with a lock.
 type health struct {
-	misses  int
-	servers map[string]*state
+	maxMisses int
+	servers   map[string]*serverState
 }
 
-type state struct {
-	missed int
-	down   bool
-	upAt   time.Duration // since when it has been up again; 0: always
+type serverState struct {
+	consecutiveMisses int
+	down              bool
+	upSince           time.Duration // when it last came back after being down; 0 if it never was down
 }
 
-func newHealth(misses int) *health {
-	return &health{misses: misses, servers: make(map[string]*state)}
+func newHealth(maxMisses int) *health {
+	return &health{maxMisses: maxMisses, servers: make(map[string]*serverState)}
 }
 
-// probed takes the end of a probe and says whether the server's state has changed. One
-// that comes back counts as started then: it is warmed as a cold one.
-func (h *health) probed(server string, now time.Duration, ok bool) (changed bool) {
+// recordProbe records the result of a probe and reports whether the server went down or came
+// back. A server that comes back counts as started at that time, so that it is warmed up like
+// a cold one.
+func (h *health) recordProbe(server string, now time.Duration, ok bool) (changed bool) {
 	s := h.servers[server]
 	if s == nil {
-		s = new(state)
+		s = new(serverState)
 		h.servers[server] = s
 	}
-	was := s.down
+	wasDown := s.down
 	if ok {
 		if s.down {
-			s.upAt = now
+			s.upSince = now
 		}
-		s.missed, s.down = 0, false
-	} else if s.missed++; s.missed >= h.misses {
+		s.consecutiveMisses, s.down = 0, false
+	} else if s.consecutiveMisses++; s.consecutiveMisses >= h.maxMisses {
 		s.down = true
 	}
-	return s.down != was
+	return s.down != wasDown
 }
 
-// of is what is known of a server.
-func (h *health) of(server string) (down bool, upAt time.Duration) {
+// status returns whether a server is down, and when it came back if it has been down before.
+// A server that was never probed is up.
+func (h *health) status(server string) (down bool, upSince time.Duration) {
 	if s := h.servers[server]; s != nil {
-		return s.down, s.upAt
+		return s.down, s.upSince
 	}
 	return false, 0
 }
--- a/internal/radius/proxy/many_test.go
+++ b/internal/radius/proxy/many_test.go
@@ -12,28 +12,28 @@
 	lr "layeh.com/radius"
 )
 
-// Thousands of calls over a network that loses, doubles and reorders, while a server is
-// killed, one frozen and one drained: one final answer to each access call, within its
-// cap of attempts; each accounting event that is answered counted once, and none twice.
-// What was given up is counted too, and adds up.
-func TestManyCalls(t *testing.T) {
+// Thousands of calls run over a network that loses, duplicates and reorders datagrams, while one
+// server is killed, one frozen and one drained. Each access call must get one final answer within
+// its limit of attempts. Each answered accounting event must be counted exactly once and none
+// twice; unanswered events must show in the count of calls given up.
+func TestManyCallsOverLossyNetwork(t *testing.T) {
 	for _, loss := range []float64{0, 0.1, 0.3} {
 		t.Run(fmt.Sprintf("loss=%v", loss), func(t *testing.T) {
 			const (
-				calls   = 6667 // 20,000 in all three
-				workers = 200
-				cap     = 3
+				calls       = 6667 // about 20,000 over the three loss rates
+				workers     = 200
+				maxAttempts = 3
 			)
 			ledger := standin.NewRadiusLedger()
-			sec := section()
-			sec.MaxAttempts, sec.MaxCallsPerClient = cap, 1000
-			sec.Access.AttemptTimeout, sec.Access.Deadline, sec.Access.ResendDelay, sec.Access.MaxResends = ms(200), ms(3000), ms(40), 2
-			sec.Accounting.ResendDelay, sec.Accounting.MaxResends, sec.Accounting.AttemptTimeout, sec.Accounting.Deadline = ms(40), 10, ms(2500), ms(3000)
-			sec.RememberTTL, sec.MaxRememberBytes, sec.MaxRememberBytesPerClient = ms(60000), 64<<20, 64<<20
+			section := defaultSection()
+			section.MaxAttempts, section.MaxCallsPerClient = maxAttempts, 1000
+			section.Access.AttemptTimeout, section.Access.Deadline, section.Access.ResendDelay, section.Access.MaxResends = millis(200), millis(3000), millis(40), 2
+			section.Accounting.ResendDelay, section.Accounting.MaxResends, section.Accounting.AttemptTimeout, section.Accounting.Deadline = millis(40), 10, millis(2500), millis(3000)
+			section.RememberTTL, section.MaxRememberBytes, section.MaxRememberBytesPerClient = millis(60000), 64<<20, 64<<20
 			var servers []*standin.RadiusServer
 			for n := range 4 {
 				name := fmt.Sprint("r", n+1)
-				s, err := standin.NewRadiusServer(name, ofServer+name, ledger)
+				s, err := standin.NewRadiusServer(name, serverSecret+name, ledger)
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -44,25 +44,25 @@
 				}
 				defer relay.Close()
 				servers = append(servers, s)
-				sec.Servers = append(sec.Servers, features.RadiusServer{Name: name, Auth: relay.Addr(), Acct: relay.Addr(), Secret: features.Secret(ofServer + name)})
+				section.Servers = append(section.Servers, features.RadiusServer{Name: name, Auth: relay.Addr(), Acct: relay.Addr(), Secret: features.Secret(serverSecret + name)})
 			}
-			p, err := New(Config{Radius: sec, Base: base(), Grace: 2 * time.Second, Seed: 5})
+			proxy, err := New(Config{Radius: section, Base: basePlatform(), Grace: 2 * time.Second, Seed: 5})
 			if err != nil {
 				t.Fatal(err)
 			}
-			defer p.Close()
+			defer proxy.Close()
 			clients := make(map[bool]*standin.RadiusClient)
 			for _, accounting := range []bool{false, true} {
-				relay, err := standin.NewRelay(p.Addr(accounting).String(), 9, loss, 0.1, 0.1)
+				relay, err := standin.NewRelay(proxy.Addr(accounting).String(), 9, loss, 0.1, 0.1)
 				if err != nil {
 					t.Fatal(err)
 				}
 				defer relay.Close()
-				clients[accounting] = standin.NewRadiusClient(relay.Addr(), terminals, "")
+				clients[accounting] = standin.NewRadiusClient(relay.Addr(), clientSecret, "")
 			}
 			var mu sync.Mutex
 			next, unanswered, rejected, answered := 0, 0, 0, 0
-			asked := make(map[string]bool) // events, true: answered
+			eventAnswered := make(map[string]bool) // by event
 			var wg sync.WaitGroup
 			for range workers {
 				wg.Go(func() {
@@ -74,20 +74,20 @@
 						if n >= calls {
 							return
 						}
-						switch n { // what happens to the servers, at its call
+						switch n { // faults of servers, each at a fixed call
 						case calls / 4:
 							servers[0].Freeze(true)
 						case calls / 2:
 							servers[0].Freeze(false)
 							servers[1].Kill()
 						case calls * 3 / 4:
-							p.sides[0].pools[""].host.ApplyList(leaving("r3"))
-							p.sides[1].pools[""].host.ApplyList(leaving("r3"))
+							proxy.services[0].pools[""].host.ApplyList(drainingList("r3"))
+							proxy.services[1].pools[""].host.ApplyList(drainingList("r3"))
 						}
 						if n%2 == 0 {
-							a := access(fmt.Sprint("u", n))
-							a.Tries, a.Each = 80, 80*time.Millisecond
-							reply := clients[false].Do(a)
+							ask := accessRequest(fmt.Sprint("u", n))
+							ask.Tries, ask.Each = 80, 80*time.Millisecond
+							reply := clients[false].Do(ask)
 							mu.Lock()
 							switch reply.Code {
 							case lr.CodeAccessAccept:
@@ -100,68 +100,69 @@
 							mu.Unlock()
 							continue
 						}
-						a := event(fmt.Sprint("s", n), uint32(1+n/2%3))
-						a.Tries, a.Each, a.NewID = 80, 80*time.Millisecond, n%4 == 1
-						reply := clients[true].Do(a)
+						ask := eventRequest(fmt.Sprint("s", n), uint32(1+n/2%3))
+						ask.Tries, ask.Each, ask.NewID = 80, 80*time.Millisecond, n%4 == 1
+						reply := clients[true].Do(ask)
 						mu.Lock()
-						asked[eventName(a.Session, a.Status)] = reply.Code == lr.CodeAccountingResponse
+						eventAnswered[eventName(ask.Session, ask.Status)] = reply.Code == lr.CodeAccountingResponse
 						mu.Unlock()
 					}
 				})
 			}
 			wg.Wait()
-			settle(t, "held", func() bool { return p.Held() == 0 })
+			waitUntil(t, "held", func() bool { return proxy.Held() == 0 })
 			all := ledger.All()
-			events, open := 0, 0
-			for name, ok := range asked {
+			answeredEvents, unansweredEvents := 0, 0
+			for name, ok := range eventAnswered {
 				c := all[name]
 				switch {
 				case c.Effects > 1:
-					t.Errorf("%s: %+v", name, c)
+					t.Errorf("%s: unexpected ledger entry: %+v", name, c)
 				case ok && c.Effects != 1:
-					t.Errorf("%s: answered and not counted", name)
+					t.Errorf("%s: answered but not counted", name)
 				case ok:
-					events++
+					answeredEvents++
 				default:
-					open++
+					unansweredEvents++
 				}
 			}
 			for name, c := range all {
-				if name[0] == 'u' && c.Attempts > cap {
-					t.Errorf("%s: %+v", name, c)
+				if name[0] == 'u' && c.Attempts > maxAttempts {
+					t.Errorf("%s: unexpected ledger entry: %+v", name, c)
 				}
 			}
 			if unanswered > 0 {
 				t.Errorf("%d access calls without an answer", unanswered)
 			}
-			l, _ := p.Counts(true)
-			if open > 0 && l.GivenUp == 0 {
-				t.Errorf("%d events without an answer, none given up", open)
+			counts, _ := proxy.Counts(true)
+			if unansweredEvents > 0 && counts.GivenUp == 0 {
+				t.Errorf("%d events without an answer, but no call counted as given up", unansweredEvents)
 			}
-			t.Logf("%d access calls accepted, %d rejected; %d events answered, each counted once, %d not answered (%d times given up, %d retried)", answered, rejected, events, open, l.GivenUp, l.Retried)
+			t.Logf("%d access calls accepted, %d rejected; %d events answered, each counted once, %d not answered (%d times given up, %d retried)", answered, rejected, answeredEvents, unansweredEvents, counts.GivenUp, counts.Retried)
 		})
 	}
 }
 
-// BenchmarkRemembered is the memory of a listener at 10,000 remembered answers.
-func BenchmarkRemembered(b *testing.B) {
-	heap := func() uint64 {
+// BenchmarkRememberedAnswerMemory measures the heap bytes that a listener needs for each
+// remembered answer, at 10,000 answers.
+func BenchmarkRememberedAnswerMemory(b *testing.B) {
+	heapBytes := func() uint64 {
 		runtime.GC()
 		var m runtime.MemStats
 		runtime.ReadMemStats(&m)
 		return m.HeapAlloc
 	}
 	for b.Loop() {
-		r := start(b, 1, func(s *features.Radius) {
-			s.MaxRememberBytes, s.MaxRememberBytesPerClient, s.RememberTTL = 64<<20, 64<<20, ms(600000)
+		fixture := startProxy(b, 1, func(s *features.Radius) {
+			s.MaxRememberBytes, s.MaxRememberBytesPerClient, s.RememberTTL = 64<<20, 64<<20, millis(600000)
 		})
-		c := r.client(false)
-		before := heap()
+		client := fixture.newClient(false)
+		heapBefore := heapBytes()
 		for n := range 10000 {
-			if reply := c.Exchange(c.Packet(access("u"), byte(n), [16]byte{byte(n), byte(n >> 8)}, 0), patience); reply.Code != lr.CodeAccessAccept {
-				b.Fatalf("%+v", reply)
+			if reply := client.Exchange(client.Packet(accessRequest("u"), byte(n), [16]byte{byte(n), byte(n >> 8)}, 0), testTimeout); reply.Code != lr.CodeAccessAccept {
+				b.Fatalf("unexpected reply: %+v", reply)
 			}
 		}
-		b.ReportMetric(float64(heap()-before)/10000, "bytes/answer")
+		b.ReportMetric(float64(heapBytes()-heapBefore)/10000, "bytes/answer")
 	}
 }
--- a/internal/radius/proxy/memory.go
+++ b/internal/radius/proxy/memory.go
@@ -13,37 +13,39 @@
 	"chalkrack/internal/radius/listener"
 )
 
-// memoryMost bounds the file, in bytes for each that the memory itself may have: what
-// it holds is written in text.
-const memoryMost = 4
+// fileBytesPerMemoryByte limits how much of the file is read, as a multiple of the limit on
+// the remembered answers in memory. The file is text and so larger than what it describes.
+const fileBytesPerMemoryByte = 4
 
-// recall gives a listener what the one before it has left. A file that is not there,
-// or is none, is no reason not to serve.
-func recall(l *listener.Listener, path string, bytes int) {
-	f, err := os.Open(path)
+// loadRemembered reads the remembered answers that saveRemembered wrote before the last
+// shutdown into l. A missing file is ignored; an unreadable or invalid one is logged and does
+// not prevent the start.
+func loadRemembered(l *listener.Listener, path string, maxBytes int) {
+	file, err := os.Open(path)
 	if err != nil {
 		if !errors.Is(err, fs.ErrNotExist) {
-			slog.Warn("radius: memory not read", "err", err)
+			slog.Warn("radius: cannot open the file of remembered answers", "err", err)
 		}
 		return
 	}
-	defer f.Close()
-	n, err := l.Load(io.LimitReader(f, int64(bytes)*memoryMost))
+	defer file.Close()
+	calls, err := l.Load(io.LimitReader(file, int64(maxBytes)*fileBytesPerMemoryByte))
 	if err != nil {
-		slog.Warn("radius: memory not read", "file", path, "err", err)
+		slog.Warn("radius: cannot read the file of remembered answers", "file", path, "err", err)
 	}
-	slog.Info("radius: remembered from before the start", "calls", n)
+	slog.Info("radius: remembered from before the start", "calls", calls)
 }
 
-// keep leaves to the next listener what this one remembers, whole or not at all.
-func keep(l *listener.Listener, path string) error {
-	var b bytes.Buffer
-	err := l.Save(&b)
+// saveRemembered atomically writes the answers that l remembers to a file, for the listener of
+// the next start.
+func saveRemembered(l *listener.Listener, path string) error {
+	var buffer bytes.Buffer
+	err := l.Save(&buffer)
 	if err == nil {
-		err = durable.Replace(path, b.Bytes())
+		err = durable.Replace(path, buffer.Bytes())
 	}
 	if err != nil {
-		return fmt.Errorf("radius: memory: %w", err)
+		return fmt.Errorf("radius: cannot save the remembered answers: %w", err)
 	}
 	return nil
 }
--- a/internal/radius/proxy/memory_test.go
+++ b/internal/radius/proxy/memory_test.go
@@ -12,112 +12,116 @@
 	lr "layeh.com/radius"
 )
 
-// again ends a rig's proxy as SIGTERM does, and starts another for the same file.
-func (r *rig) again() {
-	r.p.ShutDownWithin(time.Second)
-	settle(r.t, "held", func() bool { return r.p.Held() == 0 })
-	sec := r.p.cfg.Radius
-	r.p.Close()
-	p, err := New(Config{Radius: sec, Base: base(), Grace: 2 * time.Second, Seed: 2})
+// restartProxy shuts the proxy down as SIGTERM does and starts a new one with the same file of
+// remembered answers.
+func (f *testFixture) restartProxy() {
+	f.proxy.ShutDownWithin(time.Second)
+	waitUntil(f.t, "held", func() bool { return f.proxy.Held() == 0 })
+	section := f.proxy.cfg.Radius
+	f.proxy.Close()
+	proxy, err := New(Config{Radius: section, Base: basePlatform(), Grace: 2 * time.Second, Seed: 2})
 	if err != nil {
-		r.t.Fatal(err)
+		f.t.Fatal(err)
 	}
-	r.t.Cleanup(p.Close)
-	r.p = p
+	f.t.Cleanup(proxy.Close)
+	f.proxy = proxy
 }
 
-// rememberer has a proxy that is closed by again alone.
-func rememberer(t *testing.T) *rig {
+// startWithRememberFile starts one server and a proxy with a file of remembered answers. The
+// proxy is not closed at the end of the test; the caller closes it, or restartProxy does.
+func startWithRememberFile(t *testing.T) *testFixture {
 	file := filepath.Join(t.TempDir(), "memory")
-	r := &rig{t: t, ledger: standin.NewRadiusLedger()}
-	s, err := standin.NewRadiusServer("r1", ofServer+"r1", r.ledger)
+	fixture := &testFixture{t: t, ledger: standin.NewRadiusLedger()}
+	server, err := standin.NewRadiusServer("r1", serverSecret+"r1", fixture.ledger)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(s.Close)
-	r.servers = append(r.servers, s)
-	sec := section()
-	sec.RememberFile = file
-	sec.Accounting.AttemptTimeout, sec.Accounting.Deadline, sec.Accounting.Aim, sec.Accounting.MaxResends = ms(900), ms(1000), ms(500), 0
-	sec.Servers = []features.RadiusServer{{Name: "r1", Auth: s.Addr(), Acct: s.Addr(), Secret: ofServer + "r1"}}
-	if r.p, err = New(Config{Radius: sec, Base: base(), Grace: 2 * time.Second, Seed: 1}); err != nil {
+	t.Cleanup(server.Close)
+	fixture.servers = append(fixture.servers, server)
+	section := defaultSection()
+	section.RememberFile = file
+	section.Accounting.AttemptTimeout, section.Accounting.Deadline, section.Accounting.Aim, section.Accounting.MaxResends = millis(900), millis(1000), millis(500), 0
+	section.Servers = []features.RadiusServer{{Name: "r1", Auth: server.Addr(), Acct: server.Addr(), Secret: serverSecret + "r1"}}
+	if fixture.proxy, err = New(Config{Radius: section, Base: basePlatform(), Grace: 2 * time.Second, Seed: 1}); err != nil {
 		t.Fatal(err)
 	}
-	return r
+	return fixture
 }
 
-// An event that was answered before a restart by SIGTERM gets that answer after it, also
-// in a packet of its own; one that may have been counted is not sent again.
-func TestRestart(t *testing.T) {
-	r := rememberer(t)
-	r.servers[0].Do(func(s standin.RadiusSeen) standin.RadiusAct {
+// After a restart, an accounting event that was answered before gets the same answer, also when
+// the client sends it in a new packet. An event that was given up and may have been counted is not
+// sent to a server again. Otherwise a restart would count events twice.
+func TestRememberedAnswersAfterRestart(t *testing.T) {
+	fixture := startWithRememberFile(t)
+	fixture.servers[0].Do(func(s standin.RadiusSeen) standin.RadiusAct {
 		if s.Name == eventName("silent", 1) {
 			return standin.RadiusAct{Kind: standin.RadiusSilent}
 		}
 		return standin.RadiusAct{}
 	})
-	c := r.client(true)
-	answered := c.Packet(event("answered", 1), 1, [16]byte{}, 0)
-	if reply := c.Exchange(answered, patience); reply.Code != lr.CodeAccountingResponse {
-		t.Fatalf("%+v", reply)
+	client := fixture.newClient(true)
+	answered := client.Packet(eventRequest("answered", 1), 1, [16]byte{}, 0)
+	if reply := client.Exchange(answered, testTimeout); reply.Code != lr.CodeAccountingResponse {
+		t.Fatalf("unexpected reply: %+v", reply)
 	}
-	c.Throw(c.Packet(event("silent", 1), 2, [16]byte{}, 0))
-	settle(t, "given up", func() bool { l, _ := r.p.Counts(true); return l.GivenUp == 1 })
-	r.again()
-	r.servers[0].Do(func(standin.RadiusSeen) standin.RadiusAct { return standin.RadiusAct{} })
-	if info, err := os.Stat(r.p.cfg.Radius.RememberFile); err != nil || info.Mode().Perm() != 0o600 {
-		t.Errorf("%v %v", info, err)
+	client.Throw(client.Packet(eventRequest("silent", 1), 2, [16]byte{}, 0))
+	waitUntil(t, "the silent event was never given up", func() bool { l, _ := fixture.proxy.Counts(true); return l.GivenUp == 1 })
+	fixture.restartProxy()
+	fixture.servers[0].Do(func(standin.RadiusSeen) standin.RadiusAct { return standin.RadiusAct{} })
+	if info, err := os.Stat(fixture.proxy.cfg.Radius.RememberFile); err != nil || info.Mode().Perm() != 0o600 {
+		t.Errorf("the file must exist with mode 0600: %v %v", info, err)
 	}
-	c = r.client(true)
-	for name, wire := range map[string][]byte{"the packet": answered, "the event": c.Packet(event("answered", 1), 3, [16]byte{}, 5*time.Second)} {
-		if reply := c.Exchange(wire, patience); reply.Code != lr.CodeAccountingResponse {
-			t.Errorf("%s: %+v", name, reply)
+	client = fixture.newClient(true)
+	for name, wire := range map[string][]byte{"the packet": answered, "the event": client.Packet(eventRequest("answered", 1), 3, [16]byte{}, 5*time.Second)} {
+		if reply := client.Exchange(wire, testTimeout); reply.Code != lr.CodeAccountingResponse {
+			t.Errorf("%s: unexpected reply: %+v", name, reply)
 		}
 	}
-	c.Throw(c.Packet(event("silent", 1), 4, [16]byte{}, 5*time.Second))
-	settle(t, "lost", func() bool { l, _ := r.p.Counts(true); return l.Lost == 1 && l.GivenUp == 1 })
-	if reply := c.Exchange(c.Packet(event("other", 1), 5, [16]byte{}, 0), patience); reply.Code != lr.CodeAccountingResponse {
-		t.Errorf("%+v", reply)
+	client.Throw(client.Packet(eventRequest("silent", 1), 4, [16]byte{}, 5*time.Second))
+	waitUntil(t, "lost", func() bool { l, _ := fixture.proxy.Counts(true); return l.Lost == 1 && l.GivenUp == 1 })
+	if reply := client.Exchange(client.Packet(eventRequest("other", 1), 5, [16]byte{}, 0), testTimeout); reply.Code != lr.CodeAccountingResponse {
+		t.Errorf("unexpected reply: %+v", reply)
 	}
 	for _, name := range []string{"answered", "silent", "other"} {
-		if n := r.ledger.Of(eventName(name, 1)); n.Effects != 1 || n.Packets != 1 {
-			t.Errorf("%s: %+v", name, n)
+		if n := fixture.ledger.Of(eventName(name, 1)); n.Effects != 1 || n.Packets != 1 {
+			t.Errorf("%s: unexpected ledger entry: %+v", name, n)
 		}
 	}
 	var saved bytes.Buffer
-	if err := r.p.sides[1].listener.Save(&saved); err != nil || !bytes.Contains(saved.Bytes(), []byte(`"MayHaveRun":"r1"`)) {
-		t.Errorf("lost again, and not handed on: %v %s", err, saved.Bytes())
+	if err := fixture.proxy.services[1].listener.Save(&saved); err != nil || !bytes.Contains(saved.Bytes(), []byte(`"MayHaveRun":"r1"`)) {
+		t.Errorf("the event that may have been counted is missing from the saved answers: %v %s", err, saved.Bytes())
 	}
 }
 
-// From SIGTERM on nothing new is taken, so that the end comes; what is under way is
-// joined and answered.
-func TestDrainListener(t *testing.T) {
-	r := rememberer(t)
-	defer r.p.Close()
+// After the start of a shutdown, new calls are dropped, so that the shutdown ends. A
+// retransmission of an open call still joins it and gets the answer.
+func TestNoNewCallsDuringShutdown(t *testing.T) {
+	fixture := startWithRememberFile(t)
+	defer fixture.proxy.Close()
 	hold := make(chan struct{})
-	r.servers[0].Do(func(standin.RadiusSeen) standin.RadiusAct {
+	fixture.servers[0].Do(func(standin.RadiusSeen) standin.RadiusAct {
 		<-hold
 		return standin.RadiusAct{}
 	})
-	c := r.client(true)
-	wire := c.Packet(event("held", 1), 1, [16]byte{}, 0)
-	c.Throw(wire)
-	settle(t, "taken", func() bool { return r.p.Held() == 1 })
-	r.p.ShutDownWithin(patience)
-	c.Throw(c.Packet(event("new", 1), 2, [16]byte{}, 0))
-	settle(t, "dropped", func() bool { l, _ := r.p.Counts(true); return l.Full == 1 })
+	client := fixture.newClient(true)
+	wire := client.Packet(eventRequest("held", 1), 1, [16]byte{}, 0)
+	client.Throw(wire)
+	waitUntil(t, "taken", func() bool { return fixture.proxy.Held() == 1 })
+	fixture.proxy.ShutDownWithin(testTimeout)
+	client.Throw(client.Packet(eventRequest("new", 1), 2, [16]byte{}, 0))
+	waitUntil(t, "dropped", func() bool { l, _ := fixture.proxy.Counts(true); return l.Full == 1 })
 	close(hold)
-	if reply := c.Exchange(wire, patience); reply.Code != lr.CodeAccountingResponse {
-		t.Errorf("%+v", reply)
+	if reply := client.Exchange(wire, testTimeout); reply.Code != lr.CodeAccountingResponse {
+		t.Errorf("unexpected reply: %+v", reply)
 	}
-	if n := r.ledger.Of(eventName("new", 1)); n.Packets != 0 {
-		t.Errorf("%+v", n)
+	if n := fixture.ledger.Of(eventName("new", 1)); n.Packets != 0 {
+		t.Errorf("unexpected ledger entry: %+v", n)
 	}
 }
 
-// A file that is none of ours, or not whole, stops no start and spoils no memory.
-func TestBadMemory(t *testing.T) {
+// A file of remembered answers that is empty, cut off, of another version or otherwise invalid
+// neither prevents the start nor adds invalid entries.
+func TestInvalidRememberFile(t *testing.T) {
 	for name, text := range map[string]string{
 		"empty": "", "other": "hello", "version": `{"Version":9}`, "cut": `{"Version":1,"Saved":"2026-01-01T00:00:00Z","Calls":[{`,
 		"call": `{"Version":1,"Saved":"2026-01-01T00:00:00Z","Calls":[{"Client":"127.0.0.1","Authenticator":"AA==","Answer":"AA==","Until":"2099-01-01T00:00:00Z"}]}`,
@@ -128,14 +132,14 @@
 			if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 				t.Fatal(err)
 			}
-			r := start(t, 1, func(s *features.Radius) { s.RememberFile = file })
-			l := r.p.sides[1].listener
-			var left bytes.Buffer
-			if err := l.Save(&left); err != nil || bytes.Contains(left.Bytes(), []byte("Authenticator")) {
-				t.Errorf("%v %s", err, left.Bytes())
+			fixture := startProxy(t, 1, func(s *features.Radius) { s.RememberFile = file })
+			l := fixture.proxy.services[1].listener
+			var saved bytes.Buffer
+			if err := l.Save(&saved); err != nil || bytes.Contains(saved.Bytes(), []byte("Authenticator")) {
+				t.Errorf("the saved answers are not empty: %v %s", err, saved.Bytes())
 			}
-			if reply := r.client(true).Do(event("e", 1)); reply.Code != lr.CodeAccountingResponse {
-				t.Errorf("%+v", reply)
+			if reply := fixture.newClient(true).Do(eventRequest("e", 1)); reply.Code != lr.CodeAccountingResponse {
+				t.Errorf("unexpected reply: %+v", reply)
 			}
 		})
 	}
--- a/internal/radius/proxy/proxy.go
+++ b/internal/radius/proxy/proxy.go
@@ -1,6 +1,6 @@
-// Package proxy puts the parts of RADIUS together: a listener each for access and
-// accounting, and for each realm a core of its own with its servers, under the one
-// decision module.
+// Package proxy is the RADIUS proxy. It has one listener for access requests and one for
+// accounting requests, and for each realm a core host with the realm's servers, which chooses
+// a server for each call with the same decision module as for HTTP.
 package proxy
 
 import (
@@ -27,174 +27,182 @@
 	"chalkrack/internal/settings"
 )
 
-// Config is what a Proxy is told beside its section.
+// Config holds the settings of a Proxy.
 type Config struct {
 	Radius features.Radius
-	// Base is the platform's: instances, zone, what is said of cold servers.
+	// Base holds the settings of the platform that apply to RADIUS as well: the number of
+	// instances, the zone, and the handling of cold servers.
 	Base  chalkrack.Config
-	Grace time.Duration // after which nothing new goes to a server that has left
-	Seed  uint64
+	Grace time.Duration // how long a server that discovery has removed may still get new attempts
+	Seed  uint64        // for the random choices of the decision modules
 
-	// In place of UDP sockets, for tests; nil: UDP.
+	// Listen and Dial replace UDP sockets in tests. If nil, UDP is used.
 	Listen func(address string) listener.Conn
 	Dial   func(netip.AddrPort) (transport.Conn, error)
 }
 
-// Proxy is the whole.
+// Proxy is a running RADIUS proxy, created by New.
 type Proxy struct {
-	cfg   Config
-	sides []*side
-	stop  chan struct{}
-	once  sync.Once // of Close
-	wg    sync.WaitGroup
+	cfg       Config
+	services  []*service
+	stop      chan struct{}
+	closeOnce sync.Once
+	wg        sync.WaitGroup
 }
 
-// side is access, or accounting.
-type side struct {
+// service is the access or the accounting part of a Proxy.
+type service struct {
 	name       string
 	accounting bool
 	listener   *listener.Listener
-	pools      map[string]*pool // by realm; "": all others
+	pools      map[string]*realmPool // by realm in lower case; "": realms that no server names
 	class      features.RadiusClass
-	watcher    *discovery.Watcher
+	watcher    *discovery.Watcher // nil: a fixed list of servers
 }
 
-// pool is the servers of a realm.
-type pool struct {
+// realmPool holds the servers of a realm and the core host that chooses among them.
+type realmPool struct {
 	host      *core.Host
 	transport *transport.Transport
 
-	// Probes have a transport of their own, for which no server ever leaves.
+	// probes is a separate transport from which no server is ever removed, so that a server
+	// that is down is still probed.
 	probes  *transport.Transport
-	mu      sync.Mutex
-	servers []membership.Entry // of the fixed list
+	mu      sync.Mutex         // guards health
+	servers []membership.Entry // the fixed list; empty with discovery. It never changes.
 	health  *health
 }
 
-// New opens the listeners. An error has undone all of it.
+// New opens the listeners and starts to serve, to watch discovery and to probe servers. If it
+// returns an error, everything that it had opened is closed.
 func New(cfg Config) (*Proxy, error) {
 	p := &Proxy{cfg: cfg, stop: make(chan struct{})}
-	r := &cfg.Radius
+	section := &cfg.Radius
 	for _, s := range []struct {
-		accounting    bool
-		name          string
-		listen, disco string
-		class         features.RadiusClass
-	}{{false, "access", r.Auth, r.AuthDiscovery, r.Access}, {true, "accounting", r.Acct, r.AcctDiscovery, r.Accounting}} {
-		if s.listen == "" {
+		accounting                bool
+		name                      string
+		listenAddr, discoveryAddr string
+		class                     features.RadiusClass
+	}{{false, "access", section.Auth, section.AuthDiscovery, section.Access}, {true, "accounting", section.Acct, section.AcctDiscovery, section.Accounting}} {
+		if s.listenAddr == "" {
 			continue
 		}
-		if err := p.add(s.accounting, s.name, s.listen, s.disco, s.class); err != nil {
+		if err := p.addService(s.accounting, s.name, s.listenAddr, s.discoveryAddr, s.class); err != nil {
 			p.Close()
 			return nil, err
 		}
 	}
-	for _, s := range p.sides {
+	for _, s := range p.services {
 		p.wg.Go(s.listener.Serve)
 		if s.watcher != nil {
 			p.wg.Go(s.watcher.Run)
 		}
-		if r.ProbeInterval > 0 {
-			for _, pl := range s.pools {
-				p.wg.Go(func() { p.probe(s, pl) })
+		if section.ProbeInterval > 0 {
+			for _, pool := range s.pools {
+				p.wg.Go(func() { p.probeServers(s, pool) })
 			}
 		}
 	}
 	return p, nil
 }
 
-func (p *Proxy) add(accounting bool, name, listen, disco string, class features.RadiusClass) error {
-	r := &p.cfg.Radius
+// addService opens the listener of access or accounting and creates a pool for each realm. It
+// adds the service to p even if it fails, so that Close closes what was opened.
+func (p *Proxy) addService(accounting bool, name, listenAddr, discoveryAddr string, class features.RadiusClass) error {
+	section := &p.cfg.Radius
 	secrets := make(map[string][]byte)
-	byRealm := make(map[string][]membership.Entry)
-	for _, k := range r.Servers {
-		addr := k.Auth
+	entriesByRealm := make(map[string][]membership.Entry)
+	for _, server := range section.Servers {
+		addr := server.Auth
 		if accounting {
-			addr = k.Acct
+			addr = server.Acct
 		}
 		if addr == "" {
 			continue
 		}
-		secrets[k.Name] = []byte(k.Secret)
-		realms := k.Realms
+		secrets[server.Name] = []byte(server.Secret)
+		realms := server.Realms
 		if len(realms) == 0 {
 			realms = []string{""}
 		}
 		for _, realm := range realms {
 			realm = strings.ToLower(realm)
-			byRealm[realm] = append(byRealm[realm], membership.Entry{Endpoint: chalkrack.Endpoint{Name: k.Name, Zone: k.Zone, Hint: 1}, Address: addr})
+			entriesByRealm[realm] = append(entriesByRealm[realm], membership.Entry{Endpoint: chalkrack.Endpoint{Name: server.Name, Zone: server.Zone, Hint: 1}, Address: addr})
 		}
 	}
-	secret := func(server string) []byte { return secrets[server] }
-	if disco != "" {
-		byRealm[""] = nil
-		secret = func(string) []byte { return []byte(r.DiscoverySecret) }
+	secretOf := func(server string) []byte { return secrets[server] }
+	if discoveryAddr != "" {
+		entriesByRealm[""] = nil
+		secretOf = func(string) []byte { return []byte(section.DiscoverySecret) }
 	}
-	s := &side{name: name, accounting: accounting, class: class, pools: make(map[string]*pool)}
-	p.sides = append(p.sides, s)
-	for realm, entries := range byRealm {
-		pl, err := p.pool(name, class, secret, uint64(len(p.sides)*1000+len(s.pools)))
+	service := &service{name: name, accounting: accounting, class: class, pools: make(map[string]*realmPool)}
+	p.services = append(p.services, service)
+	for realm, entries := range entriesByRealm {
+		pool, err := p.newPool(name, class, secretOf, uint64(len(p.services)*1000+len(service.pools)))
 		if err != nil {
-			return fmt.Errorf("radius: %w", err)
+			return fmt.Errorf("radius: cannot set up the servers of a realm: %w", err)
 		}
-		s.pools[realm] = pl
-		pl.servers = entries
-		if disco == "" {
-			pl.list(0)
+		service.pools[realm] = pool
+		pool.servers = entries
+		if discoveryAddr == "" {
+			pool.applyServers(0)
 		}
 	}
-	if disco != "" {
-		h := s.pools[""].host
-		s.watcher = &discovery.Watcher{Addr: disco, Timing: discovery.AgentTiming, OnList: h.ApplyList, OnError: h.DiscoveryFailed}
+	if discoveryAddr != "" {
+		host := service.pools[""].host
+		service.watcher = &discovery.Watcher{Addr: discoveryAddr, Timing: discovery.AgentTiming, OnList: host.ApplyList, OnError: host.DiscoveryFailed}
 	}
 	var clients []listener.Client
-	for _, k := range r.Clients {
-		prefix, err := netip.ParsePrefix(k.Range)
+	for _, client := range section.Clients {
+		prefix, err := netip.ParsePrefix(client.Range)
 		if err != nil {
-			a, aerr := netip.ParseAddr(k.Range)
-			if aerr != nil {
-				return fmt.Errorf("radius: %w", err)
+			addr, addrErr := netip.ParseAddr(client.Range)
+			if addrErr != nil {
+				return fmt.Errorf("radius: a client's range is neither an IP address nor a prefix: %w", err)
 			}
-			prefix = netip.PrefixFrom(a, a.BitLen())
+			prefix = netip.PrefixFrom(addr, addr.BitLen())
 		}
-		clients = append(clients, listener.Client{Name: cmp.Or(k.Name, k.Range), Range: prefix, Secret: []byte(k.Secret), Unsigned: k.AllowUnsigned})
+		clients = append(clients, listener.Client{Name: cmp.Or(client.Name, client.Range), Range: prefix, Secret: []byte(client.Secret), Unsigned: client.AllowUnsigned})
 	}
 	var conn listener.Conn
 	if p.cfg.Listen != nil {
-		conn = p.cfg.Listen(listen)
+		conn = p.cfg.Listen(listenAddr)
 	}
 	var err error
-	s.listener, err = listener.Listen(listen, listener.Config{
+	service.listener, err = listener.Listen(listenAddr, listener.Config{
 		Conn:          conn,
 		Accounting:    accounting,
 		Clients:       clients,
-		Pool:          s.pool,
+		Pool:          service.hostForRealm,
 		Class:         name,
 		Wait:          time.Duration(class.Deadline),
-		Replies:       replies.Config{Keep: time.Duration(r.RememberTTL), Bytes: r.MaxRememberBytes, EachClient: r.MaxRememberBytesPerClient, Open: r.MaxCallsPerClient},
-		Conversations: conversation.Config{Keep: time.Duration(r.ConversationTTL), Most: r.MaxConversations},
-		Silent:        r.OnGiveUp == "silent",
-		ErrorCause:    uint32(r.ErrorCause),
+		Replies:       replies.Config{Keep: time.Duration(section.RememberTTL), Bytes: section.MaxRememberBytes, EachClient: section.MaxRememberBytesPerClient, Open: section.MaxCallsPerClient},
+		Conversations: conversation.Config{Keep: time.Duration(section.ConversationTTL), Most: section.MaxConversations},
+		Silent:        section.OnGiveUp == "silent",
+		ErrorCause:    uint32(section.ErrorCause),
 	})
-	if err == nil && accounting && r.RememberFile != "" {
-		recall(s.listener, r.RememberFile, r.MaxRememberBytes)
+	if err == nil && accounting && section.RememberFile != "" {
+		loadRemembered(service.listener, section.RememberFile, section.MaxRememberBytes)
 	}
 	return err
 }
 
-// pool is the core of a realm, that of all others where none is named for it.
-func (s *side) pool(realm string) *core.Host {
-	pl := s.pools[strings.ToLower(realm)]
-	if pl == nil {
-		pl = s.pools[""]
+// hostForRealm returns the core host of a realm. If no server names the realm, it returns the
+// host of the servers without realms, or nil if there are none.
+func (s *service) hostForRealm(realm string) *core.Host {
+	pool := s.pools[strings.ToLower(realm)]
+	if pool == nil {
+		pool = s.pools[""]
 	}
-	if pl == nil {
+	if pool == nil {
 		return nil
 	}
-	return pl.host
+	return pool.host
 }
 
-func (p *Proxy) pool(name string, class features.RadiusClass, secret func(string) []byte, n uint64) (*pool, error) {
+// newPool creates a pool without servers. seedOffset differs between the pools of a Proxy, so
+// that their random choices are independent.
+func (p *Proxy) newPool(name string, class features.RadiusClass, secretOf func(string) []byte, seedOffset uint64) (*realmPool, error) {
 	cfg := p.cfg.Base
 	effect := chalkrack.Unsafe
 	if class.Effect == "safe" {
@@ -203,12 +211,12 @@
 	cfg.Classes = []chalkrack.Class{{Aim: time.Duration(class.Aim), Worth: class.Worth, LateWorth: 1, Effect: effect}}
 	cfg.Tenants, cfg.Probes, cfg.AskWithin = nil, false, 0
 	cfg.MaxAttempts, cfg.MayCancel, cfg.SecondCopies = p.cfg.Radius.MaxAttempts, true, false
-	set, err := settings.New(cfg, []string{name}, []time.Duration{time.Duration(class.Deadline)})
+	classSettings, err := settings.New(cfg, []string{name}, []time.Duration{time.Duration(class.Deadline)})
 	if err != nil {
 		return nil, err
 	}
-	how := transport.Config{
-		Secret:   secret,
+	transportConfig := transport.Config{
+		Secret:   secretOf,
 		Sockets:  p.cfg.Radius.MaxSocketsPerServer,
 		Rest:     time.Duration(p.cfg.Radius.LateAnswerTTL),
 		Patience: time.Duration(class.AttemptTimeout),
@@ -218,86 +226,91 @@
 		Grace:    p.cfg.Grace,
 		Dial:     p.cfg.Dial,
 	}
-	t := transport.New(how)
-	how.Sockets, how.Resends = 1, 0
-	host, err := core.New(core.Config{Settings: set, Seed: p.cfg.Seed + n, Transport: t})
+	callTransport := transport.New(transportConfig)
+	transportConfig.Sockets, transportConfig.Resends = 1, 0
+	host, err := core.New(core.Config{Settings: classSettings, Seed: p.cfg.Seed + seedOffset, Transport: callTransport})
 	if err != nil {
 		return nil, err
 	}
 	host.SetReady(true)
-	return &pool{host: host, transport: t, probes: transport.New(how), health: newHealth(p.cfg.Radius.MaxProbeMisses)}, nil
+	return &realmPool{host: host, transport: callTransport, probes: transport.New(transportConfig), health: newHealth(p.cfg.Radius.MaxProbeMisses)}, nil
 }
 
-// list tells the core of a fixed list, with what probes have found.
-func (pl *pool) list(unix time.Duration) {
-	l := &membership.List{Complete: true, Entries: slices.Clone(pl.servers)}
-	for n := range l.Entries {
-		e := &l.Entries[n]
-		down, upAt := pl.health.of(e.Name)
+// applyServers gives the core host the fixed list of servers. Servers that are down by their
+// probes are marked as draining; servers that came back have the time of their return as their
+// start. probeStart is when probing started, as the time since the Unix epoch. The caller holds
+// p.mu or is the only user of p.
+func (p *realmPool) applyServers(probeStart time.Duration) {
+	list := &membership.List{Complete: true, Entries: slices.Clone(p.servers)}
+	for n := range list.Entries {
+		entry := &list.Entries[n]
+		down, upSince := p.health.status(entry.Name)
 		if down {
-			e.State = chalkrack.Draining
+			entry.State = chalkrack.Draining
 		}
-		if upAt > 0 {
-			e.Started = unix + upAt
+		if upSince > 0 {
+			entry.Started = probeStart + upSince
 		}
 	}
-	pl.host.ApplyList(l)
+	p.host.ApplyList(list)
 }
 
-// probe asks each server of a fixed list whether it is there, in turn, one each
-// ProbeEvery divided by their number.
-func (p *Proxy) probe(s *side, pl *pool) {
-	if len(pl.servers) == 0 {
+// probeServers sends a Status-Server packet to each server of a fixed list once per
+// ProbeInterval, evenly spread over it, until the Proxy is closed. It does nothing for a pool
+// with discovery.
+func (p *Proxy) probeServers(service *service, pool *realmPool) {
+	if len(pool.servers) == 0 {
 		return
 	}
-	for _, e := range pl.servers {
-		pl.probes.AddServer(e.Name, e.Address, 0)
+	for _, entry := range pool.servers {
+		pool.probes.AddServer(entry.Name, entry.Address, 0)
 	}
 	start := time.Now()
-	unix := time.Duration(start.UnixNano())
-	tick := time.NewTicker(time.Duration(p.cfg.Radius.ProbeInterval) / time.Duration(len(pl.servers)))
-	defer tick.Stop()
+	startUnix := time.Duration(start.UnixNano())
+	ticker := time.NewTicker(time.Duration(p.cfg.Radius.ProbeInterval) / time.Duration(len(pool.servers)))
+	defer ticker.Stop()
 	for n := 0; ; n++ {
 		select {
 		case <-p.stop:
 			return
-		case <-tick.C:
+		case <-ticker.C:
 		}
-		server := pl.servers[n%len(pl.servers)].Name
-		o := core.Order{Payload: &transport.Request{Packet: statusPacket()}, Server: server, Deadline: time.Now().Add(probeWait)}
-		o.Sink = &status{func(ok bool) {
-			pl.mu.Lock()
-			defer pl.mu.Unlock()
-			if pl.health.probed(server, time.Since(start), ok) {
-				slog.Warn("radius: server by its probes", "side", s.name, "server", server, "answers", ok)
-				pl.list(unix)
+		server := pool.servers[n%len(pool.servers)].Name
+		order := core.Order{Payload: &transport.Request{Packet: newStatusServerPacket()}, Server: server, Deadline: time.Now().Add(probeTimeout)}
+		order.Sink = &probeSink{func(ok bool) {
+			pool.mu.Lock()
+			defer pool.mu.Unlock()
+			if pool.health.recordProbe(server, time.Since(start), ok) {
+				slog.Warn("radius: server by its probes", "side", service.name, "server", server, "answers", ok)
+				pool.applyServers(startUnix)
 			}
 		}}
-		pl.probes.NewAttempt(o).Start()
+		pool.probes.NewAttempt(order).Start()
 	}
 }
 
-// probeWait is how long the answer to a Status-Server may take.
-const probeWait = time.Second
+// probeTimeout limits how long the answer to a Status-Server packet may take.
+const probeTimeout = time.Second
 
-func statusPacket() *radius.Packet { return &radius.Packet{Code: radius.StatusServer} }
+func newStatusServerPacket() *radius.Packet { return &radius.Packet{Code: radius.StatusServer} }
 
-// status is the Sink of a probe.
-type status struct{ told func(ok bool) }
+// probeSink is the core.Sink of a probe. onResult is called with true if the server answered.
+type probeSink struct{ onResult func(ok bool) }
 
 // Stream implements core.Sink.
-func (*status) Stream(any, chalkrack.LoadReport) io.Writer { return nil }
+func (*probeSink) Stream(any, chalkrack.LoadReport) io.Writer { return nil }
 
 // Done implements core.Sink.
-func (s *status) Done(o chalkrack.Outcome, _ any, _ chalkrack.LoadReport) {
-	if o != chalkrack.NotSent { // that is this side's own trouble
-		s.told(o == chalkrack.OK)
+func (s *probeSink) Done(outcome chalkrack.Outcome, _ any, _ chalkrack.LoadReport) {
+	if outcome != chalkrack.NotSent { // a probe that was not sent tells nothing about the server
+		s.onResult(outcome == chalkrack.OK)
 	}
 }
 
-// Addr is where access, or accounting, is taken; the zero value where it is not.
+// Addr returns the address at which access or accounting requests are received, or the zero
+// value if they are not.
 func (p *Proxy) Addr(accounting bool) (addr netip.AddrPort) {
-	for _, s := range p.sides {
+	for _, s := range p.services {
 		if s.accounting == accounting && s.listener != nil {
 			addr = s.listener.Addr()
 		}
@@ -305,61 +318,64 @@
 	return addr
 }
 
-// Counts is what the listener and the transports of access, or of accounting, have met.
-func (p *Proxy) Counts(accounting bool) (l listener.Counts, t transport.Counts) {
-	for _, s := range p.sides {
+// Counts returns the counts of the listener and the summed counts of the transports of access
+// or of accounting. Probes are not included.
+func (p *Proxy) Counts(accounting bool) (listenerCounts listener.Counts, transportCounts transport.Counts) {
+	for _, s := range p.services {
 		if s.accounting != accounting || s.listener == nil {
 			continue
 		}
-		l = s.listener.Counts()
-		for _, pl := range s.pools {
-			c := pl.transport.Counts()
-			t.Sent += c.Sent
-			t.Resent += c.Resent
-			t.Answers += c.Answers
-			t.Unverified += c.Unverified
-			t.Unasked += c.Unasked
-			t.Refusals += c.Refusals
-			t.NoIdentifier += c.NoIdentifier
-			t.Malformed += c.Malformed
+		listenerCounts = s.listener.Counts()
+		for _, pool := range s.pools {
+			c := pool.transport.Counts()
+			transportCounts.Sent += c.Sent
+			transportCounts.Resent += c.Resent
+			transportCounts.Answers += c.Answers
+			transportCounts.Unverified += c.Unverified
+			transportCounts.Unasked += c.Unasked
+			transportCounts.Refusals += c.Refusals
+			transportCounts.NoIdentifier += c.NoIdentifier
+			transportCounts.Malformed += c.Malformed
 		}
 	}
-	return l, t
+	return listenerCounts, transportCounts
 }
 
-// Held is the number of calls under way.
-func (p *Proxy) Held() (n int) {
-	for _, s := range p.sides {
-		for _, pl := range s.pools {
-			n += pl.host.Held()
+// Held returns the number of calls that have no final answer yet or have outstanding attempts.
+func (p *Proxy) Held() (calls int) {
+	for _, s := range p.services {
+		for _, pool := range s.pools {
+			calls += pool.host.Held()
 		}
 	}
-	return n
+	return calls
 }
 
-// ShutDownWithin accepts no new calls and has all calls that are still open answered within
-// the given time.
-func (p *Proxy) ShutDownWithin(in time.Duration) {
-	for _, s := range p.sides {
+// ShutDownWithin makes the listeners drop new calls and limits the deadlines of the open
+// calls, so that they are all answered within the given time. It does not wait for them.
+func (p *Proxy) ShutDownWithin(timeout time.Duration) {
+	for _, s := range p.services {
 		s.listener.Drain()
-		for _, pl := range s.pools {
-			pl.host.ShutDownWithin(in)
+		for _, pool := range s.pools {
+			pool.host.ShutDownWithin(timeout)
 		}
 	}
 }
 
-// Close ends all of it. What is under way is rejected, or given up. A second Close does
-// nothing.
-func (p *Proxy) Close() { p.once.Do(p.close) }
+// Close stops the listeners, watchers and probes, waits for them, and saves the remembered
+// accounting answers if RememberFile is set. Open access calls are rejected, or end without an
+// answer if OnGiveUp is silent; open accounting calls end without an answer. A second Close
+// does nothing.
+func (p *Proxy) Close() { p.closeOnce.Do(p.close) }
 
 func (p *Proxy) close() {
 	close(p.stop)
-	for _, s := range p.sides {
-		for _, pl := range s.pools {
-			pl.host.Close()
+	for _, s := range p.services {
+		for _, pool := range s.pools {
+			pool.host.Close()
 		}
 	}
-	for _, s := range p.sides {
+	for _, s := range p.services {
 		if s.watcher != nil {
 			s.watcher.Close()
 		}
@@ -368,18 +384,18 @@
 		}
 	}
 	p.wg.Wait()
-	for _, s := range p.sides {
+	for _, s := range p.services {
 		if s.listener == nil || !s.accounting || p.cfg.Radius.RememberFile == "" {
 			continue
 		}
-		if err := keep(s.listener, p.cfg.Radius.RememberFile); err != nil {
+		if err := saveRemembered(s.listener, p.cfg.Radius.RememberFile); err != nil {
 			slog.Error("radius: events that come again may be counted twice", "err", err)
 		}
 	}
-	for _, s := range p.sides {
-		for _, pl := range s.pools {
-			pl.transport.Close()
-			pl.probes.Close()
+	for _, s := range p.services {
+		for _, pool := range s.pools {
+			pool.transport.Close()
+			pool.probes.Close()
 		}
 	}
 }
--- a/internal/radius/proxy/proxy_test.go
+++ b/internal/radius/proxy/proxy_test.go
@@ -26,107 +26,115 @@
 	os.Exit(m.Run())
 }
 
-const patience = 30 * time.Second
+const testTimeout = 30 * time.Second
 
 const (
-	terminals = "of the terminals"
-	ofServer  = "of server "
+	clientSecret = "of the terminals"
+	serverSecret = "of server " // with the server's name appended, except in virtual_test.go
 )
 
-func ms(n int) duration.Duration { return duration.Duration(time.Duration(n) * time.Millisecond) }
+func millis(n int) duration.Duration { return duration.Duration(time.Duration(n) * time.Millisecond) }
 
-func section() features.Radius {
-	r := features.Default().Radius
-	r.Enabled, r.Auth, r.Acct = true, "127.0.0.1:0", "127.0.0.1:0"
-	r.Clients = []features.RadiusClient{{Name: "terminals", Range: "127.0.0.0/8", Secret: terminals}}
-	r.Access.Aim, r.Access.Deadline, r.Access.AttemptTimeout = ms(5000), ms(10000), ms(600)
-	r.Accounting.Aim, r.Accounting.Deadline, r.Accounting.AttemptTimeout, r.Accounting.ResendDelay = ms(5000), ms(10000), ms(9000), ms(100)
-	return r
+// defaultSection returns a [radius] section without servers that listens on free local ports.
+func defaultSection() features.Radius {
+	section := features.Default().Radius
+	section.Enabled, section.Auth, section.Acct = true, "127.0.0.1:0", "127.0.0.1:0"
+	section.Clients = []features.RadiusClient{{Name: "terminals", Range: "127.0.0.0/8", Secret: clientSecret}}
+	section.Access.Aim, section.Access.Deadline, section.Access.AttemptTimeout = millis(5000), millis(10000), millis(600)
+	section.Accounting.Aim, section.Accounting.Deadline, section.Accounting.AttemptTimeout, section.Accounting.ResendDelay = millis(5000), millis(10000), millis(9000), millis(100)
+	return section
 }
 
-// rig is a proxy before some servers.
-type rig struct {
+// testFixture is a proxy with stand-in servers and the ledger of what they received.
+type testFixture struct {
 	t       testing.TB
 	ledger  *standin.RadiusLedger
 	servers []*standin.RadiusServer
-	p       *Proxy
+	proxy   *Proxy
 }
 
-func base() chalkrack.Config {
+func basePlatform() chalkrack.Config {
 	return chalkrack.Config{Instances: 1, MaxRetryAfter: time.Second}
 }
 
-func start(t testing.TB, servers int, change func(*features.Radius)) *rig {
+// startProxy starts stand-in servers named r1, r2 and so on, and a proxy in front of them. change
+// may be nil; it adjusts the section before the start.
+func startProxy(t testing.TB, servers int, change func(*features.Radius)) *testFixture {
 	t.Helper()
-	r := &rig{t: t, ledger: standin.NewRadiusLedger()}
-	sec := section()
+	fixture := &testFixture{t: t, ledger: standin.NewRadiusLedger()}
+	section := defaultSection()
 	for n := range servers {
 		name := fmt.Sprint("r", n+1)
-		s, err := standin.NewRadiusServer(name, ofServer+name, r.ledger)
+		s, err := standin.NewRadiusServer(name, serverSecret+name, fixture.ledger)
 		if err != nil {
 			t.Fatal(err)
 		}
 		t.Cleanup(s.Close)
-		r.servers = append(r.servers, s)
-		sec.Servers = append(sec.Servers, features.RadiusServer{Name: name, Auth: s.Addr(), Acct: s.Addr(), Secret: features.Secret(ofServer + name)})
+		fixture.servers = append(fixture.servers, s)
+		section.Servers = append(section.Servers, features.RadiusServer{Name: name, Auth: s.Addr(), Acct: s.Addr(), Secret: features.Secret(serverSecret + name)})
 	}
 	if change != nil {
-		change(&sec)
+		change(&section)
 	}
 	var err error
-	if r.p, err = New(Config{Radius: sec, Base: base(), Grace: 2 * time.Second, Seed: 1}); err != nil {
+	if fixture.proxy, err = New(Config{Radius: section, Base: basePlatform(), Grace: 2 * time.Second, Seed: 1}); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(r.p.Close)
-	return r
+	t.Cleanup(fixture.proxy.Close)
+	return fixture
 }
 
-func (r *rig) all(act func(standin.RadiusSeen) standin.RadiusAct) {
-	for _, s := range r.servers {
-		s.Do(act)
+// setScripts sets the script of all servers.
+func (f *testFixture) setScripts(script func(standin.RadiusSeen) standin.RadiusAct) {
+	for _, s := range f.servers {
+		s.Do(script)
 	}
 }
 
-func always(k standin.RadiusKind) func(standin.RadiusSeen) standin.RadiusAct {
-	return func(standin.RadiusSeen) standin.RadiusAct { return standin.RadiusAct{Kind: k} }
+// alwaysDo returns a script that treats each packet alike.
+func alwaysDo(kind standin.RadiusKind) func(standin.RadiusSeen) standin.RadiusAct {
+	return func(standin.RadiusSeen) standin.RadiusAct { return standin.RadiusAct{Kind: kind} }
 }
 
-func (r *rig) client(accounting bool) *standin.RadiusClient {
-	return standin.NewRadiusClient(r.p.Addr(accounting).String(), terminals, "")
+// newClient returns a terminal that sends access or accounting requests to the proxy.
+func (f *testFixture) newClient(accounting bool) *standin.RadiusClient {
+	return standin.NewRadiusClient(f.proxy.Addr(accounting).String(), clientSecret, "")
 }
 
-func access(user string) standin.RadiusAsk {
+func accessRequest(user string) standin.RadiusAsk {
 	return standin.RadiusAsk{User: user, Password: "pin of " + user, NAS: "shop", Tries: 1, Each: 8 * time.Second}
 }
 
-var began = time.Unix(1790000000, 0)
+var eventTime = time.Unix(1790000000, 0)
 
-func event(session string, status uint32) standin.RadiusAsk {
-	return standin.RadiusAsk{NAS: "shop", Session: session, Status: status, At: began, Tries: 1, Each: 8 * time.Second}
+func eventRequest(session string, status uint32) standin.RadiusAsk {
+	return standin.RadiusAsk{NAS: "shop", Session: session, Status: status, At: eventTime, Tries: 1, Each: 8 * time.Second}
 }
 
+// eventName returns the name of an event in the ledger.
 func eventName(session string, status uint32) string {
-	return fmt.Sprintf("shop %s %d %d", session, status, began.Unix())
+	return fmt.Sprintf("shop %s %d %d", session, status, eventTime.Unix())
 }
 
-func settle(t testing.TB, what string, ok func() bool) {
+// waitUntil polls a condition and fails the test with the given message after testTimeout.
+func waitUntil(t testing.TB, failure string, condition func() bool) {
 	t.Helper()
-	for end := time.Now().Add(patience); !ok(); time.Sleep(time.Millisecond) {
-		if time.Now().After(end) {
-			t.Fatal(what)
+	for deadline := time.Now().Add(testTimeout); !condition(); time.Sleep(time.Millisecond) {
+		if time.Now().After(deadline) {
+			t.Fatal(failure)
 		}
 	}
 }
 
-// A call through the proxy: the server sees the password, the terminal a good answer,
-// and its own Proxy-State alone.
+// A call through the proxy: the server receives the decrypted password, and the terminal a valid
+// answer with only its own Proxy-State.
 func TestAccessAndAccounting(t *testing.T) {
 	defer goleak.VerifyNone(t, goleak.IgnoreCurrent())
 	t.Run("calls", func(t *testing.T) {
-		r := start(t, 2, nil)
+		fixture := startProxy(t, 2, nil)
 		var seen standin.RadiusSeen
 		var mu sync.Mutex
-		r.all(func(s standin.RadiusSeen) standin.RadiusAct {
+		fixture.setScripts(func(s standin.RadiusSeen) standin.RadiusAct {
 			mu.Lock()
 			defer mu.Unlock()
 			seen = s
@@ -135,252 +143,257 @@
 			}
 			return standin.RadiusAct{}
 		})
-		reply := r.client(false).Do(access("nemo"))
+		reply := fixture.newClient(false).Do(accessRequest("nemo"))
 		mu.Lock()
 		password := seen.Password
 		mu.Unlock()
 		if reply.Code != lr.CodeAccessAccept || password != "pin of nemo" {
-			t.Errorf("%+v, password %q", reply, password)
+			t.Errorf("unexpected reply %+v or password %q", reply, password)
 		}
 		if states, _ := rfc2865.ProxyState_Gets(reply.Packet); len(states) != 1 || string(states[0]) != "of the terminal" {
-			t.Errorf("states %q", states)
+			t.Errorf("Proxy-State %q, want only the terminal's own", states)
 		}
-		if reply := r.client(false).Do(access("bad")); reply.Code != lr.CodeAccessReject {
-			t.Errorf("%+v", reply)
+		if reply := fixture.newClient(false).Do(accessRequest("bad")); reply.Code != lr.CodeAccessReject {
+			t.Errorf("unexpected reply: %+v", reply)
 		}
-		if reply := r.client(true).Do(event("s1", 1)); reply.Code != lr.CodeAccountingResponse || r.ledger.Of(eventName("s1", 1)) != (standin.RadiusCount{Packets: 1, Attempts: 1, Effects: 1}) {
-			t.Errorf("%+v, %+v", reply, r.ledger.Of(eventName("s1", 1)))
+		if reply := fixture.newClient(true).Do(eventRequest("s1", 1)); reply.Code != lr.CodeAccountingResponse || fixture.ledger.Of(eventName("s1", 1)) != (standin.RadiusCount{Packets: 1, Attempts: 1, Effects: 1}) {
+			t.Errorf("unexpected reply %+v or ledger entry %+v", reply, fixture.ledger.Of(eventName("s1", 1)))
 		}
-		settle(t, "held", func() bool { return r.p.Held() == 0 })
+		waitUntil(t, "held", func() bool { return fixture.proxy.Held() == 0 })
 	})
 }
 
-// A terminal's retransmission joins the call that is under way, whatever port it comes
-// from, and gets the remembered answer afterwards: the servers see one call.
-func TestRetransmission(t *testing.T) {
-	r := start(t, 3, nil)
-	r.all(func(standin.RadiusSeen) standin.RadiusAct { return standin.RadiusAct{Delay: 120 * time.Millisecond} })
-	for n, change := range []func(*standin.RadiusAsk){func(*standin.RadiusAsk) {}, func(a *standin.RadiusAsk) { a.NewPort = true }} {
-		a := access(fmt.Sprint("u", n))
-		a.Tries, a.Each = 100, 20*time.Millisecond
-		change(&a)
-		if reply := r.client(false).Do(a); reply.Code != lr.CodeAccessAccept || reply.Packets < 2 {
-			t.Errorf("%+v", reply)
-		}
-		if c := r.ledger.Of(a.User); c.Attempts != 1 {
-			t.Errorf("%+v", c)
-		}
-	}
-	l, _ := r.p.Counts(false)
-	if l.Calls != 2 || l.Joined == 0 {
-		t.Errorf("%+v", l)
-	}
-	// The same packet again, long after: from memory.
-	c := r.client(false)
-	wire := c.Packet(access("again"), 9, [16]byte{1, 2, 3}, 0)
+// A terminal's retransmission joins the open call, whatever port it comes from, and gets the
+// remembered answer afterwards. Otherwise the servers would receive several calls.
+func TestRetransmissionJoinsCall(t *testing.T) {
+	fixture := startProxy(t, 3, nil)
+	fixture.setScripts(func(standin.RadiusSeen) standin.RadiusAct { return standin.RadiusAct{Delay: 120 * time.Millisecond} })
+	for n, change := range []func(*standin.RadiusAsk){func(*standin.RadiusAsk) {}, func(ask *standin.RadiusAsk) { ask.NewPort = true }} {
+		ask := accessRequest(fmt.Sprint("u", n))
+		ask.Tries, ask.Each = 100, 20*time.Millisecond
+		change(&ask)
+		if reply := fixture.newClient(false).Do(ask); reply.Code != lr.CodeAccessAccept || reply.Packets < 2 {
+			t.Errorf("unexpected reply: %+v", reply)
+		}
+		if c := fixture.ledger.Of(ask.User); c.Attempts != 1 {
+			t.Errorf("unexpected ledger entry: %+v", c)
+		}
+	}
+	counts, _ := fixture.proxy.Counts(false)
+	if counts.Calls != 2 || counts.Joined == 0 {
+		t.Errorf("unexpected counts: %+v", counts)
+	}
+	// Repeats of a packet after its answer get the remembered answer.
+	client := fixture.newClient(false)
+	wire := client.Packet(accessRequest("again"), 9, [16]byte{1, 2, 3}, 0)
 	for range 3 {
-		if reply := c.Exchange(wire, patience); reply.Code != lr.CodeAccessAccept {
-			t.Errorf("%+v", reply)
+		if reply := client.Exchange(wire, testTimeout); reply.Code != lr.CodeAccessAccept {
+			t.Errorf("unexpected reply: %+v", reply)
 		}
 	}
-	l, _ = r.p.Counts(false)
-	if n := r.ledger.Of("again").Attempts; n != 1 || l.Remembered < 2 { // a packet of the calls above may have come late
-		t.Errorf("%d attempts, %+v", n, l)
+	counts, _ = fixture.proxy.Counts(false)
+	if n := fixture.ledger.Of("again").Attempts; n != 1 || counts.Remembered < 2 { // late packets of the calls above may be counted as well
+		t.Errorf("%d attempts, want 1; counts %+v", n, counts)
 	}
 }
 
-// What joins a call is answered where it came from last, and as the packet that it was:
-// from another port, and, for an event, under another identifier.
-func TestJoinedAnswer(t *testing.T) {
-	r := start(t, 1, func(s *features.Radius) { s.Access.AttemptTimeout, s.Accounting.MaxResends = ms(5000), 0 })
+// The answer to a call goes to the sender of its latest retransmission and matches that packet:
+// here it comes from another port, and for an event it has another identifier.
+func TestAnswerMatchesLatestRetransmission(t *testing.T) {
+	fixture := startProxy(t, 1, func(s *features.Radius) { s.Access.AttemptTimeout, s.Accounting.MaxResends = millis(5000), 0 })
 	hold := make(chan struct{})
-	t.Cleanup(func() { close(hold) }) // before the servers end
-	r.all(func(standin.RadiusSeen) standin.RadiusAct {
+	t.Cleanup(func() { close(hold) }) // runs before the servers are closed
+	fixture.setScripts(func(standin.RadiusSeen) standin.RadiusAct {
 		<-hold
 		return standin.RadiusAct{}
 	})
-	packets := func(c *standin.RadiusClient, a standin.RadiusAsk, id byte) (first, second []byte) {
-		first = c.Packet(a, 1, [16]byte{1}, 0)
+	packets := func(client *standin.RadiusClient, ask standin.RadiusAsk, id byte) (first, second []byte) {
+		first = client.Packet(ask, 1, [16]byte{1}, 0)
 		if id == 1 {
 			return first, first
 		}
-		return first, c.Packet(a, id, [16]byte{1}, 3*time.Second)
+		return first, client.Packet(ask, id, [16]byte{1}, 3*time.Second)
 	}
-	for name, c := range map[string]struct {
+	for name, test := range map[string]struct {
 		accounting bool
 		ask        standin.RadiusAsk
 		id         byte
-	}{"port": {false, access("u"), 1}, "event": {true, event("s1", 1), 2}} {
-		client := r.client(c.accounting)
-		first, second := packets(client, c.ask, c.id)
+	}{"port": {false, accessRequest("u"), 1}, "event": {true, eventRequest("s1", 1), 2}} {
+		client := fixture.newClient(test.accounting)
+		first, second := packets(client, test.ask, test.id)
 		client.Throw(first)
-		settle(t, "taken", func() bool { l, _ := r.p.Counts(c.accounting); return l.Calls == 1 })
+		waitUntil(t, "taken", func() bool { l, _ := fixture.proxy.Counts(test.accounting); return l.Calls == 1 })
 		got := make(chan standin.RadiusReply)
-		go func() { got <- client.Exchange(second, patience) }()
-		settle(t, "joined", func() bool { l, _ := r.p.Counts(c.accounting); return l.Joined == 1 })
+		go func() { got <- client.Exchange(second, testTimeout) }()
+		waitUntil(t, "joined", func() bool { l, _ := fixture.proxy.Counts(test.accounting); return l.Joined == 1 })
 		hold <- struct{}{}
 		if reply := <-got; reply.Code == 0 {
-			t.Errorf("%s: %+v", name, reply)
+			t.Errorf("%s: unexpected reply: %+v", name, reply)
 		}
 	}
 }
 
-// Events that were given up go on, when they come again, at the servers that had them.
-func TestRetryAtItsServer(t *testing.T) {
-	r := start(t, 8, func(s *features.Radius) {
-		s.Accounting.Aim, s.Accounting.Deadline, s.Accounting.AttemptTimeout, s.Accounting.MaxResends = ms(100), ms(600), ms(500), 0
+// An event that was given up is sent to the same server when the client retries it, so that the
+// server recognizes the duplicate. At another server it would be counted twice.
+func TestEventRetriedAtSameServer(t *testing.T) {
+	fixture := startProxy(t, 8, func(s *features.Radius) {
+		s.Accounting.Aim, s.Accounting.Deadline, s.Accounting.AttemptTimeout, s.Accounting.MaxResends = millis(100), millis(600), millis(500), 0
 	})
-	for _, s := range r.servers {
+	for _, s := range fixture.servers {
 		s.Freeze(true)
 	}
 	const events = 6
-	c := r.client(true)
+	client := fixture.newClient(true)
 	for n := range events {
-		c.Throw(c.Packet(event(fmt.Sprint("s", n), 1), byte(n), [16]byte{}, 0))
+		client.Throw(client.Packet(eventRequest(fmt.Sprint("s", n), 1), byte(n), [16]byte{}, 0))
 	}
-	settle(t, "given up", func() bool { l, _ := r.p.Counts(true); return l.GivenUp == events })
-	for _, s := range r.servers {
+	waitUntil(t, "the events were not all given up", func() bool { l, _ := fixture.proxy.Counts(true); return l.GivenUp == events })
+	for _, s := range fixture.servers {
 		s.Freeze(false)
 	}
 	for n := range events {
-		wire := c.Packet(event(fmt.Sprint("s", n), 1), byte(100+n), [16]byte{}, time.Second)
-		settle(t, "answered", func() bool { // the module may hold what comes while its server looks ill
-			return c.Exchange(wire, 200*time.Millisecond).Code == lr.CodeAccountingResponse
+		wire := client.Packet(eventRequest(fmt.Sprint("s", n), 1), byte(100+n), [16]byte{}, time.Second)
+		waitUntil(t, "answered", func() bool { // the decision module may hold calls while their server appears to be failing
+			return client.Exchange(wire, 200*time.Millisecond).Code == lr.CodeAccountingResponse
 		})
-		if c := r.ledger.Of(eventName(fmt.Sprint("s", n), 1)); c.Effects != 1 {
-			t.Errorf("%d: %+v", n, c)
+		if c := fixture.ledger.Of(eventName(fmt.Sprint("s", n), 1)); c.Effects != 1 {
+			t.Errorf("event %d: unexpected ledger entry: %+v", n, c)
 		}
 	}
-	if l, tr := r.p.Counts(true); l.Retried < events || tr.Sent != events || tr.Resent < events {
-		t.Errorf("%+v %+v", l, tr)
+	if l, tr := fixture.proxy.Counts(true); l.Retried < events || tr.Sent != events || tr.Resent < events {
+		t.Errorf("unexpected counts: listener %+v, transport %+v", l, tr)
 	}
 }
 
-// A further attempt is in flight when the terminal asks again: one answer, no third
-// call, and not more attempts than the cap.
+// The terminal retransmits while the proxy is retrying the call at another server. There must be
+// one call, one answer, and no more attempts than the limit.
 func TestRetransmissionDuringRetry(t *testing.T) {
-	r := start(t, 4, func(s *features.Radius) { s.Access.AttemptTimeout = ms(400) })
-	r.all(func(s standin.RadiusSeen) standin.RadiusAct {
+	fixture := startProxy(t, 4, func(s *features.Radius) { s.Access.AttemptTimeout = millis(400) })
+	fixture.setScripts(func(s standin.RadiusSeen) standin.RadiusAct {
 		if s.Nth < 3 {
 			return standin.RadiusAct{Kind: standin.RadiusSilent}
 		}
 		return standin.RadiusAct{Delay: 30 * time.Millisecond}
 	})
-	a := access("u")
-	a.Tries, a.Each = 1000, 10*time.Millisecond
-	if reply := r.client(false).Do(a); reply.Code != lr.CodeAccessAccept {
-		t.Errorf("%+v", reply)
+	ask := accessRequest("u")
+	ask.Tries, ask.Each = 1000, 10*time.Millisecond
+	if reply := fixture.newClient(false).Do(ask); reply.Code != lr.CodeAccessAccept {
+		t.Errorf("unexpected reply: %+v", reply)
 	}
-	if c := r.ledger.Of("u"); c.Attempts != 3 {
-		t.Errorf("%+v", c)
+	if c := fixture.ledger.Of("u"); c.Attempts != 3 {
+		t.Errorf("unexpected ledger entry: %+v", c)
 	}
-	if l, _ := r.p.Counts(false); l.Calls != 1 || l.Joined == 0 {
-		t.Errorf("%+v", l)
+	if l, _ := fixture.proxy.Counts(false); l.Calls != 1 || l.Joined == 0 {
+		t.Errorf("unexpected counts: %+v", l)
 	}
 }
 
-// An accounting event is counted once: under new identifiers, over our own resends, and
-// when its server says nothing. Interim updates are events of their own.
-func TestAccountingOnce(t *testing.T) {
-	r := start(t, 3, func(s *features.Radius) {
-		s.Accounting.Deadline, s.Accounting.AttemptTimeout, s.Accounting.ResendDelay, s.Accounting.MaxResends = ms(1500), ms(1400), ms(40), 3
+// An accounting event is counted once even if the client retransmits it with new identifiers, the
+// proxy resends it, or its server counts it and does not answer. Interim updates with different
+// times are separate events.
+func TestAccountingEventCountedOnce(t *testing.T) {
+	fixture := startProxy(t, 3, func(s *features.Radius) {
+		s.Accounting.Deadline, s.Accounting.AttemptTimeout, s.Accounting.ResendDelay, s.Accounting.MaxResends = millis(1500), millis(1400), millis(40), 3
 	})
-	a := event("s1", 1)
-	a.Tries, a.Each, a.NewID = 100, 20*time.Millisecond, true
-	r.all(func(standin.RadiusSeen) standin.RadiusAct { return standin.RadiusAct{Delay: 100 * time.Millisecond} })
-	if reply := r.client(true).Do(a); reply.Code != lr.CodeAccountingResponse || reply.Packets < 2 {
-		t.Errorf("%+v", reply)
+	ask := eventRequest("s1", 1)
+	ask.Tries, ask.Each, ask.NewID = 100, 20*time.Millisecond, true
+	fixture.setScripts(func(standin.RadiusSeen) standin.RadiusAct { return standin.RadiusAct{Delay: 100 * time.Millisecond} })
+	if reply := fixture.newClient(true).Do(ask); reply.Code != lr.CodeAccountingResponse || reply.Packets < 2 {
+		t.Errorf("unexpected reply: %+v", reply)
 	}
-	if c := r.ledger.Of(eventName("s1", 1)); c.Attempts != 1 || c.Effects != 1 {
-		t.Errorf("with new identifiers: %+v", c)
+	if c := fixture.ledger.Of(eventName("s1", 1)); c.Attempts != 1 || c.Effects != 1 {
+		t.Errorf("ledger entry after retransmission with new identifiers: %+v", c)
 	}
-	if reply := r.client(true).Do(a); reply.Code != lr.CodeAccountingResponse || r.ledger.Of(eventName("s1", 1)).Effects != 1 {
-		t.Errorf("after its answer: %+v, %+v", reply, r.ledger.Of(eventName("s1", 1)))
+	if reply := fixture.newClient(true).Do(ask); reply.Code != lr.CodeAccountingResponse || fixture.ledger.Of(eventName("s1", 1)).Effects != 1 {
+		t.Errorf("reply to a repeat after the answer: %+v, ledger entry %+v", reply, fixture.ledger.Of(eventName("s1", 1)))
 	}
 	for n := range 3 {
-		u := event("s1", 3)
-		u.At = began.Add(time.Duration(n) * time.Minute)
-		if reply := r.client(true).Do(u); reply.Code != lr.CodeAccountingResponse {
-			t.Errorf("%+v", reply)
+		update := eventRequest("s1", 3)
+		update.At = eventTime.Add(time.Duration(n) * time.Minute)
+		if reply := fixture.newClient(true).Do(update); reply.Code != lr.CodeAccountingResponse {
+			t.Errorf("unexpected reply: %+v", reply)
 		}
 	}
-	if n := len(r.ledger.All()); n != 4 {
+	if n := len(fixture.ledger.All()); n != 4 {
 		t.Errorf("%d events, want a start and 3 interim updates", n)
 	}
 
-	// Counted, and the answer never comes: given up, and never sent to another server.
-	r.all(always(standin.RadiusSilent))
-	lost := event("s2", 2)
-	answered, _ := r.p.Counts(true)
-	r.client(true).Throw(r.client(true).Packet(lost, 1, [16]byte{}, 0))
-	settle(t, "given up", func() bool { l, _ := r.p.Counts(true); return l.GivenUp == 1 })
-	if l, tr := r.p.Counts(true); l.Answered != answered.Answered || tr.Resent == 0 {
-		t.Errorf("%+v %+v", l, tr)
+	// The server counts the event and does not answer: the call is given up and never sent to
+	// another server.
+	fixture.setScripts(alwaysDo(standin.RadiusSilent))
+	lost := eventRequest("s2", 2)
+	countsBefore, _ := fixture.proxy.Counts(true)
+	fixture.newClient(true).Throw(fixture.newClient(true).Packet(lost, 1, [16]byte{}, 0))
+	waitUntil(t, "the event was never given up", func() bool { l, _ := fixture.proxy.Counts(true); return l.GivenUp == 1 })
+	if l, tr := fixture.proxy.Counts(true); l.Answered != countsBefore.Answered || tr.Resent == 0 {
+		t.Errorf("unexpected counts: listener %+v, transport %+v", l, tr)
 	}
-	if c := r.ledger.Of(eventName("s2", 2)); c.Attempts != 1 || c.Effects != 1 {
-		t.Errorf("given up: %+v", c)
+	if c := fixture.ledger.Of(eventName("s2", 2)); c.Attempts != 1 || c.Effects != 1 {
+		t.Errorf("ledger entry of the event that was given up: %+v", c)
 	}
-	// The terminal's own retry goes where it may have been counted, and nowhere else.
+	// The terminal's own retries go only to the server that may have counted the event.
 	before := make(map[string]int)
 	for n := range 5 {
-		r.client(true).Do(standin.RadiusAsk{NAS: "shop", Session: "s2", Status: 2, At: began, Tries: 1, Each: 20 * time.Millisecond})
+		fixture.newClient(true).Do(standin.RadiusAsk{NAS: "shop", Session: "s2", Status: 2, At: eventTime, Tries: 1, Each: 20 * time.Millisecond})
 		before[fmt.Sprint(n)]++
 	}
-	settle(t, "held", func() bool { return r.p.Held() == 0 })
-	served := 0
-	for _, s := range r.servers {
+	waitUntil(t, "held", func() bool { return fixture.proxy.Held() == 0 })
+	serversReached := 0
+	for _, s := range fixture.servers {
 		if s.Got(eventName("s2", 2)) > 0 {
-			served++
+			serversReached++
 		}
 	}
-	if served != 1 {
-		t.Errorf("it reached %d servers", served)
+	if serversReached != 1 {
+		t.Errorf("the event reached %d servers, want 1", serversReached)
 	}
-	if l, _ := r.p.Counts(true); l.Retried == 0 {
-		t.Errorf("%+v", l)
+	if l, _ := fixture.proxy.Counts(true); l.Retried == 0 {
+		t.Errorf("unexpected counts: %+v", l)
 	}
 }
 
-// The next request of a challenge goes to the server that gave it; if that one is gone,
-// the conversation fails at once and clearly.
-func TestConversation(t *testing.T) {
-	r := start(t, 4, func(s *features.Radius) { s.ErrorCause = 502 })
-	r.all(always(standin.RadiusChallenge))
+// The request that answers a challenge goes to the server that sent the challenge, since only that
+// server knows its State. If the server is gone, the request is rejected at once with the
+// configured Error-Cause.
+func TestConversationStaysAtServer(t *testing.T) {
+	fixture := startProxy(t, 4, func(s *features.Radius) { s.ErrorCause = 502 })
+	fixture.setScripts(alwaysDo(standin.RadiusChallenge))
 	for n := range 12 {
 		user := fmt.Sprint("u", n)
-		first := r.client(false).Do(access(user))
+		first := fixture.newClient(false).Do(accessRequest(user))
 		if first.Code != lr.CodeAccessChallenge {
-			t.Fatalf("%+v", first)
+			t.Fatalf("unexpected reply: %+v", first)
 		}
-		a := access(user)
-		a.State = rfc2865.State_Get(first.Packet)
-		second := r.client(false).Do(a)
-		if want := "welcome from " + strings.Fields(string(a.State))[2]; second.Code != lr.CodeAccessAccept || rfc2865.ReplyMessage_GetString(second.Packet) != want {
-			t.Errorf("%v, want %s", second, want)
+		ask := accessRequest(user)
+		ask.State = rfc2865.State_Get(first.Packet)
+		second := fixture.newClient(false).Do(ask)
+		if want := "welcome from " + strings.Fields(string(ask.State))[2]; second.Code != lr.CodeAccessAccept || rfc2865.ReplyMessage_GetString(second.Packet) != want {
+			t.Errorf("unexpected reply: %v, want %s", second, want)
 		}
 	}
-	first := r.client(false).Do(access("left"))
-	a := access("left")
-	a.State = rfc2865.State_Get(first.Packet)
-	for _, s := range r.servers {
-		if strings.Contains(string(a.State), s.Name) {
+	first := fixture.newClient(false).Do(accessRequest("left"))
+	ask := accessRequest("left")
+	ask.State = rfc2865.State_Get(first.Packet)
+	for _, s := range fixture.servers {
+		if strings.Contains(string(ask.State), s.Name) {
 			s.Kill()
 		}
 	}
-	began := time.Now()
-	second := r.client(false).Do(a)
-	if second.Code != lr.CodeAccessReject || time.Since(began) > 5*time.Second || rfc3576.ErrorCause_Get(second.Packet) != 502 {
-		t.Errorf("%+v after %v", second, time.Since(began))
+	startTime := time.Now()
+	second := fixture.newClient(false).Do(ask)
+	if second.Code != lr.CodeAccessReject || time.Since(startTime) > 5*time.Second || rfc3576.ErrorCause_Get(second.Packet) != 502 {
+		t.Errorf("unexpected reply: %+v after %v", second, time.Since(startTime))
 	}
-	if c := r.ledger.Of("left"); c.Attempts != 1 {
-		t.Errorf("%+v", c)
+	if c := fixture.ledger.Of("left"); c.Attempts != 1 {
+		t.Errorf("unexpected ledger entry: %+v", c)
 	}
 }
 
-// What has run: a refused port never has, silence may have. Access goes on elsewhere in
-// both cases, accounting in the first only.
-func TestOutcomes(t *testing.T) {
-	for _, c := range []struct {
+// A request that was refused by the server's port was not processed; one that got no answer may
+// have been. Access is retried at another server in both cases, accounting only in the first, since
+// a retry elsewhere could count the event twice.
+func TestFailingServer(t *testing.T) {
+	for _, test := range []struct {
 		name       string
 		do         func(*standin.RadiusServer)
 		accounting bool
@@ -389,265 +402,269 @@
 	}{
 		{"refused, access", (*standin.RadiusServer).Kill, false, true, 1},
 		{"refused, accounting", (*standin.RadiusServer).Kill, true, true, 1},
-		{"silent, access", func(s *standin.RadiusServer) { s.Do(always(standin.RadiusSilent)) }, false, true, 2},
-		{"silent, accounting", func(s *standin.RadiusServer) { s.Do(always(standin.RadiusSilent)) }, true, false, 1},
+		{"silent, access", func(s *standin.RadiusServer) { s.Do(alwaysDo(standin.RadiusSilent)) }, false, true, 2},
+		{"silent, accounting", func(s *standin.RadiusServer) { s.Do(alwaysDo(standin.RadiusSilent)) }, true, false, 1},
 		{"unseen, access", func(s *standin.RadiusServer) { s.Freeze(true) }, false, true, 1},
 		{"unseen, accounting", func(s *standin.RadiusServer) { s.Freeze(true) }, true, false, 0},
 	} {
-		t.Run(c.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			t.Parallel()
-			// One of two servers is so; calls are made until it was chosen first.
-			r := start(t, 2, func(s *features.Radius) {
-				s.Accounting.Deadline, s.Accounting.AttemptTimeout, s.Accounting.MaxResends = ms(600), ms(500), 2
+			// Only the first of two servers fails; calls are made until it is chosen first.
+			fixture := startProxy(t, 2, func(s *features.Radius) {
+				s.Accounting.Deadline, s.Accounting.AttemptTimeout, s.Accounting.MaxResends = millis(600), millis(500), 2
 			})
-			c.do(r.servers[0])
+			test.do(fixture.servers[0])
 			for n := range 50 {
 				name := fmt.Sprint("c", n)
 				var reply standin.RadiusReply
-				_, before := r.p.Counts(c.accounting)
-				if c.accounting {
-					a := event(name, 1)
-					a.Each = 1500 * time.Millisecond
-					reply = r.client(true).Do(a)
+				_, before := fixture.proxy.Counts(test.accounting)
+				if test.accounting {
+					ask := eventRequest(name, 1)
+					ask.Each = 1500 * time.Millisecond
+					reply = fixture.newClient(true).Do(ask)
 					name = eventName(name, 1)
 				} else {
-					reply = r.client(false).Do(access(name))
+					reply = fixture.newClient(false).Do(accessRequest(name))
 				}
-				_, after := r.p.Counts(c.accounting)
+				_, after := fixture.proxy.Counts(test.accounting)
 				if after.Refusals == before.Refusals && after.Sent-before.Sent == 1 && reply.Code != 0 {
-					continue // the other one was chosen, and is well
+					continue // the healthy server was chosen
 				}
-				got := r.ledger.Of(name)
-				if (reply.Code != 0 && reply.Code != lr.CodeAccessReject) != c.answered || got.Attempts != c.attempts || c.accounting && got.Effects > 1 {
-					t.Errorf("%+v, %+v", reply, got)
+				got := fixture.ledger.Of(name)
+				if (reply.Code != 0 && reply.Code != lr.CodeAccessReject) != test.answered || got.Attempts != test.attempts || test.accounting && got.Effects > 1 {
+					t.Errorf("unexpected reply %+v or ledger entry %+v", reply, got)
 				}
 				return
 			}
-			t.Error("never chosen")
+			t.Error("the failing server was never chosen in 50 calls")
 		})
 	}
 }
 
-// Answers that are none: forged ones, ones without Message-Authenticator, from another
-// address, or a second time, count for nothing.
-func TestBadAnswers(t *testing.T) {
+// Invalid answers are dropped: forged ones, ones without a Message-Authenticator, ones from another
+// address, and second copies of an answer.
+func TestInvalidAnswers(t *testing.T) {
 	for kind, want := range map[standin.RadiusKind]lr.Code{
 		standin.RadiusForged: lr.CodeAccessAccept, standin.RadiusTwice: lr.CodeAccessAccept,
 		standin.RadiusUnsigned: lr.CodeAccessReject, standin.RadiusElsewhere: lr.CodeAccessReject,
 	} {
-		// The stand-in answers a resend from its own address.
-		r := start(t, 2, func(s *features.Radius) { s.Access.MaxResends = 0 })
-		r.all(always(kind))
-		if reply := r.client(false).Do(access("u")); reply.Code != want {
-			t.Errorf("%d: %+v", kind, reply)
+		// No resends: the stand-in answers those from its own address.
+		fixture := startProxy(t, 2, func(s *features.Radius) { s.Access.MaxResends = 0 })
+		fixture.setScripts(alwaysDo(kind))
+		if reply := fixture.newClient(false).Do(accessRequest("u")); reply.Code != want {
+			t.Errorf("%d: unexpected reply: %+v", kind, reply)
 		}
 		if kind == standin.RadiusTwice { // the second copy may come after the client has its answer
-			settle(t, "the second copy of the answer was never dropped", func() bool {
-				_, counts := r.p.Counts(false)
+			waitUntil(t, "the second copy of the answer was never dropped", func() bool {
+				_, counts := fixture.proxy.Counts(false)
 				return counts.Unasked == 1
 			})
 		}
-		if _, tr := r.p.Counts(false); kind != standin.RadiusElsewhere && tr.Unverified+tr.Unasked == 0 {
-			t.Errorf("%d: nothing dropped: %+v", kind, tr)
+		if _, tr := fixture.proxy.Counts(false); kind != standin.RadiusElsewhere && tr.Unverified+tr.Unasked == 0 {
+			t.Errorf("kind %d: no answer was dropped: %+v", kind, tr)
 		}
 	}
-	r := start(t, 2, func(s *features.Radius) { s.AllowUnsignedAnswers = true })
-	r.all(always(standin.RadiusUnsigned))
-	if reply := r.client(false).Do(access("u")); reply.Code != lr.CodeAccessAccept {
-		t.Errorf("unsigned, where that is let through: %+v", reply)
+	fixture := startProxy(t, 2, func(s *features.Radius) { s.AllowUnsignedAnswers = true })
+	fixture.setScripts(alwaysDo(standin.RadiusUnsigned))
+	if reply := fixture.newClient(false).Do(accessRequest("u")); reply.Code != lr.CodeAccessAccept {
+		t.Errorf("unexpected reply where unsigned packets are allowed: %+v", reply)
 	}
 }
 
-// A late answer to an attempt that was given up finds nothing under its identifier.
-func TestLateAnswer(t *testing.T) {
-	r := start(t, 2, func(s *features.Radius) { s.Access.AttemptTimeout = ms(50) })
-	r.all(func(s standin.RadiusSeen) standin.RadiusAct {
+// A late answer to an attempt that was given up is dropped. Guards against taking it for the answer
+// to a later attempt.
+func TestLateAnswerDropped(t *testing.T) {
+	fixture := startProxy(t, 2, func(s *features.Radius) { s.Access.AttemptTimeout = millis(50) })
+	fixture.setScripts(func(s standin.RadiusSeen) standin.RadiusAct {
 		if s.Nth == 1 {
 			return standin.RadiusAct{Delay: 200 * time.Millisecond}
 		}
 		return standin.RadiusAct{Delay: 400 * time.Millisecond, Kind: standin.RadiusReject}
 	})
-	a := access("u")
-	reply := r.client(false).Do(a)
+	ask := accessRequest("u")
+	reply := fixture.newClient(false).Do(ask)
 	if reply.Code != lr.CodeAccessReject {
-		t.Errorf("%+v", reply)
+		t.Errorf("unexpected reply: %+v", reply)
 	}
-	settle(t, "the late ones never came", func() bool { _, tr := r.p.Counts(false); return tr.Unasked >= 1 })
+	waitUntil(t, "the late answer was never dropped", func() bool { _, tr := fixture.proxy.Counts(false); return tr.Unasked >= 1 })
 }
 
-// Whoever is not known, or can't sign, gets nothing, reaches nobody, and disturbs nobody.
-func TestBadRequests(t *testing.T) {
-	r := start(t, 2, func(s *features.Radius) {
+// Requests from unknown addresses, wrongly signed or unsigned ones, and accounting requests at the
+// access port get no answer, reach no server, and do not disturb valid requests.
+func TestInvalidRequests(t *testing.T) {
+	fixture := startProxy(t, 2, func(s *features.Radius) {
 		s.Clients = []features.RadiusClient{
-			{Name: "all", Range: "127.0.0.0/16", Secret: terminals}, {Name: "one", Range: "127.0.0.9", Secret: "another"},
-			{Name: "old", Range: "127.0.0.8", Secret: terminals, AllowUnsigned: true},
+			{Name: "all", Range: "127.0.0.0/16", Secret: clientSecret}, {Name: "one", Range: "127.0.0.9", Secret: "another"},
+			{Name: "old", Range: "127.0.0.8", Secret: clientSecret, AllowUnsigned: true},
 		}
 	})
-	addr := r.p.Addr(false).String()
-	quick := func(a standin.RadiusAsk) standin.RadiusAsk { a.Each = 100 * time.Millisecond; return a }
-	bare := quick(access("bare"))
-	bare.Bare = true
-	for name, c := range map[string]struct {
+	addr := fixture.proxy.Addr(false).String()
+	withShortTimeout := func(a standin.RadiusAsk) standin.RadiusAsk { a.Each = 100 * time.Millisecond; return a }
+	unsigned := withShortTimeout(accessRequest("bare"))
+	unsigned.Bare = true
+	for name, test := range map[string]struct {
 		client *standin.RadiusClient
 		ask    standin.RadiusAsk
 	}{
-		"unknown":            {standin.NewRadiusClient(addr, terminals, "127.7.0.1"), quick(access("x"))},
-		"wrong secret":       {standin.NewRadiusClient(addr, "guess", "127.0.0.1"), quick(access("x"))},
-		"the range's secret": {standin.NewRadiusClient(addr, terminals, "127.0.0.9"), quick(access("x"))},
-		"unsigned":           {standin.NewRadiusClient(addr, terminals, "127.0.0.1"), bare},
-		"accounting":         {standin.NewRadiusClient(addr, terminals, "127.0.0.1"), quick(event("x", 1))},
+		"unknown":            {standin.NewRadiusClient(addr, clientSecret, "127.7.0.1"), withShortTimeout(accessRequest("x"))},
+		"wrong secret":       {standin.NewRadiusClient(addr, "guess", "127.0.0.1"), withShortTimeout(accessRequest("x"))},
+		"the range's secret": {standin.NewRadiusClient(addr, clientSecret, "127.0.0.9"), withShortTimeout(accessRequest("x"))},
+		"unsigned":           {standin.NewRadiusClient(addr, clientSecret, "127.0.0.1"), unsigned},
+		"accounting":         {standin.NewRadiusClient(addr, clientSecret, "127.0.0.1"), withShortTimeout(eventRequest("x", 1))},
 	} {
-		if reply := c.client.Do(c.ask); reply.Code != 0 {
-			t.Errorf("%s: %+v", name, reply)
+		if reply := test.client.Do(test.ask); reply.Code != 0 {
+			t.Errorf("%s: unexpected reply: %+v", name, reply)
 		}
 	}
-	if n := len(r.ledger.All()); n != 0 {
-		t.Errorf("%d reached a server", n)
+	if n := len(fixture.ledger.All()); n != 0 {
+		t.Errorf("%d invalid requests reached a server", n)
 	}
-	l, _ := r.p.Counts(false)
-	if l.Unknown != 1 || l.Unsigned != 1 || l.Unverified != 2 || l.Unexpected != 1 {
-		t.Errorf("%+v", l)
+	counts, _ := fixture.proxy.Counts(false)
+	if counts.Unknown != 1 || counts.Unsigned != 1 || counts.Unverified != 2 || counts.Unexpected != 1 {
+		t.Errorf("unexpected counts: %+v", counts)
 	}
-	if reply := standin.NewRadiusClient(addr, "another", "127.0.0.9").Do(access("one")); reply.Code != lr.CodeAccessAccept {
-		t.Errorf("the narrower range: %+v", reply)
+	if reply := standin.NewRadiusClient(addr, "another", "127.0.0.9").Do(accessRequest("one")); reply.Code != lr.CodeAccessAccept {
+		t.Errorf("unexpected reply to a client of the narrower range: %+v", reply)
 	}
-	bare.Each = patience
-	if reply := standin.NewRadiusClient(addr, terminals, "127.0.0.8").Do(bare); reply.Code != lr.CodeAccessAccept {
-		t.Errorf("unsigned, where that is let through: %+v", reply)
+	unsigned.Each = testTimeout
+	if reply := standin.NewRadiusClient(addr, clientSecret, "127.0.0.8").Do(unsigned); reply.Code != lr.CodeAccessAccept {
+		t.Errorf("unexpected reply where unsigned packets are allowed: %+v", reply)
 	}
 	rng := rand.New(rand.NewPCG(1, 1))
-	for range 500 { // noise
+	for range 500 { // random bytes
 		b := make([]byte, rng.IntN(200))
 		for n := range b {
 			b[n] = byte(rng.Uint32())
 		}
-		standin.NewRadiusClient(addr, terminals, "127.0.0.1").Throw(b)
+		standin.NewRadiusClient(addr, clientSecret, "127.0.0.1").Throw(b)
 	}
-	after := access("after") // it may be lost beside the noise, as datagrams are
+	after := accessRequest("after") // may be lost among the random datagrams
 	after.Tries, after.Each = 100, 200*time.Millisecond
-	if reply := r.client(false).Do(after); reply.Code != lr.CodeAccessAccept {
-		t.Errorf("after the noise: %+v", reply)
+	if reply := fixture.newClient(false).Do(after); reply.Code != lr.CodeAccessAccept {
+		t.Errorf("unexpected reply after the random datagrams: %+v", reply)
 	}
 }
 
-// Two terminals behind one address with the same identifier are two calls.
-func TestSameIdentifier(t *testing.T) {
-	r := start(t, 2, nil)
-	r.all(func(standin.RadiusSeen) standin.RadiusAct { return standin.RadiusAct{Delay: 100 * time.Millisecond} })
+// Requests with the same identifier from terminals behind one address are separate calls, told apart
+// by their authenticators.
+func TestSameIdentifierFromSeveralTerminals(t *testing.T) {
+	fixture := startProxy(t, 2, nil)
+	fixture.setScripts(func(standin.RadiusSeen) standin.RadiusAct { return standin.RadiusAct{Delay: 100 * time.Millisecond} })
 	var wg sync.WaitGroup
 	for n := range 5 {
 		wg.Go(func() {
-			c := r.client(false)
+			client := fixture.newClient(false)
 			user := fmt.Sprint("u", n)
-			if reply := c.Exchange(c.Packet(access(user), 7, [16]byte{byte(n)}, 0), patience); reply.Code != lr.CodeAccessAccept {
-				t.Errorf("%+v", reply)
+			if reply := client.Exchange(client.Packet(accessRequest(user), 7, [16]byte{byte(n)}, 0), testTimeout); reply.Code != lr.CodeAccessAccept {
+				t.Errorf("unexpected reply: %+v", reply)
 			}
 		})
 	}
 	wg.Wait()
 	for n := range 5 {
-		if c := r.ledger.Of(fmt.Sprint("u", n)); c.Attempts != 1 {
-			t.Errorf("%+v", c)
+		if c := fixture.ledger.Of(fmt.Sprint("u", n)); c.Attempts != 1 {
+			t.Errorf("unexpected ledger entry: %+v", c)
 		}
 	}
 }
 
-// A flood from one client, of calls that end late, leaves others theirs.
-func TestFlood(t *testing.T) {
-	r := start(t, 2, func(s *features.Radius) { s.MaxCallsPerClient = 20 })
-	r.all(func(s standin.RadiusSeen) standin.RadiusAct {
+// A client that floods the proxy with calls that are never answered reaches its own limit of open
+// calls and does not block other clients.
+func TestFloodFromOneClient(t *testing.T) {
+	fixture := startProxy(t, 2, func(s *features.Radius) { s.MaxCallsPerClient = 20 })
+	fixture.setScripts(func(s standin.RadiusSeen) standin.RadiusAct {
 		if strings.HasPrefix(s.Name, "flood") {
 			return standin.RadiusAct{Kind: standin.RadiusSilent}
 		}
 		return standin.RadiusAct{}
 	})
-	flood := standin.NewRadiusClient(r.p.Addr(false).String(), terminals, "127.0.0.66")
+	floodingClient := standin.NewRadiusClient(fixture.proxy.Addr(false).String(), clientSecret, "127.0.0.66")
 	for n := range 400 {
-		flood.Throw(flood.Packet(access(fmt.Sprint("flood", n)), byte(n), [16]byte{byte(n), byte(n >> 8), 1}, 0))
+		floodingClient.Throw(floodingClient.Packet(accessRequest(fmt.Sprint("flood", n)), byte(n), [16]byte{byte(n), byte(n >> 8), 1}, 0))
 	}
-	settle(t, "the flood is not bounded", func() bool { l, _ := r.p.Counts(false); return l.Full > 0 })
+	waitUntil(t, "no call of the flood was dropped", func() bool { l, _ := fixture.proxy.Counts(false); return l.Full > 0 })
 	for n := range 20 {
-		a := access(fmt.Sprint("quiet", n))
-		a.Tries, a.Each = 100, 200*time.Millisecond
-		if reply := r.client(false).Do(a); reply.Code != lr.CodeAccessAccept {
-			t.Errorf("%+v", reply)
+		ask := accessRequest(fmt.Sprint("quiet", n))
+		ask.Tries, ask.Each = 100, 200*time.Millisecond
+		if reply := fixture.newClient(false).Do(ask); reply.Code != lr.CodeAccessAccept {
+			t.Errorf("unexpected reply: %+v", reply)
 		}
 	}
 }
 
-// Nothing new goes to a server that the probes take for gone; one that comes back is
-// used again.
-func TestProbes(t *testing.T) {
-	r := start(t, 2, func(s *features.Radius) { s.ProbeInterval, s.MaxProbeMisses = ms(100), 2 })
-	settle(t, "no probes", func() bool { _, _, n := r.servers[0].Bad(); return n > 2 })
-	r.servers[0].Kill()
+// A server that misses its probes gets no new calls, and is used again after it comes back.
+func TestProbesExcludeDeadServer(t *testing.T) {
+	fixture := startProxy(t, 2, func(s *features.Radius) { s.ProbeInterval, s.MaxProbeMisses = millis(100), 2 })
+	waitUntil(t, "the server received no probes", func() bool { _, _, n := fixture.servers[0].Bad(); return n > 2 })
+	fixture.servers[0].Kill()
 	down := func() bool {
-		pl := r.p.sides[0].pools[""]
-		pl.mu.Lock()
-		defer pl.mu.Unlock()
-		down, _ := pl.health.of("r1")
+		pool := fixture.proxy.services[0].pools[""]
+		pool.mu.Lock()
+		defer pool.mu.Unlock()
+		down, _ := pool.health.status("r1")
 		return down
 	}
-	settle(t, "its end is not noticed", down)
-	_, before := r.p.Counts(false)
+	waitUntil(t, "the probes do not notice that the server was killed", down)
+	_, before := fixture.proxy.Counts(false)
 	for n := range 20 {
-		if reply := r.client(false).Do(access(fmt.Sprint("u", n))); reply.Code != lr.CodeAccessAccept {
-			t.Errorf("%+v", reply)
+		if reply := fixture.newClient(false).Do(accessRequest(fmt.Sprint("u", n))); reply.Code != lr.CodeAccessAccept {
+			t.Errorf("unexpected reply: %+v", reply)
 		}
 	}
-	if _, after := r.p.Counts(false); after.Refusals != before.Refusals || after.Sent != before.Sent+20 {
-		t.Errorf("%+v, then %+v", before, after)
+	if _, after := fixture.proxy.Counts(false); after.Refusals != before.Refusals || after.Sent != before.Sent+20 {
+		t.Errorf("the killed server was used: counts %+v, then %+v", before, after)
 	}
-	if err := r.servers[0].Restart(); err != nil {
+	if err := fixture.servers[0].Restart(); err != nil {
 		t.Fatal(err)
 	}
-	settle(t, "its return is not noticed", func() bool { return !down() })
-	settle(t, "it is not used", func() bool {
-		r.client(false).Do(access(fmt.Sprint("v", time.Now().UnixNano())))
-		return strings.Contains(fmt.Sprint(r.servers[0].Names()), "v")
+	waitUntil(t, "the probes do not notice that the server came back", func() bool { return !down() })
+	waitUntil(t, "the server that came back is not used", func() bool {
+		fixture.newClient(false).Do(accessRequest(fmt.Sprint("v", time.Now().UnixNano())))
+		return strings.Contains(fmt.Sprint(fixture.servers[0].Names()), "v")
 	})
 }
 
-// Realms have servers of their own; where none serves a realm the call is rejected.
-func TestRealms(t *testing.T) {
-	rest := start(t, 2, func(s *features.Radius) { s.Servers[0].Realms = []string{"shop.example"} })
+// A call goes to the servers of its realm, or to the servers without realms if no server names it.
+// If there are none, it is rejected.
+func TestServersByRealm(t *testing.T) {
+	withDefaultServer := startProxy(t, 2, func(s *features.Radius) { s.Servers[0].Realms = []string{"shop.example"} })
 	for user, want := range map[string]string{"a@shop.example": "welcome from r1", "a": "welcome from r2", "a@third": "welcome from r2"} {
-		if reply := rest.client(false).Do(access(user)); reply.Code != lr.CodeAccessAccept || rfc2865.ReplyMessage_GetString(reply.Packet) != want {
-			t.Errorf("%s: %+v", user, reply)
+		if reply := withDefaultServer.newClient(false).Do(accessRequest(user)); reply.Code != lr.CodeAccessAccept || rfc2865.ReplyMessage_GetString(reply.Packet) != want {
+			t.Errorf("%s: unexpected reply: %+v", user, reply)
 		}
 	}
-	r := start(t, 2, func(s *features.Radius) {
+	fixture := startProxy(t, 2, func(s *features.Radius) {
 		s.Servers[0].Realms = []string{"Shop.example"}
 		s.Servers[1].Realms = []string{"other.example"}
 	})
 	for user, want := range map[string]string{"a@shop.example": "welcome from r1", "a@b@OTHER.example": "welcome from r2", "a": "", "a@third": ""} {
-		reply := r.client(false).Do(access(user))
+		reply := fixture.newClient(false).Do(accessRequest(user))
 		got := ""
 		if reply.Code == lr.CodeAccessAccept {
 			got = rfc2865.ReplyMessage_GetString(reply.Packet)
 		}
 		if got != want {
-			t.Errorf("%s: %q, %+v", user, got, reply)
+			t.Errorf("%s: welcomed with %q, reply %+v", user, got, reply)
 		}
 	}
 }
 
-// 256 identifiers to a socket: more calls at once take further sockets, up to the
-// limit, and what is beyond is answered at once too.
-func TestManySockets(t *testing.T) {
-	r := start(t, 1, func(s *features.Radius) {
+// A socket has 256 identifiers. More concurrent calls use more sockets up to the limit; calls beyond
+// that are rejected at once rather than left without an answer.
+func TestMoreCallsThanIdentifiers(t *testing.T) {
+	fixture := startProxy(t, 1, func(s *features.Radius) {
 		s.MaxSocketsPerServer, s.MaxCallsPerClient, s.MaxAttempts = 2, 1000, 1
-		s.Access.AttemptTimeout, s.Access.Deadline = ms(3000), ms(3500)
+		s.Access.AttemptTimeout, s.Access.Deadline = millis(3000), millis(3500)
 	})
-	r.all(func(standin.RadiusSeen) standin.RadiusAct { return standin.RadiusAct{Delay: 1200 * time.Millisecond} })
+	fixture.setScripts(func(standin.RadiusSeen) standin.RadiusAct { return standin.RadiusAct{Delay: 1200 * time.Millisecond} })
 	var wg sync.WaitGroup
 	var mu sync.Mutex
 	codes := make(map[lr.Code]int)
 	for n := range 600 {
 		wg.Go(func() {
-			a := access(fmt.Sprint("u", n))
-			a.Tries, a.Each = 40, 200*time.Millisecond
-			reply := r.client(false).Do(a)
+			ask := accessRequest(fmt.Sprint("u", n))
+			ask.Tries, ask.Each = 40, 200*time.Millisecond
+			reply := fixture.newClient(false).Do(ask)
 			mu.Lock()
 			codes[reply.Code]++
 			mu.Unlock()
@@ -655,11 +672,11 @@
 	}
 	wg.Wait()
 	if codes[0] > 0 || codes[lr.CodeAccessAccept] < 256 || codes[lr.CodeAccessAccept]+codes[lr.CodeAccessReject] != 600 {
-		t.Errorf("%v", codes)
+		t.Errorf("unexpected numbers of replies by code: %v", codes)
 	}
-	for name, c := range r.ledger.All() {
+	for name, c := range fixture.ledger.All() {
 		if c.Attempts != 1 {
-			t.Errorf("%s: %+v", name, c)
+			t.Errorf("%s: unexpected ledger entry: %+v", name, c)
 		}
 	}
 }
--- a/internal/radius/proxy/virtual_test.go
+++ b/internal/radius/proxy/virtual_test.go
@@ -19,222 +19,230 @@
 	"chalkrack/internal/radius/transport"
 )
 
-// air carries datagrams in memory and virtual time. What becomes of a packet hangs on
-// the seed, its way and which of that way it is, so that all runs are alike.
-type air struct {
+// virtualNetwork carries datagrams in memory and in virtual time. Loss, duplication and delay of a
+// datagram depend only on the seed, its route and its index on that route, so that all runs are
+// identical.
+type virtualNetwork struct {
 	seed uint64
 	loss float64
 
-	mu   sync.Mutex
-	sent map[string]int // by way
-	ends map[netip.AddrPort]*end
-	next int
+	mu            sync.Mutex
+	sentByRoute   map[string]int // by sender and receiver
+	sockets       map[netip.AddrPort]*virtualSocket
+	openedSockets int
 }
 
-// chance is a number within 0 and 1 for a use of a packet.
-func (a *air) chance(way string, n int, use byte) float64 {
-	h := fnv.New64a()
-	h.Write(binary.BigEndian.AppendUint64(nil, a.seed))
-	h.Write(binary.BigEndian.AppendUint64([]byte(way), uint64(n)))
-	h.Write([]byte{use, use, use})
-	v := h.Sum64()
-	v ^= v >> 29
-	v *= 0xbf58476d1ce4e5b9
-	v ^= v >> 32
-	return float64(v>>11) / (1 << 53)
+// random returns a number in [0, 1) for a datagram and a purpose.
+func (v *virtualNetwork) random(route string, index int, purpose byte) float64 {
+	hash := fnv.New64a()
+	hash.Write(binary.BigEndian.AppendUint64(nil, v.seed))
+	hash.Write(binary.BigEndian.AppendUint64([]byte(route), uint64(index)))
+	hash.Write([]byte{purpose, purpose, purpose})
+	value := hash.Sum64()
+	value ^= value >> 29
+	value *= 0xbf58476d1ce4e5b9
+	value ^= value >> 32
+	return float64(value>>11) / (1 << 53)
 }
 
-// carry takes a packet to an end, perhaps, perhaps twice, each after a time of its own.
-func (a *air) carry(from, to netip.AddrPort, b []byte) {
-	way := from.String() + ">" + to.String()
-	a.mu.Lock()
-	n := a.sent[way]
-	a.sent[way]++
-	a.mu.Unlock()
-	b = append([]byte(nil), b...)
-	for copy := range byte(2) {
-		if copy == 1 && a.chance(way, n, 1) > 0.1 || a.chance(way, n, 2+copy) < a.loss {
+// send delivers up to two copies of a datagram, each after its own delay, or none.
+func (v *virtualNetwork) send(from, to netip.AddrPort, payload []byte) {
+	route := from.String() + ">" + to.String()
+	v.mu.Lock()
+	index := v.sentByRoute[route]
+	v.sentByRoute[route]++
+	v.mu.Unlock()
+	payload = append([]byte(nil), payload...)
+	for copyIndex := range byte(2) {
+		if copyIndex == 1 && v.random(route, index, 1) > 0.1 || v.random(route, index, 2+copyIndex) < v.loss {
 			continue
 		}
-		after := time.Millisecond + time.Duration(a.chance(way, n, 4+copy)*float64(3*time.Millisecond))
-		if a.chance(way, n, 6+copy) < 0.1 {
-			after += time.Duration(a.chance(way, n, 8+copy) * float64(20*time.Millisecond))
+		delay := time.Millisecond + time.Duration(v.random(route, index, 4+copyIndex)*float64(3*time.Millisecond))
+		if v.random(route, index, 6+copyIndex) < 0.1 {
+			delay += time.Duration(v.random(route, index, 8+copyIndex) * float64(20*time.Millisecond))
 		}
-		time.AfterFunc(after, func() {
-			a.mu.Lock()
-			e := a.ends[to]
-			a.mu.Unlock()
-			if e != nil {
-				e.deliver(from, b)
+		time.AfterFunc(delay, func() {
+			v.mu.Lock()
+			receiver := v.sockets[to]
+			v.mu.Unlock()
+			if receiver != nil {
+				receiver.deliver(from, payload)
 			}
 		})
 	}
 }
 
-// end is a socket of the air: the listener's, one to a server, a terminal's or a server's.
-type end struct {
-	air    *air
-	addr   netip.AddrPort
-	peer   netip.AddrPort // where Write sends to
-	take   func(from netip.AddrPort, b []byte)
-	in     chan parcel
-	closed chan struct{}
-	once   sync.Once
+// virtualSocket is a socket of a virtualNetwork: the listener's, one of the proxy to a server, a
+// terminal's or a server's.
+type virtualSocket struct {
+	network   *virtualNetwork
+	addr      netip.AddrPort
+	peer      netip.AddrPort                      // the address that Write sends to; if valid, the only one received from
+	receive   func(from netip.AddrPort, b []byte) // if set, is called instead of filling incoming
+	incoming  chan datagram
+	closed    chan struct{}
+	closeOnce sync.Once
 
 	mu      sync.Mutex
-	refusal [][]byte
+	refused [][]byte
 }
 
-type parcel struct {
-	from netip.AddrPort
-	b    []byte // nil: a refusal
+// datagram is a received datagram or the notice that one was refused.
+type datagram struct {
+	from    netip.AddrPort
+	payload []byte // nil: a refusal
 }
 
-func (a *air) open(peer netip.AddrPort, take func(netip.AddrPort, []byte)) *end {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	a.next++
-	e := &end{air: a, addr: netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 1, byte(a.next >> 8), byte(a.next)}), 1812), peer: peer, take: take, in: make(chan parcel, 4096), closed: make(chan struct{})}
-	a.ends[e.addr] = e
-	return e
+func (v *virtualNetwork) openSocket(peer netip.AddrPort, receive func(netip.AddrPort, []byte)) *virtualSocket {
+	v.mu.Lock()
+	defer v.mu.Unlock()
+	v.openedSockets++
+	socket := &virtualSocket{network: v, addr: netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 1, byte(v.openedSockets >> 8), byte(v.openedSockets)}), 1812), peer: peer, receive: receive, incoming: make(chan datagram, 4096), closed: make(chan struct{})}
+	v.sockets[socket.addr] = socket
+	return socket
 }
 
-func (e *end) deliver(from netip.AddrPort, b []byte) {
+func (s *virtualSocket) deliver(from netip.AddrPort, payload []byte) {
 	switch {
-	case e.take != nil:
-		e.take(from, b)
-	case e.peer.IsValid() && from != e.peer: // the system drops it
+	case s.receive != nil:
+		s.receive(from, payload)
+	case s.peer.IsValid() && from != s.peer: // as the operating system drops it
 	default:
 		select {
-		case e.in <- parcel{from, b}:
+		case s.incoming <- datagram{from, payload}:
 		default:
 		}
 	}
 }
 
-func (e *end) ReadFromUDPAddrPort(b []byte) (int, netip.AddrPort, error) {
+func (s *virtualSocket) ReadFromUDPAddrPort(b []byte) (int, netip.AddrPort, error) {
 	select {
-	case p := <-e.in:
-		if p.b == nil {
+	case p := <-s.incoming:
+		if p.payload == nil {
 			return 0, p.from, syscall.ECONNREFUSED
 		}
-		return copy(b, p.b), p.from, nil
-	case <-e.closed:
+		return copy(b, p.payload), p.from, nil
+	case <-s.closed:
 		return 0, netip.AddrPort{}, net.ErrClosed
 	}
 }
 
-func (e *end) WriteToUDPAddrPort(b []byte, to netip.AddrPort) (int, error) {
-	e.air.carry(e.addr, to, b)
+func (s *virtualSocket) WriteToUDPAddrPort(b []byte, to netip.AddrPort) (int, error) {
+	s.network.send(s.addr, to, b)
 	return len(b), nil
 }
 
-func (e *end) Read(b []byte) (int, error) { n, _, err := e.ReadFromUDPAddrPort(b); return n, err }
-func (e *end) Write(b []byte) (int, error) {
-	return e.WriteToUDPAddrPort(b, e.peer)
+func (s *virtualSocket) Read(b []byte) (int, error) {
+	n, _, err := s.ReadFromUDPAddrPort(b)
+	return n, err
 }
-func (e *end) LocalAddr() net.Addr { return net.UDPAddrFromAddrPort(e.addr) }
+func (s *virtualSocket) Write(b []byte) (int, error) {
+	return s.WriteToUDPAddrPort(b, s.peer)
+}
+func (s *virtualSocket) LocalAddr() net.Addr { return net.UDPAddrFromAddrPort(s.addr) }
 
-func (e *end) Close() error {
-	e.once.Do(func() {
-		e.air.mu.Lock()
-		delete(e.air.ends, e.addr)
-		e.air.mu.Unlock()
-		close(e.closed)
+func (s *virtualSocket) Close() error {
+	s.closeOnce.Do(func() {
+		s.network.mu.Lock()
+		delete(s.network.sockets, s.addr)
+		s.network.mu.Unlock()
+		close(s.closed)
 	})
 	return nil
 }
 
-// refuse is the news that a packet's port was refused.
-func (e *end) refuse(b []byte) {
-	e.mu.Lock()
-	e.refusal = append(e.refusal, b)
-	e.mu.Unlock()
+// reportRefusal queues the notice that the port which payload was sent to refused it.
+func (s *virtualSocket) reportRefusal(payload []byte) {
+	s.mu.Lock()
+	s.refused = append(s.refused, payload)
+	s.mu.Unlock()
 	select {
-	case e.in <- parcel{}:
+	case s.incoming <- datagram{}:
 	default:
 	}
 }
 
-func (e *end) Refused(tell func([]byte)) {
-	e.mu.Lock()
-	all := e.refusal
-	e.refusal = nil
-	e.mu.Unlock()
-	for _, b := range all {
-		tell(b)
+// Refused calls report with each payload that was refused since the last call.
+func (s *virtualSocket) Refused(report func([]byte)) {
+	s.mu.Lock()
+	refused := s.refused
+	s.refused = nil
+	s.mu.Unlock()
+	for _, b := range refused {
+		report(b)
 	}
 }
 
-// tally is what the servers of a run received of one call or event.
-type tally struct{ packets, attempts, effects int }
+// receivedCounts counts what all servers of a run received for one call or event: datagrams,
+// datagrams that are no duplicates, and executions.
+type receivedCounts struct{ packets, attempts, effects int }
 
-// virtualServer counts as the stand-in does, and knows duplicates by address,
+// virtualServer counts requests as the RADIUS stand-in does and recognizes duplicates by address,
 // identifier and authenticator.
 type virtualServer struct {
 	name    string
-	end     *end
-	mu      *sync.Mutex // of the run
-	ledger  map[string]tally
+	socket  *virtualSocket
+	mu      *sync.Mutex // shared by all servers of the run
+	ledger  map[string]receivedCounts
 	answers map[string][]byte
 	frozen  bool
 	down    bool
 }
 
-func (s *virtualServer) take(from netip.AddrPort, b []byte) {
+func (s *virtualServer) receive(from netip.AddrPort, payload []byte) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.down {
-		s.end.air.mu.Lock()
-		e := s.end.air.ends[from]
-		s.end.air.mu.Unlock()
-		if e != nil {
-			e.refuse(b)
+		s.socket.network.mu.Lock()
+		sender := s.socket.network.sockets[from]
+		s.socket.network.mu.Unlock()
+		if sender != nil {
+			sender.reportRefusal(payload)
 		}
 		return
 	}
-	p, err := radius.Parse(b)
-	if s.frozen || err != nil || p.VerifyRequest([]byte(ofServer), true) != nil {
+	request, err := radius.Parse(payload)
+	if s.frozen || err != nil || request.VerifyRequest([]byte(serverSecret), true) != nil {
 		return
 	}
-	name := string(p.Get(radius.UserName)) + string(p.Get(radius.AcctSessionID))
-	key := fmt.Sprint(from, p.ID, p.Authenticator)
-	t := s.ledger[name]
-	t.packets++
-	answer, again := s.answers[key]
-	if !again {
-		t.attempts++
-		t.effects++
+	name := string(request.Get(radius.UserName)) + string(request.Get(radius.AcctSessionID))
+	key := fmt.Sprint(from, request.ID, request.Authenticator)
+	counts := s.ledger[name]
+	counts.packets++
+	answer, duplicate := s.answers[key]
+	if !duplicate {
+		counts.attempts++
+		counts.effects++
 		code := radius.AccountingResponse
-		if p.Code == radius.AccessRequest {
+		if request.Code == radius.AccessRequest {
 			code = radius.AccessAccept
 		}
-		a := radius.Answer(p, code)
-		a.SignAnswer([]byte(ofServer), p.Authenticator)
-		answer = a.Marshal()
+		reply := radius.Answer(request, code)
+		reply.SignAnswer([]byte(serverSecret), request.Authenticator)
+		answer = reply.Marshal()
 		s.answers[key] = answer
 	}
-	s.ledger[name] = t
-	s.end.WriteToUDPAddrPort(answer, from)
+	s.ledger[name] = counts
+	s.socket.WriteToUDPAddrPort(answer, from)
 }
 
-// script is what becomes of one call: its answer's code, 0 for none, and the packets sent.
-type script struct {
-	code    radius.Code
-	packets int
+// callResult is the result of one call at the terminal.
+type callResult struct {
+	code        radius.Code // of the answer; 0: none
+	packetsSent int
 }
 
-// terminal asks until it is answered, as often as it may; accounting has a new
-// identifier and another delay each time.
-func (a *air) terminal(to netip.AddrPort, name string, accounting bool) (s script) {
-	e := a.open(to, nil)
-	defer e.Close()
+// runTerminal sends a request until it is answered, at most 100 times. Each accounting packet has a
+// new identifier and another Acct-Delay-Time.
+func (v *virtualNetwork) runTerminal(proxyAddr netip.AddrPort, name string, accounting bool) (result callResult) {
+	socket := v.openSocket(proxyAddr, nil)
+	defer socket.Close()
 	var wire []byte
-	var auth radius.Authenticator
-	copy(auth[:], name)
+	var authenticator radius.Authenticator
+	copy(authenticator[:], name)
 	for n := range 100 {
 		if n == 0 || accounting {
-			p := &radius.Packet{Code: radius.AccessRequest, ID: byte(n), Authenticator: auth}
+			p := &radius.Packet{Code: radius.AccessRequest, ID: byte(n), Authenticator: authenticator}
 			if accounting {
 				p = &radius.Packet{Code: radius.AccountingRequest, ID: byte(n)}
 				p.AddUint32(radius.AcctStatusType, 1)
@@ -245,53 +253,54 @@
 				p.Add(radius.MessageAuthenticator, make([]byte, 16))
 				p.Add(radius.UserName, []byte(name))
 			}
-			p.SignRequest([]byte(terminals))
+			p.SignRequest([]byte(clientSecret))
 			wire = p.Marshal()
 		}
-		e.Write(wire)
-		s.packets++
-		wait := time.NewTimer(80 * time.Millisecond)
+		socket.Write(wire)
+		result.packetsSent++
+		timer := time.NewTimer(80 * time.Millisecond)
 		for waiting := true; waiting; {
 			select {
-			case p := <-e.in:
+			case p := <-socket.incoming:
 				request, _ := radius.Parse(wire)
-				answer, err := radius.Parse(p.b)
-				if err == nil && answer.ID == request.ID && answer.VerifyAnswer([]byte(terminals), request.Authenticator, true) == nil {
-					wait.Stop()
-					s.code = answer.Code
-					return s
+				answer, err := radius.Parse(p.payload)
+				if err == nil && answer.ID == request.ID && answer.VerifyAnswer([]byte(clientSecret), request.Authenticator, true) == nil {
+					timer.Stop()
+					result.code = answer.Code
+					return result
 				}
-			case <-wait.C:
+			case <-timer.C:
 				waiting = false
 			}
 		}
 	}
-	return s
+	return result
 }
 
-// virtualRun plays calls through the proxy, with a server frozen for a time, one killed
-// and one drained, and returns what became of each and what the servers received.
-func virtualRun(t *testing.T, loss float64, calls, most int) (scripts map[string]script, ledger map[string]tally, counts string) {
-	scripts, ledger = make(map[string]script), make(map[string]tally)
+// runVirtualCalls sends calls through the proxy while one server is frozen for a time, one is killed
+// and one is drained. It returns the results and the servers' ledger, both by call, and the proxy's
+// counts as text.
+func runVirtualCalls(t *testing.T, loss float64, calls, maxAttempts int) (results map[string]callResult, ledger map[string]receivedCounts, counts string) {
+	results, ledger = make(map[string]callResult), make(map[string]receivedCounts)
 	synctest.Test(t, func(t *testing.T) {
-		a := &air{seed: 7, loss: loss, sent: make(map[string]int), ends: make(map[netip.AddrPort]*end)}
+		network := &virtualNetwork{seed: 7, loss: loss, sentByRoute: make(map[string]int), sockets: make(map[netip.AddrPort]*virtualSocket)}
 		var mu sync.Mutex
 		var servers []*virtualServer
-		sec := section()
-		sec.MaxAttempts, sec.MaxCallsPerClient = most, 1000
-		sec.Clients[0].Range = "127.1.0.0/16"
-		sec.Access.AttemptTimeout, sec.Access.Deadline, sec.Access.ResendDelay, sec.Access.MaxResends = ms(200), ms(3000), ms(40), 2
-		sec.Accounting.ResendDelay, sec.Accounting.MaxResends, sec.Accounting.AttemptTimeout, sec.Accounting.Deadline = ms(40), 10, ms(2500), ms(3000)
+		section := defaultSection()
+		section.MaxAttempts, section.MaxCallsPerClient = maxAttempts, 1000
+		section.Clients[0].Range = "127.1.0.0/16"
+		section.Access.AttemptTimeout, section.Access.Deadline, section.Access.ResendDelay, section.Access.MaxResends = millis(200), millis(3000), millis(40), 2
+		section.Accounting.ResendDelay, section.Accounting.MaxResends, section.Accounting.AttemptTimeout, section.Accounting.Deadline = millis(40), 10, millis(2500), millis(3000)
 		for n := range 4 {
 			s := &virtualServer{name: fmt.Sprint("r", n+1), mu: &mu, ledger: ledger, answers: make(map[string][]byte)}
-			s.end = a.open(netip.AddrPort{}, s.take)
+			s.socket = network.openSocket(netip.AddrPort{}, s.receive)
 			servers = append(servers, s)
-			sec.Servers = append(sec.Servers, features.RadiusServer{Name: s.name, Auth: s.end.addr.String(), Acct: s.end.addr.String(), Secret: ofServer})
+			section.Servers = append(section.Servers, features.RadiusServer{Name: s.name, Auth: s.socket.addr.String(), Acct: s.socket.addr.String(), Secret: serverSecret})
 		}
-		p, err := New(Config{
-			Radius: sec, Base: base(), Grace: 2 * time.Second, Seed: 5,
-			Listen: func(string) listener.Conn { return a.open(netip.AddrPort{}, nil) },
-			Dial:   func(to netip.AddrPort) (transport.Conn, error) { return a.open(to, nil), nil },
+		proxy, err := New(Config{
+			Radius: section, Base: basePlatform(), Grace: 2 * time.Second, Seed: 5,
+			Listen: func(string) listener.Conn { return network.openSocket(netip.AddrPort{}, nil) },
+			Dial:   func(to netip.AddrPort) (transport.Conn, error) { return network.openSocket(to, nil), nil },
 		})
 		if err != nil {
 			t.Fatal(err)
@@ -308,82 +317,82 @@
 				servers[0].frozen, servers[1].down = false, true
 				mu.Unlock()
 			case calls * 3 / 4:
-				for _, s := range p.sides {
-					s.pools[""].host.ApplyList(leaving("r3"))
+				for _, s := range proxy.services {
+					s.pools[""].host.ApplyList(drainingList("r3"))
 				}
 			}
 			accounting := n%2 == 1
-			name, to := fmt.Sprint("u", n), p.Addr(accounting)
+			name, to := fmt.Sprint("u", n), proxy.Addr(accounting)
 			if accounting {
 				name = fmt.Sprint("s", n)
 			}
 			wg.Go(func() {
-				s := a.terminal(to, name, accounting)
+				s := network.runTerminal(to, name, accounting)
 				mu.Lock()
-				scripts[name] = s
+				results[name] = s
 				mu.Unlock()
 			})
 			time.Sleep(2*time.Millisecond + time.Duration(n%97)*time.Nanosecond)
 		}
 		wg.Wait()
-		access, at := p.Counts(false)
-		acct, st := p.Counts(true)
-		counts = fmt.Sprintf("%+v %+v %+v %+v", access, at, acct, st)
-		p.Close()
+		accessCounts, accessTransportCounts := proxy.Counts(false)
+		accountingCounts, accountingTransportCounts := proxy.Counts(true)
+		counts = fmt.Sprintf("%+v %+v %+v %+v", accessCounts, accessTransportCounts, accountingCounts, accountingTransportCounts)
+		proxy.Close()
 		for _, s := range servers {
-			s.end.Close()
+			s.socket.Close()
 		}
 	})
-	return scripts, ledger, counts
+	return results, ledger, counts
 }
 
-// In virtual time, over a seeded way: what becomes of each call and what the servers
-// receive of it is the same on every run, to the packet; each event that is answered is
-// counted once, no event twice, and each access call has one answer within its cap.
-func TestVirtual(t *testing.T) {
+// In virtual time and over a seeded network, two runs must have the same results and counts to the
+// packet. Each answered event must be counted once, no event twice, and each access call must get
+// one answer within its limit of attempts.
+func TestVirtualRunsAreIdentical(t *testing.T) {
 	const (
-		calls = 3334 // twice for each loss: 20,004
-		most  = 3
+		calls       = 3334 // two runs at each of three loss rates: 20,004
+		maxAttempts = 3
 	)
 	for _, loss := range []float64{0, 0.1, 0.3} {
 		t.Run(fmt.Sprintf("loss=%v", loss), func(t *testing.T) {
-			scripts, ledger, counts := virtualRun(t, loss, calls, most)
-			again, ledgerAgain, countsAgain := virtualRun(t, loss, calls, most)
-			if !maps.Equal(scripts, again) || !maps.Equal(ledger, ledgerAgain) || counts != countsAgain {
-				differ := 0
-				for name, s := range scripts {
-					if s != again[name] || ledger[name] != ledgerAgain[name] {
-						if differ++; differ <= 5 {
-							t.Errorf("%s: %+v %+v, then %+v %+v", name, s, ledger[name], again[name], ledgerAgain[name])
+			results, ledger, counts := runVirtualCalls(t, loss, calls, maxAttempts)
+			resultsAgain, ledgerAgain, countsAgain := runVirtualCalls(t, loss, calls, maxAttempts)
+			if !maps.Equal(results, resultsAgain) || !maps.Equal(ledger, ledgerAgain) || counts != countsAgain {
+				differing := 0
+				for name, result := range results {
+					if result != resultsAgain[name] || ledger[name] != ledgerAgain[name] {
+						if differing++; differing <= 5 {
+							t.Errorf("%s: %+v %+v, then %+v %+v", name, result, ledger[name], resultsAgain[name], ledgerAgain[name])
 						}
 					}
 				}
-				t.Errorf("%d of %d calls differ;\n%s\n%s", differ, calls, counts, countsAgain)
+				t.Errorf("%d of %d calls differ;\n%s\n%s", differing, calls, counts, countsAgain)
 			}
-			accepted, rejected, answered, open := 0, 0, 0, 0
-			for name, s := range scripts {
-				l := ledger[name]
+			accepted, rejected, answered, unanswered := 0, 0, 0, 0
+			for name, result := range results {
+				received := ledger[name]
 				switch {
-				case name[0] == 'u' && s.code == 0:
-					t.Errorf("%s: no answer", name)
-				case name[0] == 'u' && l.attempts > most:
-					t.Errorf("%s: %+v", name, l)
-				case name[0] == 's' && (l.effects > 1 || s.code != 0 && l.effects != 1):
-					t.Errorf("%s: %+v %+v", name, s, l)
-				case s.code == radius.AccessAccept:
+				case name[0] == 'u' && result.code == 0:
+					t.Errorf("%s: the access call got no answer", name)
+				case name[0] == 'u' && received.attempts > maxAttempts:
+					t.Errorf("%s: too many attempts: %+v", name, received)
+				case name[0] == 's' && (received.effects > 1 || result.code != 0 && received.effects != 1):
+					t.Errorf("%s: event not counted exactly once: %+v %+v", name, result, received)
+				case result.code == radius.AccessAccept:
 					accepted++
-				case s.code == radius.AccessReject:
+				case result.code == radius.AccessReject:
 					rejected++
-				case s.code == radius.AccountingResponse:
+				case result.code == radius.AccountingResponse:
 					answered++
 				default:
-					open++
+					unanswered++
 				}
 			}
-			if len(scripts) != calls || accepted == 0 || answered == 0 {
-				t.Errorf("%d calls", len(scripts))
+			if len(results) != calls || accepted == 0 || answered == 0 {
+				t.Errorf("%d results, want some accepted and some answered", len(results))
 			}
-			t.Logf("%d access calls accepted, %d rejected; %d events answered and counted once, %d given up\n%s", accepted, rejected, answered, open, counts)
+			t.Logf("%d access calls accepted, %d rejected; %d events answered and counted once, %d given up\n%s", accepted, rejected, answered, unanswered, counts)
 		})
 	}
 }
