--- a/internal/haproxy/cond.go
+++ b/internal/haproxy/cond.go
@@ -7,20 +7,21 @@
 	"strings"
 )
 
-// Truth is what is known of a condition.
+// Truth is the value of a condition in three-valued logic.
 type Truth int
 
 const (
 	False Truth = iota
 	True
-	// Unknown is for what depends on the HAProxy that would have read the file: its
-	// version, how it was built, and its options.
+	// Unknown is the value of a condition that depends on the HAProxy that reads the file: its
+	// version, build options or libraries.
 	Unknown
 )
 
-// String is the word for it.
+// String returns "false", "true" or "unknown".
 func (t Truth) String() string { return [...]string{"false", "true", "unknown"}[t] }
 
+// not returns the negation; that of Unknown is Unknown.
 func (t Truth) not() Truth {
 	if t == Unknown {
 		return Unknown
@@ -28,7 +29,7 @@
 	return 1 - t
 }
 
-// and and or are Kleene's: unknown unless the other side settles it.
+// and returns Kleene's conjunction: Unknown unless the other operand is False.
 func (t Truth) and(u Truth) Truth {
 	switch {
 	case t == False || u == False:
@@ -39,177 +40,189 @@
 	return True
 }
 
+// or returns Kleene's disjunction: Unknown unless the other operand is True.
 func (t Truth) or(u Truth) Truth { return t.not().and(u.not()).not() }
 
-// condMost bounds how deep conditions nest, in their parentheses and as blocks.
-const condMost = 32
-
-// Evaluate works out the condition of a conditional block (section 2.4). Version is that
-// of the HAProxy that the file is for, as "2.8.3"; empty: not known.
-func Evaluate(cond, version string, env Env) (Truth, error) {
-	p := &condParser{text: cond, version: version, env: env}
-	p.space()
-	if p.at == len(p.text) { // "an empty string is false"
+// maxConditionDepth limits the nesting of parentheses and negations in a condition, and of
+// conditional blocks.
+const maxConditionDepth = 32
+
+// Evaluate returns the value of a conditional block's condition (section 2.4 of the manual).
+// version is that of the HAProxy that the file is written for, such as "2.8.3"; empty: unknown.
+// It returns an error if the condition can't be parsed.
+func Evaluate(condition, version string, env Env) (Truth, error) {
+	p := &conditionParser{text: condition, version: version, env: env}
+	p.skipSpace()
+	if p.offset == len(p.text) { // the manual: "an empty string is false"
 		return False, nil
 	}
-	t, err := p.or(0)
-	if err == nil && p.at < len(p.text) {
-		err = fmt.Errorf("%q makes no sense here", p.text[p.at:])
+	t, err := p.parseOr(0)
+	if err == nil && p.offset < len(p.text) {
+		err = fmt.Errorf("unexpected %q after the condition", p.text[p.offset:])
 	}
 	return t, err
 }
 
-type condParser struct {
+// conditionParser evaluates a condition while it parses it by recursive descent.
+type conditionParser struct {
 	text, version string
-	at            int
+	offset        int
 	env           Env
 }
 
-func (p *condParser) space() {
-	for p.at < len(p.text) && (p.text[p.at] == ' ' || p.text[p.at] == '\t') {
-		p.at++
+// skipSpace advances past spaces and tabs.
+func (p *conditionParser) skipSpace() {
+	for p.offset < len(p.text) && (p.text[p.offset] == ' ' || p.text[p.offset] == '\t') {
+		p.offset++
 	}
 }
 
-// take passes a token if it is next.
-func (p *condParser) take(token string) bool {
-	p.space()
-	if strings.HasPrefix(p.text[p.at:], token) {
-		p.at += len(token)
-		p.space()
+// acceptToken advances past the token and the space around it if it comes next, and returns
+// whether it did.
+func (p *conditionParser) acceptToken(token string) bool {
+	p.skipSpace()
+	if strings.HasPrefix(p.text[p.offset:], token) {
+		p.offset += len(token)
+		p.skipSpace()
 		return true
 	}
 	return false
 }
 
-func (p *condParser) or(depth int) (Truth, error) {
-	t, err := p.and(depth)
-	for err == nil && p.take("||") {
+// parseOr parses terms joined by && and ||; && binds more tightly.
+func (p *conditionParser) parseOr(depth int) (Truth, error) {
+	t, err := p.parseAnd(depth)
+	for err == nil && p.acceptToken("||") {
 		var u Truth
-		u, err = p.and(depth)
+		u, err = p.parseAnd(depth)
 		t = t.or(u)
 	}
 	return t, err
 }
 
-func (p *condParser) and(depth int) (Truth, error) {
-	t, err := p.term(depth)
-	for err == nil && p.take("&&") {
+// parseAnd parses terms joined by &&.
+func (p *conditionParser) parseAnd(depth int) (Truth, error) {
+	t, err := p.parseTerm(depth)
+	for err == nil && p.acceptToken("&&") {
 		var u Truth
-		u, err = p.term(depth)
+		u, err = p.parseTerm(depth)
 		t = t.and(u)
 	}
 	return t, err
 }
 
-func (p *condParser) term(depth int) (Truth, error) {
-	if depth > condMost {
-		return False, errors.New("too many parentheses")
+// parseTerm parses a negation, a condition in parentheses, an integer or a predicate.
+func (p *conditionParser) parseTerm(depth int) (Truth, error) {
+	if depth > maxConditionDepth {
+		return False, errors.New("parentheses or negations are nested too deeply")
 	}
 	switch {
-	case p.take("!"):
-		t, err := p.term(depth + 1)
+	case p.acceptToken("!"):
+		t, err := p.parseTerm(depth + 1)
 		return t.not(), err
-	case p.take("("):
-		t, err := p.or(depth + 1)
-		if err == nil && !p.take(")") {
-			err = errors.New("a parenthesis that does not close")
+	case p.acceptToken("("):
+		t, err := p.parseOr(depth + 1)
+		if err == nil && !p.acceptToken(")") {
+			err = errors.New("missing closing parenthesis")
 		}
 		return t, err
 	}
-	from := p.at
-	for p.at < len(p.text) && (nameByte(p.text[p.at], false) || p.text[p.at] == '-') {
-		p.at++
+	start := p.offset
+	for p.offset < len(p.text) && (isNameByte(p.text[p.offset], false) || p.text[p.offset] == '-') {
+		p.offset++
 	}
-	word := p.text[from:p.at]
+	word := p.text[start:p.offset]
 	if n, err := strconv.ParseInt(word, 10, 64); err == nil {
-		p.space()
-		return truth(n != 0), nil
+		p.skipSpace()
+		return truthOf(n != 0), nil
 	}
-	if word == "" || !p.take("(") {
-		return False, fmt.Errorf("%q is no condition", p.text[from:])
+	if word == "" || !p.acceptToken("(") {
+		return False, fmt.Errorf("%q is not a condition", p.text[start:])
 	}
-	end := strings.IndexByte(p.text[p.at:], ')')
+	end := strings.IndexByte(p.text[p.offset:], ')')
 	if end < 0 {
-		return False, errors.New("a parenthesis that does not close")
+		return False, errors.New("missing closing parenthesis")
 	}
-	args := strings.Split(p.text[p.at:p.at+end], ",")
-	p.at += end + 1
-	p.space()
+	args := strings.Split(p.text[p.offset:p.offset+end], ",")
+	p.offset += end + 1
+	p.skipSpace()
 	for n := range args {
 		args[n] = strings.TrimSpace(args[n])
 	}
-	return p.predicate(word, args)
+	return p.evaluatePredicate(word, args)
 }
 
-func truth(b bool) Truth {
-	if b {
+func truthOf(value bool) Truth {
+	if value {
 		return True
 	}
 	return False
 }
 
-// arity is how many arguments a predicate has.
-var arity = map[string]int{"defined": 1, "feature": 1, "enabled": 1, "streq": 2, "strneq": 2, "strstr": 2, "version_atleast": 1, "version_before": 1,
+// predicateArity is the number of arguments of each predicate.
+var predicateArity = map[string]int{"defined": 1, "feature": 1, "enabled": 1, "streq": 2, "strneq": 2, "strstr": 2, "version_atleast": 1, "version_before": 1,
 	"openssl_version_atleast": 1, "openssl_version_before": 1, "ssllib_name_startswith": 1, "awslc_api_atleast": 1, "awslc_api_before": 1}
 
-func (p *condParser) predicate(name string, args []string) (Truth, error) {
-	n, known := arity[name]
+// evaluatePredicate returns the value of a predicate, and an error for an unknown name, a wrong
+// number of arguments or an invalid version. Predicates on HAProxy's build are Unknown.
+func (p *conditionParser) evaluatePredicate(name string, args []string) (Truth, error) {
+	wantArgs, known := predicateArity[name]
 	switch {
 	case !known:
-		return False, fmt.Errorf("%s is no predicate", name)
-	case len(args) != n:
-		return False, fmt.Errorf("%s takes %d arguments, not %d", name, n, len(args))
+		return False, fmt.Errorf("unknown predicate %s", name)
+	case len(args) != wantArgs:
+		return False, fmt.Errorf("predicate %s takes %d arguments, not %d", name, wantArgs, len(args))
 	}
 	switch name {
 	case "defined":
 		_, set := p.env(args[0])
-		return truth(set), nil
+		return truthOf(set), nil
 	case "streq":
-		return truth(args[0] == args[1]), nil
+		return truthOf(args[0] == args[1]), nil
 	case "strneq":
-		return truth(args[0] != args[1]), nil
+		return truthOf(args[0] != args[1]), nil
 	case "strstr":
-		return truth(strings.Contains(args[0], args[1])), nil
+		return truthOf(strings.Contains(args[0], args[1])), nil
 	case "version_atleast", "version_before":
 		if p.version == "" {
 			return Unknown, nil
 		}
-		less, err := older(p.version, args[0])
-		return truth(less == (name == "version_before")), err
+		isOlder, err := isOlderVersion(p.version, args[0])
+		return truthOf(isOlder == (name == "version_before")), err
 	}
 	return Unknown, nil
 }
 
-// older says whether a version is older than another. Parts that are not there count as
-// 0; what follows a dash is a pre-release, which is not compared.
-func older(a, b string) (bool, error) {
-	pa, err := parts(a)
+// isOlderVersion returns whether version a precedes version b. Missing parts count as 0, and a
+// pre-release suffix after a dash is ignored.
+func isOlderVersion(a, b string) (bool, error) {
+	partsA, err := versionParts(a)
 	if err != nil {
 		return false, err
 	}
-	pb, err := parts(b)
+	partsB, err := versionParts(b)
 	if err != nil {
 		return false, err
 	}
-	for n := range pa {
-		if pa[n] != pb[n] {
-			return pa[n] < pb[n], nil
+	for n := range partsA {
+		if partsA[n] != partsB[n] {
+			return partsA[n] < partsB[n], nil
 		}
 	}
 	return false, nil
 }
 
-func parts(v string) (p [4]int, err error) {
-	v, _, _ = strings.Cut(v, "-")
-	fields := strings.Split(v, ".")
-	if len(fields) > len(p) {
-		return p, fmt.Errorf("%q is no version", v)
+// versionParts returns the up to four numbers of a version such as "2.8.3-dev1".
+func versionParts(version string) (numbers [4]int, err error) {
+	version, _, _ = strings.Cut(version, "-")
+	fields := strings.Split(version, ".")
+	if len(fields) > len(numbers) {
+		return numbers, fmt.Errorf("invalid version %q: want up to four numbers separated by dots", version)
 	}
-	for n, f := range fields {
-		if p[n], err = strconv.Atoi(f); err != nil || p[n] < 0 {
-			return p, fmt.Errorf("%q is no version", v)
+	for n, field := range fields {
+		if numbers[n], err = strconv.Atoi(field); err != nil || numbers[n] < 0 {
+			return numbers, fmt.Errorf("invalid version %q: want up to four numbers separated by dots", version)
 		}
 	}
-	return p, nil
+	return numbers, nil
 }
--- a/internal/haproxy/config.go
+++ b/internal/haproxy/config.go
@@ -5,256 +5,265 @@
 	"strings"
 )
 
-// Source is one file of a configuration.
+// Source is one file of a configuration. Name is the path that problems and locations report.
 type Source struct {
 	Name string
 	Text string
 }
 
-// Directive is a line that says something, within its section.
+// Directive is a line of a file that has words or could not be parsed.
 type Directive struct {
 	File string
 	Line
-	// Holds says whether the conditional blocks round it hold.
-	Holds Truth
+	// Active says whether the conditions of all blocks around the directive are met.
+	Active Truth
 }
 
-// At is the place of a directive for people.
-func (d *Directive) At() string { return fmt.Sprintf("%s:%d", d.File, d.Pos.Line) }
+// Location returns the directive's file and line as "file:line", for messages.
+func (d *Directive) Location() string { return fmt.Sprintf("%s:%d", d.File, d.Pos.Line) }
 
-// Section is a part of a configuration, from its head to the next one's.
+// Section is a part of a configuration, from its first line to the first line of the next
+// section.
 type Section struct {
-	Kind string // as it stands in the file, also of kinds that do not exist
-	Name string
-	From string // the defaults that it names
-	Head *Directive
-	// Defaults are those that hold for it: the named ones, else the last before it.
+	Kind         string // the section's keyword, such as "frontend"; it may be unknown to HAProxy
+	Name         string
+	DefaultsName string // the defaults section that its "from" names; empty if it has none
+	Head         *Directive
+	// Defaults is the defaults section that applies: the named one, otherwise the last one
+	// before this section. A defaults section inherits only from the one that it names.
 	Defaults   *Section
 	Directives []*Directive
-	Known      bool // HAProxy has sections of that kind
+	Known      bool // whether HAProxy has sections of this kind
 }
 
-// Problem is something in the files that can't be read as it stands.
+// Problem is an error in the configuration files. It is encoded as JSON in import reports.
 type Problem struct {
 	File string
 	Pos
 	Text string
 }
 
-// Error implements error: one line that names the place.
+// Error implements error. It returns one line of the form "file:line:column: text".
 func (p *Problem) Error() string { return fmt.Sprintf("%s:%d:%d: %s", p.File, p.Line, p.Col, p.Text) }
 
-// Config is what files say together, in their order.
+// Config is the configuration that several files form together, in the order of the files.
 type Config struct {
 	Sections []*Section
-	// Blocks are the lines of conditional blocks themselves, Outside those before any
-	// section.
-	Blocks, Outside []*Directive
-	Problems        []*Problem
+	// BlockDirectives are the lines that begin with a dot, such as .if and .endif;
+	// OutsideDirectives are the lines before the first section of a file.
+	BlockDirectives, OutsideDirectives []*Directive
+	Problems                           []*Problem
 }
 
-// kinds are the sections that HAProxy has (section 2 of the manual and those after it).
-var kinds = map[string]bool{
+// sectionKinds are the sections that HAProxy has, from section 2 of the manual onwards.
+var sectionKinds = map[string]bool{
 	"global": true, "defaults": true, "frontend": true, "backend": true, "listen": true, "peers": true, "resolvers": true,
 	"mailers": true, "program": true, "cache": true, "ring": true, "userlist": true, "fcgi-app": true, "http-errors": true,
 	"log-forward": true, "log-profile": true, "crt-store": true, "traces": true, "acme": true,
 }
 
-// proxies are the kinds that take settings from defaults.
-var proxies = map[string]bool{"frontend": true, "backend": true, "listen": true, "defaults": true}
+// proxyKinds are the kinds of section that inherit settings from a defaults section.
+var proxyKinds = map[string]bool{"frontend": true, "backend": true, "listen": true, "defaults": true}
 
-// Options are what a reading goes by.
+// Options control how files are read.
 type Options struct {
-	Env     Env
-	Version string // of the HAProxy that the files are for; empty: not known
-	// Directive says whether HAProxy knows a directive of that name in sections of that
-	// kind; nil: it knows all. An unknown word at the left edge of a file whose
-	// directives are indented begins a section of a kind that does not exist.
+	Env     Env    // looks up environment variables; nil: none is set
+	Version string // of the HAProxy that the files are written for; empty: unknown
+	// Directive reports whether HAProxy knows a directive of that name in sections of that
+	// kind; nil: every directive is known. In a file whose directives are indented, an
+	// unknown word in column 1 begins a section of an unknown kind.
 	Directive func(kind, name string) bool
 }
 
-// Read reads files as HAProxy does: one after the other, as one configuration. It never
-// fails as a whole: what is wrong stands in Problems, and the rest goes on.
-func Read(files []Source, o Options) *Config {
-	if o.Env == nil {
-		o.Env = func(string) (string, bool) { return "", false }
+// Read parses files as HAProxy does: one after the other, as one configuration. It does not
+// stop at errors: it records each one in Problems and continues with the next line.
+func Read(files []Source, options Options) *Config {
+	if options.Env == nil {
+		options.Env = func(string) (string, bool) { return "", false }
 	}
-	r := &reader{o: o, c: new(Config)}
+	r := &reader{options: options, config: new(Config)}
 	for _, f := range files {
-		r.file(f)
+		r.readFile(f)
 	}
-	r.inherit()
-	return r.c
+	r.resolveDefaults()
+	return r.config
 }
 
-// block is a conditional block that is open.
+// block is an open conditional block.
 type block struct {
-	at    *Directive
-	outer Truth
-	now   Truth // of the branch that is being read
-	taken Truth // whether an earlier branch was
-	other bool  // .else has come
+	start        *Directive
+	outerActive  Truth
+	branchActive Truth // whether the current branch is the one that applies
+	branchTaken  Truth // whether the condition of any branch so far is met
+	sawElse      bool  // .else was read
 }
 
+// reader holds the state while files are read.
 type reader struct {
-	o       Options
-	c       *Config
+	options Options
+	config  *Config
 	section *Section
 	blocks  []block
 }
 
-func (r *reader) problem(d *Directive, pos Pos, format string, args ...any) {
-	r.c.Problems = append(r.c.Problems, &Problem{d.File, pos, fmt.Sprintf(format, args...)})
+// addProblem records an error at a position in the directive's file.
+func (r *reader) addProblem(directive *Directive, pos Pos, format string, args ...any) {
+	r.config.Problems = append(r.config.Problems, &Problem{directive.File, pos, fmt.Sprintf(format, args...)})
 }
 
-func (r *reader) file(f Source) {
-	if len(f.Text) > TextMost {
-		r.c.Problems = append(r.c.Problems, &Problem{f.Name, Pos{1, 1}, fmt.Sprintf("over %d bytes long", TextMost)})
+// readFile reads one file. Sections and conditional blocks end with the file.
+func (r *reader) readFile(source Source) {
+	if len(source.Text) > TextMost {
+		r.config.Problems = append(r.config.Problems, &Problem{source.Name, Pos{1, 1}, fmt.Sprintf("file is longer than %d bytes", TextMost)})
 		return
 	}
-	indented := false
-	r.section = nil // each file begins outside of any
-	for _, l := range Lines(f.Text, r.o.Env) {
-		if len(l.Words) == 0 && l.Err == "" {
+	sawIndentation := false
+	r.section = nil // a section does not continue in the next file
+	for _, line := range ParseLines(source.Text, r.options.Env) {
+		if len(line.Words) == 0 && line.Err == "" {
 			continue
 		}
-		d := &Directive{File: f.Name, Line: l, Holds: r.holds()}
-		if l.Err != "" {
-			r.problem(d, l.Pos, "%s", l.Err)
+		directive := &Directive{File: source.Name, Line: line, Active: r.activeHere()}
+		if line.Err != "" {
+			r.addProblem(directive, line.Pos, "%s", line.Err)
 		}
-		key := l.Key()
-		edge := len(l.Words) > 0 && l.Words[0].Pos.Col == 1
-		indented = indented || !edge
+		keyword := line.Keyword()
+		atLineStart := len(line.Words) > 0 && line.Words[0].Pos.Col == 1
+		sawIndentation = sawIndentation || !atLineStart
 		switch {
-		case strings.HasPrefix(key, "."):
-			r.c.Blocks = append(r.c.Blocks, d)
-			r.conditional(d)
-		case kinds[key]:
-			r.begin(d, true)
-		case edge && indented && r.o.Directive != nil && (r.section == nil || !r.o.Directive(r.section.Kind, key)):
-			r.problem(d, l.Pos, "there is no section %q", key)
-			r.begin(d, false)
+		case strings.HasPrefix(keyword, "."):
+			r.config.BlockDirectives = append(r.config.BlockDirectives, directive)
+			r.readConditional(directive)
+		case sectionKinds[keyword]:
+			r.beginSection(directive, true)
+		case atLineStart && sawIndentation && r.options.Directive != nil && (r.section == nil || !r.options.Directive(r.section.Kind, keyword)):
+			r.addProblem(directive, line.Pos, "unknown section %q", keyword)
+			r.beginSection(directive, false)
 		case r.section == nil:
-			r.problem(d, l.Pos, "%q stands before any section", key)
-			r.c.Outside = append(r.c.Outside, d)
+			r.addProblem(directive, line.Pos, "%q appears before the first section", keyword)
+			r.config.OutsideDirectives = append(r.config.OutsideDirectives, directive)
 		default:
-			r.section.Directives = append(r.section.Directives, d)
+			r.section.Directives = append(r.section.Directives, directive)
 		}
 	}
 	for _, b := range r.blocks {
-		r.problem(b.at, b.at.Pos, "a block that does not end")
+		r.addProblem(b.start, b.start.Pos, "conditional block without .endif")
 	}
 	r.blocks = nil
 }
 
-func (r *reader) holds() Truth {
+// activeHere returns whether the conditions of all open blocks are met.
+func (r *reader) activeHere() Truth {
 	if n := len(r.blocks); n > 0 {
-		return r.blocks[n-1].outer.and(r.blocks[n-1].now)
+		return r.blocks[n-1].outerActive.and(r.blocks[n-1].branchActive)
 	}
 	return True
 }
 
-// begin begins a section.
-func (r *reader) begin(d *Directive, known bool) {
-	s := &Section{Kind: d.Key(), Head: d, Known: known}
-	args := d.Args()
+// beginSection starts a section at its first line. known says whether HAProxy has sections
+// of that kind.
+func (r *reader) beginSection(head *Directive, known bool) {
+	section := &Section{Kind: head.Keyword(), Head: head, Known: known}
+	args := head.Args()
 	if len(args) > 0 && args[0] != "from" {
-		s.Name, args = args[0], args[1:]
+		section.Name, args = args[0], args[1:]
 	}
-	if len(args) > 1 && args[0] == "from" && proxies[s.Kind] {
-		s.From = args[1]
+	if len(args) > 1 && args[0] == "from" && proxyKinds[section.Kind] {
+		section.DefaultsName = args[1]
 	}
-	r.section = s
-	r.c.Sections = append(r.c.Sections, s)
+	r.section = section
+	r.config.Sections = append(r.config.Sections, section)
 }
 
-// conditional reads a line of a conditional block (section 2.4).
-func (r *reader) conditional(d *Directive) {
+// readConditional reads a line that begins with a dot: a condition or a message (section 2.4
+// of the manual).
+func (r *reader) readConditional(directive *Directive) {
 	evaluate := func() Truth {
-		t, err := Evaluate(strings.Join(d.Args(), " "), r.o.Version, r.o.Env)
+		t, err := Evaluate(strings.Join(directive.Args(), " "), r.options.Version, r.options.Env)
 		if err != nil {
-			r.problem(d, d.Pos, "%s: %v", d.Key(), err)
+			r.addProblem(directive, directive.Pos, "%s: %v", directive.Keyword(), err)
 			return Unknown
 		}
 		return t
 	}
-	n := len(r.blocks)
-	switch key := d.Key(); {
-	case key == ".if" && n >= condMost:
-		r.problem(d, d.Pos, "over %d blocks within each other", condMost)
-	case key == ".if":
+	depth := len(r.blocks)
+	switch keyword := directive.Keyword(); {
+	case keyword == ".if" && depth >= maxConditionDepth:
+		r.addProblem(directive, directive.Pos, "conditional blocks are nested deeper than %d levels", maxConditionDepth)
+	case keyword == ".if":
 		t := evaluate()
-		r.blocks = append(r.blocks, block{at: d, outer: r.holds(), now: t, taken: t})
-	case key == ".diag" || key == ".notice" || key == ".warning" || key == ".alert":
-	case key != ".elif" && key != ".else" && key != ".endif":
-		r.problem(d, d.Pos, "%q is no line of a block", key)
-	case n == 0:
-		r.problem(d, d.Pos, "%s without .if", key)
-	case key == ".endif":
-		r.blocks = r.blocks[:n-1]
-	case r.blocks[n-1].other:
-		r.problem(d, d.Pos, "%s behind .else", key)
+		r.blocks = append(r.blocks, block{start: directive, outerActive: r.activeHere(), branchActive: t, branchTaken: t})
+	case keyword == ".diag" || keyword == ".notice" || keyword == ".warning" || keyword == ".alert":
+	case keyword != ".elif" && keyword != ".else" && keyword != ".endif":
+		r.addProblem(directive, directive.Pos, "unknown conditional directive %q", keyword)
+	case depth == 0:
+		r.addProblem(directive, directive.Pos, "%s without .if", keyword)
+	case keyword == ".endif":
+		r.blocks = r.blocks[:depth-1]
+	case r.blocks[depth-1].sawElse:
+		r.addProblem(directive, directive.Pos, "%s after .else", keyword)
 	default:
-		b, t := &r.blocks[n-1], True
-		if b.other = key == ".else"; !b.other {
+		b, t := &r.blocks[depth-1], True
+		if b.sawElse = keyword == ".else"; !b.sawElse {
 			t = evaluate()
 		}
-		b.now = t.and(b.taken.not())
-		b.taken = b.taken.or(t)
+		b.branchActive = t.and(b.branchTaken.not())
+		b.branchTaken = b.branchTaken.or(t)
 	}
 }
 
-// inherit finds the defaults of each section, and what is wrong with names.
-func (r *reader) inherit() {
+// resolveDefaults finds the defaults section of each section, and reports duplicate names,
+// unknown defaults and cycles between defaults.
+func (r *reader) resolveDefaults() {
 	named := make(map[string]*Section)
-	for _, s := range r.c.Sections {
-		if s.Kind == "defaults" && s.Name != "" && s.Head.Holds != False {
-			if other := named[s.Name]; other != nil {
-				r.problem(s.Head, s.Head.Pos, "defaults %q is there already, at %s", s.Name, other.Head.At())
+	for _, section := range r.config.Sections {
+		if section.Kind == "defaults" && section.Name != "" && section.Head.Active != False {
+			if other := named[section.Name]; other != nil {
+				r.addProblem(section.Head, section.Head.Pos, "duplicate defaults %q, first defined at %s", section.Name, other.Head.Location())
 				continue
 			}
-			named[s.Name] = s
+			named[section.Name] = section
 		}
 	}
-	var last *Section
-	seen := make(map[string]*Section)
-	for _, s := range r.c.Sections {
-		if !proxies[s.Kind] || s.Head.Holds == False {
+	var lastDefaults *Section
+	sectionsByName := make(map[string]*Section)
+	for _, section := range r.config.Sections {
+		if !proxyKinds[section.Kind] || section.Head.Active == False {
 			continue
 		}
 		switch {
-		case s.From != "":
-			if s.Defaults = named[s.From]; s.Defaults == nil {
-				r.problem(s.Head, s.Head.Pos, "there are no defaults %q", s.From)
+		case section.DefaultsName != "":
+			if section.Defaults = named[section.DefaultsName]; section.Defaults == nil {
+				r.addProblem(section.Head, section.Head.Pos, "unknown defaults %q", section.DefaultsName)
 			}
-		case s.Kind != "defaults":
-			s.Defaults = last
+		case section.Kind != "defaults":
+			section.Defaults = lastDefaults
 		}
-		if s.Kind == "defaults" {
-			last = s
+		if section.Kind == "defaults" {
+			lastDefaults = section
 			continue
 		}
-		// A listen is both; the names of frontends and of backends are two worlds.
-		for _, side := range []string{"frontend", "backend"} {
-			if s.Kind != side && s.Kind != "listen" {
+		// A frontend and a backend may share a name; a listen section counts as both.
+		for _, kind := range []string{"frontend", "backend"} {
+			if section.Kind != kind && section.Kind != "listen" {
 				continue
 			}
-			if other := seen[side+" "+s.Name]; other != nil {
-				r.problem(s.Head, s.Head.Pos, "%s %q is there already, at %s", s.Kind, s.Name, other.Head.At())
+			if other := sectionsByName[kind+" "+section.Name]; other != nil {
+				r.addProblem(section.Head, section.Head.Pos, "duplicate %s %q, first defined at %s", section.Kind, section.Name, other.Head.Location())
 			} else {
-				seen[side+" "+s.Name] = s
+				sectionsByName[kind+" "+section.Name] = section
 			}
 		}
 	}
-	for _, s := range r.c.Sections {
-		if s.Kind != "defaults" {
+	for _, section := range r.config.Sections {
+		if section.Kind != "defaults" {
 			continue
 		}
-		slow := s
-		for fast := s.Defaults; fast != nil; fast = fast.Defaults {
-			if fast == slow || fast == s {
-				r.problem(s.Head, s.Head.Pos, "a cycle of from: %q", s.Name)
-				s.Defaults = nil
+		slow := section
+		for fast := section.Defaults; fast != nil; fast = fast.Defaults {
+			if fast == slow || fast == section {
+				r.addProblem(section.Head, section.Head.Pos, "cyclic defaults: %q inherits from itself", section.Name)
+				section.Defaults = nil
 				break
 			}
 			if fast = fast.Defaults; fast == nil {
@@ -265,12 +274,13 @@
 	}
 }
 
-// All calls yield with what holds for a section: its own directives, and before them
-// those of its defaults, the outermost first.
-func (s *Section) All(yield func(d *Directive, of *Section) bool) {
+// AllDirectives calls yield with every directive that applies to the section and the section
+// that the directive stands in: first those of its defaults, the outermost first, then its
+// own.
+func (s *Section) AllDirectives(yield func(d *Directive, owner *Section) bool) {
 	var chain []*Section
-	for at := s; at != nil; at = at.Defaults {
-		chain = append(chain, at)
+	for section := s; section != nil; section = section.Defaults {
+		chain = append(chain, section)
 	}
 	for n := len(chain) - 1; n >= 0; n-- {
 		for _, d := range chain[n].Directives {
--- a/internal/haproxy/config_test.go
+++ b/internal/haproxy/config_test.go
@@ -6,7 +6,9 @@
 	"testing"
 )
 
-func TestConditions(t *testing.T) {
+// Conditions follow the manual's operators and predicates; those that depend on how HAProxy was
+// built are unknown, and invalid ones are errors.
+func TestEvaluateConditions(t *testing.T) {
 	for _, c := range []struct {
 		cond string
 		want Truth
@@ -16,21 +18,21 @@
 		{"streq(a,a) && strneq(a, b)", True, ""}, {"strstr(abc,bd) || 1", True, ""}, {"(0 || 1) && !(1 && 0)", True, ""},
 		{"version_atleast(2.4)", True, ""}, {"version_before(2.8.4)", True, ""}, {"version_atleast(2.8.3-dev1)", True, ""},
 		{"feature(QUIC)", Unknown, ""}, {"feature(QUIC) && 0", False, ""}, {"feature(QUIC) || 1", True, ""}, {"!feature(QUIC)", Unknown, ""},
-		{"perhaps(1)", False, "no predicate"}, {"streq(a)", False, "2 arguments"}, {"(1", False, "close"}, {"1 1", True, "no sense"},
-		{"abc", False, "no condition"}, {"defined(A", False, "close"}, {"version_atleast(two)", False, "no version"}, {strings.Repeat("(", 99), False, "parentheses"},
+		{"perhaps(1)", False, "unknown predicate"}, {"streq(a)", False, "2 arguments"}, {"(1", False, "missing closing parenthesis"}, {"1 1", True, "unexpected"},
+		{"abc", False, "not a condition"}, {"defined(A", False, "missing closing parenthesis"}, {"version_atleast(two)", False, "invalid version"}, {strings.Repeat("(", 99), False, "parentheses"},
 	} {
-		got, err := Evaluate(c.cond, "2.8.3", env)
+		got, err := Evaluate(c.cond, "2.8.3", testEnv)
 		if (err == nil) != (c.err == "") || err != nil && !strings.Contains(err.Error(), c.err) || err == nil && got != c.want {
 			t.Errorf("%q: %v, %v", c.cond, got, err)
 		}
 	}
 }
 
-// Files in their order are one configuration: defaults by name and by place, blocks that
-// hold, do not, or depend on what nobody knows here, sections that do not exist, and all
-// that is wrong with names; none of it ends the reading.
-func TestRead(t *testing.T) {
-	one := `global
+// Two files form one configuration. It has defaults by name and by position, conditional
+// blocks that are true, false and unknown, unknown sections, and unknown, duplicate and cyclic
+// names. Each error must be reported, and none may stop the reading.
+func TestReadSectionsDefaultsAndProblems(t *testing.T) {
+	firstFile := `global
   maxconn 10
 foo bar
   baz 1
@@ -56,7 +58,7 @@
   acl y path /y
   .endif
 `
-	two := `backend a
+	secondFile := `backend a
   server s1 1.2.3.4:80 "
 listen a
   .endif
@@ -67,18 +69,18 @@
 defaults web
 `
 	known := func(kind, name string) bool { return kind == "frontend" || name == "maxconn" || name == "mode" }
-	c := Read([]Source{{"one", one}, {"two", "stray 1\n" + two}}, Options{Env: env, Directive: known})
+	config := Read([]Source{{"one", firstFile}, {"two", "stray 1\n" + secondFile}}, Options{Env: testEnv, Directive: known})
 	var got []string
-	for _, s := range c.Sections {
-		from := ""
+	for _, s := range config.Sections {
+		defaultsName := ""
 		if s.Defaults != nil {
-			from = s.Defaults.Name
+			defaultsName = s.Defaults.Name
 		}
-		held := ""
+		directives := ""
 		for _, d := range s.Directives {
-			held += " " + d.Key() + " " + strings.Join(d.Args(), " ") + " " + d.Holds.String()
+			directives += " " + d.Keyword() + " " + strings.Join(d.Args(), " ") + " " + d.Active.String()
 		}
-		got = append(got, fmt.Sprintf("%s %s (%v, %s)%s", s.Kind, s.Name, s.Known, from, held))
+		got = append(got, fmt.Sprintf("%s %s (%v, %s)%s", s.Kind, s.Name, s.Known, defaultsName, directives))
 	}
 	want := []string{
 		"global  (true, ) maxconn 10 true", "foo bar (false, ) baz 1 true", "defaults base (true, ) mode http true",
@@ -86,41 +88,43 @@
 		"frontend f (true, web) bind :80 true use_backend a true use_backend b false use_backend c false acl x path /x unknown acl y path /y unknown",
 		"backend a (true, trip) server s1 1.2.3.4:80  true", "listen a (true, trip)", "frontend g (true, )", "resolvers r (true, ) nameserver n 1.1.1.1:53 true", "defaults web (true, )",
 	}
-	for n := range max(len(got), len(want)) {
-		if n >= len(got) || n >= len(want) || got[n] != want[n] {
-			t.Errorf("section %d:\n%q\n%q", n, got[min(n, len(got)-1)], want[min(n, len(want)-1)])
+	for count := range max(len(got), len(want)) {
+		if count >= len(got) || count >= len(want) || got[count] != want[count] {
+			t.Errorf("section %d:\ngot  %q\nwant %q", count, got[min(count, len(got)-1)], want[min(count, len(want)-1)])
 		}
 	}
-	all := ""
-	for _, p := range c.Problems {
-		all += p.Error() + "\n"
+	problems := ""
+	for _, p := range config.Problems {
+		problems += p.Error() + "\n"
 	}
-	for _, text := range []string{`one:3:1: there is no section "foo"`, "a cycle of from", "quote", `listen "a" is there already, at two:2`, ".endif without .if", "does not end", `"stray" stands before`, `no defaults "nowhere"`, `defaults "web" is there already, at one:7`} {
-		if !strings.Contains(all, text) {
-			t.Errorf("%q is not said:\n%s", text, all)
+	for _, text := range []string{`one:3:1: unknown section "foo"`, "cyclic defaults", "quote", `duplicate listen "a", first defined at two:2`, ".endif without .if", "block without .endif", `"stray" appears before`, `unknown defaults "nowhere"`, `duplicate defaults "web", first defined at one:7`} {
+		if !strings.Contains(problems, text) {
+			t.Errorf("no problem with %q among:\n%s", text, problems)
 		}
 	}
-	n := 0
-	for d, of := range c.Sections[6].All {
-		if n++; n == 1 && (d.Key() != "mode" || of.Name != "base") {
-			t.Errorf("first %s of %s", d.Key(), of.Name)
+	count := 0
+	for d, owner := range config.Sections[6].AllDirectives {
+		if count++; count == 1 && (d.Keyword() != "mode" || owner.Name != "base") {
+			t.Errorf("first directive is %s of %s, want mode of base", d.Keyword(), owner.Name)
 		}
 	}
-	if n != 8 {
-		t.Errorf("%d directives hold", n)
+	if count != 8 {
+		t.Errorf("got %d directives, want 8", count)
 	}
 }
 
+// FuzzRead checks that any text can be read, and that cyclic defaults do not make AllDirectives
+// run forever.
 func FuzzRead(f *testing.F) {
 	f.Add("defaults a from b\ndefaults b from a\nfrontend x from a\n.if !(1\n.elif\n.else\n.endif\nlisten x\n y z\nq")
 	f.Add(".if 1\n.if 0\nglobal\n.endif\n\"\n")
 	f.Fuzz(func(t *testing.T, text string) {
-		c := Read([]Source{{"f", text}}, Options{Env: env, Directive: func(_, name string) bool { return len(name) > 1 }})
-		for _, s := range c.Sections {
+		config := Read([]Source{{"f", text}}, Options{Env: testEnv, Directive: func(_, name string) bool { return len(name) > 1 }})
+		for _, s := range config.Sections {
 			n := 0
-			for range s.All {
+			for range s.AllDirectives {
 				if n++; n > len(text)+1 {
-					t.Fatal("a cycle")
+					t.Fatal("section has more directives than the text has bytes: its defaults are cyclic")
 				}
 			}
 		}
--- a/internal/haproxy/lex.go
+++ b/internal/haproxy/lex.go
@@ -1,8 +1,8 @@
-// Package haproxy reads HAProxy's configuration language, losslessly: what was read is
-// printed again byte for byte, and every word has its place. Grammar and meaning are from
-// the public Configuration Manual (sections 2.1 to 2.4: format, quoting and escaping,
-// environment variables, conditional blocks). It has no I/O; files and the environment
-// are handed in. It decides nothing about what a directive means for a balancer.
+// Package haproxy parses HAProxy's configuration language without loss: the parsed lines can be
+// joined to the original text byte for byte, and every word has its position. Grammar and
+// meaning follow the public Configuration Manual (sections 2.1 to 2.4: format, quoting and
+// escaping, environment variables, conditional blocks). The package does no I/O; the caller
+// passes in the files and the environment. Package translate interprets the directives.
 package haproxy
 
 import (
@@ -10,44 +10,44 @@
 	"strings"
 )
 
-// Bounds of what is read.
+// Limits on the input.
 const (
-	// TextMost is the longest file, in bytes.
+	// TextMost is the maximum size of a file in bytes.
 	TextMost = 64 << 20
-	// wordsMost is HAProxy's own limit of words in a line.
-	wordsMost = 64
-	// expandMost bounds what the variables of one line grow to, in bytes.
-	expandMost = 64 << 10
+	// maxWordsPerLine is HAProxy's own limit.
+	maxWordsPerLine = 64
+	// maxExpansionBytes limits the total size of the values of a line's variables.
+	maxExpansionBytes = 64 << 10
 )
 
-// Pos is a place in a file; both count from 1, columns in bytes.
+// Pos is a position in a file. Lines and columns count from 1; columns count bytes.
 type Pos struct{ Line, Col int }
 
 // Word is one word of a line.
 type Word struct {
-	Pos  Pos
-	Raw  string // as it stands, with its quotes
-	Text string // what it means: unquoted, with variables put in
-	Vars []string
+	Pos       Pos
+	Raw       string // as written, with quotes and escapes
+	Text      string // without quotes and escapes, variables replaced by their values
+	Variables []string
 }
 
-// Line is a logical line: more than one of the file where a backslash ends them.
+// Line is a logical line. It spans several lines of the file if a backslash joins them.
 type Line struct {
 	Pos   Pos
-	Raw   string // with its end
-	Words []Word // none: empty, or a comment
-	Err   string // what is wrong with it; empty: nothing
+	Raw   string // as written, with the line end
+	Words []Word // empty for a blank line or a comment
+	Err   string // the first error in the line; empty if there is none
 }
 
-// Key is the line's first word; empty if it has none.
-func (l *Line) Key() string {
+// Keyword returns the line's first word, or an empty string if it has no words.
+func (l *Line) Keyword() string {
 	if len(l.Words) == 0 {
 		return ""
 	}
 	return l.Words[0].Text
 }
 
-// Args are the words behind the first.
+// Args returns the words after the first.
 func (l *Line) Args() []string {
 	var all []string
 	for n := 1; n < len(l.Words); n++ {
@@ -56,28 +56,29 @@
 	return all
 }
 
-// Env looks a variable up.
+// Env looks up an environment variable and returns whether it is set.
 type Env func(name string) (value string, set bool)
 
-// Lines cuts a text into its lines. It never fails: what is wrong with a line stands in
-// its Err. The Raws of all lines together are the text.
-func Lines(text string, env Env) []Line {
+// ParseLines splits a text into logical lines and those into words. It never fails: a line's Err
+// holds its first error. The Raw fields of all lines joined are the text. A nil env means that
+// no variable is set.
+func ParseLines(text string, env Env) []Line {
 	if env == nil {
 		env = func(string) (string, bool) { return "", false }
 	}
 	lines := make([]Line, 0, strings.Count(text, "\n")+1)
-	for at, number := 0, 1; at < len(text); {
-		x := lexer{text: text, at: at, line: number, bol: at, env: env}
-		l := x.logical()
-		l.Raw = text[at:x.at]
-		lines = append(lines, l)
-		at, number = x.at, number+strings.Count(l.Raw, "\n")
+	for offset, lineNumber := 0, 1; offset < len(text); {
+		x := lexer{text: text, offset: offset, lineNumber: lineNumber, lineStart: offset, env: env}
+		line := x.readLine()
+		line.Raw = text[offset:x.offset]
+		lines = append(lines, line)
+		offset, lineNumber = x.offset, lineNumber+strings.Count(line.Raw, "\n")
 	}
 	return lines
 }
 
-// Text is the lines as they were read.
-func Text(lines []Line) string {
+// JoinLines returns the text that the lines were parsed from.
+func JoinLines(lines []Line) string {
 	var b strings.Builder
 	for n := range lines {
 		b.WriteString(lines[n].Raw)
@@ -85,166 +86,173 @@
 	return b.String()
 }
 
+// lexer parses one logical line.
 type lexer struct {
-	text string
-	at   int
-	line int
-	bol  int // where the line of the file begins
-	env  Env
-	grew int // bytes that variables put in
-	out  Line
+	text          string
+	offset        int
+	lineNumber    int
+	lineStart     int // offset of the current line of the file
+	env           Env
+	expandedBytes int // total size of the values of the variables so far
+	parsed        Line
 }
 
-func (x *lexer) pos() Pos { return Pos{x.line, x.at - x.bol + 1} }
+// position returns the position of the next byte.
+func (x *lexer) position() Pos { return Pos{x.lineNumber, x.offset - x.lineStart + 1} }
 
-func (x *lexer) fail(format string, args ...any) {
-	if x.out.Err == "" {
-		x.out.Err = fmt.Sprintf(format, args...)
+// setError records an error in the line, unless it already has one.
+func (x *lexer) setError(format string, args ...any) {
+	if x.parsed.Err == "" {
+		x.parsed.Err = fmt.Sprintf(format, args...)
 	}
 }
 
-// end says whether a line's end is at hand, and passes it.
-func (x *lexer) end() bool {
+// acceptLineEnd returns whether the line or the text ends here, and advances past the line end.
+func (x *lexer) acceptLineEnd() bool {
 	switch {
-	case x.at >= len(x.text):
+	case x.offset >= len(x.text):
 		return true
-	case x.text[x.at] == '\n':
-		x.at++
+	case x.text[x.offset] == '\n':
+		x.offset++
 		return true
-	case strings.HasPrefix(x.text[x.at:], "\r\n"):
-		x.at += 2
+	case strings.HasPrefix(x.text[x.offset:], "\r\n"):
+		x.offset += 2
 		return true
 	}
 	return false
 }
 
-// continued passes a backslash that joins the next line to this one.
-func (x *lexer) continued() bool {
+// acceptContinuation advances past a backslash and the line end after it, which join the next
+// line of the file to this one, and returns whether they were there.
+func (x *lexer) acceptContinuation() bool {
 	for _, mark := range []string{"\\\n", "\\\r\n"} {
-		if strings.HasPrefix(x.text[x.at:], mark) {
-			x.at += len(mark)
-			x.line, x.bol = x.line+1, x.at
+		if strings.HasPrefix(x.text[x.offset:], mark) {
+			x.offset += len(mark)
+			x.lineNumber, x.lineStart = x.lineNumber+1, x.offset
 			return true
 		}
 	}
 	return false
 }
 
-func (x *lexer) logical() Line {
-	x.out.Pos = x.pos()
+// readLine reads the words of a logical line, up to and including its end.
+func (x *lexer) readLine() Line {
+	x.parsed.Pos = x.position()
 	for {
 		switch {
-		case x.end():
-			return x.out
-		case x.continued():
-		case x.text[x.at] == ' ' || x.text[x.at] == '\t' || x.text[x.at] == '\r':
-			x.at++
-		case x.text[x.at] == '#':
-			for x.at < len(x.text) && x.text[x.at] != '\n' {
-				x.at++
+		case x.acceptLineEnd():
+			return x.parsed
+		case x.acceptContinuation():
+		case x.text[x.offset] == ' ' || x.text[x.offset] == '\t' || x.text[x.offset] == '\r':
+			x.offset++
+		case x.text[x.offset] == '#':
+			for x.offset < len(x.text) && x.text[x.offset] != '\n' {
+				x.offset++
 			}
 		default:
-			x.word()
+			x.readWord()
 		}
 	}
 }
 
-// word reads one word, or several where a variable is a list ("${NAME[*]}").
-func (x *lexer) word() {
-	w := Word{Pos: x.pos()}
-	from := x.at
-	var b strings.Builder
+// readWord reads one word. It adds several words to the line if a variable in it is expanded as
+// a list ("${NAME[*]}").
+func (x *lexer) readWord() {
+	word := Word{Pos: x.position()}
+	start := x.offset
+	var text strings.Builder
 	quote := byte(0)
-	var split []string
+	var completed []string
 	done := false
-	for !done && x.at < len(x.text) {
-		c := x.text[x.at]
+	for !done && x.offset < len(x.text) {
+		c := x.text[x.offset]
 		switch {
 		case c == 0:
-			x.fail("a NUL at column %d", x.at-x.bol+1)
-			x.at++
+			x.setError("NUL byte at column %d", x.offset-x.lineStart+1)
+			x.offset++
 		case quote == '\'':
-			x.at++
+			x.offset++
 			switch c {
 			case '\'':
 				quote = 0
 			case '\n':
-				x.fail("a quote that does not end")
-				x.at--
+				x.setError("unterminated quote")
+				x.offset--
 				done = true
 			default:
-				b.WriteByte(c)
+				text.WriteByte(c)
 			}
-		case x.continued():
+		case x.acceptContinuation():
 		case c == '\n':
 			if quote != 0 {
-				x.fail("a quote that does not end")
+				x.setError("unterminated quote")
 			}
 			done = true
 		case c == '\\':
-			x.escape(&b, quote)
+			x.readEscape(&text, quote)
 		case c == '"':
-			x.at++
+			x.offset++
 			quote ^= '"'
 		case quote == 0 && c == '\'':
-			x.at++
+			x.offset++
 			quote = c
 		case quote == '"' && c == '$':
-			name, value, list := x.variable()
+			name, value, isList := x.readVariable()
 			if name == "" {
-				b.WriteByte('$')
+				text.WriteByte('$')
 				continue
 			}
-			w.Vars = append(w.Vars, name)
-			if x.grew += len(value); x.grew > expandMost {
-				x.fail("variables that grow to over %d bytes", expandMost)
+			word.Variables = append(word.Variables, name)
+			if x.expandedBytes += len(value); x.expandedBytes > maxExpansionBytes {
+				x.setError("variables expand to more than %d bytes", maxExpansionBytes)
 				value = ""
 			}
-			if fields := strings.Fields(value); list && len(fields) > 0 {
-				b.WriteString(fields[0])
+			if fields := strings.Fields(value); isList && len(fields) > 0 {
+				text.WriteString(fields[0])
 				for _, f := range fields[1:] {
-					split = append(split, b.String())
-					b.Reset()
-					b.WriteString(f)
+					completed = append(completed, text.String())
+					text.Reset()
+					text.WriteString(f)
 				}
 				continue
 			}
-			b.WriteString(value)
+			text.WriteString(value)
 		case quote == 0 && (c == ' ' || c == '\t' || c == '#' || c == '\r'):
 			done = true
 		default:
-			b.WriteByte(c)
-			x.at++
+			text.WriteByte(c)
+			x.offset++
 		}
 	}
 	if quote != 0 {
-		x.fail("a quote that does not end")
+		x.setError("unterminated quote")
 	}
-	w.Raw = x.text[from:x.at]
-	for _, text := range append(split, b.String()) {
-		if len(x.out.Words) >= wordsMost {
-			x.fail("over %d words in a line", wordsMost)
+	word.Raw = x.text[start:x.offset]
+	for _, value := range append(completed, text.String()) {
+		if len(x.parsed.Words) >= maxWordsPerLine {
+			x.setError("more than %d words in the line", maxWordsPerLine)
 			return
 		}
-		w.Text = text
-		x.out.Words = append(x.out.Words, w)
+		word.Text = value
+		x.parsed.Words = append(x.parsed.Words, word)
 	}
 }
 
-// escape reads a backslash and what it guards (section 2.2). Within double quotes only
-// those have a meaning that the quotes would otherwise give another.
-func (x *lexer) escape(b *strings.Builder, quote byte) {
-	x.at++
-	if x.at >= len(x.text) || x.text[x.at] == '\n' {
-		x.fail("a backslash with nothing behind it")
+// readEscape reads a backslash and the characters that it escapes (section 2.2 of the manual).
+// Within double quotes, a backslash before a space, '#' or a single quote is kept, because those
+// characters need no escaping there.
+func (x *lexer) readEscape(text *strings.Builder, quote byte) {
+	x.offset++
+	if x.offset >= len(x.text) || x.text[x.offset] == '\n' {
+		x.setError("nothing follows the backslash")
 		return
 	}
-	c := x.text[x.at]
+	c := x.text[x.offset]
 	switch c {
 	case '\\', '"', '$':
 	case ' ', '#', '\'':
 		if quote != 0 {
-			b.WriteByte('\\')
+			text.WriteByte('\\')
 		}
 	case 'n':
 		c = '\n'
@@ -253,73 +261,75 @@
 	case 't':
 		c = '\t'
 	case 'x':
-		var v, n int
-		for n = 0; n < 2 && x.at+1+n < len(x.text); n++ {
-			d := strings.IndexByte("0123456789abcdef", x.text[x.at+1+n]|0x20)
-			if d < 0 {
+		var value, digits int
+		for digits = 0; digits < 2 && x.offset+1+digits < len(x.text); digits++ {
+			digit := strings.IndexByte("0123456789abcdef", x.text[x.offset+1+digits]|0x20)
+			if digit < 0 {
 				break
 			}
-			v = v<<4 | d
+			value = value<<4 | digit
 		}
-		if n < 2 {
-			x.fail("\\x needs two hexadecimal digits")
-			x.at++
+		if digits < 2 {
+			x.setError("\\x must be followed by two hexadecimal digits")
+			x.offset++
 			return
 		}
-		x.at += 2
-		c = byte(v)
+		x.offset += 2
+		c = byte(value)
 	default:
-		x.fail("\\%c is no escape", c)
+		x.setError("unknown escape sequence \\%c", c)
 	}
-	b.WriteByte(c)
-	x.at++
+	text.WriteByte(c)
+	x.offset++
 }
 
-func nameByte(c byte, first bool) bool {
+// isNameByte returns whether a byte may stand in a variable's name. The first may not be a digit.
+func isNameByte(c byte, first bool) bool {
 	return c == '_' || c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || !first && c >= '0' && c <= '9'
 }
 
-// variable reads $NAME, ${NAME}, ${NAME-default} and ${NAME[*]} (section 2.3). A dollar
-// that begins none is itself.
-func (x *lexer) variable() (name, value string, list bool) {
-	x.at++
-	braces := x.at < len(x.text) && x.text[x.at] == '{'
-	at := x.at
+// readVariable reads $NAME, ${NAME}, ${NAME-default} or ${NAME[*]} (section 2.3 of the manual) and
+// returns the variable's name, its value, and whether the value is to be split into words. For a
+// dollar sign that begins no variable it advances past the sign and returns an empty name.
+func (x *lexer) readVariable() (name, value string, isList bool) {
+	x.offset++
+	braces := x.offset < len(x.text) && x.text[x.offset] == '{'
+	next := x.offset
 	if braces {
-		at++
+		next++
 	}
-	from := at
-	for at < len(x.text) && nameByte(x.text[at], at == from) {
-		at++
+	nameStart := next
+	for next < len(x.text) && isNameByte(x.text[next], next == nameStart) {
+		next++
 	}
-	if name = x.text[from:at]; name == "" {
+	if name = x.text[nameStart:next]; name == "" {
 		if braces {
-			x.fail("a variable without a name")
+			x.setError("variable without a name")
 		}
 		return "", "", false
 	}
 	value, set := x.env(name)
 	if braces {
-		if strings.HasPrefix(x.text[at:], "[*]") {
-			list = true
-			at += 3
+		if strings.HasPrefix(x.text[next:], "[*]") {
+			isList = true
+			next += 3
 		}
-		if at < len(x.text) && x.text[at] == '-' {
-			end := strings.IndexAny(x.text[at:], "}\n")
+		if next < len(x.text) && x.text[next] == '-' {
+			end := strings.IndexAny(x.text[next:], "}\n")
 			if end < 0 {
-				end = len(x.text) - at
+				end = len(x.text) - next
 			}
 			if !set {
-				value = x.text[at+1 : at+end]
+				value = x.text[next+1 : next+end]
 			}
-			at += end
+			next += end
 		}
-		if at >= len(x.text) || x.text[at] != '}' {
-			x.fail("a variable whose brace does not close")
+		if next >= len(x.text) || x.text[next] != '}' {
+			x.setError("variable without a closing brace")
 		} else {
-			at++
+			next++
 		}
 	}
-	x.at = at
-	return name, value, list
+	x.offset = next
+	return name, value, isList
 }
--- a/internal/haproxy/lex_test.go
+++ b/internal/haproxy/lex_test.go
@@ -9,14 +9,15 @@
 	"pgregory.net/rapid"
 )
 
-func env(name string) (string, bool) {
+// testEnv looks up the environment variables of the tests.
+func testEnv(name string) (string, bool) {
 	v, ok := map[string]string{"HOST": "10.0.0.1", "PORTS": "80  81 82", "EMPTY": "", "SP": "a b", "BIG": strings.Repeat("x", 5000)}[name]
 	return v, ok
 }
 
-// The manual's rules of quoting, escaping, variables and continuation, and what is wrong
-// with lines that break them.
-func TestWords(t *testing.T) {
+// Lines are split into words by the manual's rules of quoting, escaping, variables and
+// continuation; a line that breaks them gets an error.
+func TestWordsAndLineErrors(t *testing.T) {
 	for _, c := range []struct {
 		text string
 		want []string
@@ -40,85 +41,87 @@
 		{"a b\\\r\nc\r\n", []string{"a", "bc"}, ""},
 		{`a "b`, []string{"a", "b"}, "quote"},
 		{`a 'b`, []string{"a", "b"}, "quote"},
-		{`a \q`, []string{"a", "q"}, "no escape"},
+		{`a \q`, []string{"a", "q"}, "unknown escape"},
 		{`a \x4`, []string{"a", "4"}, "hexadecimal"},
 		{`a b\`, []string{"a", "b"}, "backslash"},
 		{`a "${HOST"`, []string{"a", "10.0.0.1"}, "brace"},
 		{`a "${}"`, []string{"a", "${}"}, "without a name"},
 		{"a \x00b", []string{"a", "b"}, "NUL"},
-		{"a" + strings.Repeat(" b", 80), append([]string{"a"}, strings.Fields(strings.Repeat("b ", 63))...), "over 64 words"},
-		{`a "` + strings.Repeat("${BIG}", 20) + `"`, nil, "grow"},
+		{"a" + strings.Repeat(" b", 80), append([]string{"a"}, strings.Fields(strings.Repeat("b ", 63))...), "more than 64 words"},
+		{`a "` + strings.Repeat("${BIG}", 20) + `"`, nil, "expand"},
 	} {
-		lines := Lines(c.text, env)
+		lines := ParseLines(c.text, testEnv)
 		if len(lines) != 1 {
 			t.Fatalf("%q: %d lines", c.text, len(lines))
 		}
-		l := lines[0]
+		line := lines[0]
 		var got []string
-		for _, w := range l.Words {
+		for _, w := range line.Words {
 			got = append(got, w.Text)
 		}
-		if c.err != "grow" && !reflect.DeepEqual(got, c.want) || (c.err == "") != (l.Err == "") || !strings.Contains(l.Err, c.err) {
-			t.Errorf("%.40q: %q, error %q", c.text, got, l.Err)
+		if c.err != "expand" && !reflect.DeepEqual(got, c.want) || (c.err == "") != (line.Err == "") || !strings.Contains(line.Err, c.err) {
+			t.Errorf("%.40q: %q, error %q", c.text, got, line.Err)
 		}
 	}
 }
 
-// Every word stands where it says, in files of any lines.
-func TestPlaces(t *testing.T) {
+// A word's position is that of its first byte, also after a line continuation, a CRLF and a tab.
+func TestWordPositions(t *testing.T) {
 	text := "global\n  maxconn 10 \\\n     # a\n\nfrontend \"f 1\"\r\n\tbind :80"
-	lines := Lines(text, nil)
+	lines := ParseLines(text, nil)
 	rows := strings.Split(text, "\n")
-	for _, l := range lines {
-		for _, w := range l.Words {
-			if row := rows[w.Pos.Line-1][w.Pos.Col-1:]; !strings.HasPrefix(row, w.Raw) {
-				t.Errorf("%q is said to be at %+v, where %q is", w.Raw, w.Pos, row)
+	for _, line := range lines {
+		for _, word := range line.Words {
+			if row := rows[word.Pos.Line-1][word.Pos.Col-1:]; !strings.HasPrefix(row, word.Raw) {
+				t.Errorf("%q has position %+v, where the text is %q", word.Raw, word.Pos, row)
 			}
 		}
 	}
-	if fmt.Sprint(lines[len(lines)-1].Args()) != "[:80]" || lines[len(lines)-1].Key() != "bind" {
-		t.Errorf("%+v", lines[len(lines)-1])
+	if fmt.Sprint(lines[len(lines)-1].Args()) != "[:80]" || lines[len(lines)-1].Keyword() != "bind" {
+		t.Errorf("last line is %+v, want bind :80", lines[len(lines)-1])
 	}
 }
 
-// Words that are quoted any way come out as they were.
-func TestQuotedBack(t *testing.T) {
+// Words written in single quotes, or in double quotes with escapes, are parsed to the same text.
+func TestQuotedWordsKeepTheirText(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		words := rapid.SliceOfN(rapid.StringMatching(`[a-z #'"\\$\t{}-]{0,12}`), 1, 8).Draw(t, "words")
-		var b strings.Builder
+		var text strings.Builder
 		for n, w := range words {
 			if n > 0 {
-				b.WriteByte(' ')
+				text.WriteByte(' ')
 			}
 			if strings.ContainsRune(w, '\'') || rapid.Bool().Draw(t, "double") {
-				b.WriteString(`"` + strings.NewReplacer(`\`, `\\`, `"`, `\"`, `$`, `\$`).Replace(w) + `"`)
+				text.WriteString(`"` + strings.NewReplacer(`\`, `\\`, `"`, `\"`, `$`, `\$`).Replace(w) + `"`)
 			} else {
-				b.WriteString("'" + w + "'")
+				text.WriteString("'" + w + "'")
 			}
 		}
-		l := Lines(b.String(), env)[0]
+		line := ParseLines(text.String(), testEnv)[0]
 		var got []string
-		for _, w := range l.Words {
+		for _, w := range line.Words {
 			got = append(got, w.Text)
 		}
-		if l.Err != "" || !reflect.DeepEqual(got, words) {
-			t.Fatalf("%q: %q, %s", b.String(), got, l.Err)
+		if line.Err != "" || !reflect.DeepEqual(got, words) {
+			t.Fatalf("%q: %q, %s", text.String(), got, line.Err)
 		}
 	})
 }
 
+// FuzzLines checks that any text can be parsed, that its lines join to the same text, and that no
+// line has too many words.
 func FuzzLines(f *testing.F) {
 	for _, s := range []string{"", "global\n\tmaxconn 1 # c\n", "a \"${X[*]}\" 'b\n", "\\", "a \\x", "a\\\r\n b\x00\xff", "\"$", "\"${A-", "'\n'"} {
 		f.Add(s)
 	}
 	f.Fuzz(func(t *testing.T, text string) {
-		lines := Lines(text, env)
-		if Text(lines) != text {
-			t.Fatal("not what was read")
+		lines := ParseLines(text, testEnv)
+		if JoinLines(lines) != text {
+			t.Fatal("the joined lines differ from the text")
 		}
 		for _, l := range lines {
-			if len(l.Words) > wordsMost {
-				t.Fatal("too many words")
+			if len(l.Words) > maxWordsPerLine {
+				t.Fatal("a line has more words than maxWordsPerLine")
 			}
 		}
 	})
--- a/internal/haproxy/translate/rules.go
+++ b/internal/haproxy/translate/rules.go
@@ -12,131 +12,134 @@
 	"chalkrack/internal/haproxy"
 )
 
-// acl is what a criterion with its values asks of a request, as a route has it. The
-// words are those of the manual's section 7.
-func (t *translator) acl(words []string) (m features.Route, err error) {
+// parseACL returns a route with the conditions of an acl: a criterion, flags and values, as in
+// section 7 of the manual. It returns an error if a route can't express them.
+func (t *translator) parseACL(words []string) (route features.Route, err error) {
 	if len(words) == 0 {
-		return m, fmt.Errorf("an acl without a criterion")
+		return route, fmt.Errorf("the acl has no criterion")
 	}
 	name, values := words[0], words[1:]
-	fold, match := false, ""
+	ignoreCase, matchMethod := false, ""
 	for len(values) > 0 && strings.HasPrefix(values[0], "-") {
 		flag := values[0]
 		values = values[1:]
 		switch {
 		case flag == "-i":
-			fold = true
+			ignoreCase = true
 		case flag == "-m" && len(values) > 0:
-			match, values = values[0], values[1:]
+			matchMethod, values = values[0], values[1:]
 		case flag == "--":
 		default:
-			return m, fmt.Errorf("flag %s is not known here", flag)
+			return route, fmt.Errorf("unknown flag %s", flag)
 		}
 	}
 	field := ""
-	if at := strings.IndexByte(name, '('); at >= 0 && strings.HasSuffix(name, ")") {
-		name, field = name[:at], strings.ToLower(name[at+1:len(name)-1])
+	if parenthesis := strings.IndexByte(name, '('); parenthesis >= 0 && strings.HasSuffix(name, ")") {
+		name, field = name[:parenthesis], strings.ToLower(name[parenthesis+1:len(name)-1])
 	}
-	// hdr_beg(host) is hdr(host) -m beg, and so on.
+	// A suffix is short for a match method: hdr_beg(host) is hdr(host) -m beg.
 	for _, suffix := range []string{"_beg", "_end", "_reg", "_sub", "_dir", "_dom", "_len"} {
 		if base, ok := strings.CutSuffix(name, suffix); ok {
-			name, match = base, suffix[1:]
+			name, matchMethod = base, suffix[1:]
 		}
 	}
 	name = strings.TrimPrefix(name, "req.")
-	if match == "" {
-		match = "str"
+	if matchMethod == "" {
+		matchMethod = "str"
 	}
-	if len(values) == 0 && match != "found" {
-		return m, fmt.Errorf("an acl without values")
+	if len(values) == 0 && matchMethod != "found" {
+		return route, fmt.Errorf("the acl has no values")
 	}
 	switch {
-	case name == "path" && match != "found":
-		return t.path(match, fold, values)
-	case (name == "hdr" || name == "fhdr") && field == "host" && (match == "str" || match == "end" || match == "dom"):
-		for _, v := range values {
+	case name == "path" && matchMethod != "found":
+		return t.parsePathACL(matchMethod, ignoreCase, values)
+	case (name == "hdr" || name == "fhdr") && field == "host" && (matchMethod == "str" || matchMethod == "end" || matchMethod == "dom"):
+		for _, value := range values {
 			switch {
-			case match == "str":
-				m.Hosts = append(m.Hosts, v)
-			case match == "end" && strings.HasPrefix(v, "."):
-				m.Hosts = append(m.Hosts, "*"+v)
+			case matchMethod == "str":
+				route.Hosts = append(route.Hosts, value)
+			case matchMethod == "end" && strings.HasPrefix(value, "."):
+				route.Hosts = append(route.Hosts, "*"+value)
 			default:
-				return m, fmt.Errorf("hosts are matched whole, or by what is behind a dot: %q is neither", v)
+				return route, fmt.Errorf("a host can only be matched as a whole, or by an ending that begins with a dot, not by %q", value)
 			}
 		}
-		return m, nil
-	case (name == "hdr" || name == "fhdr") && field != "" && match == "found":
-		m.Headers = []features.RouteHeader{{Name: field}}
-		return m, nil
-	case (name == "hdr" || name == "fhdr") && field != "" && match == "str" && len(values) == 1 && !fold:
-		m.Headers = []features.RouteHeader{{Name: field, Value: values[0]}}
-		return m, nil
-	case name == "method" && match == "str":
-		m.Methods = values
-		return m, nil
+		return route, nil
+	case (name == "hdr" || name == "fhdr") && field != "" && matchMethod == "found":
+		route.Headers = []features.RouteHeader{{Name: field}}
+		return route, nil
+	case (name == "hdr" || name == "fhdr") && field != "" && matchMethod == "str" && len(values) == 1 && !ignoreCase:
+		route.Headers = []features.RouteHeader{{Name: field, Value: values[0]}}
+		return route, nil
+	case name == "method" && matchMethod == "str":
+		route.Methods = values
+		return route, nil
 	case name == "src":
-		for _, v := range values {
-			if !strings.Contains(v, "/") {
-				if a, err := netip.ParseAddr(v); err == nil {
-					v = netip.PrefixFrom(a, a.BitLen()).String()
+		for _, value := range values {
+			if !strings.Contains(value, "/") {
+				if addr, err := netip.ParseAddr(value); err == nil {
+					value = netip.PrefixFrom(addr, addr.BitLen()).String()
 				}
 			}
-			if _, err := netip.ParsePrefix(v); err != nil {
-				return m, fmt.Errorf("%q is no range of addresses", v)
+			if _, err := netip.ParsePrefix(value); err != nil {
+				return route, fmt.Errorf("%q is not an IP address or a prefix such as 10.0.0.0/8", value)
 			}
-			m.Sources = append(m.Sources, v)
+			route.Sources = append(route.Sources, value)
 		}
-		return m, nil
+		return route, nil
 	}
-	return m, fmt.Errorf("criterion %q is not known here: rules that use it are not carried", words[0])
+	return route, fmt.Errorf("unknown criterion %q: rules that use it are not carried", words[0])
 }
 
-func (t *translator) path(match string, fold bool, values []string) (m features.Route, err error) {
-	for _, v := range values {
+// parsePathACL returns a route with the path conditions of an acl. Other matches than the exact one
+// become regular expressions.
+func (t *translator) parsePathACL(matchMethod string, ignoreCase bool, values []string) (route features.Route, err error) {
+	for _, value := range values {
 		expr := ""
-		switch match {
+		switch matchMethod {
 		case "str":
-			if !fold {
-				m.Paths = append(m.Paths, v)
+			if !ignoreCase {
+				route.Paths = append(route.Paths, value)
 				continue
 			}
-			expr = "^" + quoted(v) + "$"
+			expr = "^" + quoteRegexp(value) + "$"
 		case "beg":
-			expr = "^" + quoted(v)
+			expr = "^" + quoteRegexp(value)
 		case "end":
-			expr = quoted(v) + "$"
+			expr = quoteRegexp(value) + "$"
 		case "sub":
-			expr = quoted(v)
-		case "dir": // between slashes, at the beginning or the end
-			expr = "(^|/)" + quoted(strings.Trim(v, "/")) + "(/|$)"
+			expr = quoteRegexp(value)
+		case "dir": // whole path segments
+			expr = "(^|/)" + quoteRegexp(strings.Trim(value, "/")) + "(/|$)"
 		case "reg":
-			expr = v
+			expr = value
 		default:
-			return m, fmt.Errorf("match %q of a path is not known here", match)
+			return route, fmt.Errorf("unknown match method %q for a path", matchMethod)
 		}
-		if fold {
+		if ignoreCase {
 			expr = "(?i)" + expr
 		}
 		if _, err := regexp.Compile(expr); err != nil {
-			return m, fmt.Errorf("%q is no expression that takes linear time", v)
+			return route, fmt.Errorf("%q is not a regular expression that can be matched in linear time", value)
 		}
-		m.Regexps = append(m.Regexps, expr)
+		route.Regexps = append(route.Regexps, expr)
 	}
-	return m, nil
+	return route, nil
 }
 
-// both joins what two acls ask for, where one route can say it.
-func both(a, b features.Route) (features.Route, error) {
-	clash := func(x, y bool, what string) error {
-		if x && y {
-			return fmt.Errorf("two conditions on the %s at once can't be said by a route", what)
+// mergeRoutes returns a route with the conditions of both. It returns an error if both have
+// conditions on the same part of a request, because a route can't express that.
+func mergeRoutes(a, b features.Route) (features.Route, error) {
+	conflict := func(inA, inB bool, part string) error {
+		if inA && inB {
+			return fmt.Errorf("two conditions on the %s at once can't be said by a route", part)
 		}
 		return nil
 	}
-	paths := func(r features.Route) bool { return len(r.Paths)+len(r.Regexps) > 0 }
+	hasPath := func(r features.Route) bool { return len(r.Paths)+len(r.Regexps) > 0 }
 	for _, err := range []error{
-		clash(len(a.Hosts) > 0, len(b.Hosts) > 0, "host"), clash(paths(a), paths(b), "path"),
-		clash(len(a.Methods) > 0, len(b.Methods) > 0, "method"), clash(len(a.Sources) > 0, len(b.Sources) > 0, "source"),
+		conflict(len(a.Hosts) > 0, len(b.Hosts) > 0, "host"), conflict(hasPath(a), hasPath(b), "path"),
+		conflict(len(a.Methods) > 0, len(b.Methods) > 0, "method"), conflict(len(a.Sources) > 0, len(b.Sources) > 0, "source"),
 	} {
 		if err != nil {
 			return a, err
@@ -149,239 +152,246 @@
 	return a, nil
 }
 
-// condition is what "if ..." asks for: one of several routes' matches.
-func (t *translator) condition(p *proxy, words []string) (any []features.Route, err error) {
+// parseCondition returns the routes that together match what an "if" condition matches. A request
+// that matches any of them meets the condition. It returns an error for a condition that routes
+// can't express.
+func (t *translator) parseCondition(proxy *proxySettings, words []string) (alternatives []features.Route, err error) {
 	if len(words) == 0 {
 		return []features.Route{{}}, nil
 	}
 	if words[0] != "if" {
 		return nil, fmt.Errorf("%q: a route says what must hold, not what must not", words[0])
 	}
-	now := []features.Route{{}}
+	current := []features.Route{{}}
 	flush := func() {
-		any = append(any, now...)
-		now = []features.Route{{}}
+		alternatives = append(alternatives, current...)
+		current = []features.Route{{}}
 	}
 	for words = words[1:]; len(words) > 0; {
-		w := words[0]
+		word := words[0]
 		words = words[1:]
-		if w == "||" || w == "or" {
+		if word == "||" || word == "or" {
 			flush()
 			continue
 		}
-		not := false
-		for strings.HasPrefix(w, "!") {
-			not, w = !not, w[1:]
-			if w == "" && len(words) > 0 {
-				w, words = words[0], words[1:]
+		negated := false
+		for strings.HasPrefix(word, "!") {
+			negated, word = !negated, word[1:]
+			if word == "" && len(words) > 0 {
+				word, words = words[0], words[1:]
 			}
 		}
-		var options []features.Route
-		if w == "{" {
+		var choices []features.Route
+		if word == "{" {
 			end := slices.Index(words, "}")
 			if end < 0 {
-				return nil, fmt.Errorf("an anonymous acl that does not end")
+				return nil, fmt.Errorf("anonymous acl without a closing brace")
 			}
-			m, err := t.acl(words[:end])
+			route, err := t.parseACL(words[:end])
 			if err != nil {
 				return nil, err
 			}
-			options, words = []features.Route{m}, words[end+1:]
+			choices, words = []features.Route{route}, words[end+1:]
 		} else {
-			if len(p.acls[w]) == 0 {
-				return nil, fmt.Errorf("there is no acl %q that is carried", w)
+			if len(proxy.acls[word]) == 0 {
+				return nil, fmt.Errorf("acl %q is not defined or not carried", word)
 			}
-			for _, d := range p.acls[w] { // of one name: any of them
-				m, err := t.acl(d.Args()[1:])
+			for _, directive := range proxy.acls[word] { // acls of the same name are alternatives
+				route, err := t.parseACL(directive.Args()[1:])
 				if err != nil {
 					return nil, err
 				}
-				options = append(options, m)
+				choices = append(choices, route)
 			}
 		}
-		if not {
-			if len(options) != 1 || len(options[0].Headers) != 1 || len(options[0].Hosts)+len(options[0].Paths)+len(options[0].Regexps)+len(options[0].Methods)+len(options[0].Sources) > 0 {
-				return nil, fmt.Errorf("!%s: only a field can be asked not to be there", w)
+		if negated {
+			if len(choices) != 1 || len(choices[0].Headers) != 1 || len(choices[0].Hosts)+len(choices[0].Paths)+len(choices[0].Regexps)+len(choices[0].Methods)+len(choices[0].Sources) > 0 {
+				return nil, fmt.Errorf("!%s: only a field can be asked not to be there", word)
 			}
-			options[0].Headers[0].Negate = !options[0].Headers[0].Negate
+			choices[0].Headers[0].Negate = !choices[0].Headers[0].Negate
 		}
 		var next []features.Route
-		for _, a := range now {
-			for _, b := range options {
-				m, err := both(a, b)
+		for _, a := range current {
+			for _, b := range choices {
+				route, err := mergeRoutes(a, b)
 				if err != nil {
 					return nil, err
 				}
-				next = append(next, m)
+				next = append(next, route)
 			}
 		}
-		if len(next) > alternativesMost {
-			return nil, fmt.Errorf("over %d alternatives", alternativesMost)
+		if len(next) > maxAlternatives {
+			return nil, fmt.Errorf("the rule needs more than %d routes", maxAlternatives)
 		}
-		now = next
+		current = next
 	}
 	flush()
-	return any, nil
+	return alternatives, nil
 }
 
-// alternativesMost bounds the routes that one rule becomes.
-const alternativesMost = 64
+// maxAlternatives limits the routes that one rule expands to.
+const maxAlternatives = 64
 
-// after is said of a rule that is lost where others follow it.
-const after = "; what it would have taken goes on to the rules behind it"
+// fallThroughNote is appended to the reason why a rule is not carried.
+const fallThroughNote = "; what it would have taken goes on to the rules behind it"
 
-// rule makes routes of a directive that says where requests go.
-func (t *translator) rule(p *proxy, d *haproxy.Directive, k string) (Verdict, string) {
-	args := d.Args()
-	at := slices.IndexFunc(args, func(w string) bool { return w == "if" || w == "unless" })
-	if at < 0 {
-		at = len(args)
+// translateRule adds the routes of a directive that chooses a backend or answers requests itself. It
+// returns the verdict and its reason.
+func (t *translator) translateRule(proxy *proxySettings, directive *haproxy.Directive, name string) (Verdict, string) {
+	args := directive.Args()
+	conditionStart := slices.IndexFunc(args, func(w string) bool { return w == "if" || w == "unless" })
+	if conditionStart < 0 {
+		conditionStart = len(args)
 	}
-	cond, args := args[at:], args[:at]
-	var to features.Route
-	v, why := Carried, "a route"
-	switch k {
+	condition, args := args[conditionStart:], args[:conditionStart]
+	var target features.Route
+	verdict, reason := Carried, "a route"
+	switch name {
 	case "use_backend", "default_backend":
 		if len(args) != 1 {
-			return Lost, "it names no backend" + after
+			return Lost, "it must name exactly one backend" + fallThroughNote
 		}
 		switch {
 		case strings.Contains(args[0], "%["):
-			return Lost, "a backend that is worked out for each request" + after
-		case t.backend[args[0]] == nil:
-			return Lost, fmt.Sprintf("there is no backend %q", args[0]) + after
-		case !t.made(args[0]):
-			return Lost, fmt.Sprintf("backend %q has no server that is carried", args[0]) + after
+			return Lost, "a backend that is worked out for each request" + fallThroughNote
+		case t.backends[args[0]] == nil:
+			return Lost, fmt.Sprintf("there is no backend %q", args[0]) + fallThroughNote
+		case !t.hasPool(args[0]):
+			return Lost, fmt.Sprintf("backend %q has no server that is carried", args[0]) + fallThroughNote
 		}
-		to.Pool = args[0]
-		if k == "default_backend" {
-			if len(cond) > 0 {
-				return Lost, "it takes no condition"
+		target.Pool = args[0]
+		if name == "default_backend" {
+			if len(condition) > 0 {
+				return Lost, "default_backend takes no condition"
 			}
-			t.byDefault[p] = to.Pool
+			t.defaultPools[proxy] = target.Pool
 			return Carried, "the route behind all others"
 		}
 	case "http-request deny":
-		to.Status = 403
+		target.Status = 403
 		if n := slices.Index(args, "deny_status"); n >= 0 && n+1 < len(args) {
-			to.Status, _ = strconv.Atoi(args[n+1])
+			target.Status, _ = strconv.Atoi(args[n+1])
 		}
 	case "http-request return":
-		to.Status = 200
+		target.Status = 200
 		for n := 1; n+1 < len(args); n += 2 {
 			switch args[n] {
 			case "status":
-				to.Status, _ = strconv.Atoi(args[n+1])
+				target.Status, _ = strconv.Atoi(args[n+1])
 			case "string":
-				to.Body = args[n+1]
+				target.Body = args[n+1]
 			case "content-type":
-				v, why = Different, "a route, without a type of its content"
+				verdict, reason = Different, "a route, without a type of its content"
 			default:
-				return Lost, args[n] + " is not known here" + after
+				return Lost, args[n] + " is not supported" + fallThroughNote
 			}
 		}
 	case "redirect", "http-request redirect":
-		if k != "redirect" {
+		if name != "redirect" {
 			args = args[1:]
 		}
-		to.Status = 302
+		target.Status = 302
 		for n := 0; n+1 < len(args); n += 2 {
 			switch args[n] {
 			case "location":
-				to.Location = args[n+1]
+				target.Location = args[n+1]
 			case "code":
-				to.Status, _ = strconv.Atoi(args[n+1])
+				target.Status, _ = strconv.Atoi(args[n+1])
 			default:
-				return Lost, args[n] + ": only a fixed location is carried" + after
+				return Lost, args[n] + ": only a fixed location is carried" + fallThroughNote
 			}
 		}
-		if to.Location == "" || strings.Contains(to.Location, "%[") {
-			return Lost, "only a fixed location is carried" + after
+		if target.Location == "" || strings.Contains(target.Location, "%[") {
+			return Lost, "only a fixed location is carried" + fallThroughNote
 		}
 	}
-	if to.Pool == "" && (to.Status < 200 || to.Status > 599) {
-		return Lost, "a status that is out of range" + after
+	if target.Pool == "" && (target.Status < 200 || target.Status > 599) {
+		return Lost, "the status must be between 200 and 599" + fallThroughNote
 	}
-	alternatives, err := t.condition(p, cond)
+	alternatives, err := t.parseCondition(proxy, condition)
 	if err != nil {
-		return Lost, err.Error() + after
+		return Lost, err.Error() + fallThroughNote
 	}
-	for _, m := range alternatives {
-		m.Pool, m.Status, m.Location, m.Body = to.Pool, to.Status, to.Location, to.Body
-		m.Listeners = t.listeners(p)
-		t.routes = append(t.routes, ranked{rank(k), m, d.At()})
+	for _, route := range alternatives {
+		route.Pool, route.Status, route.Location, route.Body = target.Pool, target.Status, target.Location, target.Body
+		route.Listeners = t.routeListeners(proxy)
+		t.routes = append(t.routes, rankedRoute{ruleRank(name), route, directive.Location()})
 	}
-	return v, why
+	return verdict, reason
 }
 
-// ranked is a route with its place: HAProxy goes through the http-request rules first,
-// then redirects, then those that choose a backend, each in their order (section 4.2).
-type ranked struct {
-	rank  int
-	route features.Route
-	at    string
+// rankedRoute is a route with its rank and the location of its rule. HAProxy evaluates http-request
+// rules first, then redirects, then rules that choose a backend, each group in the order of the file
+// (section 4.2 of the manual).
+type rankedRoute struct {
+	rank     int
+	route    features.Route
+	location string
 }
 
-func rank(k string) int {
+// ruleRank returns the rank of a rule; rules of lower rank are evaluated first.
+func ruleRank(name string) int {
 	switch {
-	case strings.HasPrefix(k, "http-request"):
+	case strings.HasPrefix(name, "http-request"):
 		return 0
-	case k == "redirect":
+	case name == "redirect":
 		return 1
 	}
 	return 2
 }
 
-// order names the routes and puts them in their order, the default one last.
-func (t *translator) order() {
-	slices.SortStableFunc(t.routes, func(a, b ranked) int { return a.rank - b.rank })
+// buildRoutes names the routes and adds them in the order of evaluation, the default routes last.
+func (t *translator) buildRoutes() {
+	slices.SortStableFunc(t.routes, func(a, b rankedRoute) int { return a.rank - b.rank })
 	for n, r := range t.routes {
-		r.route.Name = fmt.Sprintf("%d from %s", n+1, r.at)
-		t.classed(r.route)
+		r.route.Name = fmt.Sprintf("%d from %s", n+1, r.location)
+		t.addRoute(r.route)
 	}
-	for _, p := range t.fronts {
-		pool := t.byDefault[p]
-		if pool == "" && t.made(p.backend) { // of its defaults
-			pool = p.backend
+	for _, proxy := range t.frontends {
+		pool := t.defaultPools[proxy]
+		if pool == "" && t.hasPool(proxy.defaultBackend) { // from the defaults section
+			pool = proxy.defaultBackend
 		}
 		if pool != "" {
-			t.classed(features.Route{Name: "default of " + p.s.Name, Pool: pool, Listeners: t.listeners(p)})
+			t.addRoute(features.Route{Name: "default of " + proxy.section.Name, Pool: pool, Listeners: t.routeListeners(proxy)})
 		}
 	}
 }
 
-// listeners are those of a frontend's routes; none need be named where there is one.
-func (t *translator) listeners(p *proxy) []string {
-	if len(t.fronts) < 2 {
+// routeListeners returns the listeners that the routes of a frontend name. With a single frontend
+// they need not name any, and it returns nil.
+func (t *translator) routeListeners(proxy *proxySettings) []string {
+	if len(t.frontends) < 2 {
 		return nil
 	}
-	return []string{p.listener}
+	return []string{proxy.listener}
 }
 
-// classed adds a route, or two where what may be repeated goes by the method.
-func (t *translator) classed(r features.Route) {
-	if r.Pool == "" || t.o.SafeClass == "" {
-		t.out.Routes = append(t.out.Routes, r)
+// addRoute adds a route to the result. If the class depends on the method, it adds one route for
+// the safe methods and one for the others.
+func (t *translator) addRoute(route features.Route) {
+	if route.Pool == "" || t.options.SafeClass == "" {
+		t.result.Routes = append(t.result.Routes, route)
 		return
 	}
-	var safe, other []string
-	for _, m := range r.Methods {
-		if harmless(m) {
-			safe = append(safe, m)
+	var safeMethods, otherMethods []string
+	for _, method := range route.Methods {
+		if isSafeMethod(method) {
+			safeMethods = append(safeMethods, method)
 		} else {
-			other = append(other, m)
+			otherMethods = append(otherMethods, method)
 		}
 	}
-	if len(r.Methods) == 0 {
-		safe = []string{"GET", "HEAD", "OPTIONS"}
+	if len(route.Methods) == 0 {
+		safeMethods = []string{"GET", "HEAD", "OPTIONS"}
 	}
-	if len(safe) > 0 {
-		s := r
-		s.Name, s.Class, s.Methods = r.Name+", may be repeated", t.o.SafeClass, safe
-		t.out.Routes = append(t.out.Routes, s)
+	if len(safeMethods) > 0 {
+		safeRoute := route
+		safeRoute.Name, safeRoute.Class, safeRoute.Methods = route.Name+", may be repeated", t.options.SafeClass, safeMethods
+		t.result.Routes = append(t.result.Routes, safeRoute)
 	}
-	if len(other) > 0 || len(r.Methods) == 0 {
-		r.Class, r.Methods = t.o.OtherClass, other
-		t.out.Routes = append(t.out.Routes, r)
+	if len(otherMethods) > 0 || len(route.Methods) == 0 {
+		route.Class, route.Methods = t.options.OtherClass, otherMethods
+		t.result.Routes = append(t.result.Routes, route)
 	}
 }
--- a/internal/haproxy/translate/translate.go
+++ b/internal/haproxy/translate/translate.go
@@ -1,7 +1,7 @@
-// Package translate says what each directive of a HAProxy configuration becomes here, and
-// makes routes and pools of what can be carried. It has no I/O. It does not guess: what
-// it does not know is not carried, and what would repeat requests that must not run twice
-// is refused as dangerous, whatever else it says.
+// Package translate turns a HAProxy configuration into listeners, pools and routes, and gives
+// each directive a verdict: whether it is carried over. The package does no I/O. It never guesses:
+// a directive that it does not know is not carried, and one that would repeat requests that must
+// not run twice is reported as dangerous and left out.
 package translate
 
 import (
@@ -18,32 +18,33 @@
 	"chalkrack/internal/haproxy"
 )
 
-// Verdict is what becomes of a directive.
+// Verdict says whether a directive is carried over.
 type Verdict int
 
 const (
-	Carried Verdict = iota
-	Different
-	Lost
-	Danger
+	Carried   Verdict = iota // has the same effect
+	Different                // has a similar effect; the reason names the difference
+	Lost                     // has no effect
+	Danger                   // left out, and an operator must decide what replaces it
 )
 
-// String is the verdict for people.
+// String returns the verdict as reports print it.
 func (v Verdict) String() string {
 	return [...]string{"carried", "carried with a difference", "not carried", "dangerous"}[v]
 }
 
-// Entry is one directive's verdict.
+// Entry is the verdict on one directive, as reports contain it.
 type Entry struct {
-	At      string  `json:"at"`
-	Section string  `json:"section"`
-	Text    string  `json:"directive"`
+	At      string  `json:"at"`        // "file:line"
+	Section string  `json:"section"`   // kind and name; empty outside sections
+	Text    string  `json:"directive"` // as written, without surrounding space
 	Verdict Verdict `json:"-"`
-	Word    string  `json:"verdict"`
+	Word    string  `json:"verdict"` // Verdict as text
 	Why     string  `json:"why"`
 }
 
-// Result is what a configuration became.
+// Result is a translated configuration: one entry for each directive, and the settings that the
+// carried ones make up.
 type Result struct {
 	Entries   []Entry
 	Listeners []features.Listener
@@ -51,7 +52,7 @@
 	Routes    []features.Route
 }
 
-// Count is how many directives have a verdict.
+// Count returns the number of directives with the given verdict.
 func (r *Result) Count(v Verdict) (n int) {
 	for _, e := range r.Entries {
 		if e.Verdict == v {
@@ -61,187 +62,196 @@
 	return n
 }
 
-// Options are what a translation goes by.
+// Options are the platform's settings that a translation needs.
 type Options struct {
-	// Classes are the platform's, whose first parts of paths a check must not ask for.
+	// Classes are the platform's classes. A health check whose path begins with one of them is
+	// dangerous, because it would run a request of that class.
 	Classes []string
-	// SafeClass is that of imported requests by GET, HEAD and OPTIONS, OtherClass that of
-	// all others; without them the first part of a request's path names its class.
+	// SafeClass is the class of imported GET, HEAD and OPTIONS requests, OtherClass that of all
+	// others. If they are empty, the first part of a request's path names its class.
 	SafeClass, OtherClass string
 }
 
-// proxy is what holds for a frontend, backend or listen, its defaults included.
-type proxy struct {
-	s        *haproxy.Section
-	mode     string
-	retries  int
-	check    features.PoolChecks
-	checked  bool // option httpchk, with a path
-	badCheck bool
-	inter    time.Duration
-	acls     map[string][]*haproxy.Directive
-	servers  []features.PoolServer
-	slow     time.Duration
-	conns    int
-	// active is what the servers' maxconn add up to, unless one has none.
-	active, waiting int
-	unbounded       bool
-	queueWait       time.Duration // timeout queue
-	connectWait     time.Duration // and what holds in its place
-	listener        string        // of a frontend that is carried; empty: it is not
-	bind            *haproxy.Directive
-	address         string // of bind
-	// each is what default-server puts before a server's own options, backend the default
-	// one, its defaults' included.
-	each    []string
-	backend string
+// proxySettings are the settings of a frontend, backend or listen section, including those of its
+// defaults.
+type proxySettings struct {
+	section        *haproxy.Section
+	mode           string
+	retries        int
+	check          features.PoolChecks
+	hasHTTPCheck   bool // option httpchk is set; check.Path holds its path
+	dangerousCheck bool // a check may change state at the server
+	checkInterval  time.Duration
+	acls           map[string][]*haproxy.Directive
+	servers        []features.PoolServer
+	slowStart      time.Duration
+	conns          int
+	// maxActive and maxWaiting are the sums of maxconn and maxqueue over all servers but backups.
+	// hasUnboundedServer says that one of these servers has no maxconn.
+	maxActive, maxWaiting int
+	hasUnboundedServer    bool
+	queueTimeout          time.Duration // timeout queue
+	connectTimeout        time.Duration // timeout connect, which HAProxy uses if timeout queue is not set
+	listener              string        // the listener's name; empty if the section is not a carried frontend
+	bind                  *haproxy.Directive
+	bindAddress           string // the address that bind listens at
+	// defaultServerArgs are the options of default-server, which come before a server's own.
+	// defaultBackend is the backend that default_backend names, possibly in a defaults section.
+	defaultServerArgs []string
+	defaultBackend    string
 }
 
+// translator holds the state of one translation.
 type translator struct {
-	o         Options
-	c         *haproxy.Config
-	out       *Result
-	proxies   map[*haproxy.Section]*proxy
-	backend   map[string]*proxy
-	routes    []ranked
-	byDefault map[*proxy]string // the pool behind all rules of a frontend
-	fronts    []*proxy          // that are carried, in their order
+	options      Options
+	config       *haproxy.Config
+	result       *Result
+	proxies      map[*haproxy.Section]*proxySettings
+	backends     map[string]*proxySettings
+	routes       []rankedRoute
+	defaultPools map[*proxySettings]string // by frontend: the pool of requests that no rule takes
+	frontends    []*proxySettings          // the carried ones, in the order of the files
 }
 
-// Translate gives every directive one verdict and makes what can be made.
-func Translate(c *haproxy.Config, o Options) *Result {
-	t := &translator{o: o, c: c, out: new(Result), proxies: make(map[*haproxy.Section]*proxy), backend: make(map[string]*proxy), byDefault: make(map[*proxy]string)}
-	for _, s := range c.Sections {
-		switch s.Kind {
+// Translate gives every directive exactly one verdict and makes the listeners, pools and routes
+// that can be carried over.
+func Translate(config *haproxy.Config, options Options) *Result {
+	t := &translator{options: options, config: config, result: new(Result), proxies: make(map[*haproxy.Section]*proxySettings), backends: make(map[string]*proxySettings), defaultPools: make(map[*proxySettings]string)}
+	for _, section := range config.Sections {
+		switch section.Kind {
 		case "frontend", "backend", "listen":
 		default:
 			continue
 		}
-		p := &proxy{s: s, mode: "tcp", retries: 3, conns: 32, inter: 2 * time.Second, acls: make(map[string][]*haproxy.Directive)}
-		t.proxies[s] = p
-		for d := range s.All {
-			if d.Holds == haproxy.True {
-				t.collect(p, d)
+		proxy := &proxySettings{section: section, mode: "tcp", retries: 3, conns: 32, checkInterval: 2 * time.Second, acls: make(map[string][]*haproxy.Directive)}
+		t.proxies[section] = proxy
+		for directive := range section.AllDirectives {
+			if directive.Active == haproxy.True {
+				t.applyDirective(proxy, directive)
 			}
 		}
-		if s.Kind != "backend" && p.mode == "http" && s.Head.Holds == haproxy.True {
-			t.listen(p)
+		if section.Kind != "backend" && proxy.mode == "http" && section.Head.Active == haproxy.True {
+			t.assignListener(proxy)
 		}
-		if s.Kind != "frontend" && t.backend[s.Name] == nil {
-			t.backend[s.Name] = p
+		if section.Kind != "frontend" && t.backends[section.Name] == nil {
+			t.backends[section.Name] = proxy
 		}
 	}
-	for _, d := range c.Outside {
-		t.say(nil, d, Lost, "stands before any section")
+	for _, directive := range config.OutsideDirectives {
+		t.addEntry(nil, directive, Lost, "it appears before the first section")
 	}
-	for _, d := range c.Blocks {
-		t.say(nil, d, Carried, "a conditional block: its lines have verdicts of their own")
+	for _, directive := range config.BlockDirectives {
+		t.addEntry(nil, directive, Carried, "a conditional block: its lines have verdicts of their own")
 	}
-	for _, s := range c.Sections {
-		t.head(s)
-		for _, d := range s.Directives {
-			t.directive(s, d)
+	for _, section := range config.Sections {
+		t.translateHead(section)
+		for _, directive := range section.Directives {
+			t.translateDirective(section, directive)
 		}
 	}
-	t.pools()
-	t.order()
-	return t.out
+	t.buildPools()
+	t.buildRoutes()
+	return t.result
 }
 
-func (t *translator) say(s *haproxy.Section, d *haproxy.Directive, v Verdict, why string) {
-	e := Entry{At: d.At(), Text: strings.TrimSpace(d.Raw), Verdict: v, Word: v.String(), Why: why}
-	if s != nil {
-		e.Section = strings.TrimSpace(s.Kind + " " + s.Name)
+// addEntry records the verdict on a directive. section is nil for a directive outside sections.
+func (t *translator) addEntry(section *haproxy.Section, directive *haproxy.Directive, verdict Verdict, reason string) {
+	entry := Entry{At: directive.Location(), Text: strings.TrimSpace(directive.Raw), Verdict: verdict, Word: verdict.String(), Why: reason}
+	if section != nil {
+		entry.Section = strings.TrimSpace(section.Kind + " " + section.Name)
 	}
-	t.out.Entries = append(t.out.Entries, e)
+	t.result.Entries = append(t.result.Entries, entry)
 }
 
-// head is the verdict of a section's own line.
-func (t *translator) head(s *haproxy.Section) {
-	switch p := t.proxies[s]; {
-	case s.Kind == "global" || s.Kind == "defaults":
-		t.say(s, s.Head, Carried, "its directives have verdicts of their own")
-	case p == nil && s.Known:
-		t.say(s, s.Head, Lost, "there is nothing of its kind here")
-	case p == nil:
-		t.say(s, s.Head, Lost, "HAProxy has no section of this kind, as far as is known here")
-	case s.Head.Holds != haproxy.True:
-		t.say(s, s.Head, Lost, notHeld(s.Head))
-	case p.mode != "http":
-		t.say(s, s.Head, Lost, "mode "+p.mode+": only HTTP is carried")
-	case s.Kind == "backend" && t.backend[s.Name] != p:
-		t.say(s, s.Head, Lost, "a backend of that name is there already")
-	case s.Kind == "backend" && len(p.servers) == 0:
-		t.say(s, s.Head, Lost, "none of its servers is carried")
-	case s.Kind == "backend":
-		t.say(s, s.Head, Carried, "a pool")
-	case p.listener == "":
-		t.say(s, s.Head, Lost, "a further listener needs a name of its own and a bind with a port and without TLS")
-	case p.listener != features.PlatformListener:
-		t.say(s, s.Head, Carried, "a listener and its routes")
+// translateHead records the verdict on a section's first line.
+func (t *translator) translateHead(section *haproxy.Section) {
+	switch proxy := t.proxies[section]; {
+	case section.Kind == "global" || section.Kind == "defaults":
+		t.addEntry(section, section.Head, Carried, "its directives have verdicts of their own")
+	case proxy == nil && section.Known:
+		t.addEntry(section, section.Head, Lost, "there is nothing of its kind here")
+	case proxy == nil:
+		t.addEntry(section, section.Head, Lost, "HAProxy has no section of this kind, as far as is known here")
+	case section.Head.Active != haproxy.True:
+		t.addEntry(section, section.Head, Lost, inactiveReason(section.Head))
+	case proxy.mode != "http":
+		t.addEntry(section, section.Head, Lost, "mode "+proxy.mode+": only HTTP is carried")
+	case section.Kind == "backend" && t.backends[section.Name] != proxy:
+		t.addEntry(section, section.Head, Lost, "a backend of that name is there already")
+	case section.Kind == "backend" && len(proxy.servers) == 0:
+		t.addEntry(section, section.Head, Lost, "none of its servers is carried")
+	case section.Kind == "backend":
+		t.addEntry(section, section.Head, Carried, "a pool")
+	case proxy.listener == "":
+		t.addEntry(section, section.Head, Lost, "a further listener needs a name of its own and a bind with a port and without TLS")
+	case proxy.listener != features.PlatformListener:
+		t.addEntry(section, section.Head, Carried, "a listener and its routes")
 	default:
-		t.say(s, s.Head, Different, "routes; where it listens is for the platform to say")
+		t.addEntry(section, section.Head, Different, "routes; where it listens is for the platform to say")
 	}
 }
 
-func notHeld(d *haproxy.Directive) string {
-	if d.Holds == haproxy.False {
+// inactiveReason explains why a directive whose condition is false or unknown is not carried.
+func inactiveReason(directive *haproxy.Directive) string {
+	if directive.Active == haproxy.False {
 		return "in a conditional block that does not hold"
 	}
 	return "in a conditional block that depends on the HAProxy that reads it: decide by hand"
 }
 
-// key is a directive's name: two words where the first says only what kind it is.
-func key(d *haproxy.Directive) string {
-	k := d.Key()
-	args := d.Args()
-	switch k {
+// directiveName returns a directive's name: its first word, or two words if the first is only a
+// group such as "option" or "timeout".
+func directiveName(directive *haproxy.Directive) string {
+	keyword := directive.Keyword()
+	args := directive.Args()
+	switch keyword {
 	case "option", "timeout", "http-request", "http-response", "http-check", "tcp-request", "tcp-response", "tcp-check", "stats", "stick", "http-after-response":
 		if len(args) > 0 {
-			return k + " " + args[0]
+			return keyword + " " + args[0]
 		}
 	case "no":
 		if len(args) > 1 && args[0] == "option" {
 			return "no option " + args[1]
 		}
 	}
-	return k
+	return keyword
 }
 
-// value is a time with HAProxy's units; without one it is of milliseconds.
-func value(text string) (time.Duration, bool) {
+// parseDuration parses a time with one of HAProxy's units; the default unit is milliseconds. It
+// returns false for an invalid or negative time.
+func parseDuration(text string) (time.Duration, bool) {
 	units := []struct {
 		name string
-		d    time.Duration
+		unit time.Duration
 	}{{"us", time.Microsecond}, {"ms", time.Millisecond}, {"s", time.Second}, {"m", time.Minute}, {"h", time.Hour}, {"d", 24 * time.Hour}, {"", time.Millisecond}}
 	for _, u := range units {
 		if number, ok := strings.CutSuffix(text, u.name); ok {
 			if n, err := strconv.ParseInt(number, 10, 32); err == nil && n >= 0 {
-				return time.Duration(n) * u.d, true
+				return time.Duration(n) * u.unit, true
 			}
 		}
 	}
 	return 0, false
 }
 
-// collect takes what a directive sets for a proxy.
-func (t *translator) collect(p *proxy, d *haproxy.Directive) {
-	args := d.Args()
+// applyDirective stores the settings that a directive makes for a section.
+func (t *translator) applyDirective(proxy *proxySettings, directive *haproxy.Directive) {
+	args := directive.Args()
 	arg := func(n int) string {
 		if n < len(args) {
 			return args[n]
 		}
 		return ""
 	}
-	switch key(d) {
+	switch directiveName(directive) {
 	case "mode":
-		p.mode = arg(0)
+		proxy.mode = arg(0)
 	case "retries":
 		if n, err := strconv.Atoi(arg(0)); err == nil && n >= 0 && n < 20 {
-			p.retries = n
+			proxy.retries = n
 		}
 	case "option httpchk":
-		p.checked = true
+		proxy.hasHTTPCheck = true
 		method, path := "OPTIONS", "/"
 		switch {
 		case strings.HasPrefix(arg(1), "/"):
@@ -252,41 +262,42 @@
 				path = arg(2)
 			}
 		}
-		p.check.Path = path
-		p.badCheck = p.badCheck || !harmless(method) || t.ofClass(path)
+		proxy.check.Path = path
+		proxy.dangerousCheck = proxy.dangerousCheck || !isSafeMethod(method) || t.isClassPath(path)
 	case "http-check send":
 		for n := 1; n+1 < len(args); n++ {
 			switch args[n] {
 			case "meth":
-				p.badCheck = p.badCheck || !harmless(args[n+1])
+				proxy.dangerousCheck = proxy.dangerousCheck || !isSafeMethod(args[n+1])
 			case "uri":
-				p.check.Path = args[n+1]
-				p.badCheck = p.badCheck || t.ofClass(args[n+1])
+				proxy.check.Path = args[n+1]
+				proxy.dangerousCheck = proxy.dangerousCheck || t.isClassPath(args[n+1])
 			}
 		}
 	case "timeout queue":
-		p.queueWait, _ = value(arg(1))
+		proxy.queueTimeout, _ = parseDuration(arg(1))
 	case "timeout connect":
-		p.connectWait, _ = value(arg(1))
+		proxy.connectTimeout, _ = parseDuration(arg(1))
 	case "acl":
-		p.acls[arg(0)] = append(p.acls[arg(0)], d)
+		proxy.acls[arg(0)] = append(proxy.acls[arg(0)], directive)
 	case "default-server":
-		p.each = append(p.each[:len(p.each):len(p.each)], args...)
+		proxy.defaultServerArgs = append(proxy.defaultServerArgs[:len(proxy.defaultServerArgs):len(proxy.defaultServerArgs)], args...)
 	case "default_backend":
-		p.backend = arg(0)
+		proxy.defaultBackend = arg(0)
 	case "bind":
-		if addr := address(arg(0)); p.bind == nil && addr != "" && !slices.Contains(args, "ssl") {
-			p.bind, p.address = d, addr
+		if addr := listenAddress(arg(0)); proxy.bind == nil && addr != "" && !slices.Contains(args, "ssl") {
+			proxy.bind, proxy.bindAddress = directive, addr
 		}
 	case "server":
-		t.server(p, args, true)
+		t.translateServer(proxy, args, true)
 	}
 }
 
-// address is where a bind listens, with a host and one port; empty if it says otherwise.
-func address(bind string) string {
+// listenAddress returns the host and port of a bind, or an empty string if it does not consist of
+// an IP address and a single port. A bind without a host listens at all IPv4 addresses.
+func listenAddress(bind string) string {
 	host, port, err := net.SplitHostPort(strings.TrimPrefix(bind, "ipv4@"))
-	if n, perr := strconv.Atoi(port); err != nil || perr != nil || n < 1 || n > 65535 {
+	if n, portErr := strconv.Atoi(port); err != nil || portErr != nil || n < 1 || n > 65535 {
 		return ""
 	}
 	if host == "" || host == "*" {
@@ -298,58 +309,62 @@
 	return net.JoinHostPort(host, port)
 }
 
-// listen gives a frontend its listener: the first one the platform's, others one of their
-// own, if they can have one.
-func (t *translator) listen(p *proxy) {
+// assignListener gives a frontend its listener: the platform's to the first frontend, and to each
+// further one a listener of its own if it has a bind and a unique name.
+func (t *translator) assignListener(proxy *proxySettings) {
 	switch {
-	case len(t.fronts) == 0:
-		p.listener = features.PlatformListener
-	case p.bind == nil || p.s.Name == features.PlatformListener || slices.ContainsFunc(t.fronts, func(o *proxy) bool { return o.s.Name == p.s.Name }):
+	case len(t.frontends) == 0:
+		proxy.listener = features.PlatformListener
+	case proxy.bind == nil || proxy.section.Name == features.PlatformListener || slices.ContainsFunc(t.frontends, func(other *proxySettings) bool { return other.section.Name == proxy.section.Name }):
 		return
 	default:
-		p.listener = p.s.Name
-		t.out.Listeners = append(t.out.Listeners, features.Listener{Name: p.s.Name, Address: p.address})
+		proxy.listener = proxy.section.Name
+		t.result.Listeners = append(t.result.Listeners, features.Listener{Name: proxy.section.Name, Address: proxy.bindAddress})
 	}
-	t.fronts = append(t.fronts, p)
+	t.frontends = append(t.frontends, proxy)
 }
 
-func harmless(method string) bool { return method == "GET" || method == "HEAD" || method == "OPTIONS" }
+// isSafeMethod returns whether requests of the method have no effect at a server.
+func isSafeMethod(method string) bool {
+	return method == "GET" || method == "HEAD" || method == "OPTIONS"
+}
 
-// ofClass says whether a path is one that the platform's classes have.
-func (t *translator) ofClass(path string) bool {
+// isClassPath returns whether the first part of a path is the name of one of the platform's classes.
+func (t *translator) isClassPath(path string) bool {
 	first, _, _ := strings.Cut(strings.TrimPrefix(path, "/"), "/")
 	first, _, _ = strings.Cut(first, "?")
-	for _, c := range t.o.Classes {
-		if c == first {
+	for _, class := range t.options.Classes {
+		if class == first {
 			return true
 		}
 	}
 	return false
 }
 
-// server reads a server's words, takes it up, and gives its verdict.
-func (t *translator) server(p *proxy, args []string, take bool) (Verdict, string) {
+// translateServer returns the verdict on a server line with the given arguments and its reason. If
+// add is true, it also adds the server and its options to the proxy.
+func (t *translator) translateServer(proxy *proxySettings, args []string, add bool) (Verdict, string) {
 	if len(args) < 2 {
-		return Lost, "a server without an address"
+		return Lost, "the server has no address"
 	}
-	args = slices.Concat(args[:2], p.each, args[2:])
-	s := features.PoolServer{Name: args[0], Address: args[1], Weight: 1}
-	host, port, err := net.SplitHostPort(s.Address)
-	if n, perr := strconv.Atoi(port); err != nil || perr != nil || n < 1 || n > 65535 || net.ParseIP(host) == nil {
+	args = slices.Concat(args[:2], proxy.defaultServerArgs, args[2:])
+	server := features.PoolServer{Name: args[0], Address: args[1], Weight: 1}
+	host, port, err := net.SplitHostPort(server.Address)
+	if n, portErr := strconv.Atoi(port); err != nil || portErr != nil || n < 1 || n > 65535 || net.ParseIP(host) == nil {
 		return Lost, "its address must be an IP address with a port: names are not looked up, and a port is not made up"
 	}
-	v, why, checked := Carried, "", false
-	differs := func(text string) {
-		if v = Different; strings.Contains(why, text) {
-			return // of a default and of the server's own
+	verdict, reason, checked := Carried, "", false
+	addDifference := func(text string) {
+		if verdict = Different; strings.Contains(reason, text) {
+			return // the option is in default-server and in the server line
 		}
-		if why != "" {
-			why += "; "
+		if reason != "" {
+			reason += "; "
 		}
-		why += text
+		reason += text
 	}
-	var slow time.Duration
-	active, waiting := 0, 0
+	var slowStart time.Duration
+	maxConns, maxQueue := 0, 0
 	for n := 2; n < len(args); n++ {
 		next := ""
 		if n+1 < len(args) {
@@ -360,160 +375,161 @@
 			checked = true
 		case "inter", "rise", "fall":
 			n++
-			if d, ok := value(next); ok && args[n-1] == "inter" && take {
-				p.inter = d
+			if parsed, ok := parseDuration(next); ok && args[n-1] == "inter" && add {
+				proxy.checkInterval = parsed
 			}
-			if k, err := strconv.Atoi(next); err == nil && k > 0 && take {
+			if count, err := strconv.Atoi(next); err == nil && count > 0 && add {
 				switch args[n-1] {
 				case "rise":
-					p.check.Rise = k
+					proxy.check.Rise = count
 				case "fall":
-					p.check.Fall = k
+					proxy.check.Fall = count
 				}
 			}
-			differs(args[n-1] + " holds for all servers of the pool, as the last one says it")
+			addDifference(args[n-1] + " holds for all servers of the pool, as the last one says it")
 		case "weight":
 			n++
-			w, err := strconv.Atoi(next)
-			if err != nil || w < 0 || w > 256 {
-				return Lost, "weight " + next + " is out of range"
+			weight, err := strconv.Atoi(next)
+			if err != nil || weight < 0 || weight > 256 {
+				return Lost, "weight " + next + " is not between 0 and 256"
 			}
-			if s.Weight = float64(w); w == 0 {
+			if server.Weight = float64(weight); weight == 0 {
 				return Lost, "weight 0: it gets no calls in HAProxy, so it is left out"
 			}
 		case "backup":
-			s.Backup = true
+			server.Backup = true
 		case "slowstart":
 			n++
-			if d, ok := value(next); ok {
-				slow = d
+			if parsed, ok := parseDuration(next); ok {
+				slowStart = parsed
 			}
-			differs("a slow start is the pool's, and limits calls by what a cold server is known to bear")
+			addDifference("a slow start is the pool's, and limits calls by what a cold server is known to bear")
 		case "maxconn", "maxqueue":
 			n++
-			k, err := strconv.Atoi(next)
-			if err != nil || k < 0 {
-				return Lost, args[n-1] + " " + next + " is no number"
+			count, err := strconv.Atoi(next)
+			if err != nil || count < 0 {
+				return Lost, args[n-1] + " " + next + " is not a number of at least 0"
 			}
 			if args[n-1] == "maxconn" {
-				active = k
+				maxConns = count
 			} else {
-				waiting = k
+				maxQueue = count
 			}
-			differs(args[n-1] + " holds for the pool as a whole, as the sum of its servers', if each has a maxconn")
+			addDifference(args[n-1] + " holds for the pool as a whole, as the sum of its servers', if each has a maxconn")
 		case "cookie":
 			n++
-			differs("no stickiness by cookie: clients are not bound to it")
+			addDifference("no stickiness by cookie: clients are not bound to it")
 		case "ssl", "send-proxy", "send-proxy-v2", "proto", "socks4", "disabled", "track", "agent-check":
 			return Lost, args[n] + ": there is nothing like it here, and without it the server would be spoken to wrongly"
 		default:
 			return Lost, args[n] + " is not known here, and what the server is without it neither"
 		}
 	}
-	if take {
-		p.servers = append(p.servers, s)
-		p.slow = max(p.slow, slow)
-		if !s.Backup { // which serve in the others' place
-			p.active += active
-			p.waiting += waiting
-			p.unbounded = p.unbounded || active == 0
+	if add {
+		proxy.servers = append(proxy.servers, server)
+		proxy.slowStart = max(proxy.slowStart, slowStart)
+		if !server.Backup { // backups serve instead of the others, so they add no capacity
+			proxy.maxActive += maxConns
+			proxy.maxWaiting += maxQueue
+			proxy.hasUnboundedServer = proxy.hasUnboundedServer || maxConns == 0
 		}
 		if checked {
-			p.check.Interval = duration.Duration(p.inter)
+			proxy.check.Interval = duration.Duration(proxy.checkInterval)
 		}
 	}
-	if why == "" {
-		why = "a server of the pool"
+	if reason == "" {
+		reason = "a server of the pool"
 	}
-	return v, why
+	return verdict, reason
 }
 
-// directive gives one directive its verdict.
-func (t *translator) directive(s *haproxy.Section, d *haproxy.Directive) {
-	p := t.proxies[s]
-	k := key(d)
+// translateDirective records the verdict on a directive, and adds the routes that it makes.
+func (t *translator) translateDirective(section *haproxy.Section, directive *haproxy.Directive) {
+	proxy := t.proxies[section]
+	name := directiveName(directive)
 	switch {
-	case d.Err != "":
-		t.say(s, d, Lost, "can't be read: "+d.Err)
-	case d.Holds == haproxy.False:
-		t.say(s, d, Lost, notHeld(d))
-	case d.Holds == haproxy.Unknown && keepsOut(d, k):
-		t.say(s, d, Danger, "it keeps requests out, "+notHeld(d))
-	case d.Holds == haproxy.Unknown:
-		t.say(s, d, Lost, notHeld(d))
-	case dangerous(d, k) != "":
-		t.say(s, d, Danger, dangerous(d, k))
-	case s.Kind == "global":
-		t.say(s, d, Lost, "of HAProxy's process: the platform sets up this one")
-	case p == nil && s.Kind != "defaults":
-		t.say(s, d, Lost, "its section is not carried")
-	case p != nil && p.mode != "http":
-		t.say(s, d, Lost, "its section is of mode "+p.mode)
-	case p != nil && s.Kind != "backend" && p.listener == "" && k != "server" && k != "balance":
-		t.say(s, d, Lost, "its section is a listener that is not carried")
-	case p != nil && s.Kind == "backend" && t.backend[s.Name] != p:
-		t.say(s, d, Lost, "its section has the name of another")
-	case k == "bind" && slices.Contains(d.Args(), "ssl"):
-		t.say(s, d, Lost, noTLS)
-	case k == "bind" && p != nil && p.listener != "" && p.listener != features.PlatformListener:
-		if d == p.bind {
-			t.say(s, d, Different, "a listener at "+p.address)
+	case directive.Err != "":
+		t.addEntry(section, directive, Lost, "it can't be parsed: "+directive.Err)
+	case directive.Active == haproxy.False:
+		t.addEntry(section, directive, Lost, inactiveReason(directive))
+	case directive.Active == haproxy.Unknown && rejectsRequests(directive, name):
+		t.addEntry(section, directive, Danger, "it keeps requests out, "+inactiveReason(directive))
+	case directive.Active == haproxy.Unknown:
+		t.addEntry(section, directive, Lost, inactiveReason(directive))
+	case dangerReason(directive, name) != "":
+		t.addEntry(section, directive, Danger, dangerReason(directive, name))
+	case section.Kind == "global":
+		t.addEntry(section, directive, Lost, "of HAProxy's process: the platform sets up this one")
+	case proxy == nil && section.Kind != "defaults":
+		t.addEntry(section, directive, Lost, "its section is not carried")
+	case proxy != nil && proxy.mode != "http":
+		t.addEntry(section, directive, Lost, "its section is of mode "+proxy.mode)
+	case proxy != nil && section.Kind != "backend" && proxy.listener == "" && name != "server" && name != "balance":
+		t.addEntry(section, directive, Lost, "its section is a listener that is not carried")
+	case proxy != nil && section.Kind == "backend" && t.backends[section.Name] != proxy:
+		t.addEntry(section, directive, Lost, "its section has the name of another")
+	case name == "bind" && slices.Contains(directive.Args(), "ssl"):
+		t.addEntry(section, directive, Lost, reasonNoTLS)
+	case name == "bind" && proxy != nil && proxy.listener != "" && proxy.listener != features.PlatformListener:
+		if directive == proxy.bind {
+			t.addEntry(section, directive, Different, "a listener at "+proxy.bindAddress)
 		} else {
-			t.say(s, d, Lost, "one address for each listener")
+			t.addEntry(section, directive, Lost, "one address for each listener")
 		}
-	case k == "server" && p != nil:
-		v, why := t.server(p, d.Args(), false)
-		if p.badCheck && v != Lost && slices.Contains(slices.Concat(p.each, d.Args()), "check") {
-			v, why = Different, why+"; it is not checked, for the check is dangerous"
+	case name == "server" && proxy != nil:
+		verdict, reason := t.translateServer(proxy, directive.Args(), false)
+		if proxy.dangerousCheck && verdict != Lost && slices.Contains(slices.Concat(proxy.defaultServerArgs, directive.Args()), "check") {
+			verdict, reason = Different, reason+"; it is not checked, for the check is dangerous"
 		}
-		t.say(s, d, v, why)
-	case k == "default-server":
-		if v, why := t.server(&proxy{}, append([]string{"any", "127.0.0.1:1"}, d.Args()...), false); v == Lost {
-			t.say(s, d, Lost, why)
+		t.addEntry(section, directive, verdict, reason)
+	case name == "default-server":
+		if verdict, reason := t.translateServer(&proxySettings{}, append([]string{"any", "127.0.0.1:1"}, directive.Args()...), false); verdict == Lost {
+			t.addEntry(section, directive, Lost, reason)
 		} else {
-			t.say(s, d, Carried, "before each server's own options")
-		}
-	case k == "default_backend" && s.Kind == "defaults":
-		t.say(s, d, Carried, "for the frontend that is carried, if it has none of its own")
-	case k == "option httpchk" || k == "http-check send":
-		t.checkVerdict(s, d, p)
-	case p != nil && p.listener == "" && keepsOut(d, k):
-		t.say(s, d, Danger, "it keeps requests out, and rules of a backend are not carried: routes are chosen before it")
-	case p != nil && p.listener == "" && (k == "http-request return" || k == "redirect" || k == "http-request redirect"):
-		t.say(s, d, Lost, "rules of a backend are not carried: routes are chosen before it")
-	case (k == "use_backend" || k == "default_backend" || k == "http-request deny" || k == "http-request return" || k == "redirect" || k == "http-request redirect") && p != nil:
-		v, why := t.rule(p, d, k)
-		if v == Lost && keepsOut(d, k) {
-			v = Danger
-		}
-		t.say(s, d, v, why)
-	case k == "acl" && p != nil:
-		_, err := t.acl(d.Args()[min(1, len(d.Args())):])
+			t.addEntry(section, directive, Carried, "before each server's own options")
+		}
+	case name == "default_backend" && section.Kind == "defaults":
+		t.addEntry(section, directive, Carried, "for the frontend that is carried, if it has none of its own")
+	case name == "option httpchk" || name == "http-check send":
+		t.translateCheck(section, directive, proxy)
+	case proxy != nil && proxy.listener == "" && rejectsRequests(directive, name):
+		t.addEntry(section, directive, Danger, "it keeps requests out, and rules of a backend are not carried: routes are chosen before it")
+	case proxy != nil && proxy.listener == "" && (name == "http-request return" || name == "redirect" || name == "http-request redirect"):
+		t.addEntry(section, directive, Lost, "rules of a backend are not carried: routes are chosen before it")
+	case (name == "use_backend" || name == "default_backend" || name == "http-request deny" || name == "http-request return" || name == "redirect" || name == "http-request redirect") && proxy != nil:
+		verdict, reason := t.translateRule(proxy, directive, name)
+		if verdict == Lost && rejectsRequests(directive, name) {
+			verdict = Danger
+		}
+		t.addEntry(section, directive, verdict, reason)
+	case name == "acl" && proxy != nil:
+		_, err := t.parseACL(directive.Args()[min(1, len(directive.Args())):])
 		if err != nil {
-			t.say(s, d, Lost, err.Error())
+			t.addEntry(section, directive, Lost, err.Error())
 		} else {
-			t.say(s, d, Carried, "where a rule uses it")
+			t.addEntry(section, directive, Carried, "where a rule uses it")
 		}
 	default:
-		if v, ok := Keywords[k]; ok {
-			t.say(s, d, v.Verdict, v.Why)
+		if verdict, ok := Keywords[name]; ok {
+			t.addEntry(section, directive, verdict.Verdict, verdict.Reason)
 			return
 		}
-		if keepsOut(d, k) {
-			t.say(s, d, Danger, "it keeps requests out: without it they come in")
+		if rejectsRequests(directive, name) {
+			t.addEntry(section, directive, Danger, "it keeps requests out: without it they come in")
 			return
 		}
-		t.say(s, d, Lost, "not known here: nothing of it is carried")
+		t.addEntry(section, directive, Lost, "not known here: nothing of it is carried")
 	}
 }
 
-// keepsOut says whether a directive turns requests away, so that losing it lets them in.
-func keepsOut(d *haproxy.Directive, k string) bool {
-	switch k {
+// rejectsRequests returns whether a directive rejects requests. If such a directive is left out,
+// those requests are let in.
+func rejectsRequests(directive *haproxy.Directive, name string) bool {
+	switch name {
 	case "http-request deny", "http-request auth", "http-request reject", "http-request silent-drop", "http-request tarpit", "block":
 		return true
 	case "tcp-request connection", "tcp-request content", "tcp-request session":
-		for _, word := range d.Args() {
+		for _, word := range directive.Args() {
 			if word == "reject" || word == "silent-drop" {
 				return true
 			}
@@ -522,12 +538,13 @@
 	return false
 }
 
-// dangerous says why a directive must not be kept, whatever section it stands in.
-func dangerous(d *haproxy.Directive, k string) string {
-	if k != "retry-on" {
+// dangerReason returns why a directive is dangerous in any section, or an empty string if it is
+// not.
+func dangerReason(directive *haproxy.Directive, name string) string {
+	if name != "retry-on" {
 		return ""
 	}
-	for _, word := range d.Args() {
+	for _, word := range directive.Args() {
 		switch word {
 		case "none", "conn-failure", "0rtt-rejected":
 		default:
@@ -537,37 +554,40 @@
 	return ""
 }
 
-func (t *translator) checkVerdict(s *haproxy.Section, d *haproxy.Directive, p *proxy) {
-	one := &proxy{}
-	t.collect(one, d)
+// translateCheck records the verdict on a directive that sets a health check.
+func (t *translator) translateCheck(section *haproxy.Section, directive *haproxy.Directive, proxy *proxySettings) {
+	parsed := &proxySettings{}
+	t.applyDirective(parsed, directive)
 	switch {
-	case one.badCheck:
-		t.say(s, d, Danger, "a check that may take effect at a server, once for each check: choose a path that only looks")
-	case one.check.Path == "":
-		t.say(s, d, Different, "checks are a GET without a body or further fields")
+	case parsed.dangerousCheck:
+		t.addEntry(section, directive, Danger, "a check that may take effect at a server, once for each check: choose a path that only looks")
+	case parsed.check.Path == "":
+		t.addEntry(section, directive, Different, "checks are GET requests without a body or additional header fields")
 	default:
-		t.say(s, d, Different, "checks are GET of "+one.check.Path+", good with 2xx and 3xx")
+		t.addEntry(section, directive, Different, "checks are GET of "+parsed.check.Path+", good with 2xx and 3xx")
 	}
 }
 
-// Keyword is what is said of a directive that says the same everywhere.
+// Keyword is the verdict on a directive that does not depend on its arguments or its section.
 type Keyword struct {
 	Verdict Verdict
-	Why     string
+	Reason  string
 }
 
+// Reasons that several keywords share.
 const (
-	byClass  = "times are the platform's: each class has a deadline, and each request may bring one"
-	noTLS    = "there is no TLS here: it ends before the daemon"
-	noLogs   = "logs are slog's, to standard error"
-	headers  = "fields are passed on as they come and go"
-	noSticky = "there are no tables and no stickiness"
+	reasonTimeouts     = "times are the platform's: each class has a deadline, and each request may bring one"
+	reasonNoTLS        = "there is no TLS here: it ends before the daemon"
+	reasonLogs         = "logs are slog's, to standard error"
+	reasonHeaders      = "fields are passed on as they come and go"
+	reasonNoStickiness = "there are no tables and no stickiness"
 )
 
-// queueMost bounds what an imported pool has at its servers, and what waits.
-const queueMost = 1 << 16
+// maxPoolCalls limits the calls at the servers of an imported pool, and those that wait.
+const maxPoolCalls = 1 << 16
 
-// Keywords are the directives whose verdict depends on nothing else.
+// Keywords holds the verdicts that depend only on the directive's name. The operators' page lists
+// them.
 var Keywords = map[string]Keyword{
 	"mode": {Carried, "HTTP is what is spoken here"}, "retries": {Different, "the attempts of a call at most, of which only those go on that the class allows, to another server"},
 	"retry-on": {Carried, "attempts that never ran are tried again"}, "option redispatch": {Carried, "a further attempt goes to another server"},
@@ -575,51 +595,51 @@
 	"balance":              {Different, "two random choices by calls under way, latency and weight"},
 	"bind":                 {Different, "where it listens is for the platform to say"},
 	"maxconn":              {Different, "connections are bounded by the platform's sockets"}, "fullconn": {Lost, "there are no dynamic limits by it"},
-	"timeout client": {Different, byClass}, "timeout server": {Different, byClass}, "timeout connect": {Different, byClass}, "timeout http-request": {Different, "a head must come within 2.5 s"},
+	"timeout client": {Different, reasonTimeouts}, "timeout server": {Different, reasonTimeouts}, "timeout connect": {Different, reasonTimeouts}, "timeout http-request": {Different, "a head must come within 2.5 s"},
 	"timeout queue": {Different, "of a pool whose servers all have a maxconn; a call that can't get its turn by then is refused as it comes"}, "timeout http-keep-alive": {Different, "idle connections are closed when there is no room"},
 	"timeout check": {Different, "a check may take as long as lies between two"}, "timeout tunnel": {Lost, "there are no tunnels"}, "timeout tarpit": {Lost, "nobody is held back here"},
 	"http-check expect": {Different, "good is 2xx and 3xx"}, "http-check connect": {Lost, "checks have one step"},
-	"option forwardfor": {Lost, headers}, "option http-server-close": {Different, "connections to servers are kept as long as they are good"}, "option httpclose": {Different, "connections are kept"},
-	"option http-keep-alive": {Carried, "connections are kept"}, "option httplog": {Lost, noLogs}, "option tcplog": {Lost, noLogs}, "option dontlognull": {Lost, noLogs}, "log": {Lost, noLogs}, "log-format": {Lost, noLogs},
+	"option forwardfor": {Lost, reasonHeaders}, "option http-server-close": {Different, "connections to servers are kept as long as they are good"}, "option httpclose": {Different, "connections are kept"},
+	"option http-keep-alive": {Carried, "connections are kept"}, "option httplog": {Lost, reasonLogs}, "option tcplog": {Lost, reasonLogs}, "option dontlognull": {Lost, reasonLogs}, "log": {Lost, reasonLogs}, "log-format": {Lost, reasonLogs},
 	"option abortonclose": {Carried, "a client that leaves ends its call"}, "option allbackups": {Different, "all backups serve at once"}, "option tcp-check": {Different, "a check is a connection that comes up"},
-	"http-request set-header": {Lost, headers}, "http-request add-header": {Lost, headers}, "http-request del-header": {Lost, headers}, "http-response set-header": {Lost, headers}, "http-response del-header": {Lost, headers}, "http-response add-header": {Lost, headers},
-	"cookie": {Lost, noSticky}, "stick-table": {Lost, noSticky}, "stick on": {Lost, noSticky}, "stick match": {Lost, noSticky}, "stick store-request": {Lost, noSticky},
+	"http-request set-header": {Lost, reasonHeaders}, "http-request add-header": {Lost, reasonHeaders}, "http-request del-header": {Lost, reasonHeaders}, "http-response set-header": {Lost, reasonHeaders}, "http-response del-header": {Lost, reasonHeaders}, "http-response add-header": {Lost, reasonHeaders},
+	"cookie": {Lost, reasonNoStickiness}, "stick-table": {Lost, reasonNoStickiness}, "stick on": {Lost, reasonNoStickiness}, "stick match": {Lost, reasonNoStickiness}, "stick store-request": {Lost, reasonNoStickiness},
 	"errorfile": {Lost, "answers of the daemon's own have no body"}, "compression": {Lost, "bodies are passed on as they are"}, "stats": {Lost, "fawnctl status shows the daemon's state"},
 	"stats enable": {Lost, "fawnctl status shows the daemon's state"}, "stats uri": {Lost, "fawnctl status shows the daemon's state"},
 	"server-template": {Lost, "names are not looked up: use a discovery"}, "description": {Carried, "a text for people"}, "disabled": {Lost, "the section is imported all the same: take it out by hand"},
 }
 
-// pools makes the pools of the backends that can be made.
-func (t *translator) pools() {
-	for _, s := range t.c.Sections {
-		p := t.proxies[s]
-		if p == nil || s.Kind == "frontend" || t.backend[s.Name] != p || p.mode != "http" || len(p.servers) == 0 || s.Head.Holds != haproxy.True {
+// buildPools adds a pool for each carried backend and listen section.
+func (t *translator) buildPools() {
+	for _, section := range t.config.Sections {
+		proxy := t.proxies[section]
+		if proxy == nil || section.Kind == "frontend" || t.backends[section.Name] != proxy || proxy.mode != "http" || len(proxy.servers) == 0 || section.Head.Active != haproxy.True {
 			continue
 		}
-		pool := features.Pool{Name: s.Name, Servers: p.servers, MaxAttempts: p.retries + 1, SlowStart: duration.Duration(p.slow)}
-		if !p.unbounded && p.active > 0 && p.active <= queueMost {
-			pool.MaxActive, pool.MaxHeld = p.active, max(p.active, 256)
-			pool.MaxWaiting = cmp.Or(min(p.waiting, queueMost), 1024) // there without a bound
-			pool.QueueWait = duration.Duration(cmp.Or(p.queueWait, p.connectWait, time.Minute))
+		pool := features.Pool{Name: section.Name, Servers: proxy.servers, MaxAttempts: proxy.retries + 1, SlowStart: duration.Duration(proxy.slowStart)}
+		if !proxy.hasUnboundedServer && proxy.maxActive > 0 && proxy.maxActive <= maxPoolCalls {
+			pool.MaxActive, pool.MaxHeld = proxy.maxActive, max(proxy.maxActive, 256)
+			pool.MaxWaiting = cmp.Or(min(proxy.maxWaiting, maxPoolCalls), 1024) // 0 means unlimited in HAProxy
+			pool.QueueWait = duration.Duration(cmp.Or(proxy.queueTimeout, proxy.connectTimeout, time.Minute))
 		}
-		if p.check.Interval > 0 && !p.badCheck {
-			pool.Checks = p.check
-			if !p.checked {
+		if proxy.check.Interval > 0 && !proxy.dangerousCheck {
+			pool.Checks = proxy.check
+			if !proxy.hasHTTPCheck {
 				pool.Checks.Path = ""
 			}
 		}
-		t.out.Pools = append(t.out.Pools, pool)
-		if p.listener != "" && t.byDefault[p] == "" { // a listen is its own backend
-			t.byDefault[p] = s.Name
+		t.result.Pools = append(t.result.Pools, pool)
+		if proxy.listener != "" && t.defaultPools[proxy] == "" { // a listen section is its own backend
+			t.defaultPools[proxy] = section.Name
 		}
 	}
 }
 
-// made says whether a backend became a pool.
-func (t *translator) made(name string) bool {
-	p := t.backend[name]
-	return p != nil && p.mode == "http" && len(p.servers) > 0 && p.s.Head.Holds == haproxy.True
+// hasPool returns whether a backend is carried as a pool.
+func (t *translator) hasPool(name string) bool {
+	proxy := t.backends[name]
+	return proxy != nil && proxy.mode == "http" && len(proxy.servers) > 0 && proxy.section.Head.Active == haproxy.True
 }
 
-// quoted is a text as part of a regular expression.
-func quoted(text string) string { return regexp.QuoteMeta(text) }
+// quoteRegexp returns a regular expression that matches the text itself.
+func quoteRegexp(text string) string { return regexp.QuoteMeta(text) }
