--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,4 +1,5 @@
-// Package wire is the codec for the simulator's JSON lines.
+// Package wire decodes the simulator's messages and encodes the replies. A message is a JSON object
+// on a line of its own. Type names and field names on the wire are the simulator's.
 package wire
 
 import (
@@ -15,80 +16,82 @@
 
 // The message types, named as on the wire.
 const (
-	Tick Kind = iota
-	End
-	PowerOn
-	Exit
-	Ledger
-	BackendsChanged
-	Knock
-	HeadReceived
-	Finished
-	TimedOutClient
-	Wakeup
-	Checked
-	Inbox
+	Tick            Kind = iota // a batch starts
+	End                         // a batch ends
+	PowerOn                     // an instance starts
+	Exit                        // an instance stops
+	Ledger                      // the servers in a numbered list
+	BackendsChanged             // a result of service discovery
+	Knock                       // a request arrives
+	HeadReceived                // an attempt's answer starts
+	Finished                    // an attempt ends
+	TimedOutClient              // a client gives up its request
+	Wakeup                      // a timer fires
+	Checked                     // a probe ends
+	Inbox                       // decoded without its fields
 )
 
-var kinds = map[string]Kind{
+// kindsByName maps the type on the wire to its kind.
+var kindsByName = map[string]Kind{
 	"tick": Tick, "end": End, "powerOn": PowerOn, "exit": Exit, "ledger": Ledger,
 	"backendsChanged": BackendsChanged, "knock": Knock, "headReceived": HeadReceived,
 	"finished": Finished, "timedOutClient": TimedOutClient, "wakeup": Wakeup,
 	"checked": Checked, "inbox": Inbox,
 }
 
-// Host is one entry of a ledger.
+// Host is an entry of a ledger: a server with its health, such as "DRAINING", and its zone.
 type Host struct {
 	Server, Health, Zone string
-	Hint                 float64
-	StartUs              int64
+	Hint                 float64 // capacity hint, relative to those of the other servers
+	StartUs              int64   // time at which the server started, in microseconds
 	Group                int
 }
 
-// Load is a server's load report: name and value, in the order sent.
+// Load is a server's load report. HasBusyReqs and HasCPUShare say which values it contains.
 type Load struct {
 	BusyReqs, CPUShare       float64
 	HasBusyReqs, HasCPUShare bool
 }
 
-// Event is one message from the simulator. Only the fields of its kind are
-// set. Instance, How, Class, Key, Tenant and Server are valid until the next Decode.
+// Event is a message from the simulator. Only the fields of its kind are set. All byte slices but
+// Env are valid only until the next call to Decode.
 type Event struct {
 	Kind     Kind
 	Instance []byte
-	TimeUs   int64 // tick: the clock
-	Turn     int64
-	Seed     uint64
+	TimeUs   int64  // tick: the simulated time in microseconds
+	Turn     int64  // tick: the number of the batch
+	Seed     uint64 // powerOn: the seed for random decisions
 	Env      []byte // powerOn: the settings, as JSON
-	List     int
-	Hosts    []Host
-	How      []byte
-	ID       uint64
+	List     int    // the number of a list of servers
+	Hosts    []Host // ledger: the servers in the list
+	How      []byte // backendsChanged: how the list was obtained
+	ID       uint64 // the request
 	Class    []byte
 	Key      []byte
 	Tenant   []byte
-	Deadline int64
-	Copy     int
-	Over     bool
-	Ending   int
-	Load     Load
-	Cookie   uint64
-	Server   []byte
+	Deadline int64  // the client's deadline, as a time in microseconds
+	Copy     int    // the number of the attempt
+	Over     bool   // whether the request has ended with this attempt
+	Ending   int    // the outcome of an attempt or a probe, as a status code
+	Load     Load   // the load that the server reported
+	Cookie   uint64 // wakeup: the timer
+	Server   []byte // checked: the server that was probed
 }
 
-// Decoder reads messages; it reuses its memory from one to the next.
-type Decoder struct{ p fastjson.Parser }
+// Decoder decodes messages. It reuses its memory, so it decodes one message at a time.
+type Decoder struct{ parser fastjson.Parser }
 
-// Decode reads one line into e.
+// Decode overwrites e with the message in line. It returns an error for a message that is not valid
+// JSON, is of an unknown type, or lacks a required field. Unknown fields are ignored.
 func (d *Decoder) Decode(line []byte, e *Event) error {
-	v, err := d.p.ParseBytes(line)
+	v, err := d.parser.ParseBytes(line)
 	if err != nil {
-		return fmt.Errorf("not JSON: %w", err)
+		return fmt.Errorf("message is not valid JSON: %w", err)
 	}
 	if v.Type() != fastjson.TypeObject {
-		return errors.New("not a JSON object")
+		return errors.New("message is not a JSON object")
 	}
-	kind, ok := kinds[string(v.GetStringBytes("t"))]
+	kind, ok := kindsByName[string(v.GetStringBytes("t"))]
 	if !ok {
 		return fmt.Errorf("unknown message type %q", v.GetStringBytes("t"))
 	}
@@ -103,7 +106,7 @@
 		return decodeLedger(v, e)
 	}
 	if e.Instance = v.GetStringBytes("sidecarId"); len(e.Instance) == 0 {
-		return errors.New("no sidecarId")
+		return errors.New("message without sidecarId")
 	}
 	switch kind {
 	case PowerOn:
@@ -130,29 +133,31 @@
 	return nil
 }
 
-func decodeLoad(v *fastjson.Value) (l Load) {
+// decodeLoad decodes a load report. A missing one gives an empty Load.
+func decodeLoad(v *fastjson.Value) (load Load) {
 	if v == nil {
-		return l
+		return load
 	}
-	if x := v.Get("busy_reqs"); x != nil {
-		l.BusyReqs, l.HasBusyReqs = x.GetFloat64(), true
+	if value := v.Get("busy_reqs"); value != nil {
+		load.BusyReqs, load.HasBusyReqs = value.GetFloat64(), true
 	}
-	if x := v.Get("cpu_share"); x != nil {
-		l.CPUShare, l.HasCPUShare = x.GetFloat64(), true
+	if value := v.Get("cpu_share"); value != nil {
+		load.CPUShare, load.HasCPUShare = value.GetFloat64(), true
 	}
-	return l
+	return load
 }
 
+// decodeLedger sets the fields of a ledger message. Every entry must name its server.
 func decodeLedger(v *fastjson.Value, e *Event) error {
 	e.List = v.GetInt("list")
-	for _, h := range v.GetArray("hosts") {
+	for _, entry := range v.GetArray("hosts") {
 		host := Host{
-			Server:  string(h.GetStringBytes("server")),
-			Health:  string(h.GetStringBytes("health")),
-			Zone:    string(h.GetStringBytes("az")),
-			StartUs: h.GetInt64("startTimeUs"),
-			Group:   h.GetInt("unitGroup"),
-			Hint:    h.GetFloat64("powerHint"),
+			Server:  string(entry.GetStringBytes("server")),
+			Health:  string(entry.GetStringBytes("health")),
+			Zone:    string(entry.GetStringBytes("az")),
+			StartUs: entry.GetInt64("startTimeUs"),
+			Group:   entry.GetInt("unitGroup"),
+			Hint:    entry.GetFloat64("powerHint"),
 		}
 		if host.Server == "" {
 			return errors.New("ledger entry without server")
@@ -162,32 +167,36 @@
 	return nil
 }
 
-func parseID(b []byte) (uint64, error) {
-	id, err := strconv.ParseUint(string(b), 16, 64)
-	if err != nil || len(b) != 16 {
-		return 0, fmt.Errorf("bad request id %q", b)
+// parseID parses a request ID: 16 hexadecimal digits.
+func parseID(text []byte) (uint64, error) {
+	id, err := strconv.ParseUint(string(text), 16, 64)
+	if err != nil || len(text) != 16 {
+		return 0, fmt.Errorf("invalid request ID %q: want 16 hexadecimal digits", text)
 	}
 	return id, nil
 }
 
-// Reply builds the answer to one batch.
+// Reply builds the reply to one batch: a line of JSON for each action, and EndOfReply last. It
+// reuses its buffer from batch to batch.
 type Reply struct{ buf []byte }
 
 // Reset empties r for the next batch.
 func (r *Reply) Reset() { r.buf = r.buf[:0] }
 
-// Bytes returns what was written since Reset.
+// Bytes returns everything written since Reset. The slice is valid until the next Reset.
 func (r *Reply) Bytes() []byte { return r.buf }
 
-func (r *Reply) open(t, instance string) {
+// openMessage starts a message. closeMessage must end it.
+func (r *Reply) openMessage(messageType, instance string) {
 	r.buf = append(r.buf, `{"t":"`...)
-	r.buf = append(r.buf, t...)
+	r.buf = append(r.buf, messageType...)
 	r.buf = append(r.buf, `","sidecarId":`...)
-	r.str(instance)
+	r.appendString(instance)
 }
 
-func (r *Reply) request(t, instance string, id uint64) {
-	r.open(t, instance)
+// openRequestMessage starts a message about a request.
+func (r *Reply) openRequestMessage(messageType, instance string, id uint64) {
+	r.openMessage(messageType, instance)
 	r.buf = append(r.buf, `,"id":"`...)
 	const digits = "0123456789abcdef"
 	for shift := 60; shift >= 0; shift -= 4 {
@@ -196,7 +205,8 @@
 	r.buf = append(r.buf, '"')
 }
 
-func (r *Reply) str(s string) {
+// appendString appends a JSON string. Only strings that need escaping go through encoding/json.
+func (r *Reply) appendString(s string) {
 	for i := range len(s) {
 		if c := s[i]; c < ' ' || c == '"' || c == '\\' || c >= 0x7f {
 			quoted, _ := json.Marshal(s) // a string always marshals
@@ -209,91 +219,99 @@
 	r.buf = append(r.buf, '"')
 }
 
-func (r *Reply) name(name string) {
+// appendName appends the name of a field.
+func (r *Reply) appendName(name string) {
 	r.buf = append(r.buf, `,"`...)
 	r.buf = append(r.buf, name...)
 	r.buf = append(r.buf, `":`...)
 }
 
-func (r *Reply) field(name string, v int64) {
-	r.name(name)
+// appendInt appends a field with an integer.
+func (r *Reply) appendInt(name string, v int64) {
+	r.appendName(name)
 	r.buf = strconv.AppendInt(r.buf, v, 10)
 }
 
-func (r *Reply) text(name, v string) {
-	r.name(name)
-	r.str(v)
+// appendText appends a field with a string.
+func (r *Reply) appendText(name, v string) {
+	r.appendName(name)
+	r.appendString(v)
 }
 
-func (r *Reply) close() { r.buf = append(r.buf, "}\n"...) }
+// closeMessage ends a message.
+func (r *Reply) closeMessage() { r.buf = append(r.buf, "}\n"...) }
 
-// Route writes the start of an attempt.
+// Route starts an attempt of a request at a server, with a timeout in microseconds.
 func (r *Reply) Route(instance string, id uint64, server string, giveUpAfterUs int64) {
-	r.request("route", instance, id)
-	r.text("server", server)
-	r.field("giveUpAfterUs", giveUpAfterUs)
-	r.close()
+	r.openRequestMessage("route", instance, id)
+	r.appendText("server", server)
+	r.appendInt("giveUpAfterUs", giveUpAfterUs)
+	r.closeMessage()
 }
 
-// AbortAttempt writes the cancelling of an attempt.
+// AbortAttempt cancels an attempt of a request.
 func (r *Reply) AbortAttempt(instance string, id uint64, attempt int) {
-	r.request("abortAttempt", instance, id)
-	r.field("copy", int64(attempt))
-	r.close()
+	r.openRequestMessage("abortAttempt", instance, id)
+	r.appendInt("copy", int64(attempt))
+	r.closeMessage()
 }
 
-// NotNow writes a refusal.
+// NotNow refuses a request. holdOffUs is the time in microseconds after which the client may try
+// again; 0 leaves it out.
 func (r *Reply) NotNow(instance string, id uint64, holdOffUs int64) {
-	r.request("notNow", instance, id)
+	r.openRequestMessage("notNow", instance, id)
 	if holdOffUs > 0 {
-		r.field("holdOffUs", holdOffUs)
+		r.appendInt("holdOffUs", holdOffUs)
 	}
-	r.close()
+	r.closeMessage()
 }
 
-// DropRequest writes a failure.
+// DropRequest fails a request.
 func (r *Reply) DropRequest(instance string, id uint64) {
-	r.request("dropRequest", instance, id)
-	r.close()
+	r.openRequestMessage("dropRequest", instance, id)
+	r.closeMessage()
 }
 
-// SetTimer writes the setting of a timer.
+// SetTimer sets a timer that fires in inUs microseconds; the wakeup message returns the cookie.
 func (r *Reply) SetTimer(instance string, cookie uint64, inUs int64) {
-	r.open("setTimer", instance)
-	r.field("cookie", int64(cookie))
-	r.field("inUs", inUs)
-	r.close()
+	r.openMessage("setTimer", instance)
+	r.appendInt("cookie", int64(cookie))
+	r.appendInt("inUs", inUs)
+	r.closeMessage()
 }
 
-// Probe writes a probe of a server.
-func (r *Reply) Probe(instance, server string) { r.server("probe", instance, server) }
+// Probe starts a probe of a server.
+func (r *Reply) Probe(instance, server string) { r.writeServerMessage("probe", instance, server) }
 
-// DropConns writes the closing of idle connections to a server.
-func (r *Reply) DropConns(instance, server string) { r.server("dropConns", instance, server) }
+// DropConns closes the idle connections to a server.
+func (r *Reply) DropConns(instance, server string) {
+	r.writeServerMessage("dropConns", instance, server)
+}
 
-func (r *Reply) server(t, instance, server string) {
-	r.open(t, instance)
-	r.text("server", server)
-	r.close()
+// writeServerMessage writes a message whose only field is a server.
+func (r *Reply) writeServerMessage(messageType, instance, server string) {
+	r.openMessage(messageType, instance)
+	r.appendText("server", server)
+	r.closeMessage()
 }
 
-// KeepInformed writes a subscription to discovery.
+// KeepInformed subscribes the instance to service discovery.
 func (r *Reply) KeepInformed(instance string) {
-	r.open("keepInformed", instance)
+	r.openMessage("keepInformed", instance)
 	r.buf = append(r.buf, `,"on":true`...)
-	r.close()
+	r.closeMessage()
 }
 
-// BailOut writes that the decision code has failed.
+// BailOut reports that the decision code has failed, and why.
 func (r *Reply) BailOut(instance, reason string) {
-	r.open("bailOut", instance)
-	r.text("reasonText", reason)
-	r.close()
+	r.openMessage("bailOut", instance)
+	r.appendText("reasonText", reason)
+	r.closeMessage()
 }
 
-// EndOfReply closes the reply to the given batch.
+// EndOfReply ends the reply to the batch with the given number.
 func (r *Reply) EndOfReply(turn int64) {
 	r.buf = append(r.buf, `{"t":"eor"`...)
-	r.field("turn", turn)
-	r.close()
+	r.appendInt("turn", turn)
+	r.closeMessage()
 }
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-func decode(t *testing.T, line string) Event {
+// mustDecode decodes a line and fails the test if it is invalid.
+func mustDecode(t *testing.T, line string) Event {
 	t.Helper()
 	var d Decoder
 	var e Event
@@ -15,34 +16,38 @@
 	return e
 }
 
-func TestDecode(t *testing.T) {
-	e := decode(t, `{"t":"tick","tsUs":8412250,"turn":12}`)
-	if e.Kind != Tick || e.TimeUs != 8412250 || e.Turn != 12 {
-		t.Errorf("tick: %+v", e)
+// Messages of each shape must set the fields of their kind, and unknown fields must be ignored, so
+// that a newer simulator does not break the decoder.
+func TestDecodeMessages(t *testing.T) {
+	event := mustDecode(t, `{"t":"tick","tsUs":8412250,"turn":12}`)
+	if event.Kind != Tick || event.TimeUs != 8412250 || event.Turn != 12 {
+		t.Errorf("tick: %+v", event)
 	}
-	e = decode(t, `{"t":"knock","sidecarId":"sidecar/3","id":"069fa6f45d3a91c4","resource":"k:x","cls":"c","project":"p","clientDeadlineUs":8652250,"new":{"a":[1]}}`)
-	if e.Kind != Knock || e.ID != 0x069fa6f45d3a91c4 || string(e.Key) != "k:x" || string(e.Class) != "c" || string(e.Tenant) != "p" || e.Deadline != 8652250 {
-		t.Errorf("knock: %+v", e)
+	event = mustDecode(t, `{"t":"knock","sidecarId":"sidecar/3","id":"069fa6f45d3a91c4","resource":"k:x","cls":"c","project":"p","clientDeadlineUs":8652250,"new":{"a":[1]}}`)
+	if event.Kind != Knock || event.ID != 0x069fa6f45d3a91c4 || string(event.Key) != "k:x" || string(event.Class) != "c" || string(event.Tenant) != "p" || event.Deadline != 8652250 {
+		t.Errorf("knock: %+v", event)
 	}
-	e = decode(t, `{"t":"finished","sidecarId":"s","id":"069fa6f45d3a91c4","copy":2,"noMore":true,"ending":429,"feedback":{"cpu_share":0.5,"odd":1}}`)
-	if e.Copy != 2 || !e.Over || e.Ending != 429 || !e.Load.HasCPUShare || e.Load.CPUShare != 0.5 || e.Load.HasBusyReqs {
-		t.Errorf("finished: %+v", e)
+	event = mustDecode(t, `{"t":"finished","sidecarId":"s","id":"069fa6f45d3a91c4","copy":2,"noMore":true,"ending":429,"feedback":{"cpu_share":0.5,"odd":1}}`)
+	if event.Copy != 2 || !event.Over || event.Ending != 429 || !event.Load.HasCPUShare || event.Load.CPUShare != 0.5 || event.Load.HasBusyReqs {
+		t.Errorf("finished: %+v", event)
 	}
-	e = decode(t, `{"t":"checked","sidecarId":"s","server":"10.0.0.1:1","ending":200,"durationUs":1400,"feedback":{"busy_reqs":3}}`)
-	if e.Kind != Checked || string(e.Server) != "10.0.0.1:1" || e.Ending != 200 || !e.Load.HasBusyReqs || e.Load.BusyReqs != 3 {
-		t.Errorf("checked: %+v", e)
+	event = mustDecode(t, `{"t":"checked","sidecarId":"s","server":"10.0.0.1:1","ending":200,"durationUs":1400,"feedback":{"busy_reqs":3}}`)
+	if event.Kind != Checked || string(event.Server) != "10.0.0.1:1" || event.Ending != 200 || !event.Load.HasBusyReqs || event.Load.BusyReqs != 3 {
+		t.Errorf("checked: %+v", event)
 	}
-	e = decode(t, `{"t":"ledger","list":3,"hosts":[{"health":"SERVING","powerHint":1.5,"server":"10.0.0.1:1","startTimeUs":6,"unitGroup":4,"generationHw":"g","az":"z"}]}`)
-	if want := (Host{Server: "10.0.0.1:1", Health: "SERVING", Zone: "z", Hint: 1.5, StartUs: 6, Group: 4}); e.List != 3 || len(e.Hosts) != 1 || e.Hosts[0] != want {
-		t.Errorf("ledger: %+v", e)
+	event = mustDecode(t, `{"t":"ledger","list":3,"hosts":[{"health":"SERVING","powerHint":1.5,"server":"10.0.0.1:1","startTimeUs":6,"unitGroup":4,"generationHw":"g","az":"z"}]}`)
+	if want := (Host{Server: "10.0.0.1:1", Health: "SERVING", Zone: "z", Hint: 1.5, StartUs: 6, Group: 4}); event.List != 3 || len(event.Hosts) != 1 || event.Hosts[0] != want {
+		t.Errorf("ledger: %+v", event)
 	}
-	e = decode(t, `{"t":"powerOn","sidecarId":"s","entropy":18446744073709551615,"env":{"zone":"z","overShareWorth":0.5,"tenants":[{"name":"p","allowancePerS":7.5,"share":1}],"unknown":1,"classes":[{"name":"c","promiseUs":5}]}}`)
-	if e.Seed != 1<<64-1 || !json.Valid(e.Env) {
-		t.Errorf("powerOn: %+v", e)
+	event = mustDecode(t, `{"t":"powerOn","sidecarId":"s","entropy":18446744073709551615,"env":{"zone":"z","overShareWorth":0.5,"tenants":[{"name":"p","allowancePerS":7.5,"share":1}],"unknown":1,"classes":[{"name":"c","promiseUs":5}]}}`)
+	if event.Seed != 1<<64-1 || !json.Valid(event.Env) {
+		t.Errorf("powerOn: %+v", event)
 	}
 }
 
-func TestDecodeErrors(t *testing.T) {
+// Lines that are not JSON objects, unknown types and messages without a required field must be
+// rejected: the fields of such an event would be zero and look valid.
+func TestDecodeRejectsInvalidMessages(t *testing.T) {
 	for _, line := range []string{
 		"", "nonsense", "[]", `{"t":"new"}`, `{}`, `{"t":"wakeup","cookie":1}`,
 		`{"t":"knock","sidecarId":"s","id":"xyz"}`, `{"t":"powerOn","sidecarId":"s"}`,
@@ -56,8 +61,9 @@
 	}
 }
 
-// Every action must come out as JSON with the fields put in.
-func TestReply(t *testing.T) {
+// Every action must be encoded as valid JSON with exactly the given fields, also when a string
+// needs escaping.
+func TestReplyIsValidJSON(t *testing.T) {
 	odd := "a\"b\\c\né"
 	for _, c := range []struct {
 		write func(r *Reply)
@@ -91,6 +97,8 @@
 	}
 }
 
+// FuzzDecode checks that no line makes Decode panic, and that events other than those of the
+// process name their instance.
 func FuzzDecode(f *testing.F) {
 	for _, s := range []string{
 		`{"t":"end"}`, `{"t":"wakeup","sidecarId":"s","cookie":77}`,
@@ -103,11 +111,12 @@
 		var d Decoder
 		var e Event
 		if err := d.Decode(line, &e); err == nil && e.Kind > Ledger && len(e.Instance) == 0 {
-			t.Errorf("%q: an event of no instance", line)
+			t.Errorf("%q: event without an instance", line)
 		}
 	})
 }
 
+// FuzzReplyString checks that a reply with any string is valid JSON.
 func FuzzReplyString(f *testing.F) {
 	f.Add("plain")
 	f.Add("\x00\"\\ \u2028")
