--- a/internal/standin/act.go
+++ b/internal/standin/act.go
@@ -11,88 +11,94 @@
 	"time"
 )
 
-// Kind is what a server does with a request.
+// Kind selects what a server does with a request.
 type Kind int
 
 const (
 	// Serve answers 200.
 	Serve Kind = iota
-	// Fail answers 500, after the request has run.
+	// Fail answers 500. The request has run.
 	Fail
-	// Decline turns the request away unseen.
+	// Decline answers 503 with Srv-Declined. The request hasn't run.
 	Decline
-	// Deny answers as Status says; it has not run.
+	// Deny answers with the given status. The request hasn't run.
 	Deny
-	// ResetEarly resets the connection at the request's head, before its last byte is
-	// read. It does not arrive.
+	// ResetEarly resets the connection after the request's head, before its last byte is
+	// read. The request doesn't count as arrived.
 	ResetEarly
-	// ResetLate resets it after the last byte. The request has run.
+	// ResetLate resets the connection after the request's last byte. The request has run.
 	ResetLate
-	// CloseLate ends it in order, with no answer. The request has run.
+	// CloseLate closes the connection without an answer. The request has run.
 	CloseLate
-	// Silence never answers, and keeps the connection open. The request has run.
+	// Silence never answers and keeps the connection open. The request has run.
 	Silence
-	// Noise answers with what is no HTTP.
+	// Noise answers with bytes that are not HTTP.
 	Noise
-	// EndlessHead answers with a head that does not end.
+	// EndlessHead answers with a head that doesn't end.
 	EndlessHead
-	// ShortBody ends its answer before the length that it tells.
+	// ShortBody closes the connection before the answer has its Content-Length.
 	ShortBody
-	// StopBody stops its answer half way and says no more.
+	// StopBody stops sending before the answer has its Content-Length, and keeps the connection
+	// open.
 	StopBody
-	// Excess answers 200 with more behind it than belongs to it.
+	// Excess answers 200 and sends a second answer that no request asked for.
 	Excess
-	// Interim answers 200 behind two interim answers.
+	// Interim sends two interim answers, then 200.
 	Interim
-	// Oversize says that the answer has 3 GB, and goes on sending for a while.
+	// Oversize announces an answer of 3 GB and sends the first 4 MiB of it.
 	Oversize
 )
 
-var kinds = [...]string{"serve", "fail", "decline", "deny", "reset early", "reset late", "close late", "silence",
+var kindNames = [...]string{"serve", "fail", "decline", "deny", "reset early", "reset late", "close late", "silence",
 	"noise", "endless head", "short body", "stop body", "excess", "interim", "oversize"}
 
-// String is the kind's name.
-func (k Kind) String() string { return kinds[k] }
+// String returns the name of the kind.
+func (k Kind) String() string { return kindNames[k] }
 
-// runs says whether a request that is met so takes effect.
-func (k Kind) runs() bool { return k != Decline && k != Deny && k != ResetEarly }
+// takesEffect reports whether a request that is treated in this way has run.
+func (k Kind) takesEffect() bool { return k != Decline && k != Deny && k != ResetEarly }
 
-// Act is what a server does with one request.
+// Act describes what a server does with one request.
 type Act struct {
 	Kind   Kind
 	Delay  time.Duration // between the request's last byte and the answer
 	Status int           // for Deny
-	Body   string        // of a good answer; empty: a word with the request's id
-	// Early answers at the request's head, reads a little of its body and ends the
-	// connection. It does not arrive.
+	Body   string        // of a complete answer; if empty, "done" and the request's id
+	// Early answers after the request's head, reads the beginning of its body and closes the
+	// connection. The request doesn't count as arrived.
 	Early bool
 }
 
-// Request is what a Script sees.
+// Request is a request as a Script sees it.
 type Request struct {
 	ID, Class, Key string
-	Nth            int // of the request's arrivals at all servers, from 1
+	Nth            int // number of this attempt among the request's arrivals at all servers, from 1
 	Server         string
 	Header         http.Header
-	Body           string // of a longer one than bodyMost the beginning
+	Body           string // at most the first maxScriptBodyBytes
 }
 
-// bodyMost is how much of a body a Script sees. All of it is booked by size and sum.
-const bodyMost = 64 << 10
+// maxScriptBodyBytes is how much of a body a Script sees. A Ledger records the size and the SHA-256
+// of the complete body.
+const maxScriptBodyBytes = 64 << 10
 
-// Script says what a server does with a request. It is called from many goroutines.
+// Script decides what a server does with a request. It is called from many goroutines at once. The
+// first call for an attempt comes before the body is read and has an empty Body. A second call,
+// with the body, follows only if another attempt of the same request has taken the number
+// meanwhile.
 type Script func(r Request) Act
 
-// Always does the same with all.
+// Always returns a Script that treats all requests alike.
 func Always(a Act) Script { return func(Request) Act { return a } }
 
-// Nth does with the n-th arrival of each request what stands at its place, with later
-// ones the last.
+// Nth returns a Script that applies the given actions to the attempts of each request in order. The
+// last action also applies to all later attempts.
 func Nth(acts ...Act) Script {
 	return func(r Request) Act { return acts[min(r.Nth, len(acts))-1] }
 }
 
-// ByClass has a script for each class; others are served.
+// ByClass returns a Script that applies the script of the request's class. Classes without a script
+// are served.
 func ByClass(scripts map[string]Script) Script {
 	return func(r Request) Act {
 		if s := scripts[r.Class]; s != nil {
@@ -102,15 +108,16 @@
 	}
 }
 
-// Odd is an act and how likely it is.
+// Odd is an action and its probability.
 type Odd struct {
 	Share float64
 	Act   Act
 }
 
-// Random draws an act for each arrival; what is left of the shares is served. The
-// draw hangs on the seed, the request's id and the number of its arrival only, so that
-// it is the same on every run, in whatever order requests come.
+// Random returns a Script that chooses an action for each attempt at random. If the probabilities
+// add up to less than 1, the remaining attempts are served. The choice depends only on the seed,
+// the request's id and the attempt's number, so it is the same on every run, in whatever order the
+// requests come.
 func Random(seed uint64, odds ...Odd) Script {
 	return func(r Request) Act {
 		h := fnv.New64a()
@@ -126,20 +133,21 @@
 	}
 }
 
-// answer writes what an act answers; goesOn says that the connection may be used again.
-func (a Act) answer(c net.Conn, r Request) (goesOn bool) {
+// writeAnswer sends the answer and reports whether the connection can take another request. Where
+// the connection stays open without being reusable, it blocks until the peer closes it.
+func (a Act) writeAnswer(conn net.Conn, req Request) (reusable bool) {
 	body := a.Body
 	if body == "" {
-		body = "done " + r.ID
+		body = "done " + req.ID
 	}
-	good := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
+	okAnswer := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 	write := func(text string) bool {
-		_, err := io.WriteString(c, text)
+		_, err := io.WriteString(conn, text)
 		return err == nil
 	}
 	switch a.Kind {
 	case Serve:
-		return write(good)
+		return write(okAnswer)
 	case Fail:
 		return write("HTTP/1.1 500 Failed\r\nContent-Length: 0\r\n\r\n")
 	case Decline:
@@ -147,16 +155,16 @@
 	case Deny:
 		return write(fmt.Sprintf("HTTP/1.1 %d Denied\r\nContent-Length: %d\r\n\r\n%s", a.Status, len(body), body))
 	case Interim:
-		return write("HTTP/1.1 102 Processing\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n" + good)
+		return write("HTTP/1.1 102 Processing\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n" + okAnswer)
 	case Excess:
-		write(good + good)
+		write(okAnswer + okAnswer)
 	case Noise:
 		write("\x16\x03\x01 what is this\r\n\r\n")
 	case EndlessHead:
 		write("HTTP/1.1 200 OK\r\nX: " + strings.Repeat("head", 40<<10))
 	case ShortBody:
 		write(fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body)+9, body))
-		return false // and closes
+		return false // the caller closes the connection
 	case StopBody:
 		write(fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body)+9, body))
 	case Oversize:
@@ -167,19 +175,20 @@
 			}
 		}
 	case ResetEarly, ResetLate:
-		reset(c)
+		resetConn(conn)
 		return false
 	case CloseLate:
 		return false
 	}
-	// The connection stays open and is of no further use.
-	io.Copy(io.Discard, c)
+	// The connection stays open until the peer closes it; it takes no further request.
+	io.Copy(io.Discard, conn)
 	return false
 }
 
-func reset(c net.Conn) {
-	if l, ok := c.(interface{ SetLinger(int) error }); ok {
+// resetConn closes a connection with a TCP reset.
+func resetConn(conn net.Conn) {
+	if l, ok := conn.(interface{ SetLinger(int) error }); ok {
 		l.SetLinger(0)
 	}
-	c.Close()
+	conn.Close()
 }
--- a/internal/standin/client.go
+++ b/internal/standin/client.go
@@ -14,37 +14,37 @@
 	"time"
 )
 
-// Effect is what a class of requests allows.
+// Effect says whether a class of requests may be repeated.
 type Effect int
 
 const (
-	Safe Effect = iota
-	Keyed
-	Unsafe
+	Safe   Effect = iota // may be repeated
+	Keyed                // may be repeated with the same Idempotency-Key
+	Unsafe               // must not run twice
 )
 
-// Class is a class of requests as clients send it.
+// Class describes a class of requests that clients send.
 type Class struct {
 	Name     string
 	Effect   Effect
-	Share    float64 // of all requests; only proportions count
+	Share    float64 // weight among the classes of a Mix; the shares need not add up to 1
 	Deadline time.Duration
-	BodySize int
+	BodySize int // bytes
 }
 
-// Ask is one request of a client's.
+// Ask is a request that a Client sends.
 type Ask struct {
 	ID       string
 	Class    Class
 	Key      string
 	Body     string
-	Header   http.Header // further fields
+	Header   http.Header // additional header fields
 	Deadline time.Duration
 }
 
-// Reply is what became of an Ask.
+// Reply is the result of one request of a Client.
 type Reply struct {
-	Status     int // 0: no whole answer
+	Status     int // 0 if no complete answer came
 	Body       string
 	Header     http.Header
 	RetryAfter time.Duration
@@ -52,7 +52,8 @@
 	Err        error
 }
 
-// Verdict sorts a Reply as the platform does.
+// Verdict returns the platform's word for the result: served, refused, failed, or none if no
+// complete answer came.
 func (r Reply) Verdict() string {
 	switch r.Status {
 	case 0:
@@ -65,46 +66,49 @@
 	return "failed"
 }
 
-// Client is the application beside a sidecar: it keeps connections and sends one
+// Client stands in for the application beside a sidecar. It keeps connections open and sends one
 // request at a time on each.
 type Client struct {
-	addr string
-	mu   sync.Mutex
-	idle []*clientConn
+	sidecarAddr string
+	mu          sync.Mutex
+	idleConns   []*clientConn
 }
 
+// clientConn is a connection to the sidecar and the reader that buffers its answers.
 type clientConn struct {
 	net.Conn
-	br *bufio.Reader
+	reader *bufio.Reader
 }
 
-// connsMost bounds the idle connections that a Client keeps.
-const connsMost = 64
+// maxIdleConns is how many idle connections a Client keeps open.
+const maxIdleConns = 64
 
-// NewClient returns a Client of the sidecar at an address.
-func NewClient(addr string) *Client { return &Client{addr: addr} }
+// NewClient returns a Client of the sidecar at the given address.
+func NewClient(sidecarAddr string) *Client { return &Client{sidecarAddr: sidecarAddr} }
 
-// Do sends a request and waits for the whole answer. It sends nothing twice, but for a
-// request that crossed the close of a kept connection before any byte of it was read.
-func (c *Client) Do(ctx context.Context, a Ask) Reply {
+// Do sends a request and waits for the complete answer or until ctx is done. It may be called from
+// any goroutine. It sends each request once: a request that meets the close of a kept connection
+// fails.
+func (c *Client) Do(ctx context.Context, req Ask) Reply {
 	began := time.Now()
-	r := c.do(ctx, a)
-	r.Took = time.Since(began)
-	return r
+	reply := c.do(ctx, req)
+	reply.Took = time.Since(began)
+	return reply
 }
 
-func (c *Client) do(ctx context.Context, a Ask) Reply {
-	conn, err := c.take(ctx)
+// do is Do without the measurement of the time taken.
+func (c *Client) do(ctx context.Context, req Ask) Reply {
+	conn, err := c.idleOrNewConn(ctx)
 	if err != nil {
 		return Reply{Err: err}
 	}
 	stop := context.AfterFunc(ctx, func() { conn.Close() })
 	defer stop()
-	if _, err := conn.Write(a.wire()); err != nil {
+	if _, err := conn.Write(req.encode()); err != nil {
 		conn.Close()
 		return Reply{Err: err}
 	}
-	resp, err := http.ReadResponse(conn.br, nil)
+	resp, err := http.ReadResponse(conn.reader, nil)
 	if err != nil {
 		conn.Close()
 		return Reply{Err: err}
@@ -114,16 +118,16 @@
 		conn.Close()
 		return Reply{Err: err}
 	}
-	r := Reply{Status: resp.StatusCode, Body: string(body), Header: resp.Header}
-	if s, err := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64); err == nil && s >= 0 && s < 1e6 {
-		r.RetryAfter = time.Duration(s * float64(time.Second))
+	reply := Reply{Status: resp.StatusCode, Body: string(body), Header: resp.Header}
+	if seconds, err := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64); err == nil && seconds >= 0 && seconds < 1e6 {
+		reply.RetryAfter = time.Duration(seconds * float64(time.Second))
 	}
 	if resp.Close || !stop() {
 		conn.Close()
 	} else {
 		c.mu.Lock()
-		if len(c.idle) < connsMost {
-			c.idle = append(c.idle, conn)
+		if len(c.idleConns) < maxIdleConns {
+			c.idleConns = append(c.idleConns, conn)
 			conn = nil
 		}
 		c.mu.Unlock()
@@ -131,123 +135,126 @@
 			conn.Close()
 		}
 	}
-	return r
+	return reply
 }
 
-func (a Ask) wire() []byte {
+// encode returns the request as sent on the connection. A Safe request is a GET, all others are
+// POST.
+func (r Ask) encode() []byte {
 	method := "POST"
-	if a.Class.Effect == Safe {
+	if r.Class.Effect == Safe {
 		method = "GET"
 	}
-	b := fmt.Appendf(nil, "%s /%s HTTP/1.1\r\nHost: app\r\nReq-Id: %s\r\nReq-Kind: %s\r\n", method, a.Class.Name, a.ID, a.Class.Name)
-	if a.Deadline > 0 {
-		b = fmt.Appendf(b, "Req-Deadline-Ms: %d\r\n", a.Deadline.Milliseconds())
+	b := fmt.Appendf(nil, "%s /%s HTTP/1.1\r\nHost: app\r\nReq-Id: %s\r\nReq-Kind: %s\r\n", method, r.Class.Name, r.ID, r.Class.Name)
+	if r.Deadline > 0 {
+		b = fmt.Appendf(b, "Req-Deadline-Ms: %d\r\n", r.Deadline.Milliseconds())
 	}
-	if a.Key != "" {
-		b = fmt.Appendf(b, "Idempotency-Key: %s\r\n", a.Key)
+	if r.Key != "" {
+		b = fmt.Appendf(b, "Idempotency-Key: %s\r\n", r.Key)
 	}
-	for name, values := range a.Header {
+	for name, values := range r.Header {
 		for _, v := range values {
 			b = fmt.Appendf(b, "%s: %s\r\n", name, v)
 		}
 	}
-	if method == "POST" || a.Body != "" {
-		b = fmt.Appendf(b, "Content-Length: %d\r\n", len(a.Body))
+	if method == "POST" || r.Body != "" {
+		b = fmt.Appendf(b, "Content-Length: %d\r\n", len(r.Body))
 	}
-	return append(append(b, "\r\n"...), a.Body...)
+	return append(append(b, "\r\n"...), r.Body...)
 }
 
-// take gives a kept connection on which nothing has come since, or a new one.
-func (c *Client) take(ctx context.Context) (*clientConn, error) {
+// idleOrNewConn returns an idle connection that is still usable, or a new one.
+func (c *Client) idleOrNewConn(ctx context.Context) (*clientConn, error) {
 	for {
 		c.mu.Lock()
-		if len(c.idle) == 0 {
+		if len(c.idleConns) == 0 {
 			c.mu.Unlock()
 			break
 		}
-		conn := c.idle[len(c.idle)-1]
-		c.idle = c.idle[:len(c.idle)-1]
+		conn := c.idleConns[len(c.idleConns)-1]
+		c.idleConns = c.idleConns[:len(c.idleConns)-1]
 		c.mu.Unlock()
-		if conn.quiet() {
+		if conn.isIdle() {
 			return conn, nil
 		}
 		conn.Close()
 	}
-	var d net.Dialer
-	nc, err := d.DialContext(ctx, "tcp", c.addr)
+	var dialer net.Dialer
+	netConn, err := dialer.DialContext(ctx, "tcp", c.sidecarAddr)
 	if err != nil {
 		return nil, err
 	}
-	return &clientConn{nc, bufio.NewReader(nc)}, nil
+	return &clientConn{netConn, bufio.NewReader(netConn)}, nil
 }
 
-// quiet says that nothing has come on a connection since its last answer, nor its end.
-func (c *clientConn) quiet() bool {
-	if c.br.Buffered() > 0 {
+// isIdle reports whether the peer has neither sent anything nor closed the connection since the
+// last answer.
+func (c *clientConn) isIdle() bool {
+	if c.reader.Buffered() > 0 {
 		return false
 	}
-	tc, ok := c.Conn.(*net.TCPConn)
+	tcpConn, ok := c.Conn.(*net.TCPConn)
 	if !ok {
 		return false
 	}
-	raw, err := tc.SyscallConn()
+	raw, err := tcpConn.SyscallConn()
 	if err != nil {
 		return false
 	}
-	quiet := false
+	idle := false
 	err = raw.Control(func(fd uintptr) {
-		var one [1]byte
-		_, _, rerr := syscall.Recvfrom(int(fd), one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		quiet = rerr == syscall.EAGAIN
+		var buf [1]byte
+		_, _, recvErr := syscall.Recvfrom(int(fd), buf[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+		idle = recvErr == syscall.EAGAIN
 	})
-	return err == nil && quiet
+	return err == nil && idle
 }
 
-// Close closes the kept connections.
+// Close closes the idle connections.
 func (c *Client) Close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, conn := range c.idle {
+	for _, conn := range c.idleConns {
 		conn.Close()
 	}
-	c.idle = nil
+	c.idleConns = nil
 }
 
-// Mix draws requests of several classes from a seed: the same ones on every run.
+// Mix generates requests of several classes at random. The same seed gives the same requests.
 type Mix struct {
-	classes []Class
-	rng     *rand.Rand
-	total   float64
-	n       int
+	classes    []Class
+	rng        *rand.Rand
+	totalShare float64
+	count      int
 }
 
-// NewMix returns a Mix of the classes, which must not be empty.
+// NewMix returns a Mix of the given classes, of which there must be at least one.
 func NewMix(seed uint64, classes ...Class) *Mix {
 	m := &Mix{classes: classes, rng: rand.New(rand.NewPCG(seed, 1))}
 	for _, c := range classes {
-		m.total += c.Share
+		m.totalShare += c.Share
 	}
 	return m
 }
 
-// Next is the next request.
+// Next returns the next request. It must not be called concurrently.
 func (m *Mix) Next() Ask {
-	at := m.rng.Float64() * m.total
+	draw := m.rng.Float64() * m.totalShare
 	class := m.classes[len(m.classes)-1]
 	for _, c := range m.classes {
-		if at < c.Share {
+		if draw < c.Share {
 			class = c
 			break
 		}
-		at -= c.Share
+		draw -= c.Share
 	}
-	m.n++
-	a := Ask{ID: fmt.Sprintf("%08x%08x", m.n, m.rng.Uint32()), Class: class, Deadline: class.Deadline}
+	m.count++
+	req := Ask{ID: fmt.Sprintf("%08x%08x", m.count, m.rng.Uint32()), Class: class, Deadline: class.Deadline}
 	if class.Effect == Keyed {
-		a.Key = fmt.Sprintf("%016x%016x", m.rng.Uint64(), m.rng.Uint64())
+		req.Key = fmt.Sprintf("%016x%016x", m.rng.Uint64(), m.rng.Uint64())
 	}
 	if class.BodySize > 0 && class.Effect != Safe {
-		a.Body = string(make([]byte, class.BodySize))
+		req.Body = string(make([]byte, class.BodySize))
 	}
-	return a
+	return req
 }
--- a/internal/standin/discovery.go
+++ b/internal/standin/discovery.go
@@ -13,181 +13,189 @@
 	"time"
 )
 
-// Endpoint is one server as discovery tells of it.
+// Endpoint is one server as discovery lists it.
 type Endpoint struct {
 	Name    string  `json:"name"`
 	Address string  `json:"address"`
 	Zone    string  `json:"zone"`
 	Type    string  `json:"type"`
 	Group   int     `json:"group"`
-	Status  string  `json:"status"` // up, draining, removed
+	Status  string  `json:"status"` // up, draining or removed
 	Weight  float64 `json:"weight"`
 	SinceMs int64   `json:"since_ms"`
 }
 
-// changesMost bounds the changes that a Discovery remembers; who asks for older ones
-// is given the whole list.
-const changesMost = 1024
+// maxChanges is how many changes a Discovery remembers. A watcher that asks for older ones gets a
+// snapshot.
+const maxChanges = 1024
 
-// Discovery is the service that tells of servers.
+// Discovery stands in for the service discovery of the platform: it answers with a list of servers
+// and streams changes to watchers. Its methods may be called from any goroutine.
 type Discovery struct {
-	mu       sync.Mutex
-	ln       net.Listener
-	index    int64
-	list     []Endpoint
-	changes  []change
-	lag      time.Duration
-	lose     int // so many further changes are told to nobody who watches
-	down     bool
-	beat     time.Duration
-	conns    map[net.Conn]struct{}
-	watchers map[*watcher]struct{}
-	watched  int
-	refused  int
-	handlers sync.WaitGroup
+	mu                sync.Mutex
+	listener          net.Listener
+	index             int64 // of the last change
+	endpoints         []Endpoint
+	changes           []change
+	delay             time.Duration // of each change
+	changesToDrop     int           // how many of the next changes watchers don't get
+	down              bool
+	heartbeatInterval time.Duration
+	conns             map[net.Conn]struct{}
+	watchers          map[*watcher]struct{}
+	totalWatches      int // opened since the start
+	refusedCalls      int // while down
+	goroutines        sync.WaitGroup
 }
 
+// change is an endpoint that was added, changed or removed, and the index of that change.
 type change struct {
-	index int64
-	entry Endpoint
+	index    int64
+	endpoint Endpoint
 }
 
+// watcher is a connection that receives changes.
 type watcher struct {
-	c     net.Conn
-	wake  chan struct{} // holds one
-	after int64
-	whole bool
+	conn          net.Conn
+	wake          chan struct{} // has a buffer of one
+	lastIndex     int64         // of the last change that was sent
+	needsSnapshot bool
 }
 
-// NewDiscovery starts a discovery on a loopback port that the system picks.
-func NewDiscovery(list ...Endpoint) (*Discovery, error) {
-	d := &Discovery{index: 1, list: slices.Clone(list), beat: 2 * time.Second, conns: make(map[net.Conn]struct{}), watchers: make(map[*watcher]struct{})}
+// NewDiscovery starts a Discovery of the given servers on a loopback port that the system picks.
+// The caller must close it.
+func NewDiscovery(endpoints ...Endpoint) (*Discovery, error) {
+	d := &Discovery{index: 1, endpoints: slices.Clone(endpoints), heartbeatInterval: 2 * time.Second, conns: make(map[net.Conn]struct{}), watchers: make(map[*watcher]struct{})}
 	if err := d.Move(); err != nil {
 		return nil, err
 	}
 	return d, nil
 }
 
-// Addr is where it listens now.
+// Addr returns the address at which it listens now.
 func (d *Discovery) Addr() string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.ln.Addr().String()
+	return d.listener.Addr().String()
 }
 
-// Move goes to another address. The old one takes no new connection; the open ones
-// stay until Break.
+// Move listens at a new address and refuses new connections at the old one. Connections that are
+// open stay open.
 func (d *Discovery) Move() error {
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		return fmt.Errorf("standin: %w", err)
+		return fmt.Errorf("standin: start discovery: %w", err)
 	}
 	d.mu.Lock()
-	old := d.ln
-	d.ln = ln
+	oldListener := d.listener
+	d.listener = listener
 	d.mu.Unlock()
-	if old != nil {
-		old.Close()
+	if oldListener != nil {
+		oldListener.Close()
 	}
-	d.handlers.Add(1)
+	d.goroutines.Add(1)
 	go func() {
-		defer d.handlers.Done()
+		defer d.goroutines.Done()
 		for {
-			c, err := ln.Accept()
+			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
 			d.mu.Lock()
-			d.conns[c] = struct{}{}
+			d.conns[conn] = struct{}{}
 			d.mu.Unlock()
-			d.handlers.Add(1)
+			d.goroutines.Add(1)
 			go func() {
-				defer d.handlers.Done()
+				defer d.goroutines.Done()
 				defer func() {
 					d.mu.Lock()
-					delete(d.conns, c)
+					delete(d.conns, conn)
 					d.mu.Unlock()
-					c.Close()
+					conn.Close()
 				}()
-				d.serve(c)
+				d.serve(conn)
 			}()
 		}
 	}()
 	return nil
 }
 
-// Change tells of servers that are new or have changed; Status "removed" takes one off.
-func (d *Discovery) Change(entries ...Endpoint) {
+// Change adds or replaces servers in the list and notifies the watchers, after the delay if one is
+// set. A server with the Status "removed" leaves the list.
+func (d *Discovery) Change(endpoints ...Endpoint) {
 	d.mu.Lock()
-	lag := d.lag
+	delay := d.delay
 	d.mu.Unlock()
-	if lag > 0 {
-		time.AfterFunc(lag, func() { d.apply(entries) })
+	if delay > 0 {
+		time.AfterFunc(delay, func() { d.apply(endpoints) })
 		return
 	}
-	d.apply(entries)
+	d.apply(endpoints)
 }
 
-func (d *Discovery) apply(entries []Endpoint) {
+// apply makes changes in the list and wakes the watchers.
+func (d *Discovery) apply(endpoints []Endpoint) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	for _, e := range entries {
+	for _, endpoint := range endpoints {
 		d.index++
-		at := slices.IndexFunc(d.list, func(o Endpoint) bool { return o.Name == e.Name })
+		position := slices.IndexFunc(d.endpoints, func(listed Endpoint) bool { return listed.Name == endpoint.Name })
 		switch {
-		case e.Status == "removed" && at >= 0:
-			d.list = slices.Delete(d.list, at, at+1)
-		case e.Status == "removed":
-		case at >= 0:
-			d.list[at] = e
+		case endpoint.Status == "removed" && position >= 0:
+			d.endpoints = slices.Delete(d.endpoints, position, position+1)
+		case endpoint.Status == "removed":
+		case position >= 0:
+			d.endpoints[position] = endpoint
 		default:
-			d.list = append(d.list, e)
+			d.endpoints = append(d.endpoints, endpoint)
 		}
-		if d.lose > 0 {
-			d.lose--
+		if d.changesToDrop > 0 {
+			d.changesToDrop--
 			continue
 		}
-		if d.changes = append(d.changes, change{d.index, e}); len(d.changes) > changesMost {
+		if d.changes = append(d.changes, change{d.index, endpoint}); len(d.changes) > maxChanges {
 			d.changes = d.changes[1:]
 		}
 	}
 	for w := range d.watchers {
-		w.poke()
+		w.wakeUp()
 	}
 }
 
-func (w *watcher) poke() {
+// wakeUp makes the watcher look for changes. It doesn't block.
+func (w *watcher) wakeUp() {
 	select {
 	case w.wake <- struct{}{}:
 	default:
 	}
 }
 
-// Lag delays all changes from now on.
-func (d *Discovery) Lag(by time.Duration) {
+// Lag sets the delay of all changes from now on.
+func (d *Discovery) Lag(delay time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.lag = by
+	d.delay = delay
 }
 
-// Lose has the next n changes told to nobody: only who asks for the whole list
-// afterwards learns of them.
-func (d *Discovery) Lose(n int) {
+// DropChanges keeps the next n changes from watchers. They show only in the snapshots that are
+// requested afterwards.
+func (d *Discovery) DropChanges(n int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.lose = n
+	d.changesToDrop = n
 }
 
-// Break ends all watches.
+// Break closes the connections of all watchers.
 func (d *Discovery) Break() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for w := range d.watchers {
-		w.c.Close()
+		w.conn.Close()
 	}
 }
 
-// Down has all calls fail, and ends the watches, until it is called with false.
+// Down with true closes the connections of all watchers and makes every call fail with 503; with
+// false it ends the outage.
 func (d *Discovery) Down(down bool) {
 	d.mu.Lock()
 	d.down = down
@@ -197,150 +205,155 @@
 	}
 }
 
-// Watching is how many watches are open, Watched how many ever were.
+// Watching returns how many watchers are connected.
 func (d *Discovery) Watching() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return len(d.watchers)
 }
 
-// Watched is how many watches were ever opened.
-func (d *Discovery) Watched() int {
+// TotalWatches returns how many watchers have ever connected.
+func (d *Discovery) TotalWatches() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.watched
+	return d.totalWatches
 }
 
-// Refused is how many calls came while it was down.
+// Refused returns how many calls were answered 503 during an outage.
 func (d *Discovery) Refused() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.refused
+	return d.refusedCalls
 }
 
-// Close ends it and waits for its goroutines.
+// Close stops the service and waits for its goroutines.
 func (d *Discovery) Close() {
 	d.mu.Lock()
-	d.ln.Close()
+	d.listener.Close()
 	d.down = true
 	for c := range d.conns {
 		c.Close()
 	}
 	d.mu.Unlock()
-	d.handlers.Wait()
+	d.goroutines.Wait()
 }
 
-type listing struct {
+// catalogListing is the JSON of a snapshot or of changes.
+type catalogListing struct {
 	Index     int64      `json:"index"`
 	Snapshot  bool       `json:"snapshot"`
 	Endpoints []Endpoint `json:"endpoints"`
 }
 
-func (d *Discovery) serve(c net.Conn) {
-	br := bufio.NewReader(c)
+// serve answers the requests of a connection until it ends.
+func (d *Discovery) serve(conn net.Conn) {
+	reader := bufio.NewReader(conn)
 	for {
-		c.SetReadDeadline(time.Now().Add(time.Minute))
-		r, err := http.ReadRequest(br)
+		conn.SetReadDeadline(time.Now().Add(time.Minute))
+		req, err := http.ReadRequest(reader)
 		if err != nil {
 			return
 		}
 		d.mu.Lock()
 		down := d.down
 		if down {
-			d.refused++
+			d.refusedCalls++
 		}
-		whole := listing{d.index, true, slices.Clone(d.list)}
+		snapshot := catalogListing{d.index, true, slices.Clone(d.endpoints)}
 		d.mu.Unlock()
 		switch {
 		case down:
-			fmt.Fprint(c, "HTTP/1.1 503 Down\r\nContent-Length: 0\r\nConnection: close\r\n\r\n")
+			fmt.Fprint(conn, "HTTP/1.1 503 Down\r\nContent-Length: 0\r\nConnection: close\r\n\r\n")
 			return
-		case r.URL.Path != "/catalog/members":
-			fmt.Fprint(c, "HTTP/1.1 404 Unknown\r\nContent-Length: 0\r\n\r\n")
-		case r.URL.Query().Get("watch") == "1":
-			d.watch(c, r.URL.Query())
+		case req.URL.Path != "/catalog/members":
+			fmt.Fprint(conn, "HTTP/1.1 404 Unknown\r\nContent-Length: 0\r\n\r\n")
+		case req.URL.Query().Get("watch") == "1":
+			d.watch(conn, req.URL.Query())
 			return
 		default:
-			text, _ := json.Marshal(whole)
-			fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n%s", len(text), text)
+			body, _ := json.Marshal(snapshot)
+			fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 		}
 	}
 }
 
-// watch tells of changes until the connection ends.
-func (d *Discovery) watch(c net.Conn, q url.Values) {
-	w := &watcher{c: c, wake: make(chan struct{}, 1)}
-	after, err := strconv.ParseInt(q.Get("after"), 10, 64)
-	w.after, w.whole = after, err != nil
+// watch streams changes to a client, a line of JSON each, until the connection ends. Empty lines
+// are heartbeats. Without a valid "after" in the query it begins with a snapshot.
+func (d *Discovery) watch(conn net.Conn, query url.Values) {
+	w := &watcher{conn: conn, wake: make(chan struct{}, 1)}
+	after, err := strconv.ParseInt(query.Get("after"), 10, 64)
+	w.lastIndex, w.needsSnapshot = after, err != nil
 	d.mu.Lock()
 	if d.down {
 		d.mu.Unlock()
 		return
 	}
 	d.watchers[w] = struct{}{}
-	d.watched++
-	beat := d.beat
+	d.totalWatches++
+	heartbeatInterval := d.heartbeatInterval
 	d.mu.Unlock()
-	gone := make(chan struct{})
-	d.handlers.Add(1)
-	go func() { // notices who leaves
-		defer d.handlers.Done()
-		c.SetReadDeadline(time.Time{})
-		c.Read(make([]byte, 1))
-		close(gone)
+	disconnected := make(chan struct{})
+	d.goroutines.Add(1)
+	go func() { // notices when the client closes the connection
+		defer d.goroutines.Done()
+		conn.SetReadDeadline(time.Time{})
+		conn.Read(make([]byte, 1))
+		close(disconnected)
 	}()
 	defer func() {
 		d.mu.Lock()
 		delete(d.watchers, w)
 		d.mu.Unlock()
-		c.Close()
-		<-gone
+		conn.Close()
+		<-disconnected
 	}()
-	if _, err := fmt.Fprint(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"); err != nil {
+	if _, err := fmt.Fprint(conn, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"); err != nil {
 		return
 	}
-	tick := time.NewTicker(beat)
-	defer tick.Stop()
+	heartbeats := time.NewTicker(heartbeatInterval)
+	defer heartbeats.Stop()
 	for first := true; ; first = false {
-		news := d.news(w)
-		if news != nil || first {
-			text := []byte{}
-			if news != nil {
-				text, _ = json.Marshal(news)
+		changes := d.unsentChanges(w)
+		if changes != nil || first {
+			encoded := []byte{}
+			if changes != nil {
+				encoded, _ = json.Marshal(changes)
 			}
-			if _, err := fmt.Fprintf(c, "%x\r\n%s\n\r\n", len(text)+1, text); err != nil {
+			if _, err := fmt.Fprintf(conn, "%x\r\n%s\n\r\n", len(encoded)+1, encoded); err != nil {
 				return
 			}
 		}
 		select {
-		case <-gone:
+		case <-disconnected:
 			return
 		case <-w.wake:
-		case <-tick.C:
-			if _, err := fmt.Fprint(c, "1\r\n\n\r\n"); err != nil {
+		case <-heartbeats.C:
+			if _, err := fmt.Fprint(conn, "1\r\n\n\r\n"); err != nil {
 				return
 			}
 		}
 	}
 }
 
-// news is what a watcher has not been told, nil for nothing.
-func (d *Discovery) news(w *watcher) *listing {
+// unsentChanges returns the changes that a watcher hasn't been sent yet, or nil if there are none.
+// It returns a snapshot if the watcher needs one or if its last index is in the future or older
+// than the changes that are remembered.
+func (d *Discovery) unsentChanges(w *watcher) *catalogListing {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if w.whole || w.after > d.index || len(d.changes) > 0 && w.after < d.changes[0].index-1 || w.after < d.index && len(d.changes) == 0 {
-		w.whole, w.after = false, d.index
-		return &listing{d.index, true, slices.Clone(d.list)}
+	if w.needsSnapshot || w.lastIndex > d.index || len(d.changes) > 0 && w.lastIndex < d.changes[0].index-1 || w.lastIndex < d.index && len(d.changes) == 0 {
+		w.needsSnapshot, w.lastIndex = false, d.index
+		return &catalogListing{d.index, true, slices.Clone(d.endpoints)}
 	}
-	l := &listing{Index: d.index}
+	listing := &catalogListing{Index: d.index}
 	for _, c := range d.changes {
-		if c.index > w.after {
-			l.Endpoints = append(l.Endpoints, c.entry)
+		if c.index > w.lastIndex {
+			listing.Endpoints = append(listing.Endpoints, c.endpoint)
 		}
 	}
-	w.after = d.index
-	if len(l.Endpoints) == 0 {
+	w.lastIndex = d.index
+	if len(listing.Endpoints) == 0 {
 		return nil
 	}
-	return l
+	return listing
 }
--- a/internal/standin/disk.go
+++ b/internal/standin/disk.go
@@ -13,153 +13,156 @@
 	io.Closer
 }
 
-// Disk is a file system in memory that fails on command.
+// Disk is a file system in memory that fails on command. Its methods may be called from any
+// goroutine.
 type Disk struct {
-	mu     sync.Mutex
-	room   int64 // bytes that may still be written; -1: any number
-	create error
-	read   error
-	short  bool
-	spoil  func(at int64, p []byte)
-	hung   chan struct{} // nil: it answers
-	open   int
-	made   int
-	hangs  int // calls that wait
+	mu           sync.Mutex
+	freeBytes    int64 // -1 for no limit
+	createErr    error
+	readErr      error
+	shortWrites  bool
+	corrupt      func(at int64, p []byte)
+	resumed      chan struct{} // closed by Resume; nil while the disk doesn't hang
+	openFiles    int
+	createdFiles int // since the disk was created
+	blockedCalls int // waiting for Resume
 }
 
-// NewDisk returns a disk that does all it is asked.
-func NewDisk() *Disk { return &Disk{room: -1} }
+// NewDisk returns a Disk without faults.
+func NewDisk() *Disk { return &Disk{freeBytes: -1} }
 
-// Room bounds what can still be written; more ends in ENOSPC. -1: no bound.
-func (d *Disk) Room(bytes int64) { d.set(func() { d.room = bytes }) }
+// Room sets how many more bytes can be written before a write fails with ENOSPC; -1 sets no limit.
+func (d *Disk) Room(bytes int64) { d.withLock(func() { d.freeBytes = bytes }) }
 
-// NoFiles has it make no files: with err, nil ends it.
-func (d *Disk) NoFiles(err error) { d.set(func() { d.create = err }) }
+// NoFiles makes Create fail with err; nil ends the fault.
+func (d *Disk) NoFiles(err error) { d.withLock(func() { d.createErr = err }) }
 
-// NoReads has reads fail with err, nil ends it.
-func (d *Disk) NoReads(err error) { d.set(func() { d.read = err }) }
+// NoReads makes reads fail with err; nil ends the fault.
+func (d *Disk) NoReads(err error) { d.withLock(func() { d.readErr = err }) }
 
-// ShortWrites has it write half of what it is told, and say so.
-func (d *Disk) ShortWrites(on bool) { d.set(func() { d.short = on }) }
+// ShortWrites makes each write store and report half of its bytes, without an error.
+func (d *Disk) ShortWrites(on bool) { d.withLock(func() { d.shortWrites = on }) }
 
-// Spoil alters what is read; nil ends it.
-func (d *Disk) Spoil(how func(at int64, p []byte)) { d.set(func() { d.spoil = how }) }
+// Spoil sets a function that alters the bytes of each read, which gets their offset in the file;
+// nil ends the fault.
+func (d *Disk) Spoil(alter func(at int64, p []byte)) { d.withLock(func() { d.corrupt = alter }) }
 
-// Hang has all calls wait until Resume.
+// Hang makes all file calls block until Resume.
 func (d *Disk) Hang() {
-	d.set(func() {
-		if d.hung == nil {
-			d.hung = make(chan struct{})
+	d.withLock(func() {
+		if d.resumed == nil {
+			d.resumed = make(chan struct{})
 		}
 	})
 }
 
-// Resume ends Hang.
+// Resume lets blocked calls go on.
 func (d *Disk) Resume() {
-	d.set(func() {
-		if d.hung != nil {
-			close(d.hung)
-			d.hung = nil
+	d.withLock(func() {
+		if d.resumed != nil {
+			close(d.resumed)
+			d.resumed = nil
 		}
 	})
 }
 
-func (d *Disk) set(do func()) {
+// withLock calls access with the lock held.
+func (d *Disk) withLock(access func()) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	do()
+	access()
 }
 
-// Open is how many files are open, Made how many ever were, Hanging how many calls wait.
-func (d *Disk) Open() (n int) { d.set(func() { n = d.open }); return n }
+// Open returns how many files are open.
+func (d *Disk) Open() (n int) { d.withLock(func() { n = d.openFiles }); return n }
 
-// Made is how many files there ever were.
-func (d *Disk) Made() (n int) { d.set(func() { n = d.made }); return n }
+// Made returns how many files were ever created.
+func (d *Disk) Made() (n int) { d.withLock(func() { n = d.createdFiles }); return n }
 
-// Hanging is how many calls wait for Resume.
-func (d *Disk) Hanging() (n int) { d.set(func() { n = d.hangs }); return n }
+// Hanging returns how many calls wait for Resume.
+func (d *Disk) Hanging() (n int) { d.withLock(func() { n = d.blockedCalls }); return n }
 
-// wait holds a call while the disk hangs, and leaves the lock held.
-func (d *Disk) wait() {
+// lockWhenResumed blocks while the disk hangs and returns with the lock held.
+func (d *Disk) lockWhenResumed() {
 	d.mu.Lock()
-	for d.hung != nil {
-		hung := d.hung
-		d.hangs++
+	for d.resumed != nil {
+		resumed := d.resumed
+		d.blockedCalls++
 		d.mu.Unlock()
-		<-hung
+		<-resumed
 		d.mu.Lock()
-		d.hangs--
+		d.blockedCalls--
 	}
 }
 
-// Create makes a file.
+// Create creates a file; its name is ignored.
 func (d *Disk) Create(string) (DiskFile, error) {
-	d.wait()
+	d.lockWhenResumed()
 	defer d.mu.Unlock()
-	if d.create != nil {
-		return nil, d.create
+	if d.createErr != nil {
+		return nil, d.createErr
 	}
-	d.open++
-	d.made++
-	return &diskFile{d: d}, nil
+	d.openFiles++
+	d.createdFiles++
+	return &diskFile{disk: d}, nil
 }
 
 type diskFile struct {
-	d    *Disk
-	data []byte
-	shut bool
+	disk   *Disk
+	data   []byte
+	closed bool
 }
 
-// WriteAt implements io.WriterAt.
-func (f *diskFile) WriteAt(p []byte, at int64) (n int, err error) {
-	f.d.wait()
-	defer f.d.mu.Unlock()
+// WriteAt implements io.WriterAt, apart from the faults that are set.
+func (f *diskFile) WriteAt(p []byte, offset int64) (n int, err error) {
+	f.disk.lockWhenResumed()
+	defer f.disk.mu.Unlock()
 	switch {
-	case f.shut:
+	case f.closed:
 		return 0, syscall.EBADF
-	case f.d.room >= 0 && int64(len(p)) > f.d.room:
-		p, err = p[:f.d.room], syscall.ENOSPC
-	case f.d.short:
+	case f.disk.freeBytes >= 0 && int64(len(p)) > f.disk.freeBytes:
+		p, err = p[:f.disk.freeBytes], syscall.ENOSPC
+	case f.disk.shortWrites:
 		p = p[:len(p)/2]
 	}
-	if f.d.room >= 0 {
-		f.d.room -= int64(len(p))
+	if f.disk.freeBytes >= 0 {
+		f.disk.freeBytes -= int64(len(p))
 	}
-	if need := at + int64(len(p)); need > int64(len(f.data)) {
-		f.data = append(f.data, make([]byte, need-int64(len(f.data)))...)
+	if newSize := offset + int64(len(p)); newSize > int64(len(f.data)) {
+		f.data = append(f.data, make([]byte, newSize-int64(len(f.data)))...)
 	}
-	return copy(f.data[at:], p), err
+	return copy(f.data[offset:], p), err
 }
 
-// ReadAt implements io.ReaderAt.
-func (f *diskFile) ReadAt(p []byte, at int64) (n int, err error) {
-	f.d.wait()
-	defer f.d.mu.Unlock()
+// ReadAt implements io.ReaderAt, apart from the faults that are set.
+func (f *diskFile) ReadAt(p []byte, offset int64) (n int, err error) {
+	f.disk.lockWhenResumed()
+	defer f.disk.mu.Unlock()
 	switch {
-	case f.shut:
+	case f.closed:
 		return 0, syscall.EBADF
-	case f.d.read != nil:
-		return 0, f.d.read
-	case at >= int64(len(f.data)):
+	case f.disk.readErr != nil:
+		return 0, f.disk.readErr
+	case offset >= int64(len(f.data)):
 		return 0, io.EOF
 	}
-	if n = copy(p, f.data[at:]); n < len(p) {
+	if n = copy(p, f.data[offset:]); n < len(p) {
 		err = io.EOF
 	}
-	if f.d.spoil != nil {
-		f.d.spoil(at, p[:n])
+	if f.disk.corrupt != nil {
+		f.disk.corrupt(offset, p[:n])
 	}
 	return n, err
 }
 
 // Close implements io.Closer.
 func (f *diskFile) Close() error {
-	f.d.wait()
-	defer f.d.mu.Unlock()
-	if f.shut {
+	f.disk.lockWhenResumed()
+	defer f.disk.mu.Unlock()
+	if f.closed {
 		return syscall.EBADF
 	}
-	f.shut = true
-	f.d.open--
+	f.closed = true
+	f.disk.openFiles--
 	return nil
 }
--- a/internal/standin/ledger.go
+++ b/internal/standin/ledger.go
@@ -1,9 +1,11 @@
-// Package standin has what the sidecar meets outside itself, as servers, discovery and
-// clients of the platform's form, which do as a test or a demonstration tells them:
-// answer late, wrongly or not at all, break off, freeze, drain, start cold, vanish. It
-// is written from the protocol alone and imports nothing of the sidecar's, so that it
-// can bear witness: a Ledger counts what came and what took effect, by request and by
-// class. It listens on loopback only, and all chance in it comes from seeds.
+// Package standin provides stand-ins for the sidecar's surroundings: servers, service discovery
+// and clients that speak the platform's protocol. A test or a demonstration scripts them to answer
+// late, wrongly or not at all, to break connections, freeze, drain, start cold or stop.
+//
+// The package is written from the protocol alone and imports none of the sidecar's code, so that
+// its records are independent evidence of the sidecar's behaviour: a Ledger counts the requests
+// that arrived and those that took effect, by request and by class. The stand-ins listen on
+// loopback only, and every random choice comes from a seed.
 package standin
 
 import (
@@ -15,56 +17,58 @@
 	"time"
 )
 
-// logMost bounds the arrivals that a Ledger remembers one by one; it counts on past
-// that.
-const logMost = 1 << 17
+// maxLoggedArrivals is how many arrivals a Ledger keeps one by one. Later arrivals are only
+// counted.
+const maxLoggedArrivals = 1 << 17
 
-// Count is what became of one request, or of all of a class.
+// Count holds the totals of one request or of all requests of a class.
 type Count struct {
-	Attempts int // arrivals of a whole request
-	Effects  int // runs, but for repeats that the servers' memory of keys dropped
+	Attempts int // complete requests that arrived
+	Effects  int // requests that took effect; repeats of a remembered key don't
 }
 
-// Arrival is one whole request at one server.
+// Arrival is one complete request that one server received.
 type Arrival struct {
 	ID, Class, Key string
 	Server         string
-	Nth            int // of the request's arrivals at all servers, from 1
+	Nth            int // number of this attempt among the request's arrivals at all servers, from 1
 	At             time.Time
 	Act            Kind
-	Draining       time.Duration // for how long the server had been draining; 0: it was not
-	Size           int64         // of its body
-	Sum            [32]byte      // SHA-256 of its body
+	Draining       time.Duration // how long the server had been draining; 0 if it was not draining
+	Size           int64         // bytes of the body
+	Sum            [32]byte      // SHA-256 of the body
 }
 
-// Ledger is what all servers of a fleet have received.
+// Ledger records the requests that all servers of a fleet receive. Its methods may be called from
+// any goroutine.
 type Ledger struct {
-	// Window is how long a key is remembered, at all servers alike. Set it before use.
+	// Window is how long every server remembers a key. It must be set before use.
 	Window time.Duration
 
-	mu      sync.Mutex
-	byID    map[string]*Count
-	byClass map[string]*Count
-	keys    map[string]time.Time // when a key first took effect
-	log     []Arrival
+	mu              sync.Mutex
+	byID            map[string]*Count
+	byClass         map[string]*Count
+	effectTimeByKey map[string]time.Time // when the key took effect
+	arrivals        []Arrival
 }
 
-// NewLedger returns an empty Ledger.
+// NewLedger returns an empty Ledger that remembers a key for the given window.
 func NewLedger(window time.Duration) *Ledger {
-	return &Ledger{Window: window, byID: make(map[string]*Count), byClass: make(map[string]*Count), keys: make(map[string]time.Time)}
+	return &Ledger{Window: window, byID: make(map[string]*Count), byClass: make(map[string]*Count), effectTimeByKey: make(map[string]time.Time)}
 }
 
-func entry(m map[string]*Count, name string) *Count {
-	c := m[name]
+// countFor returns the Count of a name, which it adds if it is missing.
+func countFor(counts map[string]*Count, name string) *Count {
+	c := counts[name]
 	if c == nil {
 		c = new(Count)
-		m[name] = c
+		counts[name] = c
 	}
 	return c
 }
 
-// nth is how many arrivals a request would have with one more.
-func (l *Ledger) nth(id string) int {
+// nextAttemptNumber returns the number that the request's next arrival would have, from 1.
+func (l *Ledger) nextAttemptNumber(id string) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if c := l.byID[id]; c != nil {
@@ -73,42 +77,42 @@
 	return 1
 }
 
-// arrived books a whole request and says the how many-th it is.
-func (l *Ledger) arrived(a Arrival) int {
+// recordArrival records a complete request and returns its attempt number, from 1.
+func (l *Ledger) recordArrival(a Arrival) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	c := entry(l.byID, a.ID)
+	c := countFor(l.byID, a.ID)
 	c.Attempts++
-	entry(l.byClass, a.Class).Attempts++
+	countFor(l.byClass, a.Class).Attempts++
 	a.Nth = c.Attempts
-	if len(l.log) < logMost {
-		l.log = append(l.log, a)
+	if len(l.arrivals) < maxLoggedArrivals {
+		l.arrivals = append(l.arrivals, a)
 	}
 	return c.Attempts
 }
 
-// ran books that a request takes effect, unless its key is remembered.
-func (l *Ledger) ran(id, class, key string) {
+// recordEffect counts an effect of a request, unless its key is still remembered.
+func (l *Ledger) recordEffect(id, class, key string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if key != "" {
 		now := time.Now()
-		if first, ok := l.keys[key]; ok && now.Sub(first) < l.Window {
+		if first, ok := l.effectTimeByKey[key]; ok && now.Sub(first) < l.Window {
 			return
 		}
-		l.keys[key] = now
+		l.effectTimeByKey[key] = now
 	}
-	entry(l.byID, id).Effects++
-	entry(l.byClass, class).Effects++
+	countFor(l.byID, id).Effects++
+	countFor(l.byClass, class).Effects++
 }
 
-// Book books a request that arrived and took effect, as a server does.
+// Book records a request that arrived and took effect, as a server does.
 func (l *Ledger) Book(id, class, key string) {
-	l.arrived(Arrival{ID: id, Class: class, Key: key, At: time.Now()})
-	l.ran(id, class, key)
+	l.recordArrival(Arrival{ID: id, Class: class, Key: key, At: time.Now()})
+	l.recordEffect(id, class, key)
 }
 
-// ID is the count of one request.
+// ID returns the Count of one request, zero for an unknown one.
 func (l *Ledger) ID(id string) Count {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -118,7 +122,7 @@
 	return Count{}
 }
 
-// Class is the count of a class.
+// Class returns the Count of a class, zero for an unknown one.
 func (l *Ledger) Class(name string) Count {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -128,7 +132,7 @@
 	return Count{}
 }
 
-// IDs is the count of every request.
+// IDs returns the Count of every request by its id.
 func (l *Ledger) IDs() map[string]Count {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -139,14 +143,14 @@
 	return all
 }
 
-// Log is the arrivals in their order, the first logMost of them.
+// Log returns the first maxLoggedArrivals arrivals in the order in which they came.
 func (l *Ledger) Log() []Arrival {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return slices.Clone(l.log)
+	return slices.Clone(l.arrivals)
 }
 
-// String has a line for each request, in the order of their ids.
+// String returns a line for each request, in the order of their ids.
 func (l *Ledger) String() string {
 	all := l.IDs()
 	var b strings.Builder
--- a/internal/standin/radius.go
+++ b/internal/standin/radius.go
@@ -18,64 +18,66 @@
 	"layeh.com/radius/rfc2869"
 )
 
-// The RADIUS stand-ins are coded with a library of its own, so that they bear witness
-// to the sidecar's packets too.
+// The RADIUS stand-ins use a third-party library for packets, so that they check the sidecar's
+// encoding independently too.
 
-// RadiusAct is what a RADIUS server does with a packet.
+// RadiusAct describes what a RADIUS server does with a packet.
 type RadiusAct struct {
 	Kind  RadiusKind
 	Delay time.Duration // before the answer
 }
 
-// RadiusKind is what a RADIUS server does with a packet.
+// RadiusKind selects what a RADIUS server does with a packet.
 type RadiusKind int
 
 const (
-	// RadiusAccept accepts access, or counts accounting, and says so.
+	// RadiusAccept accepts access or acknowledges accounting.
 	RadiusAccept RadiusKind = iota
 	// RadiusReject rejects access.
 	RadiusReject
-	// RadiusChallenge asks for more, once: a request that brings the State is accepted.
+	// RadiusChallenge answers access with a challenge and accepts a request that has a State.
 	RadiusChallenge
-	// RadiusIgnore drops the packet unseen.
+	// RadiusIgnore drops the packet. It isn't counted in the ledger.
 	RadiusIgnore
-	// RadiusSilent runs the request and says nothing.
+	// RadiusSilent runs the request and doesn't answer.
 	RadiusSilent
-	// RadiusTwice answers twice.
+	// RadiusTwice sends the answer twice.
 	RadiusTwice
-	// RadiusForged answers under another secret first, and with a wrong identifier, then
-	// well.
+	// RadiusForged first sends an answer signed with another secret and one with a wrong
+	// identifier, then the valid answer.
 	RadiusForged
-	// RadiusElsewhere answers from another socket, and then nothing more.
+	// RadiusElsewhere sends its only answer from another socket.
 	RadiusElsewhere
 	// RadiusUnsigned answers access without Message-Authenticator.
 	RadiusUnsigned
 )
 
-// RadiusCount is what servers received of one call, or event.
+// RadiusCount holds the totals of one access call or accounting event.
 type RadiusCount struct {
-	Packets  int // datagrams, duplicates among them
-	Attempts int // packets that are no duplicates of another
-	Effects  int // runs
+	Packets  int // datagrams, with duplicates
+	Attempts int // datagrams without duplicates
+	Effects  int // requests that took effect
 }
 
-// RadiusLedger counts what all servers of a fleet received: access by User-Name,
-// accounting by NAS, session, status and time.
+// RadiusLedger counts what all servers of a fleet receive: access by User-Name, accounting by NAS,
+// session, status and time. Its methods may be called from any goroutine.
 type RadiusLedger struct {
-	mu sync.Mutex
-	by map[string]*RadiusCount
+	mu     sync.Mutex
+	counts map[string]*RadiusCount
 }
 
 // NewRadiusLedger returns an empty RadiusLedger.
-func NewRadiusLedger() *RadiusLedger { return &RadiusLedger{by: make(map[string]*RadiusCount)} }
+func NewRadiusLedger() *RadiusLedger { return &RadiusLedger{counts: make(map[string]*RadiusCount)} }
 
-func (l *RadiusLedger) add(name string, attempts, effects int) {
+// record counts one packet with its attempts and effects under a name. Negative attempts count no
+// packet.
+func (l *RadiusLedger) record(name string, attempts, effects int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	c := l.by[name]
+	c := l.counts[name]
 	if c == nil {
 		c = new(RadiusCount)
-		l.by[name] = c
+		l.counts[name] = c
 	}
 	if attempts >= 0 {
 		c.Packets++
@@ -84,59 +86,61 @@
 	c.Effects += effects
 }
 
-// Of is the count of a call or an event.
+// Of returns the totals of one call or event, zero for an unknown one.
 func (l *RadiusLedger) Of(name string) RadiusCount {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if c := l.by[name]; c != nil {
+	if c := l.counts[name]; c != nil {
 		return *c
 	}
 	return RadiusCount{}
 }
 
-// All is the count of each.
+// All returns the totals of every call and event by name.
 func (l *RadiusLedger) All() map[string]RadiusCount {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	all := make(map[string]RadiusCount, len(l.by))
-	for name, c := range l.by {
+	all := make(map[string]RadiusCount, len(l.counts))
+	for name, c := range l.counts {
 		all[name] = *c
 	}
 	return all
 }
 
-// RadiusSeen is what a script sees.
+// RadiusSeen is a request as a server's script sees it.
 type RadiusSeen struct {
-	Name     string // of the call or event, as the ledger has it
-	Nth      int    // of the call's attempts at all servers, from 1
+	Name     string // of the call or event in the ledger
+	Nth      int    // number of this attempt among the call's attempts at all servers, from 1
 	Password string
 	Packet   *radius.Packet
 }
 
-// RadiusServer is a server for access and accounting on one port. It knows duplicates by
-// address, identifier and authenticator, as RFC 5080 section 2.2.2 asks.
+// RadiusServer stands in for a RADIUS server that takes access and accounting on one port. It
+// recognises duplicates by source address, identifier and authenticator, as RFC 5080 section 2.2.2
+// requires.
 type RadiusServer struct {
 	Name   string
 	Ledger *RadiusLedger
 
-	secret []byte
-	addr   string
-	wg     sync.WaitGroup
+	secret     []byte
+	addr       string
+	goroutines sync.WaitGroup
 
-	mu       sync.Mutex
-	script   func(RadiusSeen) RadiusAct
-	conn     *net.UDPConn // nil: down
-	answers  map[string][]byte
-	frozen   bool
-	bad      int // packets that could not be verified
-	unsigned int // access without Message-Authenticator
-	status   int
-	got      map[string]int
+	mu             sync.Mutex
+	script         func(RadiusSeen) RadiusAct
+	conn           *net.UDPConn      // nil while the server is down
+	answers        map[string][]byte // to resend to duplicates; nil for a request without an answer
+	frozen         bool
+	unverified     int // packets that failed verification
+	unsigned       int // packets without a valid Message-Authenticator
+	statusRequests int // Status-Server packets
+	packetsByName  map[string]int
 }
 
-// NewRadiusServer starts a server on a loopback port that the system picks.
+// NewRadiusServer starts a server that accepts everything, on a loopback port that the system
+// picks. The caller must close it.
 func NewRadiusServer(name, secret string, ledger *RadiusLedger) (*RadiusServer, error) {
-	s := &RadiusServer{Name: name, Ledger: ledger, secret: []byte(secret), addr: "127.0.0.2:0", answers: make(map[string][]byte), got: make(map[string]int)}
+	s := &RadiusServer{Name: name, Ledger: ledger, secret: []byte(secret), addr: "127.0.0.2:0", answers: make(map[string][]byte), packetsByName: make(map[string]int)}
 	s.script = func(RadiusSeen) RadiusAct { return RadiusAct{} }
 	if err := s.Restart(); err != nil {
 		return nil, err
@@ -144,7 +148,8 @@
 	return s, nil
 }
 
-// Restart starts it at its address; it remembers nothing.
+// Restart starts the server again at its address, without its memory of duplicates. A running
+// server is killed first.
 func (s *RadiusServer) Restart() error {
 	s.Kill()
 	addr, err := net.ResolveUDPAddr("udp", s.addr)
@@ -153,17 +158,17 @@
 	}
 	conn, err := net.ListenUDP("udp", addr)
 	if err != nil {
-		return fmt.Errorf("standin: %w", err)
+		return fmt.Errorf("standin: start RADIUS server: %w", err)
 	}
 	conn.SetReadBuffer(4 << 20)
 	s.mu.Lock()
 	s.conn, s.addr, s.answers = conn, conn.LocalAddr().String(), make(map[string][]byte)
 	s.mu.Unlock()
-	s.wg.Go(func() { s.serve(conn) })
+	s.goroutines.Go(func() { s.serve(conn) })
 	return nil
 }
 
-// Kill closes its port.
+// Kill closes the server's socket.
 func (s *RadiusServer) Kill() {
 	s.mu.Lock()
 	conn := s.conn
@@ -174,82 +179,86 @@
 	}
 }
 
-// Close ends it.
+// Close stops the server and waits for its goroutine.
 func (s *RadiusServer) Close() {
 	s.Kill()
-	s.wg.Wait()
+	s.goroutines.Wait()
 }
 
-// Addr is its address.
+// Addr returns the server's address, which stays the same over restarts.
 func (s *RadiusServer) Addr() string { return s.addr }
 
-// Do changes what it does.
+// Do replaces the server's script for all packets from now on.
 func (s *RadiusServer) Do(script func(RadiusSeen) RadiusAct) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.script = script
 }
 
-// Freeze has it drop all packets unseen, until it is called with false.
-func (s *RadiusServer) Freeze(on bool) {
+// Freeze with true makes the server drop all packets; with false it ends that.
+func (s *RadiusServer) Freeze(frozen bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.frozen = on
+	s.frozen = frozen
 }
 
-// Bad is how many packets it could not verify, Unsigned how many lacked a
-// Message-Authenticator, Status how many asked for its status.
-func (s *RadiusServer) Bad() (bad, unsigned, status int) {
+// Bad returns how many packets failed verification, how many lacked a valid Message-Authenticator,
+// and how many Status-Server packets the server answered.
+func (s *RadiusServer) Bad() (unverified, unsigned, statusRequests int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.bad, s.unsigned, s.status
+	return s.unverified, s.unsigned, s.statusRequests
 }
 
+// serve handles the packets of a socket until it is closed.
 func (s *RadiusServer) serve(conn *net.UDPConn) {
 	buf := make([]byte, 4096)
 	for {
-		n, from, err := conn.ReadFromUDP(buf)
+		length, client, err := conn.ReadFromUDP(buf)
 		if err != nil {
 			if errors.Is(err, net.ErrClosed) {
 				return
 			}
 			continue
 		}
-		s.take(conn, bytes.Clone(buf[:n]), from)
+		s.handlePacket(conn, bytes.Clone(buf[:length]), client)
 	}
 }
 
-// signature is the Message-Authenticator that a packet should have.
-func signature(wire []byte, auth [16]byte, secret []byte) ([]byte, bool) {
+// messageAuthenticator returns the Message-Authenticator that a packet must have for the given
+// request authenticator, and false if the packet has no such attribute.
+func messageAuthenticator(wire []byte, authenticator [16]byte, secret []byte) ([]byte, bool) {
 	wire = bytes.Clone(wire)
-	copy(wire[4:20], auth[:])
-	for at := 20; at+2 <= len(wire); at += max(2, int(wire[at+1])) {
-		if wire[at] == 80 && at+18 <= len(wire) {
-			clear(wire[at+2 : at+18])
-			h := hmac.New(md5.New, secret)
-			h.Write(wire)
-			return h.Sum(nil), true
+	copy(wire[4:20], authenticator[:])
+	for offset := 20; offset+2 <= len(wire); offset += max(2, int(wire[offset+1])) {
+		if wire[offset] == 80 && offset+18 <= len(wire) {
+			clear(wire[offset+2 : offset+18])
+			mac := hmac.New(md5.New, secret)
+			mac.Write(wire)
+			return mac.Sum(nil), true
 		}
 	}
 	return nil, false
 }
 
-// RadiusEvent names an accounting event as the ledger has it.
-func RadiusEvent(p *radius.Packet) string {
-	return fmt.Sprintf("%s %s %d %v", rfc2865.NASIdentifier_GetString(p), rfc2866.AcctSessionID_GetString(p), rfc2866.AcctStatusType_Get(p), rfc2869.EventTimestamp_Get(p).Unix())
+// RadiusEventName returns the name of an accounting event in the ledger.
+func RadiusEventName(packet *radius.Packet) string {
+	return fmt.Sprintf("%s %s %d %v", rfc2865.NASIdentifier_GetString(packet), rfc2866.AcctSessionID_GetString(packet), rfc2866.AcctStatusType_Get(packet), rfc2869.EventTimestamp_Get(packet).Unix())
 }
 
-func (s *RadiusServer) take(conn *net.UDPConn, wire []byte, from *net.UDPAddr) {
-	p, err := radius.Parse(wire, s.secret)
-	if err != nil || !radius.IsAuthenticRequest(wire, s.secret) && p.Code != radius.CodeStatusServer {
+// handlePacket verifies a packet, applies the script and answers. A duplicate gets the earlier
+// answer.
+func (s *RadiusServer) handlePacket(conn *net.UDPConn, wire []byte, client *net.UDPAddr) {
+	packet, err := radius.Parse(wire, s.secret)
+	if err != nil || !radius.IsAuthenticRequest(wire, s.secret) && packet.Code != radius.CodeStatusServer {
 		s.mu.Lock()
-		s.bad++
+		s.unverified++
 		s.mu.Unlock()
 		return
 	}
-	if p.Code != radius.CodeAccountingRequest {
-		want, ok := signature(wire, p.Authenticator, s.secret)
-		got := rfc2869.MessageAuthenticator_Get(p)
+	if packet.Code != radius.CodeAccountingRequest {
+		want, ok := messageAuthenticator(wire, packet.Authenticator, s.secret)
+		got := rfc2869.MessageAuthenticator_Get(packet)
 		if !ok || !hmac.Equal(want, got) {
 			s.mu.Lock()
 			s.unsigned++
@@ -259,80 +268,80 @@
 	}
 	s.mu.Lock()
 	frozen, script := s.frozen, s.script
-	if p.Code == radius.CodeStatusServer && !frozen {
-		s.status++
+	if packet.Code == radius.CodeStatusServer && !frozen {
+		s.statusRequests++
 	}
 	s.mu.Unlock()
 	if frozen {
 		return
 	}
-	if p.Code == radius.CodeStatusServer {
-		s.send(conn, from, p, radius.CodeAccessAccept, nil, true)
+	if packet.Code == radius.CodeStatusServer {
+		s.sendAnswer(conn, client, packet, radius.CodeAccessAccept, nil, true)
 		return
 	}
-	seen := RadiusSeen{Packet: p}
-	if p.Code == radius.CodeAccessRequest {
-		seen.Name, seen.Password = rfc2865.UserName_GetString(p), rfc2865.UserPassword_GetString(p)
+	request := RadiusSeen{Packet: packet}
+	if packet.Code == radius.CodeAccessRequest {
+		request.Name, request.Password = rfc2865.UserName_GetString(packet), rfc2865.UserPassword_GetString(packet)
 	} else {
-		seen.Name = RadiusEvent(p)
+		request.Name = RadiusEventName(packet)
 	}
-	key := fmt.Sprint(from, p.Identifier, p.Authenticator)
+	duplicateKey := fmt.Sprint(client, packet.Identifier, packet.Authenticator)
 	s.mu.Lock()
-	s.got[seen.Name]++
-	answer, again := s.answers[key]
+	s.packetsByName[request.Name]++
+	answer, duplicate := s.answers[duplicateKey]
 	s.mu.Unlock()
-	if again {
-		s.Ledger.add(seen.Name, 0, 0)
+	if duplicate {
+		s.Ledger.record(request.Name, 0, 0)
 		if answer != nil {
-			conn.WriteTo(answer, from)
+			conn.WriteTo(answer, client)
 		}
 		return
 	}
-	seen.Nth = s.Ledger.Of(seen.Name).Attempts + 1
-	act := script(seen)
+	request.Nth = s.Ledger.Of(request.Name).Attempts + 1
+	act := script(request)
 	if act.Kind == RadiusIgnore {
 		return
 	}
-	s.Ledger.add(seen.Name, 1, 1)
+	s.Ledger.record(request.Name, 1, 1)
 	code := radius.CodeAccessAccept
 	var state []byte
 	switch {
-	case p.Code == radius.CodeAccountingRequest:
+	case packet.Code == radius.CodeAccountingRequest:
 		code = radius.CodeAccountingResponse
 	case act.Kind == RadiusReject:
 		code = radius.CodeAccessReject
-	case act.Kind == RadiusChallenge && len(rfc2865.State_Get(p)) == 0:
-		code, state = radius.CodeAccessChallenge, []byte("state of "+s.Name+" for "+seen.Name)
+	case act.Kind == RadiusChallenge && len(rfc2865.State_Get(packet)) == 0:
+		code, state = radius.CodeAccessChallenge, []byte("state of "+s.Name+" for "+request.Name)
 	}
 	if act.Kind == RadiusSilent {
 		s.mu.Lock()
-		s.answers[key] = nil
+		s.answers[duplicateKey] = nil
 		s.mu.Unlock()
 		return
 	}
-	good := s.answer(p, code, state, act.Kind != RadiusUnsigned)
+	validAnswer := s.encodeAnswer(packet, code, state, act.Kind != RadiusUnsigned)
 	s.mu.Lock()
-	s.answers[key] = good
+	s.answers[duplicateKey] = validAnswer
 	s.mu.Unlock()
 	reply := func() {
 		switch act.Kind {
 		case RadiusForged:
-			other := &RadiusServer{secret: []byte("forged")}
-			q := *p
-			q.Secret = other.secret
-			conn.WriteTo(other.answer(&q, code, nil, true), from)
-			q.Secret, q.Identifier = s.secret, p.Identifier+1
-			conn.WriteTo(s.answer(&q, code, nil, true), from)
+			forger := &RadiusServer{secret: []byte("forged")}
+			altered := *packet
+			altered.Secret = forger.secret
+			conn.WriteTo(forger.encodeAnswer(&altered, code, nil, true), client)
+			altered.Secret, altered.Identifier = s.secret, packet.Identifier+1
+			conn.WriteTo(s.encodeAnswer(&altered, code, nil, true), client)
 		case RadiusTwice:
-			conn.WriteTo(good, from)
+			conn.WriteTo(validAnswer, client)
 		case RadiusElsewhere:
-			if c, err := net.DialUDP("udp", nil, from); err == nil {
-				c.Write(good)
+			if c, err := net.DialUDP("udp", nil, client); err == nil {
+				c.Write(validAnswer)
 				c.Close()
 			}
 			return
 		}
-		conn.WriteTo(good, from)
+		conn.WriteTo(validAnswer, client)
 	}
 	if act.Delay > 0 {
 		time.AfterFunc(act.Delay, reply)
@@ -341,341 +350,349 @@
 	reply()
 }
 
-func (s *RadiusServer) send(conn *net.UDPConn, to *net.UDPAddr, p *radius.Packet, code radius.Code, state []byte, signed bool) {
-	conn.WriteTo(s.answer(p, code, state, signed), to)
+// sendAnswer answers a request.
+func (s *RadiusServer) sendAnswer(conn *net.UDPConn, client *net.UDPAddr, request *radius.Packet, code radius.Code, state []byte, signed bool) {
+	conn.WriteTo(s.encodeAnswer(request, code, state, signed), client)
 }
 
-// answer is an answer as on the wire. Proxy-State is copied in its order.
-func (s *RadiusServer) answer(p *radius.Packet, code radius.Code, state []byte, signed bool) []byte {
-	a := p.Response(code)
+// encodeAnswer returns an answer as sent, signed unless signed is false. It copies the Proxy-State
+// attributes in their order.
+func (s *RadiusServer) encodeAnswer(request *radius.Packet, code radius.Code, state []byte, signed bool) []byte {
+	answer := request.Response(code)
 	if signed && code != radius.CodeAccountingResponse {
-		rfc2869.MessageAuthenticator_Set(a, make([]byte, 16))
+		rfc2869.MessageAuthenticator_Set(answer, make([]byte, 16))
 	}
 	if len(state) > 0 {
-		rfc2865.State_Set(a, state)
+		rfc2865.State_Set(answer, state)
 	}
 	if code == radius.CodeAccessAccept && s.Name != "" {
-		rfc2865.ReplyMessage_SetString(a, "welcome from "+s.Name)
+		rfc2865.ReplyMessage_SetString(answer, "welcome from "+s.Name)
 	}
-	states, _ := rfc2865.ProxyState_Gets(p)
-	for _, v := range states {
-		rfc2865.ProxyState_Add(a, v)
+	proxyStates, _ := rfc2865.ProxyState_Gets(request)
+	for _, v := range proxyStates {
+		rfc2865.ProxyState_Add(answer, v)
 	}
-	return sign(a, p.Authenticator)
+	return signAndEncode(answer, request.Authenticator)
 }
 
-// sign fills in the Message-Authenticator and encodes.
-func sign(a *radius.Packet, auth [16]byte) []byte {
-	plain, err := a.MarshalBinary()
+// signAndEncode sets the Message-Authenticator of a packet that has one and returns the packet as
+// sent.
+func signAndEncode(packet *radius.Packet, authenticator [16]byte) []byte {
+	unsigned, err := packet.MarshalBinary()
 	if err != nil {
-		panic(err) // of attributes that came in a packet
+		panic(err) // can't happen: the attributes come from a parsed packet
 	}
-	if sum, ok := signature(plain, auth, a.Secret); ok {
-		rfc2869.MessageAuthenticator_Set(a, sum)
+	if signature, ok := messageAuthenticator(unsigned, authenticator, packet.Secret); ok {
+		rfc2869.MessageAuthenticator_Set(packet, signature)
 	}
-	wire, err := a.Encode()
+	wire, err := packet.Encode()
 	if err != nil {
 		panic(err)
 	}
 	return wire
 }
 
-// RadiusAsk is a request of a terminal's.
+// RadiusAsk is a request that a terminal sends.
 type RadiusAsk struct {
-	User, Password string // access, if User is set
+	User, Password string // of an access request; without a User it is an accounting request
 	State          []byte
-	NAS, Session   string // accounting, else
-	Status         uint32 // 1 start, 2 stop, 3 interim
-	At             time.Time
+	NAS, Session   string    // Session is for accounting only
+	Status         uint32    // of accounting: 1 start, 2 stop, 3 interim
+	At             time.Time // of the accounting event; zero to leave it out
 
-	Tries   int           // packets at most
-	Each    time.Duration // how long each waits for its answer
-	NewID   bool          // each retransmission has a new identifier and another Acct-Delay-Time
-	NewPort bool          // each comes from another port
-	Bare    bool          // access without Message-Authenticator
+	Tries   int           // how many packets are sent at most
+	Each    time.Duration // how long to wait for an answer to each packet
+	NewID   bool          // each retransmission has a new identifier and a new Acct-Delay-Time
+	NewPort bool          // each retransmission comes from another port
+	Bare    bool          // access without a Message-Authenticator
 }
 
-// RadiusReply is what became of a RadiusAsk.
+// RadiusReply is the result of a terminal's request.
 type RadiusReply struct {
-	Code    radius.Code // 0: no answer
+	Code    radius.Code // 0 if no valid answer came
 	Packet  *radius.Packet
-	Packets int // that were sent
+	Packets int // how many were sent
 	Err     error
 }
 
-// RadiusClient is a counter terminal.
+// RadiusClient stands in for a counter terminal. It may be used from any goroutine.
 type RadiusClient struct {
-	addr   string
-	secret []byte
-	local  string
+	serverAddr string
+	secret     []byte
+	localIP    string
 }
 
-// NewRadiusClient returns a terminal that asks at an address, from a local IP address
-// (empty: any).
-func NewRadiusClient(addr, secret, local string) *RadiusClient {
-	return &RadiusClient{addr: addr, secret: []byte(secret), local: local}
+// NewRadiusClient returns a terminal that sends to serverAddr from the address localIP; an empty
+// localIP leaves the choice to the system.
+func NewRadiusClient(serverAddr, secret, localIP string) *RadiusClient {
+	return &RadiusClient{serverAddr: serverAddr, secret: []byte(secret), localIP: localIP}
 }
 
+// dial returns a new socket that is connected to the server.
 func (c *RadiusClient) dial() (*net.UDPConn, error) {
-	to, err := net.ResolveUDPAddr("udp", c.addr)
+	to, err := net.ResolveUDPAddr("udp", c.serverAddr)
 	if err != nil {
 		return nil, err
 	}
 	var from *net.UDPAddr
-	if c.local != "" {
-		from = &net.UDPAddr{IP: net.ParseIP(c.local)}
+	if c.localIP != "" {
+		from = &net.UDPAddr{IP: net.ParseIP(c.localIP)}
 	}
 	return net.DialUDP("udp", from, to)
 }
 
-// Packet is a request as on the wire; delay is the Acct-Delay-Time.
-func (c *RadiusClient) Packet(a RadiusAsk, id byte, auth [16]byte, delay time.Duration) []byte {
+// Packet returns a request as sent; acctDelay is its Acct-Delay-Time.
+func (c *RadiusClient) Packet(request RadiusAsk, identifier byte, authenticator [16]byte, acctDelay time.Duration) []byte {
 	code := radius.CodeAccountingRequest
-	if a.User != "" {
+	if request.User != "" {
 		code = radius.CodeAccessRequest
 	}
-	p := &radius.Packet{Code: code, Identifier: id, Authenticator: auth, Secret: c.secret}
-	if a.User != "" {
-		if !a.Bare {
-			rfc2869.MessageAuthenticator_Set(p, make([]byte, 16))
+	packet := &radius.Packet{Code: code, Identifier: identifier, Authenticator: authenticator, Secret: c.secret}
+	if request.User != "" {
+		if !request.Bare {
+			rfc2869.MessageAuthenticator_Set(packet, make([]byte, 16))
 		}
-		rfc2865.UserName_SetString(p, a.User)
-		rfc2865.UserPassword_SetString(p, a.Password)
-		if len(a.State) > 0 {
-			rfc2865.State_Set(p, a.State)
+		rfc2865.UserName_SetString(packet, request.User)
+		rfc2865.UserPassword_SetString(packet, request.Password)
+		if len(request.State) > 0 {
+			rfc2865.State_Set(packet, request.State)
 		}
 	} else {
-		rfc2866.AcctStatusType_Set(p, rfc2866.AcctStatusType(a.Status))
-		rfc2866.AcctSessionID_SetString(p, a.Session)
-		rfc2866.AcctDelayTime_Set(p, rfc2866.AcctDelayTime(delay/time.Second))
-		if !a.At.IsZero() {
-			rfc2869.EventTimestamp_Set(p, a.At)
+		rfc2866.AcctStatusType_Set(packet, rfc2866.AcctStatusType(request.Status))
+		rfc2866.AcctSessionID_SetString(packet, request.Session)
+		rfc2866.AcctDelayTime_Set(packet, rfc2866.AcctDelayTime(acctDelay/time.Second))
+		if !request.At.IsZero() {
+			rfc2869.EventTimestamp_Set(packet, request.At)
 		}
 	}
-	rfc2865.NASIdentifier_SetString(p, a.NAS)
-	rfc2865.ProxyState_Add(p, []byte("of the terminal"))
-	return sign(p, auth)
+	rfc2865.NASIdentifier_SetString(packet, request.NAS)
+	rfc2865.ProxyState_Add(packet, []byte("of the terminal"))
+	return signAndEncode(packet, authenticator)
 }
 
-// Do asks, and asks again while no answer comes.
-func (c *RadiusClient) Do(a RadiusAsk) (r RadiusReply) {
+// Do sends a request and sends it again while no valid answer comes. It blocks until the answer
+// comes or the last packet has been waited for.
+func (c *RadiusClient) Do(request RadiusAsk) (reply RadiusReply) {
 	conn, err := c.dial()
 	if err != nil {
 		return RadiusReply{Err: err}
 	}
 	defer func() { conn.Close() }()
-	var auth [16]byte
-	rand.Read(auth[:])
-	id := auth[0]
-	wire := c.Packet(a, id, auth, 0)
+	var authenticator [16]byte
+	rand.Read(authenticator[:])
+	identifier := authenticator[0]
+	wire := c.Packet(request, identifier, authenticator, 0)
 	buf := make([]byte, 4096)
-	for n := range a.Tries {
-		if n > 0 && a.NewPort {
+	for n := range request.Tries {
+		if n > 0 && request.NewPort {
 			conn.Close()
 			if conn, err = c.dial(); err != nil {
 				return RadiusReply{Packets: n, Err: err}
 			}
 		}
-		if n > 0 && a.NewID {
-			id++
-			wire = c.Packet(a, id, auth, time.Duration(n)*time.Second)
+		if n > 0 && request.NewID {
+			identifier++
+			wire = c.Packet(request, identifier, authenticator, time.Duration(n)*time.Second)
 		}
 		conn.Write(wire)
-		r.Packets++
-		end := time.Now().Add(a.Each)
+		reply.Packets++
+		deadline := time.Now().Add(request.Each)
 		for {
-			conn.SetReadDeadline(end)
-			k, err := conn.Read(buf)
+			conn.SetReadDeadline(deadline)
+			length, err := conn.Read(buf)
 			if err != nil {
-				if time.Now().Before(end) { // the port is refused: it may come up
-					time.Sleep(time.Until(end))
+				if time.Now().Before(deadline) { // the port is closed and may open before the deadline
+					time.Sleep(time.Until(deadline))
 				}
 				break
 			}
-			p, err := radius.Parse(buf[:k], c.secret)
-			if err != nil || p.Identifier != id || !radius.IsAuthenticResponse(buf[:k], wire, c.secret) {
-				r.Err = errors.New("standin: an answer that is none")
+			packet, err := radius.Parse(buf[:length], c.secret)
+			if err != nil || packet.Identifier != identifier || !radius.IsAuthenticResponse(buf[:length], wire, c.secret) {
+				reply.Err = errors.New("standin: the answer is malformed or has a wrong identifier or authenticator")
 				continue
 			}
-			if p.Code != radius.CodeAccountingResponse {
-				want, ok := signature(buf[:k], [16]byte(wire[4:20]), c.secret)
-				if !ok || !hmac.Equal(want, rfc2869.MessageAuthenticator_Get(p)) {
-					r.Err = errors.New("standin: an answer without its Message-Authenticator")
+			if packet.Code != radius.CodeAccountingResponse {
+				want, ok := messageAuthenticator(buf[:length], [16]byte(wire[4:20]), c.secret)
+				if !ok || !hmac.Equal(want, rfc2869.MessageAuthenticator_Get(packet)) {
+					reply.Err = errors.New("standin: the answer has no valid Message-Authenticator")
 					continue
 				}
 			}
-			r.Code, r.Packet, r.Err = p.Code, p, nil
-			return r
+			reply.Code, reply.Packet, reply.Err = packet.Code, packet, nil
+			return reply
 		}
 	}
-	return r
+	return reply
 }
 
-// Relay passes datagrams on between clients and a server, and loses, doubles and delays
-// some, by its seed.
+// Relay forwards datagrams between clients and a server. It drops, duplicates and delays some of
+// them, chosen by its seed.
 type Relay struct {
-	Loss, Double, Late float64 // shares of all datagrams, each way
+	Loss, Double, DelayShare float64 // shares of all datagrams in each direction
 
-	conn *net.UDPConn
-	to   *net.UDPAddr
-	wg   sync.WaitGroup
+	conn       *net.UDPConn
+	serverAddr *net.UDPAddr
+	goroutines sync.WaitGroup
 
-	mu    sync.Mutex
-	rng   *mrand.Rand
-	peers map[string]*net.UDPConn
-	done  bool
+	mu      sync.Mutex
+	rng     *mrand.Rand
+	sockets map[string]*net.UDPConn
+	closed  bool
 }
 
-// relayPeers bounds the clients that a Relay keeps a socket for.
-const relayPeers = 512
+// maxRelayClients is for how many clients a Relay keeps a socket. A further client replaces
+// another.
+const maxRelayClients = 512
 
-// NewRelay starts a relay to an address.
-func NewRelay(to string, seed uint64, loss, double, late float64) (*Relay, error) {
-	addr, err := net.ResolveUDPAddr("udp", to)
+// NewRelay starts a Relay to serverAddr. The shares are between 0 and 1. The caller must close it.
+func NewRelay(serverAddr string, seed uint64, lossShare, duplicateShare, delayShare float64) (*Relay, error) {
+	udpAddr, err := net.ResolveUDPAddr("udp", serverAddr)
 	if err != nil {
 		return nil, err
 	}
 	conn, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
-		return nil, fmt.Errorf("standin: %w", err)
+		return nil, fmt.Errorf("standin: start relay: %w", err)
 	}
 	conn.SetReadBuffer(4 << 20)
-	r := &Relay{Loss: loss, Double: double, Late: late, conn: conn, to: addr, rng: mrand.New(mrand.NewPCG(seed, 4)), peers: make(map[string]*net.UDPConn)}
-	r.wg.Go(r.serve)
+	r := &Relay{Loss: lossShare, Double: duplicateShare, DelayShare: delayShare, conn: conn, serverAddr: udpAddr, rng: mrand.New(mrand.NewPCG(seed, 4)), sockets: make(map[string]*net.UDPConn)}
+	r.goroutines.Go(r.serve)
 	return r, nil
 }
 
-// Addr is where it listens.
+// Addr returns the address at which the relay listens.
 func (r *Relay) Addr() string { return r.conn.LocalAddr().String() }
 
-func (r *Relay) pass(send func([]byte), b []byte) {
+// forward sends a datagram, unless it is lost, perhaps twice and perhaps up to 20 ms late.
+func (r *Relay) forward(send func([]byte), datagram []byte) {
 	r.mu.Lock()
-	lost, twice, late := r.rng.Float64() < r.Loss, r.rng.Float64() < r.Double, r.rng.Float64() < r.Late
-	after := time.Duration(r.rng.Float64() * float64(20*time.Millisecond))
+	lost, duplicated, delayed := r.rng.Float64() < r.Loss, r.rng.Float64() < r.Double, r.rng.Float64() < r.DelayShare
+	delay := time.Duration(r.rng.Float64() * float64(20*time.Millisecond))
 	r.mu.Unlock()
 	if lost {
 		return
 	}
-	if twice {
-		send(b)
+	if duplicated {
+		send(datagram)
 	}
-	if late {
-		b = bytes.Clone(b)
-		time.AfterFunc(after, func() { send(b) })
+	if delayed {
+		datagram = bytes.Clone(datagram)
+		time.AfterFunc(delay, func() { send(datagram) })
 		return
 	}
-	send(b)
+	send(datagram)
 }
 
+// serve forwards the datagrams of clients until the relay is closed.
 func (r *Relay) serve() {
 	buf := make([]byte, 4096)
 	for {
-		n, from, err := r.conn.ReadFromUDP(buf)
+		n, client, err := r.conn.ReadFromUDP(buf)
 		if err != nil {
 			if errors.Is(err, net.ErrClosed) {
 				return
 			}
 			continue
 		}
-		peer := r.peer(from)
-		if peer == nil {
+		socket := r.socketFor(client)
+		if socket == nil {
 			continue
 		}
-		r.pass(func(b []byte) { peer.Write(b) }, buf[:n])
+		r.forward(func(datagram []byte) { socket.Write(datagram) }, buf[:n])
 	}
 }
 
-// peer is the socket for a client. The system tells it of a refused port, which it does
-// not pass on: what is behind a relay is lost without a word.
-func (r *Relay) peer(from *net.UDPAddr) *net.UDPConn {
+// socketFor returns the socket that forwards for a client, or nil if there is none and none can be
+// opened. Errors of a closed server port reach only this socket: to the client, the datagram is
+// lost without notice.
+func (r *Relay) socketFor(client *net.UDPAddr) *net.UDPConn {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	name := from.String()
-	if c := r.peers[name]; c != nil || r.done {
-		return c
-	}
-	if len(r.peers) >= relayPeers {
-		for old, c := range r.peers {
-			c.Close()
-			delete(r.peers, old)
+	name := client.String()
+	if socket := r.sockets[name]; socket != nil || r.closed {
+		return socket
+	}
+	if len(r.sockets) >= maxRelayClients {
+		for oldName, socket := range r.sockets {
+			socket.Close()
+			delete(r.sockets, oldName)
 			break
 		}
 	}
-	c, err := net.DialUDP("udp", nil, r.to)
+	socket, err := net.DialUDP("udp", nil, r.serverAddr)
 	if err != nil {
 		return nil
 	}
-	r.peers[name] = c
-	r.wg.Go(func() {
+	r.sockets[name] = socket
+	r.goroutines.Go(func() {
 		buf := make([]byte, 4096)
 		for {
-			n, err := c.Read(buf)
+			n, err := socket.Read(buf)
 			if err != nil {
 				if errors.Is(err, net.ErrClosed) {
 					return
 				}
 				continue
 			}
-			r.pass(func(b []byte) { r.conn.WriteTo(b, from) }, buf[:n])
+			r.forward(func(datagram []byte) { r.conn.WriteTo(datagram, client) }, buf[:n])
 		}
 	})
-	return c
+	return socket
 }
 
-// Close ends it.
+// Close stops the relay and waits for its goroutines.
 func (r *Relay) Close() {
 	r.conn.Close()
 	r.mu.Lock()
-	r.done = true
-	for _, c := range r.peers {
+	r.closed = true
+	for _, c := range r.sockets {
 		c.Close()
 	}
 	r.mu.Unlock()
-	r.wg.Wait()
+	r.goroutines.Wait()
 }
 
-// Throw sends a datagram and waits for nothing.
-func (c *RadiusClient) Throw(b []byte) {
+// Throw sends a datagram without waiting for an answer. Errors are ignored.
+func (c *RadiusClient) Throw(datagram []byte) {
 	if conn, err := c.dial(); err == nil {
-		conn.Write(b)
+		conn.Write(datagram)
 		conn.Close()
 	}
 }
 
-// Exchange sends a packet once and waits for its answer.
-func (c *RadiusClient) Exchange(wire []byte, wait time.Duration) (r RadiusReply) {
+// Exchange sends a packet once and waits up to timeout for its answer.
+func (c *RadiusClient) Exchange(wire []byte, timeout time.Duration) (reply RadiusReply) {
 	conn, err := c.dial()
 	if err != nil {
 		return RadiusReply{Err: err}
 	}
 	defer conn.Close()
 	conn.Write(wire)
-	conn.SetReadDeadline(time.Now().Add(wait))
+	conn.SetReadDeadline(time.Now().Add(timeout))
 	buf := make([]byte, 4096)
-	n, err := conn.Read(buf)
+	length, err := conn.Read(buf)
 	if err != nil {
 		return RadiusReply{Packets: 1, Err: err}
 	}
-	p, err := radius.Parse(buf[:n], c.secret)
-	if err != nil || p.Identifier != wire[1] || !radius.IsAuthenticResponse(buf[:n], wire, c.secret) {
-		return RadiusReply{Packets: 1, Err: errors.New("standin: an answer that is none")}
+	packet, err := radius.Parse(buf[:length], c.secret)
+	if err != nil || packet.Identifier != wire[1] || !radius.IsAuthenticResponse(buf[:length], wire, c.secret) {
+		return RadiusReply{Packets: 1, Err: errors.New("standin: the answer is malformed or has a wrong identifier or authenticator")}
 	}
-	return RadiusReply{Code: p.Code, Packet: p, Packets: 1}
+	return RadiusReply{Code: packet.Code, Packet: packet, Packets: 1}
 }
 
-// Got is how many packets of a call or event this server received, Names what it
-// received of.
+// Got returns how many verified packets of a call or event this server received, with duplicates.
 func (s *RadiusServer) Got(name string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.got[name]
+	return s.packetsByName[name]
 }
 
-// Names is the calls and events that this server received.
+// Names returns the calls and events of which this server received packets, in no fixed order.
 func (s *RadiusServer) Names() (all []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for name := range s.got {
+	for name := range s.packetsByName {
 		all = append(all, name)
 	}
 	return all
--- a/internal/standin/server.go
+++ b/internal/standin/server.go
@@ -14,56 +14,59 @@
 	"time"
 )
 
-// ServerConfig is what a Server is told.
+// ServerConfig configures a Server.
 type ServerConfig struct {
 	Name   string
-	Ledger *Ledger // of its fleet; nil: one of its own
-	Script Script  // nil: all is served
-	// Rate is how many requests a second it can serve when warm; 0: any number. What
-	// comes beyond is served late, each in its turn.
+	Ledger *Ledger // shared by the fleet; nil for a Ledger of its own
+	Script Script  // nil serves every request
+	// Rate is how many requests a second a warm server can serve; 0 sets no limit. Requests
+	// beyond it wait in a queue and are answered late, in the order in which they came.
 	Rate float64
-	// A server that starts with Cold above 0 begins with that share of Rate, which
-	// rises evenly to all of it within WarmIn. Sent more than FallFactor times what it
-	// can do, for FallFor, it falls over and stays down. FallFactor 0: it never falls.
-	Cold       float64
-	WarmIn     time.Duration
+	// Cold is the share of the request rate that a server has at its start; 0 means that it
+	// starts warm. The share rises linearly to 1.
+	Cold float64
+	// WarmIn is how long a cold server takes to reach its full rate.
+	WarmIn time.Duration
+	// FallFactor is how many times its present rate a cold server withstands. If it receives
+	// more over FallFor, it stops and stays down. 0 means that it never stops.
 	FallFactor float64
-	FallFor    time.Duration
+	// FallFor is the time span over which the overload is measured.
+	FallFor time.Duration
 }
 
-// Server is a server of the platform's form.
+// Server stands in for a server of the platform. Its methods may be called from any goroutine.
 type Server struct {
 	cfg  ServerConfig
 	addr string
 
-	mu       sync.Mutex
-	script   Script
-	ln       net.Listener // nil: down
-	conns    map[net.Conn]struct{}
-	thaw     chan struct{} // closed when not frozen
-	frozen   bool
-	started  time.Time
-	drained  time.Time // zero: it does not drain
-	noted    time.Time // by NoteDrain
-	turn     time.Time // when the request that came last has been served
-	recent   []time.Time
-	fallen   bool
-	opened   int // connections
-	handlers sync.WaitGroup
+	mu                 sync.Mutex
+	script             Script
+	listener           net.Listener // nil while the server is down
+	conns              map[net.Conn]struct{}
+	thawed             chan struct{} // closed while the server isn't frozen
+	frozen             bool
+	startTime          time.Time
+	drainingSince      time.Time   // zero while the server isn't draining
+	recordedDrainSince time.Time   // draining that is only recorded; zero if none
+	busyUntil          time.Time   // when the queue of requests has been served
+	recentArrivals     []time.Time // within FallFor
+	fallen             bool        // stopped by overload while cold
+	openedConns        int         // since the server was created
+	goroutines         sync.WaitGroup
 }
 
-// hostCount counts the hosts that servers of this process have been given.
-var hostCount atomic.Uint32
+// hostsUsed counts the loopback hosts that this process has given to servers.
+var hostsUsed atomic.Uint32
 
-// newHost returns a loopback address that no other server, and no connection from 127.0.0.1, uses.
-// The port of a server that is down is then still free when it is restarted: at a shared address
-// another server that starts meanwhile could be given it.
+// newHost returns a loopback address that no other server and no connection from 127.0.0.1 uses.
+// The port of a stopped server then stays free until its restart. On a shared address the system
+// could give it to another server that starts in the meantime.
 func newHost() string {
-	n := hostCount.Add(1)
+	n := hostsUsed.Add(1)
 	return fmt.Sprintf("127.%d.%d.%d", 230+n/250%24, os.Getpid()&0xff, 1+n%250)
 }
 
-// NewServer starts a server on a loopback port that the system picks.
+// NewServer starts a server on a loopback port that the system picks. The caller must close it.
 func NewServer(cfg ServerConfig) (*Server, error) {
 	if cfg.Ledger == nil {
 		cfg.Ledger = NewLedger(0)
@@ -71,303 +74,312 @@
 	if cfg.Script == nil {
 		cfg.Script = Always(Act{})
 	}
-	s := &Server{cfg: cfg, script: cfg.Script, conns: make(map[net.Conn]struct{}), thaw: make(chan struct{})}
-	close(s.thaw)
-	ln, err := net.Listen("tcp", newHost()+":0")
+	s := &Server{cfg: cfg, script: cfg.Script, conns: make(map[net.Conn]struct{}), thawed: make(chan struct{})}
+	close(s.thawed)
+	listener, err := net.Listen("tcp", newHost()+":0")
 	if err != nil {
-		return nil, fmt.Errorf("standin: %w", err)
+		return nil, fmt.Errorf("standin: start server: %w", err)
 	}
-	s.addr = ln.Addr().String()
-	s.run(ln)
+	s.addr = listener.Addr().String()
+	s.startServing(listener)
 	return s, nil
 }
 
-func (s *Server) run(ln net.Listener) {
+// startServing accepts connections on a listener in a new goroutine.
+func (s *Server) startServing(listener net.Listener) {
 	s.mu.Lock()
-	s.ln, s.started, s.drained, s.noted = ln, time.Now(), time.Time{}, time.Time{}
+	s.listener, s.startTime, s.drainingSince, s.recordedDrainSince = listener, time.Now(), time.Time{}, time.Time{}
 	s.mu.Unlock()
-	s.handlers.Add(1)
+	s.goroutines.Add(1)
 	go func() {
-		defer s.handlers.Done()
-		s.accept(ln)
+		defer s.goroutines.Done()
+		s.accept(listener)
 	}()
 }
 
-// Name is the server's name, Addr its address.
+// Name returns the server's name.
 func (s *Server) Name() string { return s.cfg.Name }
+
+// Addr returns the server's address, which stays the same over restarts.
 func (s *Server) Addr() string { return s.addr }
 
-// Ledger counts what came.
+// Ledger returns the Ledger that records the server's requests.
 func (s *Server) Ledger() *Ledger { return s.cfg.Ledger }
 
-// Warm has it count as started long ago, until it restarts.
+// Warm makes the server count as fully warmed up until its next restart.
 func (s *Server) Warm() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.started = time.Unix(0, 0)
+	s.startTime = time.Unix(0, 0)
 }
 
-// Started is when it last started.
+// Started returns when the server last started.
 func (s *Server) Started() time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.started
+	return s.startTime
 }
 
-// Do changes what it does with requests from now on.
+// Do replaces the server's Script for all requests from now on.
 func (s *Server) Do(script Script) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.script = script
 }
 
-// Opened is how many connections were ever opened to it, Open how many stand.
+// Opened returns how many connections the server has accepted since it was created.
 func (s *Server) Opened() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.opened
+	return s.openedConns
 }
 
-// Open is how many connections to it stand.
+// Open returns how many connections to the server are open.
 func (s *Server) Open() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.conns)
 }
 
-// Freeze stops it: connections come up and stay open, nothing is read or answered.
+// Freeze suspends the server: it accepts connections and keeps them open, but answers nothing until
+// Thaw.
 func (s *Server) Freeze() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !s.frozen {
-		s.frozen, s.thaw = true, make(chan struct{})
+		s.frozen, s.thawed = true, make(chan struct{})
 	}
 }
 
-// Thaw lets it go on.
+// Thaw resumes a frozen server.
 func (s *Server) Thaw() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.frozen {
 		s.frozen = false
-		close(s.thaw)
+		close(s.thawed)
 	}
 }
 
-// Drain has it turn new requests away from now on; those it has are finished.
+// Drain makes the server decline new requests until it restarts. It finishes the requests that it
+// has already received.
 func (s *Server) Drain() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.drained.IsZero() {
-		s.drained = time.Now()
+	if s.drainingSince.IsZero() {
+		s.drainingSince = time.Now()
 	}
 }
 
-// NoteDrain books from now on for how long it has been draining, and turns nothing
-// away: a server that drains finishes what comes. NoteUndrain ends that.
-func (s *Server) NoteDrain() { s.note(time.Now()) }
+// NoteDrain makes the server record with each arrival how long it has been draining. It declines
+// nothing: a draining server still serves the requests that come.
+func (s *Server) NoteDrain() { s.setRecordedDrain(time.Now()) }
 
-// NoteUndrain ends NoteDrain.
-func (s *Server) NoteUndrain() { s.note(time.Time{}) }
+// NoteUndrain ends the recording of draining times.
+func (s *Server) NoteUndrain() { s.setRecordedDrain(time.Time{}) }
 
-func (s *Server) note(at time.Time) {
+func (s *Server) setRecordedDrain(since time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.noted = at
+	s.recordedDrainSince = since
 }
 
-// Kill ends it as a process that dies: connections are reset, new ones refused.
+// Kill stops the server like a process that dies: open connections are reset, new ones refused.
 func (s *Server) Kill() {
 	s.mu.Lock()
-	ln := s.ln
-	s.ln = nil
+	listener := s.listener
+	s.listener = nil
 	var conns []net.Conn
 	for c := range s.conns {
 		conns = append(conns, c)
 	}
 	s.mu.Unlock()
-	if ln != nil {
-		ln.Close()
+	if listener != nil {
+		listener.Close()
 	}
 	for _, c := range conns {
-		reset(c)
+		resetConn(c)
 	}
 	s.Thaw()
 }
 
-// Restart starts it again at its address, cold if it is of that kind.
+// Restart starts the server again at its address, cold if it is so configured. A running server is
+// killed first.
 func (s *Server) Restart() error {
 	s.Kill()
-	ln, err := net.Listen("tcp", s.addr)
+	listener, err := net.Listen("tcp", s.addr)
 	if err != nil {
-		return fmt.Errorf("standin: %w", err)
+		return fmt.Errorf("standin: restart server: %w", err)
 	}
 	s.mu.Lock()
-	s.fallen, s.recent, s.turn = false, nil, time.Time{}
+	s.fallen, s.recentArrivals, s.busyUntil = false, nil, time.Time{}
 	s.mu.Unlock()
-	s.run(ln)
+	s.startServing(listener)
 	return nil
 }
 
-// Close ends it and waits for its goroutines.
+// Close stops the server and waits for its goroutines.
 func (s *Server) Close() {
 	s.Kill()
-	s.handlers.Wait()
+	s.goroutines.Wait()
 }
 
-// Up says whether it runs; Fallen whether it was pushed over while cold.
+// Up reports whether the server is running.
 func (s *Server) Up() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.ln != nil
+	return s.listener != nil
 }
 
-// Fallen says whether it was pushed over while it was cold.
+// Fallen reports whether overload stopped the server while it was cold.
 func (s *Server) Fallen() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.fallen
 }
 
-func (s *Server) accept(ln net.Listener) {
+// accept serves each connection of a listener in its own goroutine until the listener is closed.
+func (s *Server) accept(listener net.Listener) {
 	for {
-		c, err := ln.Accept()
+		conn, err := listener.Accept()
 		if err != nil {
 			return
 		}
 		s.mu.Lock()
-		if s.ln != ln {
+		if s.listener != listener {
 			s.mu.Unlock()
-			reset(c)
+			resetConn(conn)
 			return
 		}
-		s.conns[c] = struct{}{}
-		s.opened++
+		s.conns[conn] = struct{}{}
+		s.openedConns++
 		s.mu.Unlock()
-		s.handlers.Add(1)
+		s.goroutines.Add(1)
 		go func() {
-			defer s.handlers.Done()
+			defer s.goroutines.Done()
 			defer func() {
 				s.mu.Lock()
-				delete(s.conns, c)
+				delete(s.conns, conn)
 				s.mu.Unlock()
-				c.Close()
+				conn.Close()
 			}()
-			br := bufio.NewReader(c)
-			for s.serve(c, br) {
+			reader := bufio.NewReader(conn)
+			for s.serve(conn, reader) {
 			}
 		}()
 	}
 }
 
-func (s *Server) waitThaw() {
+func (s *Server) waitUntilThawed() {
 	s.mu.Lock()
-	thaw := s.thaw
+	thawed := s.thawed
 	s.mu.Unlock()
-	<-thaw
+	<-thawed
 }
 
-// serve takes one request of a connection.
-func (s *Server) serve(c net.Conn, br *bufio.Reader) (goesOn bool) {
-	r, err := http.ReadRequest(br)
+// serve handles one request of a connection and reports whether the connection can take another.
+func (s *Server) serve(conn net.Conn, reader *bufio.Reader) (reusable bool) {
+	httpReq, err := http.ReadRequest(reader)
 	if err != nil {
 		return false
 	}
-	s.waitThaw()
-	class, _, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, "/"), "/")
-	if kind := r.Header.Get("Req-Kind"); kind != "" {
+	s.waitUntilThawed()
+	class, _, _ := strings.Cut(strings.TrimPrefix(httpReq.URL.Path, "/"), "/")
+	if kind := httpReq.Header.Get("Req-Kind"); kind != "" {
 		class = kind
 	}
-	req := Request{ID: r.Header.Get("Req-Id"), Class: class, Key: r.Header.Get("Idempotency-Key"), Server: s.cfg.Name, Header: r.Header}
+	req := Request{ID: httpReq.Header.Get("Req-Id"), Class: class, Key: httpReq.Header.Get("Idempotency-Key"), Server: s.cfg.Name, Header: httpReq.Header}
 	s.mu.Lock()
-	script, drained, noted := s.script, s.drained, s.noted
+	script, drainingSince, recordedDrainSince := s.script, s.drainingSince, s.recordedDrainSince
 	s.mu.Unlock()
-	req.Nth = s.cfg.Ledger.nth(req.ID)
+	req.Nth = s.cfg.Ledger.nextAttemptNumber(req.ID)
 	act := script(req)
 	if act.Kind == ResetEarly {
-		if act.Delay > 0 { // in the middle of its body
+		if act.Delay > 0 { // resets in the middle of the body
 			time.Sleep(act.Delay)
 		}
-		return act.answer(c, req)
+		return act.writeAnswer(conn, req)
 	}
 	if act.Early {
-		act.answer(c, req)
-		io.CopyN(io.Discard, r.Body, bodyMost)
+		act.writeAnswer(conn, req)
+		io.CopyN(io.Discard, httpReq.Body, maxScriptBodyBytes)
 		return false
 	}
-	body, size, sum, err := readBody(r.Body)
+	body, size, hash, err := readBody(httpReq.Body)
 	if err != nil {
 		return false
 	}
 	req.Body = string(body)
-	at := Arrival{ID: req.ID, Class: class, Key: req.Key, Server: s.cfg.Name, At: time.Now(), Size: size, Sum: sum}
-	if !noted.IsZero() {
-		at.Draining = max(time.Since(noted), 1)
+	arrival := Arrival{ID: req.ID, Class: class, Key: req.Key, Server: s.cfg.Name, At: time.Now(), Size: size, Sum: hash}
+	if !recordedDrainSince.IsZero() {
+		arrival.Draining = max(time.Since(recordedDrainSince), 1)
 	}
-	if !drained.IsZero() {
-		at.Draining = max(time.Since(drained), 1)
+	if !drainingSince.IsZero() {
+		arrival.Draining = max(time.Since(drainingSince), 1)
 		act = Act{Kind: Decline}
 	}
-	wait, fell := s.take(at.At)
-	if fell {
+	wait, fallsOver := s.reserveTurn(arrival.At)
+	if fallsOver {
 		s.Kill()
 		return false
 	}
-	at.Act = act.Kind
-	// Two that come at once see each other here at the latest.
-	if nth := s.cfg.Ledger.arrived(at); nth != req.Nth && drained.IsZero() {
-		req.Nth = nth
+	arrival.Act = act.Kind
+	// Attempts that arrive at the same time can have been given the same number above. The number
+	// of the Ledger is final.
+	if number := s.cfg.Ledger.recordArrival(arrival); number != req.Nth && drainingSince.IsZero() {
+		req.Nth = number
 		act = script(req)
 	}
-	if act.Kind.runs() {
-		s.cfg.Ledger.ran(req.ID, class, req.Key)
+	if act.Kind.takesEffect() {
+		s.cfg.Ledger.recordEffect(req.ID, class, req.Key)
 	}
-	if d := act.Delay + wait; d > 0 {
-		time.Sleep(d)
-		s.waitThaw()
+	if delay := act.Delay + wait; delay > 0 {
+		time.Sleep(delay)
+		s.waitUntilThawed()
 	}
-	return act.answer(c, req)
+	return act.writeAnswer(conn, req)
 }
 
-// readBody reads a body whole, of any length.
-func readBody(r io.Reader) (begin []byte, size int64, sum [32]byte, err error) {
-	h := sha256.New()
-	if begin, err = io.ReadAll(io.LimitReader(io.TeeReader(r, h), bodyMost)); err == nil {
-		size, err = io.Copy(h, r)
+// readBody reads a complete body of any length and returns its first maxScriptBodyBytes, its size
+// and its SHA-256.
+func readBody(r io.Reader) (prefix []byte, size int64, hash [32]byte, err error) {
+	hasher := sha256.New()
+	if prefix, err = io.ReadAll(io.LimitReader(io.TeeReader(r, hasher), maxScriptBodyBytes)); err == nil {
+		size, err = io.Copy(hasher, r)
 	}
-	return begin, size + int64(len(begin)), [32]byte(h.Sum(nil)), err
+	return prefix, size + int64(len(prefix)), [32]byte(hasher.Sum(nil)), err
 }
 
-// take books a request against what the server can do now. It says how long the
-// request waits for its turn, and whether it pushes the server over.
-func (s *Server) take(now time.Time) (wait time.Duration, fell bool) {
+// reserveTurn adds a request to the queue of the server's present rate. It returns how long the
+// request waits in the queue, and whether the request overloads a cold server.
+func (s *Server) reserveTurn(now time.Time) (wait time.Duration, fallsOver bool) {
 	if s.cfg.Rate <= 0 {
 		return 0, false
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	rate := s.cfg.Rate * s.warmth(now)
-	if s.turn.Before(now) {
-		s.turn = now
+	rate := s.cfg.Rate * s.rateShare(now)
+	if s.busyUntil.Before(now) {
+		s.busyUntil = now
 	}
-	s.turn = s.turn.Add(time.Duration(float64(time.Second) / rate))
-	if s.cfg.FallFactor > 0 && s.warmth(now) < 1 {
-		s.recent = append(s.recent, now)
-		for len(s.recent) > 0 && now.Sub(s.recent[0]) > s.cfg.FallFor {
-			s.recent = s.recent[1:]
+	s.busyUntil = s.busyUntil.Add(time.Duration(float64(time.Second) / rate))
+	if s.cfg.FallFactor > 0 && s.rateShare(now) < 1 {
+		s.recentArrivals = append(s.recentArrivals, now)
+		for len(s.recentArrivals) > 0 && now.Sub(s.recentArrivals[0]) > s.cfg.FallFor {
+			s.recentArrivals = s.recentArrivals[1:]
 		}
-		if float64(len(s.recent)) > s.cfg.FallFactor*rate*s.cfg.FallFor.Seconds() {
+		if float64(len(s.recentArrivals)) > s.cfg.FallFactor*rate*s.cfg.FallFor.Seconds() {
 			s.fallen = true
 			return 0, true
 		}
 	}
-	return s.turn.Sub(now), false
+	return s.busyUntil.Sub(now), false
 }
 
-// warmth is the share of its rate that the server has now.
-func (s *Server) warmth(now time.Time) float64 {
+// rateShare returns the share of its full rate that the server has now, at most 1.
+func (s *Server) rateShare(now time.Time) float64 {
 	if s.cfg.Cold <= 0 || s.cfg.WarmIn <= 0 {
 		return 1
 	}
-	return min(1, s.cfg.Cold+(1-s.cfg.Cold)*float64(now.Sub(s.started))/float64(s.cfg.WarmIn))
+	return min(1, s.cfg.Cold+(1-s.cfg.Cold)*float64(now.Sub(s.startTime))/float64(s.cfg.WarmIn))
 }
--- a/internal/standin/standin_test.go
+++ b/internal/standin/standin_test.go
@@ -13,7 +13,8 @@
 	"time"
 )
 
-const patience = 20 * time.Second
+// testTimeout is how long a test waits for what must happen.
+const testTimeout = 20 * time.Second
 
 func newServer(t *testing.T, cfg ServerConfig) *Server {
 	t.Helper()
@@ -25,20 +26,22 @@
 	return s
 }
 
-func settle(t *testing.T, what string, ok func() bool) {
+// waitFor waits until condition holds and fails the test with a message if it doesn't in time.
+func waitFor(t *testing.T, failure string, condition func() bool) {
 	t.Helper()
-	for end := time.Now().Add(patience); !ok(); time.Sleep(time.Millisecond) {
-		if time.Now().After(end) {
-			t.Fatal(what)
+	for deadline := time.Now().Add(testTimeout); !condition(); time.Sleep(time.Millisecond) {
+		if time.Now().After(deadline) {
+			t.Fatal(failure)
 		}
 	}
 }
 
-var check, activate, register = Class{Name: "check"}, Class{Name: "activate", Effect: Unsafe}, Class{Name: "register", Effect: Keyed}
+var checkClass, activateClass, registerClass = Class{Name: "check"}, Class{Name: "activate", Effect: Unsafe}, Class{Name: "register", Effect: Keyed}
 
-// Each act is what it says on the wire, and counts as it says.
-func TestActs(t *testing.T) {
-	for _, c := range []struct {
+// A server that answers differently from its script, or counts a request that didn't run, makes
+// every test that relies on it wrong. Each action is checked at the client and in the ledger.
+func TestEachActionOnTheWireAndInTheLedger(t *testing.T) {
+	for _, want := range []struct {
 		act               Act
 		verdict           string
 		attempts, effects int
@@ -59,14 +62,14 @@
 		{Act{Kind: Excess}, "served", 1, 1},
 		{Act{Kind: Oversize}, "none", 1, 1},
 	} {
-		t.Run(c.act.Kind.String(), func(t *testing.T) {
+		t.Run(want.act.Kind.String(), func(t *testing.T) {
 			t.Parallel()
-			s := newServer(t, ServerConfig{Script: Always(c.act)})
-			cl := NewClient(s.Addr())
-			defer cl.Close()
-			ctx, cancel := context.WithTimeout(context.Background(), patience)
+			s := newServer(t, ServerConfig{Script: Always(want.act)})
+			client := NewClient(s.Addr())
+			defer client.Close()
+			ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 			defer cancel()
-			if c.verdict == "none" && c.attempts > 0 { // some never end by themselves
+			if want.verdict == "none" && want.attempts > 0 { // some of these answers never end
 				go func() {
 					for ctx.Err() == nil && s.Ledger().ID("1").Effects == 0 {
 						time.Sleep(time.Millisecond)
@@ -74,35 +77,37 @@
 					cancel()
 				}()
 			}
-			r := cl.Do(ctx, Ask{ID: "1", Class: activate, Body: "body"})
-			if r.Verdict() != c.verdict || s.Ledger().ID("1") != (Count{c.attempts, c.effects}) || s.Ledger().Class("activate") != s.Ledger().ID("1") {
-				t.Errorf("%+v, %+v", r, s.Ledger().ID("1"))
+			reply := client.Do(ctx, Ask{ID: "1", Class: activateClass, Body: "body"})
+			if reply.Verdict() != want.verdict || s.Ledger().ID("1") != (Count{want.attempts, want.effects}) || s.Ledger().Class("activate") != s.Ledger().ID("1") {
+				t.Errorf("the client got %+v, the ledger has %+v", reply, s.Ledger().ID("1"))
 			}
 		})
 	}
 }
 
-// Keys are remembered for their window, by all of a fleet alike.
-func TestKeys(t *testing.T) {
+// A repeat of a key takes no effect at any server of the fleet within the window, and takes effect
+// after it. Without that, tests would miss repeats or report false ones.
+func TestKeysAreRememberedForTheirWindow(t *testing.T) {
 	for window, effects := range map[time.Duration]int{time.Hour: 1, 1: 3} {
-		l := NewLedger(window)
-		a, b := newServer(t, ServerConfig{Ledger: l}), newServer(t, ServerConfig{Ledger: l})
+		ledger := NewLedger(window)
+		a, b := newServer(t, ServerConfig{Ledger: ledger}), newServer(t, ServerConfig{Ledger: ledger})
 		for _, s := range []*Server{a, b, b} {
-			cl := NewClient(s.Addr())
-			cl.Do(context.Background(), Ask{ID: "1", Class: register, Key: "k"})
-			cl.Close()
+			client := NewClient(s.Addr())
+			client.Do(context.Background(), Ask{ID: "1", Class: registerClass, Key: "k"})
+			client.Close()
 		}
-		if c := l.ID("1"); c != (Count{3, effects}) {
-			t.Errorf("with %v: %+v", window, c)
+		if c := ledger.ID("1"); c != (Count{3, effects}) {
+			t.Errorf("window %v: the ledger has %+v", window, c)
 		}
-		if log := l.Log(); len(log) != 3 || log[2].Nth != 3 || !strings.Contains(l.String(), "1: 3 attempts") {
-			t.Errorf("%+v", log)
+		if log := ledger.Log(); len(log) != 3 || log[2].Nth != 3 || !strings.Contains(ledger.String(), "1: 3 attempts") {
+			t.Errorf("the arrivals are %+v", log)
 		}
 	}
 }
 
-// Chance comes from the seed, the request and its attempt alone.
-func TestRandom(t *testing.T) {
+// The choice of a random action depends on nothing but the seed, the request's id and the attempt's
+// number; otherwise a failing test could not be repeated.
+func TestRandomActionsDependOnSeedRequestAndAttempt(t *testing.T) {
 	draw := func(seed uint64) (all string) {
 		s := Random(seed, Odd{0.3, Act{Kind: Fail}}, Odd{0.3, Act{Kind: Decline}})
 		for n := range 200 {
@@ -111,149 +116,155 @@
 		return all
 	}
 	if one := draw(1); one != draw(1) || one == draw(2) {
-		t.Error("not by its seed")
+		t.Error("the choices don't follow from the seed")
 	}
 	if n := strings.Count(draw(1), "1"); n < 40 || n > 80 {
-		t.Errorf("%d of 200 fail, 60 are meant to", n)
+		t.Errorf("%d of 200 fail, expected about 60", n)
 	}
 	s := ByClass(map[string]Script{"a": Nth(Act{Kind: Fail}, Act{Kind: Decline})})
 	if s(Request{Class: "a", Nth: 1}).Kind != Fail || s(Request{Class: "a", Nth: 7}).Kind != Decline || s(Request{Class: "b", Nth: 1}).Kind != Serve {
-		t.Error("by class and number")
+		t.Error("the action is not that of the class and the attempt's number")
 	}
 }
 
+// A server answers nothing while frozen, declines while draining, refuses connections once killed,
+// and serves again after a restart.
 func TestFreezeKillRestartDrain(t *testing.T) {
 	s := newServer(t, ServerConfig{})
-	cl := NewClient(s.Addr())
-	defer cl.Close()
-	ask := func(within time.Duration) string {
-		ctx, cancel := context.WithTimeout(context.Background(), within)
+	client := NewClient(s.Addr())
+	defer client.Close()
+	askWithin := func(timeout time.Duration) string {
+		ctx, cancel := context.WithTimeout(context.Background(), timeout)
 		defer cancel()
-		return cl.Do(ctx, Ask{ID: "1", Class: check}).Verdict()
+		return client.Do(ctx, Ask{ID: "1", Class: checkClass}).Verdict()
 	}
 	s.Freeze()
-	if v := ask(50 * time.Millisecond); v != "none" {
-		t.Errorf("frozen: %s", v)
+	if verdict := askWithin(50 * time.Millisecond); verdict != "none" {
+		t.Errorf("frozen: the verdict is %s, expected none", verdict)
 	}
 	s.Thaw()
-	if v := ask(patience); v != "served" {
-		t.Errorf("thawed: %s", v)
+	if verdict := askWithin(testTimeout); verdict != "served" {
+		t.Errorf("thawed: the verdict is %s, expected served", verdict)
 	}
 	s.Drain()
-	if v := ask(patience); v != "refused" {
-		t.Errorf("draining: %s", v)
+	if verdict := askWithin(testTimeout); verdict != "refused" {
+		t.Errorf("draining: the verdict is %s, expected refused", verdict)
 	}
 	if log := s.Ledger().Log(); log[len(log)-1].Draining <= 0 {
-		t.Error("that it drains is not written down")
+		t.Error("the arrival is not recorded as draining")
 	}
 	s.Kill()
-	if v := ask(patience); v != "none" || s.Up() {
-		t.Errorf("killed: %s", v)
+	if verdict := askWithin(testTimeout); verdict != "none" || s.Up() {
+		t.Errorf("killed: the verdict is %s, expected none from a server that is down", verdict)
 	}
 	if err := s.Restart(); err != nil {
 		t.Fatal(err)
 	}
-	if v := ask(patience); v != "served" || !s.Up() {
-		t.Errorf("again: %s", v)
+	if verdict := askWithin(testTimeout); verdict != "served" || !s.Up() {
+		t.Errorf("restarted: the verdict is %s, expected served by a server that is up", verdict)
 	}
 }
 
-// A cold server that is sent far more than it can do falls over and stays down; one
-// that is warm only gets slow.
-func TestCold(t *testing.T) {
+// A cold server that receives far more than its rate stops and stays down, while a warm one only
+// gets slow. Without that, tests of cold starts would pass under any load.
+func TestColdServerFallsOverWhenOverloaded(t *testing.T) {
 	warm := newServer(t, ServerConfig{Rate: 10000, FallFactor: 2, FallFor: 10 * time.Millisecond})
-	cl := NewClient(warm.Addr())
-	defer cl.Close()
+	client := NewClient(warm.Addr())
+	defer client.Close()
 	for n := range 100 {
-		cl.Do(context.Background(), Ask{ID: fmt.Sprint(n), Class: check})
+		client.Do(context.Background(), Ask{ID: fmt.Sprint(n), Class: checkClass})
 	}
 	if warm.Fallen() {
-		t.Error("a warm one fell")
+		t.Error("the warm server stopped")
 	}
-	s := newServer(t, ServerConfig{Rate: 10, Cold: 0.1, WarmIn: time.Hour, FallFactor: 2, FallFor: time.Hour})
+	cold := newServer(t, ServerConfig{Rate: 10, Cold: 0.1, WarmIn: time.Hour, FallFactor: 2, FallFor: time.Hour})
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	s.cfg.FallFactor = 2 / time.Hour.Seconds() // two in an hour, so that no clock counts
+	cold.cfg.FallFactor = 2 / time.Hour.Seconds() // two requests an hour, so timing doesn't matter
 	for n := range 10 {
-		go NewClient(s.Addr()).Do(ctx, Ask{ID: fmt.Sprint(n), Class: check})
+		go NewClient(cold.Addr()).Do(ctx, Ask{ID: fmt.Sprint(n), Class: checkClass})
 	}
-	settle(t, "it stands", s.Fallen)
-	if s.Up() {
-		t.Error("it is up")
+	waitFor(t, "the cold server did not stop", cold.Fallen)
+	if cold.Up() {
+		t.Error("the cold server is up after it fell")
 	}
-	now := s.Started()
-	if w := s.warmth(now.Add(30 * time.Minute)); w < 0.5 || w > 0.6 {
-		t.Errorf("half way it has %v", w)
+	now := cold.Started()
+	if share := cold.rateShare(now.Add(30 * time.Minute)); share < 0.5 || share > 0.6 {
+		t.Errorf("half way through the warm-up the share of the rate is %v", share)
 	}
 }
 
-func lines(t *testing.T, d *Discovery, query string) (next func() listing, c net.Conn) {
+// openCatalog sends a request to discovery and returns a function that reads the next listing, with
+// Index -1 once the connection has ended.
+func openCatalog(t *testing.T, d *Discovery, query string) (next func() catalogListing, conn net.Conn) {
 	t.Helper()
-	c, err := net.Dial("tcp", d.Addr())
+	conn, err := net.Dial("tcp", d.Addr())
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(patience))
-	fmt.Fprintf(c, "GET /catalog/members%s HTTP/1.1\r\nHost: d\r\n\r\n", query)
-	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
+	t.Cleanup(func() { conn.Close() })
+	conn.SetDeadline(time.Now().Add(testTimeout))
+	fmt.Fprintf(conn, "GET /catalog/members%s HTTP/1.1\r\nHost: d\r\n\r\n", query)
+	resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	br := bufio.NewReader(resp.Body)
-	return func() (l listing) {
+	reader := bufio.NewReader(resp.Body)
+	return func() (listing catalogListing) {
 		t.Helper()
 		for {
-			text, err := br.ReadString('\n')
+			text, err := reader.ReadString('\n')
 			if len(strings.TrimSpace(text)) > 0 {
-				if err := json.Unmarshal([]byte(text), &l); err != nil {
+				if err := json.Unmarshal([]byte(text), &listing); err != nil {
 					t.Fatal(err)
 				}
-				return l
+				return listing
 			}
 			if err != nil {
-				return listing{Index: -1}
+				return catalogListing{Index: -1}
 			}
 		}
-	}, c
+	}, conn
 }
 
-func TestDiscovery(t *testing.T) {
+// A watcher gets a snapshot and then each change, except those that are dropped or delayed on
+// purpose; a move refuses new connections and an outage ends the watches.
+func TestDiscoverySnapshotsChangesAndFailures(t *testing.T) {
 	a, b := Endpoint{Name: "a", Status: "up"}, Endpoint{Name: "b", Status: "up"}
 	d, err := NewDiscovery(a)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer d.Close()
-	d.beat = 20 * time.Millisecond
-	next, _ := lines(t, d, "?watch=1")
-	if l := next(); !l.Snapshot || len(l.Endpoints) != 1 || l.Index != 1 {
-		t.Errorf("at first %+v", l)
+	d.heartbeatInterval = 20 * time.Millisecond
+	next, _ := openCatalog(t, d, "?watch=1")
+	if listing := next(); !listing.Snapshot || len(listing.Endpoints) != 1 || listing.Index != 1 {
+		t.Errorf("the first listing is %+v", listing)
 	}
-	settle(t, "nobody watches", func() bool { return d.Watching() == 1 })
+	waitFor(t, "the watch was not opened", func() bool { return d.Watching() == 1 })
 	d.Change(b)
-	if l := next(); l.Snapshot || len(l.Endpoints) != 1 || l.Endpoints[0] != b || l.Index != 2 {
-		t.Errorf("a change: %+v", l)
+	if listing := next(); listing.Snapshot || len(listing.Endpoints) != 1 || listing.Endpoints[0] != b || listing.Index != 2 {
+		t.Errorf("after a change: %+v", listing)
 	}
-	d.Lose(1)
+	d.DropChanges(1)
 	a.Status = "draining"
 	d.Change(a)
 	b.Status = "removed"
 	d.Change(b)
-	if l := next(); len(l.Endpoints) != 1 || l.Endpoints[0].Status != "removed" {
-		t.Errorf("after one that is lost: %+v", l)
+	if listing := next(); len(listing.Endpoints) != 1 || listing.Endpoints[0].Status != "removed" {
+		t.Errorf("after a dropped change: %+v", listing)
 	}
-	if l, _ := lines(t, d, ""); l().Endpoints[0].Status != "draining" {
-		t.Error("the whole list does not have what was lost")
+	if listing, _ := openCatalog(t, d, ""); listing().Endpoints[0].Status != "draining" {
+		t.Error("the snapshot lacks the dropped change")
 	}
-	if l, _ := lines(t, d, "?watch=1&after=3"); l().Index != 4 {
-		t.Error("what came after")
+	if listing, _ := openCatalog(t, d, "?watch=1&after=3"); listing().Index != 4 {
+		t.Error("the watch does not resume after its index")
 	}
 	d.Lag(50 * time.Millisecond)
-	began := time.Now()
+	start := time.Now()
 	d.Change(b)
-	if next(); time.Since(began) < 50*time.Millisecond {
-		t.Error("no lag")
+	if next(); time.Since(start) < 50*time.Millisecond {
+		t.Error("the change was not delayed")
 	}
 	old := d.Addr()
 	if err := d.Move(); err != nil || d.Addr() == old {
@@ -263,45 +274,47 @@
 		t.Error("the old address takes connections")
 	}
 	d.Down(true)
-	if l := next(); l.Index != -1 {
-		t.Errorf("down: %+v", l)
+	if listing := next(); listing.Index != -1 {
+		t.Errorf("down: got %+v, expected the end of the connection", listing)
 	}
 	resp, err := http.Get("http://" + d.Addr() + "/catalog/members")
 	if err != nil || resp.StatusCode != 503 {
-		t.Errorf("down: %v %v", resp, err)
+		t.Errorf("down: got %v and error %v, expected status 503", resp, err)
 	} else {
 		io.Copy(io.Discard, resp.Body)
 		resp.Body.Close()
 	}
-	settle(t, "a watch stays", func() bool { return d.Watching() == 0 })
+	waitFor(t, "the watch was not closed", func() bool { return d.Watching() == 0 })
 }
 
-func TestMix(t *testing.T) {
-	take := func() (all []Ask) {
+// Two mixes of the same seed give the same requests, each id once, in the shares of the classes;
+// otherwise a failing test could not be repeated.
+func TestMixRepeatsTheRequestsOfItsSeed(t *testing.T) {
+	drawRequests := func() (all []Ask) {
 		m := NewMix(4, Class{Name: "a", Share: 3}, Class{Name: "b", Effect: Keyed, Share: 1, BodySize: 5})
 		for range 400 {
 			all = append(all, m.Next())
 		}
 		return all
 	}
-	one, two := take(), take()
+	first, second := drawRequests(), drawRequests()
 	seen, keyed := make(map[string]bool), 0
-	for n := range one {
-		if one[n].ID != two[n].ID || one[n].Key != two[n].Key || seen[one[n].ID] {
-			t.Fatal("not the same ones, each once")
+	for n := range first {
+		if first[n].ID != second[n].ID || first[n].Key != second[n].Key || seen[first[n].ID] {
+			t.Fatal("the requests differ between runs or an id came twice")
 		}
-		seen[one[n].ID] = true
-		if one[n].Key != "" {
+		seen[first[n].ID] = true
+		if first[n].Key != "" {
 			keyed++
 		}
 	}
 	if keyed < 70 || keyed > 130 {
-		t.Errorf("%d of 400 keyed, 100 are meant to be", keyed)
+		t.Errorf("%d of 400 are keyed, expected about 100", keyed)
 	}
 }
 
-// Each server listens at a host of its own. At a shared one the port of a server that is down can
-// be given to another that starts meanwhile, and the first can't be restarted.
+// Each server listens on its own host. On a shared one the system can give the port of a stopped
+// server to another that starts in the meantime, and the first can't restart.
 func TestServersHaveHostsOfTheirOwn(t *testing.T) {
 	hosts := make(map[string]bool)
 	for range 300 {
@@ -315,7 +328,7 @@
 		}
 		s.Close()
 		if hosts[host] {
-			t.Fatalf("%s is given a second time, after %d servers", host, len(hosts))
+			t.Fatalf("host %s was given a second time, after %d servers", host, len(hosts))
 		}
 		hosts[host] = true
 	}
