--- a/internal/demo/calls.go
+++ b/internal/demo/calls.go
@@ -12,119 +12,122 @@
 	"chalkrack/internal/standin"
 )
 
-// retryMost is how often a client asks again that was refused, as the operators' do.
-const retryMost = 2
+// maxRetries is how often a client repeats a refused call, as the operators' clients do.
+const maxRetries = 2
 
-// tally is what became of a class's calls.
-type tally struct {
-	asked, served, late, refused, failed, none int
+// classTally counts the results of the calls of a class.
+type classTally struct {
+	asked, served, late, refused, failed, unanswered int
 }
 
-// calls is a world of HTTP calls, of the operators' three classes, before the daemon.
-type calls struct {
+// httpEnvironment runs the daemon between stand-in servers and clients that send HTTP calls of the
+// operators' three classes.
+type httpEnvironment struct {
 	cfg    Config
 	site   *rig.Site
 	daemon *rig.Daemon
 
-	mu      sync.Mutex
-	classes map[string]*tally
-	leftOut int
-	twice   int // calls of activate or id-register that took effect twice
+	mu            sync.Mutex
+	tallies       map[string]*classTally // by class
+	skippedCalls  int                    // because too many were under way
+	doubleEffects int                    // calls of activate or id-register with more than one effect
 }
 
-func newCalls(cfg Config) (*calls, error) {
+// newHTTPEnvironment starts the servers, discovery and the daemon. The caller must close it.
+func newHTTPEnvironment(cfg Config) (*httpEnvironment, error) {
 	site, err := rig.NewSite(rig.SiteConfig{
 		Servers: cfg.Servers, Classes: rig.Activation(),
-		Server: standin.ServerConfig{Script: work(cfg.Seed)},
+		Server: standin.ServerConfig{Script: healthyScript(cfg.Seed)},
 	})
 	if err != nil {
 		return nil, err
 	}
-	d, err := site.StartDaemon(cfg.Seed, "")
+	daemon, err := site.StartDaemon(cfg.Seed, "")
 	if err != nil {
 		site.Close()
 		return nil, err
 	}
-	m := &calls{cfg: cfg, site: site, daemon: d, classes: make(map[string]*tally)}
+	m := &httpEnvironment{cfg: cfg, site: site, daemon: daemon, tallies: make(map[string]*classTally)}
 	for _, c := range site.Config.Classes {
-		m.classes[c.Name] = new(tally)
+		m.tallies[c.Name] = new(classTally)
 	}
 	return m, nil
 }
 
-func (m *calls) about() string {
+func (m *httpEnvironment) description() string {
 	return fmt.Sprintf("daemon at %s, %d servers, discovery at %s", m.daemon.Addr, m.cfg.Servers, m.site.Discovery.Addr())
 }
 
-func (m *calls) stop() error { return m.daemon.Stop() }
+func (m *httpEnvironment) stopProxy() error { return m.daemon.Stop() }
 
-func (m *calls) close() { m.site.Close() }
+func (m *httpEnvironment) close() { m.site.Close() }
 
-// work is what a healthy server does: about 100 ms, as the operators' do.
-func work(seed uint64) standin.Script {
-	var odds []standin.Odd
+// healthyScript returns the script of a healthy server: it answers after about 100 ms, as the
+// operators' servers do.
+func healthyScript(seed uint64) standin.Script {
+	var actions []standin.Odd
 	for n := range 20 {
-		odds = append(odds, standin.Odd{Share: 0.05, Act: standin.Act{Delay: time.Duration(60+4*n) * time.Millisecond}})
+		actions = append(actions, standin.Odd{Share: 0.05, Act: standin.Act{Delay: time.Duration(60+4*n) * time.Millisecond}})
 	}
-	return standin.Random(seed, odds...)
+	return standin.Random(seed, actions...)
 }
 
-// arrivals sends calls at their times, whatever becomes of those before.
-func (m *calls) arrivals(ctx context.Context) {
-	var all []standin.Class
+// sendCalls starts each call at its time, whether or not earlier ones have ended.
+func (m *httpEnvironment) sendCalls(ctx context.Context) {
+	var classes []standin.Class
 	for n, c := range m.site.Config.Classes {
-		all = append(all, standin.Class{Name: c.Name, Effect: c.Effect, Share: []float64{52, 27, 21}[n], Deadline: c.Deadline, BodySize: 200})
+		classes = append(classes, standin.Class{Name: c.Name, Effect: c.Effect, Share: []float64{52, 27, 21}[n], Deadline: c.Deadline, BodySize: 200})
 	}
 	aims := make(map[string]time.Duration)
 	for _, c := range m.site.Config.Classes {
 		aims[c.Name] = c.Aim
 	}
-	mix := standin.NewMix(m.cfg.Seed, all...)
+	mix := standin.NewMix(m.cfg.Seed, classes...)
 	client := standin.NewClient(m.daemon.Addr)
 	defer client.Close()
-	left := arrive(ctx, m.cfg, func(*rand.Rand) func() {
-		a := mix.Next()
-		return func() { m.call(client, a, aims[a.Class.Name]) }
+	skipped := generateCalls(ctx, m.cfg, func(*rand.Rand) func() {
+		request := mix.Next()
+		return func() { m.makeCall(client, request, aims[request.Class.Name]) }
 	})
 	m.mu.Lock()
-	m.leftOut = left
+	m.skippedCalls = skipped
 	m.mu.Unlock()
 }
 
-// call makes one call as the operators' clients do: refused, it comes again when it is
-// told to.
-func (m *calls) call(c *standin.Client, a standin.Ask, aim time.Duration) {
-	began := time.Now()
-	r := c.Do(context.Background(), a)
-	for n := 1; n <= retryMost && r.Verdict() == "refused"; n++ {
-		time.Sleep(max(r.RetryAfter, 10*time.Millisecond))
-		again := a
-		again.ID = fmt.Sprintf("%s-%d", a.ID, n)
-		r = c.Do(context.Background(), again)
+// makeCall makes one call as the operators' clients do: it repeats a refused call after the time
+// that the answer asks for.
+func (m *httpEnvironment) makeCall(client *standin.Client, request standin.Ask, aim time.Duration) {
+	start := time.Now()
+	reply := client.Do(context.Background(), request)
+	for n := 1; n <= maxRetries && reply.Verdict() == "refused"; n++ {
+		time.Sleep(max(reply.RetryAfter, 10*time.Millisecond))
+		retry := request
+		retry.ID = fmt.Sprintf("%s-%d", request.ID, n)
+		reply = client.Do(context.Background(), retry)
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	t := m.classes[a.Class.Name]
-	t.asked++
-	switch r.Verdict() {
+	tally := m.tallies[request.Class.Name]
+	tally.asked++
+	switch reply.Verdict() {
 	case "served":
-		if t.served++; time.Since(began) > aim {
-			t.late++
+		if tally.served++; time.Since(start) > aim {
+			tally.late++
 		}
 	case "refused":
-		t.refused++
+		tally.refused++
 	case "failed":
-		t.failed++
+		tally.failed++
 	default:
-		t.none++
+		tally.unanswered++
 	}
 }
 
-// do carries a step out, with what discovery says of it.
-func (m *calls) do(s Step) (state string, err error) {
-	n := s.Server - 1
-	server := m.site.Servers[n]
-	switch s.Verb {
+// applyStep carries out a step and updates discovery. It returns the state of the server after it.
+func (m *httpEnvironment) applyStep(step Step) (state string, err error) {
+	index := step.Server - 1
+	server := m.site.Servers[index]
+	switch step.Verb {
 	case "freeze":
 		server.Freeze()
 		return "frozen", nil
@@ -132,34 +135,35 @@
 		server.Thaw()
 	case "kill":
 		server.Kill()
-		m.site.Discovery.Change(m.site.Endpoint(n, "removed"))
+		m.site.Discovery.Change(m.site.Endpoint(index, "removed"))
 		return "down", nil
 	case "restart":
 		if err := server.Restart(); err != nil {
 			return "", err
 		}
-		m.site.Discovery.Change(m.site.Endpoint(n, "up"))
+		m.site.Discovery.Change(m.site.Endpoint(index, "up"))
 	case "drain":
-		m.site.Discovery.Change(m.site.Endpoint(n, "draining"))
+		m.site.Discovery.Change(m.site.Endpoint(index, "draining"))
 		return "draining", nil
 	case "undrain":
-		m.site.Discovery.Change(m.site.Endpoint(n, "up"))
+		m.site.Discovery.Change(m.site.Endpoint(index, "up"))
 	}
 	return "up", nil
 }
 
-func (m *calls) table(b *strings.Builder) {
+func (m *httpEnvironment) writeTable(b *strings.Builder) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	fmt.Fprintf(b, "  %-13s %7s %7s %6s %8s %7s %10s %9s %8s\n", "class", "asked", "served", "late", "refused", "failed", "no answer", "attempts", "effects")
 	for _, c := range m.site.Config.Classes {
-		t, at := m.classes[c.Name], m.site.Ledger.Class(c.Name)
-		fmt.Fprintf(b, "  %-13s %7d %7d %6d %8d %7d %10d %9d %8d\n", c.Name, t.asked, t.served, t.late, t.refused, t.failed, t.none, at.Attempts, at.Effects)
+		tally, count := m.tallies[c.Name], m.site.Ledger.Class(c.Name)
+		fmt.Fprintf(b, "  %-13s %7d %7d %6d %8d %7d %10d %9d %8d\n", c.Name, tally.asked, tally.served, tally.late, tally.refused, tally.failed, tally.unanswered, count.Attempts, count.Effects)
 	}
 }
 
-// summary counts what happened twice.
-func (m *calls) summary(b *strings.Builder) error {
+// writeSummary writes how many effects happened twice. It returns an error if any did or if a call
+// had no answer.
+func (m *httpEnvironment) writeSummary(b *strings.Builder) error {
 	safe := make(map[string]bool)
 	for _, a := range m.site.Ledger.Log() {
 		safe[a.ID] = a.Class == "status-check"
@@ -168,16 +172,16 @@
 	defer m.mu.Unlock()
 	for id, c := range m.site.Ledger.IDs() {
 		if c.Effects > 1 && !safe[id] {
-			m.twice++
+			m.doubleEffects++
 		}
 	}
-	fmt.Fprintf(b, "  effects that happened twice: %d; calls left out at the limit of %d at once: %d\n", m.twice, held, m.leftOut)
-	none := 0
-	for _, t := range m.classes {
-		none += t.none
+	fmt.Fprintf(b, "  effects that happened twice: %d; calls skipped at the limit of %d at once: %d\n", m.doubleEffects, maxConcurrentCalls, m.skippedCalls)
+	unanswered := 0
+	for _, t := range m.tallies {
+		unanswered += t.unanswered
 	}
-	if none > 0 || m.twice > 0 {
-		return fmt.Errorf("demo: %d calls without an answer, %d effects that happened twice", none, m.twice)
+	if unanswered > 0 || m.doubleEffects > 0 {
+		return fmt.Errorf("demo: %d calls had no answer and %d effects happened twice, expected 0 of both", unanswered, m.doubleEffects)
 	}
 	return nil
 }
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -1,6 +1,5 @@
-// Package demo runs the sidecar before stand-in servers, a discovery and clients, all in
-// one process, and shows what becomes of the calls while servers are frozen, killed and
-// drained.
+// Package demo runs the sidecar between stand-in clients, servers and service discovery, all in one
+// process, and prints the results of the calls while servers are frozen, killed and drained.
 package demo
 
 import (
@@ -15,188 +14,198 @@
 )
 
 const (
-	durationMost = 10 * time.Minute
-	rateMost     = 2000
-	held         = 512 // calls under way at once; what comes beyond is left out and counted
+	maxDuration        = 10 * time.Minute
+	maxRate            = 2000
+	maxConcurrentCalls = 512 // calls beyond it are skipped and counted
 )
 
-// Config is what a demonstration is told.
+// Config configures a demonstration.
 type Config struct {
 	Servers int
 	Rate    float64 // calls a second
 	For     time.Duration
 	Seed    uint64
-	Radius  bool // counter terminals in place of HTTP calls
+	Radius  bool // RADIUS requests of counter terminals instead of HTTP calls
 	Script  []Step
-	Keys    io.Reader // lines with further steps; nil: none
+	Keys    io.Reader // lines with further steps; nil for none
 	Out     io.Writer
-	Live    bool // Out is a terminal: draw over what stands there
+	Live    bool // Out is a terminal, whose screen is redrawn
 }
 
-// world is what is shown: a proxy, its servers and its clients.
-type world interface {
-	about() string
-	// arrivals sends calls at their times until ctx is done, and returns once all have
-	// ended.
-	arrivals(ctx context.Context)
-	do(Step) (state string, err error) // of the server, after it
-	table(*strings.Builder)
-	// summary adds what is known at the end. An error says that a rule was broken.
-	summary(*strings.Builder) error
-	stop() error // the proxy, as SIGTERM does
+// environment is what a demonstration runs: a proxy, its servers and its clients.
+type environment interface {
+	// description returns the addresses and sizes for the first line of output.
+	description() string
+	// sendCalls starts calls at random times until ctx is done. It returns when all of them
+	// have ended.
+	sendCalls(ctx context.Context)
+	// applyStep carries out a step and returns the state of its server afterwards.
+	applyStep(Step) (state string, err error)
+	// writeTable writes the results so far.
+	writeTable(*strings.Builder)
+	// writeSummary writes the totals at the end. It returns an error if a call had no answer or
+	// an effect happened twice or not at all.
+	writeSummary(*strings.Builder) error
+	// stopProxy stops the proxy as SIGTERM does and waits for it.
+	stopProxy() error
 	close()
 }
 
+// demo is a demonstration that runs.
 type demo struct {
-	cfg   Config
-	world world
+	cfg         Config
+	environment environment
 
-	mu    sync.Mutex
-	state []string // of each server
-	notes []string
+	mu           sync.Mutex
+	serverStates []string // by the server's index; for example up or frozen
+	notes        []string
 }
 
-// Run runs a demonstration to its end. An error says that it could not be run, or that
-// a call had no answer or an effect happened twice.
+// Run runs a demonstration and blocks until it ends. It returns an error if cfg is invalid, if the
+// demonstration can't run, if a call had no answer, or if an effect happened twice or not at all.
 func Run(ctx context.Context, cfg Config) error {
 	switch {
 	case cfg.Servers < 1 || cfg.Servers > 32:
-		return fmt.Errorf("demo: servers must be within 1 and 32")
-	case !(cfg.Rate > 0 && cfg.Rate <= rateMost):
-		return fmt.Errorf("demo: rate must be above 0 and at most %d", rateMost)
-	case cfg.For <= 0 || cfg.For > durationMost:
-		return fmt.Errorf("demo: the time must be above 0 and at most %v", durationMost)
+		return fmt.Errorf("demo: the number of servers must be from 1 to 32")
+	case !(cfg.Rate > 0 && cfg.Rate <= maxRate):
+		return fmt.Errorf("demo: the rate must be above 0 and at most %d calls a second", maxRate)
+	case cfg.For <= 0 || cfg.For > maxDuration:
+		return fmt.Errorf("demo: the duration must be above 0 and at most %v", maxDuration)
 	}
-	var w world
+	var env environment
 	var err error
 	if cfg.Radius {
-		w, err = newTerminals(cfg)
+		env, err = newRadiusEnvironment(cfg)
 	} else {
-		w, err = newCalls(cfg)
+		env, err = newHTTPEnvironment(cfg)
 	}
 	if err != nil {
 		return fmt.Errorf("demo: %w", err)
 	}
-	defer w.close()
-	m := &demo{cfg: cfg, world: w, state: make([]string, cfg.Servers)}
-	for n := range m.state {
-		m.state[n] = "up"
+	defer env.close()
+	m := &demo{cfg: cfg, environment: env, serverStates: make([]string, cfg.Servers)}
+	for n := range m.serverStates {
+		m.serverStates[n] = "up"
 	}
-	fmt.Fprintf(cfg.Out, "%s, %.0f calls a second for %v, seed %d\n", w.about(), cfg.Rate, cfg.For, cfg.Seed)
+	fmt.Fprintf(cfg.Out, "%s, %.0f calls a second for %v, seed %d\n", env.description(), cfg.Rate, cfg.For, cfg.Seed)
 	if cfg.Keys != nil {
 		fmt.Fprintln(cfg.Out, "type f2 and Enter to freeze server 2; t thaws, k kills, r restarts, d drains, u undrains; q ends")
 	}
-	m.play(ctx)
-	err = w.stop()
-	var b strings.Builder
-	b.WriteString("summary\n")
-	w.table(&b)
-	broken := w.summary(&b)
-	io.WriteString(cfg.Out, b.String())
+	m.runSteps(ctx)
+	err = env.stopProxy()
+	var summary strings.Builder
+	summary.WriteString("summary\n")
+	env.writeTable(&summary)
+	violation := env.writeSummary(&summary)
+	io.WriteString(cfg.Out, summary.String())
 	if err != nil {
 		return fmt.Errorf("demo: %w", err)
 	}
-	return broken
+	return violation
 }
 
-func (m *demo) play(ctx context.Context) {
+// runSteps sends calls and carries out steps, from the script and from the keyboard, until the
+// duration is over, ctx is done or "q" is typed.
+func (m *demo) runSteps(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, m.cfg.For)
 	defer cancel()
-	began := time.Now()
+	start := time.Now()
 	var wg sync.WaitGroup
 	defer wg.Wait()
-	typed := make(chan string)
+	typedLines := make(chan string)
 	if m.cfg.Keys != nil {
-		go func() { // ends with the process at the latest: a read of a terminal can't be called off
+		go func() { // may last until the process ends: a read from a terminal can't be cancelled
 			lines := bufio.NewScanner(m.cfg.Keys)
 			for lines.Scan() {
 				select {
-				case typed <- lines.Text():
+				case typedLines <- lines.Text():
 				case <-ctx.Done():
 					return
 				}
 			}
 		}()
 	}
-	wg.Go(func() { m.world.arrivals(ctx) })
+	wg.Go(func() { m.environment.sendCalls(ctx) })
 	steps := m.cfg.Script
-	show := time.NewTicker(time.Second)
-	defer show.Stop()
+	refresh := time.NewTicker(time.Second)
+	defer refresh.Stop()
 	for {
-		var next <-chan time.Time
+		var nextStep <-chan time.Time
 		if len(steps) > 0 {
-			next = time.After(time.Until(began.Add(steps[0].At)))
+			nextStep = time.After(time.Until(start.Add(steps[0].At)))
 		}
 		select {
 		case <-ctx.Done():
 			return
-		case <-next:
-			m.do(steps[0])
+		case <-nextStep:
+			m.applyStep(steps[0])
 			steps = steps[1:]
-		case text := <-typed:
+		case text := <-typedLines:
 			if strings.TrimSpace(text) == "q" {
 				return
 			}
 			step, err := ParseKeys(text, m.cfg.Servers)
 			if err != nil {
-				m.note(err.Error())
+				m.addNote(err.Error())
 				continue
 			}
-			m.do(step)
-		case <-show.C:
-			m.show(time.Since(began))
+			m.applyStep(step)
+		case <-refresh.C:
+			m.printState(time.Since(start))
 		}
 	}
 }
 
-func (m *demo) do(s Step) {
-	state, err := m.world.do(s)
+// applyStep carries out a step and notes it.
+func (m *demo) applyStep(step Step) {
+	state, err := m.environment.applyStep(step)
 	if err != nil {
-		m.note(err.Error())
+		m.addNote(err.Error())
 		return
 	}
 	m.mu.Lock()
-	m.state[s.Server-1] = state
+	m.serverStates[step.Server-1] = state
 	m.mu.Unlock()
-	m.note(fmt.Sprintf("%s server %d", s.Verb, s.Server))
+	m.addNote(fmt.Sprintf("%s server %d", step.Verb, step.Server))
 }
 
-// arrive makes calls at random times until ctx is done, and returns once all have ended.
-// next is asked for each of them, in turn. It says how many were left out at the limit
-// of those under way at once.
-func arrive(ctx context.Context, cfg Config, next func(*rand.Rand) (call func())) (leftOut int) {
+// generateCalls starts calls at random times until ctx is done, and returns when all of them have
+// ended. It takes each call from next, which is never called concurrently. It returns how many
+// calls it skipped because maxConcurrentCalls were under way.
+func generateCalls(ctx context.Context, cfg Config, next func(*rand.Rand) (call func())) (skipped int) {
 	rng := rand.New(rand.NewPCG(cfg.Seed, 3))
-	room := make(chan struct{}, held)
+	slots := make(chan struct{}, maxConcurrentCalls)
 	var wg sync.WaitGroup
 	defer wg.Wait()
 	for at := time.Now(); ; {
 		at = at.Add(time.Duration(rng.ExpFloat64() / cfg.Rate * float64(time.Second)))
 		select {
 		case <-ctx.Done():
-			return leftOut
+			return skipped
 		case <-time.After(time.Until(at)):
 		}
 		call := next(rng)
 		select {
-		case room <- struct{}{}:
+		case slots <- struct{}{}:
 		default:
-			leftOut++
+			skipped++
 			continue
 		}
 		wg.Go(func() {
-			defer func() { <-room }()
+			defer func() { <-slots }()
 			call()
 		})
 	}
 }
 
-// notesMost is how many notes are shown.
-const notesMost = 4
+// maxNotes is how many notes are shown on a terminal.
+const maxNotes = 4
 
-func (m *demo) note(text string) {
+// addNote shows a note: with the next state on a terminal, at once elsewhere.
+func (m *demo) addNote(text string) {
 	m.mu.Lock()
 	m.notes = append(m.notes, text)
-	if len(m.notes) > notesMost {
+	if len(m.notes) > maxNotes {
 		m.notes = m.notes[1:]
 	}
 	m.mu.Unlock()
@@ -205,19 +214,20 @@
 	}
 }
 
-func (m *demo) show(since time.Duration) {
+// printState prints the states of the servers and the results so far.
+func (m *demo) printState(elapsed time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	var b strings.Builder
 	if m.cfg.Live {
 		b.WriteString("\x1b[H\x1b[2J")
 	}
-	fmt.Fprintf(&b, "%3.0f s ", since.Seconds())
-	for n, s := range m.state {
+	fmt.Fprintf(&b, "%3.0f s ", elapsed.Seconds())
+	for n, s := range m.serverStates {
 		fmt.Fprintf(&b, " %d:%s", n+1, s)
 	}
 	b.WriteByte('\n')
-	m.world.table(&b)
+	m.environment.writeTable(&b)
 	if m.cfg.Live {
 		for _, n := range m.notes {
 			fmt.Fprintln(&b, "  *", n)
--- a/internal/demo/terminals.go
+++ b/internal/demo/terminals.go
@@ -15,44 +15,47 @@
 	"chalkrack/internal/standin"
 )
 
-// What terminals meet on their way: datagrams are lost, doubled and overtaken, each way.
+// Shares of the datagrams between terminals and proxy that are lost, duplicated and delayed so that
+// later ones overtake them, in each direction.
 const (
-	radiusLoss   = 0.05
-	radiusDouble = 0.02
-	radiusLate   = 0.02
+	lossShare      = 0.05
+	duplicateShare = 0.02
+	delayShare     = 0.02
 )
 
 const (
 	terminalSecret = "of the terminals"
 	serverSecret   = "of the servers"
-	// grace is what a server that has left may still get new calls.
-	grace = time.Second
+	// drainGrace is how long a server that has left discovery may still get new calls.
+	drainGrace = time.Second
 )
 
-// terminals is a world of counter terminals that ask for access and send accounting over
-// RADIUS.
-type terminals struct {
+// radiusEnvironment runs the RADIUS proxy between stand-in servers and counter terminals that
+// request access and send accounting events.
+type radiusEnvironment struct {
 	cfg       Config
 	ledger    *standin.RadiusLedger
 	servers   []*standin.RadiusServer
 	discovery *standin.Discovery
 	proxy     *proxy.Proxy
-	relays    map[bool]*standin.Relay // by accounting
-	clients   map[bool]*standin.RadiusClient
+	relays    map[bool]*standin.Relay        // by accounting
+	clients   map[bool]*standin.RadiusClient // by accounting
 
-	mu      sync.Mutex
-	tallies map[string]*replies
-	counted map[string]bool // events, whether they were answered
-	leftOut int
+	mu              sync.Mutex
+	tallies         map[string]*terminalTally // of access and accounting
+	answeredByEvent map[string]bool           // whether each accounting event was answered
+	skippedCalls    int                       // because too many were under way
 }
 
-// replies is what became of calls.
-type replies struct{ asked, accepted, rejected, none, packets int }
+// terminalTally counts the results of calls, and the packets that terminals sent for them.
+type terminalTally struct{ asked, accepted, rejected, unanswered, packets int }
 
-func newTerminals(cfg Config) (m *terminals, err error) {
-	m = &terminals{
+// newRadiusEnvironment starts the servers, discovery, the proxy and the lossy relays before it. The
+// caller must close it.
+func newRadiusEnvironment(cfg Config) (m *radiusEnvironment, err error) {
+	m = &radiusEnvironment{
 		cfg: cfg, ledger: standin.NewRadiusLedger(), relays: make(map[bool]*standin.Relay), clients: make(map[bool]*standin.RadiusClient),
-		tallies: map[string]*replies{"access": {}, "accounting": {}}, counted: make(map[string]bool),
+		tallies: map[string]*terminalTally{"access": {}, "accounting": {}}, answeredByEvent: make(map[string]bool),
 	}
 	defer func() {
 		if err != nil {
@@ -65,32 +68,32 @@
 			return nil, err
 		}
 		m.servers = append(m.servers, s)
-		s.Do(func(seen standin.RadiusSeen) standin.RadiusAct {
+		s.Do(func(request standin.RadiusSeen) standin.RadiusAct {
 			act := standin.RadiusAct{Delay: 20 * time.Millisecond}
-			if seen.Password == wrongPIN {
+			if request.Password == wrongPIN {
 				act.Kind = standin.RadiusReject
 			}
 			return act
 		})
 	}
-	var list []standin.Endpoint
+	var endpoints []standin.Endpoint
 	for n := range m.servers {
-		list = append(list, m.endpoint(n, "up"))
+		endpoints = append(endpoints, m.endpoint(n, "up"))
 	}
-	if m.discovery, err = standin.NewDiscovery(list...); err != nil {
+	if m.discovery, err = standin.NewDiscovery(endpoints...); err != nil {
 		return nil, err
 	}
-	sec := features.Default().Radius
-	sec.Enabled, sec.Auth, sec.Acct = true, "127.0.0.1:0", "127.0.0.1:0"
-	sec.Clients = []features.RadiusClient{{Name: "terminals", Range: "127.0.0.0/8", Secret: terminalSecret}}
-	sec.AuthDiscovery, sec.AcctDiscovery, sec.DiscoverySecret = m.discovery.Addr(), m.discovery.Addr(), serverSecret
-	sec.MaxCallsPerClient = held
-	sec.Accounting.Deadline, sec.Accounting.AttemptTimeout = duration.Duration(5*time.Second), duration.Duration(5*time.Second)
-	if m.proxy, err = proxy.New(proxy.Config{Radius: sec, Base: chalkrack.Config{Instances: 1, MaxRetryAfter: time.Second}, Grace: grace, Seed: cfg.Seed}); err != nil {
+	radiusConfig := features.Default().Radius
+	radiusConfig.Enabled, radiusConfig.Auth, radiusConfig.Acct = true, "127.0.0.1:0", "127.0.0.1:0"
+	radiusConfig.Clients = []features.RadiusClient{{Name: "terminals", Range: "127.0.0.0/8", Secret: terminalSecret}}
+	radiusConfig.AuthDiscovery, radiusConfig.AcctDiscovery, radiusConfig.DiscoverySecret = m.discovery.Addr(), m.discovery.Addr(), serverSecret
+	radiusConfig.MaxCallsPerClient = maxConcurrentCalls
+	radiusConfig.Accounting.Deadline, radiusConfig.Accounting.AttemptTimeout = duration.Duration(5*time.Second), duration.Duration(5*time.Second)
+	if m.proxy, err = proxy.New(proxy.Config{Radius: radiusConfig, Base: chalkrack.Config{Instances: 1, MaxRetryAfter: time.Second}, Grace: drainGrace, Seed: cfg.Seed}); err != nil {
 		return nil, err
 	}
 	for _, accounting := range []bool{false, true} {
-		relay, err := standin.NewRelay(m.proxy.Addr(accounting).String(), cfg.Seed, radiusLoss, radiusDouble, radiusLate)
+		relay, err := standin.NewRelay(m.proxy.Addr(accounting).String(), cfg.Seed, lossShare, duplicateShare, delayShare)
 		if err != nil {
 			return nil, err
 		}
@@ -100,73 +103,78 @@
 	return m, nil
 }
 
-func (m *terminals) endpoint(n int, status string) standin.Endpoint {
+func (m *radiusEnvironment) endpoint(n int, status string) standin.Endpoint {
 	s := m.servers[n]
 	return standin.Endpoint{Name: s.Name, Address: s.Addr(), Zone: "z", Status: status, Weight: 1}
 }
 
-func (m *terminals) about() string {
-	return fmt.Sprintf("RADIUS proxy, access at %v and accounting at %v, %d servers, %.0f %% of datagrams lost each way before it", m.proxy.Addr(false), m.proxy.Addr(true), m.cfg.Servers, radiusLoss*100)
+func (m *radiusEnvironment) description() string {
+	return fmt.Sprintf("RADIUS proxy, access at %v and accounting at %v, %d servers, %.0f %% of datagrams lost each way before it", m.proxy.Addr(false), m.proxy.Addr(true), m.cfg.Servers, lossShare*100)
 }
 
-// wrongPIN is what servers reject.
+// wrongPIN is the password that servers reject.
 const wrongPIN = "0000"
 
-// A terminal sends a request so often, and waits so long for each.
+// A terminal sends at most terminalMaxPackets packets for a request and waits
+// terminalResendInterval for an answer to each.
 const (
-	terminalTries = 10
-	terminalEach  = time.Second
+	terminalMaxPackets     = 10
+	terminalResendInterval = time.Second
 )
 
-func (m *terminals) arrivals(ctx context.Context) {
+// sendCalls sends access requests and accounting events in turn. A tenth of the access requests
+// have a wrong PIN, and half of the events get a new identifier with each retransmission.
+func (m *radiusEnvironment) sendCalls(ctx context.Context) {
 	n := -1
-	left := arrive(ctx, m.cfg, func(rng *rand.Rand) func() {
+	skipped := generateCalls(ctx, m.cfg, func(rng *rand.Rand) func() {
 		n++
-		a := standin.RadiusAsk{NAS: "shop", Tries: terminalTries, Each: terminalEach}
+		request := standin.RadiusAsk{NAS: "shop", Tries: terminalMaxPackets, Each: terminalResendInterval}
 		if n%2 == 0 {
-			a.User, a.Password = fmt.Sprint("u", n), "1234"
+			request.User, request.Password = fmt.Sprint("u", n), "1234"
 			if rng.Float64() < 0.1 {
-				a.Password = wrongPIN
+				request.Password = wrongPIN
 			}
 		} else {
-			a.Session, a.Status, a.At = fmt.Sprint("s", n), uint32(1+n/2%3), time.Now()
-			a.NewID = n%4 == 1
+			request.Session, request.Status, request.At = fmt.Sprint("s", n), uint32(1+n/2%3), time.Now()
+			request.NewID = n%4 == 1
 		}
-		return func() { m.call(a) }
+		return func() { m.makeCall(request) }
 	})
 	m.mu.Lock()
-	m.leftOut = left
+	m.skippedCalls = skipped
 	m.mu.Unlock()
 }
 
-func (m *terminals) call(a standin.RadiusAsk) {
+// makeCall makes one call and counts its result.
+func (m *radiusEnvironment) makeCall(request standin.RadiusAsk) {
 	class := "access"
-	if a.User == "" {
+	if request.User == "" {
 		class = "accounting"
 	}
-	reply := m.clients[a.User == ""].Do(a)
+	reply := m.clients[request.User == ""].Do(request)
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	t := m.tallies[class]
-	t.asked++
-	t.packets += reply.Packets
+	tally := m.tallies[class]
+	tally.asked++
+	tally.packets += reply.Packets
 	switch {
 	case reply.Code == 0:
-		t.none++
+		tally.unanswered++
 	case reply.Code.String() == "Access-Reject":
-		t.rejected++
+		tally.rejected++
 	default:
-		t.accepted++
+		tally.accepted++
 	}
-	if a.User == "" {
-		m.counted[fmt.Sprintf("%s %s %d %v", a.NAS, a.Session, a.Status, a.At.Unix())] = reply.Code != 0
+	if request.User == "" {
+		m.answeredByEvent[fmt.Sprintf("%s %s %d %v", request.NAS, request.Session, request.Status, request.At.Unix())] = reply.Code != 0
 	}
 }
 
-func (m *terminals) do(s Step) (state string, err error) {
-	n := s.Server - 1
-	server := m.servers[n]
-	switch s.Verb {
+// applyStep carries out a step. Only drain and undrain show in discovery.
+func (m *radiusEnvironment) applyStep(step Step) (state string, err error) {
+	index := step.Server - 1
+	server := m.servers[index]
+	switch step.Verb {
 	case "freeze":
 		server.Freeze(true)
 		return "frozen", nil
@@ -180,15 +188,15 @@
 			return "", err
 		}
 	case "drain":
-		m.discovery.Change(m.endpoint(n, "draining"))
+		m.discovery.Change(m.endpoint(index, "draining"))
 		return "draining", nil
 	case "undrain":
-		m.discovery.Change(m.endpoint(n, "up"))
+		m.discovery.Change(m.endpoint(index, "up"))
 	}
 	return "up", nil
 }
 
-func (m *terminals) table(b *strings.Builder) {
+func (m *radiusEnvironment) writeTable(b *strings.Builder) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	fmt.Fprintf(b, "  %-11s %7s %9s %9s %10s %8s %7s %11s %9s %9s\n", "calls", "asked", "accepted", "rejected", "no answer", "packets", "joined", "remembered", "given up", "resent")
@@ -197,45 +205,47 @@
 		if accounting {
 			name = "accounting"
 		}
-		t := m.tallies[name]
-		l, s := m.proxy.Counts(accounting)
-		fmt.Fprintf(b, "  %-11s %7d %9d %9d %10d %8d %7d %11d %9d %9d\n", name, t.asked, t.accepted, t.rejected, t.none, t.packets, l.Joined, l.Remembered, l.Rejected+l.GivenUp, s.Resent)
+		tally := m.tallies[name]
+		listenerCounts, transportCounts := m.proxy.Counts(accounting)
+		fmt.Fprintf(b, "  %-11s %7d %9d %9d %10d %8d %7d %11d %9d %9d\n", name, tally.asked, tally.accepted, tally.rejected, tally.unanswered, tally.packets, listenerCounts.Joined, listenerCounts.Remembered, listenerCounts.Rejected+listenerCounts.GivenUp, transportCounts.Resent)
 	}
 }
 
-func (m *terminals) summary(b *strings.Builder) error {
+// writeSummary writes how often the answered events were counted. It returns an error if an access
+// call had no answer, an event was counted twice or an answered event was not counted.
+func (m *radiusEnvironment) writeSummary(b *strings.Builder) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	twice, missing, once := 0, 0, 0
-	for name, answered := range m.counted {
+	countedTwice, notCounted, countedOnce := 0, 0, 0
+	for name, answered := range m.answeredByEvent {
 		c := m.ledger.Of(name)
 		switch {
 		case c.Effects > 1:
-			twice++
+			countedTwice++
 		case answered && c.Effects == 0:
-			missing++
+			notCounted++
 		case answered:
-			once++
+			countedOnce++
 		}
 	}
-	fmt.Fprintf(b, "  events answered and counted once: %d; counted twice: %d; answered and not counted: %d; calls left out at the limit of %d at once: %d\n", once, twice, missing, held, m.leftOut)
-	if none := m.tallies["access"].none; none > 0 || twice > 0 || missing > 0 {
-		return fmt.Errorf("demo: %d access calls without an answer, %d events counted twice, %d not counted", none, twice, missing)
+	fmt.Fprintf(b, "  events answered and counted once: %d; counted twice: %d; answered and not counted: %d; calls skipped at the limit of %d at once: %d\n", countedOnce, countedTwice, notCounted, maxConcurrentCalls, m.skippedCalls)
+	if unanswered := m.tallies["access"].unanswered; unanswered > 0 || countedTwice > 0 || notCounted > 0 {
+		return fmt.Errorf("demo: %d access calls had no answer, %d events were counted twice and %d answered events were not counted, expected 0 of each", unanswered, countedTwice, notCounted)
 	}
 	return nil
 }
 
-func (m *terminals) stop() error {
+func (m *radiusEnvironment) stopProxy() error {
 	m.proxy.ShutDownWithin(time.Second)
-	for end := time.Now().Add(2 * time.Second); m.proxy.Held() > 0; time.Sleep(10 * time.Millisecond) {
-		if time.Now().After(end) {
-			return fmt.Errorf("%d calls have no end", m.proxy.Held())
+	for deadline := time.Now().Add(2 * time.Second); m.proxy.Held() > 0; time.Sleep(10 * time.Millisecond) {
+		if time.Now().After(deadline) {
+			return fmt.Errorf("%d calls are still under way 2 s after the stop", m.proxy.Held())
 		}
 	}
 	return nil
 }
 
-func (m *terminals) close() {
+func (m *radiusEnvironment) close() {
 	if m.proxy != nil {
 		m.proxy.Close()
 	}
