--- a/internal/standin/act.go
+++ b/internal/standin/act.go
@@ -91,8 +91,8 @@
 // Always returns a Script that treats all requests alike.
 func Always(a Act) Script { return func(Request) Act { return a } }
 
-// Nth returns a Script that applies the given actions to the attempts of each request in order. The
-// last action also applies to all later attempts.
+// Nth returns a Script that applies the given actions to the attempts of each request in order.
+// The last action also applies to all later attempts.
 func Nth(acts ...Act) Script {
 	return func(r Request) Act { return acts[min(r.Nth, len(acts))-1] }
 }
--- a/internal/standin/disk.go
+++ b/internal/standin/disk.go
@@ -31,7 +31,8 @@
 // NewDisk returns a Disk without faults.
 func NewDisk() *Disk { return &Disk{freeBytes: -1} }
 
-// Room sets how many more bytes can be written before a write fails with ENOSPC; -1 sets no limit.
+// Room sets how many more bytes can be written before writes fail with ENOSPC; -1 sets no
+// limit.
 func (d *Disk) Room(bytes int64) { d.withLock(func() { d.freeBytes = bytes }) }
 
 // NoFiles makes Create fail with err; nil ends the fault.
--- a/internal/standin/radius.go
+++ b/internal/standin/radius.go
@@ -202,8 +202,8 @@
 	s.frozen = frozen
 }
 
-// Bad returns how many packets failed verification, how many lacked a valid Message-Authenticator,
-// and how many Status-Server packets the server answered.
+// Bad returns how many packets failed verification, how many lacked a valid
+// Message-Authenticator, and how many Status-Server packets the server answered.
 func (s *RadiusServer) Bad() (unverified, unsigned, statusRequests int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -681,14 +681,16 @@
 	return RadiusReply{Code: packet.Code, Packet: packet, Packets: 1}
 }
 
-// Got returns how many verified packets of a call or event this server received, with duplicates.
+// Got returns how many verified packets of a call or event this server received, with
+// duplicates.
 func (s *RadiusServer) Got(name string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.packetsByName[name]
 }
 
-// Names returns the calls and events of which this server received packets, in no fixed order.
+// Names returns the calls and events of which this server received packets, in no fixed
+// order.
 func (s *RadiusServer) Names() (all []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/standin/server.go
+++ b/internal/standin/server.go
@@ -19,8 +19,8 @@
 	Name   string
 	Ledger *Ledger // shared by the fleet; nil for a Ledger of its own
 	Script Script  // nil serves every request
-	// Rate is how many requests a second a warm server can serve; 0 sets no limit. Requests
-	// beyond it wait in a queue and are answered late, in the order in which they came.
+	// Rate is how many requests a second a warm server can serve; 0 sets no limit.
+	// Requests beyond it wait in a queue and are answered late, in the order in which they came.
 	Rate float64
 	// Cold is the share of the request rate that a server has at its start; 0 means that it
 	// starts warm. The share rises linearly to 1.
