--- a/internal/rehearse/rehearse.go
+++ b/internal/rehearse/rehearse.go
@@ -1,5 +1,5 @@
-// Package rehearse runs a daemon, stand-in servers and a load together, and judges what
-// came of it by the operators' rules.
+// Package rehearse runs a daemon with stand-in servers under the load of a scenario and checks the
+// result against the operators' rules.
 package rehearse
 
 import (
@@ -22,20 +22,21 @@
 )
 
 //go:embed scenarios/*.toml
-var library embed.FS
+var scenarioFiles embed.FS
 
-// Names are the scenarios of the library.
+// Names returns the names of the library's scenarios, which are embedded in the program.
 func Names() []string {
-	files, _ := fs.Glob(library, "scenarios/*.toml")
+	files, _ := fs.Glob(scenarioFiles, "scenarios/*.toml")
 	for n, f := range files {
 		files[n] = strings.TrimSuffix(path.Base(f), ".toml")
 	}
 	return files
 }
 
-// Read reads a scenario of the library by its name, or a file.
+// Read returns the library's scenario of that name or, without one, reads the scenario file at that
+// path.
 func Read(name string) (*load.Scenario, error) {
-	if data, err := library.ReadFile("scenarios/" + name + ".toml"); err == nil {
+	if data, err := scenarioFiles.ReadFile("scenarios/" + name + ".toml"); err == nil {
 		return load.ParseScenario(data)
 	}
 	s, err := load.ReadScenario(name)
@@ -45,118 +46,125 @@
 	return s, nil
 }
 
-// drainGrace is the platform's, as the rig's daemon is told; graceSlack is for what is
-// on its way when it ends.
+// drainGrace is the platform's grace for draining servers; the daemon's configuration from package
+// rig contains the same value. drainGraceMargin allows for requests that are on their way when the
+// grace ends.
 const (
-	drainGrace = 2 * time.Second
-	graceSlack = 250 * time.Millisecond
+	drainGrace       = 2 * time.Second
+	drainGraceMargin = 250 * time.Millisecond
 )
 
+// rehearsal is one run of a scenario.
 type rehearsal struct {
-	s    *load.Scenario
-	site *rig.Site
-	note func(string)
+	scenario *load.Scenario
+	site     *rig.Site
+	note     func(string) // reports each event and each error of one
 
-	mu  sync.Mutex
-	lag time.Duration // the most that discovery was told to lag
+	mu     sync.Mutex
+	maxLag time.Duration // the longest delay that was set for discovery
 }
 
-// By says who decides on a rehearsal's calls.
+// By selects who decides on a rehearsal's calls: the daemon, the plug-in or both.
 type By string
 
-// The ways of a rehearsal's calls.
+// The ways in which a rehearsal's calls are decided on.
 const (
-	ByDaemon By = "daemon"
-	ByPlugin By = "plugin" // in the clients' process, with the daemon's settings
-	ByBoth   By = "both"   // the plug-in by way of the daemon
+	ViaDaemon          By = "daemon"
+	ViaPlugin          By = "plugin" // the plug-in in the clients' process, with the daemon's settings
+	ViaPluginAndDaemon By = "both"   // the plug-in, which sends its calls through the daemon
 )
 
-// protocol is the way of the calls; end closes it.
-func (r *rehearsal) protocol(by By, daemon string) (p load.Protocol, end func(), err error) {
-	if by == ByDaemon {
-		return &load.HTTP1{Addr: daemon}, func() {}, nil
+// newProtocol returns the protocol that sends the calls. The caller closes it with closeProtocol.
+func (r *rehearsal) newProtocol(callPath By, daemonAddr string) (p load.Protocol, closeProtocol func(), err error) {
+	if callPath == ViaDaemon {
+		return &load.HTTP1{Addr: daemonAddr}, func() {}, nil
 	}
-	cfg := client.Config{Platform: r.site.JSON(daemon, r.s.Seed), Seed: r.s.Seed, MaxCalls: r.s.Limits.Outstanding, MaxConns: r.s.Limits.Connections, Log: slog.Default()}
-	if by == ByBoth {
-		cfg.Daemon = daemon
+	cfg := client.Config{Platform: r.site.JSON(daemonAddr, r.scenario.Seed), Seed: r.scenario.Seed, MaxCalls: r.scenario.Limits.Outstanding, MaxConns: r.scenario.Limits.Connections, Log: slog.Default()}
+	if callPath == ViaPluginAndDaemon {
+		cfg.Daemon = daemonAddr
 	}
-	plugin, err := protocol.NewPlugin(cfg, r.s.Classes)
+	plugin, err := protocol.NewPlugin(cfg, r.scenario.Classes)
 	if err != nil {
 		return nil, nil, err
 	}
 	return plugin, plugin.Close, nil
 }
 
-// Run plays a scenario with a site. view and note may be nil.
-func Run(ctx context.Context, s *load.Scenario, by By, view func(load.Progress), note func(string)) (*load.Report, error) {
-	if s.Site == nil {
-		return nil, fmt.Errorf("rehearse: scenario %q has no [site]", s.Name)
+// Run starts a site and a daemon, sends the scenario's load, applies its events and returns the
+// report with the findings on the rules. It blocks until the load ends or ctx is cancelled.
+// showProgress and note may be nil.
+func Run(ctx context.Context, scenario *load.Scenario, callPath By, showProgress func(load.Progress), note func(string)) (*load.Report, error) {
+	if scenario.Site == nil {
+		return nil, fmt.Errorf("rehearse: scenario %q has no [site]", scenario.Name)
 	}
 	if note == nil {
 		note = func(string) {}
 	}
-	r := &rehearsal{s: s, note: note}
+	run := &rehearsal{scenario: scenario, note: note}
 	var err error
-	if r.site, err = newSite(s); err != nil {
+	if run.site, err = newSite(scenario); err != nil {
 		return nil, err
 	}
-	defer r.site.Close()
-	d, err := r.site.StartDaemon(s.Seed, s.Site.Features)
+	defer run.site.Close()
+	daemon, err := run.site.StartDaemon(scenario.Seed, scenario.Site.Features)
 	if err != nil {
 		return nil, fmt.Errorf("rehearse: %w", err)
 	}
-	way, closeWay, err := r.protocol(by, d.Addr)
+	callProtocol, closeProtocol, err := run.newProtocol(callPath, daemon.Addr)
 	if err != nil {
-		d.Stop()
+		daemon.Stop()
 		return nil, fmt.Errorf("rehearse: %w", err)
 	}
-	defer closeWay()
-	cfg, closeSource, err := s.Run(load.Config{Protocol: way, View: view})
+	defer closeProtocol()
+	cfg, closeSource, err := scenario.Run(load.Config{Protocol: callProtocol, View: showProgress})
 	if err != nil {
-		d.Stop()
+		daemon.Stop()
 		return nil, err
 	}
 	defer closeSource()
 	eventsCtx, stop := context.WithCancel(ctx)
 	var events sync.WaitGroup
-	events.Go(func() { r.events(eventsCtx) })
-	rep, err := load.Run(ctx, cfg)
+	events.Go(func() { run.runEvents(eventsCtx) })
+	report, err := load.Run(ctx, cfg)
 	if ctx.Err() != nil || err != nil {
 		stop()
 	}
-	events.Wait() // each lies within the load's time
+	events.Wait() // all events are scheduled within the load's time
 	stop()
-	if serr := d.Stop(); err == nil && serr != nil {
-		err = fmt.Errorf("rehearse: the daemon: %w", serr)
+	if stopErr := daemon.Stop(); err == nil && stopErr != nil {
+		err = fmt.Errorf("rehearse: the daemon: %w", stopErr)
 	}
 	if err != nil {
 		return nil, err
 	}
-	rep.Name = s.Name
-	rep.Judged = r.judge(rep)
-	return rep, nil
+	report.Name = scenario.Name
+	report.Judged = run.judge(report)
+	return report, nil
 }
 
-var effects = map[load.Effect]standin.Effect{load.Safe: standin.Safe, load.Keyed: standin.Keyed, load.Once: standin.Unsafe}
+// standinEffects maps the effects of a scenario's classes to those of stand-in servers.
+var standinEffects = map[load.Effect]standin.Effect{load.Safe: standin.Safe, load.Keyed: standin.Keyed, load.Once: standin.Unsafe}
 
-func newSite(s *load.Scenario) (*rig.Site, error) {
-	t := s.Site
-	cfg := rig.SiteConfig{Servers: t.Servers, Zones: t.Zones, Warm: true, ColdFrom: t.Cold, ColdFor: time.Duration(t.WarmIn)}
-	for _, c := range s.Classes {
-		k := rig.Class{Name: c.Name, Effect: effects[c.Effect], Aim: time.Duration(c.Aim), Deadline: time.Duration(c.Deadline), Worth: c.Worth}
+// newSite starts the stand-in servers that the scenario's [site] describes. The servers' work times
+// are spread evenly from work_from to work_to in workTimeSteps steps.
+func newSite(scenario *load.Scenario) (*rig.Site, error) {
+	settings := scenario.Site
+	cfg := rig.SiteConfig{Servers: settings.Servers, Zones: settings.Zones, Warm: true, ColdFrom: settings.Cold, ColdFor: time.Duration(settings.WarmIn)}
+	for _, c := range scenario.Classes {
+		class := rig.Class{Name: c.Name, Effect: standinEffects[c.Effect], Aim: time.Duration(c.Aim), Deadline: time.Duration(c.Deadline), Worth: c.Worth}
 		if c.Effect == load.Keyed {
-			k.Scope, k.Window = "all", time.Duration(t.Window)
+			class.Scope, class.Window = "all", time.Duration(settings.Window)
 		}
-		cfg.Classes = append(cfg.Classes, k)
+		cfg.Classes = append(cfg.Classes, class)
 	}
-	cfg.Server = standin.ServerConfig{Rate: t.Rate, Cold: t.Cold, WarmIn: time.Duration(t.WarmIn), FallFactor: t.FallBy, FallFor: time.Duration(t.FallFor)}
-	const grades = 20
-	var odds []standin.Odd
-	for n := range grades {
-		work := time.Duration(t.WorkFrom) + time.Duration(t.WorkTo-t.WorkFrom)*time.Duration(n)/(grades-1)
-		odds = append(odds, standin.Odd{Share: 1.0 / grades, Act: standin.Act{Delay: work}})
+	cfg.Server = standin.ServerConfig{Rate: settings.Rate, Cold: settings.Cold, WarmIn: time.Duration(settings.WarmIn), FallFactor: settings.FallBy, FallFor: time.Duration(settings.FallFor)}
+	const workTimeSteps = 20
+	var choices []standin.Odd
+	for n := range workTimeSteps {
+		work := time.Duration(settings.WorkFrom) + time.Duration(settings.WorkTo-settings.WorkFrom)*time.Duration(n)/(workTimeSteps-1)
+		choices = append(choices, standin.Odd{Share: 1.0 / workTimeSteps, Act: standin.Act{Delay: work}})
 	}
-	cfg.Server.Script = standin.Random(s.Seed, odds...)
+	cfg.Server.Script = standin.Random(scenario.Seed, choices...)
 	site, err := rig.NewSite(cfg)
 	if err != nil {
 		return nil, fmt.Errorf("rehearse: %w", err)
@@ -164,55 +172,57 @@
 	return site, nil
 }
 
-// events makes each happen at its time.
-func (r *rehearsal) events(ctx context.Context) {
-	all := slices.Clone(r.s.Events)
+// runEvents applies each event at its time and returns after the last one or when ctx is cancelled.
+func (r *rehearsal) runEvents(ctx context.Context) {
+	all := slices.Clone(r.scenario.Events)
 	slices.SortStableFunc(all, func(a, b load.Event) int { return int(a.At - b.At) })
-	began := time.Now()
-	for _, e := range all {
-		t := time.NewTimer(time.Until(began.Add(time.Duration(e.At))))
+	startTime := time.Now()
+	for _, event := range all {
+		timer := time.NewTimer(time.Until(startTime.Add(time.Duration(event.At))))
 		select {
 		case <-ctx.Done():
-			t.Stop()
+			timer.Stop()
 			return
-		case <-t.C:
+		case <-timer.C:
 		}
-		if err := r.do(e); err != nil {
-			slog.Error("event", "do", e.Do, "err", err)
+		if err := r.applyEvent(event); err != nil {
+			slog.Error("event", "do", event.Do, "err", err)
 			r.note(err.Error())
 		}
 	}
 }
 
-func (r *rehearsal) servers(e load.Event) (all []int) {
-	for _, n := range e.Servers {
-		all = append(all, n-1)
+// serverIndexes returns the indexes, from 0, of the servers that an event names itself or by zone.
+func (r *rehearsal) serverIndexes(event load.Event) (indexes []int) {
+	for _, n := range event.Servers {
+		indexes = append(indexes, n-1)
 	}
 	for n := range r.site.Servers {
-		if e.Zone != "" && r.site.Endpoint(n, "up").Zone == e.Zone {
-			all = append(all, n)
+		if event.Zone != "" && r.site.Endpoint(n, "up").Zone == event.Zone {
+			indexes = append(indexes, n)
 		}
 	}
-	return all
+	return indexes
 }
 
-func (r *rehearsal) do(e load.Event) error {
-	switch e.Do {
+// applyEvent applies one event to discovery or to its servers, and notes it.
+func (r *rehearsal) applyEvent(event load.Event) error {
+	switch event.Do {
 	case "lag":
-		r.site.Discovery.Lag(time.Duration(e.By))
+		r.site.Discovery.Lag(time.Duration(event.By))
 		r.mu.Lock()
-		r.lag = max(r.lag, time.Duration(e.By))
+		r.maxLag = max(r.maxLag, time.Duration(event.By))
 		r.mu.Unlock()
-		r.note(fmt.Sprintf("the list lags %v", time.Duration(e.By)))
+		r.note(fmt.Sprintf("discovery reports changes %v late", time.Duration(event.By)))
 		return nil
 	case "break-discovery":
 		r.site.Discovery.Break()
-		r.note("watches break")
+		r.note("discovery closes all watches")
 		return nil
 	}
-	for _, n := range r.servers(e) {
+	for _, n := range r.serverIndexes(event) {
 		server := r.site.Servers[n]
-		switch e.Do {
+		switch event.Do {
 		case "freeze":
 			server.Freeze()
 		case "thaw":
@@ -232,38 +242,38 @@
 			server.NoteUndrain()
 			r.site.Discovery.Change(r.site.Endpoint(n, "up"))
 		}
-		r.note(fmt.Sprintf("%s %s", e.Do, server.Name()))
+		r.note(fmt.Sprintf("%s %s", event.Do, server.Name()))
 	}
 	return nil
 }
 
-// judge holds a report and what servers saw against the rules.
-func (r *rehearsal) judge(rep *load.Report) []load.Finding {
-	var none, sent int64
-	for _, c := range rep.Classes {
-		none += c.None
+// judge checks the report and the requests that the servers received against the rules.
+func (r *rehearsal) judge(report *load.Report) []load.Finding {
+	var unanswered, sent int64
+	for _, c := range report.Classes {
+		unanswered += c.None
 		sent += c.Sent
 	}
-	effect := make(map[string]load.Effect)
-	for _, c := range r.s.Classes {
-		effect[c.Name] = c.Effect
+	effectByClass := make(map[string]load.Effect)
+	for _, c := range r.scenario.Classes {
+		effectByClass[c.Name] = c.Effect
 	}
-	class := make(map[string]string)
+	classByID := make(map[string]string)
 	r.mu.Lock()
-	grace := r.lag + drainGrace + graceSlack
+	allowed := r.maxLag + drainGrace + drainGraceMargin
 	r.mu.Unlock()
-	var late time.Duration
+	var latest time.Duration
 	for _, a := range r.site.Ledger.Log() {
-		class[first(a.ID)] = a.Class
-		late = max(late, a.Draining)
+		classByID[firstTryID(a.ID)] = a.Class
+		latest = max(latest, a.Draining)
 	}
-	total := make(map[string]int)
+	effectsByID := make(map[string]int)
 	for id, c := range r.site.Ledger.IDs() {
-		total[first(id)] += c.Effects
+		effectsByID[firstTryID(id)] += c.Effects
 	}
 	twice := 0
-	for id, n := range total {
-		if n > 1 && effect[class[id]] != load.Safe {
+	for id, n := range effectsByID {
+		if n > 1 && effectByClass[classByID[id]] != load.Safe {
 			twice++
 		}
 	}
@@ -273,20 +283,21 @@
 			fallen = append(fallen, s.Name())
 		}
 	}
-	all := []load.Finding{
-		{Rule: "each call has one final answer, in time", Kept: none == 0, Found: fmt.Sprintf("%d of %d without", none, sent)},
+	findings := []load.Finding{
+		{Rule: "each call has one final answer, in time", Kept: unanswered == 0, Found: fmt.Sprintf("%d of %d calls without an answer", unanswered, sent)},
 		{Rule: "no effect twice", Kept: twice == 0, Found: fmt.Sprintf("%d calls of keyed and once classes took effect twice", twice)},
-		{Rule: "drains kept", Kept: late <= grace, Found: fmt.Sprintf("the last arrival %v after a drain, %v allowed with the list's lag", late.Round(time.Millisecond), grace)},
-		{Rule: "no cold server pushed over", Kept: len(fallen) == 0, Found: fmt.Sprintf("%d fell %s", len(fallen), strings.Join(fallen, " "))},
+		{Rule: "drains kept", Kept: latest <= allowed, Found: fmt.Sprintf("the last request arrived %v after the start of a drain, %v allowed including discovery's delay", latest.Round(time.Millisecond), allowed)},
+		{Rule: "no cold server pushed over", Kept: len(fallen) == 0, Found: fmt.Sprintf("fallen servers: %d %s", len(fallen), strings.Join(fallen, " "))},
 	}
-	if r.s.Aims.Earned > 0 {
-		all = append(all, load.Finding{Rule: fmt.Sprintf("at least %.2f of the worth within its aim", r.s.Aims.Earned), Kept: rep.Earned >= r.s.Aims.Earned, Found: fmt.Sprintf("%.3f", rep.Earned)})
+	if r.scenario.Aims.Earned > 0 {
+		findings = append(findings, load.Finding{Rule: fmt.Sprintf("at least %.2f of the worth within its aim", r.scenario.Aims.Earned), Kept: report.Earned >= r.scenario.Aims.Earned, Found: fmt.Sprintf("%.3f", report.Earned)})
 	}
-	return all
+	return findings
 }
 
-// first is the id of the first try: clients add -1 and so on.
-func first(id string) string {
+// firstTryID returns the request ID of a call's first try. Clients append -1, -2 and so on to it for
+// their retries.
+func firstTryID(id string) string {
 	id, _, _ = strings.Cut(id, "-")
 	return id
 }
--- a/internal/rehearse/rehearse_test.go
+++ b/internal/rehearse/rehearse_test.go
@@ -7,23 +7,24 @@
 	"chalkrack/internal/load"
 )
 
-// Every scenario of the library is sound.
-func TestLibrary(t *testing.T) {
+// Guards against library scenarios that do not parse or lack a site, a description or an aim, and
+// against an error for an unknown name that does not list the library.
+func TestLibraryScenariosAreValid(t *testing.T) {
 	if n := len(Names()); n < 5 {
-		t.Fatalf("%d scenarios", n)
+		t.Fatalf("%d scenarios, want at least 5", n)
 	}
 	for _, name := range Names() {
 		s, err := Read(name)
 		if err != nil || s.Site == nil || s.About == "" || s.Aims.Earned == 0 {
-			t.Errorf("%s: %+v, %v", name, s, err)
+			t.Errorf("scenario %s: %+v, %v", name, s, err)
 		}
 	}
 	if _, err := Read("no-such-day"); err == nil || !strings.Contains(err.Error(), "quiet-day") {
-		t.Errorf("%v", err)
+		t.Errorf("unknown scenario: %v, want an error that names quiet-day", err)
 	}
 }
 
-const short = `
+const shortScenario = `
 version = 1
 name = "short"
 seed = 4
@@ -75,62 +76,62 @@
 servers = [3]
 `
 
-// A rehearsal plays its events under load, and every rule is kept and said to be,
-// whoever decides on the calls.
-func TestRehearsal(t *testing.T) {
-	for _, by := range []By{ByDaemon, ByPlugin, ByBoth} {
-		t.Run(string(by), func(t *testing.T) {
+// Guards against events that are not applied under load and against rules that a sound run breaks,
+// with the daemon, the plug-in or both deciding on the calls.
+func TestRehearsalKeepsTheRules(t *testing.T) {
+	for _, callPath := range []By{ViaDaemon, ViaPlugin, ViaPluginAndDaemon} {
+		t.Run(string(callPath), func(t *testing.T) {
 			t.Parallel()
-			s, err := load.ParseScenario([]byte(short))
+			scenario, err := load.ParseScenario([]byte(shortScenario))
 			if err != nil {
 				t.Fatal(err)
 			}
 			var notes []string
-			rep, err := Run(t.Context(), s, by, nil, func(text string) { notes = append(notes, text) })
+			report, err := Run(t.Context(), scenario, callPath, nil, func(text string) { notes = append(notes, text) })
 			if err != nil {
 				t.Fatal(err)
 			}
-			if rep.Sent != 120 || len(notes) != 7 {
-				t.Errorf("%d sent, notes %q", rep.Sent, notes)
+			if report.Sent != 120 || len(notes) != 7 {
+				t.Errorf("%d calls sent, notes %q; want 120 calls and 7 notes", report.Sent, notes)
 			}
-			for _, f := range rep.Judged {
+			for _, f := range report.Judged {
 				if !f.Kept {
-					t.Errorf("%+v", f)
+					t.Errorf("rule not kept: %+v", f)
 				}
 			}
 		})
 	}
 }
 
-// What breaks a rule is found: calls without an answer, and an effect that happens
-// twice.
-func TestJudgeFinds(t *testing.T) {
-	s, err := load.ParseScenario([]byte(short))
+// Guards against broken rules that the findings do not report: a call without an answer, an effect
+// that happens twice, and too little worth earned.
+func TestJudgeReportsBrokenRules(t *testing.T) {
+	scenario, err := load.ParseScenario([]byte(shortScenario))
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.Events = nil
-	s.Aims.Earned = 1
-	s.Length /= 10
-	rep, err := Run(t.Context(), s, ByDaemon, nil, nil)
+	scenario.Events = nil
+	scenario.Aims.Earned = 1
+	scenario.Length /= 10
+	report, err := Run(t.Context(), scenario, ViaDaemon, nil, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	rep.Classes[0].None, rep.Earned = 1, 0.5
-	r := &rehearsal{s: s, site: nil}
-	if r.site, err = newSite(s); err != nil {
+	report.Classes[0].None, report.Earned = 1, 0.5
+	run := &rehearsal{scenario: scenario, site: nil}
+	if run.site, err = newSite(scenario); err != nil {
 		t.Fatal(err)
 	}
-	defer r.site.Close()
-	r.site.Ledger.Book("x", "activate", "")
-	r.site.Ledger.Book("x-1", "activate", "")
+	defer run.site.Close()
+	run.site.Ledger.Book("x", "activate", "")
+	run.site.Ledger.Book("x-1", "activate", "")
 	broken := 0
-	for _, f := range r.judge(rep) {
+	for _, f := range run.judge(report) {
 		if !f.Kept {
 			broken++
 		}
 	}
-	if broken != 3 { // no answer, twice, earned
-		t.Errorf("%+v", r.judge(rep))
+	if broken != 3 { // unanswered call, repeated effect, worth earned
+		t.Errorf("want 3 broken rules: %+v", run.judge(report))
 	}
 }
