--- a/internal/rig/bodies_test.go
+++ b/internal/rig/bodies_test.go
@@ -26,14 +26,16 @@
 	"chalkrack/internal/standin"
 )
 
-const patience = 30 * time.Second
+// testTimeout limits each connection of a test and each wait for a state of the daemon.
+const testTimeout = 30 * time.Second
 
-// unkept is the length of a body that is not kept and that no socket's buffers hold: its
-// last byte is not out before its server reads.
-const unkept = 24 << 20
+// unkeptBytes is the length of a body that is not kept and does not fit into the socket buffers on
+// its way: its last byte cannot be sent before the server reads.
+const unkeptBytes = 24 << 20
 
-// bodies are the settings of a small store: memory keeps 256 KiB each, files 2 MiB.
-func bodies(folder, socket string) string {
+// bodyFeatures returns a features file with a small store for bodies: memory keeps a body of at most
+// 256 KiB and a file one of at most 2 MiB, if folder is not empty. An admin socket is optional too.
+func bodyFeatures(folder, socket string) string {
 	text := "version = 1\n[bodies]\nenabled = true\nmemory_mb = 16\nmemory_longest_kb = 256\nfile_longest_mb = 2\ndisk_mb = 16\nfiles = 8\nstreams = 8\nlongest_mb = 64\nproxy_status = true\n" +
 		"[bodies.shares]\nstatus-check = 0.1\nid-register = 0.2\nactivate = 0.4\n"
 	if folder != "" {
@@ -45,7 +47,8 @@
 	return text
 }
 
-func start(t *testing.T, servers int, features string) (*rig.Site, *rig.Daemon) {
+// startSite starts a site with long deadlines and a daemon in this process. Both end with the test.
+func startSite(t *testing.T, servers int, features string) (*rig.Site, *rig.Daemon) {
 	t.Helper()
 	classes := rig.Patient()
 	for n := range classes {
@@ -58,36 +61,38 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(site.Close)
-	d, err := site.StartDaemon(1, features)
+	testDaemon, err := site.StartDaemon(1, features)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { d.Stop() })
-	return site, d
+	t.Cleanup(func() { testDaemon.Stop() })
+	return site, testDaemon
 }
 
-func script(site *rig.Site, s standin.Script) {
+// setScript sets the script of all servers.
+func setScript(site *rig.Site, s standin.Script) {
 	for _, server := range site.Servers {
 		server.Do(s)
 	}
 }
 
-func random(seed uint64, n int) []byte {
-	p := make([]byte, n)
+// randomBytes returns n bytes that depend on the seed only.
+func randomBytes(seed uint64, n int) []byte {
+	content := make([]byte, n)
 	rng := rand.NewChaCha8([32]byte{byte(seed), byte(seed >> 8)})
-	rng.Read(p)
-	return p
+	rng.Read(content)
+	return content
 }
 
-// post is one request on a connection of its own. It returns the answer, its status 0
-// if none came.
-func post(addr, class, id string, body io.Reader, size int64) (status int, h http.Header, err error) {
-	c, err := net.Dial("tcp", addr)
+// postBody sends one request on its own connection and returns the status and header of the answer.
+// A negative size sends the body in chunks. The status is 0 if there is no answer.
+func postBody(addr, class, id string, body io.Reader, size int64) (status int, header http.Header, err error) {
+	conn, err := net.Dial("tcp", addr)
 	if err != nil {
 		return 0, nil, err
 	}
-	defer c.Close()
-	c.SetDeadline(time.Now().Add(patience))
+	defer conn.Close()
+	conn.SetDeadline(time.Now().Add(testTimeout))
 	head := fmt.Sprintf("POST /%s HTTP/1.1\r\nHost: app\r\nReq-Id: %s\r\nReq-Deadline-Ms: 15000\r\n", class, id)
 	if class == "id-register" {
 		head += "Idempotency-Key: k" + id + "\r\n"
@@ -96,46 +101,47 @@
 	go func() {
 		defer close(sent)
 		if size >= 0 {
-			fmt.Fprintf(c, "%sContent-Length: %d\r\n\r\n", head, size)
-			io.Copy(c, body)
+			fmt.Fprintf(conn, "%sContent-Length: %d\r\n\r\n", head, size)
+			io.Copy(conn, body)
 			return
 		}
-		io.WriteString(c, head+"Transfer-Encoding: chunked\r\nTrailer: X-Sum\r\n\r\n")
-		w := bufio.NewWriter(c)
-		for p := make([]byte, 50000); ; {
-			n, err := io.ReadFull(body, p)
+		io.WriteString(conn, head+"Transfer-Encoding: chunked\r\nTrailer: X-Sum\r\n\r\n")
+		writer := bufio.NewWriter(conn)
+		for chunk := make([]byte, 50000); ; {
+			n, err := io.ReadFull(body, chunk)
 			if n > 0 {
-				fmt.Fprintf(w, "%x\r\n%s\r\n", n, p[:n])
+				fmt.Fprintf(writer, "%x\r\n%s\r\n", n, chunk[:n])
 			}
 			if err != nil {
 				break
 			}
 		}
-		io.WriteString(w, "0\r\nX-Sum: 1\r\n\r\n")
-		w.Flush()
+		io.WriteString(writer, "0\r\nX-Sum: 1\r\n\r\n")
+		writer.Flush()
 	}()
-	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
+	resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
 	if err != nil {
 		return 0, nil, err
 	}
 	_, err = io.Copy(io.Discard, resp.Body)
-	c.Close()
+	conn.Close()
 	<-sent
 	return resp.StatusCode, resp.Header, err
 }
 
-// Bodies of every size go through every place and arrive as they were sent; a keyed one
-// that is kept is tried again, one that is not kept never is, whatever its class.
+// Guards against bodies that are changed, lost or sent twice. Bodies of each size, kept in memory,
+// in a file or not at all, arrive as they were sent. A keyed request whose body is kept is retried;
+// one whose body is not kept is never retried, whatever its class.
 func TestBodiesThroughTheDaemon(t *testing.T) {
 	socket := filepath.Join(t.TempDir(), "s")
-	site, d := start(t, 4, bodies(t.TempDir(), socket))
-	n := 0
+	site, testDaemon := startSite(t, 4, bodyFeatures(t.TempDir(), socket))
+	caseNumber := 0
 	for _, c := range []struct {
 		name     string
 		class    string
 		size     int
 		chunked  bool
-		act      standin.Act // the first attempt's
+		act      standin.Act // of the server at the first attempt
 		status   int
 		attempts int
 	}{
@@ -155,208 +161,212 @@
 		{"not kept, reset behind the last byte", "id-register", 5 << 20, false, standin.Act{Kind: standin.ResetLate}, 503, 1},
 		{"not kept, must not run twice, reset behind", "activate", 5 << 20, true, standin.Act{Kind: standin.ResetLate}, 502, 1},
 		{"not kept, declined", "activate", 5 << 20, false, standin.Act{Kind: standin.Decline}, 503, 1},
-		{"not kept, reset in the middle", "activate", unkept, false, standin.Act{Kind: standin.ResetEarly, Delay: 20 * time.Millisecond}, 503, 0},
-		{"not kept, 413 early", "activate", unkept, false, standin.Act{Kind: standin.Deny, Status: 413, Early: true}, 413, 0},
-		{"not kept, 503 early", "activate", unkept, false, standin.Act{Kind: standin.Deny, Status: 503, Early: true}, 503, 0},
-		{"not kept, 200 early", "activate", unkept, false, standin.Act{Early: true}, 200, 0},
+		{"not kept, reset in the middle", "activate", unkeptBytes, false, standin.Act{Kind: standin.ResetEarly, Delay: 20 * time.Millisecond}, 503, 0},
+		{"not kept, 413 early", "activate", unkeptBytes, false, standin.Act{Kind: standin.Deny, Status: 413, Early: true}, 413, 0},
+		{"not kept, 503 early", "activate", unkeptBytes, false, standin.Act{Kind: standin.Deny, Status: 503, Early: true}, 503, 0},
+		{"not kept, 200 early", "activate", unkeptBytes, false, standin.Act{Early: true}, 200, 0},
 		{"small, failed", "id-register", 300, false, standin.Act{Kind: standin.Fail}, 200, 2},
 		{"too long", "activate", 65 << 20, false, standin.Act{}, 413, 0},
 	} {
-		n++
-		id := fmt.Sprintf("r%d", n)
-		script(site, standin.Nth(c.act, standin.Act{}))
-		p := random(uint64(n), c.size)
+		caseNumber++
+		id := fmt.Sprintf("r%d", caseNumber)
+		setScript(site, standin.Nth(c.act, standin.Act{}))
+		content := randomBytes(uint64(caseNumber), c.size)
 		size := int64(c.size)
 		if c.chunked {
 			size = -1
 		}
-		status, h, err := post(d.Addr, c.class, id, bytes.NewReader(p), size)
+		status, header, err := postBody(testDaemon.Addr, c.class, id, bytes.NewReader(content), size)
 		if status != c.status || err != nil {
 			t.Errorf("%s: status %d, %v, want %d", c.name, status, err, c.status)
 		}
-		if status == 503 && h.Get("Retry-After") == "" {
-			t.Errorf("%s: refused and not told when to come back", c.name)
+		if status == 503 && header.Get("Retry-After") == "" {
+			t.Errorf("%s: status 503 without Retry-After", c.name)
 		}
-		if unkept := strings.HasPrefix(c.name, "not kept") && (status == 502 || status == 503); unkept != (h.Get("Proxy-Status") != "") && status != 413 {
-			t.Errorf("%s: Proxy-Status %q", c.name, h.Get("Proxy-Status"))
+		if wantProxyStatus := strings.HasPrefix(c.name, "not kept") && (status == 502 || status == 503); wantProxyStatus != (header.Get("Proxy-Status") != "") && status != 413 {
+			t.Errorf("%s: unexpected Proxy-Status %q", c.name, header.Get("Proxy-Status"))
 		}
 		if got := site.Ledger.ID(id).Attempts; got != c.attempts {
-			t.Errorf("%s: %d attempts arrived whole, want %d", c.name, got, c.attempts)
+			t.Errorf("%s: %d attempts arrived with the whole body, want %d", c.name, got, c.attempts)
 		}
 		for _, a := range site.Ledger.Log() {
-			if a.ID == id && (a.Size != int64(len(p)) || a.Sum != sha256.Sum256(p)) {
-				t.Errorf("%s: attempt %d has %d bytes that are not those sent", c.name, a.Nth, a.Size)
+			if a.ID == id && (a.Size != int64(len(content)) || a.Sum != sha256.Sum256(content)) {
+				t.Errorf("%s: attempt %d has %d bytes that differ from those sent", c.name, a.Nth, a.Size)
 			}
 		}
 	}
-	var v body.View
-	if err := admin.Get(context.Background(), socket, "bodies", &v); err != nil {
+	var view body.View
+	if err := admin.Get(context.Background(), socket, "bodies", &view); err != nil {
 		t.Fatal(err)
 	}
 	byClass := make(map[string]body.ClassView)
-	for _, c := range v.Classes {
+	for _, c := range view.Classes {
 		byClass[c.Class] = c
 	}
 	if c := byClass["id-register"]; c.RetriedMemory != 2 || c.RetriedFile != 2 || c.UnkeptRefused != 2 || c.File != 2 {
-		t.Errorf("id-register: %+v", c)
+		t.Errorf("counts of class id-register: %+v", c)
 	}
 	if c := byClass["activate"]; c.UnkeptFailed != 1 || c.UnkeptRefused != 3 {
-		t.Errorf("activate: %+v", c)
+		t.Errorf("counts of class activate: %+v", c)
 	}
-	if v.Memory.Now+v.Disk.Now+v.Files.Now+v.Streams.Now != 0 {
-		t.Errorf("held: %+v", v)
+	if view.Memory.Now+view.Disk.Now+view.Files.Now+view.Streams.Now != 0 {
+		t.Errorf("the store still holds bodies: %+v", view)
 	}
-	var st daemon.Status
-	if err := admin.Get(context.Background(), socket, "status", &st); err != nil || !st.Bodies || !st.Ready {
-		t.Errorf("status %+v, %v", st, err)
+	var daemonStatus daemon.Status
+	if err := admin.Get(context.Background(), socket, "status", &daemonStatus); err != nil || !daemonStatus.Bodies || !daemonStatus.Ready {
+		t.Errorf("status %+v, %v", daemonStatus, err)
 	}
 	if info, err := os.Stat(socket); err != nil || info.Mode().Perm() != 0o600 {
-		t.Errorf("the socket: %v, %v", info, err)
+		t.Errorf("admin socket: %v, %v, want mode 0600", info, err)
 	}
 }
 
-// emptied waits until nothing is held, and returns what is told then.
-func emptied(t *testing.T, socket string) (v body.View) {
+// waitUntilEmpty waits until the daemon holds no body, and returns its view of bodies at that time.
+func waitUntilEmpty(t *testing.T, socket string) (view body.View) {
 	t.Helper()
-	for end := time.Now().Add(patience); ; time.Sleep(5 * time.Millisecond) {
-		if err := admin.Get(t.Context(), socket, "bodies", &v); err != nil {
+	for deadline := time.Now().Add(testTimeout); ; time.Sleep(5 * time.Millisecond) {
+		if err := admin.Get(t.Context(), socket, "bodies", &view); err != nil {
 			t.Fatal(err)
 		}
-		if v.Memory.Now+v.Disk.Now+v.Files.Now+v.Streams.Now == 0 {
-			return v
+		if view.Memory.Now+view.Disk.Now+view.Files.Now+view.Streams.Now == 0 {
+			return view
 		}
-		if time.Now().After(end) {
-			t.Fatalf("held: %+v", v)
+		if time.Now().After(deadline) {
+			t.Fatalf("the store still holds bodies: %+v", view)
 		}
 	}
 }
 
-// Where the length is told, it is decided before the body is sent for: no 100 for what
-// is refused.
-func TestExpectIsDecidedUnread(t *testing.T) {
-	roomy, full := bodies("", ""), strings.Replace(bodies("", ""), "streams = 8", "streams = 0", 1)
+// Guards against a client that sends a body in vain: when the request states its length, the daemon
+// refuses it before it asks for the body with status 100.
+func TestExpectContinueIsDecidedBeforeTheBody(t *testing.T) {
+	withStreams, withoutStreams := bodyFeatures("", ""), strings.Replace(bodyFeatures("", ""), "streams = 8", "streams = 0", 1)
 	for _, c := range []struct {
 		features string
 		size     int
 		want     string
-	}{{roomy, 1000, "100"}, {roomy, 5 << 20, "100"}, {roomy, 65 << 20, "413"}, {full, 1000, "100"}, {full, 5 << 20, "503"}} {
-		_, d := start(t, 2, c.features)
-		conn, err := net.Dial("tcp", d.Addr)
+	}{{withStreams, 1000, "100"}, {withStreams, 5 << 20, "100"}, {withStreams, 65 << 20, "413"}, {withoutStreams, 1000, "100"}, {withoutStreams, 5 << 20, "503"}} {
+		_, testDaemon := startSite(t, 2, c.features)
+		conn, err := net.Dial("tcp", testDaemon.Addr)
 		if err != nil {
 			t.Fatal(err)
 		}
-		conn.SetDeadline(time.Now().Add(patience))
+		conn.SetDeadline(time.Now().Add(testTimeout))
 		fmt.Fprintf(conn, "POST /activate HTTP/1.1\r\nHost: app\r\nReq-Id: e%d\r\nExpect: 100-continue\r\nContent-Length: %d\r\n\r\n", c.size, c.size)
 		line, err := bufio.NewReader(conn).ReadString('\n')
 		if err != nil || !strings.HasPrefix(line, "HTTP/1.1 "+c.want) {
-			t.Errorf("%d bytes: %q, %v, want %s", c.size, line, err, c.want)
+			t.Errorf("body of %d bytes: first line %q, %v, want status %s", c.size, line, err, c.want)
 		}
 		conn.Close()
 	}
 }
 
-// A client that leaves at any point of its body, one that ends its chunks wrongly and
-// one that goes on behind its end: nothing reaches a server whole, nothing is held.
-func TestClientsThatLeaveOrLie(t *testing.T) {
+// Guards against incomplete bodies that are taken as whole, and against their memory being kept. A
+// client closes its connection within a body, ends it within a chunk, or sends a malformed chunk:
+// no request reaches a server whole, and the daemon holds nothing afterwards.
+func TestIncompleteAndMalformedBodiesReachNoServer(t *testing.T) {
 	socket := filepath.Join(t.TempDir(), "s")
-	site, d := start(t, 2, bodies(t.TempDir(), socket))
-	n := 0
+	site, testDaemon := startSite(t, 2, bodyFeatures(t.TempDir(), socket))
+	requests := 0
 	for _, size := range []int{1 << 10, 200 << 10, 1 << 20, 5 << 20} {
-		for _, at := range []int{0, 1, 4096, size / 2, size - 1} {
-			if at >= size {
-				continue // a body that is there whole is not left: it may be sent on
+		for _, sentBytes := range []int{0, 1, 4096, size / 2, size - 1} {
+			if sentBytes >= size {
+				continue // a complete body may reach a server
 			}
-			n++
-			c, err := net.Dial("tcp", d.Addr)
+			requests++
+			c, err := net.Dial("tcp", testDaemon.Addr)
 			if err != nil {
 				t.Fatal(err)
 			}
-			fmt.Fprintf(c, "POST /activate HTTP/1.1\r\nHost: app\r\nReq-Id: l%d\r\nContent-Length: %d\r\n\r\n", n, size)
-			c.Write(random(1, at))
+			fmt.Fprintf(c, "POST /activate HTTP/1.1\r\nHost: app\r\nReq-Id: l%d\r\nContent-Length: %d\r\n\r\n", requests, size)
+			c.Write(randomBytes(1, sentBytes))
 			c.Close()
 		}
-		for _, end := range []string{"zz\r\n", "5\r\nabc", "-1\r\n\r\n"} {
-			n++
-			c, err := net.Dial("tcp", d.Addr)
+		for _, ending := range []string{"zz\r\n", "5\r\nabc", "-1\r\n\r\n"} {
+			requests++
+			c, err := net.Dial("tcp", testDaemon.Addr)
 			if err != nil {
 				t.Fatal(err)
 			}
-			c.SetDeadline(time.Now().Add(patience))
-			fmt.Fprintf(c, "POST /activate HTTP/1.1\r\nHost: app\r\nReq-Id: l%d\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n%s", n, size, random(1, size), end)
-			if end == "5\r\nabc" {
+			c.SetDeadline(time.Now().Add(testTimeout))
+			fmt.Fprintf(c, "POST /activate HTTP/1.1\r\nHost: app\r\nReq-Id: l%d\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n%s", requests, size, randomBytes(1, size), ending)
+			if ending == "5\r\nabc" {
 				c.(*net.TCPConn).CloseWrite()
 			} else if line, err := bufio.NewReader(c).ReadString('\n'); err != nil || !strings.HasPrefix(line, "HTTP/1.1 400") {
-				t.Errorf("%d bytes, then %q: %q, %v", size, end, line, err)
+				t.Errorf("%d bytes, then %q: first line %q, %v, want status 400", size, ending, line, err)
 			}
 			c.Close()
 		}
 	}
-	emptied(t, socket)
+	waitUntilEmpty(t, socket)
 	for id, c := range site.Ledger.IDs() {
-		t.Errorf("%s arrived: %+v", id, c)
+		t.Errorf("request %s arrived at a server: %+v", id, c)
 	}
 }
 
-// A flood of one class's largest bodies, from clients that never end them, leaves the
-// others' share: each activate beside it is answered, also such as are kept in files.
-func TestFloodOfOneClass(t *testing.T) {
-	site, d := start(t, 2, bodies(t.TempDir(), ""))
-	var flood []net.Conn
+// Guards against a class that takes all space for bodies: 60 clients of one class send the largest
+// bodies and never finish them, and every activate request meanwhile is answered, also those whose
+// bodies are kept in files.
+func TestFloodOfOneClassLeavesOthersTheirShare(t *testing.T) {
+	site, testDaemon := startSite(t, 2, bodyFeatures(t.TempDir(), ""))
+	var floodConns []net.Conn
 	for n := range 60 {
-		c, err := net.Dial("tcp", d.Addr)
+		c, err := net.Dial("tcp", testDaemon.Addr)
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer c.Close()
-		flood = append(flood, c)
+		floodConns = append(floodConns, c)
 		fmt.Fprintf(c, "POST /id-register HTTP/1.1\r\nHost: app\r\nReq-Id: f%d\r\nIdempotency-Key: f%d\r\nContent-Length: %d\r\n\r\n", n, n, 2<<20)
 	}
 	var wg sync.WaitGroup
-	for _, c := range flood {
+	for _, c := range floodConns {
 		wg.Go(func() {
 			c.SetWriteDeadline(time.Now().Add(time.Second))
-			c.Write(random(1, 2<<20-1))
+			c.Write(randomBytes(1, 2<<20-1))
 		})
 	}
 	for n := range 30 {
 		size := []int{300, 100 << 10, 1 << 20}[n%3]
 		id := fmt.Sprintf("a%d", n)
-		if status, _, err := post(d.Addr, "activate", id, bytes.NewReader(random(2, size)), int64(size)); status != 200 {
-			t.Errorf("activate of %d bytes beside the flood: %d, %v", size, status, err)
+		if status, _, err := postBody(testDaemon.Addr, "activate", id, bytes.NewReader(randomBytes(2, size)), int64(size)); status != 200 {
+			t.Errorf("activate request of %d bytes during the flood: status %d, %v", size, status, err)
 		}
 	}
 	wg.Wait()
 	for n := range 30 {
 		if c := site.Ledger.ID(fmt.Sprintf("a%d", n)); c.Attempts != 1 {
-			t.Errorf("activate %d: %+v", n, c)
+			t.Errorf("activate request %d: %+v, want one attempt", n, c)
 		}
 	}
 }
 
-func run(name string, args ...string) ([]byte, error) {
+// runCommand runs a program and returns its standard output and standard error together.
+func runCommand(name string, args ...string) ([]byte, error) {
 	return exec.Command(name, args...).CombinedOutput()
 }
 
-// Clients that trickle a byte now and then (200, or FAWN_SLOW) hold no more than the bound, and are told to
-// go in the time that any request has; others' calls go on beside them.
-func TestTricklersAreToldToGo(t *testing.T) {
+// Guards against slow clients that occupy the store. 200 clients, or FAWN_SLOW, send one byte of
+// their bodies every 200 ms: they occupy no more than the limits and are refused or timed out like
+// any request, and other calls are served meanwhile.
+func TestSlowSendersAreTimedOut(t *testing.T) {
 	socket := filepath.Join(t.TempDir(), "s")
-	_, d := start(t, 2, bodies(t.TempDir(), socket))
+	_, testDaemon := startSite(t, 2, bodyFeatures(t.TempDir(), socket))
 	var wg sync.WaitGroup
-	began := time.Now()
+	startTime := time.Now()
 	clients := 200
 	if n, err := strconv.Atoi(os.Getenv("FAWN_SLOW")); err == nil {
 		clients = n
 	}
 	for n := range clients {
 		wg.Go(func() {
-			c, err := net.Dial("tcp", d.Addr)
+			c, err := net.Dial("tcp", testDaemon.Addr)
 			if err != nil {
 				t.Error(err)
 				return
 			}
 			defer c.Close()
-			c.SetDeadline(time.Now().Add(patience))
+			c.SetDeadline(time.Now().Add(testTimeout))
 			fmt.Fprintf(c, "POST /activate HTTP/1.1\r\nHost: app\r\nReq-Id: t%d\r\nContent-Length: %d\r\n\r\n", n, 1<<20)
 			go func() {
 				for {
@@ -368,96 +378,98 @@
 			}()
 			line, err := bufio.NewReader(c).ReadString('\n')
 			if err == nil && !strings.HasPrefix(line, "HTTP/1.1 408") && !strings.HasPrefix(line, "HTTP/1.1 503") {
-				t.Errorf("a trickler is told %q", line)
+				t.Errorf("a slow client is answered %q, want status 408 or 503", line)
 			}
 		})
 	}
 	for n := range 20 {
-		if status, _, err := post(d.Addr, "activate", fmt.Sprint("o", n), strings.NewReader("x"), 1); status != 200 {
-			t.Errorf("beside tricklers: %d, %v", status, err)
+		if status, _, err := postBody(testDaemon.Addr, "activate", fmt.Sprint("o", n), strings.NewReader("x"), 1); status != 200 {
+			t.Errorf("call beside slow clients: status %d, %v", status, err)
 		}
 	}
 	wg.Wait()
-	if took := time.Since(began); took > patience/2 {
-		t.Errorf("tricklers stayed for %v", took)
+	if took := time.Since(startTime); took > testTimeout/2 {
+		t.Errorf("slow clients stayed connected for %v", took)
 	}
-	var v body.View
-	if err := admin.Get(context.Background(), socket, "bodies", &v); err != nil {
+	var view body.View
+	if err := admin.Get(context.Background(), socket, "bodies", &view); err != nil {
 		t.Fatal(err)
 	}
-	if v.Memory.Max > v.Memory.Limit || v.Disk.Max > v.Disk.Limit || v.Files.Max > v.Files.Limit || v.Streams.Max > v.Streams.Limit {
-		t.Errorf("beyond a bound: %+v", v)
+	if view.Memory.Max > view.Memory.Limit || view.Disk.Max > view.Disk.Limit || view.Files.Max > view.Files.Limit || view.Streams.Max > view.Streams.Limit {
+		t.Errorf("a limit was exceeded: %+v", view)
 	}
 }
 
-// An answer that comes before a body's end is followed by an end in order: a close with
-// bytes unread would reset the connection, and may take the answer back.
-func TestEarlyAnswerEndsInOrder(t *testing.T) {
-	site, d := start(t, 2, bodies("", ""))
-	script(site, standin.Always(standin.Act{Early: true}))
-	c, err := net.Dial("tcp", d.Addr)
+// Guards against a reset that destroys an early answer: when the daemon answers before the end of a
+// body, it must not close the connection with unread bytes, because the reset that follows can
+// discard the answer at the client.
+func TestEarlyAnswerIsNotLostToAReset(t *testing.T) {
+	site, testDaemon := startSite(t, 2, bodyFeatures("", ""))
+	setScript(site, standin.Always(standin.Act{Early: true}))
+	conn, err := net.Dial("tcp", testDaemon.Addr)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer c.Close()
-	c.SetDeadline(time.Now().Add(patience))
-	fmt.Fprintf(c, "POST /activate HTTP/1.1\r\nHost: app\r\nReq-Id: e1\r\nContent-Length: %d\r\n\r\n", unkept)
-	// No more than sockets hold, and nobody writes meanwhile: a write would take the
-	// connection's error away from the read.
-	if _, err := c.Write(random(1, 512<<10)); err != nil {
+	defer conn.Close()
+	conn.SetDeadline(time.Now().Add(testTimeout))
+	fmt.Fprintf(conn, "POST /activate HTTP/1.1\r\nHost: app\r\nReq-Id: e1\r\nContent-Length: %d\r\n\r\n", unkeptBytes)
+	// The part of the body fits into the socket buffers, and nothing is written during the read:
+	// a write would receive the connection's error instead of the read.
+	if _, err := conn.Write(randomBytes(1, 512<<10)); err != nil {
 		t.Fatal(err)
 	}
-	answer, err := io.ReadAll(c)
+	answer, err := io.ReadAll(conn)
 	if err != nil || !bytes.HasPrefix(answer, []byte("HTTP/1.1 200")) || !bytes.Contains(answer, []byte("Connection: close")) {
-		t.Errorf("%q, %v", answer, err)
+		t.Errorf("answer %q, %v, want status 200 and Connection: close", answer, err)
 	}
 }
 
-// SIGTERM while a body in a file waits for its server, and while one that is not kept is
-// on its way: both are answered, and the instance's folder goes.
-func TestStopWithBodiesInUse(t *testing.T) {
+// Guards against requests and files that are left behind at SIGTERM: a request whose body is in a
+// file and waits for its server, and one whose body is not kept and still being sent, are both
+// answered, and the instance deletes its folder.
+func TestStopAnswersRequestsWithBodiesInUse(t *testing.T) {
 	folder := t.TempDir()
-	site, d := start(t, 2, bodies(folder, ""))
-	seen := make(chan struct{}, 2)
-	script(site, func(r standin.Request) standin.Act {
-		seen <- struct{}{}
+	site, testDaemon := startSite(t, 2, bodyFeatures(folder, ""))
+	arrivals := make(chan struct{}, 2)
+	setScript(site, func(r standin.Request) standin.Act {
+		arrivals <- struct{}{}
 		return standin.Act{Delay: 300 * time.Millisecond}
 	})
 	var wg sync.WaitGroup
 	send := func(id string, size int, body io.Reader) {
 		wg.Go(func() {
-			if status, _, err := post(d.Addr, "activate", id, body, int64(size)); status != 200 || err != nil {
-				t.Errorf("%s: %d, %v", id, status, err)
+			if status, _, err := postBody(testDaemon.Addr, "activate", id, body, int64(size)); status != 200 || err != nil {
+				t.Errorf("request %s: status %d, %v", id, status, err)
 			}
 		})
 	}
-	p := random(1, unkept)
-	send("file", 1<<20, bytes.NewReader(p[:1<<20]))
+	content := randomBytes(1, unkeptBytes)
+	send("file", 1<<20, bytes.NewReader(content[:1<<20]))
 	r, w := io.Pipe()
-	send("stream", unkept, r)
-	if _, err := w.Write(p[:unkept/2]); err != nil {
+	send("stream", unkeptBytes, r)
+	if _, err := w.Write(content[:unkeptBytes/2]); err != nil {
 		t.Fatal(err)
 	}
-	<-seen
-	<-seen // both are at their servers, the second without its end
+	<-arrivals
+	<-arrivals // both requests are at their servers, the second without the end of its body
 	stopped := make(chan error, 1)
-	go func() { stopped <- d.Stop() }()
-	w.Write(p[unkept/2:])
+	go func() { stopped <- testDaemon.Stop() }()
+	w.Write(content[unkeptBytes/2:])
 	w.Close()
 	wg.Wait()
 	if err := <-stopped; err != nil {
 		t.Error(err)
 	}
-	for id, size := range map[string]int{"file": 1 << 20, "stream": unkept} {
+	for id, size := range map[string]int{"file": 1 << 20, "stream": unkeptBytes} {
 		found := false
 		for _, a := range site.Ledger.Log() {
-			found = found || a.ID == id && a.Sum == sha256.Sum256(p[:size])
+			found = found || a.ID == id && a.Sum == sha256.Sum256(content[:size])
 		}
 		if !found {
-			t.Errorf("%s did not arrive whole", id)
+			t.Errorf("the body of %s did not arrive whole", id)
 		}
 	}
 	if left, err := os.ReadDir(folder); err != nil || len(left) != 1 || left[0].Name() != "lock" {
-		t.Errorf("left: %v, %v", left, err)
+		t.Errorf("left in the folder: %v, %v, want the lock file only", left, err)
 	}
 }
--- a/internal/rig/changes_test.go
+++ b/internal/rig/changes_test.go
@@ -21,10 +21,11 @@
 	"chalkrack/internal/standin"
 )
 
-// edit is the platform's JSON with some of its settings changed.
-type edit func(settings map[string]any)
+// settingsEdit changes the settings in a decoded platform configuration.
+type settingsEdit func(settings map[string]any)
 
-func edited(t testing.TB, platform []byte, edits ...edit) []byte {
+// editPlatform returns the platform configuration with the edits applied to its settings.
+func editPlatform(t testing.TB, platform []byte, edits ...settingsEdit) []byte {
 	t.Helper()
 	var doc map[string]any
 	if err := json.Unmarshal(platform, &doc); err != nil {
@@ -40,11 +41,13 @@
 	return text
 }
 
-func caps(name string, v any) edit {
+// setCap sets a field of the settings' caps.
+func setCap(name string, v any) settingsEdit {
 	return func(s map[string]any) { s["caps"].(map[string]any)[name] = v }
 }
 
-func ofClass(class, name string, v any) edit {
+// setClassField sets a field of the class with that name.
+func setClassField(class, name string, v any) settingsEdit {
 	return func(s map[string]any) {
 		for _, c := range s["classes"].([]any) {
 			if c := c.(map[string]any); c["name"] == class {
@@ -54,102 +57,104 @@
 	}
 }
 
-func without(class string) edit {
+func removeClass(class string) settingsEdit {
 	return func(s map[string]any) {
 		s["classes"] = slices.DeleteFunc(s["classes"].([]any), func(c any) bool { return c.(map[string]any)["name"] == class })
 	}
 }
 
-func with(class string) edit {
+// addClass adds a class with effect once, or replaces the class of that name.
+func addClass(class string) settingsEdit {
 	return func(s map[string]any) {
-		without(class)(s)
+		removeClass(class)(s)
 		s["classes"] = append(s["classes"].([]any), map[string]any{"name": class, "effect": "once", "promiseUs": 5e6, "hardLimitUs": 8e6, "worth": 1})
 	}
 }
 
-func shorter(class string, by float64) edit {
+// shortenWindow multiplies the deduplication window of a class by the factor.
+func shortenWindow(class string, factor float64) settingsEdit {
 	return func(s map[string]any) {
 		for _, c := range s["classes"].([]any) {
 			if c := c.(map[string]any); c["name"] == class {
-				c["repeatWindowUs"] = float64(int(c["repeatWindowUs"].(float64) * by))
+				c["repeatWindowUs"] = float64(int(c["repeatWindowUs"].(float64) * factor))
 			}
 		}
 	}
 }
 
-// pushed is a change of the series: what it is, and what must become of it.
-type pushed struct {
+// changeCase is a configuration change and its expected result.
+type changeCase struct {
 	name  string
-	edits []edit
+	edits []settingsEdit
 	want  string // kept, undone or refused
 }
 
-// kinds of changes, each with what must become of it. What a good one changes is what
-// the next ones are made from.
-func kinds(rng *rand.Rand) []pushed {
-	return []pushed{
-		{"fewer attempts", []edit{caps("attemptsCap", 3+rng.IntN(3))}, "kept"},
-		{"another wait", []edit{caps("maxRetryAfterUs", 1e6+rng.IntN(1e6))}, "kept"},
-		{"worth", []edit{ofClass("activate", "worth", 5+rng.IntN(10))}, "kept"},
-		{"a class more", []edit{with(fmt.Sprint("extra", rng.IntN(3)))}, "kept"},
-		{"shorter window", []edit{shorter("id-register", 0.95)}, "kept"},
-		{"no retries", []edit{caps("attemptsCap", 1)}, "undone"},
-		{"a class gone", []edit{without("id-register")}, "undone"},
-		{"an aim that nobody meets", []edit{ofClass("activate", "promiseUs", 100)}, "undone"},
-		{"activate may repeat", []edit{ofClass("activate", "effect", "repeatable")}, "refused"},
-		{"a longer window", []edit{ofClass("id-register", "repeatWindowUs", 9e6)}, "refused"},
-		{"a longer grace", []edit{func(s map[string]any) { s["guarantees"].(map[string]any)["drainGraceUs"] = 9e6 }}, "refused"},
-		{"no number", []edit{caps("attemptsCap", "many")}, "refused"},
-		{"another zone", []edit{func(s map[string]any) { s["zone"] = "elsewhere" }}, "refused"},
+// changeCases returns a change of each kind. A change that is kept is the base of those after it.
+func changeCases(rng *rand.Rand) []changeCase {
+	return []changeCase{
+		{"fewer attempts", []settingsEdit{setCap("attemptsCap", 3+rng.IntN(3))}, "kept"},
+		{"other maximum for Retry-After", []settingsEdit{setCap("maxRetryAfterUs", 1e6+rng.IntN(1e6))}, "kept"},
+		{"worth", []settingsEdit{setClassField("activate", "worth", 5+rng.IntN(10))}, "kept"},
+		{"additional class", []settingsEdit{addClass(fmt.Sprint("extra", rng.IntN(3)))}, "kept"},
+		{"shorter window", []settingsEdit{shortenWindow("id-register", 0.95)}, "kept"},
+		{"no retries", []settingsEdit{setCap("attemptsCap", 1)}, "undone"},
+		{"class removed", []settingsEdit{removeClass("id-register")}, "undone"},
+		{"aim that no answer meets", []settingsEdit{setClassField("activate", "promiseUs", 100)}, "undone"},
+		{"activate made repeatable", []settingsEdit{setClassField("activate", "effect", "repeatable")}, "refused"},
+		{"longer window", []settingsEdit{setClassField("id-register", "repeatWindowUs", 9e6)}, "refused"},
+		{"longer drain grace", []settingsEdit{func(s map[string]any) { s["guarantees"].(map[string]any)["drainGraceUs"] = 9e6 }}, "refused"},
+		{"attempts not a number", []settingsEdit{setCap("attemptsCap", "many")}, "refused"},
+		{"other zone", []settingsEdit{func(s map[string]any) { s["zone"] = "elsewhere" }}, "refused"},
 	}
 }
 
-// A seeded series of good and faulty changes under load, a seventh of attempts turned away:
-// each call has one answer and lived under one configuration, whose attempts it kept to;
-// nothing took effect twice; each faulty change was refused or undone, no good one was.
-// FAWN_CHANGES=200 is the long one, with shorter trials.
-func TestChangesUnderLoad(t *testing.T) {
-	n, bake := len(kinds(rand.New(rand.NewPCG(0, 0)))), 4*time.Second // slow machines have fewer calls
+// Guards against calls that are lost, repeated or handled under two configurations while
+// configurations change under load. Servers decline 15 % of attempts; good and faulty changes are
+// applied in a seeded order. Each call has one answer and stays within the attempts of the
+// configuration that its answer names, no unsafe or keyed call takes effect twice, and only the
+// faulty changes are refused or undone. FAWN_CHANGES=200 runs more changes with shorter trials.
+func TestConfigChangesUnderLoad(t *testing.T) {
+	changeCount, bake := len(changeCases(rand.New(rand.NewPCG(0, 0)))), 4*time.Second // long enough for sufficient calls on slow machines
 	if v, err := strconv.Atoi(os.Getenv("FAWN_CHANGES")); err == nil {
-		n, bake = v, 1200*time.Millisecond
+		changeCount, bake = v, 1200*time.Millisecond
 	}
 	site, err := rig.NewSite(rig.SiteConfig{Servers: 6, Classes: rig.Patient(), NoHedge: true, NoCopies: true})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer site.Close()
-	script(site, standin.Random(5, standin.Odd{Share: 0.15, Act: standin.Act{Kind: standin.Decline}}, standin.Odd{Share: 0.85, Act: standin.Act{Delay: time.Millisecond}}))
+	setScript(site, standin.Random(5, standin.Odd{Share: 0.15, Act: standin.Act{Kind: standin.Decline}}, standin.Odd{Share: 0.85, Act: standin.Act{Delay: time.Millisecond}}))
 	socket := filepath.Join(t.TempDir(), "s")
 	features := fmt.Sprintf("version = 1\n[admin]\nsocket = %q\n[config]\nenabled = true\nbake = %q\n", socket, bake)
-	d, err := site.StartDaemon(1, features)
+	daemon, err := site.StartDaemon(1, features)
 	if err != nil {
 		t.Fatal(err)
 	}
 
-	type sent struct {
+	type sentCall struct {
 		id, class string
-		at        time.Time
+		sentAt    time.Time
 		reply     standin.Reply
 	}
 	var mu sync.Mutex
-	var calls []sent
+	var calls []sentCall
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
 	var load sync.WaitGroup
-	asks := []standin.Class{{Name: "status-check", Effect: standin.Safe}, {Name: "id-register", Effect: standin.Keyed}, {Name: "activate", Effect: standin.Unsafe}}
+	requestClasses := []standin.Class{{Name: "status-check", Effect: standin.Safe}, {Name: "id-register", Effect: standin.Keyed}, {Name: "activate", Effect: standin.Unsafe}}
 	for g := range 16 {
 		load.Go(func() {
-			client := standin.NewClient(d.Addr)
+			client := standin.NewClient(daemon.Addr)
 			defer client.Close()
 			for i := 0; ctx.Err() == nil; i++ {
-				s := sent{id: fmt.Sprintf("c%d-%d", g, i), class: asks[(g+i)%3].Name, at: time.Now()}
-				ask := standin.Ask{ID: s.id, Class: asks[(g+i)%3], Deadline: 20 * time.Second}
-				if ask.Class.Effect == standin.Keyed {
-					ask.Key = s.id
+				call := sentCall{id: fmt.Sprintf("c%d-%d", g, i), class: requestClasses[(g+i)%3].Name, sentAt: time.Now()}
+				request := standin.Ask{ID: call.id, Class: requestClasses[(g+i)%3], Deadline: 20 * time.Second}
+				if request.Class.Effect == standin.Keyed {
+					request.Key = call.id
 				}
-				s.reply = client.Do(context.Background(), ask)
+				call.reply = client.Do(context.Background(), request)
 				mu.Lock()
-				calls = append(calls, s)
+				calls = append(calls, call)
 				mu.Unlock()
 				time.Sleep(5 * time.Millisecond)
 			}
@@ -157,99 +162,99 @@
 	}
 
 	rng := rand.New(rand.NewPCG(7, 3))
-	attempts := map[int]int{1: 5} // by configuration
-	lacks := make(map[int]string) // the class that it does not know
-	running := site.JSON("127.0.0.1:0", 1)
-	status := func() (st changes.Status) {
-		if err := admin.Get(t.Context(), socket, "config", &st); err != nil {
+	maxAttempts := map[int]int{1: 5}     // by configuration ID
+	missingClass := make(map[int]string) // by configuration ID: the class that it does not define
+	runningConfig := site.JSON("127.0.0.1:0", 1)
+	status := func() (current changes.Status) {
+		if err := admin.Get(t.Context(), socket, "config", &current); err != nil {
 			t.Fatal(err)
 		}
-		return st
-	}
-	tally := make(map[string]int)
-	var switches []time.Time
-	var slowest time.Duration
-	var turn []int
-	for i := range n {
-		all := kinds(rng)
-		if len(turn) == 0 { // each kind once, in an order of its own
-			turn = rng.Perm(len(all))
+		return current
+	}
+	results := make(map[string]int)
+	var switchTimes []time.Time
+	var slowestVerdict time.Duration
+	var remaining []int
+	for i := range changeCount {
+		all := changeCases(rng)
+		if len(remaining) == 0 { // each kind once per round, in random order
+			remaining = rng.Perm(len(all))
 		}
-		c := all[turn[0]]
-		turn = turn[1:]
-		next := edited(t, running, c.edits...)
-		if string(next) == string(edited(t, running)) {
+		change := all[remaining[0]]
+		remaining = remaining[1:]
+		proposed := editPlatform(t, runningConfig, change.edits...)
+		if string(proposed) == string(editPlatform(t, runningConfig)) {
 			continue
 		}
-		var out changes.Outcome
-		began := time.Now()
-		err := admin.Do(t.Context(), socket, "config/apply", changes.Proposal{Platform: next, Why: c.name}, &out)
-		what := "refused"
-		if err == nil && out.ID == 0 {
-			continue // the same in other words
+		var outcome changes.Outcome
+		startTime := time.Now()
+		err := admin.Do(t.Context(), socket, "config/apply", changes.Proposal{Platform: proposed, Why: change.name}, &outcome)
+		result := "refused"
+		if err == nil && outcome.ID == 0 {
+			continue // the daemon found no difference in meaning
 		}
 		if err == nil {
 			var doc struct {
 				Settings struct{ Caps struct{ AttemptsCap int } }
 			}
-			json.Unmarshal(next, &doc)
-			attempts[int(out.ID)] = doc.Settings.Caps.AttemptsCap
-			if c.name == "a class gone" {
-				lacks[int(out.ID)] = "id-register"
+			json.Unmarshal(proposed, &doc)
+			maxAttempts[int(outcome.ID)] = doc.Settings.Caps.AttemptsCap
+			if change.name == "class removed" {
+				missingClass[int(outcome.ID)] = "id-register"
 			}
-			switches = append(switches, began)
-			for what = ""; what == ""; time.Sleep(10 * time.Millisecond) {
+			switchTimes = append(switchTimes, startTime)
+			for result = ""; result == ""; time.Sleep(10 * time.Millisecond) {
 				for _, e := range status().Events {
-					if e.ID == out.ID && e.What != "applied" {
-						what = e.What
+					if e.ID == outcome.ID && e.What != "applied" {
+						result = e.What
 					}
 				}
 			}
-			slowest = max(slowest, time.Since(began))
+			slowestVerdict = max(slowestVerdict, time.Since(startTime))
 		}
-		if what != c.want {
-			t.Errorf("change %d, %s: %s, want %s (%v)", i, c.name, what, c.want, err)
+		if result != change.want {
+			t.Errorf("change %d, %s: %s, want %s (%v)", i, change.name, result, change.want, err)
 		}
-		if what == "kept" {
-			running = next
+		if result == "kept" {
+			runningConfig = proposed
 		}
-		tally[c.want+" "+what]++
+		results[change.want+" "+result]++
 	}
-	st := status()
+	current := status()
 	stop()
 	load.Wait()
-	if err := d.Stop(); err != nil {
+	if err := daemon.Stop(); err != nil {
 		t.Error(err)
 	}
 
-	ids := site.Ledger.IDs()
-	ends, by := make(map[string]int), make(map[int]int)
-	var near, far []time.Duration
-	for _, s := range calls {
-		ends[s.reply.Verdict()]++
-		gen, _ := strconv.Atoi(s.reply.Header.Get("Fawn-Config"))
-		by[gen]++
-		count := ids[s.id]
+	counts := site.Ledger.IDs()
+	verdicts, callsByConfig := make(map[string]int), make(map[int]int)
+	var nearSwitch, awayFromSwitch []time.Duration
+	for _, call := range calls {
+		verdicts[call.reply.Verdict()]++
+		configID, _ := strconv.Atoi(call.reply.Header.Get("Fawn-Config"))
+		callsByConfig[configID]++
+		count := counts[call.id]
 		switch {
-		case s.reply.Status == 0:
-			t.Errorf("%s: no answer: %v", s.id, s.reply.Err)
-		case s.reply.Status == 404 && lacks[gen] != s.class:
-			t.Errorf("%s: configuration %d knows no %s", s.id, gen, s.class)
-		case attempts[gen] == 0 || count.Attempts > attempts[gen]:
-			t.Errorf("%s: %d attempts under configuration %d, which allows %d", s.id, count.Attempts, gen, attempts[gen])
-		case count.Effects > 1 && s.class != "status-check", s.reply.Status == 200 && count.Effects == 0:
-			t.Errorf("%s: status %d, %d effects", s.id, s.reply.Status, count.Effects)
+		case call.reply.Status == 0:
+			t.Errorf("%s: no answer: %v", call.id, call.reply.Err)
+		case call.reply.Status == 404 && missingClass[configID] != call.class:
+			t.Errorf("%s: configuration %d does not define class %s", call.id, configID, call.class)
+		case maxAttempts[configID] == 0 || count.Attempts > maxAttempts[configID]:
+			t.Errorf("%s: %d attempts under configuration %d, which allows %d", call.id, count.Attempts, configID, maxAttempts[configID])
+		case count.Effects > 1 && call.class != "status-check", call.reply.Status == 200 && count.Effects == 0:
+			t.Errorf("%s: status %d, %d effects", call.id, call.reply.Status, count.Effects)
 		}
-		at := &far
-		for _, w := range switches {
-			if d := s.at.Sub(w); d > -10*time.Millisecond && d < 50*time.Millisecond {
-				at = &near
+		durations := &awayFromSwitch
+		for _, w := range switchTimes {
+			if offset := call.sentAt.Sub(w); offset > -10*time.Millisecond && offset < 50*time.Millisecond {
+				durations = &nearSwitch
 			}
 		}
-		*at = append(*at, s.reply.Took)
+		*durations = append(*durations, call.reply.Took)
 	}
-	if len(by) < 3 || ends["served"] < len(calls)/2 {
-		t.Errorf("%d calls, ends %v, by configuration %v", len(calls), ends, by)
+	if len(callsByConfig) < 3 || verdicts["served"] < len(calls)/2 {
+		t.Errorf("%d calls, verdicts %v, calls by configuration %v; want at least 3 configurations and half of the calls served", len(calls), verdicts, callsByConfig)
 	}
 	quantile := func(all []time.Duration, p float64) time.Duration {
 		if len(all) == 0 {
@@ -258,14 +263,15 @@
 		slices.Sort(all)
 		return all[int(p*float64(len(all)-1))]
 	}
-	t.Logf("%d calls, ends %v; wanted and became: %v; verdict after %v at most; last switches %.0f us", len(calls), ends, tally, slowest.Round(time.Millisecond), st.Switches)
-	t.Logf("within 50 ms of a switch: %d calls, p50 %v, p99.9 %v; else p50 %v, p99.9 %v", len(near), quantile(near, 0.5), quantile(near, 0.999), quantile(far, 0.5), quantile(far, 0.999))
+	t.Logf("%d calls, verdicts %v; changes by wanted and actual result: %v; slowest verdict after %v; last switches took %.0f us", len(calls), verdicts, results, slowestVerdict.Round(time.Millisecond), current.Switches)
+	t.Logf("within 50 ms of a switch: %d calls, p50 %v, p99.9 %v; otherwise p50 %v, p99.9 %v", len(nearSwitch), quantile(nearSwitch, 0.5), quantile(nearSwitch, 0.999), quantile(awayFromSwitch, 0.5), quantile(awayFromSwitch, 0.999))
 }
 
-// The file and SIGHUP: a good change is put on trial, one during another's trial waits for
-// its end, the old file back ends a trial at once, half a file and a storm of signals do
-// nothing, what was undone is not taken again, and a listener of an undone change goes.
-func TestChangesByFile(t *testing.T) {
+// Guards against wrong handling of changes by file and SIGHUP. A valid change is put on trial; a
+// change during a trial waits for its end; restoring the old file ends the trial at once. Half a
+// file and many signals in a row change nothing, and a change that was undone is not tried again.
+// An undo leaves discovery's address and drains as they are.
+func TestConfigChangesByFileAndSignal(t *testing.T) {
 	site, err := rig.NewSite(rig.SiteConfig{Servers: 2, Classes: rig.Activation()})
 	if err != nil {
 		t.Fatal(err)
@@ -273,89 +279,89 @@
 	defer site.Close()
 	dir := t.TempDir()
 	socket := filepath.Join(dir, "s")
-	// No traffic: the verdict is the default's, and says so.
+	// There is no traffic, so that trials end with the default verdict, which states too few calls.
 	features := fmt.Sprintf("version = 1\n[admin]\nsocket = %q\n[config]\nenabled = true\nbake = \"3s\"\nfolder = %q\n", socket, dir)
-	d, err := site.StartDaemon(1, features)
+	daemon, err := site.StartDaemon(1, features)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer d.Stop()
-	first := site.JSON("127.0.0.1:0", 1)
-	status := func() (st changes.Status) {
-		if err := admin.Get(t.Context(), socket, "config", &st); err != nil {
+	defer daemon.Stop()
+	config1 := site.JSON("127.0.0.1:0", 1)
+	status := func() (current changes.Status) {
+		if err := admin.Get(t.Context(), socket, "config", &current); err != nil {
 			t.Fatal(err)
 		}
-		return st
+		return current
 	}
 	reload := func(platform []byte) {
 		t.Helper()
-		if err := d.Reload(platform, features); err != nil {
+		if err := daemon.Reload(platform, features); err != nil {
 			t.Fatal(err)
 		}
 	}
-	until := func(what string, ok func(changes.Status) bool) changes.Status {
+	waitFor := func(description string, condition func(changes.Status) bool) changes.Status {
 		t.Helper()
-		for end := time.Now().Add(30 * time.Second); ; time.Sleep(5 * time.Millisecond) {
-			st := status()
-			if ok(st) {
-				return st
+		for deadline := time.Now().Add(30 * time.Second); ; time.Sleep(5 * time.Millisecond) {
+			current := status()
+			if condition(current) {
+				return current
 			}
-			if time.Now().After(end) {
-				t.Fatalf("%s: %+v", what, st)
+			if time.Now().After(deadline) {
+				t.Fatalf("%s: %+v", description, current)
 			}
 		}
 	}
-	two, three := edited(t, first, caps("attemptsCap", 4)), edited(t, first, caps("attemptsCap", 3))
-	reload(first[:len(first)/2])
-	reload(two)
-	until("on trial", func(st changes.Status) bool { return st.Trial == 2 })
-	reload(three)
-	until("the next one waits", func(st changes.Status) bool { return st.Pending })
-	st := until("the first is kept, the next on trial", func(st changes.Status) bool { return st.Running == 2 && st.Trial == 3 })
-	if e := st.Events[len(st.Events)-2]; e.What != "kept" || !strings.Contains(e.Why, "too few calls") {
+	config2, config3 := editPlatform(t, config1, setCap("attemptsCap", 4)), editPlatform(t, config1, setCap("attemptsCap", 3))
+	reload(config1[:len(config1)/2])
+	reload(config2)
+	waitFor("the second configuration is not on trial", func(current changes.Status) bool { return current.Trial == 2 })
+	reload(config3)
+	waitFor("the third configuration is not pending", func(current changes.Status) bool { return current.Pending })
+	current := waitFor("the second configuration is not kept or the third not on trial", func(current changes.Status) bool { return current.Running == 2 && current.Trial == 3 })
+	if e := current.Events[len(current.Events)-2]; e.What != "kept" || !strings.Contains(e.Why, "too few calls") {
 		t.Errorf("%+v", e)
 	}
-	reload(two)
-	until("the old file ends the trial", func(st changes.Status) bool { return st.Running == 2 && st.Trial == 0 })
+	reload(config2)
+	waitFor("the old file does not end the trial", func(current changes.Status) bool { return current.Running == 2 && current.Trial == 0 })
 	for range 20 {
-		reload(three) // undone before
-		reload(two)
+		reload(config3) // was undone before
+		reload(config2)
 	}
-	reload(three)
+	reload(config3)
 	time.Sleep(100 * time.Millisecond)
-	if st := status(); st.Trial != 0 || st.Running != 2 || !st.Lasting {
-		t.Errorf("what was undone is on trial again: %+v", st)
+	if current := status(); current.Trial != 0 || current.Running != 2 || !current.Lasting {
+		t.Errorf("the change that was undone is on trial again: %+v", current)
 	}
-	// Operators may mean it; and end it.
-	var out changes.Outcome
-	if err := admin.Do(t.Context(), socket, "config/apply", changes.Proposal{Platform: three}, &out); err != nil || out.ID != 4 {
-		t.Fatalf("%+v, %v", out, err)
+	// An operator may apply a change that was undone before, and end its trial.
+	var outcome changes.Outcome
+	if err := admin.Do(t.Context(), socket, "config/apply", changes.Proposal{Platform: config3}, &outcome); err != nil || outcome.ID != 4 {
+		t.Fatalf("%+v, %v", outcome, err)
 	}
-	if err := admin.Do(t.Context(), socket, "config/apply", changes.Proposal{Platform: first}, &out); err == nil || !strings.Contains(err.Error(), "on trial: 4") {
-		t.Errorf("two at once: %v", err)
+	if err := admin.Do(t.Context(), socket, "config/apply", changes.Proposal{Platform: config1}, &outcome); err == nil || !strings.Contains(err.Error(), "on trial: 4") {
+		t.Errorf("a second change during a trial: %v, want an error that names trial 4", err)
 	}
-	// Discovery moves and a server drains meanwhile: both are facts, which an undo leaves.
-	old := site.Discovery.Addr()
+	// During the trial, discovery moves and a server starts to drain. An undo reverts neither.
+	oldAddr := site.Discovery.Addr()
 	if err := site.Discovery.Move(); err != nil {
 		t.Fatal(err)
 	}
-	reload([]byte(strings.Replace(string(two), old, site.Discovery.Addr(), 1)))
-	until("discovery is followed within the trial", func(st changes.Status) bool { return site.Discovery.Watching() > 0 && st.Trial == 4 })
+	reload([]byte(strings.Replace(string(config2), oldAddr, site.Discovery.Addr(), 1)))
+	waitFor("the daemon does not follow discovery to its new address within the trial", func(current changes.Status) bool { return site.Discovery.Watching() > 0 && current.Trial == 4 })
 	site.Discovery.Change(site.Endpoint(1, "draining"))
 	rollback := func() {
 		t.Helper()
 		if err := admin.Do(t.Context(), socket, "config/rollback", struct{}{}, new(changes.Status)); err != nil {
 			t.Fatal(err)
 		}
-		if st := status(); st.Running != 2 || st.Trial != 0 {
-			t.Errorf("%+v", st)
+		if current := status(); current.Running != 2 || current.Trial != 0 {
+			t.Errorf("%+v", current)
 		}
 	}
 	rollback()
-	client := standin.NewClient(d.Addr)
+	client := standin.NewClient(daemon.Addr)
 	defer client.Close()
 	calls := 0
-	until("the drain is kept", func(changes.Status) bool {
+	waitFor("the draining server still receives calls", func(changes.Status) bool {
 		for n := range 20 {
 			calls++
 			client.Do(t.Context(), standin.Ask{ID: fmt.Sprint("d", calls, "-", n), Class: standin.Class{Name: "status-check"}, Deadline: 5 * time.Second})
@@ -364,41 +370,43 @@
 		return !slices.ContainsFunc(log[max(0, len(log)-20):], func(a standin.Arrival) bool { return a.Server == "s2" })
 	})
 	if site.Discovery.Watching() == 0 {
-		t.Error("the undo took discovery's address back")
+		t.Error("the undo reverted discovery's address")
 	}
-	// The way back from this one would be refused as a change; as an undo it is not.
-	if err := admin.Do(t.Context(), socket, "config/apply", changes.Proposal{Platform: edited(t, two, ofClass("id-register", "effect", "once"))}, &out); err != nil || out.ID != 5 {
-		t.Fatalf("%+v, %v", out, err)
+	// The reverse of this change would be refused as a change, but is allowed as an undo.
+	if err := admin.Do(t.Context(), socket, "config/apply", changes.Proposal{Platform: editPlatform(t, config2, setClassField("id-register", "effect", "once"))}, &outcome); err != nil || outcome.ID != 5 {
+		t.Fatalf("%+v, %v", outcome, err)
 	}
 	rollback()
-	// What ran before the one that runs, by the same rules as any other.
-	if err := admin.Do(t.Context(), socket, "config/rollback", struct{}{}, &out); err != nil || out.ID != 6 {
-		t.Errorf("%+v, %v", out, err)
+	// Without a trial, a rollback applies the previous configuration under the rules of any change.
+	if err := admin.Do(t.Context(), socket, "config/rollback", struct{}{}, &outcome); err != nil || outcome.ID != 6 {
+		t.Errorf("%+v, %v", outcome, err)
 	}
-	// What stops in the middle of a trial starts in it, alone, and keeps it in the end.
-	if err := d.Stop(); err != nil {
+	// A daemon that stops during a trial restarts with that configuration on trial, without one to
+	// compare it with, and keeps it in the end.
+	if err := daemon.Stop(); err != nil {
 		t.Fatal(err)
 	}
-	again, err := site.StartDaemon(1, features)
+	restarted, err := site.StartDaemon(1, features)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer again.Stop()
-	if st := status(); st.Trial != 6 || !st.Alone {
-		t.Errorf("after a start: %+v", st)
+	defer restarted.Stop()
+	if current := status(); current.Trial != 6 || !current.Alone {
+		t.Errorf("after the restart: %+v, want configuration 6 alone on trial", current)
 	}
-	until("kept alone", func(st changes.Status) bool { return st.Running == 6 && st.Trial == 0 })
+	waitFor("configuration 6 is not kept after the restart", func(current changes.Status) bool { return current.Running == 6 && current.Trial == 0 })
 }
 
-// A daemon that is killed at any moment of a change starts under one configuration whole:
-// the one that it says, with that one's attempts. FAWN_KILLS=100 is the long one.
-func TestChangesKilled(t *testing.T) {
-	n := 6
+// Guards against a mixture of two configurations after a crash: a daemon that is killed at a random
+// moment of a change restarts under one complete configuration, the one that its status and
+// answers name, and keeps to the attempts of that one. FAWN_KILLS=100 runs more kills.
+func TestKillDuringConfigChange(t *testing.T) {
+	kills := 6
 	if v, err := strconv.Atoi(os.Getenv("FAWN_KILLS")); err == nil {
-		n = v
+		kills = v
 	}
 	binary := filepath.Join(t.TempDir(), "fawnrock")
-	if out, err := run("go", "build", "-o", binary, "chalkrack/cmd/fawnrock"); err != nil {
+	if out, err := runCommand("go", "build", "-o", binary, "chalkrack/cmd/fawnrock"); err != nil {
 		t.Fatalf("%v\n%s", err, out)
 	}
 	site, err := rig.NewSite(rig.SiteConfig{Servers: 6, Classes: rig.Activation(), NoHedge: true, NoCopies: true})
@@ -406,69 +414,70 @@
 		t.Fatal(err)
 	}
 	defer site.Close()
-	script(site, standin.Always(standin.Act{Kind: standin.Decline}))
+	setScript(site, standin.Always(standin.Act{Kind: standin.Decline}))
 	dir := t.TempDir()
 	socket := filepath.Join(dir, "s")
-	d, err := site.StartProcess(binary, 1, fmt.Sprintf("version = 1\n[admin]\nsocket = %q\n[config]\nenabled = true\nbake = \"100ms\"\nfolder = %q\n", socket, dir))
+	daemon, err := site.StartProcess(binary, 1, fmt.Sprintf("version = 1\n[admin]\nsocket = %q\n[config]\nenabled = true\nbake = \"100ms\"\nfolder = %q\n", socket, dir))
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer d.Close()
-	platform := site.JSON(d.Addr, 1)
-	rng := rand.New(rand.NewPCG(uint64(n), 8))
-	allows := map[int]int{1: 5}
-	last, trials := 1, 0
-	status := func() (st changes.Status) {
+	defer daemon.Close()
+	platform := site.JSON(daemon.Addr, 1)
+	rng := rand.New(rand.NewPCG(uint64(kills), 8))
+	maxAttempts := map[int]int{1: 5}
+	lastID, trials := 1, 0
+	status := func() (current changes.Status) {
 		t.Helper()
-		// The port is there a moment before the socket.
-		for end := time.Now().Add(20 * time.Second); ; time.Sleep(2 * time.Millisecond) {
-			err := admin.Get(t.Context(), socket, "config", &st)
+		// The daemon listens on its port a moment before it creates the admin socket.
+		for deadline := time.Now().Add(20 * time.Second); ; time.Sleep(2 * time.Millisecond) {
+			err := admin.Get(t.Context(), socket, "config", &current)
 			if err == nil {
-				return st
+				return current
 			}
-			if time.Now().After(end) {
+			if time.Now().After(deadline) {
 				t.Fatal(err)
 			}
 		}
 	}
-	for i := range n {
-		c := 1 + rng.IntN(4)
-		st := status()
-		if st.Trial == 0 { // else the kill meets a trial that is on
-			last = 1 + int(max(st.Running, st.Events[len(st.Events)-1].ID))
-			allows[last] = c
+	for i := range kills {
+		attemptsCap := 1 + rng.IntN(4)
+		current := status()
+		if current.Trial == 0 { // otherwise the previous kill left a trial that continues
+			lastID = 1 + int(max(current.Running, current.Events[len(current.Events)-1].ID))
+			maxAttempts[lastID] = attemptsCap
 		}
 		applied := make(chan struct{})
 		go func() {
 			defer close(applied)
-			admin.Do(t.Context(), socket, "config/apply", changes.Proposal{Platform: edited(t, platform, caps("attemptsCap", c))}, new(changes.Outcome))
+			admin.Do(t.Context(), socket, "config/apply", changes.Proposal{Platform: editPlatform(t, platform, setCap("attemptsCap", attemptsCap))}, new(changes.Outcome))
 		}()
 		time.Sleep(time.Duration(rng.IntN(20000)) * time.Microsecond)
-		d.Kill()
+		daemon.Kill()
 		<-applied
-		if err := d.Start(); err != nil {
+		if err := daemon.Start(); err != nil {
 			t.Fatalf("kill %d: %v", i, err)
 		}
-		st = status()
-		client := standin.NewClient(d.Addr)
+		current = status()
+		client := standin.NewClient(daemon.Addr)
 		id := fmt.Sprint("k", i)
-		r := client.Do(t.Context(), standin.Ask{ID: id, Class: standin.Class{Name: "status-check"}, Deadline: 10 * time.Second})
+		reply := client.Do(t.Context(), standin.Ask{ID: id, Class: standin.Class{Name: "status-check"}, Deadline: 10 * time.Second})
 		client.Close()
-		gen, _ := strconv.Atoi(r.Header.Get("Fawn-Config"))
-		want := int(st.Running)
-		if st.Trial != 0 {
-			want = int(st.Trial)
+		configID, _ := strconv.Atoi(reply.Header.Get("Fawn-Config"))
+		want := int(current.Running)
+		if current.Trial != 0 {
+			want = int(current.Trial)
 			trials++
 		}
-		if got := site.Ledger.ID(id).Attempts; gen != want || got > allows[gen] || got == 0 {
-			t.Errorf("kill %d: %d attempts under configuration %d, which allows %d; status %+v", i, got, gen, allows[gen], st)
+		if got := site.Ledger.ID(id).Attempts; configID != want || got > maxAttempts[configID] || got == 0 {
+			t.Errorf("kill %d: %d attempts under configuration %d, which allows %d; status %+v", i, got, configID, maxAttempts[configID], current)
 		}
 	}
-	t.Logf("%d kills, %d of them within a trial", n, trials)
+	t.Logf("%d kills, %d of them within a trial", kills, trials)
 }
 
-// free is an address that nobody listens at, and that no connection which goes out takes.
-func free(t *testing.T) string {
+// unusedAddress returns a free address on a host other than 127.0.0.1, so that no outgoing
+// connection from there takes its port.
+func unusedAddress(t *testing.T) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.3:0")
 	if err != nil {
@@ -478,10 +487,11 @@
 	return ln.Addr().String()
 }
 
-// A change that moves the listener: one that can't be staged leaves nothing; on trial both
-// addresses serve; undone the new one is closed and its connections go on; kept the old
-// one is closed.
-func TestChangeOfListener(t *testing.T) {
+// Guards against lost listeners and connections when a change moves the listener. A change to an
+// address in use is refused and leaves nothing behind. During a trial both addresses serve.
+// Afterwards one listener is closed, the new one after an undo, the old one otherwise, and open
+// connections continue.
+func TestListenerAddressChange(t *testing.T) {
 	for _, keep := range []bool{false, true} {
 		t.Run(fmt.Sprint("keep ", keep), func(t *testing.T) {
 			site, err := rig.NewSite(rig.SiteConfig{Servers: 1, Classes: rig.Activation()})
@@ -491,78 +501,79 @@
 			defer site.Close()
 			socket := filepath.Join(t.TempDir(), "s")
 			bake := map[bool]string{false: "10m", true: "500ms"}[keep]
-			d, err := site.StartDaemon(1, fmt.Sprintf("version = 1\n[admin]\nsocket = %q\n[config]\nenabled = true\nbake = %q\n", socket, bake))
+			daemon, err := site.StartDaemon(1, fmt.Sprintf("version = 1\n[admin]\nsocket = %q\n[config]\nenabled = true\nbake = %q\n", socket, bake))
 			if err != nil {
 				t.Fatal(err)
 			}
-			defer d.Stop()
-			taken, err := net.Listen("tcp", "127.0.0.3:0")
+			defer daemon.Stop()
+			takenListener, err := net.Listen("tcp", "127.0.0.3:0")
 			if err != nil {
 				t.Fatal(err)
 			}
-			defer taken.Close()
+			defer takenListener.Close()
 			calls := 0
-			ask := func(c *standin.Client) int {
+			callStatus := func(c *standin.Client) int {
 				calls++
 				return c.Do(t.Context(), standin.Ask{ID: fmt.Sprint("l", calls), Class: standin.Class{Name: "status-check"}, Deadline: 10 * time.Second}).Status
 			}
-			move := func(to string) error {
-				text := strings.Replace(string(site.JSON("127.0.0.1:0", 1)), `"listen":"127.0.0.1:0"`, `"listen":"`+to+`"`, 1)
+			moveListener := func(newAddr string) error {
+				text := strings.Replace(string(site.JSON("127.0.0.1:0", 1)), `"listen":"127.0.0.1:0"`, `"listen":"`+newAddr+`"`, 1)
 				return admin.Do(t.Context(), socket, "config/apply", changes.Proposal{Platform: []byte(text)}, new(changes.Outcome))
 			}
-			var st changes.Status
-			if err := move(taken.Addr().String()); err == nil || !strings.Contains(err.Error(), "listen") {
-				t.Errorf("a taken address: %v", err)
+			var current changes.Status
+			if err := moveListener(takenListener.Addr().String()); err == nil || !strings.Contains(err.Error(), "listen") {
+				t.Errorf("change to an address in use: %v, want a listen error", err)
 			}
-			if err := admin.Get(t.Context(), socket, "config", &st); err != nil || st.Trial != 0 || len(st.Events) != 1 {
-				t.Errorf("left behind: %+v, %v", st, err)
+			if err := admin.Get(t.Context(), socket, "config", &current); err != nil || current.Trial != 0 || len(current.Events) != 1 {
+				t.Errorf("after the refused change: %+v, %v; want no trial and one event", current, err)
 			}
-			to := free(t)
-			if err := move(to); err != nil {
+			newAddr := unusedAddress(t)
+			if err := moveListener(newAddr); err != nil {
 				t.Fatal(err)
 			}
-			old, moved := standin.NewClient(d.Addr), standin.NewClient(to)
-			defer old.Close()
-			defer moved.Close()
-			if a := ask(moved); a != 200 {
-				t.Errorf("at the new address: %d", a)
+			oldClient, newClient := standin.NewClient(daemon.Addr), standin.NewClient(newAddr)
+			defer oldClient.Close()
+			defer newClient.Close()
+			if a := callStatus(newClient); a != 200 {
+				t.Errorf("status %d at the new address, want 200", a)
 			}
-			gone := to
+			closedAddr := newAddr
 			if keep {
-				gone = d.Addr
+				closedAddr = daemon.Addr
 			} else {
-				if a := ask(old); a != 200 {
-					t.Errorf("at the old address: %d", a)
+				if a := callStatus(oldClient); a != 200 {
+					t.Errorf("status %d at the old address, want 200", a)
 				}
-				if err := admin.Do(t.Context(), socket, "config/rollback", struct{}{}, &st); err != nil {
+				if err := admin.Do(t.Context(), socket, "config/rollback", struct{}{}, &current); err != nil {
 					t.Fatal(err)
 				}
 			}
-			for end := time.Now().Add(30 * time.Second); ; time.Sleep(5 * time.Millisecond) {
-				c, err := net.Dial("tcp", gone)
+			for deadline := time.Now().Add(30 * time.Second); ; time.Sleep(5 * time.Millisecond) {
+				c, err := net.Dial("tcp", closedAddr)
 				if err != nil {
 					break
 				}
 				c.Close()
-				if time.Now().After(end) {
-					t.Fatalf("%s still listens", gone)
+				if time.Now().After(deadline) {
+					t.Fatalf("the listener at %s is still open", closedAddr)
 				}
 			}
-			if a := ask(moved); a != 200 {
-				t.Errorf("on a connection that was there: %d", a)
+			if a := callStatus(newClient); a != 200 {
+				t.Errorf("status %d on a connection opened during the trial, want 200", a)
 			}
-			fresh := standin.NewClient(map[bool]string{false: d.Addr, true: to}[keep])
-			defer fresh.Close()
-			if a := ask(fresh); a != 200 {
-				t.Errorf("at the address that is left: %d", a)
+			freshClient := standin.NewClient(map[bool]string{false: daemon.Addr, true: newAddr}[keep])
+			defer freshClient.Close()
+			if a := callStatus(freshClient); a != 200 {
+				t.Errorf("status %d at the remaining address, want 200", a)
 			}
 		})
 	}
 }
 
-// A memory that can't be written: the undo holds, is said to be missing there and tried
-// again, and nothing else is put on trial until it is written.
-func TestVerdictThatIsNotWritten(t *testing.T) {
+// Guards against an undo that is lost because the state file cannot be written. The undo takes
+// effect, the status reports the problem, the write is retried, and no other change is put on trial
+// until it succeeds.
+func TestRollbackIsRetriedWhenStateCannotBeWritten(t *testing.T) {
 	site, err := rig.NewSite(rig.SiteConfig{Servers: 1, Classes: rig.Activation()})
 	if err != nil {
 		t.Fatal(err)
@@ -570,55 +581,55 @@
 	defer site.Close()
 	dir := t.TempDir()
 	socket, folder := filepath.Join(dir, "s"), filepath.Join(dir, "memory")
-	inTheWay := filepath.Join(folder, "state.new") // a folder: no file can be written there
+	blockingDir := filepath.Join(folder, "state.new") // a directory at the path of the temporary file makes writing fail
 	if err := os.Mkdir(folder, 0o700); err != nil {
 		t.Fatal(err)
 	}
-	d, err := site.StartDaemon(1, fmt.Sprintf("version = 1\n[admin]\nsocket = %q\n[config]\nenabled = true\nbake = \"10m\"\nfolder = %q\n", socket, folder))
+	daemon, err := site.StartDaemon(1, fmt.Sprintf("version = 1\n[admin]\nsocket = %q\n[config]\nenabled = true\nbake = \"10m\"\nfolder = %q\n", socket, folder))
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer d.Stop()
-	first := site.JSON("127.0.0.1:0", 1)
+	defer daemon.Stop()
+	platform := site.JSON("127.0.0.1:0", 1)
 	apply := func(attempts int) error {
-		return admin.Do(t.Context(), socket, "config/apply", changes.Proposal{Platform: edited(t, first, caps("attemptsCap", attempts))}, new(changes.Outcome))
+		return admin.Do(t.Context(), socket, "config/apply", changes.Proposal{Platform: editPlatform(t, platform, setCap("attemptsCap", attempts))}, new(changes.Outcome))
 	}
 	if err := apply(4); err != nil {
 		t.Fatal(err)
 	}
-	if err := os.Mkdir(inTheWay, 0o700); err != nil {
+	if err := os.Mkdir(blockingDir, 0o700); err != nil {
 		t.Fatal(err)
 	}
-	var st changes.Status
-	if err := admin.Do(t.Context(), socket, "config/rollback", struct{}{}, &st); err != nil || st.Problem == "" {
-		t.Errorf("%+v, %v", st, err)
+	var current changes.Status
+	if err := admin.Do(t.Context(), socket, "config/rollback", struct{}{}, &current); err != nil || current.Problem == "" {
+		t.Errorf("%+v, %v", current, err)
 	}
-	client := standin.NewClient(d.Addr)
+	client := standin.NewClient(daemon.Addr)
 	defer client.Close()
-	for n := range 8 { // the undo holds: all calls are the first one's
+	for n := range 8 { // the undo is in effect: configuration 1 handles all calls
 		if r := client.Do(t.Context(), standin.Ask{ID: fmt.Sprint("w", n), Class: standin.Class{Name: "status-check"}, Deadline: 10 * time.Second}); r.Header.Get("Fawn-Config") != "1" {
-			t.Errorf("under %q", r.Header.Get("Fawn-Config"))
+			t.Errorf("call handled under configuration %q, want 1", r.Header.Get("Fawn-Config"))
 		}
 	}
 	if err := apply(3); err == nil || !strings.Contains(err.Error(), "can't be written") {
 		t.Errorf("%v", err)
 	}
-	if err := os.Remove(inTheWay); err != nil {
+	if err := os.Remove(blockingDir); err != nil {
 		t.Fatal(err)
 	}
-	for end := time.Now().Add(30 * time.Second); ; time.Sleep(10 * time.Millisecond) {
-		st = changes.Status{}
-		if err := admin.Get(t.Context(), socket, "config", &st); err != nil {
+	for deadline := time.Now().Add(30 * time.Second); ; time.Sleep(10 * time.Millisecond) {
+		current = changes.Status{}
+		if err := admin.Get(t.Context(), socket, "config", &current); err != nil {
 			t.Fatal(err)
 		}
-		if st.Problem == "" && st.Trial == 0 {
+		if current.Problem == "" && current.Trial == 0 {
 			break
 		}
-		if time.Now().After(end) {
-			t.Fatalf("%+v", st)
+		if time.Now().After(deadline) {
+			t.Fatalf("%+v", current)
 		}
 	}
 	if err := apply(3); err != nil {
-		t.Errorf("once it is written: %v", err)
+		t.Errorf("change after the state was written: %v", err)
 	}
 }
--- a/internal/rig/level_test.go
+++ b/internal/rig/level_test.go
@@ -13,9 +13,9 @@
 	"chalkrack/internal/standin"
 )
 
-// Servers that turn all away take the daemon up to emergency, where only what is worth most
-// is tried; once they serve it comes down step by step and lets all in again. Every call is
-// answered once.
+// Guards against a service level that does not follow the servers. When all servers decline, the
+// daemon rises to emergency, where it tries only the class of the highest worth. When they serve
+// again, it returns to normal one level at a time and accepts every class. Each call has one answer.
 func TestReducedService(t *testing.T) {
 	site, err := rig.NewSite(rig.SiteConfig{Servers: 3, Classes: rig.Patient(), NoHedge: true})
 	if err != nil {
@@ -24,15 +24,15 @@
 	defer site.Close()
 	socket := filepath.Join(t.TempDir(), "s")
 	features := fmt.Sprintf("version = 1\n[admin]\nsocket = %q\n[level]\nenabled = true\nenter_after = \"100ms\"\nleave_after = \"300ms\"\nproof = \"300ms\"\nevidence = 5.0\nslope = 4.0\ndoublings = 1\n", socket)
-	for _, l := range []string{"saving", "trimmed", "essential", "emergency"} { // of the test's own process
+	for _, l := range []string{"saving", "trimmed", "essential", "emergency"} { // ignore the resources of the test's own process
 		features += "[level." + l + "]\nenter = { lag = 0.0, memory = 0.0, sockets = 0.0, lost = 0.0 }\n"
 	}
-	d, err := site.StartDaemon(1, features)
+	daemon, err := site.StartDaemon(1, features)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer d.Stop()
-	view := func() (v level.View) {
+	defer daemon.Stop()
+	currentView := func() (v level.View) {
 		if err := admin.Get(t.Context(), socket, "level", &v); err != nil {
 			t.Fatal(err)
 		}
@@ -46,7 +46,7 @@
 		answers[class.Name] = make(map[int]int)
 		for g := range 4 {
 			wg.Go(func() {
-				c := standin.NewClient(d.Addr)
+				c := standin.NewClient(daemon.Addr)
 				defer c.Close()
 				for k := 0; ; k++ {
 					select {
@@ -55,24 +55,24 @@
 					default:
 					}
 					id := fmt.Sprint(n, "-", g, "-", k)
-					a := standin.Ask{ID: id, Class: standin.Class{Name: class.Name, Effect: class.Effect}, Deadline: 15 * time.Second}
+					request := standin.Ask{ID: id, Class: standin.Class{Name: class.Name, Effect: class.Effect}, Deadline: 15 * time.Second}
 					if class.Effect == standin.Keyed {
-						a.Key = id
+						request.Key = id
 					}
-					r := c.Do(t.Context(), a)
+					reply := c.Do(t.Context(), request)
 					mu.Lock()
-					answers[class.Name][r.Status]++
+					answers[class.Name][reply.Status]++
 					mu.Unlock()
 					time.Sleep(5 * time.Millisecond)
 				}
 			})
 		}
 	}
-	until := func(want string) {
+	waitForLevel := func(want string) {
 		t.Helper()
-		for end := time.Now().Add(time.Minute); view().Level != want; time.Sleep(10 * time.Millisecond) {
-			if time.Now().After(end) {
-				t.Fatalf("%s, want %s: %+v", view().Level, want, view())
+		for deadline := time.Now().Add(time.Minute); currentView().Level != want; time.Sleep(10 * time.Millisecond) {
+			if time.Now().After(deadline) {
+				t.Fatalf("level %s, want %s: %+v", currentView().Level, want, currentView())
 			}
 		}
 	}
@@ -81,50 +81,50 @@
 		defer mu.Unlock()
 		return answers[class][200]
 	}
-	until("normal")
+	waitForLevel("normal")
 	for _, s := range site.Servers {
 		s.Do(standin.Always(standin.Act{Kind: standin.Decline}))
 	}
-	until("emergency")
-	turned := view().Turned // of calls that come after the change, so a moment later
-	for end := time.Now().Add(time.Minute); turned["status-check"] == 0 && time.Now().Before(end); turned = view().Turned {
+	waitForLevel("emergency")
+	turnedAway := currentView().Turned // counts calls that arrive after the change, so it rises a moment later
+	for deadline := time.Now().Add(time.Minute); turnedAway["status-check"] == 0 && time.Now().Before(deadline); turnedAway = currentView().Turned {
 		time.Sleep(10 * time.Millisecond)
 	}
 	for _, s := range site.Servers {
 		s.Do(standin.Always(standin.Act{}))
 	}
-	until("normal")
+	waitForLevel("normal")
 	for _, class := range []string{"status-check", "id-register", "activate"} {
-		was := served(class)
-		for end := time.Now().Add(time.Minute); served(class) < was+20; time.Sleep(10 * time.Millisecond) {
-			if time.Now().After(end) {
-				t.Fatalf("%s is not served again: %+v", class, view())
+		before := served(class)
+		for deadline := time.Now().Add(time.Minute); served(class) < before+20; time.Sleep(10 * time.Millisecond) {
+			if time.Now().After(deadline) {
+				t.Fatalf("class %s is not served again: %+v", class, currentView())
 			}
 		}
 	}
 	close(stop)
 	wg.Wait()
-	if turned["activate"] != 0 || turned["status-check"] == 0 {
-		t.Errorf("turned away at emergency: %v", turned)
+	if turnedAway["activate"] != 0 || turnedAway["status-check"] == 0 {
+		t.Errorf("calls turned away at emergency: %v, want some of status-check and none of activate", turnedAway)
 	}
-	v := view()
-	downs := 0
+	v := currentView()
+	stepsDown := 0
 	for _, c := range v.Changes {
 		from, _ := level.Parse(c.From)
 		to, _ := level.Parse(c.To)
 		if to < from {
-			if downs++; to != from-1 {
-				t.Errorf("from %s to %s in one step", c.From, c.To)
+			if stepsDown++; to != from-1 {
+				t.Errorf("the level falls from %s to %s in one step", c.From, c.To)
 			}
 		}
 	}
-	if downs == 0 {
-		t.Errorf("no way down: %+v", v.Changes)
+	if stepsDown == 0 {
+		t.Errorf("the level never falls: %+v", v.Changes)
 	}
 	for class, all := range answers {
 		for status, n := range all {
 			if status != 200 && status != 503 && status != 502 {
-				t.Errorf("%d answers %d to %s", n, status, class)
+				t.Errorf("%d answers with status %d to class %s, want only 200, 502 and 503", n, status, class)
 			}
 		}
 	}
--- a/internal/rig/pools_test.go
+++ b/internal/rig/pools_test.go
@@ -20,9 +20,10 @@
 	"chalkrack/internal/standin"
 )
 
-// pooled is a site with two pools of fixed servers beside the platform's, and routes in
-// the shapes that sites have.
-func pooled(t testing.TB, socket string) (site *rig.Site, extra []*standin.Server, features string) {
+// newPoolSite returns a site with two pools of fixed servers beside the platform's servers, and the
+// text of a features file with these pools and with routes of each kind. The extra servers are w1,
+// w2 and spare of pool web and p1 of pool partners.
+func newPoolSite(t testing.TB, socket string) (site *rig.Site, extra []*standin.Server, features string) {
 	t.Helper()
 	site, err := rig.NewSite(rig.SiteConfig{Servers: 2, Classes: rig.Patient(), NoHedge: true})
 	if err != nil {
@@ -86,19 +87,19 @@
 `, socket, extra[0].Addr(), extra[1].Addr(), extra[2].Addr(), extra[3].Addr())
 }
 
-// ask is a GET of a path at a host; redirects are not followed.
-func askPath(t testing.TB, addr, host, path, id string) (status int, body string, h http.Header) {
+// getPath sends a GET request for a path and a host to addr. It does not follow redirects.
+func getPath(t testing.TB, addr, host, path, id string) (status int, body string, header http.Header) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), 30*time.Second)
 	defer cancel()
-	r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+path, nil)
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+path, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.Host = host
-	r.Header.Set("Req-Id", id)
-	tr := &http.Transport{DisableKeepAlives: true}
-	resp, err := tr.RoundTrip(r)
+	request.Host = host
+	request.Header.Set("Req-Id", id)
+	transport := &http.Transport{DisableKeepAlives: true}
+	resp, err := transport.RoundTrip(request)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -107,22 +108,22 @@
 	return resp.StatusCode, string(text), resp.Header
 }
 
-// Requests go where the first route that matches says, are answered here where it says
-// so, and to the platform's servers where none does; checks move a pool to its backup and
-// back.
+// Guards against requests that reach a wrong pool. The first matching route decides: it names a
+// pool or answers itself, and without a match the platform's servers are used. Failed checks move a
+// pool to its backup server, and passed checks move it back.
 func TestRoutesAndPools(t *testing.T) {
 	socket := filepath.Join(t.TempDir(), "s")
-	site, extra, features := pooled(t, socket)
-	d, err := site.StartDaemon(1, features)
+	site, extra, features := newPoolSite(t, socket)
+	daemon, err := site.StartDaemon(1, features)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer d.Stop()
+	defer daemon.Stop()
 	for n, c := range []struct {
-		host, path string
-		status     int
-		says       string
-		servers    string
+		host, path  string
+		status      int
+		wantBody    string
+		wantServers string
 	}{
 		{"app", "/status-check/x", 200, "", "s1 s2"},
 		{"app", "/status-check/admin/users", 403, "not from here", ""},
@@ -136,137 +137,139 @@
 		{"app", "/_health", 200, "", ""},
 	} {
 		id := fmt.Sprint("r", n)
-		status, body, h := askPath(t, d.Addr, c.host, c.path, id)
-		if status != c.status || !strings.Contains(body, c.says) || c.status == 301 && h.Get("Location") != "/status-check/new" {
-			t.Errorf("%s%s: %d %q", c.host, c.path, status, body)
+		status, body, header := getPath(t, daemon.Addr, c.host, c.path, id)
+		if status != c.status || !strings.Contains(body, c.wantBody) || c.status == 301 && header.Get("Location") != "/status-check/new" {
+			t.Errorf("%s%s: status %d, body %q", c.host, c.path, status, body)
 		}
 		count := site.Ledger.ID(id)
-		if (c.servers == "") != (count.Attempts == 0) {
-			t.Errorf("%s%s: %+v", c.host, c.path, count)
+		if (c.wantServers == "") != (count.Attempts == 0) {
+			t.Errorf("%s%s: the servers recorded %+v", c.host, c.path, count)
 		}
 		for _, a := range site.Ledger.Log() {
-			if a.ID == id && (!slices.Contains(strings.Fields(c.servers), a.Server) || a.Class != "status-check") {
-				t.Errorf("%s%s went to %s as %s", c.host, c.path, a.Server, a.Class)
+			if a.ID == id && (!slices.Contains(strings.Fields(c.wantServers), a.Server) || a.Class != "status-check") {
+				t.Errorf("%s%s was sent to server %s as class %s", c.host, c.path, a.Server, a.Class)
 			}
 		}
 	}
-	// An answer that a route gives to HEAD has no body: the next one follows at once.
-	nc, err := net.Dial("tcp", d.Addr)
+	// A route's answer to HEAD has no body: the next answer follows directly on the connection.
+	conn, err := net.Dial("tcp", daemon.Addr)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer nc.Close()
-	nc.SetDeadline(time.Now().Add(30 * time.Second))
-	br := bufio.NewReader(nc)
+	defer conn.Close()
+	conn.SetDeadline(time.Now().Add(30 * time.Second))
+	reader := bufio.NewReader(conn)
 	for _, method := range []string{http.MethodHead, http.MethodGet} {
-		fmt.Fprintf(nc, "%s /status-check/admin/x HTTP/1.1\r\nHost: app\r\nReq-Id: %s\r\n\r\n", method, method)
-		resp, err := http.ReadResponse(br, &http.Request{Method: method})
+		fmt.Fprintf(conn, "%s /status-check/admin/x HTTP/1.1\r\nHost: app\r\nReq-Id: %s\r\n\r\n", method, method)
+		resp, err := http.ReadResponse(reader, &http.Request{Method: method})
 		if err != nil || resp.StatusCode != 403 {
-			t.Fatalf("%s: %+v, %v", method, resp, err)
+			t.Fatalf("%s: %+v, %v, want status 403", method, resp, err)
 		}
 		io.Copy(io.Discard, resp.Body)
 	}
-	serving := func() string {
-		var seen []pools.Status
-		if err := admin.Get(t.Context(), socket, "pools", &seen); err != nil {
+	servingNames := func() string {
+		var poolStatuses []pools.Status
+		if err := admin.Get(t.Context(), socket, "pools", &poolStatuses); err != nil {
 			t.Fatal(err)
 		}
-		var all []string
-		for _, s := range seen[0].Servers {
+		var names []string
+		for _, s := range poolStatuses[0].Servers {
 			if s.Serving {
-				all = append(all, s.Name)
+				names = append(names, s.Name)
 			}
 		}
-		return strings.Join(all, " ")
+		return strings.Join(names, " ")
 	}
-	until := func(want string) {
+	waitForServing := func(want string) {
 		t.Helper()
-		for end := time.Now().Add(30 * time.Second); serving() != want; time.Sleep(5 * time.Millisecond) {
-			if time.Now().After(end) {
-				t.Fatalf("%q serve, want %q", serving(), want)
+		for deadline := time.Now().Add(30 * time.Second); servingNames() != want; time.Sleep(5 * time.Millisecond) {
+			if time.Now().After(deadline) {
+				t.Fatalf("servers %q of pool web serve, want %q", servingNames(), want)
 			}
 		}
 	}
-	until("w1 w2")
+	waitForServing("w1 w2")
 	extra[0].Kill()
-	until("w2")
+	waitForServing("w2")
 	extra[1].Kill()
-	until("spare")
-	if status, _, _ := askPath(t, d.Addr, "app", "/shop/1", "on the backup"); status != 200 {
-		t.Errorf("on the backup: %d", status)
+	waitForServing("spare")
+	if status, _, _ := getPath(t, daemon.Addr, "app", "/shop/1", "on the backup"); status != 200 {
+		t.Errorf("status %d from the backup server, want 200", status)
 	}
 	if err := extra[0].Restart(); err != nil {
 		t.Fatal(err)
 	}
-	until("w1")
-	// SIGTERM with a call under way in a pool: it is answered.
+	waitForServing("w1")
+	// A call that is in progress in a pool at SIGTERM is answered.
 	extra[3].Do(standin.Always(standin.Act{Delay: 300 * time.Millisecond}))
 	var wg sync.WaitGroup
 	wg.Go(func() {
-		if status, _, _ := askPath(t, d.Addr, "a.partners.example", "/status-check/x", "at the end"); status != 200 {
-			t.Errorf("under way at SIGTERM: %d", status)
+		if status, _, _ := getPath(t, daemon.Addr, "a.partners.example", "/status-check/x", "at the end"); status != 200 {
+			t.Errorf("status %d for the call in progress at SIGTERM, want 200", status)
 		}
 	})
-	for end := time.Now().Add(30 * time.Second); site.Ledger.ID("at the end").Attempts == 0 && time.Now().Before(end); time.Sleep(time.Millisecond) {
+	for deadline := time.Now().Add(30 * time.Second); site.Ledger.ID("at the end").Attempts == 0 && time.Now().Before(deadline); time.Sleep(time.Millisecond) {
 	}
-	if err := d.Stop(); err != nil {
+	if err := daemon.Stop(); err != nil {
 		t.Error(err)
 	}
 	wg.Wait()
 }
 
-// A pool whose servers are frozen takes no more than its bound and holds up no other.
-func TestPoolsApart(t *testing.T) {
-	site, extra, features := pooled(t, filepath.Join(t.TempDir(), "s"))
-	d, err := site.StartDaemon(1, features)
+// Guards against one pool that blocks others: a pool whose servers are frozen holds at most its
+// limit of 4 calls and refuses the rest early, and calls to another pool are served meanwhile.
+func TestFrozenPoolDoesNotDelayOthers(t *testing.T) {
+	site, extra, features := newPoolSite(t, filepath.Join(t.TempDir(), "s"))
+	daemon, err := site.StartDaemon(1, features)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer d.Stop()
+	defer daemon.Stop()
 	extra[3].Freeze()
 	var wg sync.WaitGroup
 	var mu sync.Mutex
 	refused := 0
 	for n := range 20 {
 		wg.Go(func() {
-			c := standin.NewClient(d.Addr)
+			c := standin.NewClient(daemon.Addr)
 			defer c.Close()
-			r := c.Do(t.Context(), standin.Ask{ID: fmt.Sprint("f", n), Class: standin.Class{Name: "status-check"}, Header: http.Header{"X-Partner": {"1"}}, Deadline: 3 * time.Second})
+			reply := c.Do(t.Context(), standin.Ask{ID: fmt.Sprint("f", n), Class: standin.Class{Name: "status-check"}, Header: http.Header{"X-Partner": {"1"}}, Deadline: 3 * time.Second})
 			mu.Lock()
 			defer mu.Unlock()
-			if r.Status == 503 && r.Took < 2*time.Second {
+			if reply.Status == 503 && reply.Took < 2*time.Second {
 				refused++
 			}
-			if r.Status == 0 {
-				t.Errorf("no answer: %v", r.Err)
+			if reply.Status == 0 {
+				t.Errorf("no answer: %v", reply.Err)
 			}
 		})
 	}
 	for n := range 50 {
-		if status, _, _ := askPath(t, d.Addr, "app", "/shop/x", fmt.Sprint("w", n)); status != 200 {
-			t.Errorf("beside a frozen pool: %d", status)
+		if status, _, _ := getPath(t, daemon.Addr, "app", "/shop/x", fmt.Sprint("w", n)); status != 200 {
+			t.Errorf("status %d from a pool beside a frozen one, want 200", status)
 		}
 	}
 	wg.Wait()
 	if refused < 16 {
-		t.Errorf("%d of 20 calls refused at a bound of 4", refused)
+		t.Errorf("%d of 20 calls refused, want at least 16 with a limit of 4", refused)
 	}
 	extra[3].Thaw()
 }
 
-// BenchmarkPoolsApart is p50 and p99 of a call to a healthy pool alone, and beside 50
-// calls a second to one whose server is frozen, in turns.
+// BenchmarkPoolsApart measures p50 and p99 of calls to a healthy pool, alternately alone and beside
+// 50 calls per second to a pool whose server is frozen.
+//
 // go test ./internal/rig -run '^$' -bench PoolsApart -benchtime 1x
 func BenchmarkPoolsApart(b *testing.B) {
-	site, extra, features := pooled(b, filepath.Join(b.TempDir(), "s"))
-	d, err := site.StartDaemon(1, features)
+	site, extra, features := newPoolSite(b, filepath.Join(b.TempDir(), "s"))
+	daemon, err := site.StartDaemon(1, features)
 	if err != nil {
 		b.Fatal(err)
 	}
-	defer d.Stop()
+	defer daemon.Stop()
 	const rounds, calls = 5, 1500
 	var ratios []float64
-	took := make(map[bool][]time.Duration)
+	timesByFrozen := make(map[bool][]time.Duration)
 	for round := range rounds {
 		var p99 [2]time.Duration
 		for _, frozen := range []bool{false, true} {
@@ -282,21 +285,21 @@
 						case <-time.After(20 * time.Millisecond):
 						}
 						wg.Go(func() {
-							c := standin.NewClient(d.Addr)
+							c := standin.NewClient(daemon.Addr)
 							defer c.Close()
 							c.Do(context.Background(), standin.Ask{ID: fmt.Sprint("f", round, "-", n), Class: standin.Class{Name: "status-check"}, Header: http.Header{"X-Partner": {"1"}}, Deadline: time.Second})
 						})
 					}
 				})
 			}
-			client := standin.NewClient(d.Addr)
+			client := standin.NewClient(daemon.Addr)
 			var all []time.Duration
 			for n := range calls {
-				r := client.Do(context.Background(), standin.Ask{ID: fmt.Sprint("h", round, frozen, n), Class: standin.Class{Name: "status-check"}, Deadline: 5 * time.Second})
-				if r.Status != 200 {
-					b.Errorf("%d, %v", r.Status, r.Err)
+				reply := client.Do(context.Background(), standin.Ask{ID: fmt.Sprint("h", round, frozen, n), Class: standin.Class{Name: "status-check"}, Deadline: 5 * time.Second})
+				if reply.Status != 200 {
+					b.Errorf("status %d from the healthy pool, %v", reply.Status, reply.Err)
 				}
-				all = append(all, r.Took)
+				all = append(all, reply.Took)
 				time.Sleep(500 * time.Microsecond)
 			}
 			client.Close()
@@ -304,12 +307,12 @@
 			extra[3].Thaw()
 			wg.Wait()
 			slices.Sort(all)
-			took[frozen] = append(took[frozen], all...)
+			timesByFrozen[frozen] = append(timesByFrozen[frozen], all...)
 			p99[map[bool]int{false: 0, true: 1}[frozen]] = all[len(all)*99/100]
 		}
 		ratios = append(ratios, float64(p99[1])/float64(p99[0]))
 	}
-	for frozen, all := range took {
+	for frozen, all := range timesByFrozen {
 		slices.Sort(all)
 		name := map[bool]string{false: "alone", true: "beside-frozen"}[frozen]
 		b.ReportMetric(float64(all[len(all)/2].Microseconds()), name+"-p50-us")
@@ -320,61 +323,61 @@
 	b.ReportMetric(0, "ns/op")
 }
 
-// A pool with a queue has no more at its servers than it may; what waits goes as places
-// come free, and what finds the line full is told at once to come back.
+// Guards against an unbounded pool: with a queue, at most max_active calls are at its servers,
+// waiting calls are sent as others end, and a call that finds the queue full is refused at once.
 func TestPoolQueue(t *testing.T) {
 	socket := filepath.Join(t.TempDir(), "s")
-	site, extra, features := pooled(t, socket)
+	site, extra, features := newPoolSite(t, socket)
 	features = strings.Replace(features, "max_held = 4\n", "max_active = 2\nmax_waiting = 3\nqueue_wait = \"1m\"\n", 1)
-	d, err := site.StartDaemon(1, features)
+	daemon, err := site.StartDaemon(1, features)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer d.Stop()
+	defer daemon.Stop()
 	extra[3].Freeze()
 	var wg sync.WaitGroup
 	statuses := make(chan int, 20)
-	ask := func(id string) {
+	sendCall := func(id string) {
 		wg.Go(func() {
-			c := standin.NewClient(d.Addr)
+			c := standin.NewClient(daemon.Addr)
 			defer c.Close()
 			statuses <- c.Do(t.Context(), standin.Ask{ID: id, Class: standin.Class{Name: "status-check"}, Header: http.Header{"X-Partner": {"1"}}, Deadline: 19 * time.Second}).Status
 		})
 	}
-	queue := func() string {
-		var seen []pools.Status
-		if err := admin.Get(t.Context(), socket, "pools", &seen); err != nil {
+	queueState := func() string {
+		var poolStatuses []pools.Status
+		if err := admin.Get(t.Context(), socket, "pools", &poolStatuses); err != nil {
 			t.Fatal(err)
 		}
-		q := seen[1].Queue
+		q := poolStatuses[1].Queue
 		return fmt.Sprint(q.Active, " ", q.Waiting)
 	}
-	until := func(want string) {
+	waitForQueue := func(want string) {
 		t.Helper()
-		for end := time.Now().Add(15 * time.Second); queue() != want; time.Sleep(time.Millisecond) {
-			if time.Now().After(end) {
-				t.Fatalf("active and waiting: %s, want %s", queue(), want)
+		for deadline := time.Now().Add(15 * time.Second); queueState() != want; time.Sleep(time.Millisecond) {
+			if time.Now().After(deadline) {
+				t.Fatalf("active and waiting calls: %s, want %s", queueState(), want)
 			}
 		}
 	}
 	for n := range 5 {
-		ask(fmt.Sprint("q", n))
+		sendCall(fmt.Sprint("q", n))
 	}
-	until("2 3")
+	waitForQueue("2 3")
 	for n := range 5 {
-		ask(fmt.Sprint("over", n))
+		sendCall(fmt.Sprint("over", n))
 	}
 	for range 5 {
 		if s := <-statuses; s != 503 {
-			t.Errorf("at a full line: %d", s)
+			t.Errorf("status %d with a full queue, want 503", s)
 		}
 	}
 	extra[3].Thaw()
 	for range 5 {
 		if s := <-statuses; s != 200 {
-			t.Errorf("one that waited: %d", s)
+			t.Errorf("status %d for a call that waited, want 200", s)
 		}
 	}
 	wg.Wait()
-	until("0 0")
+	waitForQueue("0 0")
 }
--- a/internal/rig/rig.go
+++ b/internal/rig/rig.go
@@ -1,5 +1,5 @@
-// Package rig puts a site of stand-ins together, and the daemon before it: what
-// demonstrations, rehearsals and tests of the whole begin with.
+// Package rig starts a site for demonstrations, rehearsals and end-to-end tests: stand-in servers,
+// their discovery service and a daemon in front of them.
 package rig
 
 import (
@@ -26,22 +26,22 @@
 	"chalkrack/internal/standin"
 )
 
-// Class is a class of the site's settings.
+// Class is a request class in the site's settings.
 type Class struct {
 	Name     string
 	Effect   standin.Effect
-	Scope    string        // for Keyed: all, zone or cell
-	Window   time.Duration // for Keyed
+	Scope    string        // of deduplication, for Keyed only: all, zone or cell
+	Window   time.Duration // of deduplication, for Keyed only
 	Aim      time.Duration
 	Deadline time.Duration
 	Worth    float64
 }
 
-// windowSlack is for how much longer than they promise servers remember a key: what is
-// sent within the window arrives a moment later.
-const windowSlack = 250 * time.Millisecond
+// dedupWindowMargin is added to the window for which servers remember a key, because a request
+// sent within the window arrives a little later.
+const dedupWindowMargin = 250 * time.Millisecond
 
-// Activation is the operators' three classes, as their brief has them.
+// Activation returns the three classes that the operators' brief defines.
 func Activation() []Class {
 	return []Class{
 		{"status-check", standin.Safe, "", 0, 800 * time.Millisecond, 3 * time.Second, 1},
@@ -50,8 +50,8 @@
 	}
 }
 
-// Patient is Activation on a machine that may be slow: times so long that none passes
-// for want of CPU.
+// Patient returns the operators' three classes with aims and deadlines so long that a machine
+// short of CPU does not exceed them.
 func Patient() []Class {
 	classes := Activation()
 	for n := range classes {
@@ -60,35 +60,35 @@
 	return classes
 }
 
-// SiteConfig is what a Site is told.
+// SiteConfig configures a Site.
 type SiteConfig struct {
 	Servers  int
 	Classes  []Class
-	Server   standin.ServerConfig // of each; Name and Ledger are the site's
-	Attempts int                  // of one request at most; 0: 5
-	NoCopies bool                 // no second copies
-	NoHedge  bool                 // copies are allowed and their budget is next to nothing
-	ColdFrom float64
-	ColdFor  time.Duration
-	Warm     bool     // servers count as started long ago at first, and are cold after a restart
-	Sockets  int      // of the daemon; 0: 1,024
-	MemoryMB int      // of the daemon; 0: 192
-	Managed  bool     // the daemon has a management address
-	Zones    []string // of the servers, in turn; the daemon is in the first. Empty: one
-	Asked    bool     // discovery has to be asked for the list
-	Unlisted bool     // the daemon knows no list from before
-	Fleet    int      // daemons in all, as each is told; 0: 1
+	Server   standin.ServerConfig // of every server; NewSite sets Name and Ledger
+	Attempts int                  // maximum for one request; 0 means 5
+	NoCopies bool                 // hedging is disabled
+	NoHedge  bool                 // hedging is enabled, but so costly that its budget is almost 0
+	ColdFrom float64              // share of its capacity that a server has right after its start
+	ColdFor  time.Duration        // for which a server that has started is cold; 0: never
+	Warm     bool                 // servers start warm; they are cold after a restart
+	Sockets  int                  // the daemon's limit; 0 means 1,024
+	MemoryMB int                  // the daemon's limit; 0 means 192
+	Managed  bool                 // the daemon listens on a management address
+	Zones    []string             // assigned to servers in turn, the first to the daemon; empty: one zone
+	Asked    bool                 // the daemon subscribes to discovery for the list of servers
+	Unlisted bool                 // the daemon's configuration contains no list of servers
+	Fleet    int                  // number of daemons that the configuration states; 0 means 1
 }
 
-// zone is that of the n-th server.
-func (c *SiteConfig) zone(n int) string {
+// serverZone returns the zone of the server with an index from 0.
+func (c *SiteConfig) serverZone(index int) string {
 	if len(c.Zones) == 0 {
 		return "z"
 	}
-	return c.Zones[n%len(c.Zones)]
+	return c.Zones[index%len(c.Zones)]
 }
 
-// Site is a fleet of stand-ins with its discovery.
+// Site is a set of stand-in servers with its discovery service.
 type Site struct {
 	Config    SiteConfig
 	Ledger    *standin.Ledger
@@ -96,47 +96,47 @@
 	Discovery *standin.Discovery
 }
 
-// NewSite starts the stand-ins.
+// NewSite starts the stand-in servers and the discovery service. The caller closes the site.
 func NewSite(cfg SiteConfig) (*Site, error) {
-	var window time.Duration
+	var longestWindow time.Duration
 	for _, c := range cfg.Classes {
-		window = max(window, c.Window+windowSlack)
+		longestWindow = max(longestWindow, c.Window+dedupWindowMargin)
 	}
-	s := &Site{Config: cfg, Ledger: standin.NewLedger(window)}
-	var list []standin.Endpoint
+	site := &Site{Config: cfg, Ledger: standin.NewLedger(longestWindow)}
+	var endpoints []standin.Endpoint
 	for n := range cfg.Servers {
-		sc := cfg.Server
-		sc.Name, sc.Ledger = fmt.Sprintf("s%d", n+1), s.Ledger
-		server, err := standin.NewServer(sc)
+		serverConfig := cfg.Server
+		serverConfig.Name, serverConfig.Ledger = fmt.Sprintf("s%d", n+1), site.Ledger
+		server, err := standin.NewServer(serverConfig)
 		if err != nil {
-			s.Close()
+			site.Close()
 			return nil, err
 		}
 		if cfg.Warm {
 			server.Warm()
 		}
-		s.Servers = append(s.Servers, server)
-		list = append(list, s.Endpoint(n, "up"))
+		site.Servers = append(site.Servers, server)
+		endpoints = append(endpoints, site.Endpoint(n, "up"))
 	}
 	var err error
-	if s.Discovery, err = standin.NewDiscovery(list...); err != nil {
-		s.Close()
+	if site.Discovery, err = standin.NewDiscovery(endpoints...); err != nil {
+		site.Close()
 		return nil, err
 	}
-	return s, nil
+	return site, nil
 }
 
-// Endpoint is the entry of the n-th server, from 0.
-func (s *Site) Endpoint(n int, status string) standin.Endpoint {
-	server := s.Servers[n]
-	e := standin.Endpoint{Name: server.Name(), Address: server.Addr(), Zone: s.Config.zone(n), Status: status, Weight: 1}
+// Endpoint returns the discovery entry of the server with an index from 0.
+func (s *Site) Endpoint(index int, status string) standin.Endpoint {
+	server := s.Servers[index]
+	endpoint := standin.Endpoint{Name: server.Name(), Address: server.Addr(), Zone: s.Config.serverZone(index), Status: status, Weight: 1}
 	if s.Config.ColdFor > 0 {
-		e.SinceMs = server.Started().UnixMilli()
+		endpoint.SinceMs = server.Started().UnixMilli()
 	}
-	return e
+	return endpoint
 }
 
-// Close ends all of it.
+// Close stops the discovery service and the servers.
 func (s *Site) Close() {
 	if s.Discovery != nil {
 		s.Discovery.Close()
@@ -146,36 +146,36 @@
 	}
 }
 
-// JSON is a daemon's configuration for the site, in the platform's form.
+// JSON returns a daemon's configuration for the site, in the platform's format.
 func (s *Site) JSON(listen string, seed uint64) []byte {
 	effects := map[standin.Effect]string{standin.Safe: "repeatable", standin.Keyed: "by_key", standin.Unsafe: "once"}
 	var classes []map[string]any
-	for _, c := range s.Config.Classes {
-		m := map[string]any{"name": c.Name, "effect": effects[c.Effect], "promiseUs": c.Aim.Microseconds(), "hardLimitUs": c.Deadline.Microseconds(), "worth": c.Worth}
-		if c.Effect == standin.Keyed {
-			m["dedupScope"], m["repeatWindowUs"] = c.Scope, c.Window.Microseconds()
+	for _, class := range s.Config.Classes {
+		entry := map[string]any{"name": class.Name, "effect": effects[class.Effect], "promiseUs": class.Aim.Microseconds(), "hardLimitUs": class.Deadline.Microseconds(), "worth": class.Worth}
+		if class.Effect == standin.Keyed {
+			entry["dedupScope"], entry["repeatWindowUs"] = class.Scope, class.Window.Microseconds()
 		}
-		classes = append(classes, m)
+		classes = append(classes, entry)
 	}
 	attempts := s.Config.Attempts
 	if attempts == 0 {
 		attempts = 5
 	}
-	waste := 0.0
+	wasteCost := 0.0
 	if s.Config.NoHedge {
-		waste = 1e9
+		wasteCost = 1e9
 	}
-	var list []standin.Endpoint
+	var endpoints []standin.Endpoint
 	for n := range s.Servers {
-		list = append(list, s.Endpoint(n, "up"))
+		endpoints = append(endpoints, s.Endpoint(n, "up"))
 	}
-	known := map[string]any{"index": 1, "snapshot": true, "endpoints": list}
+	initialList := map[string]any{"index": 1, "snapshot": true, "endpoints": endpoints}
 	if s.Config.Unlisted {
-		known = nil
+		initialList = nil
 	}
-	mode := "automatic"
+	registryMode := "automatic"
 	if s.Config.Asked {
-		mode = "subscribe"
+		registryMode = "subscribe"
 	}
 	management := ""
 	if s.Config.Managed {
@@ -185,55 +185,56 @@
 		"management": management,
 		"name":       "n1", "listen": listen, "discovery": s.Discovery.Addr(), "seed": fmt.Sprintf("%016x", seed),
 		"limits": map[string]any{"cores": 1.0, "memory_mb": cmp.Or(s.Config.MemoryMB, 192), "sockets": cmp.Or(s.Config.Sockets, 1024)},
-		"known":  known,
+		"known":  initialList,
 		"settings": map[string]any{
-			"replicasOfMe": max(1, s.Config.Fleet), "zone": s.Config.zone(0), "registryMode": mode,
+			"replicasOfMe": max(1, s.Config.Fleet), "zone": s.Config.serverZone(0), "registryMode": registryMode,
 			"caps": map[string]any{"attemptsCap": attempts, "mayCancel": true, "secondCopies": !s.Config.NoCopies, "retryAfter": true,
 				"maxRetryAfterUs": 1000000, "connIdleUs": 15000000, "dialTimeoutUs": 250000, "mostHeld": 4096},
-			"costs": map[string]any{"waste": waste},
+			"costs": map[string]any{"waste": wasteCost},
 			"guarantees": map[string]any{"drainGraceUs": 2000000, "askWithinUs": 10000000, "coldFrom": s.Config.ColdFrom, "coldUs": s.Config.ColdFor.Microseconds(),
 				"overloadFactor": s.Config.Server.FallFactor, "overloadForUs": s.Config.Server.FallFor.Microseconds()},
 			"classes": classes,
 		},
 	})
 	if err != nil {
-		panic(err) // of constants and numbers
+		panic(err) // constants and finite numbers can always be encoded
 	}
 	return text
 }
 
-// Daemon is a daemon that runs before a site.
+// Daemon is a daemon in front of a site, either in this process or in one of its own.
 type Daemon struct {
 	Addr       string
-	Management string // in this process, of a Managed site
-	path       string // of its configuration
+	Management string // set only in this process and with a management listener
+	configPath string // of the platform's configuration file
 	dir        string
 
-	// In this process:
-	term chan os.Signal
-	hup  chan os.Signal
-	done chan error
+	// For a daemon in this process:
+	sigterm chan os.Signal
+	sighup  chan os.Signal
+	result  chan error
 
-	// As a process of its own:
-	binary string
-	cmd    *exec.Cmd
-	cpu    time.Duration
-	log    lockedBuffer
+	// For a daemon in its own process:
+	binary    string
+	cmd       *exec.Cmd
+	cpuTime   time.Duration
+	stderrLog lockedBuffer
 }
 
+// lockedBuffer is a log buffer that is safe for concurrent use.
 type lockedBuffer struct {
-	mu sync.Mutex
-	b  bytes.Buffer
+	mu     sync.Mutex
+	buffer bytes.Buffer
 }
 
-// logMost bounds what is kept of a daemon's log.
-const logMost = 1 << 20
+// maxLogBytes limits how much of a daemon's log is kept; the rest is dropped.
+const maxLogBytes = 1 << 20
 
 func (l *lockedBuffer) Write(p []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.b.Len() < logMost {
-		l.b.Write(p)
+	if l.buffer.Len() < maxLogBytes {
+		l.buffer.Write(p)
 	}
 	return len(p), nil
 }
@@ -241,88 +242,92 @@
 func (l *lockedBuffer) String() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.b.String()
+	return l.buffer.String()
 }
 
-func (s *Site) files(listen string, seed uint64, features string) (*Daemon, error) {
+// writeConfigFiles writes both files of a new daemon to a temporary folder, without starting it.
+func (s *Site) writeConfigFiles(listen string, seed uint64, features string) (*Daemon, error) {
 	dir, err := os.MkdirTemp("", "rig")
 	if err != nil {
 		return nil, err
 	}
-	d := &Daemon{dir: dir, path: filepath.Join(dir, "config.json")}
-	if err := os.WriteFile(d.path, s.JSON(listen, seed), 0o600); err != nil {
+	d := &Daemon{dir: dir, configPath: filepath.Join(dir, "config.json")}
+	if err := os.WriteFile(d.configPath, s.JSON(listen, seed), 0o600); err != nil {
 		return nil, err
 	}
-	return d, os.WriteFile(d.features(), []byte(features), 0o600)
+	return d, os.WriteFile(d.featuresPath(), []byte(features), 0o600)
 }
 
-func (d *Daemon) features() string { return filepath.Join(d.dir, "features.toml") }
+func (d *Daemon) featuresPath() string { return filepath.Join(d.dir, "features.toml") }
 
-// StartDaemon runs a daemon within this process, on a port that the system picks.
-// features is the text of its features file.
+// StartDaemon runs a daemon within this process, on a port that the system picks, and waits until
+// it is ready. features is the text of its features file.
 func (s *Site) StartDaemon(seed uint64, features string) (*Daemon, error) {
-	return s.StartDaemonOn(nil, seed, features)
+	return s.StartDaemonWithDisk(nil, seed, features)
 }
 
-// StartDaemonOn does so with files of bodies on a disk of the caller's.
-func (s *Site) StartDaemonOn(disk spool.FS, seed uint64, features string) (*Daemon, error) {
-	return s.start(disk, seed, features, nil)
+// StartDaemonWithDisk is StartDaemon with a file system for kept bodies; nil is the system's.
+func (s *Site) StartDaemonWithDisk(disk spool.FS, seed uint64, features string) (*Daemon, error) {
+	return s.startInProcess(disk, seed, features, nil)
 }
 
-// StartSuccessor runs a daemon that takes its clients from a socket that others of the
-// same sidecar have too, and shares a folder with them.
-func (s *Site) StartSuccessor(seed uint64, socket *net.TCPListener, shared string) (*Daemon, error) {
-	f, err := socket.File() // the daemon closes its descriptor
+// StartSuccessor runs a daemon within this process that accepts clients from a listening socket
+// which it shares, as it shares a folder for temporary files, with other daemons of the same
+// sidecar.
+func (s *Site) StartSuccessor(seed uint64, socket *net.TCPListener, sharedDir string) (*Daemon, error) {
+	file, err := socket.File() // a duplicate is passed on: the daemon closes its descriptor
 	if err != nil {
 		return nil, err
 	}
-	fd, err := syscall.Dup(int(f.Fd()))
-	f.Close()
+	fd, err := syscall.Dup(int(file.Fd()))
+	file.Close()
 	if err != nil {
 		return nil, err
 	}
-	return s.start(nil, seed, "", map[string]string{"BALANCER_FD": strconv.Itoa(fd), "TMPDIR": shared})
+	return s.startInProcess(nil, seed, "", map[string]string{"BALANCER_FD": strconv.Itoa(fd), "TMPDIR": sharedDir})
 }
 
-func (s *Site) start(disk spool.FS, seed uint64, features string, env map[string]string) (*Daemon, error) {
-	d, err := s.files("127.0.0.1:0", seed, features)
+// startInProcess is StartDaemonWithDisk with environment variables that override the daemon's own.
+func (s *Site) startInProcess(disk spool.FS, seed uint64, features string, overrides map[string]string) (*Daemon, error) {
+	d, err := s.writeConfigFiles("127.0.0.1:0", seed, features)
 	if err != nil {
 		return nil, err
 	}
-	d.term, d.done = make(chan os.Signal, 1), make(chan error, 1)
-	all := map[string]string{"BALANCER_CONFIG": d.path, "FAWN_FEATURES": d.features()}
-	maps.Copy(all, env)
-	c, err := config.Load(func(name string) string { return all[name] })
+	d.sigterm, d.result = make(chan os.Signal, 1), make(chan error, 1)
+	environment := map[string]string{"BALANCER_CONFIG": d.configPath, "FAWN_FEATURES": d.featuresPath()}
+	maps.Copy(environment, overrides)
+	cfg, err := config.Load(func(name string) string { return environment[name] })
 	if err != nil {
 		os.RemoveAll(d.dir)
 		return nil, err
 	}
-	c.BodyFS = disk
-	c.OnManagementListen = func(a net.Addr) { d.Management = a.String() } // before it is ready
-	if c, err = config.RestoreHistory(c); err != nil {
+	cfg.BodyFS = disk
+	cfg.OnManagementListen = func(a net.Addr) { d.Management = a.String() } // called before the daemon is ready
+	if cfg, err = config.RestoreHistory(cfg); err != nil {
 		os.RemoveAll(d.dir)
 		return nil, err
 	}
-	d.hup = make(chan os.Signal, 1)
+	d.sighup = make(chan os.Signal, 1)
 	ready := make(chan string, 1)
-	go func() { d.done <- daemon.Run(c, d.term, d.hup, func(a net.Addr) { ready <- a.String() }) }()
+	go func() { d.result <- daemon.Run(cfg, d.sigterm, d.sighup, func(a net.Addr) { ready <- a.String() }) }()
 	select {
 	case d.Addr = <-ready:
 		return d, nil
-	case err := <-d.done:
+	case err := <-d.result:
 		os.RemoveAll(d.dir)
-		return nil, fmt.Errorf("rig: the daemon ended at once: %w", err)
+		return nil, fmt.Errorf("rig: the daemon ended before it was ready: %w", err)
 	}
 }
 
-// StartProcess runs a daemon's binary, on a loopback address that is free now, and that
-// no connection which goes out from 127.0.0.1 can take while it restarts.
+// StartProcess runs a daemon's binary on a free loopback address and waits until it serves. The
+// address is on a host other than 127.0.0.1, so that no outgoing connection from there can take
+// its port while the daemon restarts.
 func (s *Site) StartProcess(binary string, seed uint64, features string) (*Daemon, error) {
-	addr, err := address()
+	addr, err := freeAddress()
 	if err != nil {
 		return nil, err
 	}
-	d, err := s.files(addr, seed, features)
+	d, err := s.writeConfigFiles(addr, seed, features)
 	if err != nil {
 		return nil, err
 	}
@@ -330,33 +335,33 @@
 	return d, d.Start()
 }
 
-// addresses counts those that were chosen for processes.
-var addresses atomic.Uint32
+// addressesChosen counts the addresses that freeAddress has chosen.
+var addressesChosen atomic.Uint32
 
-// address is one for a process to listen at. Each is at a host of its own: guards against a port
-// that is let go for its process, and taken by another one that starts beside it. Nothing is
-// forked while the port is held: a child has a copy of the listener until it is executed, and the
-// port could not be listened at until then.
-func address() (string, error) {
-	n := addresses.Add(1)
+// freeAddress returns a loopback address for a process to listen on. Each call uses another host,
+// so that a port which is released for one process is not taken by another that starts at the same
+// time. The fork lock is held while the port is open: a forked child keeps a copy of the listener
+// until it calls exec, and the port would be in use until then.
+func freeAddress() (string, error) {
+	number := addressesChosen.Add(1)
 	syscall.ForkLock.RLock()
 	defer syscall.ForkLock.RUnlock()
-	ln, err := net.Listen("tcp", fmt.Sprintf("127.%d.%d.%d:0", 130+n/250%100, os.Getpid()&0xff, 1+n%250))
+	ln, err := net.Listen("tcp", fmt.Sprintf("127.%d.%d.%d:0", 130+number/250%100, os.Getpid()&0xff, 1+number%250))
 	if err != nil {
 		return "", err
 	}
 	return ln.Addr().String(), ln.Close()
 }
 
-var builtIn string // the folder of what Binary built; empty: nothing
+var buildDir string // contains the daemon's binary; empty: none was built
 
-// built is the daemon's binary, built once in a process.
-var built = sync.OnceValues(func() (string, error) {
+// buildOnce builds the daemon once in a process and returns the path of its binary.
+var buildOnce = sync.OnceValues(func() (string, error) {
 	dir, err := os.MkdirTemp("", "daemon")
 	if err != nil {
 		return "", err
 	}
-	builtIn = dir
+	buildDir = dir
 	path := filepath.Join(dir, "daemon")
 	if out, err := exec.Command("go", "build", "-o", path, "chalkrack/cmd/fawnrock").CombinedOutput(); err != nil {
 		return "", fmt.Errorf("rig: %w: %s", err, out)
@@ -364,43 +369,44 @@
 	return path, nil
 })
 
-// Binary builds the daemon, once in a process, from within the module's folders.
-func Binary() (string, error) { return built() }
+// Binary builds the daemon, once in a process, and returns the path of its binary. The working
+// directory has to be within the module.
+func Binary() (string, error) { return buildOnce() }
 
-// RemoveBinary takes away what Binary built; nothing may use it any more.
+// RemoveBinary deletes the binary, if one was built. No daemon may be started from it afterwards.
 func RemoveBinary() {
-	if builtIn != "" {
-		os.RemoveAll(builtIn)
+	if buildDir != "" {
+		os.RemoveAll(buildDir)
 	}
 }
 
-// readyMost is how long a daemon's process may take to serve.
-const readyMost = 20 * time.Second
+// readyTimeout limits how long a daemon's process may take until it serves.
+const readyTimeout = 20 * time.Second
 
-// Start starts the process again after Kill or Stop, at its address, and waits until
-// it serves.
+// Start starts the daemon's process, also again after Kill or Stop, on the same address and waits
+// until it serves. It returns an error with the daemon's log after readyTimeout.
 func (d *Daemon) Start() error {
 	d.cmd = exec.Command(d.binary)
-	d.cmd.Env = []string{"BALANCER_CONFIG=" + d.path, "FAWN_FEATURES=" + d.features()}
-	d.cmd.Stderr = &d.log
+	d.cmd.Env = []string{"BALANCER_CONFIG=" + d.configPath, "FAWN_FEATURES=" + d.featuresPath()}
+	d.cmd.Stderr = &d.stderrLog
 	if err := d.cmd.Start(); err != nil {
 		return err
 	}
-	for end := time.Now().Add(readyMost); ; time.Sleep(5 * time.Millisecond) {
+	for deadline := time.Now().Add(readyTimeout); ; time.Sleep(5 * time.Millisecond) {
 		if c, err := net.Dial("tcp", d.Addr); err == nil {
 			c.Close()
 			return nil
 		}
-		if time.Now().After(end) {
+		if time.Now().After(deadline) {
 			d.Kill()
-			return fmt.Errorf("rig: the daemon does not serve; its log:\n%s", d.log.String())
+			return fmt.Errorf("rig: the daemon does not accept connections; its log:\n%s", d.stderrLog.String())
 		}
 	}
 }
 
-// Reload replaces the daemon's files and sends SIGHUP.
-func (d *Daemon) Reload(platform []byte, features string) error {
-	for path, data := range map[string][]byte{d.path: platform, d.features(): []byte(features)} {
+// Reload replaces the daemon's configuration and features files and sends SIGHUP.
+func (d *Daemon) Reload(platformConfig []byte, features string) error {
+	for path, data := range map[string][]byte{d.configPath: platformConfig, d.featuresPath(): []byte(features)} {
 		if err := durable.Replace(path, data); err != nil {
 			return err
 		}
@@ -409,16 +415,16 @@
 		return d.cmd.Process.Signal(syscall.SIGHUP)
 	}
 	select {
-	case d.hup <- syscall.SIGHUP:
-	default: // one is on its way: signals don't queue
+	case d.sighup <- syscall.SIGHUP:
+	default: // a SIGHUP is already pending, and signals do not queue
 	}
 	return nil
 }
 
-// Signal sends the process a signal.
+// Signal sends a signal to the daemon's process.
 func (d *Daemon) Signal(s os.Signal) error { return d.cmd.Process.Signal(s) }
 
-// Kill ends the process with SIGKILL.
+// Kill ends the process with SIGKILL and waits for it. It does nothing without a process.
 func (d *Daemon) Kill() {
 	if d.cmd != nil && d.cmd.Process != nil {
 		d.cmd.Process.Kill()
@@ -427,15 +433,15 @@
 	}
 }
 
-// Stop ends the daemon as a planned restart does, and waits for it.
+// Stop ends the daemon with SIGTERM, as a planned restart does, and waits for it.
 func (d *Daemon) Stop() error {
 	if d.binary == "" {
-		if d.term == nil { // it has ended
+		if d.sigterm == nil { // it was stopped before
 			return nil
 		}
-		d.term <- syscall.SIGTERM
-		err := <-d.done
-		d.term = nil
+		d.sigterm <- syscall.SIGTERM
+		err := <-d.result
+		d.sigterm = nil
 		os.RemoveAll(d.dir)
 		return err
 	}
@@ -444,49 +450,48 @@
 	}
 	d.cmd.Process.Signal(syscall.SIGTERM)
 	err := d.cmd.Wait()
-	d.cpu = d.cmd.ProcessState.UserTime() + d.cmd.ProcessState.SystemTime()
+	d.cpuTime = d.cmd.ProcessState.UserTime() + d.cmd.ProcessState.SystemTime()
 	d.cmd = nil
 	return err
 }
 
-// Close ends what is left of it.
+// Close kills the process, if one runs, and deletes the daemon's files.
 func (d *Daemon) Close() {
 	d.Kill()
 	os.RemoveAll(d.dir)
 }
 
-// Resident is the most memory, in bytes, that the process has had resident so far; 0
-// where that can't be read.
-func (d *Daemon) Resident() int64 {
+// PeakResidentBytes returns the peak resident memory of the daemon's process, 0 where it cannot be
+// read.
+func (d *Daemon) PeakResidentBytes() int64 {
 	if d.cmd == nil || d.cmd.Process == nil {
 		return 0
 	}
 	return Resident(d.cmd.Process.Pid)
 }
 
-// Resident is the most memory, in bytes, that a process has had resident so far; 0 where
-// that can't be read.
+// Resident returns the peak resident memory of a process in bytes, 0 where it cannot be read.
 func Resident(pid int) int64 {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
 		return 0
 	}
 	_, rest, _ := strings.Cut(string(text), "VmHWM:")
-	kb := int64(0)
-	fmt.Sscanf(strings.TrimSpace(rest), "%d", &kb)
-	return kb << 10
+	kibibytes := int64(0)
+	fmt.Sscanf(strings.TrimSpace(rest), "%d", &kibibytes)
+	return kibibytes << 10
 }
 
-// CPU is what the process had used when it ended last; 0 while it has not.
-func (d *Daemon) CPU() time.Duration { return d.cpu }
+// CPU returns the user and system time of the process that Stop ended last, 0 before.
+func (d *Daemon) CPU() time.Duration { return d.cpuTime }
 
-// Log is what a process has written to standard error.
-func (d *Daemon) Log() string { return d.log.String() }
+// Log returns the first maxLogBytes of what the process has written to standard error.
+func (d *Daemon) Log() string { return d.stderrLog.String() }
 
-// Refused is the error of a daemon that is started with a further environment and ends
-// at once; nil where it serves, and then it is stopped.
-func (s *Site) Refused(env map[string]string) error {
-	d, err := s.start(nil, 1, "", env)
+// Refused starts a daemon with additional environment variables and returns the error with which
+// it ends before it is ready. It returns nil if the daemon serves, and stops it.
+func (s *Site) Refused(overrides map[string]string) error {
+	d, err := s.startInProcess(nil, 1, "", overrides)
 	if err == nil {
 		d.Stop()
 	}
--- a/internal/rig/rig_test.go
+++ b/internal/rig/rig_test.go
@@ -7,27 +7,28 @@
 	"testing"
 )
 
-// Whoever starts beside others has an address that none of them has, or had: ports that are chosen
-// and let go at one host come again.
-func TestProcessesHaveAddressesOfTheirOwn(t *testing.T) {
+// Guards against two processes that are given one address: the system hands out a port again after
+// its release, so that addresses on a single host repeat.
+func TestFreeAddressIsNeverReused(t *testing.T) {
 	seen := make(map[string]bool)
 	for range 2000 {
-		addr, err := address()
+		addr, err := freeAddress()
 		if err != nil {
 			t.Fatal(err)
 		}
 		if seen[addr] {
-			t.Fatalf("%s a second time, after %d", addr, len(seen))
+			t.Fatalf("address %s was returned a second time after %d addresses", addr, len(seen))
 		}
 		seen[addr] = true
 	}
 }
 
-// An address can be listened at as soon as it is chosen, also where other processes are started
-// just then: a child that has been forked and not executed yet has a copy of each descriptor.
-func TestAddressIsFreeWhileProcessesStart(t *testing.T) {
-	// The first start in a process also checks by a clone, outside of the fork lock, whether the
-	// system has process descriptors. Binary runs the compiler before any address is chosen.
+// Guards against an address that is still in use when it is returned: a child process that has been
+// forked but has not called exec yet keeps a copy of the listener's descriptor.
+func TestFreeAddressIsUsableWhileProcessesStart(t *testing.T) {
+	// The first start of a command also clones a child outside the fork lock, to find out whether the
+	// system supports process descriptors. Elsewhere the daemon is built, which starts the compiler,
+	// before an address is chosen.
 	if err := exec.Command("/bin/true").Run(); err != nil {
 		t.Fatal(err)
 	}
@@ -49,7 +50,7 @@
 		})
 	}
 	for range 2000 {
-		addr, err := address()
+		addr, err := freeAddress()
 		if err != nil {
 			t.Error(err)
 			break
--- a/internal/rig/size_test.go
+++ b/internal/rig/size_test.go
@@ -18,12 +18,13 @@
 	"chalkrack/internal/standin"
 )
 
-// large has clients send and read bodies and answers of so many bytes, all at once and
-// slowly, past a daemon of 64 MB in a process of its own, and small calls beside them.
-func large(t testing.TB, clients, size int, pause time.Duration) (resident int64, small []time.Duration) {
+// runLargeBodies starts a daemon with a limit of 64 MB in its own process. All clients at once send
+// a body and read an answer of size bytes slowly, while small calls run one after the other. It
+// returns the daemon's peak resident memory and the durations of the small calls.
+func runLargeBodies(t testing.TB, clients, size int, pause time.Duration) (peakBytes int64, smallCallTimes []time.Duration) {
 	t.Helper()
 	binary := filepath.Join(t.TempDir(), "fawnrock")
-	if out, err := run("go", "build", "-o", binary, "chalkrack/cmd/fawnrock"); err != nil {
+	if out, err := runCommand("go", "build", "-o", binary, "chalkrack/cmd/fawnrock"); err != nil {
 		t.Fatalf("%v\n%s", err, out)
 	}
 	classes := rig.Patient()
@@ -32,8 +33,8 @@
 	}
 	answer := strings.Repeat("x", size)
 	site, err := rig.NewSite(rig.SiteConfig{Servers: 4, Classes: classes, NoHedge: true, MemoryMB: 64, Sockets: 1024,
-		Server: standin.ServerConfig{Script: func(r standin.Request) standin.Act {
-			if r.Class == "id-register" {
+		Server: standin.ServerConfig{Script: func(reply standin.Request) standin.Act {
+			if reply.Class == "id-register" {
 				return standin.Act{Body: answer}
 			}
 			return standin.Act{}
@@ -42,28 +43,28 @@
 		t.Fatal(err)
 	}
 	defer site.Close()
-	d, err := site.StartProcess(binary, 1, "version = 1\n")
+	daemon, err := site.StartProcess(binary, 1, "version = 1\n")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer d.Close()
+	defer daemon.Close()
 	var wg sync.WaitGroup
 	var refused atomic.Int64
 	for n := range clients {
 		wg.Go(func() {
-			var status, got int
+			var status, received int
 			var err error
-			// A refusal is harmless: on slow cores a connection may not come up in time.
+			// A refusal is no failure: on slow cores a connection may not be established in time.
 			for try := range 50 {
-				status, got, err = largeCall(d.Addr, fmt.Sprint("large", n, "-", try), size, pause)
+				status, received, err = sendLargeBody(daemon.Addr, fmt.Sprint("large", n, "-", try), size, pause)
 				if status != http.StatusServiceUnavailable {
 					break
 				}
 				refused.Add(1)
 				time.Sleep(100 * time.Millisecond)
 			}
-			if status != http.StatusOK || got != size || err != nil {
-				t.Errorf("large call %d: %d, %d bytes of %d, %v", n, status, got, size, err)
+			if status != http.StatusOK || received != size || err != nil {
+				t.Errorf("large call %d: status %d, %d bytes of %d received, %v", n, status, received, size, err)
 			}
 		})
 	}
@@ -71,83 +72,87 @@
 	go func() { wg.Wait(); close(done) }()
 	defer func() {
 		if t.Failed() {
-			t.Logf("the daemon's log:\n%.4000s", d.Log())
+			t.Logf("the daemon's log:\n%.4000s", daemon.Log())
 		}
 	}()
-	c := standin.NewClient(d.Addr)
-	defer c.Close()
+	client := standin.NewClient(daemon.Addr)
+	defer client.Close()
 	activate := standin.Class{Name: "activate", Effect: standin.Unsafe}
 	for n := 0; ; n++ {
 		select {
 		case <-done:
-			t.Logf("%d refused and tried again", refused.Load())
-			return d.Resident(), small
+			t.Logf("%d large calls were refused and retried", refused.Load())
+			return daemon.PeakResidentBytes(), smallCallTimes
 		case <-time.After(10 * time.Millisecond):
 		}
-		r := c.Do(context.Background(), standin.Ask{ID: fmt.Sprint("small", n), Class: activate, Body: "hello"})
-		if r.Verdict() != "served" {
-			t.Errorf("small call %d: %s, %v", n, r.Verdict(), r.Err)
+		reply := client.Do(context.Background(), standin.Ask{ID: fmt.Sprint("small", n), Class: activate, Body: "hello"})
+		if reply.Verdict() != "served" {
+			t.Errorf("small call %d: verdict %s, %v", n, reply.Verdict(), reply.Err)
 		}
-		small = append(small, r.Took)
+		smallCallTimes = append(smallCallTimes, reply.Took)
 	}
 }
 
-// largeCall sends a body of pieces with pauses between, and reads the answer so.
-func largeCall(addr, id string, size int, pause time.Duration) (status, got int, err error) {
-	c, err := net.Dial("tcp", addr)
+// sendLargeBody sends a body of size bytes and reads its answer in pieces of 256 KiB, with a pause
+// after each piece. It returns the status and the number of body bytes received.
+func sendLargeBody(addr, id string, size int, pause time.Duration) (status, received int, err error) {
+	conn, err := net.Dial("tcp", addr)
 	if err != nil {
 		return 0, 0, err
 	}
-	defer c.Close()
-	c.SetDeadline(time.Now().Add(4 * patience))
+	defer conn.Close()
+	conn.SetDeadline(time.Now().Add(4 * testTimeout))
 	go func() {
-		fmt.Fprintf(c, "POST /id-register HTTP/1.1\r\nHost: app\r\nReq-Id: %s\r\nIdempotency-Key: k%s\r\nContent-Length: %d\r\n\r\n", id, id, size)
+		fmt.Fprintf(conn, "POST /id-register HTTP/1.1\r\nHost: app\r\nReq-Id: %s\r\nIdempotency-Key: k%s\r\nContent-Length: %d\r\n\r\n", id, id, size)
 		piece := make([]byte, 256<<10)
-		for left := size; left > 0; left -= len(piece) {
-			if _, err := c.Write(piece[:min(left, len(piece))]); err != nil {
+		for remaining := size; remaining > 0; remaining -= len(piece) {
+			if _, err := conn.Write(piece[:min(remaining, len(piece))]); err != nil {
 				return
 			}
 			time.Sleep(pause)
 		}
 	}()
-	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
+	resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
 	if err != nil {
 		return 0, 0, err
 	}
 	piece := make([]byte, 256<<10)
 	for {
 		n, err := io.ReadFull(resp.Body, piece)
-		got += n
-		if err == io.EOF || err == io.ErrUnexpectedEOF && got == size {
-			return resp.StatusCode, got, nil
+		received += n
+		if err == io.EOF || err == io.ErrUnexpectedEOF && received == size {
+			return resp.StatusCode, received, nil
 		}
 		if err != nil {
-			return resp.StatusCode, got, err
+			return resp.StatusCode, received, err
 		}
 		time.Sleep(pause)
 	}
 }
 
-// A hundred bodies and answers at once, together far over the daemon's 64 MB, pass whole
-// while their clients are slow; it stays under its limit, and small calls are served.
-func TestLargeBodiesAtOnce(t *testing.T) {
-	resident, small := large(t, 100, 1<<20, 20*time.Millisecond)
-	t.Logf("%d MB resident at the most, %d small calls", resident>>20, len(small))
-	if resident > 64<<20 {
-		t.Errorf("%d MB resident", resident>>20)
+// Guards against memory use that grows with slow clients: 100 bodies and answers of 1 MiB at once,
+// together more than the daemon's limit of 64 MB, arrive whole, the daemon stays within the limit,
+// and small calls are served meanwhile.
+func TestManyLargeBodiesStayWithinMemoryLimit(t *testing.T) {
+	peakBytes, smallCallTimes := runLargeBodies(t, 100, 1<<20, 20*time.Millisecond)
+	t.Logf("peak resident memory %d MB, %d small calls", peakBytes>>20, len(smallCallTimes))
+	if peakBytes > 64<<20 {
+		t.Errorf("peak resident memory %d MB, want at most 64", peakBytes>>20)
 	}
 }
 
-// BenchmarkLarge is that with 32 MB each.
+// BenchmarkLarge runs 100 large calls of 32 MiB each and measures the daemon's peak resident memory
+// and the duration of small calls meanwhile.
+//
 // go test ./internal/rig -run '^$' -bench Large -benchtime 1x
 func BenchmarkLarge(b *testing.B) {
-	resident, small := large(b, 100, 32<<20, 5*time.Millisecond)
-	b.ReportMetric(float64(resident)/(1<<20), "most-MiB")
-	var most, sum time.Duration
-	for _, took := range small {
-		most, sum = max(most, took), sum+took
+	peakBytes, smallCallTimes := runLargeBodies(b, 100, 32<<20, 5*time.Millisecond)
+	b.ReportMetric(float64(peakBytes)/(1<<20), "most-MiB")
+	var slowest, total time.Duration
+	for _, took := range smallCallTimes {
+		slowest, total = max(slowest, took), total+took
 	}
-	b.ReportMetric(float64(most.Milliseconds()), "small-most-ms")
-	b.ReportMetric(float64((sum / time.Duration(max(1, len(small)))).Microseconds()), "small-mean-us")
+	b.ReportMetric(float64(slowest.Milliseconds()), "small-most-ms")
+	b.ReportMetric(float64((total / time.Duration(max(1, len(smallCallTimes)))).Microseconds()), "small-mean-us")
 	b.ReportMetric(0, "ns/op")
 }
