--- a/internal/lab/fleet_test.go
+++ b/internal/lab/fleet_test.go
@@ -9,29 +9,30 @@
 )
 
 const (
-	sidecars = 80
-	nodes    = 60
-	work     = 130 * time.Millisecond
+	sidecarCount = 80
+	nodeCount    = 60
+	meanWork     = 130 * time.Millisecond
 )
 
-// fleet is 80 sidecars, a tenth of which bring half of the calls, before 60 nodes of two
-// kinds, at a load (a share of what these can do).
-func fleet(t *testing.T, load float64, change func(*Config)) *Lab {
+// newFleet returns a simulation of 80 sidecars, a tenth of which have half of the calls, and 60
+// nodes of two speeds, at a load that is a share of the nodes' capacity. change may adjust the
+// configuration; it may be nil.
+func newFleet(t *testing.T, load float64, change func(*Config)) *Lab {
 	t.Helper()
-	cfg := Config{Seed: 7, Sidecars: sidecars, Wait: 2500 * time.Millisecond, Tries: 2, Honour: 0.8,
+	cfg := Config{Seed: 7, Sidecars: sidecarCount, Wait: 2500 * time.Millisecond, Tries: 2, Honour: 0.8,
 		Rules: chalkrack.Config{MaxAttempts: 5, MayCancel: true, SecondCopies: true, MaxRetryAfter: 2 * time.Second, WasteCost: 0.2,
 			ColdFrom: 0.14, ColdFor: 23 * time.Second, OverloadFactor: 4, OverloadFor: 2 * time.Second},
 		Classes: []Class{
-			{Class: chalkrack.Class{Aim: 800 * time.Millisecond, Worth: 1, Effect: chalkrack.Safe}, Share: 0.52, Work: work},
-			{Class: chalkrack.Class{Aim: time.Second, Worth: 3, Effect: chalkrack.Keyed, Window: 1500 * time.Millisecond}, Share: 0.27, Work: work},
-			{Class: chalkrack.Class{Aim: 750 * time.Millisecond, Worth: 10, Effect: chalkrack.Unsafe}, Share: 0.21, Work: work},
+			{Class: chalkrack.Class{Aim: 800 * time.Millisecond, Worth: 1, Effect: chalkrack.Safe}, Share: 0.52, Work: meanWork},
+			{Class: chalkrack.Class{Aim: time.Second, Worth: 3, Effect: chalkrack.Keyed, Window: 1500 * time.Millisecond}, Share: 0.27, Work: meanWork},
+			{Class: chalkrack.Class{Aim: 750 * time.Millisecond, Worth: 10, Effect: chalkrack.Unsafe}, Share: 0.21, Work: meanWork},
 		}}
 	capacity := 0.0
-	for n := range nodes {
-		cfg.Nodes = append(cfg.Nodes, node(fmt.Sprint("n", n), n))
+	for n := range nodeCount {
+		cfg.Nodes = append(cfg.Nodes, newNode(fmt.Sprint("n", n), n))
 		capacity += 2 * cfg.Nodes[n].Speed
 	}
-	cfg.Rate = func(time.Duration) float64 { return load * capacity / work.Seconds() }
+	cfg.Rate = func(time.Duration) float64 { return load * capacity / meanWork.Seconds() }
 	cfg.Share = func(n int) float64 {
 		if n%10 == 0 {
 			return 0.5 / 8
@@ -48,19 +49,20 @@
 	return l
 }
 
-func node(name string, n int) Node {
+func newNode(name string, n int) Node {
 	return Node{Name: name, Speed: 1.8 - 0.9*float64(n%2), Cores: 2, Room: 5}
 }
 
-// All start at once. They ask for the list spread over the time that they may go without,
-// and a discovery that turns all away for ten seconds is asked less often, not more.
-func TestFleetAsksForTheList(t *testing.T) {
-	for _, down := range []time.Duration{0, 10 * time.Second} {
-		l := fleet(t, 0.3, func(cfg *Config) {
+// Sidecars that all start at once must spread their requests for the server list over AskWithin,
+// and ask less often, not more, while discovery fails for ten seconds. Otherwise a start of the
+// whole fleet overloads discovery.
+func TestFleetSpreadsListRequests(t *testing.T) {
+	for _, outage := range []time.Duration{0, 10 * time.Second} {
+		l := newFleet(t, 0.3, func(cfg *Config) {
 			cfg.Rules.AskWithin = 10 * time.Second
-			cfg.Discover = func(s *Sidecar) {
+			cfg.OnSubscribe = func(s *Sidecar) {
 				s.Lab.After(time.Millisecond, func() {
-					if s.Lab.Now < down {
+					if s.Lab.Now < outage {
 						s.DiscoveryFailed(s.Lab.Now)
 					} else {
 						s.ServersChanged(s.Lab.Now, nil)
@@ -69,90 +71,92 @@
 			}
 		})
 		l.Run(40 * time.Second)
-		most, all := 0, 0
+		maxPerSecond, total := 0, 0
 		for _, s := range l.Seconds {
-			most, all = max(most, s.Calls), all+s.Calls
+			maxPerSecond, total = max(maxPerSecond, s.ListRequests), total+s.ListRequests
 		}
-		t.Logf("discovery away for %v: %d calls for the list, %d in a second at the most", down, all, most)
-		if most > sidecars/4 || all > 4*sidecars || all < sidecars {
-			t.Errorf("discovery away for %v: %d calls for the list of %d sidecars, %d in one second", down, all, sidecars, most)
+		t.Logf("discovery down for %v: %d requests for the server list, at most %d in a second", outage, total, maxPerSecond)
+		if maxPerSecond > sidecarCount/4 || total > 4*sidecarCount || total < sidecarCount {
+			t.Errorf("discovery down for %v: %d requests for the server list by %d sidecars, up to %d in a second; want 1 to 4 per sidecar and at most a quarter of the sidecars in a second", outage, total, sidecarCount, maxPerSecond)
 		}
 	}
 }
 
-// Six in ten nodes are replaced within seven seconds at a load of 0.7. What the fleet
-// sends to each cold one stays under the stated multiple of what it can do then, in each
-// two seconds; copies, further attempts and connections stay within bounds.
-func TestFleetRelease(t *testing.T) {
-	l := fleet(t, 0.7, nil)
-	const first = 5 * time.Second
-	var fresh []string
-	for n := range nodes * 6 / 10 {
+// A release replaces six in ten nodes within seven seconds at a load of 0.7. In each two seconds,
+// the fleet must send to each cold node less than OverloadFactor (4) times what it can serve then,
+// or the node fails. Copies, further attempts and connections stay within limits.
+func TestFleetDuringRelease(t *testing.T) {
+	l := newFleet(t, 0.7, nil)
+	const releaseStart = 5 * time.Second
+	var newNames []string
+	for n := range nodeCount * 6 / 10 {
 		name := fmt.Sprint("fresh", n)
-		fresh = append(fresh, name)
-		l.After(first+time.Duration(n)*7*time.Second/36, func() {
-			with := node(name, n)
-			with.Cold = 0.14
-			l.Replace(fmt.Sprint("n", n), with, time.Second)
+		newNames = append(newNames, name)
+		l.After(releaseStart+time.Duration(n)*7*time.Second/36, func() {
+			replacement := newNode(name, n)
+			replacement.ColdShare = 0.14
+			l.Replace(fmt.Sprint("n", n), replacement, time.Second)
 		})
 	}
 	l.Run(45 * time.Second)
-	worst := 0.0
-	for n, name := range fresh {
-		m, came := l.nodes[name], l.Came(name)
-		for sec := int(m.since/time.Second) + 1; sec+1 < len(came); sec++ {
-			age := time.Duration(sec+1)*time.Second - m.since
+	maxFactor := 0.0
+	for n, name := range newNames {
+		machine, arrivals := l.nodes[name], l.ArrivalsBySecond(name)
+		for second := int(machine.start/time.Second) + 1; second+1 < len(arrivals); second++ {
+			age := time.Duration(second+1)*time.Second - machine.start
 			if age > 23*time.Second {
 				break
 			}
-			can := 2 * node("", n).Speed * (0.14 + 0.86*age.Seconds()/23) // seconds of work a second
-			worst = max(worst, float64(came[sec]+came[sec+1])*work.Seconds()/(2*can))
+			capacity := 2 * newNode("", n).Speed * (0.14 + 0.86*age.Seconds()/23) // seconds of work per second
+			maxFactor = max(maxFactor, float64(arrivals[second]+arrivals[second+1])*meanWork.Seconds()/(2*capacity))
 		}
 	}
-	asked, sent, copies, again, most := 0.0, 0, 0, 0, 0
+	asked, sent, copies, retries, maxConnections := 0.0, 0, 0, 0, 0
 	for _, s := range l.Seconds {
 		for _, n := range s.Asked {
 			asked += n
 		}
-		sent, copies, again = sent+s.Sent, copies+s.Copies, again+s.Again
+		sent, copies, retries = sent+s.Sent, copies+s.Copies, retries+s.Retries
 	}
-	for n := range nodes {
-		most = max(most, l.Conns(fmt.Sprint("n", n)))
+	for n := range nodeCount {
+		maxConnections = max(maxConnections, l.ConnectionCount(fmt.Sprint("n", n)))
 	}
-	for _, name := range fresh {
-		most = max(most, l.Conns(name))
+	for _, name := range newNames {
+		maxConnections = max(maxConnections, l.ConnectionCount(name))
 	}
-	t.Logf("worth %.3f; a cold node gets %.2f times what it can do at the most; %.0f asked, %d sent, %d copies, %d again; %d connections",
-		l.Worth(5, 45), worst, asked, sent, copies, again, most)
-	if worst >= 4 {
-		t.Errorf("a cold node gets %.2f times what it can do within two seconds, 4 fells it", worst)
+	t.Logf("worth %.3f; a cold node gets at most %.2f times what it can serve; %.0f calls, %d attempts, %d copies, %d further attempts; at most %d connections at a node",
+		l.Worth(5, 45), maxFactor, asked, sent, copies, retries, maxConnections)
+	if maxFactor >= 4 {
+		t.Errorf("a cold node gets %.2f times what it can serve within two seconds, want less than 4", maxFactor)
 	}
-	if float64(copies) > 0.1*asked || float64(again) > 0.8*asked || most > 3*sidecars {
-		t.Errorf("%.0f asked: %d copies, %d further attempts, %d connections at a node", asked, copies, again, most)
+	if float64(copies) > 0.1*asked || float64(retries) > 0.8*asked || maxConnections > 3*sidecarCount {
+		t.Errorf("%.0f calls: %d copies, %d further attempts, %d connections at a node; want at most 0.1 copies and 0.8 further attempts per call and 3 connections per sidecar", asked, copies, retries, maxConnections)
 	}
 }
 
-// Seven nodes in sixty answer three calls in four with an error for ten seconds. What
-// must not run twice is lost with it, so the fleet may lose few such calls by testing.
-func TestFleetBadNodes(t *testing.T) {
-	l := fleet(t, 0.5, nil)
+// Seven nodes in sixty answer three attempts in four with an error for ten seconds. A call that
+// must not run twice is lost with its first attempt, so the fleet may lose only a few such calls
+// to attempts that test whether those nodes have recovered.
+func TestFleetWithFailingNodes(t *testing.T) {
+	l := newFleet(t, 0.5, nil)
 	for n := range 7 {
-		l.After(5*time.Second, func() { l.Fail(fmt.Sprint("n", n), 0.75) })
-		l.After(15*time.Second, func() { l.Fail(fmt.Sprint("n", n), 0) })
+		l.After(5*time.Second, func() { l.SetErrorRate(fmt.Sprint("n", n), 0.75) })
+		l.After(15*time.Second, func() { l.SetErrorRate(fmt.Sprint("n", n), 0) })
 	}
 	l.Run(25 * time.Second)
 	lost, unsafe := 0, 0.0
 	for _, s := range l.Seconds[5:15] {
 		lost, unsafe = lost+s.Failed, unsafe+s.Asked[2]
 	}
-	t.Logf("%d of %.0f calls that must not run twice lost", lost, unsafe)
-	if float64(lost) > badMost*unsafe {
-		t.Errorf("%d of %.0f calls that must not run twice lost", lost, unsafe)
+	t.Logf("lost %d of %.0f calls that must not run twice", lost, unsafe)
+	if float64(lost) > maxLostShare*unsafe {
+		t.Errorf("lost %d of %.0f calls that must not run twice, more than maxLostShare of them", lost, unsafe)
 	}
 	if w := l.Worth(17, 24); w < 0.9 {
-		t.Errorf("worth %.3f after all are well again", w)
+		t.Errorf("worth %.3f after all nodes have recovered, want at least 0.9", w)
 	}
 }
 
-// badMost is the share of what must not run twice that the bad nodes may cost.
-const badMost = 0.025
+// maxLostShare is the maximum share of calls that must not run twice that may be lost to failing
+// nodes.
+const maxLostShare = 0.025
--- a/internal/lab/lab.go
+++ b/internal/lab/lab.go
@@ -1,7 +1,7 @@
-// Package lab is a fleet in virtual time: sidecars with the decision module in them, nodes
-// with cores, a speed and a queue, and clients that ask at random times and try again. It
-// shows what a decision does over minutes or hours of load in seconds, the same on every
-// run. Nodes know nothing of sidecars, and nothing of a node is told but its answers.
+// Package lab simulates a fleet in virtual time: sidecars that run the decision module, nodes
+// with cores, a speed and a queue, and clients that make calls at random times and retry. It
+// shows in seconds how decisions work out over minutes or hours of load, and is deterministic
+// for a seed. Nodes don't know of sidecars, and sidecars learn about a node only from its answers.
 package lab
 
 import (
@@ -16,307 +16,315 @@
 // Class is a class of requests.
 type Class struct {
 	chalkrack.Class
-	Share float64
-	Work  time.Duration // mean, on a core of speed 1; exponential above a fifth of it
+	Share float64       // share of all calls
+	Work  time.Duration // mean on a core of speed 1: a constant fifth and an exponential part
 }
 
 // Node is a server.
 type Node struct {
-	Name  string
-	Zone  string
-	Speed float64
-	Cores int
-	Room  int     // requests that wait; more are turned away
-	Fails float64 // the share of calls that it answers with an error at once
-	// Cold is the share of its speed that it has when it starts in a run; it rises
-	// evenly to the whole within Rules.ColdFor. 0: it is warm from the start.
-	Cold float64
+	Name      string
+	Zone      string
+	Speed     float64 // of a core; a request of Class.Work takes Work/Speed
+	Cores     int
+	Room      int     // capacity of the queue; further requests are rejected
+	ErrorRate float64 // share of attempts answered with an error at once
+	// ColdShare is the share of Speed that the node has at its start. It rises linearly to 1
+	// within Rules.ColdFor. A node with 0 is warm from the start.
+	ColdShare float64
 }
 
-// Config is what a Lab is made of.
+// Config holds the fleet, the load and the rules of a Lab.
 type Config struct {
-	Seed     uint64
-	Nodes    []Node
-	Sidecars int
-	Classes  []Class
-	Rate     func(at time.Duration) float64 // requests a second, of all clients
-	Share    func(sidecar int) float64      // a sidecar's part of them; nil: equal
-	Rules    chalkrack.Config               // Instances and Classes are filled in
-	Wait     time.Duration                  // that clients wait
-	Tries    int                            // further ones of a client after a refusal
-	Honour   float64                        // share of clients that wait as they are told
-	InStep   bool                           // the others come at the next whole second, all together
-	Ahead    time.Duration                  // that sidecars' clocks are ahead of the one that starts are told by
-	Begin    func(*Sidecar)                 // told of each before it hears of servers
-	Discover func(*Sidecar)                 // told of each call for the list; nil: nobody is
-	// Sent and Ended are told of each attempt, as core.AttemptObserver is; nil: nobody is.
-	Sent  func(s *Sidecar, node string) (ticket uint64)
-	Ended func(s *Sidecar, ticket uint64, o chalkrack.Outcome)
+	Seed        uint64
+	Nodes       []Node
+	Sidecars    int
+	Classes     []Class
+	Rate        func(at time.Duration) float64 // calls per second of all clients
+	Share       func(sidecar int) float64      // share of the calls made to a sidecar; nil: equal
+	Rules       chalkrack.Config               // New sets Instances and Classes
+	Wait        time.Duration                  // how long a client waits for an answer
+	Tries       int                            // maximum number of retries of a client after refusals
+	Honour      float64                        // share of clients that wait for the time given in a refusal
+	InStep      bool                           // the other clients all retry at the next whole second
+	ClockAhead  time.Duration                  // by how much sidecars' clocks are ahead of the clock that reports starts
+	Begin       func(*Sidecar)                 // called with each sidecar before its first server list; may be nil
+	OnSubscribe func(*Sidecar)                 // called when a sidecar requests the server list; may be nil
+	// OnSend and OnAttemptDone are called at the start and the end of each attempt, like the
+	// methods of core.AttemptObserver. Each may be nil.
+	OnSend        func(s *Sidecar, node string) (ticket uint64)
+	OnAttemptDone func(s *Sidecar, ticket uint64, o chalkrack.Outcome)
 }
 
-// Second is what happened in one second, by class where it says so.
+// Second counts the events of one second. Slices are indexed by class.
 type Second struct {
-	Asked, Served []float64 // first tries, and those of them answered in time
-	Refused       []int     // answers, of any try
-	Late, Failed  int
-	Sent          int // attempts
-	Copies        int // those of them beside an earlier one that was out
-	Again         int // those after an earlier one had ended
-	Calls         int // for the list
+	Asked, Served []float64 // calls made, and those of them of which a try was answered within the aim
+	Refused       []int     // refusals, of first tries and retries
+	Late, Failed  int       // tries answered after the aim, and tries that failed
+	Sent          int       // attempts
+	Copies        int       // attempts sent while an earlier one of the same call was in flight
+	Retries       int       // attempts sent after all earlier ones of the same call had ended
+	ListRequests  int       // requests for the server list
 }
 
-// Lab is one run. It is for one goroutine.
+// Lab is one simulated run. It is not safe for concurrent use.
 type Lab struct {
 	virtual.Clock
 	Sidecars []*Sidecar
 	Seconds  []Second
-	Rand     *rand.Rand
+	Random   *rand.Rand
 
 	cfg   Config
 	nodes map[string]*machine
 }
 
-// Sidecar hosts one Balancer.
+// Sidecar hosts one Balancer and implements its Host.
 type Sidecar struct {
 	*chalkrack.Balancer
-	Lab   *Lab
-	Index int
-	Held  int
-	// Ended counts outcomes of attempts since whoever reads them last took them away: all,
-	// late or never answered, and turned away.
+	Lab          *Lab
+	Index        int
+	OpenRequests int
+	// Ended counts all attempts that ended, Late those of them that took longer than the aim
+	// of their class, and Full those that a node rejected. A reader may reset them.
 	Ended, Late, Full float64
 
-	calls map[chalkrack.RequestID]*call
-	last  chalkrack.RequestID
-	out   map[string]int // attempts out, by node
-	conns map[string]int // the most of them at once: so many connections stay open
+	calls       map[chalkrack.RequestID]*call
+	lastID      chalkrack.RequestID
+	inFlight    map[string]int // attempts in flight, by node
+	connections map[string]int // maximum of inFlight: as many connections stay open
 }
 
+// call is a client's call, of which one try at a time is open at the sidecar.
 type call struct {
-	class int
-	came  time.Duration // of its first try
-	first int           // its second
-	try   int
-	sent  int
-	out   int
-	over  bool
-	begun time.Duration
+	class         int
+	arrivedAt     time.Duration // start of the first try
+	arrivalSecond int           // second of the first try
+	retryCount    int           // retries of the client before this try
+	attemptCount  int           // attempts of this try
+	inFlight      int           // attempts of this try in flight
+	done          bool          // this try has ended
+	tryStart      time.Duration
 }
 
-// dialWait is how long a connection may take to come up.
-const dialWait = 250 * time.Millisecond
+// dialTimeout is how long a sidecar waits for a connection to a machine that is gone.
+const dialTimeout = 250 * time.Millisecond
 
-// onWire is the way between two machines.
-const onWire = 500 * time.Microsecond
+// networkDelay is the time that data takes from one machine to another.
+const networkDelay = 500 * time.Microsecond
 
-// New returns a Lab at its beginning.
+// New returns a Lab at time 0, in which all sidecars know all nodes. Its error is that of
+// chalkrack.New for the rules.
 func New(cfg Config) (*Lab, error) {
-	l := &Lab{cfg: cfg, Rand: rand.New(rand.NewPCG(cfg.Seed, 1)), nodes: make(map[string]*machine)}
+	lab := &Lab{cfg: cfg, Random: rand.New(rand.NewPCG(cfg.Seed, 1)), nodes: make(map[string]*machine)}
 	rules := cfg.Rules
 	rules.Instances = cfg.Sidecars
 	for _, c := range cfg.Classes {
 		rules.Classes = append(rules.Classes, c.Class)
 	}
-	var list []chalkrack.Endpoint
+	var endpoints []chalkrack.Endpoint
 	for _, n := range cfg.Nodes {
-		l.nodes[n.Name] = &machine{lab: l, Node: n}
-		list = append(list, chalkrack.Endpoint{Name: n.Name, Zone: n.Zone, Hint: 1})
+		lab.nodes[n.Name] = &machine{lab: lab, Node: n}
+		endpoints = append(endpoints, chalkrack.Endpoint{Name: n.Name, Zone: n.Zone, Hint: 1})
 	}
 	for n := range cfg.Sidecars {
-		s := &Sidecar{Lab: l, Index: n, calls: make(map[chalkrack.RequestID]*call), out: make(map[string]int), conns: make(map[string]int)}
+		s := &Sidecar{Lab: lab, Index: n, calls: make(map[chalkrack.RequestID]*call), inFlight: make(map[string]int), connections: make(map[string]int)}
 		var err error
 		if s.Balancer, err = chalkrack.New(rules, cfg.Seed+uint64(n), s); err != nil {
 			return nil, fmt.Errorf("lab: %w", err)
 		}
-		l.Sidecars = append(l.Sidecars, s)
+		lab.Sidecars = append(lab.Sidecars, s)
 		if cfg.Begin != nil {
 			cfg.Begin(s)
 		}
-		s.ServersListed(0, list)
-		l.arrivals(s)
+		s.ServersListed(0, endpoints)
+		lab.startArrivals(s)
 	}
-	return l, nil
+	return lab, nil
 }
 
-func (l *Lab) second() *Second { return l.at(int(l.Now / time.Second)) }
+func (l *Lab) currentSecond() *Second { return l.secondAt(int(l.Now / time.Second)) }
 
-func (l *Lab) at(n int) *Second {
+// secondAt returns the counts of second n and extends Seconds up to it.
+func (l *Lab) secondAt(n int) *Second {
 	for len(l.Seconds) <= n {
-		k := len(l.cfg.Classes)
-		l.Seconds = append(l.Seconds, Second{Asked: make([]float64, k), Served: make([]float64, k), Refused: make([]int, k)})
+		classCount := len(l.cfg.Classes)
+		l.Seconds = append(l.Seconds, Second{Asked: make([]float64, classCount), Served: make([]float64, classCount), Refused: make([]int, classCount)})
 	}
 	return &l.Seconds[n]
 }
 
-// Worth is the share of worth that was served in time, of what was asked for within some
-// seconds.
-func (l *Lab) Worth(from, to int) float64 {
+// Worth returns the share of the worth of all calls made from firstSecond until before endSecond
+// that was served within the aim.
+func (l *Lab) Worth(firstSecond, endSecond int) float64 {
 	asked, served := 0.0, 0.0
-	for n := from; n < to && n < len(l.Seconds); n++ {
-		for c, k := range l.cfg.Classes {
-			asked += l.Seconds[n].Asked[c] * k.Worth
-			served += l.Seconds[n].Served[c] * k.Worth
+	for n := firstSecond; n < endSecond && n < len(l.Seconds); n++ {
+		for index, class := range l.cfg.Classes {
+			asked += l.Seconds[n].Asked[index] * class.Worth
+			served += l.Seconds[n].Served[index] * class.Worth
 		}
 	}
 	return served / max(asked, 1e-9)
 }
 
-// arrivals has a sidecar's clients ask: a Poisson process, thinned where the rate varies.
-func (l *Lab) arrivals(s *Sidecar) {
-	part := 1 / float64(l.cfg.Sidecars)
+// startArrivals starts the calls of a sidecar's clients: a Poisson process whose rate is read
+// again for each call and at least once a second.
+func (l *Lab) startArrivals(s *Sidecar) {
+	share := 1 / float64(l.cfg.Sidecars)
 	if l.cfg.Share != nil {
-		part = l.cfg.Share(s.Index)
+		share = l.cfg.Share(s.Index)
 	}
 	var next func()
 	next = func() {
-		rate := l.cfg.Rate(l.Now) * part
+		rate := l.cfg.Rate(l.Now) * share
 		if rate <= 0 {
 			l.After(100*time.Millisecond, next)
 			return
 		}
-		// A gap is drawn at the rate as it is now: rates change slowly beside it.
-		gap := time.Duration(l.Rand.ExpFloat64() / rate * float64(time.Second))
+		// The gap is drawn at the current rate. Rates change slowly compared to a gap.
+		gap := time.Duration(l.Random.ExpFloat64() / rate * float64(time.Second))
 		if gap > time.Second {
 			l.After(time.Second, next)
 			return
 		}
 		l.After(gap, func() {
-			s.ask()
+			s.startCall()
 			next()
 		})
 	}
 	next()
 }
 
-func (s *Sidecar) ask() {
+// startCall makes a client's call of a random class.
+func (s *Sidecar) startCall() {
 	l := s.Lab
-	class, r := 0, l.Rand.Float64()
-	for r -= l.cfg.Classes[0].Share; r > 0 && class+1 < len(l.cfg.Classes); r -= l.cfg.Classes[class].Share {
+	class, random := 0, l.Random.Float64()
+	for random -= l.cfg.Classes[0].Share; random > 0 && class+1 < len(l.cfg.Classes); random -= l.cfg.Classes[class].Share {
 		class++
 	}
-	q := &call{class: class, came: l.Now, first: int(l.Now / time.Second)}
-	l.second().Asked[class]++
-	s.send(q)
+	call := &call{class: class, arrivedAt: l.Now, arrivalSecond: int(l.Now / time.Second)}
+	l.currentSecond().Asked[class]++
+	s.startTry(call)
 }
 
-func (s *Sidecar) send(q *call) {
-	s.last++
-	id := s.last
-	q.over, q.sent, q.out, q.begun = false, 0, 0, s.Lab.Now
-	s.calls[id] = q
-	s.Held++
-	s.Arrive(s.Lab.Now, chalkrack.Request{ID: id, Class: q.class, Tenant: -1, Deadline: s.Lab.Now + s.Lab.cfg.Wait})
+// startTry passes a first try or a retry to the balancer, as a request of its own.
+func (s *Sidecar) startTry(call *call) {
+	s.lastID++
+	id := s.lastID
+	call.done, call.attemptCount, call.inFlight, call.tryStart = false, 0, 0, s.Lab.Now
+	s.calls[id] = call
+	s.OpenRequests++
+	s.Arrive(s.Lab.Now, chalkrack.Request{ID: id, Class: call.class, Tenant: -1, Deadline: s.Lab.Now + s.Lab.cfg.Wait})
 }
 
-// ended ends a try; after says when its client may come again.
-func (s *Sidecar) ended(id chalkrack.RequestID, after time.Duration, again bool) {
-	l, q := s.Lab, s.calls[id]
-	if q == nil || q.over {
+// endTry ends a try. If mayRetry is set and retries are left, the client retries: after at least
+// retryAfter if it honours that time.
+func (s *Sidecar) endTry(id chalkrack.RequestID, retryAfter time.Duration, mayRetry bool) {
+	l, call := s.Lab, s.calls[id]
+	if call == nil || call.done {
 		return
 	}
-	q.over = true
-	s.Held--
+	call.done = true
+	s.OpenRequests--
 	delete(s.calls, id)
-	if !again || q.try >= l.cfg.Tries {
+	if !mayRetry || call.retryCount >= l.cfg.Tries {
 		return
 	}
-	more := *q
-	more.try++
-	wait := time.Duration((0.5 + l.Rand.Float64()) * float64(200*time.Millisecond<<q.try))
+	retry := *call
+	retry.retryCount++
+	delay := time.Duration((0.5 + l.Random.Float64()) * float64(200*time.Millisecond<<call.retryCount))
 	switch {
-	case l.Rand.Float64() < l.cfg.Honour:
-		wait = max(after, wait)
+	case l.Random.Float64() < l.cfg.Honour:
+		delay = max(retryAfter, delay)
 	case l.cfg.InStep:
-		wait = l.Now.Truncate(time.Second) + time.Second - l.Now
+		delay = l.Now.Truncate(time.Second) + time.Second - l.Now
 	}
-	l.After(wait, func() { s.send(&more) })
+	l.After(delay, func() { s.startTry(&retry) })
 }
 
 // Send implements chalkrack.Host.
 func (s *Sidecar) Send(id chalkrack.RequestID, server string, timeout time.Duration) {
-	l, q := s.Lab, s.calls[id]
-	n, class := q.sent, &l.cfg.Classes[q.class]
-	sec := l.second()
-	if sec.Sent++; q.out > 0 {
-		sec.Copies++
-	} else if q.sent > 0 {
-		sec.Again++
+	l, call := s.Lab, s.calls[id]
+	attempt, class := call.attemptCount, &l.cfg.Classes[call.class]
+	second := l.currentSecond()
+	if second.Sent++; call.inFlight > 0 {
+		second.Copies++
+	} else if call.attemptCount > 0 {
+		second.Retries++
 	}
-	q.sent++
-	q.out++
-	s.out[server]++
-	s.conns[server] = max(s.conns[server], s.out[server])
+	call.attemptCount++
+	call.inFlight++
+	s.inFlight[server]++
+	s.connections[server] = max(s.connections[server], s.inFlight[server])
 	done := false
-	sent := l.Now
+	sentAt := l.Now
 	ticket := uint64(0)
-	if l.cfg.Sent != nil {
-		ticket = l.cfg.Sent(s, server)
+	if l.cfg.OnSend != nil {
+		ticket = l.cfg.OnSend(s, server)
 	}
-	end := func(o chalkrack.Outcome) {
+	end := func(outcome chalkrack.Outcome) {
 		if done {
 			return
 		}
 		done = true
-		if l.cfg.Ended != nil {
-			l.cfg.Ended(s, ticket, o)
+		if l.cfg.OnAttemptDone != nil {
+			l.cfg.OnAttemptDone(s, ticket, outcome)
 		}
-		q.out--
-		s.out[server]--
+		call.inFlight--
+		s.inFlight[server]--
 		s.Ended++
-		if o == chalkrack.Full {
+		if outcome == chalkrack.Full {
 			s.Full++
-		} else if l.Now-sent > class.Aim {
+		} else if l.Now-sentAt > class.Aim {
 			s.Late++
 		}
-		over := q.over
-		if o == chalkrack.OK && !over {
-			if l.Now-q.begun <= class.Aim {
-				l.at(q.first).Served[q.class]++
+		callDone := call.done
+		if outcome == chalkrack.OK && !callDone {
+			if l.Now-call.tryStart <= class.Aim {
+				l.secondAt(call.arrivalSecond).Served[call.class]++
 			} else {
-				l.second().Late++
+				l.currentSecond().Late++
 			}
-			s.ended(id, 0, false)
+			s.endTry(id, 0, false)
 		}
-		s.AttemptDone(l.Now, id, n, o, q.over, chalkrack.LoadReport{})
+		s.AttemptDone(l.Now, id, attempt, outcome, call.done, chalkrack.LoadReport{})
 	}
-	work := time.Duration((0.2 + 0.8*l.Rand.ExpFloat64()) * float64(class.Work))
-	l.After(onWire, func() {
+	work := time.Duration((0.2 + 0.8*l.Random.ExpFloat64()) * float64(class.Work))
+	l.After(networkDelay, func() {
 		m := l.nodes[server]
-		if m.gone { // no connection comes up
-			l.After(dialWait, func() { end(chalkrack.ConnectFailed) })
+		if m.unreachable {
+			l.After(dialTimeout, func() { end(chalkrack.ConnectFailed) })
 			return
 		}
-		if m.arrived(); m.Fails > 0 && l.Rand.Float64() < m.Fails {
-			l.After(onWire, func() { end(chalkrack.ServerError) })
+		if m.recordArrival(); m.ErrorRate > 0 && l.Random.Float64() < m.ErrorRate {
+			l.After(networkDelay, func() { end(chalkrack.ServerError) })
 			return
 		}
-		if !m.serve(work, func() { l.After(onWire, func() { end(chalkrack.OK) }) }) {
-			l.After(onWire, func() { end(chalkrack.Full) })
+		if !m.serve(work, func() { l.After(networkDelay, func() { end(chalkrack.OK) }) }) {
+			l.After(networkDelay, func() { end(chalkrack.Full) })
 		}
 	})
 	l.After(timeout, func() { end(chalkrack.TimedOut) })
 }
 
 // Refuse implements chalkrack.Host.
-func (s *Sidecar) Refuse(id chalkrack.RequestID, after time.Duration) {
-	if q := s.calls[id]; q != nil {
-		s.Lab.second().Refused[q.class]++
+func (s *Sidecar) Refuse(id chalkrack.RequestID, retryAfter time.Duration) {
+	if call := s.calls[id]; call != nil {
+		s.Lab.currentSecond().Refused[call.class]++
 	}
-	s.ended(id, after, true)
+	s.endTry(id, retryAfter, true)
 }
 
 // Fail implements chalkrack.Host.
 func (s *Sidecar) Fail(id chalkrack.RequestID) {
-	s.Lab.second().Failed++
-	s.ended(id, 0, false)
+	s.Lab.currentSecond().Failed++
+	s.endTry(id, 0, false)
 }
 
 // SetTimer implements chalkrack.Host.
-func (s *Sidecar) SetTimer(cookie uint64, after time.Duration) {
-	s.Lab.After(after, func() { s.Timer(s.Lab.Now, cookie) })
+func (s *Sidecar) SetTimer(cookie uint64, delay time.Duration) {
+	s.Lab.After(delay, func() { s.Timer(s.Lab.Now, cookie) })
 }
 
-// Cancel implements chalkrack.Host: work that was begun goes on.
+// Cancel implements chalkrack.Host. The node goes on with the work, so the attempt runs to its end.
 func (s *Sidecar) Cancel(chalkrack.RequestID, int) {}
 
 // CloseIdle implements chalkrack.Host.
@@ -327,104 +335,110 @@
 
 // Subscribe implements chalkrack.Host.
 func (s *Sidecar) Subscribe() {
-	s.Lab.second().Calls++
-	if s.Lab.cfg.Discover != nil {
-		s.Lab.cfg.Discover(s)
+	s.Lab.currentSecond().ListRequests++
+	if s.Lab.cfg.OnSubscribe != nil {
+		s.Lab.cfg.OnSubscribe(s)
 	}
 }
 
-// Conns is the number of connections that all sidecars hold to a node, none closed.
-func (l *Lab) Conns(node string) (n int) {
+// ConnectionCount returns the number of connections that all sidecars have opened to a node. None
+// is ever closed.
+func (l *Lab) ConnectionCount(node string) (count int) {
 	for _, s := range l.Sidecars {
-		n += s.conns[node]
+		count += s.connections[node]
 	}
-	return n
+	return count
 }
 
-// Came is how many attempts came to a node, by the second.
-func (l *Lab) Came(node string) []int { return l.nodes[node].came }
+// ArrivalsBySecond returns the number of attempts that reached a node in each second of the run.
+func (l *Lab) ArrivalsBySecond(node string) []int { return l.nodes[node].arrivalsBySecond }
 
-// Replace has a node's process gone and one of another name in its place, cold where
-// Node.Cold says so. Each sidecar hears of both after a time of its own, spread at most.
-// Work that the old one had goes on: it drains.
-func (l *Lab) Replace(old string, with Node, spread time.Duration) {
-	l.nodes[with.Name] = &machine{lab: l, Node: with, since: l.Now}
-	change := []chalkrack.Endpoint{{Name: old, State: chalkrack.Gone}, {Name: with.Name, Hint: 1, Started: max(1, l.Now-l.cfg.Ahead)}}
+// Replace replaces a node by one of another name that starts now, cold if its ColdShare is set.
+// Each sidecar learns of both changes after a random delay of up to maxDelay. The old node drains:
+// it finishes its work and still serves what sidecars send to it.
+func (l *Lab) Replace(old string, replacement Node, maxDelay time.Duration) {
+	l.nodes[replacement.Name] = &machine{lab: l, Node: replacement, start: l.Now}
+	changes := []chalkrack.Endpoint{{Name: old, State: chalkrack.Gone}, {Name: replacement.Name, Hint: 1, Started: max(1, l.Now-l.cfg.ClockAhead)}}
 	for _, s := range l.Sidecars {
-		l.After(time.Duration(l.Rand.Float64()*float64(spread)), func() { s.ServersChanged(l.Now, change) })
+		l.After(time.Duration(l.Random.Float64()*float64(maxDelay)), func() { s.ServersChanged(l.Now, changes) })
 	}
 }
 
-// Remove takes a node off the list; each sidecar hears of it after a time of its own, spread
-// at most. Work that it has goes on: it drains.
-func (l *Lab) Remove(node string, spread time.Duration) {
-	change := []chalkrack.Endpoint{{Name: node, State: chalkrack.Gone}}
+// Remove takes a node off the server list. Each sidecar learns of it after a random delay of up to
+// maxDelay. The node drains: it finishes its work and still serves what sidecars send to it.
+func (l *Lab) Remove(node string, maxDelay time.Duration) {
+	changes := []chalkrack.Endpoint{{Name: node, State: chalkrack.Gone}}
 	for _, s := range l.Sidecars {
-		l.After(time.Duration(l.Rand.Float64()*float64(spread)), func() { s.ServersChanged(l.Now, change) })
+		l.After(time.Duration(l.Random.Float64()*float64(maxDelay)), func() { s.ServersChanged(l.Now, changes) })
 	}
 }
 
-// Vanish has a node's machine gone, or back: no connection to it comes up meanwhile.
-func (l *Lab) Vanish(node string, gone bool) { l.nodes[node].gone = gone }
+// SetUnreachable makes a node's machine unreachable or reachable again. Attempts that reach it while
+// it is unreachable fail to connect; those that it had received before are still answered.
+func (l *Lab) SetUnreachable(node string, unreachable bool) { l.nodes[node].unreachable = unreachable }
 
-// Fail has a node answer a share of its calls with errors from now on.
-func (l *Lab) Fail(node string, share float64) { l.nodes[node].Fails = share }
+// SetErrorRate sets the share of attempts that a node answers with errors from now on.
+func (l *Lab) SetErrorRate(node string, share float64) { l.nodes[node].ErrorRate = share }
 
+// machine is the state of a node.
 type machine struct {
 	Node
-	since   time.Duration // its start
-	came    []int
-	times   []time.Duration // of each arrival while it is cold
-	lab     *Lab
-	busy    int
-	waiting []func()
-	gone    bool
+	start            time.Duration
+	arrivalsBySecond []int
+	coldArrivals     []time.Duration // times of the attempts that arrived while it was cold
+	lab              *Lab
+	busyCores        int
+	queue            []func()
+	unreachable      bool
 }
 
-func (m *machine) arrived() {
-	for n := int(m.lab.Now / time.Second); len(m.came) <= n; {
-		m.came = append(m.came, 0)
+func (m *machine) recordArrival() {
+	for n := int(m.lab.Now / time.Second); len(m.arrivalsBySecond) <= n; {
+		m.arrivalsBySecond = append(m.arrivalsBySecond, 0)
 	}
-	m.came[len(m.came)-1]++
-	if m.cold() {
-		m.times = append(m.times, m.lab.Now)
+	m.arrivalsBySecond[len(m.arrivalsBySecond)-1]++
+	if m.isCold() {
+		m.coldArrivals = append(m.coldArrivals, m.lab.Now)
 	}
 }
 
-func (m *machine) cold() bool { return m.Cold > 0 && m.lab.Now < m.since+m.lab.cfg.Rules.ColdFor }
+func (m *machine) isCold() bool {
+	return m.ColdShare > 0 && m.lab.Now < m.start+m.lab.cfg.Rules.ColdFor
+}
 
-// speed is what the node has of its speed by now.
-func (m *machine) speed() float64 {
-	if m.cold() {
-		return m.Speed * (m.Cold + (1-m.Cold)*float64(m.lab.Now-m.since)/float64(m.lab.cfg.Rules.ColdFor))
+// currentSpeed returns the speed of a core, which is reduced while the node is cold.
+func (m *machine) currentSpeed() float64 {
+	if m.isCold() {
+		return m.Speed * (m.ColdShare + (1-m.ColdShare)*float64(m.lab.Now-m.start)/float64(m.lab.cfg.Rules.ColdFor))
 	}
 	return m.Speed
 }
 
-// serve takes a request's work; false: there is no room.
+// serve starts or queues a request that takes work on a core of speed 1, and calls done at its end.
+// It returns false if all cores are busy and the queue is full.
 func (m *machine) serve(work time.Duration, done func()) bool {
-	run := func() {
-		m.busy++
-		m.lab.After(time.Duration(float64(work)/m.speed()), func() {
-			m.busy--
+	start := func() {
+		m.busyCores++
+		m.lab.After(time.Duration(float64(work)/m.currentSpeed()), func() {
+			m.busyCores--
 			done()
-			if len(m.waiting) > 0 {
-				next := m.waiting[0]
-				m.waiting = m.waiting[1:]
+			if len(m.queue) > 0 {
+				next := m.queue[0]
+				m.queue = m.queue[1:]
 				next()
 			}
 		})
 	}
 	switch {
-	case m.busy < m.Cores:
-		run()
-	case len(m.waiting) < m.Room:
-		m.waiting = append(m.waiting, run)
+	case m.busyCores < m.Cores:
+		start()
+	case len(m.queue) < m.Room:
+		m.queue = append(m.queue, start)
 	default:
 		return false
 	}
 	return true
 }
 
-// Speed changes a node's from now on, for work that begins then.
+// Speed sets the speed of a node's cores for work that starts from now on.
 func (l *Lab) Speed(node string, speed float64) { l.nodes[node].Speed = speed }
--- a/internal/lab/virtual/virtual.go
+++ b/internal/lab/virtual/virtual.go
@@ -1,4 +1,5 @@
-// Package virtual is time that passes from event to event, the same on every run.
+// Package virtual provides a clock for simulations, which advances from event to event and runs the
+// events in the same order in every run.
 package virtual
 
 import (
@@ -6,56 +7,58 @@
 	"time"
 )
 
-// Clock has things done at their times, in the order of these, and of their asking where
-// they are the same. It is for one goroutine, and begins at 0.
+// Clock runs callbacks in the order of their times, and those of the same time in the order in
+// which they were scheduled. It starts at 0 and is not safe for concurrent use.
 type Clock struct {
-	Now    time.Duration
-	events events
-	asked  int
+	Now          time.Duration
+	events       events
+	lastSequence int // number of events scheduled so far
 }
 
-// After has something done later.
-func (c *Clock) After(d time.Duration, do func()) {
-	c.asked++
-	heap.Push(&c.events, event{c.Now + max(d, 0), c.asked, do})
+// After schedules callback to run after delay. A negative delay counts as 0.
+func (c *Clock) After(delay time.Duration, callback func()) {
+	c.lastSequence++
+	heap.Push(&c.events, event{c.Now + max(delay, 0), c.lastSequence, callback})
 }
 
-// Every has something done again and again.
-func (c *Clock) Every(d time.Duration, do func()) {
-	c.After(d, func() {
-		do()
-		c.Every(d, do)
+// Every runs callback after each interval, for as long as the clock runs.
+func (c *Clock) Every(interval time.Duration, callback func()) {
+	c.After(interval, func() {
+		callback()
+		c.Every(interval, callback)
 	})
 }
 
-// Run goes on until a time. What is due then is left for the next Run.
+// Run runs all events before the time until, and sets Now to it. Events at that very time are left
+// for the next Run.
 func (c *Clock) Run(until time.Duration) {
 	for len(c.events) > 0 && c.events[0].at < until {
 		e := heap.Pop(&c.events).(event)
 		c.Now = e.at
-		e.do()
+		e.callback()
 	}
 	c.Now = until
 }
 
 type event struct {
-	at    time.Duration
-	asked int
-	do    func()
+	at       time.Duration
+	sequence int
+	callback func()
 }
 
+// events implements heap.Interface.
 type events []event
 
 func (e events) Len() int { return len(e) }
 func (e events) Less(a, b int) bool {
-	return e[a].at < e[b].at || e[a].at == e[b].at && e[a].asked < e[b].asked
+	return e[a].at < e[b].at || e[a].at == e[b].at && e[a].sequence < e[b].sequence
 }
 func (e events) Swap(a, b int) { e[a], e[b] = e[b], e[a] }
 func (e *events) Push(x any)   { *e = append(*e, x.(event)) }
 func (e *events) Pop() any {
 	old := *e
 	last := old[len(old)-1]
-	old[len(old)-1] = event{} // what it holds may go
+	old[len(old)-1] = event{} // lets the callback be garbage collected
 	*e = old[:len(old)-1]
 	return last
 }
--- a/internal/lab/zones_test.go
+++ b/internal/lab/zones_test.go
@@ -13,62 +13,67 @@
 	"chalkrack/internal/lab/zonal"
 )
 
-// zoned gives each sidecar of a Lab an evacuation.Machine.
-type zoned struct {
+// evacuatingFleet gives each sidecar of a Lab an evacuation.Machine.
+type evacuatingFleet struct {
 	zonal.NoteNetwork
-	l    *Lab
-	all  []*evacuation.Machine
-	out  []map[string]bool               // zones that a sidecar was told to be out, by sidecar
-	list map[string][]chalkrack.Endpoint // by zone
-	zone map[string]string
+	lab             *Lab
+	machines        []*evacuation.Machine
+	evacuated       []map[string]bool // by sidecar and zone: whether the balancer was told to drain the zone
+	endpointsByZone map[string][]chalkrack.Endpoint
+	zoneOf          map[string]string // by node
 }
 
-func (z *zoned) begin(cfg Config) {
-	z.NoteNetwork = zonal.NoteNetwork{Clock: &z.l.Clock, Rand: z.l.Rand, OnUsesChanged: z.tell}
-	z.list, z.zone = make(map[string][]chalkrack.Endpoint), make(map[string]string)
+// attach connects an evacuation.Machine to each sidecar of z.lab, which was built from cfg.
+func (z *evacuatingFleet) attach(cfg Config) {
+	z.NoteNetwork = zonal.NoteNetwork{Clock: &z.lab.Clock, Rand: z.lab.Random, OnUsesChanged: z.updateEndpoints}
+	z.endpointsByZone, z.zoneOf = make(map[string][]chalkrack.Endpoint), make(map[string]string)
 	var servers []evacuation.Server
 	for _, n := range cfg.Nodes {
 		servers = append(servers, evacuation.Server{Name: n.Name, Zone: n.Zone})
-		z.list[n.Zone] = append(z.list[n.Zone], chalkrack.Endpoint{Name: n.Name, Zone: n.Zone, Hint: 1})
-		z.zone[n.Name] = n.Zone
+		z.endpointsByZone[n.Zone] = append(z.endpointsByZone[n.Zone], chalkrack.Endpoint{Name: n.Name, Zone: n.Zone, Hint: 1})
+		z.zoneOf[n.Name] = n.Zone
 	}
-	for n, s := range z.l.Sidecars {
-		c := evacuation.Default()
-		c.Self, c.Peers, c.Seed, c.Incarnation = n, cfg.Sidecars, cfg.Seed, 1
-		m, err := evacuation.New(c)
+	for n, s := range z.lab.Sidecars {
+		machineConfig := evacuation.Default()
+		machineConfig.Self, machineConfig.Peers, machineConfig.Seed, machineConfig.Incarnation = n, cfg.Sidecars, cfg.Seed, 1
+		machine, err := evacuation.New(machineConfig)
 		if err != nil {
-			panic(err) // of constants
+			panic(err) // the configuration is constant
 		}
-		m.SetServers(0, servers)
-		z.all, z.out = append(z.all, m), append(z.out, map[string]bool{})
-		s.SetZonePolicy(m)
-		z.SetMachine(n, m)
+		machine.SetServers(0, servers)
+		z.machines, z.evacuated = append(z.machines, machine), append(z.evacuated, map[string]bool{})
+		s.SetZonePolicy(machine)
+		z.SetMachine(n, machine)
 	}
 }
 
-// tell has a sidecar's module know which zones it sends to.
-func (z *zoned) tell(n int) {
-	for zone, list := range z.list {
-		out := !z.all[n].UsesZone(zone)
-		if z.out[n][zone] == out {
+// updateEndpoints tells the balancer of a sidecar which zones its evacuation machine uses: the
+// endpoints of the others are draining.
+func (z *evacuatingFleet) updateEndpoints(sidecar int) {
+	for zone, endpoints := range z.endpointsByZone {
+		evacuated := !z.machines[sidecar].UsesZone(zone)
+		if z.evacuated[sidecar][zone] == evacuated {
 			continue
 		}
-		z.out[n][zone] = out
-		changed := make([]chalkrack.Endpoint, len(list))
-		for i, e := range list {
-			if changed[i] = e; out {
+		z.evacuated[sidecar][zone] = evacuated
+		changed := make([]chalkrack.Endpoint, len(endpoints))
+		for i, e := range endpoints {
+			if changed[i] = e; evacuated {
 				changed[i].State = chalkrack.Draining
 			}
 		}
-		z.l.Sidecars[n].ServersChanged(z.l.Now, changed)
+		z.lab.Sidecars[sidecar].ServersChanged(z.lab.Now, changed)
 	}
 }
 
-var evidence = map[chalkrack.Outcome]evacuation.ResultKind{chalkrack.OK: evacuation.ResultGood, chalkrack.ServerError: evacuation.ResultError, chalkrack.Full: evacuation.ResultRefused,
+// resultKinds maps outcomes of attempts to results for evacuation. Other outcomes tell nothing about
+// a server.
+var resultKinds = map[chalkrack.Outcome]evacuation.ResultKind{chalkrack.OK: evacuation.ResultGood, chalkrack.ServerError: evacuation.ResultError, chalkrack.Full: evacuation.ResultRefused,
 	chalkrack.TimedOut: evacuation.ResultLate, chalkrack.ConnectFailed: evacuation.ResultConnectFailed, chalkrack.Reset: evacuation.ResultReset}
 
-// inZones is a fleet at 0.6 of what its nodes can do, a third of which lie in each zone.
-func inZones(sidecars int, z *zoned) Config {
+// zonedConfig returns a fleet at 0.55 of the capacity of its nodes, a third of which are in each of
+// three zones. A nil fleet means that sidecars have no evacuation machines.
+func zonedConfig(sidecars int, fleet *evacuatingFleet) Config {
 	cfg := Config{Seed: 5, Sidecars: sidecars, Wait: 2500 * time.Millisecond, Honour: 1, Tries: 2,
 		Classes: []Class{{Class: chalkrack.Class{Aim: 800 * time.Millisecond, Worth: 1}, Share: 0.7, Work: 120 * time.Millisecond},
 			{Class: chalkrack.Class{Aim: 750 * time.Millisecond, Worth: 10, Effect: chalkrack.Unsafe}, Share: 0.3, Work: 120 * time.Millisecond}},
@@ -79,108 +84,112 @@
 	}
 	rate := 0.55 * float64(nodes) * 2 * 1.5 / 0.12
 	cfg.Rate = func(time.Duration) float64 { return rate }
-	if z != nil {
-		cfg.Sent = func(s *Sidecar, node string) uint64 {
-			z.all[s.Index].TakeToken(z.l.Now, z.zone[node])
-			return z.all[s.Index].RecordSend(z.l.Now, node)
+	if fleet != nil {
+		cfg.OnSend = func(s *Sidecar, node string) uint64 {
+			fleet.machines[s.Index].TakeToken(fleet.lab.Now, fleet.zoneOf[node])
+			return fleet.machines[s.Index].RecordSend(fleet.lab.Now, node)
 		}
-		cfg.Ended = func(s *Sidecar, ticket uint64, o chalkrack.Outcome) {
-			k, tells := evidence[o]
-			z.all[s.Index].RecordEnd(z.l.Now, ticket, k, !tells)
+		cfg.OnAttemptDone = func(s *Sidecar, ticket uint64, outcome chalkrack.Outcome) {
+			kind, hasKind := resultKinds[outcome]
+			fleet.machines[s.Index].RecordEnd(fleet.lab.Now, ticket, kind, !hasKind)
 		}
 	}
 	return cfg
 }
 
-// lose plays some minutes in which a zone vanishes for 20 s in each third of them.
-func lose(t *testing.T, sidecars int, z *zoned, length time.Duration) (l *Lab, worth float64, out []time.Duration) {
+// runZoneLosses simulates a run of the given length, in each third of which zone a is unreachable
+// for 20 s. It returns the share of worth served and, for each loss that all sidecars reacted to
+// within 10 s, how long it took until all had left the zone. With a nil fleet there are no such
+// times.
+func runZoneLosses(t *testing.T, sidecars int, fleet *evacuatingFleet, length time.Duration) (lab *Lab, worth float64, evacuationTimes []time.Duration) {
 	t.Helper()
-	cfg := inZones(sidecars, z)
-	l, err := New(cfg)
+	cfg := zonedConfig(sidecars, fleet)
+	lab, err := New(cfg)
 	if err != nil {
 		t.Error(err)
 		return nil, 0, nil
 	}
-	if z != nil {
-		z.l = l
-		z.begin(cfg)
+	if fleet != nil {
+		fleet.lab = lab
+		fleet.attach(cfg)
 	}
-	vanish := func(gone bool) {
+	setZoneUnreachable := func(unreachable bool) {
 		for _, n := range cfg.Nodes {
 			if n.Zone == "a" {
-				l.Vanish(n.Name, gone)
+				lab.SetUnreachable(n.Name, unreachable)
 			}
 		}
 	}
 	for n := range 3 {
-		at := length*time.Duration(n)/3 + 10*time.Second
-		l.Run(at)
-		vanish(true)
-		for z != nil && l.Now < at+10*time.Second {
-			l.Run(l.Now + 20*time.Millisecond)
-			left := 0
-			for _, m := range z.all {
+		lossStart := length*time.Duration(n)/3 + 10*time.Second
+		lab.Run(lossStart)
+		setZoneUnreachable(true)
+		for fleet != nil && lab.Now < lossStart+10*time.Second {
+			lab.Run(lab.Now + 20*time.Millisecond)
+			leftCount := 0
+			for _, m := range fleet.machines {
 				if !m.UsesZone("a") {
-					left++
+					leftCount++
 				}
 			}
-			if left == sidecars {
-				out = append(out, l.Now-at)
+			if leftCount == sidecars {
+				evacuationTimes = append(evacuationTimes, lab.Now-lossStart)
 				break
 			}
 		}
-		l.Run(at + 20*time.Second)
-		vanish(false)
+		lab.Run(lossStart + 20*time.Second)
+		setZoneUnreachable(false)
 	}
-	l.Run(length)
-	return l, l.Worth(5, int(length/time.Second)), out
+	lab.Run(length)
+	return lab, lab.Worth(5, int(length/time.Second)), evacuationTimes
 }
 
-// With the decision module in it: all are out within the stated time, each time; what a
-// sidecar says does not grow with the fleet; and the worth that is served is not less. The
-// large sizes are for FAWN_LAB, the minutes.
-func TestZonesInTheLab(t *testing.T) {
+// Sidecars with evacuation machines all leave a zone that becomes unreachable within 2 s, each
+// time. The notes that a sidecar sends don't become more with the size of the fleet, and the worth
+// served is not lower than without evacuation. FAWN_LAB, a number of minutes, selects large fleets
+// and that length.
+func TestEvacuationOfUnreachableZone(t *testing.T) {
 	sizes, length := []int{24, 48}, 3*time.Minute
 	if n, err := strconv.Atoi(os.Getenv("FAWN_LAB")); err == nil {
 		sizes, length = []int{80, 300, 2000}, time.Duration(n)*time.Minute
 	}
-	// Each fleet with zones and without is a world of its own: they run side by side.
-	type seen struct {
-		z             *zoned
-		with, without float64
-		out           []time.Duration
+	// The runs share no state, so they run concurrently.
+	type result struct {
+		fleet                   *evacuatingFleet
+		worthWith, worthWithout float64
+		times                   []time.Duration
 	}
-	all := make([]seen, len(sizes))
-	var wait sync.WaitGroup
+	results := make([]result, len(sizes))
+	var running sync.WaitGroup
 	for i, n := range sizes {
-		all[i].z = new(zoned)
-		wait.Go(func() { _, all[i].with, all[i].out = lose(t, n, all[i].z, length) })
-		wait.Go(func() { _, all[i].without, _ = lose(t, n, nil, length) })
+		results[i].fleet = new(evacuatingFleet)
+		running.Go(func() { _, results[i].worthWith, results[i].times = runZoneLosses(t, n, results[i].fleet, length) })
+		running.Go(func() { _, results[i].worthWithout, _ = runZoneLosses(t, n, nil, length) })
 	}
-	wait.Wait()
-	var per []float64
+	running.Wait()
+	var noteRates []float64
 	for i, n := range sizes {
-		z, with, without, out := all[i].z, all[i].with, all[i].without, all[i].out
-		notes := float64(z.NoteCount) / float64(n) / length.Seconds()
-		per = append(per, notes)
-		t.Logf("%d sidecars, %v: out after %v; worth %.4f with, %.4f without; %.2f notes and %.0f bytes a sidecar a second, %d notes in the busiest second of one", n, length, out, with, without, notes, float64(z.NoteBytes)/float64(n)/length.Seconds(), z.MaxNotesInSecond)
-		for _, d := range out {
+		fleet, worthWith, worthWithout, times := results[i].fleet, results[i].worthWith, results[i].worthWithout, results[i].times
+		noteRate := float64(fleet.NoteCount) / float64(n) / length.Seconds()
+		noteRates = append(noteRates, noteRate)
+		t.Logf("%d sidecars, %v: all left after %v; worth %.4f with evacuation, %.4f without; %.2f notes and %.0f bytes per sidecar and second, at most %d notes of a sidecar in a second", n, length, times, worthWith, worthWithout, noteRate, float64(fleet.NoteBytes)/float64(n)/length.Seconds(), fleet.MaxNotesInSecond)
+		for _, d := range times {
 			if d > 2*time.Second {
-				t.Errorf("%d sidecars: all out after %v", n, d)
+				t.Errorf("%d sidecars: all left the zone after %v, want at most 2s", n, d)
 			}
 		}
-		if len(out) != 3 {
-			t.Errorf("%d sidecars: left %d times of 3", n, len(out))
+		if len(times) != 3 {
+			t.Errorf("%d sidecars: all left the zone in %d of 3 losses", n, len(times))
 		}
-		if with < without-0.005 {
-			t.Errorf("%d sidecars: worth %.4f, %.4f without", n, with, without)
+		if worthWith < worthWithout-0.005 {
+			t.Errorf("%d sidecars: worth %.4f with evacuation, %.4f without, want at most 0.005 less", n, worthWith, worthWithout)
 		}
-		if z.MaxNotesInSecond > 61 { // a full budget, and a second of it
-			t.Errorf("%d sidecars: %d notes in one second", n, z.MaxNotesInSecond)
+		if fleet.MaxNotesInSecond > 61 { // a full budget and its refill in a second
+			t.Errorf("%d sidecars: %d notes of a sidecar in one second, want at most 61", n, fleet.MaxNotesInSecond)
 		}
-		for c := range per {
-			if per[c] > 1.3*per[0] {
-				t.Errorf("notes grow with the fleet: %v", per)
+		for c := range noteRates {
+			if noteRates[c] > 1.3*noteRates[0] {
+				t.Errorf("notes per sidecar and second, by size of the fleet: %v, want at most 1.3 times the first", noteRates)
 			}
 		}
 	}
