--- a/cmd/drill/instance.go
+++ b/cmd/drill/instance.go
@@ -9,57 +9,58 @@
 	"chalkrack/internal/wire"
 )
 
-// instance is one balancer and its place on the wire; it is the balancer's
-// Host.
+// instance is one balancer and its Host, which writes the balancer's actions to the reply.
 type instance struct {
-	id    string
-	reply *wire.Reply
-	b     *chalkrack.Balancer
-	set   *settings.Settings
+	id       string
+	reply    *wire.Reply
+	balancer *chalkrack.Balancer
+	settings *settings.Settings
 }
 
-// event hands one event to the balancer.
-func (i *instance) event(e *wire.Event, d *drill) error {
+// handleEvent passes an event to the balancer. It returns an error for an event with an unknown kind
+// of list or ending.
+func (i *instance) handleEvent(e *wire.Event, d *drill) error {
 	now, id := d.now, chalkrack.RequestID(e.ID)
 	switch e.Kind {
 	case wire.BackendsChanged:
-		switch how := string(e.How); how {
+		switch kind := string(e.How); kind {
 		case "patch":
-			i.b.ServersChanged(now, d.lists[e.List])
+			i.balancer.ServersChanged(now, d.lists[e.List])
 		case "whole", "stale_copy":
-			i.b.ServersListed(now, d.lists[e.List])
+			i.balancer.ServersListed(now, d.lists[e.List])
 		case "broken":
-			i.b.DiscoveryFailed(now)
+			i.balancer.DiscoveryFailed(now)
 		default:
-			return fmt.Errorf("unknown kind of list %q", how)
+			return fmt.Errorf("backendsChanged: unknown kind of list %q", kind)
 		}
 	case wire.Knock:
-		i.b.Arrive(now, chalkrack.Request{
+		i.balancer.Arrive(now, chalkrack.Request{
 			ID:       id,
-			Class:    i.set.ClassIndex(e.Class),
-			Tenant:   i.set.TenantIndex(e.Tenant),
+			Class:    i.settings.ClassIndex(e.Class),
+			Tenant:   i.settings.TenantIndex(e.Tenant),
 			Key:      string(e.Key),
-			Deadline: micros(e.Deadline),
+			Deadline: microseconds(e.Deadline),
 		})
 	case wire.HeadReceived:
-		i.b.AnswerStarted(now, id, e.Copy)
+		i.balancer.AnswerStarted(now, id, e.Copy)
 	case wire.Finished:
-		o, ok := outcomes[e.Ending]
+		outcome, ok := outcomeByEnding[e.Ending]
 		if !ok {
-			return fmt.Errorf("unknown ending %d", e.Ending)
+			return fmt.Errorf("finished: unknown ending %d", e.Ending)
 		}
-		i.b.AttemptDone(now, id, e.Copy, o, e.Over, report(e.Load))
+		i.balancer.AttemptDone(now, id, e.Copy, outcome, e.Over, loadReport(e.Load))
 	case wire.Checked:
-		i.b.Probed(now, string(e.Server), report(e.Load))
+		i.balancer.Probed(now, string(e.Server), loadReport(e.Load))
 	case wire.TimedOutClient:
-		i.b.ClientGone(now, id)
+		i.balancer.ClientGone(now, id)
 	case wire.Wakeup:
-		i.b.Timer(now, e.Cookie)
+		i.balancer.Timer(now, e.Cookie)
 	}
 	return nil
 }
 
-var outcomes = map[int]chalkrack.Outcome{
+// outcomeByEnding maps the endings of attempts on the wire to outcomes.
+var outcomeByEnding = map[int]chalkrack.Outcome{
 	200: chalkrack.OK,
 	502: chalkrack.ServerError,
 	429: chalkrack.Full,
@@ -70,8 +71,8 @@
 	409: chalkrack.NotSent,
 }
 
-func report(l wire.Load) chalkrack.LoadReport {
-	return chalkrack.LoadReport{HasInFlight: l.HasBusyReqs, InFlight: l.BusyReqs, HasUtil: l.HasCPUShare, Util: l.CPUShare}
+func loadReport(load wire.Load) chalkrack.LoadReport {
+	return chalkrack.LoadReport{HasInFlight: load.HasBusyReqs, InFlight: load.BusyReqs, HasUtil: load.HasCPUShare, Util: load.CPUShare}
 }
 
 // Send implements chalkrack.Host.
@@ -106,24 +107,25 @@
 // Subscribe implements chalkrack.Host.
 func (i *instance) Subscribe() { i.reply.KeepInformed(i.id) }
 
+// endpoints converts a list of hosts from the wire. An unknown health counts as serving.
 func endpoints(hosts []wire.Host) []chalkrack.Endpoint {
-	list := make([]chalkrack.Endpoint, len(hosts))
-	for n, h := range hosts {
+	result := make([]chalkrack.Endpoint, len(hosts))
+	for n, host := range hosts {
 		state := chalkrack.Serving
-		switch h.Health {
+		switch host.Health {
 		case "DRAINING":
 			state = chalkrack.Draining
 		case "DELETED":
 			state = chalkrack.Gone
 		}
-		list[n] = chalkrack.Endpoint{
-			Name:    h.Server,
-			Zone:    h.Zone,
-			Group:   h.Group,
-			Hint:    h.Hint,
-			Started: micros(h.StartUs),
+		result[n] = chalkrack.Endpoint{
+			Name:    host.Server,
+			Zone:    host.Zone,
+			Group:   host.Group,
+			Hint:    host.Hint,
+			Started: microseconds(host.StartUs),
 			State:   state,
 		}
 	}
-	return list
+	return result
 }
--- a/cmd/drill/main.go
+++ b/cmd/drill/main.go
@@ -1,5 +1,5 @@
-// Command drill hosts balancers on the simulator's wire: events on standard
-// input, actions on standard output. It decides nothing itself.
+// Command drill connects balancers to the simulator: it reads events from standard input, passes
+// them to the balancers and writes their actions to standard output. It makes no decisions itself.
 package main
 
 import (
@@ -25,25 +25,26 @@
 	}
 }
 
-// ledgers is the number of list numbers in use on the wire.
-const ledgers = 16
+// listCount is the number of list numbers in use on the wire.
+const listCount = 16
 
-// drill is the adapter's state: instances by id, and the numbered lists, which
-// belong to the process.
+// drill holds the state of the adapter: the balancer instances by id, and the numbered server lists,
+// which all instances share.
 type drill struct {
-	in        *bufio.Reader
-	out       io.Writer
-	long      []byte // a line longer than in's buffer
-	line      int
-	dec       wire.Decoder
-	reply     wire.Reply
-	instances map[string]*instance
-	lists     [ledgers][]chalkrack.Endpoint
-	listed    [ledgers]bool
-	now       time.Duration
-	failed    bool
+	in          *bufio.Reader
+	out         io.Writer
+	longLine    []byte // the current line if it is longer than the buffer of in
+	lineNumber  int
+	decoder     wire.Decoder
+	reply       wire.Reply
+	instances   map[string]*instance
+	lists       [listCount][]chalkrack.Endpoint
+	listDefined [listCount]bool
+	now         time.Duration
+	failed      bool // a balancer panicked; further events of instances are ignored
 }
 
+// run processes all batches of the input. An error names the line at which it occurred.
 func run(in io.Reader, out io.Writer) error {
 	d := &drill{
 		in:        bufio.NewReaderSize(in, 1<<16),
@@ -51,9 +52,9 @@
 		instances: make(map[string]*instance),
 	}
 	for {
-		more, err := d.batch()
+		more, err := d.processBatch()
 		if err != nil {
-			return fmt.Errorf("line %d: %w", d.line, err)
+			return fmt.Errorf("line %d: %w", d.lineNumber, err)
 		}
 		if !more {
 			return nil
@@ -61,116 +62,121 @@
 	}
 }
 
-func (d *drill) next() ([]byte, error) {
+// readLine returns the next line without its end. The line is valid until the next call.
+func (d *drill) readLine() ([]byte, error) {
 	line, err := d.in.ReadSlice('\n')
 	if errors.Is(err, bufio.ErrBufferFull) {
-		d.long = append(d.long[:0], line...)
+		d.longLine = append(d.longLine[:0], line...)
 		for errors.Is(err, bufio.ErrBufferFull) {
 			line, err = d.in.ReadSlice('\n')
-			d.long = append(d.long, line...)
+			d.longLine = append(d.longLine, line...)
 		}
-		line = d.long
+		line = d.longLine
 	}
 	if err != nil && (err != io.EOF || len(line) == 0) {
 		return nil, err
 	}
-	d.line++
+	d.lineNumber++
 	for len(line) > 0 && (line[len(line)-1] == '\n' || line[len(line)-1] == '\r') {
 		line = line[:len(line)-1]
 	}
 	return line, nil
 }
 
-// batch answers one batch; false says that the input ended before it.
-func (d *drill) batch() (more bool, err error) {
+// processBatch reads one batch and writes the reply to it. It returns false if the input ended before
+// the batch, and an error if the input ended within it.
+func (d *drill) processBatch() (more bool, err error) {
 	var e wire.Event
 	turn := int64(-1)
 	for {
-		line, err := d.next()
+		line, err := d.readLine()
 		switch {
 		case err == io.EOF && turn < 0:
 			return false, nil
 		case err == io.EOF:
-			return false, fmt.Errorf("batch %d cut short", turn)
+			return false, fmt.Errorf("input ended within batch %d", turn)
 		case err != nil:
 			return false, err
 		case len(line) == 0:
 			continue
 		}
-		if err := d.dec.Decode(line, &e); err != nil {
+		if err := d.decoder.Decode(line, &e); err != nil {
 			return false, err
 		}
 		switch {
 		case e.Kind == wire.Tick && turn < 0:
 			turn = e.Turn
-			d.now = micros(e.TimeUs)
+			d.now = microseconds(e.TimeUs)
 			d.reply.Reset()
 		case e.Kind == wire.Tick || turn < 0:
-			return false, errors.New("message out of place: a batch runs from tick to end")
+			return false, errors.New("tick within a batch, or message outside of one: a batch starts with tick and finishes with end")
 		case e.Kind == wire.End:
 			d.reply.EndOfReply(turn)
 			_, err := d.out.Write(d.reply.Bytes())
 			return true, err
 		default:
-			if err := d.event(&e); err != nil {
+			if err := d.handleEvent(&e); err != nil {
 				return false, err
 			}
 		}
 	}
 }
 
-func (d *drill) event(e *wire.Event) error {
+// handleEvent handles an event within a batch: a list, or an event of an instance.
+func (d *drill) handleEvent(e *wire.Event) error {
 	if e.Kind == wire.Ledger || e.Kind == wire.BackendsChanged {
-		if e.List < 0 || e.List >= ledgers {
-			return fmt.Errorf("unknown ledger number %d", e.List)
+		if e.List < 0 || e.List >= listCount {
+			return fmt.Errorf("ledger number %d is out of range", e.List)
 		}
 	}
 	switch e.Kind {
 	case wire.Ledger:
-		d.lists[e.List], d.listed[e.List] = endpoints(e.Hosts), true
+		d.lists[e.List], d.listDefined[e.List] = endpoints(e.Hosts), true
 		return nil
 	case wire.PowerOn:
-		return d.start(e)
+		return d.startInstance(e)
 	}
-	i := d.instances[string(e.Instance)]
-	if i == nil {
+	instance := d.instances[string(e.Instance)]
+	if instance == nil {
 		return fmt.Errorf("event for unknown instance %q", e.Instance)
 	}
 	if e.Kind == wire.Exit {
-		delete(d.instances, i.id)
+		delete(d.instances, instance.id)
 		return nil
 	}
-	if e.Kind == wire.BackendsChanged && string(e.How) != "broken" && !d.listed[e.List] {
-		return fmt.Errorf("unknown ledger number %d", e.List)
+	if e.Kind == wire.BackendsChanged && string(e.How) != "broken" && !d.listDefined[e.List] {
+		return fmt.Errorf("ledger number %d is used before its ledger message", e.List)
 	}
-	return d.guard(i.id, func() error { return i.event(e, d) })
+	return d.recoverPanic(instance.id, func() error { return instance.handleEvent(e, d) })
 }
 
-// guard turns a panic of the decision code into bailOut.
-func (d *drill) guard(id string, f func() error) (err error) {
+// recoverPanic calls f and writes a panic of the decision code to the reply as bailOut. After a
+// panic it does nothing.
+func (d *drill) recoverPanic(id string, f func() error) (err error) {
 	if d.failed {
 		return nil
 	}
 	defer func() {
-		if p := recover(); p != nil {
+		if reason := recover(); reason != nil {
 			d.failed = true
-			d.reply.BailOut(id, fmt.Sprint(p))
+			d.reply.BailOut(id, fmt.Sprint(reason))
 		}
 	}()
 	return f()
 }
 
-func (d *drill) start(e *wire.Event) error {
-	set, err := settings.Parse(e.Env)
+// startInstance creates the balancer of an instance from the settings in e.
+func (d *drill) startInstance(e *wire.Event) error {
+	parsed, err := settings.Parse(e.Env)
 	if err != nil {
 		return err
 	}
-	i := &instance{id: string(e.Instance), reply: &d.reply, set: set}
-	return d.guard(i.id, func() error {
-		i.b, err = chalkrack.New(set.Config, e.Seed, i)
-		d.instances[i.id] = i
+	started := &instance{id: string(e.Instance), reply: &d.reply, settings: parsed}
+	return d.recoverPanic(started.id, func() error {
+		started.balancer, err = chalkrack.New(parsed.Config, e.Seed, started)
+		d.instances[started.id] = started
 		return err
 	})
 }
 
-func micros(us int64) time.Duration { return time.Duration(us) * time.Microsecond }
+func microseconds(count int64) time.Duration { return time.Duration(count) * time.Microsecond }
--- a/cmd/fawnrock/link_test.go
+++ b/cmd/fawnrock/link_test.go
@@ -18,18 +18,18 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	line := func(key string) string {
+	setting := func(key string) string {
 		m := regexp.MustCompile(`(?m)^` + key + ` = "(.*)"$`).FindSubmatch(text)
 		if m == nil {
 			t.Fatalf("no %s", key)
 		}
 		return string(m[1])
 	}
-	if run := line("run"); run != "exec bin/fawnrock" {
+	if run := setting("run"); run != "exec bin/fawnrock" {
 		t.Errorf("run is %q", run)
 	}
 	dir := t.TempDir()
-	cmd := exec.Command("sh", "-c", strings.ReplaceAll(line("build"), "bin", dir))
+	cmd := exec.Command("sh", "-c", strings.ReplaceAll(setting("build"), "bin", dir))
 	cmd.Dir = "../.."
 	if out, err := cmd.CombinedOutput(); err != nil {
 		t.Fatalf("%v: %s", err, out)
--- a/cmd/fawnrock/main.go
+++ b/cmd/fawnrock/main.go
@@ -16,17 +16,17 @@
 
 func main() {
 	slog.SetDefault(limitlog.New(os.Stderr, slog.LevelInfo))
-	term := make(chan os.Signal, 1)
-	signal.Notify(term, syscall.SIGTERM, os.Interrupt)
-	hup := make(chan os.Signal, 1)
-	signal.Notify(hup, syscall.SIGHUP) // from the first: unhandled, it would end the process
-	c, err := config.Load(os.Getenv)
+	terminate := make(chan os.Signal, 1)
+	signal.Notify(terminate, syscall.SIGTERM, os.Interrupt)
+	reload := make(chan os.Signal, 1)
+	signal.Notify(reload, syscall.SIGHUP) // from the first: unhandled, it would end the process
+	cfg, err := config.Load(os.Getenv)
 	if err == nil {
-		c, err = config.RestoreHistory(c)
+		cfg, err = config.RestoreHistory(cfg)
 	}
 	if err == nil {
-		daemon.SetRuntimeLimits(c)
-		err = daemon.Run(c, term, hup, nil)
+		daemon.SetRuntimeLimits(cfg)
+		err = daemon.Run(cfg, terminate, reload, nil)
 	}
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "fawnrock:", err)
--- a/cmd/fawnrock/main_test.go
+++ b/cmd/fawnrock/main_test.go
@@ -19,17 +19,17 @@
 	"chalkrack/internal/standin"
 )
 
-const patience = 30 * time.Second
+const testTimeout = 30 * time.Second
 
-// built is the sidecar's binary.
-var built string
+// binary is the sidecar's binary.
+var binary string
 
 func TestMain(m *testing.M) {
 	dir, err := os.MkdirTemp("", "fawnrock")
 	if err == nil {
-		built = filepath.Join(dir, "fawnrock")
+		binary = filepath.Join(dir, "fawnrock")
 		var out []byte
-		if out, err = exec.Command("go", "build", "-o", built, ".").CombinedOutput(); err != nil {
+		if out, err = exec.Command("go", "build", "-o", binary, ".").CombinedOutput(); err != nil {
 			err = fmt.Errorf("%w: %s", err, out)
 		}
 	}
@@ -42,13 +42,13 @@
 	os.Exit(code)
 }
 
-const good = `{"name":"n0","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"8c1f30d27a5be964",
+const validConfig = `{"name":"n0","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"8c1f30d27a5be964",
 "limits":{"cores":1.0,"memory_mb":192,"sockets":1024},
 "known":{"index":1,"snapshot":true,"endpoints":[{"name":"s","address":"127.0.0.1:9","zone":"z","status":"up","weight":1}]},
 "settings":{"replicasOfMe":1,"zone":"z","caps":{"attemptsCap":3,"connIdleUs":30000000,"dialTimeoutUs":250000},
 "guarantees":{"drainGraceUs":2000000},"classes":[{"name":"a","effect":"repeatable","promiseUs":1000000,"hardLimitUs":3000000}]}}`
 
-func write(t *testing.T, config string) string {
+func writeConfig(t *testing.T, config string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "config.json")
 	if err := os.WriteFile(path, []byte(config), 0o600); err != nil {
@@ -58,14 +58,14 @@
 }
 
 // Bad configuration is one line that names the field, and exit status 1.
-func TestBadConfig(t *testing.T) {
+func TestBadConfigEndsWithError(t *testing.T) {
 	taken, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer taken.Close()
 	for _, c := range []struct{ old, new, names string }{
-		{good, "what", "BALANCER_CONFIG"},
+		{validConfig, "what", "BALANCER_CONFIG"},
 		{`"listen":"127.0.0.1:0"`, `"listen":"nowhere"`, "listen"},
 		{`"listen":"127.0.0.1:0"`, fmt.Sprintf(`"listen":%q`, taken.Addr()), "listen"},
 		{`"discovery":"127.0.0.1:1"`, `"discovery":""`, "discovery"},
@@ -85,8 +85,8 @@
 		{`"connIdleUs":30000000`, `"connIdleUs":-1`, "connIdleUs"},
 		{`"promiseUs":1000000`, `"promiseUs":"x"`, "settings"},
 	} {
-		cmd := exec.Command(built)
-		cmd.Env = []string{"BALANCER_CONFIG=" + write(t, strings.Replace(good, c.old, c.new, 1))}
+		cmd := exec.Command(binary)
+		cmd.Env = []string{"BALANCER_CONFIG=" + writeConfig(t, strings.Replace(validConfig, c.old, c.new, 1))}
 		var stderr bytes.Buffer
 		cmd.Stderr = &stderr
 		cmd.Run()
@@ -94,7 +94,7 @@
 			t.Errorf("%s: exit %d, %q", c.new, code, stderr.String())
 		}
 	}
-	cmd := exec.Command(built)
+	cmd := exec.Command(binary)
 	cmd.Env = []string{}
 	if out, _ := cmd.CombinedOutput(); cmd.ProcessState.ExitCode() != 1 || !strings.Contains(string(out), "BALANCER_CONFIG") {
 		t.Errorf("without configuration: %q", out)
@@ -103,7 +103,7 @@
 
 // A planned restart: what was taken before SIGTERM, and what still comes after
 // it, is answered; then the program exits with 0.
-func TestTerm(t *testing.T) {
+func TestSIGTERMAnswersOpenCalls(t *testing.T) {
 	server, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -123,20 +123,20 @@
 			}()
 		}
 	}()
-	ln, err := net.Listen("tcp", "127.0.0.1:0") // for an address that is free
+	freeListener, err := net.Listen("tcp", "127.0.0.1:0") // for an address that is free
 	if err != nil {
 		t.Fatal(err)
 	}
-	addr := ln.Addr().String()
-	ln.Close()
-	cmd := exec.Command(built)
-	cmd.Env = []string{"BALANCER_LISTEN=" + addr, "BALANCER_CONFIG=" + write(t, strings.Replace(good, "127.0.0.1:9", server.Addr().String(), 1))}
+	addr := freeListener.Addr().String()
+	freeListener.Close()
+	cmd := exec.Command(binary)
+	cmd.Env = []string{"BALANCER_LISTEN=" + addr, "BALANCER_CONFIG=" + writeConfig(t, strings.Replace(validConfig, "127.0.0.1:9", server.Addr().String(), 1))}
 	cmd.Stderr = os.Stderr
 	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
 	defer cmd.Process.Kill()
-	for end := time.Now().Add(patience); ; time.Sleep(10 * time.Millisecond) {
+	for end := time.Now().Add(testTimeout); ; time.Sleep(10 * time.Millisecond) {
 		resp, err := http.Get("http://" + addr + "/_health")
 		if err == nil {
 			resp.Body.Close()
@@ -156,22 +156,22 @@
 			t.Fatal(err)
 		}
 		t.Cleanup(func() { c.Close() })
-		c.SetDeadline(time.Now().Add(patience))
+		c.SetDeadline(time.Now().Add(testTimeout))
 		sent++
 		fmt.Fprintf(c, "GET /a HTTP/1.1\r\nHost: h\r\nReq-Id: %d\r\nReq-Deadline-Ms: 2900\r\n\r\n", sent)
 		return bufio.NewReader(c)
 	}
-	before := send()
-	first := <-arrived
+	answerBefore := send()
+	firstArrival := <-arrived
 	if err := cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
-	after := send()
-	second := <-arrived
-	for _, c := range []net.Conn{first, second} {
+	answerAfter := send()
+	secondArrival := <-arrived
+	for _, c := range []net.Conn{firstArrival, secondArrival} {
 		fmt.Fprint(c, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi")
 	}
-	for _, br := range []*bufio.Reader{before, after} {
+	for _, br := range []*bufio.Reader{answerBefore, answerAfter} {
 		if resp, err := http.ReadResponse(br, nil); err != nil || resp.StatusCode != http.StatusOK {
 			t.Errorf("answered %v, %v", resp, err)
 		}
@@ -181,9 +181,9 @@
 	}
 }
 
-// catalog is a discovery whose list has one server, which answers all with the same
+// newDiscovery is a discovery whose list has one server, which answers all with the same
 // body, and that has told of so many changes before it, and since.
-func catalog(t *testing.T, body string, before, since int) (addr string) {
+func newDiscovery(t *testing.T, body string, before, after int) (addr string) {
 	t.Helper()
 	server, err := standin.NewServer(standin.ServerConfig{Name: "s", Script: standin.Always(standin.Act{Body: body})})
 	if err != nil {
@@ -200,64 +200,64 @@
 		d.Change(other)
 	}
 	d.Change(standin.Endpoint{Name: "s", Address: server.Addr(), Zone: "z", Status: "up", Weight: 1})
-	for range since {
+	for range after {
 		d.Change(other)
 	}
 	return d.Addr()
 }
 
-// lines collects what a process writes.
-type lines struct {
-	mu  sync.Mutex
-	all bytes.Buffer
+// logBuffer collects what a process writes.
+type logBuffer struct {
+	mu      sync.Mutex
+	content bytes.Buffer
 }
 
-func (l *lines) Write(p []byte) (int, error) {
+func (l *logBuffer) Write(p []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.all.Write(p)
+	return l.content.Write(p)
 }
 
-func (l *lines) has(text string) bool {
+func (l *logBuffer) contains(text string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return strings.Contains(l.all.String(), text)
+	return strings.Contains(l.content.String(), text)
 }
 
 // SIGHUP reads the configuration anew: discovery is asked at its new address, also
 // where the environment still names the old. One that is bad is logged with its
 // field and changes nothing. Neither ends the process.
-func TestHup(t *testing.T) {
+func TestSIGHUPReloadsConfig(t *testing.T) {
 	// Who asked the second for what is new since the first's index would not hear of its
 	// server.
-	first, second := catalog(t, "old", 50, 0), catalog(t, "new", 0, 100)
-	ln, err := net.Listen("tcp", "127.0.0.1:0") // for an address that is free
+	first, second := newDiscovery(t, "old", 50, 0), newDiscovery(t, "new", 0, 100)
+	freeListener, err := net.Listen("tcp", "127.0.0.1:0") // for an address that is free
 	if err != nil {
 		t.Fatal(err)
 	}
-	addr := ln.Addr().String()
-	ln.Close()
-	config := strings.Replace(good, "127.0.0.1:1\"", first+"\"", 1)
-	path := write(t, config)
+	addr := freeListener.Addr().String()
+	freeListener.Close()
+	config := strings.Replace(validConfig, "127.0.0.1:1\"", first+"\"", 1)
+	path := writeConfig(t, config)
 	replace := func(old, new string) {
 		t.Helper()
 		if err := os.WriteFile(path, []byte(strings.Replace(config, old, new, 1)), 0o600); err != nil {
 			t.Fatal(err)
 		}
 	}
-	log := new(lines)
-	cmd := exec.Command(built)
+	log := new(logBuffer)
+	cmd := exec.Command(binary)
 	cmd.Env = []string{"BALANCER_LISTEN=" + addr, "BALANCER_DISCOVERY=" + first, "BALANCER_CONFIG=" + path}
 	cmd.Stderr = log
 	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
 	defer cmd.Process.Kill()
-	settle := func(what string, ok func() bool) {
+	waitFor := func(failure string, condition func() bool) {
 		t.Helper()
-		for end := time.Now().Add(patience); !ok(); time.Sleep(10 * time.Millisecond) {
+		for end := time.Now().Add(testTimeout); !condition(); time.Sleep(10 * time.Millisecond) {
 			if time.Now().After(end) {
-				t.Fatalf("%s; its log:\n%s", what, log.all.String())
+				t.Fatalf("%s; its log:\n%s", failure, log.content.String())
 			}
 		}
 	}
@@ -274,14 +274,14 @@
 		body, _ := io.ReadAll(resp.Body)
 		return string(body)
 	}
-	settle("never served", func() bool { return answer() == "old" })
+	waitFor("never served", func() bool { return answer() == "old" })
 
 	replace(`"attemptsCap":3`, `"attemptsCap":0`)
 	cmd.Process.Signal(syscall.SIGHUP)
-	settle("a bad configuration is not named", func() bool { return log.has("MaxAttempts") })
+	waitFor("a bad configuration is not named", func() bool { return log.contains("MaxAttempts") })
 	replace(`"discovery":"`+first, `"discovery":"nowhere`)
 	cmd.Process.Signal(syscall.SIGHUP)
-	settle("a bad address is not named", func() bool { return log.has("config: discovery") })
+	waitFor("a bad address is not named", func() bool { return log.contains("config: discovery") })
 	if body := answer(); body != "old" {
 		t.Errorf("after bad configurations: answered %q", body)
 	}
@@ -289,13 +289,13 @@
 	// What takes a start is named, and so is what weakens the rules that are in force.
 	replace(`"drainGraceUs":2000000`, `"drainGraceUs":3000000`)
 	cmd.Process.Signal(syscall.SIGHUP)
-	settle("what waits for a start is not named", func() bool {
-		return log.has("field=settings.guarantees.drainGraceUs old=2000000 new=3000000") && log.has("weakens what runs")
+	waitFor("what waits for a start is not named", func() bool {
+		return log.contains("field=settings.guarantees.drainGraceUs old=2000000 new=3000000") && log.contains("weakens what runs")
 	})
 
 	replace(first, second)
 	cmd.Process.Signal(syscall.SIGHUP)
-	settle("the new discovery is not followed", func() bool { return answer() == "new" })
+	waitFor("the new discovery is not followed", func() bool { return answer() == "new" })
 	cmd.Process.Signal(syscall.SIGTERM)
 	if err := cmd.Wait(); err != nil {
 		t.Errorf("exit: %v", err)
