--- a/cmd/fawnrock/link_test.go
+++ b/cmd/fawnrock/link_test.go
@@ -10,9 +10,9 @@
 	"testing"
 )
 
-// The daemon that the deploy file builds is linked dynamically and names an interpreter:
-// what the platform loads into the process beside it is only then taken up. run ends by
-// exec in it.
+// The daemon that the deploy file builds must be linked dynamically and name an interpreter, because
+// libraries that the platform preloads into the process have no effect otherwise. The run command
+// must exec the daemon, so that it replaces the shell.
 func TestDaemonIsLinkedDynamically(t *testing.T) {
 	text, err := os.ReadFile("../../deploy/balancer.toml")
 	if err != nil {
@@ -21,18 +21,18 @@
 	setting := func(key string) string {
 		m := regexp.MustCompile(`(?m)^` + key + ` = "(.*)"$`).FindSubmatch(text)
 		if m == nil {
-			t.Fatalf("no %s", key)
+			t.Fatalf("the deploy file has no key %s", key)
 		}
 		return string(m[1])
 	}
 	if run := setting("run"); run != "exec bin/fawnrock" {
-		t.Errorf("run is %q", run)
+		t.Errorf("run is %q, want the daemon with exec", run)
 	}
 	dir := t.TempDir()
 	cmd := exec.Command("sh", "-c", strings.ReplaceAll(setting("build"), "bin", dir))
 	cmd.Dir = "../.."
 	if out, err := cmd.CombinedOutput(); err != nil {
-		t.Fatalf("%v: %s", err, out)
+		t.Fatalf("build command: %v: %s", err, out)
 	}
 	daemon, err := elf.Open(filepath.Join(dir, "fawnrock"))
 	if err != nil {
@@ -44,5 +44,5 @@
 			return
 		}
 	}
-	t.Error("the daemon names no interpreter")
+	t.Error("the daemon names no interpreter: it is not linked dynamically")
 }
--- a/cmd/fawnrock/main.go
+++ b/cmd/fawnrock/main.go
@@ -1,5 +1,6 @@
-// Command fawnrock is the real sidecar: one process between an application and
-// the servers, which hosts one balancer. It runs until SIGTERM.
+// Command fawnrock is the sidecar: a process between an application and its servers, which hosts one
+// balancer. SIGTERM and SIGINT end it after the open calls have been answered; SIGHUP reloads its
+// configuration. It exits with status 1 on an invalid configuration and on any other error.
 package main
 
 import (
@@ -19,7 +20,7 @@
 	terminate := make(chan os.Signal, 1)
 	signal.Notify(terminate, syscall.SIGTERM, os.Interrupt)
 	reload := make(chan os.Signal, 1)
-	signal.Notify(reload, syscall.SIGHUP) // from the first: unhandled, it would end the process
+	signal.Notify(reload, syscall.SIGHUP) // before all else: a SIGHUP without a handler would end the process
 	cfg, err := config.Load(os.Getenv)
 	if err == nil {
 		cfg, err = config.RestoreHistory(cfg)
--- a/cmd/fawnrock/main_test.go
+++ b/cmd/fawnrock/main_test.go
@@ -21,7 +21,7 @@
 
 const testTimeout = 30 * time.Second
 
-// binary is the sidecar's binary.
+// binary is the path of the built command.
 var binary string
 
 func TestMain(m *testing.M) {
@@ -48,6 +48,7 @@
 "settings":{"replicasOfMe":1,"zone":"z","caps":{"attemptsCap":3,"connIdleUs":30000000,"dialTimeoutUs":250000},
 "guarantees":{"drainGraceUs":2000000},"classes":[{"name":"a","effect":"repeatable","promiseUs":1000000,"hardLimitUs":3000000}]}}`
 
+// writeConfig writes a configuration to a file and returns its path.
 func writeConfig(t *testing.T, config string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "config.json")
@@ -57,7 +58,8 @@
 	return path
 }
 
-// Bad configuration is one line that names the field, and exit status 1.
+// A configuration that is not valid must end the process with exit status 1 and one line that names
+// the field, so that an operator finds the mistake.
 func TestBadConfigEndsWithError(t *testing.T) {
 	taken, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -91,18 +93,18 @@
 		cmd.Stderr = &stderr
 		cmd.Run()
 		if code := cmd.ProcessState.ExitCode(); code != 1 || strings.Count(stderr.String(), "\n") != 1 || !strings.Contains(stderr.String(), c.names) {
-			t.Errorf("%s: exit %d, %q", c.new, code, stderr.String())
+			t.Errorf("%s: exit code %d, stderr %q; want 1 and one line that names the field", c.new, code, stderr.String())
 		}
 	}
 	cmd := exec.Command(binary)
 	cmd.Env = []string{}
 	if out, _ := cmd.CombinedOutput(); cmd.ProcessState.ExitCode() != 1 || !strings.Contains(string(out), "BALANCER_CONFIG") {
-		t.Errorf("without configuration: %q", out)
+		t.Errorf("without configuration: output %q, want exit code 1 and BALANCER_CONFIG named", out)
 	}
 }
 
-// A planned restart: what was taken before SIGTERM, and what still comes after
-// it, is answered; then the program exits with 0.
+// In a planned restart no call may be lost: calls accepted before SIGTERM and calls that still
+// arrive after it must be answered, and then the process must exit with status 0.
 func TestSIGTERMAnswersOpenCalls(t *testing.T) {
 	server, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -145,7 +147,7 @@
 			}
 		}
 		if time.Now().After(end) {
-			t.Fatal("never ready", err)
+			t.Fatal("/_health did not report ready in time: ", err)
 		}
 	}
 	sent := 0
@@ -173,16 +175,17 @@
 	}
 	for _, br := range []*bufio.Reader{answerBefore, answerAfter} {
 		if resp, err := http.ReadResponse(br, nil); err != nil || resp.StatusCode != http.StatusOK {
-			t.Errorf("answered %v, %v", resp, err)
+			t.Errorf("got answer %v, error %v, want status 200", resp, err)
 		}
 	}
 	if err := cmd.Wait(); err != nil {
-		t.Errorf("exit: %v", err)
+		t.Errorf("exit after SIGTERM: %v, want status 0", err)
 	}
 }
 
-// newDiscovery is a discovery whose list has one server, which answers all with the same
-// body, and that has told of so many changes before it, and since.
+// newDiscovery starts a discovery and a server that answers all calls with the same body. The
+// discovery reports that server as up, before and after it the given numbers of changes of another
+// endpoint, which is draining. It returns the discovery's address.
 func newDiscovery(t *testing.T, body string, before, after int) (addr string) {
 	t.Helper()
 	server, err := standin.NewServer(standin.ServerConfig{Name: "s", Script: standin.Always(standin.Act{Body: body})})
@@ -206,7 +209,7 @@
 	return d.Addr()
 }
 
-// logBuffer collects what a process writes.
+// logBuffer collects the output of a process and is safe for concurrent use.
 type logBuffer struct {
 	mu      sync.Mutex
 	content bytes.Buffer
@@ -224,12 +227,12 @@
 	return strings.Contains(l.content.String(), text)
 }
 
-// SIGHUP reads the configuration anew: discovery is asked at its new address, also
-// where the environment still names the old. One that is bad is logged with its
-// field and changes nothing. Neither ends the process.
+// SIGHUP reloads the configuration: the new address of discovery is used, even if the environment
+// still has the old one. A configuration that is not valid is logged with its field and changes
+// nothing. Neither ends the process.
 func TestSIGHUPReloadsConfig(t *testing.T) {
-	// Who asked the second for what is new since the first's index would not hear of its
-	// server.
+	// The second discovery has a lower index at its server's change than the first has reached. A
+	// sidecar that asked it for changes since the first one's index would not learn of that server.
 	first, second := newDiscovery(t, "old", 50, 0), newDiscovery(t, "new", 0, 100)
 	freeListener, err := net.Listen("tcp", "127.0.0.1:0") // for an address that is free
 	if err != nil {
@@ -257,7 +260,7 @@
 		t.Helper()
 		for end := time.Now().Add(testTimeout); !condition(); time.Sleep(10 * time.Millisecond) {
 			if time.Now().After(end) {
-				t.Fatalf("%s; its log:\n%s", failure, log.content.String())
+				t.Fatalf("%s; log of the sidecar:\n%s", failure, log.content.String())
 			}
 		}
 	}
@@ -274,30 +277,31 @@
 		body, _ := io.ReadAll(resp.Body)
 		return string(body)
 	}
-	waitFor("never served", func() bool { return answer() == "old" })
+	waitFor("the first server's answer was not received", func() bool { return answer() == "old" })
 
 	replace(`"attemptsCap":3`, `"attemptsCap":0`)
 	cmd.Process.Signal(syscall.SIGHUP)
-	waitFor("a bad configuration is not named", func() bool { return log.contains("MaxAttempts") })
+	waitFor("the log does not name the bad field MaxAttempts", func() bool { return log.contains("MaxAttempts") })
 	replace(`"discovery":"`+first, `"discovery":"nowhere`)
 	cmd.Process.Signal(syscall.SIGHUP)
-	waitFor("a bad address is not named", func() bool { return log.contains("config: discovery") })
+	waitFor("the log does not name the bad address of discovery", func() bool { return log.contains("config: discovery") })
 	if body := answer(); body != "old" {
-		t.Errorf("after bad configurations: answered %q", body)
+		t.Errorf("after bad configurations: got answer %q, want \"old\"", body)
 	}
 
-	// What takes a start is named, and so is what weakens the rules that are in force.
+	// The log names a changed field that takes effect only at a start, and warns of a change that
+	// weakens the rules in force.
 	replace(`"drainGraceUs":2000000`, `"drainGraceUs":3000000`)
 	cmd.Process.Signal(syscall.SIGHUP)
-	waitFor("what waits for a start is not named", func() bool {
+	waitFor("the log does not name the change that needs a restart", func() bool {
 		return log.contains("field=settings.guarantees.drainGraceUs old=2000000 new=3000000") && log.contains("weakens what runs")
 	})
 
 	replace(first, second)
 	cmd.Process.Signal(syscall.SIGHUP)
-	waitFor("the new discovery is not followed", func() bool { return answer() == "new" })
+	waitFor("the server of the new discovery did not answer", func() bool { return answer() == "new" })
 	cmd.Process.Signal(syscall.SIGTERM)
 	if err := cmd.Wait(); err != nil {
-		t.Errorf("exit: %v", err)
+		t.Errorf("exit after SIGTERM: %v, want status 0", err)
 	}
 }
