--- a/cmd/fawnrock/main.go
+++ b/cmd/fawnrock/main.go
@@ -1,5 +1,6 @@
-// Command fawnrock is the real sidecar: one process between an application and
-// the servers, which hosts one balancer. It runs until SIGTERM.
+// Command fawnrock is the sidecar: a process between an application and its servers, which hosts one
+// balancer. SIGTERM and SIGINT end it after the open calls have been answered; SIGHUP reloads its
+// configuration. It exits with status 1 on an invalid configuration and on any other error.
 package main
 
 import (
@@ -16,17 +17,17 @@
 
 func main() {
 	slog.SetDefault(limitlog.New(os.Stderr, slog.LevelInfo))
-	term := make(chan os.Signal, 1)
-	signal.Notify(term, syscall.SIGTERM, os.Interrupt)
-	hup := make(chan os.Signal, 1)
-	signal.Notify(hup, syscall.SIGHUP) // from the first: unhandled, it would end the process
-	c, err := config.Load(os.Getenv)
+	terminate := make(chan os.Signal, 1)
+	signal.Notify(terminate, syscall.SIGTERM, os.Interrupt)
+	reload := make(chan os.Signal, 1)
+	signal.Notify(reload, syscall.SIGHUP) // before all else: a SIGHUP without a handler would end the process
+	cfg, err := config.Load(os.Getenv)
 	if err == nil {
-		c, err = config.RestoreHistory(c)
+		cfg, err = config.RestoreHistory(cfg)
 	}
 	if err == nil {
-		daemon.SetRuntimeLimits(c)
-		err = daemon.Run(c, term, hup, nil)
+		daemon.SetRuntimeLimits(cfg)
+		err = daemon.Run(cfg, terminate, reload, nil)
 	}
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "fawnrock:", err)
