--- a/cmd/fawnctl/radius.go
+++ b/cmd/fawnctl/radius.go
@@ -101,11 +101,11 @@
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	reply, err := client.Ask(ctx, client.Config{To: to, Secret: []byte(secret), Tries: a.Tries, Wait: a.Wait, Unsigned: a.Unsigned}, packet)
+	reply, err := client.Ask(ctx, client.Config{Server: to, Secret: []byte(secret), MaxPackets: a.Tries, ResendInterval: a.Wait, AllowUnsignedAnswers: a.Unsigned}, packet)
 	if err != nil {
 		return err
 	}
-	fmt.Fprintf(streams.out, "%v from %v after %v, %d sent\n", reply.Packet.Code, to, reply.After.Round(10*time.Microsecond), reply.Packets)
+	fmt.Fprintf(streams.out, "%v from %v after %v, %d sent\n", reply.Packet.Code, to, reply.Elapsed.Round(10*time.Microsecond), reply.PacketsSent)
 	for t, value := range reply.Packet.All {
 		fmt.Fprintf(streams.out, "  %s\n", formatAttribute(t, value))
 	}
--- a/internal/load/protocol/radius.go
+++ b/internal/load/protocol/radius.go
@@ -70,7 +70,7 @@
 		wait = time.Second
 	}
 	tries := min(maxPacketsPerCall, max(1, int(time.Until(call.Deadline)/wait)+1))
-	reply, err := client.Ask(ctx, client.Config{To: server, Secret: c.config.Secret, Tries: tries, Wait: wait}, packet)
+	reply, err := client.Ask(ctx, client.Config{Server: server, Secret: c.config.Secret, MaxPackets: tries, ResendInterval: wait}, packet)
 	if err != nil {
 		return load.Reply{}, load.WrapLocalError(err)
 	}
--- a/internal/radius/client/client.go
+++ b/internal/radius/client/client.go
@@ -17,21 +17,21 @@
 
 // Config says where a request is sent, with which secret, and how often.
 type Config struct {
-	To     netip.AddrPort
-	Secret []byte
-	Tries  int           // number of packets sent at most, 1 to 100
-	Wait   time.Duration // time to wait for the answer after each packet
-	// Unsigned accepts answers to Access-Requests without Message-Authenticator, which can be
+	Server         netip.AddrPort
+	Secret         []byte
+	MaxPackets     int           // number of packets sent at most, 1 to 100
+	ResendInterval time.Duration // time to wait for the answer after each packet
+	// AllowUnsignedAnswers accepts answers to Access-Requests without Message-Authenticator, which can be
 	// forged (CVE-2024-3596).
-	Unsigned bool
+	AllowUnsignedAnswers bool
 }
 
 // Reply is an answer, with what the exchange took.
 type Reply struct {
-	Packet  *radius.Packet
-	Packets int           // packets sent
-	Dropped int           // datagrams received that were not a valid answer
-	After   time.Duration // from the first packet to the answer
+	Packet      *radius.Packet
+	PacketsSent int           // packets sent
+	Dropped     int           // datagrams received that were not a valid answer
+	Elapsed     time.Duration // from the first packet to the answer
 }
 
 var (
@@ -50,7 +50,7 @@
 // is zero. The error ErrNoAnswer comes with the number of datagrams dropped: with a wrong secret,
 // all answers are.
 func Ask(ctx context.Context, cfg Config, request *radius.Packet) (reply Reply, err error) {
-	if cfg.Tries < 1 || cfg.Tries > maxTries || cfg.Wait <= 0 {
+	if cfg.MaxPackets < 1 || cfg.MaxPackets > maxTries || cfg.ResendInterval <= 0 {
 		return reply, fmt.Errorf("radius: tries must be 1 to %d, and the wait above 0", maxTries)
 	}
 	if request.Code != radius.AccountingRequest && request.Authenticator == (radius.Authenticator{}) {
@@ -58,7 +58,7 @@
 	}
 	request.SignRequest(cfg.Secret)
 	wire := request.Marshal()
-	conn, err := net.DialUDP("udp", nil, net.UDPAddrFromAddrPort(cfg.To))
+	conn, err := net.DialUDP("udp", nil, net.UDPAddrFromAddrPort(cfg.Server))
 	if err != nil {
 		return reply, fmt.Errorf("radius: %w", err)
 	}
@@ -67,11 +67,11 @@
 	started := time.Now()
 	refusals := 0
 	buf := make([]byte, radius.MaxPacketBytes)
-	for range cfg.Tries {
+	for range cfg.MaxPackets {
 		if _, err := conn.Write(wire); err == nil {
-			reply.Packets++
+			reply.PacketsSent++
 		}
-		resendAt := time.Now().Add(cfg.Wait)
+		resendAt := time.Now().Add(cfg.ResendInterval)
 		for {
 			conn.SetReadDeadline(resendAt)
 			if ctx.Err() != nil {
@@ -89,18 +89,18 @@
 				}
 			default:
 				answer, err := radius.Parse(buf[:n])
-				if err != nil || answer.ID != request.ID || !answer.Code.Answers(request.Code) || answer.VerifyAnswer(cfg.Secret, request.Authenticator, !cfg.Unsigned) != nil {
+				if err != nil || answer.ID != request.ID || !answer.Code.Answers(request.Code) || answer.VerifyAnswer(cfg.Secret, request.Authenticator, !cfg.AllowUnsignedAnswers) != nil {
 					reply.Dropped++
 					continue
 				}
-				reply.Packet, reply.After = answer, time.Since(started)
+				reply.Packet, reply.Elapsed = answer, time.Since(started)
 				return reply, nil
 			}
 			break
 		}
 	}
-	if refusals > 0 && refusals >= reply.Packets {
+	if refusals > 0 && refusals >= reply.PacketsSent {
 		return reply, fmt.Errorf("radius: %w", ErrPortRefused)
 	}
-	return reply, fmt.Errorf("radius: %w to %d packets, %d datagrams dropped as invalid", ErrNoAnswer, reply.Packets, reply.Dropped)
+	return reply, fmt.Errorf("radius: %w to %d packets, %d datagrams dropped as invalid", ErrNoAnswer, reply.PacketsSent, reply.Dropped)
 }
--- a/internal/radius/conversation/conversation.go
+++ b/internal/radius/conversation/conversation.go
@@ -12,8 +12,8 @@
 
 // Config bounds a Table. Both values must be above 0.
 type Config struct {
-	Keep time.Duration // how long an entry is kept
-	Most int           // how many entries are kept at most
+	TTL        time.Duration // how long an entry is kept
+	MaxEntries int           // how many entries are kept at most
 }
 
 type key struct {
@@ -47,8 +47,8 @@
 	if e := t.byKey[k]; e != nil {
 		t.byExpiry.Remove(e)
 	}
-	t.byKey[k] = t.byExpiry.PushBack(&entry{k, server, now + t.cfg.Keep})
-	for e := t.byExpiry.Front(); e != nil && (t.byExpiry.Len() > t.cfg.Most || e.Value.(*entry).expires <= now); e = t.byExpiry.Front() {
+	t.byKey[k] = t.byExpiry.PushBack(&entry{k, server, now + t.cfg.TTL})
+	for e := t.byExpiry.Front(); e != nil && (t.byExpiry.Len() > t.cfg.MaxEntries || e.Value.(*entry).expires <= now); e = t.byExpiry.Front() {
 		t.byExpiry.Remove(e)
 		delete(t.byKey, e.Value.(*entry).key)
 	}
--- a/internal/radius/conversation/conversation_test.go
+++ b/internal/radius/conversation/conversation_test.go
@@ -11,7 +11,7 @@
 // bound. Binding an entry again renews its time.
 func TestEntriesExpireAndAreBounded(t *testing.T) {
 	a, b := netip.MustParseAddr("127.0.0.1"), netip.MustParseAddr("127.0.0.2")
-	table := New(Config{Keep: 10 * time.Second, Most: 3})
+	table := New(Config{TTL: 10 * time.Second, MaxEntries: 3})
 	table.Bind(0, a, []byte("x"), "s1")
 	table.Bind(1, b, []byte("x"), "s2")
 	if table.ServerFor(2, a, []byte("x")) != "s1" || table.ServerFor(2, b, []byte("x")) != "s2" || table.ServerFor(2, a, []byte("y")) != "" {
--- a/internal/radius/listener/listener.go
+++ b/internal/radius/listener/listener.go
@@ -25,27 +25,27 @@
 	Name   string
 	Range  netip.Prefix
 	Secret []byte
-	// Unsigned accepts Access-Requests without Message-Authenticator, which an attacker on the
+	// AllowUnsigned accepts Access-Requests without Message-Authenticator, which an attacker on the
 	// network path can change (CVE-2024-3596).
-	Unsigned bool
+	AllowUnsigned bool
 }
 
 // Config holds the settings of a Listener.
 type Config struct {
 	Accounting bool // handles accounting, otherwise access
 	Clients    []Client
-	// Pool returns the core for a realm, nil if there is none. The realm is what follows the last
+	// HostForRealm returns the core for a realm, nil if there is none. The realm is what follows the last
 	// '@' of User-Name, empty if there is no '@'.
-	Pool          func(realm string) *core.Host
+	HostForRealm  func(realm string) *core.Host
 	Class         string        // of all calls
-	Wait          time.Duration // how long a client waits for its answer
+	AnswerTimeout time.Duration // how long a client waits for its answer
 	Replies       replies.Config
 	Conversations conversation.Config
-	// Silent sends no answer to an Access-Request that no server answered. Otherwise it is
+	// SilentOnGiveUp sends no answer to an Access-Request that no server answered. Otherwise it is
 	// rejected, with ErrorCause (RFC 5176 section 3.5) if that is above 0.
-	Silent     bool
-	ErrorCause uint32
-	Conn       Conn // to listen on; nil for a new UDP socket
+	SilentOnGiveUp bool
+	ErrorCause     uint32
+	Conn           Conn // to listen on; nil for a new UDP socket
 }
 
 // Conn is a datagram socket that receives from any address.
@@ -58,22 +58,22 @@
 
 // Counts holds the event counters of a Listener.
 type Counts struct {
-	Requests   int64 // datagrams received
-	Unknown    int64 // dropped: from an address in no client's range
-	Malformed  int64 // dropped: not a RADIUS packet
-	Unsigned   int64 // dropped: without the required Message-Authenticator
-	Unverified int64 // dropped: signed under a wrong secret, or changed on the way
-	Unexpected int64 // dropped: a code that this Listener does not handle
-	Calls      int64 // new calls and retries
-	Joined     int64 // retransmissions of calls under way
-	Remembered int64 // retransmissions that got the remembered answer
-	Retried    int64 // repeats of calls that were given up, which are counted as calls too
-	Full       int64 // dropped: no room to remember the call, or draining
-	Answered   int64 // calls answered by servers
-	Rejected   int64 // access calls that no server answered, and that were rejected
-	GivenUp    int64 // calls that ended without any answer
-	Lost       int64 // of GivenUp: retries that ended at once, as the first call may have run and can't be resumed
-	NoRealm    int64 // calls for a realm without a core
+	Requests      int64 // datagrams received
+	UnknownClient int64 // dropped: from an address in no client's range
+	Malformed     int64 // dropped: not a RADIUS packet
+	Unsigned      int64 // dropped: without the required Message-Authenticator
+	Unverified    int64 // dropped: signed under a wrong secret, or changed on the way
+	Unexpected    int64 // dropped: a code that this Listener does not handle
+	Calls         int64 // new calls and retries
+	Joined        int64 // retransmissions of calls under way
+	Remembered    int64 // retransmissions that got the remembered answer
+	Retried       int64 // repeats of calls that were given up, which are counted as calls too
+	TableFull     int64 // dropped: no room to remember the call, or draining
+	Answered      int64 // calls answered by servers
+	Rejected      int64 // access calls that no server answered, and that were rejected
+	GivenUp       int64 // calls that ended without any answer
+	Lost          int64 // of GivenUp: retries that ended at once, as the first call may have run and can't be resumed
+	NoRealm       int64 // calls for a realm without a core
 }
 
 // readBufferBytes is the size of the socket's receive buffer, enough for some thousand requests.
@@ -150,8 +150,8 @@
 	l.table.Drain()
 }
 
-// Shut closes the socket, which ends Serve. Calls under way get no answer any more.
-func (l *Listener) Shut() { l.conn.Close() }
+// Close closes the socket, which ends Serve. Calls under way get no answer any more.
+func (l *Listener) Close() { l.conn.Close() }
 
 // clientFor returns the client whose range contains the address, the narrowest if there are
 // several, nil if there is none.
@@ -179,7 +179,7 @@
 	l.increment(&l.counts.Requests)
 	client := l.clientFor(from.Addr())
 	if client == nil {
-		l.increment(&l.counts.Unknown)
+		l.increment(&l.counts.UnknownClient)
 		return
 	}
 	p, err := radius.Parse(datagram)
@@ -195,7 +195,7 @@
 		l.increment(&l.counts.Unexpected)
 		return
 	}
-	switch err := p.VerifyRequest(client.Secret, !client.Unsigned); {
+	switch err := p.VerifyRequest(client.Secret, !client.AllowUnsigned); {
 	case errors.Is(err, radius.ErrNoMessageAuthenticator):
 		l.increment(&l.counts.Unsigned)
 		slog.Warn("radius: request dropped", "client", client.Name, "err", err)
@@ -219,7 +219,7 @@
 
 // ownAnswer returns an encoded and signed answer of the proxy itself to a request.
 func (l *Listener) ownAnswer(p *radius.Packet, hop radius.Hop, code radius.Code) []byte {
-	answer := radius.Answer(p, code)
+	answer := radius.NewAnswer(p, code)
 	if code == radius.AccessReject && l.cfg.ErrorCause > 0 {
 		answer.AddUint32(radius.ErrorCause, l.cfg.ErrorCause)
 	}
@@ -261,7 +261,7 @@
 	entry, verdict := l.table.Arrive(l.now(), key, event)
 	switch verdict {
 	case replies.Full:
-		l.counts.Full++
+		l.counts.TableFull++
 		l.mu.Unlock()
 		return
 	case replies.Joined:
@@ -301,13 +301,13 @@
 		onlyServer = l.conversations.ServerFor(l.now(), from.Addr(), state)
 	}
 	l.mu.Unlock()
-	host := l.cfg.Pool(realmOf(p.Get(radius.UserName)))
+	host := l.cfg.HostForRealm(realmOf(p.Get(radius.UserName)))
 	if host == nil {
 		l.increment(&l.counts.NoRealm)
 		x.giveUp("")
 		return
 	}
-	x.Call = core.Call{Class: l.cfg.Class, Timeout: l.cfg.Wait, Received: time.Now(), Payload: x.request, Caller: x}
+	x.Call = core.Call{Class: l.cfg.Class, Timeout: l.cfg.AnswerTimeout, Received: time.Now(), Payload: x.request, Caller: x}
 	if onlyServer != "" {
 		x.Limits = &core.Limits{OnlyServer: onlyServer}
 	}
@@ -368,7 +368,7 @@
 	l := x.listener
 	l.mu.Lock()
 	var wire []byte
-	if !l.cfg.Accounting && !l.cfg.Silent {
+	if !l.cfg.Accounting && !l.cfg.SilentOnGiveUp {
 		wire = l.ownAnswer(x.latestPacket, x.latestHop, radius.AccessReject)
 		l.counts.Rejected++
 	} else {
--- a/internal/radius/listener/listener_test.go
+++ b/internal/radius/listener/listener_test.go
@@ -31,15 +31,15 @@
 	l, err := Listen("127.0.0.1:0", Config{
 		Accounting:    accounting,
 		Clients:       []Client{{Name: "shop", Range: netip.PrefixFrom(clientAddr, 32), Secret: clientSecret}},
-		Pool:          func(string) *core.Host { return nil },
-		Replies:       replies.Config{Keep: time.Minute, Bytes: 1 << 16, EachClient: 1 << 15, Open: 10},
-		Conversations: conversation.Config{Keep: time.Minute, Most: 10},
+		HostForRealm:  func(string) *core.Host { return nil },
+		Replies:       replies.Config{TTL: time.Minute, MaxBytes: 1 << 16, MaxBytesPerClient: 1 << 15, MaxCallsPerClient: 10},
+		Conversations: conversation.Config{TTL: time.Minute, MaxEntries: 10},
 		ErrorCause:    502,
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(l.Shut)
+	t.Cleanup(l.Close)
 	return l
 }
 
@@ -132,7 +132,7 @@
 			t.Error("the datagram was not counted")
 		}
 		ends := func(c Counts) int64 {
-			return c.Malformed + c.Unexpected + c.Unsigned + c.Unverified + c.Joined + c.Remembered + c.Full + c.NoRealm
+			return c.Malformed + c.Unexpected + c.Unsigned + c.Unverified + c.Joined + c.Remembered + c.TableFull + c.NoRealm
 		}
 		if n := ends(after) - ends(before); n != 1 && code != byte(radius.StatusServer) || n > 1 {
 			t.Errorf("the request ended %d times: %+v, then %+v", n, before, after)
@@ -160,7 +160,7 @@
 	f.Add(`{"Version":1,"Calls":null}`)
 	f.Fuzz(func(t *testing.T, text string) {
 		listener := newListenerWithoutServers(t, true)
-		defer listener.Shut()
+		defer listener.Close()
 		// Moves the expiry into the time that a loaded call may have left.
 		text = strings.ReplaceAll(text, "2026-01-01T00:00:30Z", time.Now().Add(30*time.Second).Format(time.RFC3339))
 		n, err := listener.Load(strings.NewReader(text))
--- a/internal/radius/proxy.go
+++ b/internal/radius/proxy.go
@@ -148,10 +148,10 @@
 	return out, nil
 }
 
-// Answer returns an unsigned answer of the proxy itself to a request. It contains the request's
+// NewAnswer returns an unsigned answer of the proxy itself to a request. It contains the request's
 // Proxy-States and, except for accounting, a Message-Authenticator. The caller adds attributes and
 // then calls SignAnswer.
-func Answer(request *Packet, code Code) *Packet {
+func NewAnswer(request *Packet, code Code) *Packet {
 	answer := &Packet{Code: code, ID: request.ID}
 	if code != AccountingResponse {
 		answer.Add(MessageAuthenticator, make([]byte, 16))
--- a/internal/radius/proxy/memory_test.go
+++ b/internal/radius/proxy/memory_test.go
@@ -109,7 +109,7 @@
 	waitUntil(t, "taken", func() bool { return fixture.proxy.Held() == 1 })
 	fixture.proxy.ShutDownWithin(testTimeout)
 	client.Throw(client.Packet(eventRequest("new", 1), 2, [16]byte{}, 0))
-	waitUntil(t, "dropped", func() bool { l, _ := fixture.proxy.Counts(true); return l.Full == 1 })
+	waitUntil(t, "dropped", func() bool { l, _ := fixture.proxy.Counts(true); return l.TableFull == 1 })
 	close(hold)
 	if reply := client.Exchange(wire, testTimeout); reply.Code != lr.CodeAccountingResponse {
 		t.Errorf("unexpected reply: %+v", reply)
--- a/internal/radius/proxy/proxy.go
+++ b/internal/radius/proxy/proxy.go
@@ -162,7 +162,7 @@
 			}
 			prefix = netip.PrefixFrom(addr, addr.BitLen())
 		}
-		clients = append(clients, listener.Client{Name: cmp.Or(client.Name, client.Range), Range: prefix, Secret: []byte(client.Secret), Unsigned: client.AllowUnsigned})
+		clients = append(clients, listener.Client{Name: cmp.Or(client.Name, client.Range), Range: prefix, Secret: []byte(client.Secret), AllowUnsigned: client.AllowUnsigned})
 	}
 	var conn listener.Conn
 	if p.cfg.Listen != nil {
@@ -170,16 +170,16 @@
 	}
 	var err error
 	service.listener, err = listener.Listen(listenAddr, listener.Config{
-		Conn:          conn,
-		Accounting:    accounting,
-		Clients:       clients,
-		Pool:          service.hostForRealm,
-		Class:         name,
-		Wait:          time.Duration(class.Deadline),
-		Replies:       replies.Config{Keep: time.Duration(section.RememberTTL), Bytes: section.MaxRememberBytes, EachClient: section.MaxRememberBytesPerClient, Open: section.MaxCallsPerClient},
-		Conversations: conversation.Config{Keep: time.Duration(section.ConversationTTL), Most: section.MaxConversations},
-		Silent:        section.OnGiveUp == "silent",
-		ErrorCause:    uint32(section.ErrorCause),
+		Conn:           conn,
+		Accounting:     accounting,
+		Clients:        clients,
+		HostForRealm:   service.hostForRealm,
+		Class:          name,
+		AnswerTimeout:  time.Duration(class.Deadline),
+		Replies:        replies.Config{TTL: time.Duration(section.RememberTTL), MaxBytes: section.MaxRememberBytes, MaxBytesPerClient: section.MaxRememberBytesPerClient, MaxCallsPerClient: section.MaxCallsPerClient},
+		Conversations:  conversation.Config{TTL: time.Duration(section.ConversationTTL), MaxEntries: section.MaxConversations},
+		SilentOnGiveUp: section.OnGiveUp == "silent",
+		ErrorCause:     uint32(section.ErrorCause),
 	})
 	if err == nil && accounting && section.RememberFile != "" {
 		loadRemembered(service.listener, section.RememberFile, section.MaxRememberBytes)
@@ -216,18 +216,18 @@
 		return nil, err
 	}
 	transportConfig := transport.Config{
-		Secret:   secretOf,
-		Sockets:  p.cfg.Radius.MaxSocketsPerServer,
-		Rest:     time.Duration(p.cfg.Radius.LateAnswerTTL),
-		Patience: time.Duration(class.AttemptTimeout),
-		Resend:   time.Duration(class.ResendDelay),
-		Resends:  class.MaxResends,
-		Unsigned: p.cfg.Radius.AllowUnsignedAnswers,
-		Grace:    p.cfg.Grace,
-		Dial:     p.cfg.Dial,
+		Secret:               secretOf,
+		MaxSocketsPerServer:  p.cfg.Radius.MaxSocketsPerServer,
+		LateAnswerTTL:        time.Duration(p.cfg.Radius.LateAnswerTTL),
+		AttemptTimeout:       time.Duration(class.AttemptTimeout),
+		ResendDelay:          time.Duration(class.ResendDelay),
+		MaxResends:           class.MaxResends,
+		AllowUnsignedAnswers: p.cfg.Radius.AllowUnsignedAnswers,
+		Grace:                p.cfg.Grace,
+		Dial:                 p.cfg.Dial,
 	}
 	callTransport := transport.New(transportConfig)
-	transportConfig.Sockets, transportConfig.Resends = 1, 0
+	transportConfig.MaxSocketsPerServer, transportConfig.MaxResends = 1, 0
 	host, err := core.New(core.Config{Settings: classSettings, Seed: p.cfg.Seed + seedOffset, Transport: callTransport})
 	if err != nil {
 		return nil, err
@@ -332,7 +332,7 @@
 			transportCounts.Resent += c.Resent
 			transportCounts.Answers += c.Answers
 			transportCounts.Unverified += c.Unverified
-			transportCounts.Unasked += c.Unasked
+			transportCounts.Unsolicited += c.Unsolicited
 			transportCounts.Refusals += c.Refusals
 			transportCounts.NoIdentifier += c.NoIdentifier
 			transportCounts.Malformed += c.Malformed
@@ -380,7 +380,7 @@
 			s.watcher.Close()
 		}
 		if s.listener != nil {
-			s.listener.Shut()
+			s.listener.Close()
 		}
 	}
 	p.wg.Wait()
--- a/internal/radius/proxy/proxy_test.go
+++ b/internal/radius/proxy/proxy_test.go
@@ -457,10 +457,10 @@
 		if kind == standin.RadiusTwice { // the second copy may come after the client has its answer
 			waitUntil(t, "the second copy of the answer was never dropped", func() bool {
 				_, counts := fixture.proxy.Counts(false)
-				return counts.Unasked == 1
+				return counts.Unsolicited == 1
 			})
 		}
-		if _, tr := fixture.proxy.Counts(false); kind != standin.RadiusElsewhere && tr.Unverified+tr.Unasked == 0 {
+		if _, tr := fixture.proxy.Counts(false); kind != standin.RadiusElsewhere && tr.Unverified+tr.Unsolicited == 0 {
 			t.Errorf("kind %d: no answer was dropped: %+v", kind, tr)
 		}
 	}
@@ -486,7 +486,7 @@
 	if reply.Code != lr.CodeAccessReject {
 		t.Errorf("unexpected reply: %+v", reply)
 	}
-	waitUntil(t, "the late answer was never dropped", func() bool { _, tr := fixture.proxy.Counts(false); return tr.Unasked >= 1 })
+	waitUntil(t, "the late answer was never dropped", func() bool { _, tr := fixture.proxy.Counts(false); return tr.Unsolicited >= 1 })
 }
 
 // Requests from unknown addresses, wrongly signed or unsigned ones, and accounting requests at the
@@ -520,7 +520,7 @@
 		t.Errorf("%d invalid requests reached a server", n)
 	}
 	counts, _ := fixture.proxy.Counts(false)
-	if counts.Unknown != 1 || counts.Unsigned != 1 || counts.Unverified != 2 || counts.Unexpected != 1 {
+	if counts.UnknownClient != 1 || counts.Unsigned != 1 || counts.Unverified != 2 || counts.Unexpected != 1 {
 		t.Errorf("unexpected counts: %+v", counts)
 	}
 	if reply := standin.NewRadiusClient(addr, "another", "127.0.0.9").Do(accessRequest("one")); reply.Code != lr.CodeAccessAccept {
@@ -582,7 +582,7 @@
 	for n := range 400 {
 		floodingClient.Throw(floodingClient.Packet(accessRequest(fmt.Sprint("flood", n)), byte(n), [16]byte{byte(n), byte(n >> 8), 1}, 0))
 	}
-	waitUntil(t, "no call of the flood was dropped", func() bool { l, _ := fixture.proxy.Counts(false); return l.Full > 0 })
+	waitUntil(t, "no call of the flood was dropped", func() bool { l, _ := fixture.proxy.Counts(false); return l.TableFull > 0 })
 	for n := range 20 {
 		ask := accessRequest(fmt.Sprint("quiet", n))
 		ask.Tries, ask.Each = 100, 200*time.Millisecond
--- a/internal/radius/proxy/virtual_test.go
+++ b/internal/radius/proxy/virtual_test.go
@@ -217,7 +217,7 @@
 		if request.Code == radius.AccessRequest {
 			code = radius.AccessAccept
 		}
-		reply := radius.Answer(request, code)
+		reply := radius.NewAnswer(request, code)
 		reply.SignAnswer([]byte(serverSecret), request.Authenticator)
 		answer = reply.Marshal()
 		s.answers[key] = answer
--- a/internal/radius/radius_test.go
+++ b/internal/radius/radius_test.go
@@ -210,7 +210,7 @@
 		t.Errorf("Proxy-States at the server: %s", s)
 	}
 
-	answer := Answer(forwarded, AccessAccept)
+	answer := NewAnswer(forwarded, AccessAccept)
 	tunnel, _ := HideSalted([]byte("tunnel"), serverSecret, forwarded.Authenticator, Salt{1, 2})
 	key, _ := HideSalted([]byte("0123456789abcdef0123456789abcdef"), serverSecret, forwarded.Authenticator, Salt{3, 4})
 	answer.Add(TunnelPassword, append([]byte{7}, tunnel...))
@@ -254,7 +254,7 @@
 	if err != nil || forwarded.VerifyRequest(serverSecret, true) != nil || serverHop.Authenticator != forwarded.Authenticator {
 		t.Fatalf("%v, %+v", err, forwarded)
 	}
-	answer := Answer(forwarded, AccountingResponse)
+	answer := NewAnswer(forwarded, AccountingResponse)
 	answer.SignAnswer(serverSecret, forwarded.Authenticator)
 	returned, err := ForwardAnswer(answer, request, serverHop, Hop{clientSecret, request.Authenticator}, []byte("mine"))
 	if err != nil || returned.VerifyAnswer(clientSecret, request.Authenticator, true) != nil {
@@ -340,7 +340,7 @@
 				t.Fatalf("answer forwarded as %x: %v", out.Marshal(), err)
 			}
 		}
-		a := Answer(p, AccessReject)
+		a := NewAnswer(p, AccessReject)
 		a.SignAnswer(secret, p.Authenticator)
 		if _, err := Parse(a.Marshal()); err != nil {
 			t.Fatalf("own answer %x: %v", a.Marshal(), err)
--- a/internal/radius/replies/replies.go
+++ b/internal/radius/replies/replies.go
@@ -31,10 +31,10 @@
 
 // Config bounds a Table. All must be above 0.
 type Config struct {
-	Keep       time.Duration // how long an entry is kept after the end of its call
-	Bytes      int           // bound of all entries
-	EachClient int           // bound of one client's entries, in bytes
-	Open       int           // bound of one client's calls under way
+	TTL               time.Duration // how long an entry is kept after the end of its call
+	MaxBytes          int           // bound of all entries
+	MaxBytesPerClient int           // bound of one client's entries, in bytes
+	MaxCallsPerClient int           // bound of one client's calls under way
 	// OnForget is called with the RetryState of a call whose entry is removed before the call was
 	// retried. It may be nil. It must not call methods of the Table.
 	OnForget func(retryState any)
@@ -137,7 +137,7 @@
 	if client == nil {
 		client = &clientCalls{addr: key.Client, ended: list.New()}
 	}
-	if t.draining || client.calls-client.ended.Len() >= t.cfg.Open || !t.makeRoom(client, size) {
+	if t.draining || client.calls-client.ended.Len() >= t.cfg.MaxCallsPerClient || !t.makeRoom(client, size) {
 		if retryState != nil && t.cfg.OnForget != nil {
 			t.cfg.OnForget(retryState)
 		}
@@ -161,7 +161,7 @@
 	if call.ended || call.removed {
 		return
 	}
-	call.ended, call.expiresAt = true, now+t.cfg.Keep
+	call.ended, call.expiresAt = true, now+t.cfg.TTL
 	call.State = nil
 	call.clientElement, call.tableElement = call.client.ended.PushBack(call), t.ended.PushBack(call)
 	call.answer = answer
@@ -203,7 +203,7 @@
 // a record whose key or event is already known, one that has expired, and one that would be kept
 // for longer than entries of this Table are.
 func (t *Table) Restore(now time.Duration, record Record) {
-	if record.Remaining <= 0 || record.Remaining > t.cfg.Keep || t.byKey[record.Key] != nil || record.Event != "" && t.byEvent[record.Event] != nil {
+	if record.Remaining <= 0 || record.Remaining > t.cfg.TTL || t.byKey[record.Key] != nil || record.Event != "" && t.byEvent[record.Event] != nil {
 		return
 	}
 	call, verdict := t.Arrive(now, record.Key, record.Event)
@@ -211,7 +211,7 @@
 		return
 	}
 	call.RetryState = record.RetryState
-	t.End(now-t.cfg.Keep+record.Remaining, call, record.Answer)
+	t.End(now-t.cfg.TTL+record.Remaining, call, record.Answer)
 }
 
 // Expire removes the entries that have expired, as each Arrive does.
@@ -227,14 +227,14 @@
 // makeRoom evicts ended calls until size more bytes fit into the bounds of the client and of the
 // Table. It returns false if that is not possible; it may have evicted some by then.
 func (t *Table) makeRoom(client *clientCalls, size int) bool {
-	for client.size+size > t.cfg.EachClient {
+	for client.size+size > t.cfg.MaxBytesPerClient {
 		first := client.ended.Front()
 		if first == nil {
 			return false
 		}
 		t.remove(first.Value.(*Call))
 	}
-	for t.size+size > t.cfg.Bytes {
+	for t.size+size > t.cfg.MaxBytes {
 		largest := client
 		for _, other := range t.clients {
 			if other.ended.Len() > 0 && (largest.ended.Len() == 0 || other.size > largest.size) {
--- a/internal/radius/replies/replies_test.go
+++ b/internal/radius/replies/replies_test.go
@@ -11,7 +11,7 @@
 )
 
 func testConfig() Config {
-	return Config{Keep: 10 * time.Second, Bytes: 1 << 20, EachClient: 1 << 18, Open: 1000}
+	return Config{TTL: 10 * time.Second, MaxBytes: 1 << 20, MaxBytesPerClient: 1 << 18, MaxCallsPerClient: 1000}
 }
 
 func testKey(client, id int) Key {
@@ -91,7 +91,7 @@
 // A flood of calls from one client must use up that client's bound only: the answers of other
 // clients stay and their calls are accepted. A flood from many clients stays within the total.
 func TestFloodOfOneClientLeavesOthers(t *testing.T) {
-	config := Config{Keep: time.Hour, Bytes: 100 * entryOverheadBytes, EachClient: 20 * entryOverheadBytes, Open: 1000}
+	config := Config{TTL: time.Hour, MaxBytes: 100 * entryOverheadBytes, MaxBytesPerClient: 20 * entryOverheadBytes, MaxCallsPerClient: 1000}
 	table := NewTable(config)
 	quiet, _ := table.Arrive(0, testKey(1, 1), "")
 	table.End(0, quiet, []byte("x"))
@@ -114,8 +114,8 @@
 			table.End(4, call, []byte("y"))
 		}
 	}
-	if table.Size() > config.Bytes {
-		t.Errorf("%d bytes, %d at most", table.Size(), config.Bytes)
+	if table.Size() > config.MaxBytes {
+		t.Errorf("%d bytes, %d at most", table.Size(), config.MaxBytes)
 	}
 	_, verdict = table.Arrive(5, testKey(5000, 1), "")
 	expectVerdict(t, "a new client's call", verdict, New)
@@ -141,7 +141,7 @@
 		t.Errorf("forgotten %v", forgotten)
 	}
 	// There is no room for the retry: its state must be reported, as no entry has it any more.
-	config.Open = 1
+	config.MaxCallsPerClient = 1
 	table = NewTable(config)
 	call, _ = table.Arrive(0, testKey(1, 1), "e")
 	call.RetryState = "b"
@@ -189,7 +189,7 @@
 // call makes room for another.
 func TestCallsUnderWayAreBoundedPerClient(t *testing.T) {
 	config := testConfig()
-	config.Open = 3
+	config.MaxCallsPerClient = 3
 	table := NewTable(config)
 	var last *Call
 	for n := range 5 {
@@ -210,7 +210,7 @@
 
 // An answer larger than its client's bound must not be remembered, and must leave no bytes counted.
 func TestTooLargeAnswerIsNotRemembered(t *testing.T) {
-	table := NewTable(Config{Keep: time.Hour, Bytes: 1 << 20, EachClient: 3 * entryOverheadBytes, Open: 1000})
+	table := NewTable(Config{TTL: time.Hour, MaxBytes: 1 << 20, MaxBytesPerClient: 3 * entryOverheadBytes, MaxCallsPerClient: 1000})
 	call, _ := table.Arrive(0, testKey(1, 1), "")
 	table.End(0, call, make([]byte, 4*entryOverheadBytes))
 	if table.Len() != 0 || table.Size() != 0 {
@@ -222,7 +222,7 @@
 // retransmission must join its call under way.
 func TestTotalsAndBoundsHoldInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		config := Config{Keep: 5 * time.Second, Bytes: 12 * entryOverheadBytes, EachClient: 5 * entryOverheadBytes, Open: 4}
+		config := Config{TTL: 5 * time.Second, MaxBytes: 12 * entryOverheadBytes, MaxBytesPerClient: 5 * entryOverheadBytes, MaxCallsPerClient: 4}
 		table := NewTable(config)
 		now := time.Duration(0)
 		underWay := make(map[Key]*Call)
@@ -251,13 +251,13 @@
 			}
 			sum, calls := 0, 0
 			for _, client := range table.clients {
-				if client.size > config.EachClient {
+				if client.size > config.MaxBytesPerClient {
 					t.Fatalf("a client's entries have %d bytes: over the bound", client.size)
 				}
 				sum += client.size
 				calls += client.calls
 			}
-			if sum != table.size || sum > config.Bytes || calls != table.Len() || table.Len()-table.ended.Len() != len(underWay) {
+			if sum != table.size || sum > config.MaxBytes || calls != table.Len() || table.Len()-table.ended.Len() != len(underWay) {
 				t.Fatalf("%d bytes in %d calls, counted as %d in %d, %d under way", sum, calls, table.size, table.Len(), len(underWay))
 			}
 		}
@@ -274,7 +274,7 @@
 		return int(m.HeapAlloc)
 	}
 	before := heap()
-	table := NewTable(Config{Keep: time.Hour, Bytes: 1 << 30, EachClient: 1 << 30, Open: 1 << 30})
+	table := NewTable(Config{TTL: time.Hour, MaxBytes: 1 << 30, MaxBytesPerClient: 1 << 30, MaxCallsPerClient: 1 << 30})
 	const many = 10000
 	for n := range many {
 		call, _ := table.Arrive(0, testKey(n, n), fmt.Sprintf("nas-%d session-%08d stop", n, n))
--- a/internal/radius/transport/socket.go
+++ b/internal/radius/transport/socket.go
@@ -103,11 +103,11 @@
 	t.mu.Lock()
 	a := s.waiting[p.ID]
 	if a == nil || !p.Code.Answers(a.request.Packet.Code) {
-		t.counts.Unasked++
+		t.counts.Unsolicited++
 		t.mu.Unlock()
 		return
 	}
-	if err := p.VerifyAnswer(a.hop.Secret, a.hop.Authenticator, !t.cfg.Unsigned); err != nil {
+	if err := p.VerifyAnswer(a.hop.Secret, a.hop.Authenticator, !t.cfg.AllowUnsignedAnswers); err != nil {
 		t.counts.Unverified++
 		t.mu.Unlock()
 		slog.Warn("radius: answer dropped", "server", s.server.name, "err", err)
--- a/internal/radius/transport/transport.go
+++ b/internal/radius/transport/transport.go
@@ -31,17 +31,17 @@
 
 // Config holds the settings of a Transport.
 type Config struct {
-	Secret   func(server string) []byte // returns a server's secret; a server without one gets no requests
-	Sockets  int                        // sockets per server at most, each for 256 attempts
-	Rest     time.Duration              // how long after an attempt a late answer may come
-	Patience time.Duration              // how long an attempt waits for its answer
-	Resend   time.Duration              // wait before a packet is sent again, doubled up to three times
-	Resends  int                        // how often a packet is sent again at most
-	// Unsigned accepts answers to access without Message-Authenticator. An attacker on the network
+	Secret              func(server string) []byte // returns a server's secret; a server without one gets no requests
+	MaxSocketsPerServer int                        // sockets per server at most, each for 256 attempts
+	LateAnswerTTL       time.Duration              // how long after an attempt a late answer may come
+	AttemptTimeout      time.Duration              // how long an attempt waits for its answer
+	ResendDelay         time.Duration              // wait before a packet is sent again, doubled up to three times
+	MaxResends          int                        // how often a packet is sent again at most
+	// AllowUnsignedAnswers accepts answers to access without Message-Authenticator. An attacker on the network
 	// path can forge them (CVE-2024-3596).
-	Unsigned bool
-	Grace    time.Duration                      // after a server has left, it gets packets for this long
-	Dial     func(netip.AddrPort) (Conn, error) // opens a Conn to a server; Dial (UDP) if nil
+	AllowUnsignedAnswers bool
+	Grace                time.Duration                      // after a server has left, it gets packets for this long
+	Dial                 func(netip.AddrPort) (Conn, error) // opens a Conn to a server; Dial (UDP) if nil
 }
 
 // Request is the payload of a call: the client's request, and the hop that it came by.
@@ -125,7 +125,7 @@
 	Sent, Resent int64
 	Answers      int64 // verified answers
 	Unverified   int64 // dropped: authenticator or Message-Authenticator wrong or missing
-	Unasked      int64 // dropped: no attempt waits for it
+	Unsolicited  int64 // dropped: no attempt waits for it
 	Refusals     int64 // packets refused by a server's port
 	NoIdentifier int64 // attempts not sent because all identifiers were in use or resting
 	Malformed    int64 // dropped: not a RADIUS packet, or an answer that can't be translated
@@ -186,7 +186,7 @@
 		}
 		t.removeServer(s)
 	}
-	t.servers[name] = &server{name: name, addr: addr, identifiers: ident.New(t.cfg.Sockets, t.cfg.Rest)}
+	t.servers[name] = &server{name: name, addr: addr, identifiers: ident.New(t.cfg.MaxSocketsPerServer, t.cfg.LateAnswerTTL)}
 }
 
 // RetireServer implements core.Transport.
@@ -426,7 +426,7 @@
 
 // setTimeout sets the time at which the attempt times out, no later than the call's deadline.
 func (a *attempt) setTimeout() {
-	a.timeoutAt = a.startedAt.Add(a.transport.cfg.Patience)
+	a.timeoutAt = a.startedAt.Add(a.transport.cfg.AttemptTimeout)
 	if !a.order.Deadline.IsZero() && a.order.Deadline.Before(a.timeoutAt) {
 		a.timeoutAt = a.order.Deadline
 	}
@@ -455,8 +455,8 @@
 // startTimer starts the timer for the next resend or, after the last one, for the timeout.
 func (a *attempt) startTimer() {
 	wait := time.Until(a.timeoutAt)
-	if a.resends < a.transport.cfg.Resends {
-		wait = min(wait, a.transport.cfg.Resend<<min(a.resends, maxResendDoublings))
+	if a.resends < a.transport.cfg.MaxResends {
+		wait = min(wait, a.transport.cfg.ResendDelay<<min(a.resends, maxResendDoublings))
 	}
 	a.timer = time.AfterFunc(max(wait, 0), a.onTimer)
 }
--- a/internal/radius/transport/transport_test.go
+++ b/internal/radius/transport/transport_test.go
@@ -98,7 +98,7 @@
 }
 
 func newTransport(t *testing.T, change func(*Config)) *Transport {
-	cfg := Config{Secret: func(string) []byte { return serverSecret }, Sockets: 1, Rest: time.Minute, Patience: testTimeout, Resend: testTimeout, Grace: time.Minute}
+	cfg := Config{Secret: func(string) []byte { return serverSecret }, MaxSocketsPerServer: 1, LateAnswerTTL: time.Minute, AttemptTimeout: testTimeout, ResendDelay: testTimeout, Grace: time.Minute}
 	if change != nil {
 		change(&cfg)
 	}
@@ -152,7 +152,7 @@
 // Otherwise the server would take it for another event and count it twice.
 func TestRetrySendsTheSamePacket(t *testing.T) {
 	server := newTestServer(t, "127.0.0.2:0")
-	transport := newTransport(t, func(c *Config) { c.Patience = 50 * time.Millisecond })
+	transport := newTransport(t, func(c *Config) { c.AttemptTimeout = 50 * time.Millisecond })
 	transport.AddServer("r1", server.addr(), 0)
 	request := accountingRequest()
 	attempt, outcomes := startAttempt(transport, request)
@@ -163,7 +163,7 @@
 	if request.IsLost() || request.SentTo() != "r1" {
 		t.Errorf("lost %v, sent to %q", request.IsLost(), request.SentTo())
 	}
-	transport.cfg.Patience = testTimeout
+	transport.cfg.AttemptTimeout = testTimeout
 	again, outcomes := startAttempt(transport, request)
 	if second := server.receive(); !bytes.Equal(first, second) || server.from.String() != from {
 		t.Errorf("first packet %x from %s, then %x from %v: want the same", first, from, second, server.from)
@@ -181,7 +181,7 @@
 func TestLateAnswerIsKeptForRetry(t *testing.T) {
 	for _, moved := range []bool{false, true} {
 		server, other := newTestServer(t, "127.0.0.2:0"), newTestServer(t, "127.0.0.2:0")
-		transport := newTransport(t, func(c *Config) { c.Patience = 50 * time.Millisecond })
+		transport := newTransport(t, func(c *Config) { c.AttemptTimeout = 50 * time.Millisecond })
 		transport.AddServer("r1", server.addr(), 0)
 		request := accountingRequest()
 		attempt, outcomes := startAttempt(transport, request)
@@ -209,7 +209,7 @@
 // server at that address does not recognize the packet as a duplicate.
 func TestRetryIsNotSentToAnotherAddress(t *testing.T) {
 	server, other := newTestServer(t, "127.0.0.2:0"), newTestServer(t, "127.0.0.2:0")
-	transport := newTransport(t, func(c *Config) { c.Patience = 50 * time.Millisecond })
+	transport := newTransport(t, func(c *Config) { c.AttemptTimeout = 50 * time.Millisecond })
 	transport.AddServer("r1", server.addr(), 0)
 	request := accountingRequest()
 	attempt, outcomes := startAttempt(transport, request)
@@ -301,7 +301,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		conn := newFakeConn()
 		transport := newTransport(t, func(c *Config) {
-			c.Patience, c.Resend, c.Resends = time.Second, 100*time.Millisecond, 10
+			c.AttemptTimeout, c.ResendDelay, c.MaxResends = time.Second, 100*time.Millisecond, 10
 			c.Dial = func(netip.AddrPort) (Conn, error) { return conn, nil }
 		})
 		transport.AddServer("r1", "127.0.0.2:1", 0)
@@ -357,7 +357,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		answer := radius.Answer(request, radius.AccountingResponse)
+		answer := radius.NewAnswer(request, radius.AccountingResponse)
 		answer.SignAnswer(serverSecret, request.Authenticator)
 		conn.in <- answer.Marshal()
 		synctest.Wait()
@@ -380,7 +380,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		conn := newFakeConn()
 		transport := newTransport(t, func(c *Config) {
-			c.Patience, c.Resend, c.Resends = 5*time.Second, 100*time.Millisecond, 5
+			c.AttemptTimeout, c.ResendDelay, c.MaxResends = 5*time.Second, 100*time.Millisecond, 5
 			c.Dial = func(netip.AddrPort) (Conn, error) { return conn, nil }
 		})
 		transport.AddServer("r1", "127.0.0.2:1", 0)
@@ -412,7 +412,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		conn := newFakeConn()
 		transport := newTransport(t, func(c *Config) {
-			c.Patience = time.Minute
+			c.AttemptTimeout = time.Minute
 			c.Dial = func(netip.AddrPort) (Conn, error) { return conn, nil }
 		})
 		transport.AddServer("r1", "127.0.0.2:1", 0)
@@ -494,7 +494,7 @@
 	server.answer(wire, radius.AccessAccept, true) // signed correctly, but not an accounting answer
 	server.answer(wire, radius.AccountingResponse, false)
 	outcomes.expectOutcome(t, "without our state", chalkrack.Reset)
-	if c := transport.Counts(); c.Unasked != 1 || c.Malformed != 1 || !request.IsLost() {
+	if c := transport.Counts(); c.Unsolicited != 1 || c.Malformed != 1 || !request.IsLost() {
 		t.Errorf("%+v, lost %v", c, request.IsLost())
 	}
 }
@@ -505,7 +505,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		conn := newFakeConn()
 		transport := newTransport(t, func(c *Config) {
-			c.Grace, c.Resend, c.Resends, c.Patience = 250*time.Millisecond, 100*time.Millisecond, 10, 5*time.Second
+			c.Grace, c.ResendDelay, c.MaxResends, c.AttemptTimeout = 250*time.Millisecond, 100*time.Millisecond, 10, 5*time.Second
 			c.Dial = func(netip.AddrPort) (Conn, error) { return conn, nil }
 		})
 		transport.AddServer("r1", "127.0.0.2:1", 0)
@@ -536,7 +536,7 @@
 // attempt is not sent although those before have timed out.
 func TestIdentifiersRestAfterTimeout(t *testing.T) {
 	server := newTestServer(t, "127.0.0.2:0")
-	transport := newTransport(t, func(c *Config) { c.Patience = 50 * time.Millisecond })
+	transport := newTransport(t, func(c *Config) { c.AttemptTimeout = 50 * time.Millisecond })
 	transport.AddServer("r1", server.addr(), 0)
 	for n := range 256 {
 		request := accountingRequest()
@@ -545,7 +545,7 @@
 		outcomes.expectOutcome(t, "nothing came", chalkrack.TimedOut)
 		attempt.Close()
 		if n == 0 {
-			transport.cfg.Patience = time.Microsecond
+			transport.cfg.AttemptTimeout = time.Microsecond
 		}
 	}
 	_, outcomes := startAttempt(transport, accountingRequest())
@@ -559,7 +559,7 @@
 // Requests beyond the bound are lost, and Forget makes room again.
 func TestParkedAttemptsAreBounded(t *testing.T) {
 	server := newTestServer(t, "127.0.0.2:0")
-	transport := newTransport(t, func(c *Config) { c.Patience, c.Sockets = time.Microsecond, 4 })
+	transport := newTransport(t, func(c *Config) { c.AttemptTimeout, c.MaxSocketsPerServer = time.Microsecond, 4 })
 	transport.AddServer("r1", server.addr(), 0)
 	var all []*Request
 	for range maxParked + 1 {
