--- a/internal/daemon/sidecar.go
+++ b/internal/daemon/sidecar.go
@@ -201,7 +201,7 @@
 	if !c.Features.Radius.Enabled {
 		return nil
 	}
-	s.radiusProxy, err = proxy.New(proxy.Config{Radius: c.Features.Radius, Base: c.Settings.Config, Grace: c.Settings.DrainGrace, Seed: c.Seed})
+	s.radiusProxy, err = proxy.New(proxy.Config{Radius: c.Features.Radius, Platform: c.Settings.Config, DrainGrace: c.Settings.DrainGrace, Seed: c.Seed})
 	if err != nil {
 		return err
 	}
--- a/internal/demo/terminals.go
+++ b/internal/demo/terminals.go
@@ -89,7 +89,7 @@
 	radiusConfig.AuthDiscovery, radiusConfig.AcctDiscovery, radiusConfig.DiscoverySecret = m.discovery.Addr(), m.discovery.Addr(), serverSecret
 	radiusConfig.MaxCallsPerClient = maxConcurrentCalls
 	radiusConfig.Accounting.Deadline, radiusConfig.Accounting.AttemptTimeout = duration.Duration(5*time.Second), duration.Duration(5*time.Second)
-	if m.proxy, err = proxy.New(proxy.Config{Radius: radiusConfig, Base: chalkrack.Config{Instances: 1, MaxRetryAfter: time.Second}, Grace: drainGrace, Seed: cfg.Seed}); err != nil {
+	if m.proxy, err = proxy.New(proxy.Config{Radius: radiusConfig, Platform: chalkrack.Config{Instances: 1, MaxRetryAfter: time.Second}, DrainGrace: drainGrace, Seed: cfg.Seed}); err != nil {
 		return nil, err
 	}
 	for _, accounting := range []bool{false, true} {
--- a/internal/radius/proxy/health_test.go
+++ b/internal/radius/proxy/health_test.go
@@ -41,7 +41,7 @@
 	section.ProbeInterval, section.MaxProbeMisses = duration.Duration(100*time.Millisecond), 1
 	platform := basePlatform()
 	platform.ColdFrom, platform.ColdFor, platform.OverloadFactor, platform.OverloadFor = 0.01, 10*time.Minute, 1.5, time.Second
-	restarted, err := New(Config{Radius: section, Base: platform, Grace: time.Second, Seed: 1})
+	restarted, err := New(Config{Radius: section, Platform: platform, DrainGrace: time.Second, Seed: 1})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/radius/proxy/many_test.go
+++ b/internal/radius/proxy/many_test.go
@@ -46,7 +46,7 @@
 				servers = append(servers, s)
 				section.Servers = append(section.Servers, features.RadiusServer{Name: name, Auth: relay.Addr(), Acct: relay.Addr(), Secret: features.Secret(serverSecret + name)})
 			}
-			proxy, err := New(Config{Radius: section, Base: basePlatform(), Grace: 2 * time.Second, Seed: 5})
+			proxy, err := New(Config{Radius: section, Platform: basePlatform(), DrainGrace: 2 * time.Second, Seed: 5})
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/radius/proxy/memory_test.go
+++ b/internal/radius/proxy/memory_test.go
@@ -19,7 +19,7 @@
 	waitUntil(f.t, "held", func() bool { return f.proxy.Held() == 0 })
 	section := f.proxy.cfg.Radius
 	f.proxy.Close()
-	proxy, err := New(Config{Radius: section, Base: basePlatform(), Grace: 2 * time.Second, Seed: 2})
+	proxy, err := New(Config{Radius: section, Platform: basePlatform(), DrainGrace: 2 * time.Second, Seed: 2})
 	if err != nil {
 		f.t.Fatal(err)
 	}
@@ -42,7 +42,7 @@
 	section.RememberFile = file
 	section.Accounting.AttemptTimeout, section.Accounting.Deadline, section.Accounting.Aim, section.Accounting.MaxResends = millis(900), millis(1000), millis(500), 0
 	section.Servers = []features.RadiusServer{{Name: "r1", Auth: server.Addr(), Acct: server.Addr(), Secret: serverSecret + "r1"}}
-	if fixture.proxy, err = New(Config{Radius: section, Base: basePlatform(), Grace: 2 * time.Second, Seed: 1}); err != nil {
+	if fixture.proxy, err = New(Config{Radius: section, Platform: basePlatform(), DrainGrace: 2 * time.Second, Seed: 1}); err != nil {
 		t.Fatal(err)
 	}
 	return fixture
--- a/internal/radius/proxy/proxy.go
+++ b/internal/radius/proxy/proxy.go
@@ -30,11 +30,11 @@
 // Config holds the settings of a Proxy.
 type Config struct {
 	Radius features.Radius
-	// Base holds the settings of the platform that apply to RADIUS as well: the number of
+	// Platform holds the settings of the platform that apply to RADIUS as well: the number of
 	// instances, the zone, and the handling of cold servers.
-	Base  chalkrack.Config
-	Grace time.Duration // how long a server that discovery has removed may still get new attempts
-	Seed  uint64        // for the random choices of the decision modules
+	Platform   chalkrack.Config
+	DrainGrace time.Duration // how long a server that discovery has removed may still get new attempts
+	Seed       uint64        // for the random choices of the decision modules
 
 	// Listen and Dial replace UDP sockets in tests. If nil, UDP is used.
 	Listen func(address string) listener.Conn
@@ -203,7 +203,7 @@
 // newPool creates a pool without servers. seedOffset differs between the pools of a Proxy, so
 // that their random choices are independent.
 func (p *Proxy) newPool(name string, class features.RadiusClass, secretOf func(string) []byte, seedOffset uint64) (*realmPool, error) {
-	cfg := p.cfg.Base
+	cfg := p.cfg.Platform
 	effect := chalkrack.Unsafe
 	if class.Effect == "safe" {
 		effect = chalkrack.Safe
@@ -223,7 +223,7 @@
 		ResendDelay:          time.Duration(class.ResendDelay),
 		MaxResends:           class.MaxResends,
 		AllowUnsignedAnswers: p.cfg.Radius.AllowUnsignedAnswers,
-		Grace:                p.cfg.Grace,
+		Grace:                p.cfg.DrainGrace,
 		Dial:                 p.cfg.Dial,
 	}
 	callTransport := transport.New(transportConfig)
--- a/internal/radius/proxy/proxy_test.go
+++ b/internal/radius/proxy/proxy_test.go
@@ -77,7 +77,7 @@
 		change(&section)
 	}
 	var err error
-	if fixture.proxy, err = New(Config{Radius: section, Base: basePlatform(), Grace: 2 * time.Second, Seed: 1}); err != nil {
+	if fixture.proxy, err = New(Config{Radius: section, Platform: basePlatform(), DrainGrace: 2 * time.Second, Seed: 1}); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(fixture.proxy.Close)
--- a/internal/radius/proxy/virtual_test.go
+++ b/internal/radius/proxy/virtual_test.go
@@ -298,7 +298,7 @@
 			section.Servers = append(section.Servers, features.RadiusServer{Name: s.name, Auth: s.socket.addr.String(), Acct: s.socket.addr.String(), Secret: serverSecret})
 		}
 		proxy, err := New(Config{
-			Radius: section, Base: basePlatform(), Grace: 2 * time.Second, Seed: 5,
+			Radius: section, Platform: basePlatform(), DrainGrace: 2 * time.Second, Seed: 5,
 			Listen: func(string) listener.Conn { return network.openSocket(netip.AddrPort{}, nil) },
 			Dial:   func(to netip.AddrPort) (transport.Conn, error) { return network.openSocket(to, nil), nil },
 		})
