--- a/cmd/fawnctl/load.go
+++ b/cmd/fawnctl/load.go
@@ -149,7 +149,7 @@
 		}
 	case load.Progress:
 		m.progress = msg
-		if m.p99History = append(m.p99History, msg.Last.P99); len(m.p99History) > maxSparkBars {
+		if m.p99History = append(m.p99History, msg.LastSecond.P99); len(m.p99History) > maxSparkBars {
 			m.p99History = m.p99History[1:]
 		}
 	case noteMsg:
@@ -178,10 +178,10 @@
 	var b strings.Builder
 	progress := m.progress
 	fmt.Fprintf(&b, "%s\n\n%s\n\n", m.name, progress.Line())
-	second := progress.Last
+	second := progress.LastSecond
 	fmt.Fprintf(&b, "second %d: %d due, %d sent, %d dropped; %d served (%d late), %d refused, %d failed, %d without answer\n",
 		second.Second, second.Due, second.Sent, second.Dropped, second.Served, second.Late, second.Refused, second.Failed, second.None)
-	fmt.Fprintf(&b, "latency p50 %.1f ms, p99 %.1f ms, max %.1f ms; sends left late by %.2f ms at p99; %.2f cores\n", second.P50, second.P99, second.Most, second.LagP99, second.CPU)
+	fmt.Fprintf(&b, "latency p50 %.1f ms, p99 %.1f ms, max %.1f ms; sends left late by %.2f ms at p99; %.2f cores\n", second.P50, second.P99, second.Max, second.SendDelayP99, second.CPU)
 	fmt.Fprintf(&b, "p99 %s\n\n", sparkline(m.p99History))
 	for _, n := range m.notes {
 		fmt.Fprintf(&b, "  * %s\n", n)
@@ -271,7 +271,7 @@
 	}
 	defer closeProtocol()
 	report, err := c.runWithProgress(streams, scenario.Name, func(ctx context.Context, view func(load.Progress), _ func(string)) (*load.Report, error) {
-		cfg, closeScenario, err := scenario.Run(load.Config{Protocol: callProtocol, View: view})
+		cfg, closeScenario, err := scenario.Configure(load.Config{Protocol: callProtocol, View: view})
 		if err != nil {
 			return nil, err
 		}
@@ -310,7 +310,7 @@
 	if err != nil {
 		return err
 	}
-	summary, err := trace.Import(in, out, trace.Options{Form: c.Form, Columns: c.Columns, Prefixes: c.Class})
+	summary, err := trace.Import(in, out, trace.Options{Format: c.Form, Columns: c.Columns, Prefixes: c.Class})
 	if closeErr := out.Close(); err == nil {
 		err = closeErr
 	}
--- a/internal/load/bench_test.go
+++ b/internal/load/bench_test.go
@@ -64,7 +64,7 @@
 			scenario.Poisson = true
 			scenario.Classes = DefaultClasses()
 			scenario.Limits.Connections, scenario.Limits.Outstanding = 256, 4096
-			cfg, closeSource, err := scenario.Run(Config{Protocol: &HTTP1{Addr: addr}})
+			cfg, closeSource, err := scenario.Configure(Config{Protocol: &HTTP1{Addr: addr}})
 			if err != nil {
 				b.Fatal(err)
 			}
@@ -129,7 +129,7 @@
 	scenario := constantLoad(200, 12*time.Second)
 	scenario.Classes[0].Deadline = duration.Duration(20 * time.Second)
 	scenario.Arrivals = []schedule.Shape{{Kind: "constant", Rate: 200}}
-	cfg, closeSource, err := scenario.Run(Config{Protocol: &HTTP1{Addr: server.Addr()}})
+	cfg, closeSource, err := scenario.Configure(Config{Protocol: &HTTP1{Addr: server.Addr()}})
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/internal/load/html.go
+++ b/internal/load/html.go
@@ -104,7 +104,7 @@
 		return plot(r, "milliseconds from the due time of a call, by second of the due time", true, []plotLine{
 			{"p50", "#1b6ca8", false, func(s *Second) float64 { return s.P50 }},
 			{"p99", "#c8553d", false, func(s *Second) float64 { return s.P99 }},
-			{"most", "#7a7a7a", true, func(s *Second) float64 { return s.Most }},
+			{"most", "#7a7a7a", true, func(s *Second) float64 { return s.Max }},
 		})
 	},
 	"sent": func(r *Report) template.HTML {
@@ -123,7 +123,7 @@
 	},
 	"lag": func(r *Report) template.HTML {
 		return plot(r, "milliseconds by which the generator sent calls late", true, []plotLine{
-			{"p99", "#c8553d", false, func(s *Second) float64 { return s.LagP99 }},
+			{"p99", "#c8553d", false, func(s *Second) float64 { return s.SendDelayP99 }},
 			{"most", "#7a7a7a", true, func(s *Second) float64 { return s.SendDelayMax }},
 		})
 	},
--- a/internal/load/html_test.go
+++ b/internal/load/html_test.go
@@ -19,7 +19,7 @@
 		Classes: []ClassReport{{Class: "activate", Sent: 500, Served: 490, Earned: 0.987}},
 		Judged:  []Finding{{"no effect twice", true, "0"}, {"drains kept", false, "7s"}}}
 	for n := range 5 {
-		report.Seconds = append(report.Seconds, Second{Second: n, Due: 100, Sent: 100, Served: 98, P50: 10, P99: 100 * float64(n+1), Most: 900, LagP99: 0.2, SendDelayMax: 3})
+		report.Seconds = append(report.Seconds, Second{Second: n, Due: 100, Sent: 100, Served: 98, P50: 10, P99: 100 * float64(n+1), Max: 900, SendDelayP99: 0.2, SendDelayMax: 3})
 	}
 	var html bytes.Buffer
 	if err := report.WriteHTML(&html); err != nil {
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -116,19 +116,19 @@
 
 // Progress is the state of a run, as passed to Config.View.
 type Progress struct {
-	At, Length  time.Duration
-	Sent, Done  int64
-	Outstanding int
-	Last        Second // the latest second that is complete
+	Elapsed, Length time.Duration
+	Sent, Done      int64
+	Outstanding     int
+	LastSecond      Second // the latest second that is complete
 }
 
 // Line returns the state as one line of text.
 func (p Progress) Line() string {
 	remaining := ""
 	if p.Length > 0 {
-		remaining = fmt.Sprintf(" of %v, %v left", p.Length, max(0, (p.Length-p.At).Round(time.Second)))
+		remaining = fmt.Sprintf(" of %v, %v left", p.Length, max(0, (p.Length-p.Elapsed).Round(time.Second)))
 	}
-	return fmt.Sprintf("%v%s: %d sent, %d ended, %d under way, p99 %.1f ms", p.At.Round(time.Second), remaining, p.Sent, p.Done, p.Outstanding, p.Last.P99)
+	return fmt.Sprintf("%v%s: %d sent, %d ended, %d under way, p99 %.1f ms", p.Elapsed.Round(time.Second), remaining, p.Sent, p.Done, p.Outstanding, p.LastSecond.P99)
 }
 
 // Run sends the calls of a source until it ends or ctx is done, waits for those in progress, and
@@ -403,7 +403,7 @@
 			callsInProgress := r.callsInProgress
 			r.mu.Unlock()
 			sent, done := r.recorder.counts()
-			r.config.View(Progress{At: now.Sub(r.begin), Length: r.config.Length, Sent: sent, Done: done, Outstanding: callsInProgress, Last: last})
+			r.config.View(Progress{Elapsed: now.Sub(r.begin), Length: r.config.Length, Sent: sent, Done: done, Outstanding: callsInProgress, LastSecond: last})
 		}
 	}
 }
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -96,7 +96,7 @@
 	if err := scenario.check(); err != nil {
 		t.Fatal(err)
 	}
-	cfg, closeSource, err := scenario.Run(Config{Protocol: protocol, waitUntil: waitVirtual})
+	cfg, closeSource, err := scenario.Configure(Config{Protocol: protocol, waitUntil: waitVirtual})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -273,7 +273,7 @@
 	})
 	synctest.Test(t, func(t *testing.T) { // late sends, as when the CPU is busy
 		scenario := constantLoad(100, 4*time.Second)
-		cfg, closeSource, err := scenario.Run(Config{Protocol: &fakeServer{do: func(time.Time, *Call) (time.Duration, Reply, error) {
+		cfg, closeSource, err := scenario.Configure(Config{Protocol: &fakeServer{do: func(time.Time, *Call) (time.Duration, Reply, error) {
 			return time.Millisecond, Reply{Status: 200}, nil
 		}}})
 		if err != nil {
@@ -376,7 +376,7 @@
 		ctx, cancel := context.WithTimeout(t.Context(), 3*time.Second)
 		defer cancel()
 		scenario := constantLoad(100, time.Minute)
-		cfg, closeSource, err := scenario.Run(Config{Protocol: silent(), waitUntil: waitVirtual})
+		cfg, closeSource, err := scenario.Configure(Config{Protocol: silent(), waitUntil: waitVirtual})
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/load/protocol/protocol_test.go
+++ b/internal/load/protocol/protocol_test.go
@@ -30,7 +30,7 @@
 // runScenario runs a scenario over a protocol.
 func runScenario(t *testing.T, scenario *load.Scenario, protocol load.Protocol) *load.Report {
 	t.Helper()
-	cfg, closeSource, err := scenario.Run(load.Config{Protocol: protocol})
+	cfg, closeSource, err := scenario.Configure(load.Config{Protocol: protocol})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/load/record.go
+++ b/internal/load/record.go
@@ -214,15 +214,15 @@
 	row := Second{Second: second.index, Due: second.due, Sent: second.sent, Dropped: second.dropped, Served: second.served, Late: second.late, Refused: second.refused, Failed: second.failed, None: second.noAnswer,
 		CPU: second.cpu.Seconds()}
 	if second.latency.TotalCount() > 0 {
-		row.P50, row.P99, row.Most = millis(second.latency.ValueAtQuantile(50)), millis(second.latency.ValueAtQuantile(99)), millis(second.latency.Max())
+		row.P50, row.P99, row.Max = millis(second.latency.ValueAtQuantile(50)), millis(second.latency.ValueAtQuantile(99)), millis(second.latency.Max())
 	}
 	if second.sendDelay.TotalCount() > 0 {
-		row.LagP99, row.SendDelayMax = millis(second.sendDelay.ValueAtQuantile(99)), millis(second.sendDelay.Max())
+		row.SendDelayP99, row.SendDelayMax = millis(second.sendDelay.ValueAtQuantile(99)), millis(second.sendDelay.Max())
 	}
 	switch {
 	case second.dropped > 0:
 		row.Limit = "calls were dropped"
-	case row.LagP99 > float64(time.Duration(r.limits.MaxSendDelay))/1e6:
+	case row.SendDelayP99 > float64(time.Duration(r.limits.MaxSendDelay))/1e6:
 		row.Limit = "sends left late"
 	case row.CPU > r.limits.MaxCores:
 		row.Limit = "out of CPU"
--- a/internal/load/report.go
+++ b/internal/load/report.go
@@ -39,8 +39,8 @@
 	None         int64   `json:"no_answer"` // calls without an answer
 	P50          float64 `json:"p50_ms"`
 	P99          float64 `json:"p99_ms"`
-	Most         float64 `json:"most_ms"`
-	LagP99       float64 `json:"lag_p99_ms"` // delay of sends after their due time
+	Max          float64 `json:"most_ms"`
+	SendDelayP99 float64 `json:"lag_p99_ms"` // delay of sends after their due time
 	SendDelayMax float64 `json:"lag_most_ms"`
 	CPU          float64 `json:"cpu"`             // cores used by the generator
 	Limit        string  `json:"limit,omitempty"` // why the figures of this second are not valid; empty if they are
--- a/internal/load/scenario.go
+++ b/internal/load/scenario.go
@@ -44,26 +44,26 @@
 
 // Site describes the stand-in servers that a rehearsal starts.
 type Site struct {
-	Servers  int               `toml:"servers"`
-	Zones    []string          `toml:"zones"`     // assigned to the servers in turn; empty means a single zone
-	Rate     float64           `toml:"rate"`      // requests per second that a warm server can handle; 0 means no limit
-	WorkFrom duration.Duration `toml:"work_from"` // shortest time that a request takes
-	WorkTo   duration.Duration `toml:"work_to"`   // longest time that a request takes
-	Cold     float64           `toml:"cold"`      // share of the rate that a newly started server can handle
-	WarmIn   duration.Duration `toml:"warm_in"`   // time from a start to the full rate
-	FallBy   float64           `toml:"fall_by"`   // a cold server fails when offered this many times its rate for FallFor
-	FallFor  duration.Duration `toml:"fall_for"`
-	Window   duration.Duration `toml:"window"`   // time for which servers drop repeats of a key
-	Features string            `toml:"features"` // content of the daemon's features file
+	Servers           int               `toml:"servers"`
+	Zones             []string          `toml:"zones"`     // assigned to the servers in turn; empty means a single zone
+	RequestsPerSecond float64           `toml:"rate"`      // requests per second that a warm server can handle; 0 means no limit
+	MinWorkTime       duration.Duration `toml:"work_from"` // shortest time that a request takes
+	MaxWorkTime       duration.Duration `toml:"work_to"`   // longest time that a request takes
+	ColdShare         float64           `toml:"cold"`      // share of the rate that a newly started server can handle
+	WarmUpTime        duration.Duration `toml:"warm_in"`   // time from a start to the full rate
+	FallFactor        float64           `toml:"fall_by"`   // a cold server fails when offered this many times its rate for FallFor
+	FallFor           duration.Duration `toml:"fall_for"`
+	Window            duration.Duration `toml:"window"`   // time for which servers drop repeats of a key
+	Features          string            `toml:"features"` // content of the daemon's features file
 }
 
 // Event is an action that a rehearsal carries out at a set time.
 type Event struct {
-	At      duration.Duration `toml:"at"`
-	Do      string            `toml:"do"`
-	Servers []int             `toml:"servers"` // server numbers, from 1
-	Zone    string            `toml:"zone"`    // applies the action to all servers of this zone
-	By      duration.Duration `toml:"by"`      // delay of discovery, for the action lag
+	At             duration.Duration `toml:"at"`
+	Action         string            `toml:"do"`
+	Servers        []int             `toml:"servers"` // server numbers, from 1
+	Zone           string            `toml:"zone"`    // applies the action to all servers of this zone
+	DiscoveryDelay duration.Duration `toml:"by"`      // delay of discovery, for the action lag
 }
 
 // eventActions has the known actions of events, and whether they need servers or a zone.
@@ -228,26 +228,26 @@
 		return invalid("site.servers", "between 1 and 400")
 	case len(site.Zones) > 32:
 		return invalid("site.zones", "at most 32")
-	case !(site.Rate >= 0 && site.Rate <= 1e6):
+	case !(site.RequestsPerSecond >= 0 && site.RequestsPerSecond <= 1e6):
 		return invalid("site.rate", "between 0 and 1e6")
-	case !validSpan(site.WorkFrom) || !validSpan(site.WorkTo) || site.WorkTo < site.WorkFrom || time.Duration(site.WorkTo) > time.Minute:
+	case !validSpan(site.MinWorkTime) || !validSpan(site.MaxWorkTime) || site.MaxWorkTime < site.MinWorkTime || time.Duration(site.MaxWorkTime) > time.Minute:
 		return invalid("site.work_from and work_to", "in ascending order and at most 1m")
-	case !(site.Cold >= 0 && site.Cold <= 1):
+	case !(site.ColdShare >= 0 && site.ColdShare <= 1):
 		return invalid("site.cold", "between 0 and 1")
-	case !validSpan(site.WarmIn) || !validSpan(site.FallFor) || !validSpan(site.Window):
+	case !validSpan(site.WarmUpTime) || !validSpan(site.FallFor) || !validSpan(site.Window):
 		return invalid("site.warm_in, fall_for and window", "between 0 and 24h")
-	case !(site.FallBy >= 0 && site.FallBy <= 1000):
+	case !(site.FallFactor >= 0 && site.FallFactor <= 1000):
 		return invalid("site.fall_by", "between 0 and 1000")
 	}
 	for n, e := range s.Events {
 		fieldPrefix := fmt.Sprintf("events[%d].", n)
-		needsServers, known := eventActions[e.Do]
+		needsServers, known := eventActions[e.Action]
 		switch {
 		case !known:
 			return invalid(fieldPrefix+"do", "freeze, thaw, kill, restart, drain, undrain, lag or break-discovery")
 		case !validSpan(e.At) || s.Trace == "" && e.At > s.Length:
 			return invalid(fieldPrefix+"at", "between 0 and the length, and at most 24h")
-		case !validSpan(e.By):
+		case !validSpan(e.DiscoveryDelay):
 			return invalid(fieldPrefix+"by", "between 0 and 24h")
 		case needsServers && len(e.Servers) == 0 && e.Zone == "":
 			return invalid(fieldPrefix+"servers", "set, unless zone is set")
@@ -295,9 +295,9 @@
 	return &traceSource{generator: generator, reader: reader, speed: s.Speed, classes: byName}, func() { f.Close() }, nil
 }
 
-// Run returns config completed for a run of the scenario, and a function that the caller calls when
+// Configure returns config completed for a run of the scenario, and a function that the caller calls when
 // the run is over. It sends nothing itself.
-func (s *Scenario) Run(config Config) (Config, func(), error) {
+func (s *Scenario) Configure(config Config) (Config, func(), error) {
 	source, closeSource, err := s.Source()
 	if err != nil {
 		return config, nil, err
--- a/internal/load/trace/trace.go
+++ b/internal/load/trace/trace.go
@@ -44,7 +44,7 @@
 
 // Options says how a recording is read.
 type Options struct {
-	Form string // json, csv, haproxy or combined
+	Format string // json, csv, haproxy or combined
 	// Columns maps at, class, path, key and body to the columns of a CSV file, or the fields of JSON
 	// lines, that hold them, as in 'at=ts,class=kind'. The default is a column of the same name.
 	Columns map[string]string
@@ -89,7 +89,7 @@
 		return nil
 	}
 	var err error
-	switch options.Form {
+	switch options.Format {
 	case "json":
 		err = eachLine(in, func(line []byte) error { return addRecord(options.parseJSON(line)) })
 	case "haproxy":
@@ -99,7 +99,7 @@
 	case "csv":
 		err = options.readCSV(in, addRecord)
 	default:
-		return nil, fmt.Errorf("trace: unknown form %q: expected json, csv, haproxy or combined", options.Form)
+		return nil, fmt.Errorf("trace: unknown form %q: expected json, csv, haproxy or combined", options.Format)
 	}
 	if err != nil {
 		return nil, err
--- a/internal/load/trace/trace_test.go
+++ b/internal/load/trace/trace_test.go
@@ -19,7 +19,7 @@
 		want    []Entry
 		leftOut map[string]int64
 	}{
-		"json": {Options{Form: "json", Columns: map[string]string{"at": "ts", "class": "kind"}},
+		"json": {Options{Format: "json", Columns: map[string]string{"at": "ts", "class": "kind"}},
 			`{"ts":1700000002.5,"kind":"b","body":12}
 {"ts":"2023-11-14T22:13:20Z","kind":"a","key":"k1"}
 nonsense
@@ -29,18 +29,18 @@
 {"ts":1700000004}
 `, []Entry{{0, "a", "", "k1", 0}, {time.Second, "a", "", "", 0}, {2500 * time.Millisecond, "b", "", "", 12}},
 			map[string]int64{"no JSON": 1, errNoTime.Error(): 1, "a body of an impossible length": 1, "no class": 1}},
-		"csv": {Options{Form: "csv", Columns: map[string]string{"at": "when", "path": "uri"}, Prefixes: prefixes},
+		"csv": {Options{Format: "csv", Columns: map[string]string{"at": "when", "path": "uri"}, Prefixes: prefixes},
 			"when,uri,body\n1700000001,/api/act/7?x=1,300\n1700000000,/api/list,\n1700000002,/elsewhere,1\n1700000003,/status,x\n1700000004,/st\n",
 			[]Entry{{0, "other", "/api/list", "", 0}, {time.Second, "activate", "/api/act/7?x=1", "", 300}},
 			map[string]int64{"a path of no class": 2, "a body of an impossible length": 1}},
-		"haproxy": {Options{Form: "haproxy", Prefixes: prefixes},
+		"haproxy": {Options{Format: "haproxy", Prefixes: prefixes},
 			`Feb  6 12:14:14 localhost haproxy[14389]: 10.0.1.2:33317 [06/Feb/2009:12:14:14.655] http-in static/srv1 10/0/30/69/109 200 2750 - - ---- 1/1/1/1/0 0/0 {1wt.eu} {} "GET /status/9 HTTP/1.1"
 Feb  6 12:14:14 localhost haproxy[14389]: 10.0.1.2:33318 [06/Feb/2009:12:14:13.655] http-in static/srv1 10/0/30/69/109 200 2750 - - ---- 1/1/1/1/0 0/0 "POST /api/act HTTP/1.1"
 Feb  6 12:14:15 localhost haproxy[14389]: 10.0.1.2:33319 [06/Feb/2009:12:14:15.000] http-in http-in/<NOSRV> -1/-1/-1/-1/0 400 187 - - PR-- 1/1/0/0/0 0/0 "<BADREQ>"
 Feb  6 12:14:16 localhost haproxy[14389]: Proxy http-in started.
 `, []Entry{{0, "activate", "/api/act", "", 0}, {time.Second, "status-check", "/status/9", "", 0}},
 			map[string]int64{"no request that can be read": 1, errNoTime.Error(): 1}},
-		"combined": {Options{Form: "combined"},
+		"combined": {Options{Format: "combined"},
 			`127.0.0.1 - frank [10/Oct/2000:13:55:36 -0700] "GET /status-check/1 HTTP/1.0" 200 2326 "http://www.example.com/start.html" "Mozilla/4.08 [en] (Win98; I ;Nav)"
 127.0.0.1 - - [10/Oct/2000:20:55:38 +0000] "POST /activate HTTP/1.1" 200 1
 127.0.0.1 - - [10/Oct/2000:20:55:39 +0000] "-" 408 0
@@ -86,10 +86,10 @@
 			}
 		}
 	}
-	if _, err := Import(strings.NewReader("a,b\n"), io.Discard, Options{Form: "csv", Columns: map[string]string{"at": "c"}}); err == nil {
+	if _, err := Import(strings.NewReader("a,b\n"), io.Discard, Options{Format: "csv", Columns: map[string]string{"at": "c"}}); err == nil {
 		t.Error("no error for a column that does not exist")
 	}
-	if _, err := Import(strings.NewReader(""), io.Discard, Options{Form: "xml"}); err == nil {
+	if _, err := Import(strings.NewReader(""), io.Discard, Options{Format: "xml"}); err == nil {
 		t.Error("no error for an unknown form")
 	}
 }
@@ -105,7 +105,7 @@
 	}
 	f.Fuzz(func(t *testing.T, form string, data []byte) {
 		var out bytes.Buffer
-		summary, err := Import(bytes.NewReader(data), &out, Options{Form: form})
+		summary, err := Import(bytes.NewReader(data), &out, Options{Format: form})
 		if err != nil {
 			return
 		}
--- a/internal/rehearse/rehearse.go
+++ b/internal/rehearse/rehearse.go
@@ -116,7 +116,7 @@
 		return nil, fmt.Errorf("rehearse: %w", err)
 	}
 	defer closeProtocol()
-	cfg, closeSource, err := scenario.Run(load.Config{Protocol: callProtocol, View: showProgress})
+	cfg, closeSource, err := scenario.Configure(load.Config{Protocol: callProtocol, View: showProgress})
 	if err != nil {
 		daemon.Stop()
 		return nil, err
@@ -149,7 +149,7 @@
 // are spread evenly from work_from to work_to in workTimeSteps steps.
 func newSite(scenario *load.Scenario) (*rig.Site, error) {
 	settings := scenario.Site
-	cfg := rig.SiteConfig{Servers: settings.Servers, Zones: settings.Zones, Warm: true, ColdFrom: settings.Cold, ColdFor: time.Duration(settings.WarmIn)}
+	cfg := rig.SiteConfig{Servers: settings.Servers, Zones: settings.Zones, Warm: true, ColdFrom: settings.ColdShare, ColdFor: time.Duration(settings.WarmUpTime)}
 	for _, c := range scenario.Classes {
 		class := rig.Class{Name: c.Name, Effect: standinEffects[c.Effect], Aim: time.Duration(c.Aim), Deadline: time.Duration(c.Deadline), Worth: c.Worth}
 		if c.Effect == load.Keyed {
@@ -157,11 +157,11 @@
 		}
 		cfg.Classes = append(cfg.Classes, class)
 	}
-	cfg.Server = standin.ServerConfig{Rate: settings.Rate, Cold: settings.Cold, WarmIn: time.Duration(settings.WarmIn), FallFactor: settings.FallBy, FallFor: time.Duration(settings.FallFor)}
+	cfg.Server = standin.ServerConfig{Rate: settings.RequestsPerSecond, Cold: settings.ColdShare, WarmIn: time.Duration(settings.WarmUpTime), FallFactor: settings.FallFactor, FallFor: time.Duration(settings.FallFor)}
 	const workTimeSteps = 20
 	var choices []standin.Odd
 	for n := range workTimeSteps {
-		work := time.Duration(settings.WorkFrom) + time.Duration(settings.WorkTo-settings.WorkFrom)*time.Duration(n)/(workTimeSteps-1)
+		work := time.Duration(settings.MinWorkTime) + time.Duration(settings.MaxWorkTime-settings.MinWorkTime)*time.Duration(n)/(workTimeSteps-1)
 		choices = append(choices, standin.Odd{Share: 1.0 / workTimeSteps, Act: standin.Act{Delay: work}})
 	}
 	cfg.Server.Script = standin.Random(scenario.Seed, choices...)
@@ -186,7 +186,7 @@
 		case <-timer.C:
 		}
 		if err := r.applyEvent(event); err != nil {
-			slog.Error("event", "do", event.Do, "err", err)
+			slog.Error("event", "do", event.Action, "err", err)
 			r.note(err.Error())
 		}
 	}
@@ -207,13 +207,13 @@
 
 // applyEvent applies one event to discovery or to its servers, and notes it.
 func (r *rehearsal) applyEvent(event load.Event) error {
-	switch event.Do {
+	switch event.Action {
 	case "lag":
-		r.site.Discovery.Lag(time.Duration(event.By))
+		r.site.Discovery.Lag(time.Duration(event.DiscoveryDelay))
 		r.mu.Lock()
-		r.maxLag = max(r.maxLag, time.Duration(event.By))
+		r.maxLag = max(r.maxLag, time.Duration(event.DiscoveryDelay))
 		r.mu.Unlock()
-		r.note(fmt.Sprintf("discovery reports changes %v late", time.Duration(event.By)))
+		r.note(fmt.Sprintf("discovery reports changes %v late", time.Duration(event.DiscoveryDelay)))
 		return nil
 	case "break-discovery":
 		r.site.Discovery.Break()
@@ -222,7 +222,7 @@
 	}
 	for _, n := range r.serverIndexes(event) {
 		server := r.site.Servers[n]
-		switch event.Do {
+		switch event.Action {
 		case "freeze":
 			server.Freeze()
 		case "thaw":
@@ -242,7 +242,7 @@
 			server.NoteUndrain()
 			r.site.Discovery.Change(r.site.Endpoint(n, "up"))
 		}
-		r.note(fmt.Sprintf("%s %s", event.Do, server.Name()))
+		r.note(fmt.Sprintf("%s %s", event.Action, server.Name()))
 	}
 	return nil
 }
