--- a/cmd/drill/instance.go
+++ b/cmd/drill/instance.go
@@ -23,11 +23,11 @@
 	now, id := d.now, chalkrack.RequestID(e.ID)
 	switch e.Kind {
 	case wire.BackendsChanged:
-		switch kind := string(e.How); kind {
+		switch kind := string(e.UpdateKind); kind {
 		case "patch":
-			i.balancer.ServersChanged(now, d.lists[e.List])
+			i.balancer.ServersChanged(now, d.lists[e.ListNumber])
 		case "whole", "stale_copy":
-			i.balancer.ServersListed(now, d.lists[e.List])
+			i.balancer.ServersListed(now, d.lists[e.ListNumber])
 		case "broken":
 			i.balancer.DiscoveryFailed(now)
 		default:
@@ -39,16 +39,16 @@
 			Class:    i.settings.ClassIndex(e.Class),
 			Tenant:   i.settings.TenantIndex(e.Tenant),
 			Key:      string(e.Key),
-			Deadline: microseconds(e.Deadline),
+			Deadline: microseconds(e.DeadlineUs),
 		})
 	case wire.HeadReceived:
 		i.balancer.AnswerStarted(now, id, e.Copy)
 	case wire.Finished:
-		outcome, ok := outcomeByEnding[e.Ending]
+		outcome, ok := outcomeByEnding[e.StatusCode]
 		if !ok {
-			return fmt.Errorf("finished: unknown ending %d", e.Ending)
+			return fmt.Errorf("finished: unknown ending %d", e.StatusCode)
 		}
-		i.balancer.AttemptDone(now, id, e.Copy, outcome, e.Over, loadReport(e.Load))
+		i.balancer.AttemptDone(now, id, e.Copy, outcome, e.RequestEnded, loadReport(e.Load))
 	case wire.Checked:
 		i.balancer.Probed(now, string(e.Server), loadReport(e.Load))
 	case wire.TimedOutClient:
@@ -71,7 +71,7 @@
 	409: chalkrack.NotSent,
 }
 
-func loadReport(load wire.Load) chalkrack.LoadReport {
+func loadReport(load wire.LoadReport) chalkrack.LoadReport {
 	return chalkrack.LoadReport{HasInFlight: load.HasBusyReqs, InFlight: load.BusyReqs, HasUtil: load.HasCPUShare, Util: load.CPUShare}
 }
 
@@ -123,7 +123,7 @@
 			Zone:    host.Zone,
 			Group:   host.Group,
 			Hint:    host.Hint,
-			Started: microseconds(host.StartUs),
+			Started: microseconds(host.StartTimeUs),
 			State:   state,
 		}
 	}
--- a/cmd/drill/main.go
+++ b/cmd/drill/main.go
@@ -125,13 +125,13 @@
 // handleEvent handles an event within a batch: a list, or an event of an instance.
 func (d *drill) handleEvent(e *wire.Event) error {
 	if e.Kind == wire.Ledger || e.Kind == wire.BackendsChanged {
-		if e.List < 0 || e.List >= listCount {
-			return fmt.Errorf("ledger number %d is out of range", e.List)
+		if e.ListNumber < 0 || e.ListNumber >= listCount {
+			return fmt.Errorf("ledger number %d is out of range", e.ListNumber)
 		}
 	}
 	switch e.Kind {
 	case wire.Ledger:
-		d.lists[e.List], d.listDefined[e.List] = endpoints(e.Hosts), true
+		d.lists[e.ListNumber], d.listDefined[e.ListNumber] = endpoints(e.Hosts), true
 		return nil
 	case wire.PowerOn:
 		return d.startInstance(e)
@@ -144,8 +144,8 @@
 		delete(d.instances, instance.id)
 		return nil
 	}
-	if e.Kind == wire.BackendsChanged && string(e.How) != "broken" && !d.listDefined[e.List] {
-		return fmt.Errorf("ledger number %d is used before its ledger message", e.List)
+	if e.Kind == wire.BackendsChanged && string(e.UpdateKind) != "broken" && !d.listDefined[e.ListNumber] {
+		return fmt.Errorf("ledger number %d is used before its ledger message", e.ListNumber)
 	}
 	return d.recoverPanic(instance.id, func() error { return instance.handleEvent(e, d) })
 }
--- a/cmd/fawnctl/import.go
+++ b/cmd/fawnctl/import.go
@@ -54,7 +54,7 @@
 			if err != nil {
 				return nil, err
 			}
-			text, err := io.ReadAll(io.LimitReader(file, haproxy.TextMost+1))
+			text, err := io.ReadAll(io.LimitReader(file, haproxy.MaxFileBytes+1))
 			file.Close()
 			if err != nil {
 				return nil, err
@@ -89,7 +89,7 @@
 	if err != nil {
 		return fmt.Errorf("%w: %w", errUnreadable, err)
 	}
-	cfg := haproxy.Read(files, haproxy.Options{Env: os.LookupEnv, Version: c.Version, Directive: knownDirective})
+	cfg := haproxy.Read(files, haproxy.Options{Env: os.LookupEnv, Version: c.Version, IsKnownDirective: knownDirective})
 	translation := translate.Translate(cfg, translate.Options{Classes: c.Classes, SafeClass: c.Safe, OtherClass: c.Other})
 	settings := struct {
 		Version   int                 `toml:"version"`
@@ -111,7 +111,7 @@
 	}
 	counts := make(map[string]int)
 	for _, entry := range translation.Entries {
-		counts[entry.Word]++
+		counts[entry.VerdictText]++
 	}
 	if c.Report == "json" {
 		err = json.NewEncoder(streams.out).Encode(map[string]any{"directives": translation.Entries, "counts": counts, "problems": cfg.Problems, "pools": len(translation.Pools), "routes": len(translation.Routes)})
@@ -119,7 +119,7 @@
 		w := tabwriter.NewWriter(streams.out, 0, 0, 2, ' ', 0)
 		for _, entry := range translation.Entries {
 			if entry.Verdict != translate.Carried {
-				fmt.Fprintf(w, "%s\t%s\t%s\t%s\n", entry.At, entry.Word, entry.Text, entry.Why)
+				fmt.Fprintf(w, "%s\t%s\t%s\t%s\n", entry.Location, entry.VerdictText, entry.Directive, entry.Reason)
 			}
 		}
 		w.Flush()
@@ -127,16 +127,16 @@
 			fmt.Fprintln(streams.err, p)
 		}
 		_, err = fmt.Fprintf(streams.out, "%d directives: %d carried, %d with a difference, %d not carried, %d dangerous; %d pools, %d routes\n",
-			len(translation.Entries), translation.Count(translate.Carried), translation.Count(translate.Different), translation.Count(translate.Lost), translation.Count(translate.Danger), len(translation.Pools), len(translation.Routes))
+			len(translation.Entries), translation.Count(translate.Carried), translation.Count(translate.Different), translation.Count(translate.NotCarried), translation.Count(translate.Dangerous), len(translation.Pools), len(translation.Routes))
 	}
 	switch {
 	case err != nil:
 		return err
 	case len(cfg.Problems) > 0:
 		return errUnreadable
-	case translation.Count(translate.Danger) > 0:
+	case translation.Count(translate.Dangerous) > 0:
 		return errDangerousDirectives
-	case translation.Count(translate.Lost)+translation.Count(translate.Different) > 0:
+	case translation.Count(translate.NotCarried)+translation.Count(translate.Different) > 0:
 		return errPartialImport
 	}
 	return nil
--- a/internal/haproxy/config.go
+++ b/internal/haproxy/config.go
@@ -69,10 +69,10 @@
 type Options struct {
 	Env     Env    // looks up environment variables; nil: none is set
 	Version string // of the HAProxy that the files are written for; empty: unknown
-	// Directive reports whether HAProxy knows a directive of that name in sections of that
+	// IsKnownDirective reports whether HAProxy knows a directive of that name in sections of that
 	// kind; nil: every directive is known. In a file whose directives are indented, an
 	// unknown word in column 1 begins a section of an unknown kind.
-	Directive func(kind, name string) bool
+	IsKnownDirective func(kind, name string) bool
 }
 
 // Read parses files as HAProxy does: one after the other, as one configuration. It does not
@@ -113,8 +113,8 @@
 
 // readFile reads one file. Sections and conditional blocks end with the file.
 func (r *reader) readFile(source Source) {
-	if len(source.Text) > TextMost {
-		r.config.Problems = append(r.config.Problems, &Problem{source.Name, Pos{1, 1}, fmt.Sprintf("file is longer than %d bytes", TextMost)})
+	if len(source.Text) > MaxFileBytes {
+		r.config.Problems = append(r.config.Problems, &Problem{source.Name, Pos{1, 1}, fmt.Sprintf("file is longer than %d bytes", MaxFileBytes)})
 		return
 	}
 	sawIndentation := false
@@ -136,7 +136,7 @@
 			r.readConditional(directive)
 		case sectionKinds[keyword]:
 			r.beginSection(directive, true)
-		case atLineStart && sawIndentation && r.options.Directive != nil && (r.section == nil || !r.options.Directive(r.section.Kind, keyword)):
+		case atLineStart && sawIndentation && r.options.IsKnownDirective != nil && (r.section == nil || !r.options.IsKnownDirective(r.section.Kind, keyword)):
 			r.addProblem(directive, line.Pos, "unknown section %q", keyword)
 			r.beginSection(directive, false)
 		case r.section == nil:
--- a/internal/haproxy/config_test.go
+++ b/internal/haproxy/config_test.go
@@ -69,7 +69,7 @@
 defaults web
 `
 	known := func(kind, name string) bool { return kind == "frontend" || name == "maxconn" || name == "mode" }
-	config := Read([]Source{{"one", firstFile}, {"two", "stray 1\n" + secondFile}}, Options{Env: testEnv, Directive: known})
+	config := Read([]Source{{"one", firstFile}, {"two", "stray 1\n" + secondFile}}, Options{Env: testEnv, IsKnownDirective: known})
 	var got []string
 	for _, s := range config.Sections {
 		defaultsName := ""
@@ -119,7 +119,7 @@
 	f.Add("defaults a from b\ndefaults b from a\nfrontend x from a\n.if !(1\n.elif\n.else\n.endif\nlisten x\n y z\nq")
 	f.Add(".if 1\n.if 0\nglobal\n.endif\n\"\n")
 	f.Fuzz(func(t *testing.T, text string) {
-		config := Read([]Source{{"f", text}}, Options{Env: testEnv, Directive: func(_, name string) bool { return len(name) > 1 }})
+		config := Read([]Source{{"f", text}}, Options{Env: testEnv, IsKnownDirective: func(_, name string) bool { return len(name) > 1 }})
 		for _, s := range config.Sections {
 			n := 0
 			for range s.AllDirectives {
--- a/internal/haproxy/lex.go
+++ b/internal/haproxy/lex.go
@@ -12,8 +12,8 @@
 
 // Limits on the input.
 const (
-	// TextMost is the maximum size of a file in bytes.
-	TextMost = 64 << 20
+	// MaxFileBytes is the maximum size of a file in bytes.
+	MaxFileBytes = 64 << 20
 	// maxWordsPerLine is HAProxy's own limit.
 	maxWordsPerLine = 64
 	// maxExpansionBytes limits the total size of the values of a line's variables.
--- a/internal/haproxy/translate/rules.go
+++ b/internal/haproxy/translate/rules.go
@@ -249,20 +249,20 @@
 	switch name {
 	case "use_backend", "default_backend":
 		if len(args) != 1 {
-			return Lost, "it must name exactly one backend" + fallThroughNote
+			return NotCarried, "it must name exactly one backend" + fallThroughNote
 		}
 		switch {
 		case strings.Contains(args[0], "%["):
-			return Lost, "a backend that is worked out for each request" + fallThroughNote
+			return NotCarried, "a backend that is worked out for each request" + fallThroughNote
 		case t.backends[args[0]] == nil:
-			return Lost, fmt.Sprintf("there is no backend %q", args[0]) + fallThroughNote
+			return NotCarried, fmt.Sprintf("there is no backend %q", args[0]) + fallThroughNote
 		case !t.hasPool(args[0]):
-			return Lost, fmt.Sprintf("backend %q has no server that is carried", args[0]) + fallThroughNote
+			return NotCarried, fmt.Sprintf("backend %q has no server that is carried", args[0]) + fallThroughNote
 		}
 		target.Pool = args[0]
 		if name == "default_backend" {
 			if len(condition) > 0 {
-				return Lost, "default_backend takes no condition"
+				return NotCarried, "default_backend takes no condition"
 			}
 			t.defaultPools[proxy] = target.Pool
 			return Carried, "the route behind all others"
@@ -283,7 +283,7 @@
 			case "content-type":
 				verdict, reason = Different, "a route, without a type of its content"
 			default:
-				return Lost, args[n] + " is not supported" + fallThroughNote
+				return NotCarried, args[n] + " is not supported" + fallThroughNote
 			}
 		}
 	case "redirect", "http-request redirect":
@@ -298,19 +298,19 @@
 			case "code":
 				target.Status, _ = strconv.Atoi(args[n+1])
 			default:
-				return Lost, args[n] + ": only a fixed location is carried" + fallThroughNote
+				return NotCarried, args[n] + ": only a fixed location is carried" + fallThroughNote
 			}
 		}
 		if target.Location == "" || strings.Contains(target.Location, "%[") {
-			return Lost, "only a fixed location is carried" + fallThroughNote
+			return NotCarried, "only a fixed location is carried" + fallThroughNote
 		}
 	}
 	if target.Pool == "" && (target.Status < 200 || target.Status > 599) {
-		return Lost, "the status must be between 200 and 599" + fallThroughNote
+		return NotCarried, "the status must be between 200 and 599" + fallThroughNote
 	}
 	alternatives, err := t.parseCondition(proxy, condition)
 	if err != nil {
-		return Lost, err.Error() + fallThroughNote
+		return NotCarried, err.Error() + fallThroughNote
 	}
 	for _, route := range alternatives {
 		route.Pool, route.Status, route.Location, route.Body = target.Pool, target.Status, target.Location, target.Body
--- a/internal/haproxy/translate/translate.go
+++ b/internal/haproxy/translate/translate.go
@@ -22,10 +22,10 @@
 type Verdict int
 
 const (
-	Carried   Verdict = iota // has the same effect
-	Different                // has a similar effect; the reason names the difference
-	Lost                     // has no effect
-	Danger                   // left out, and an operator must decide what replaces it
+	Carried    Verdict = iota // has the same effect
+	Different                 // has a similar effect; the reason names the difference
+	NotCarried                // has no effect
+	Dangerous                 // left out, and an operator must decide what replaces it
 )
 
 // String returns the verdict as reports print it.
@@ -35,12 +35,12 @@
 
 // Entry is the verdict on one directive, as reports contain it.
 type Entry struct {
-	At      string  `json:"at"`        // "file:line"
-	Section string  `json:"section"`   // kind and name; empty outside sections
-	Text    string  `json:"directive"` // as written, without surrounding space
-	Verdict Verdict `json:"-"`
-	Word    string  `json:"verdict"` // Verdict as text
-	Why     string  `json:"why"`
+	Location    string  `json:"at"`        // "file:line"
+	Section     string  `json:"section"`   // kind and name; empty outside sections
+	Directive   string  `json:"directive"` // as written, without surrounding space
+	Verdict     Verdict `json:"-"`
+	VerdictText string  `json:"verdict"` // Verdict as text
+	Reason      string  `json:"why"`
 }
 
 // Result is a translated configuration: one entry for each directive, and the settings that the
@@ -138,7 +138,7 @@
 		}
 	}
 	for _, directive := range config.OutsideDirectives {
-		t.addEntry(nil, directive, Lost, "it appears before the first section")
+		t.addEntry(nil, directive, NotCarried, "it appears before the first section")
 	}
 	for _, directive := range config.BlockDirectives {
 		t.addEntry(nil, directive, Carried, "a conditional block: its lines have verdicts of their own")
@@ -156,7 +156,7 @@
 
 // addEntry records the verdict on a directive. section is nil for a directive outside sections.
 func (t *translator) addEntry(section *haproxy.Section, directive *haproxy.Directive, verdict Verdict, reason string) {
-	entry := Entry{At: directive.Location(), Text: strings.TrimSpace(directive.Raw), Verdict: verdict, Word: verdict.String(), Why: reason}
+	entry := Entry{Location: directive.Location(), Directive: strings.TrimSpace(directive.Raw), Verdict: verdict, VerdictText: verdict.String(), Reason: reason}
 	if section != nil {
 		entry.Section = strings.TrimSpace(section.Kind + " " + section.Name)
 	}
@@ -169,21 +169,21 @@
 	case section.Kind == "global" || section.Kind == "defaults":
 		t.addEntry(section, section.Head, Carried, "its directives have verdicts of their own")
 	case proxy == nil && section.Known:
-		t.addEntry(section, section.Head, Lost, "there is nothing of its kind here")
+		t.addEntry(section, section.Head, NotCarried, "there is nothing of its kind here")
 	case proxy == nil:
-		t.addEntry(section, section.Head, Lost, "HAProxy has no section of this kind, as far as is known here")
+		t.addEntry(section, section.Head, NotCarried, "HAProxy has no section of this kind, as far as is known here")
 	case section.Head.Active != haproxy.True:
-		t.addEntry(section, section.Head, Lost, inactiveReason(section.Head))
+		t.addEntry(section, section.Head, NotCarried, inactiveReason(section.Head))
 	case proxy.mode != "http":
-		t.addEntry(section, section.Head, Lost, "mode "+proxy.mode+": only HTTP is carried")
+		t.addEntry(section, section.Head, NotCarried, "mode "+proxy.mode+": only HTTP is carried")
 	case section.Kind == "backend" && t.backends[section.Name] != proxy:
-		t.addEntry(section, section.Head, Lost, "a backend of that name is there already")
+		t.addEntry(section, section.Head, NotCarried, "a backend of that name is there already")
 	case section.Kind == "backend" && len(proxy.servers) == 0:
-		t.addEntry(section, section.Head, Lost, "none of its servers is carried")
+		t.addEntry(section, section.Head, NotCarried, "none of its servers is carried")
 	case section.Kind == "backend":
 		t.addEntry(section, section.Head, Carried, "a pool")
 	case proxy.listener == "":
-		t.addEntry(section, section.Head, Lost, "a further listener needs a name of its own and a bind with a port and without TLS")
+		t.addEntry(section, section.Head, NotCarried, "a further listener needs a name of its own and a bind with a port and without TLS")
 	case proxy.listener != features.PlatformListener:
 		t.addEntry(section, section.Head, Carried, "a listener and its routes")
 	default:
@@ -345,13 +345,13 @@
 // add is true, it also adds the server and its options to the proxy.
 func (t *translator) translateServer(proxy *proxySettings, args []string, add bool) (Verdict, string) {
 	if len(args) < 2 {
-		return Lost, "the server has no address"
+		return NotCarried, "the server has no address"
 	}
 	args = slices.Concat(args[:2], proxy.defaultServerArgs, args[2:])
 	server := features.PoolServer{Name: args[0], Address: args[1], Weight: 1}
 	host, port, err := net.SplitHostPort(server.Address)
 	if n, portErr := strconv.Atoi(port); err != nil || portErr != nil || n < 1 || n > 65535 || net.ParseIP(host) == nil {
-		return Lost, "its address must be an IP address with a port: names are not looked up, and a port is not made up"
+		return NotCarried, "its address must be an IP address with a port: names are not looked up, and a port is not made up"
 	}
 	verdict, reason, checked := Carried, "", false
 	addDifference := func(text string) {
@@ -391,10 +391,10 @@
 			n++
 			weight, err := strconv.Atoi(next)
 			if err != nil || weight < 0 || weight > 256 {
-				return Lost, "weight " + next + " is not between 0 and 256"
+				return NotCarried, "weight " + next + " is not between 0 and 256"
 			}
 			if server.Weight = float64(weight); weight == 0 {
-				return Lost, "weight 0: it gets no calls in HAProxy, so it is left out"
+				return NotCarried, "weight 0: it gets no calls in HAProxy, so it is left out"
 			}
 		case "backup":
 			server.Backup = true
@@ -408,7 +408,7 @@
 			n++
 			count, err := strconv.Atoi(next)
 			if err != nil || count < 0 {
-				return Lost, args[n-1] + " " + next + " is not a number of at least 0"
+				return NotCarried, args[n-1] + " " + next + " is not a number of at least 0"
 			}
 			if args[n-1] == "maxconn" {
 				maxConns = count
@@ -420,9 +420,9 @@
 			n++
 			addDifference("no stickiness by cookie: clients are not bound to it")
 		case "ssl", "send-proxy", "send-proxy-v2", "proto", "socks4", "disabled", "track", "agent-check":
-			return Lost, args[n] + ": there is nothing like it here, and without it the server would be spoken to wrongly"
+			return NotCarried, args[n] + ": there is nothing like it here, and without it the server would be spoken to wrongly"
 		default:
-			return Lost, args[n] + " is not known here, and what the server is without it neither"
+			return NotCarried, args[n] + " is not known here, and what the server is without it neither"
 		}
 	}
 	if add {
@@ -449,42 +449,42 @@
 	name := directiveName(directive)
 	switch {
 	case directive.Err != "":
-		t.addEntry(section, directive, Lost, "it can't be parsed: "+directive.Err)
+		t.addEntry(section, directive, NotCarried, "it can't be parsed: "+directive.Err)
 	case directive.Active == haproxy.False:
-		t.addEntry(section, directive, Lost, inactiveReason(directive))
+		t.addEntry(section, directive, NotCarried, inactiveReason(directive))
 	case directive.Active == haproxy.Unknown && rejectsRequests(directive, name):
-		t.addEntry(section, directive, Danger, "it keeps requests out, "+inactiveReason(directive))
+		t.addEntry(section, directive, Dangerous, "it keeps requests out, "+inactiveReason(directive))
 	case directive.Active == haproxy.Unknown:
-		t.addEntry(section, directive, Lost, inactiveReason(directive))
+		t.addEntry(section, directive, NotCarried, inactiveReason(directive))
 	case dangerReason(directive, name) != "":
-		t.addEntry(section, directive, Danger, dangerReason(directive, name))
+		t.addEntry(section, directive, Dangerous, dangerReason(directive, name))
 	case section.Kind == "global":
-		t.addEntry(section, directive, Lost, "of HAProxy's process: the platform sets up this one")
+		t.addEntry(section, directive, NotCarried, "of HAProxy's process: the platform sets up this one")
 	case proxy == nil && section.Kind != "defaults":
-		t.addEntry(section, directive, Lost, "its section is not carried")
+		t.addEntry(section, directive, NotCarried, "its section is not carried")
 	case proxy != nil && proxy.mode != "http":
-		t.addEntry(section, directive, Lost, "its section is of mode "+proxy.mode)
+		t.addEntry(section, directive, NotCarried, "its section is of mode "+proxy.mode)
 	case proxy != nil && section.Kind != "backend" && proxy.listener == "" && name != "server" && name != "balance":
-		t.addEntry(section, directive, Lost, "its section is a listener that is not carried")
+		t.addEntry(section, directive, NotCarried, "its section is a listener that is not carried")
 	case proxy != nil && section.Kind == "backend" && t.backends[section.Name] != proxy:
-		t.addEntry(section, directive, Lost, "its section has the name of another")
+		t.addEntry(section, directive, NotCarried, "its section has the name of another")
 	case name == "bind" && slices.Contains(directive.Args(), "ssl"):
-		t.addEntry(section, directive, Lost, reasonNoTLS)
+		t.addEntry(section, directive, NotCarried, reasonNoTLS)
 	case name == "bind" && proxy != nil && proxy.listener != "" && proxy.listener != features.PlatformListener:
 		if directive == proxy.bind {
 			t.addEntry(section, directive, Different, "a listener at "+proxy.bindAddress)
 		} else {
-			t.addEntry(section, directive, Lost, "one address for each listener")
+			t.addEntry(section, directive, NotCarried, "one address for each listener")
 		}
 	case name == "server" && proxy != nil:
 		verdict, reason := t.translateServer(proxy, directive.Args(), false)
-		if proxy.dangerousCheck && verdict != Lost && slices.Contains(slices.Concat(proxy.defaultServerArgs, directive.Args()), "check") {
+		if proxy.dangerousCheck && verdict != NotCarried && slices.Contains(slices.Concat(proxy.defaultServerArgs, directive.Args()), "check") {
 			verdict, reason = Different, reason+"; it is not checked, for the check is dangerous"
 		}
 		t.addEntry(section, directive, verdict, reason)
 	case name == "default-server":
-		if verdict, reason := t.translateServer(&proxySettings{}, append([]string{"any", "127.0.0.1:1"}, directive.Args()...), false); verdict == Lost {
-			t.addEntry(section, directive, Lost, reason)
+		if verdict, reason := t.translateServer(&proxySettings{}, append([]string{"any", "127.0.0.1:1"}, directive.Args()...), false); verdict == NotCarried {
+			t.addEntry(section, directive, NotCarried, reason)
 		} else {
 			t.addEntry(section, directive, Carried, "before each server's own options")
 		}
@@ -493,19 +493,19 @@
 	case name == "option httpchk" || name == "http-check send":
 		t.translateCheck(section, directive, proxy)
 	case proxy != nil && proxy.listener == "" && rejectsRequests(directive, name):
-		t.addEntry(section, directive, Danger, "it keeps requests out, and rules of a backend are not carried: routes are chosen before it")
+		t.addEntry(section, directive, Dangerous, "it keeps requests out, and rules of a backend are not carried: routes are chosen before it")
 	case proxy != nil && proxy.listener == "" && (name == "http-request return" || name == "redirect" || name == "http-request redirect"):
-		t.addEntry(section, directive, Lost, "rules of a backend are not carried: routes are chosen before it")
+		t.addEntry(section, directive, NotCarried, "rules of a backend are not carried: routes are chosen before it")
 	case (name == "use_backend" || name == "default_backend" || name == "http-request deny" || name == "http-request return" || name == "redirect" || name == "http-request redirect") && proxy != nil:
 		verdict, reason := t.translateRule(proxy, directive, name)
-		if verdict == Lost && rejectsRequests(directive, name) {
-			verdict = Danger
+		if verdict == NotCarried && rejectsRequests(directive, name) {
+			verdict = Dangerous
 		}
 		t.addEntry(section, directive, verdict, reason)
 	case name == "acl" && proxy != nil:
 		_, err := t.parseACL(directive.Args()[min(1, len(directive.Args())):])
 		if err != nil {
-			t.addEntry(section, directive, Lost, err.Error())
+			t.addEntry(section, directive, NotCarried, err.Error())
 		} else {
 			t.addEntry(section, directive, Carried, "where a rule uses it")
 		}
@@ -515,10 +515,10 @@
 			return
 		}
 		if rejectsRequests(directive, name) {
-			t.addEntry(section, directive, Danger, "it keeps requests out: without it they come in")
+			t.addEntry(section, directive, Dangerous, "it keeps requests out: without it they come in")
 			return
 		}
-		t.addEntry(section, directive, Lost, "not known here: nothing of it is carried")
+		t.addEntry(section, directive, NotCarried, "not known here: nothing of it is carried")
 	}
 }
 
@@ -560,7 +560,7 @@
 	t.applyDirective(parsed, directive)
 	switch {
 	case parsed.dangerousCheck:
-		t.addEntry(section, directive, Danger, "a check that may take effect at a server, once for each check: choose a path that only looks")
+		t.addEntry(section, directive, Dangerous, "a check that may take effect at a server, once for each check: choose a path that only looks")
 	case parsed.check.Path == "":
 		t.addEntry(section, directive, Different, "checks are GET requests without a body or additional header fields")
 	default:
@@ -594,19 +594,19 @@
 	"no option redispatch": {Different, "a further attempt goes to another server all the same"},
 	"balance":              {Different, "two random choices by calls under way, latency and weight"},
 	"bind":                 {Different, "where it listens is for the platform to say"},
-	"maxconn":              {Different, "connections are bounded by the platform's sockets"}, "fullconn": {Lost, "there are no dynamic limits by it"},
+	"maxconn":              {Different, "connections are bounded by the platform's sockets"}, "fullconn": {NotCarried, "there are no dynamic limits by it"},
 	"timeout client": {Different, reasonTimeouts}, "timeout server": {Different, reasonTimeouts}, "timeout connect": {Different, reasonTimeouts}, "timeout http-request": {Different, "a head must come within 2.5 s"},
 	"timeout queue": {Different, "of a pool whose servers all have a maxconn; a call that can't get its turn by then is refused as it comes"}, "timeout http-keep-alive": {Different, "idle connections are closed when there is no room"},
-	"timeout check": {Different, "a check may take as long as lies between two"}, "timeout tunnel": {Lost, "there are no tunnels"}, "timeout tarpit": {Lost, "nobody is held back here"},
-	"http-check expect": {Different, "good is 2xx and 3xx"}, "http-check connect": {Lost, "checks have one step"},
-	"option forwardfor": {Lost, reasonHeaders}, "option http-server-close": {Different, "connections to servers are kept as long as they are good"}, "option httpclose": {Different, "connections are kept"},
-	"option http-keep-alive": {Carried, "connections are kept"}, "option httplog": {Lost, reasonLogs}, "option tcplog": {Lost, reasonLogs}, "option dontlognull": {Lost, reasonLogs}, "log": {Lost, reasonLogs}, "log-format": {Lost, reasonLogs},
+	"timeout check": {Different, "a check may take as long as lies between two"}, "timeout tunnel": {NotCarried, "there are no tunnels"}, "timeout tarpit": {NotCarried, "nobody is held back here"},
+	"http-check expect": {Different, "good is 2xx and 3xx"}, "http-check connect": {NotCarried, "checks have one step"},
+	"option forwardfor": {NotCarried, reasonHeaders}, "option http-server-close": {Different, "connections to servers are kept as long as they are good"}, "option httpclose": {Different, "connections are kept"},
+	"option http-keep-alive": {Carried, "connections are kept"}, "option httplog": {NotCarried, reasonLogs}, "option tcplog": {NotCarried, reasonLogs}, "option dontlognull": {NotCarried, reasonLogs}, "log": {NotCarried, reasonLogs}, "log-format": {NotCarried, reasonLogs},
 	"option abortonclose": {Carried, "a client that leaves ends its call"}, "option allbackups": {Different, "all backups serve at once"}, "option tcp-check": {Different, "a check is a connection that comes up"},
-	"http-request set-header": {Lost, reasonHeaders}, "http-request add-header": {Lost, reasonHeaders}, "http-request del-header": {Lost, reasonHeaders}, "http-response set-header": {Lost, reasonHeaders}, "http-response del-header": {Lost, reasonHeaders}, "http-response add-header": {Lost, reasonHeaders},
-	"cookie": {Lost, reasonNoStickiness}, "stick-table": {Lost, reasonNoStickiness}, "stick on": {Lost, reasonNoStickiness}, "stick match": {Lost, reasonNoStickiness}, "stick store-request": {Lost, reasonNoStickiness},
-	"errorfile": {Lost, "answers of the daemon's own have no body"}, "compression": {Lost, "bodies are passed on as they are"}, "stats": {Lost, "fawnctl status shows the daemon's state"},
-	"stats enable": {Lost, "fawnctl status shows the daemon's state"}, "stats uri": {Lost, "fawnctl status shows the daemon's state"},
-	"server-template": {Lost, "names are not looked up: use a discovery"}, "description": {Carried, "a text for people"}, "disabled": {Lost, "the section is imported all the same: take it out by hand"},
+	"http-request set-header": {NotCarried, reasonHeaders}, "http-request add-header": {NotCarried, reasonHeaders}, "http-request del-header": {NotCarried, reasonHeaders}, "http-response set-header": {NotCarried, reasonHeaders}, "http-response del-header": {NotCarried, reasonHeaders}, "http-response add-header": {NotCarried, reasonHeaders},
+	"cookie": {NotCarried, reasonNoStickiness}, "stick-table": {NotCarried, reasonNoStickiness}, "stick on": {NotCarried, reasonNoStickiness}, "stick match": {NotCarried, reasonNoStickiness}, "stick store-request": {NotCarried, reasonNoStickiness},
+	"errorfile": {NotCarried, "answers of the daemon's own have no body"}, "compression": {NotCarried, "bodies are passed on as they are"}, "stats": {NotCarried, "fawnctl status shows the daemon's state"},
+	"stats enable": {NotCarried, "fawnctl status shows the daemon's state"}, "stats uri": {NotCarried, "fawnctl status shows the daemon's state"},
+	"server-template": {NotCarried, "names are not looked up: use a discovery"}, "description": {Carried, "a text for people"}, "disabled": {NotCarried, "the section is imported all the same: take it out by hand"},
 }
 
 // buildPools adds a pool for each carried backend and listen section.
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -43,12 +43,12 @@
 type Host struct {
 	Server, Health, Zone string
 	Hint                 float64 // capacity hint, relative to those of the other servers
-	StartUs              int64   // time at which the server started, in microseconds
+	StartTimeUs          int64   // time at which the server started, in microseconds
 	Group                int
 }
 
-// Load is a server's load report. HasBusyReqs and HasCPUShare say which values it contains.
-type Load struct {
+// LoadReport is a server's load report. HasBusyReqs and HasCPUShare say which values it contains.
+type LoadReport struct {
 	BusyReqs, CPUShare       float64
 	HasBusyReqs, HasCPUShare bool
 }
@@ -56,26 +56,26 @@
 // Event is a message from the simulator. Only the fields of its kind are set. All byte slices but
 // Env are valid only until the next call to Decode.
 type Event struct {
-	Kind     Kind
-	Instance []byte
-	TimeUs   int64  // tick: the simulated time in microseconds
-	Turn     int64  // tick: the number of the batch
-	Seed     uint64 // powerOn: the seed for random decisions
-	Env      []byte // powerOn: the settings, as JSON
-	List     int    // the number of a list of servers
-	Hosts    []Host // ledger: the servers in the list
-	How      []byte // backendsChanged: how the list was obtained
-	ID       uint64 // the request
-	Class    []byte
-	Key      []byte
-	Tenant   []byte
-	Deadline int64  // the client's deadline, as a time in microseconds
-	Copy     int    // the number of the attempt
-	Over     bool   // whether the request has ended with this attempt
-	Ending   int    // the outcome of an attempt or a probe, as a status code
-	Load     Load   // the load that the server reported
-	Cookie   uint64 // wakeup: the timer
-	Server   []byte // checked: the server that was probed
+	Kind         Kind
+	Instance     []byte
+	TimeUs       int64  // tick: the simulated time in microseconds
+	Turn         int64  // tick: the number of the batch
+	Seed         uint64 // powerOn: the seed for random decisions
+	Env          []byte // powerOn: the settings, as JSON
+	ListNumber   int    // the number of a list of servers
+	Hosts        []Host // ledger: the servers in the list
+	UpdateKind   []byte // backendsChanged: how the list was obtained
+	ID           uint64 // the request
+	Class        []byte
+	Key          []byte
+	Tenant       []byte
+	DeadlineUs   int64      // the client's deadline, as a time in microseconds
+	Copy         int        // the number of the attempt
+	RequestEnded bool       // whether the request has ended with this attempt
+	StatusCode   int        // the outcome of an attempt or a probe, as a status code
+	Load         LoadReport // the load that the server reported
+	Cookie       uint64     // wakeup: the timer
+	Server       []byte     // checked: the server that was probed
 }
 
 // Decoder decodes messages. It reuses its memory, so it decodes one message at a time.
@@ -116,25 +116,25 @@
 		}
 		e.Seed, e.Env = v.GetUint64("entropy"), env.MarshalTo(nil)
 	case BackendsChanged:
-		e.How, e.List = v.GetStringBytes("how"), v.GetInt("list")
+		e.UpdateKind, e.ListNumber = v.GetStringBytes("how"), v.GetInt("list")
 	case Wakeup:
 		e.Cookie = v.GetUint64("cookie")
 	case Checked:
-		e.Server, e.Ending, e.Load = v.GetStringBytes("server"), v.GetInt("ending"), decodeLoad(v.Get("feedback"))
+		e.Server, e.StatusCode, e.Load = v.GetStringBytes("server"), v.GetInt("ending"), decodeLoad(v.Get("feedback"))
 	case Knock, HeadReceived, Finished, TimedOutClient:
 		if e.ID, err = parseID(v.GetStringBytes("id")); err != nil {
 			return err
 		}
 		e.Class, e.Key, e.Tenant = v.GetStringBytes("cls"), v.GetStringBytes("resource"), v.GetStringBytes("project")
-		e.Deadline = v.GetInt64("clientDeadlineUs")
-		e.Copy, e.Over, e.Ending = v.GetInt("copy"), v.GetBool("noMore"), v.GetInt("ending")
+		e.DeadlineUs = v.GetInt64("clientDeadlineUs")
+		e.Copy, e.RequestEnded, e.StatusCode = v.GetInt("copy"), v.GetBool("noMore"), v.GetInt("ending")
 		e.Load = decodeLoad(v.Get("feedback"))
 	}
 	return nil
 }
 
 // decodeLoad decodes a load report. A missing one gives an empty Load.
-func decodeLoad(v *fastjson.Value) (load Load) {
+func decodeLoad(v *fastjson.Value) (load LoadReport) {
 	if v == nil {
 		return load
 	}
@@ -149,15 +149,15 @@
 
 // decodeLedger sets the fields of a ledger message. Every entry must name its server.
 func decodeLedger(v *fastjson.Value, e *Event) error {
-	e.List = v.GetInt("list")
+	e.ListNumber = v.GetInt("list")
 	for _, entry := range v.GetArray("hosts") {
 		host := Host{
-			Server:  string(entry.GetStringBytes("server")),
-			Health:  string(entry.GetStringBytes("health")),
-			Zone:    string(entry.GetStringBytes("az")),
-			StartUs: entry.GetInt64("startTimeUs"),
-			Group:   entry.GetInt("unitGroup"),
-			Hint:    entry.GetFloat64("powerHint"),
+			Server:      string(entry.GetStringBytes("server")),
+			Health:      string(entry.GetStringBytes("health")),
+			Zone:        string(entry.GetStringBytes("az")),
+			StartTimeUs: entry.GetInt64("startTimeUs"),
+			Group:       entry.GetInt("unitGroup"),
+			Hint:        entry.GetFloat64("powerHint"),
 		}
 		if host.Server == "" {
 			return errors.New("ledger entry without server")
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -24,19 +24,19 @@
 		t.Errorf("tick: %+v", event)
 	}
 	event = mustDecode(t, `{"t":"knock","sidecarId":"sidecar/3","id":"069fa6f45d3a91c4","resource":"k:x","cls":"c","project":"p","clientDeadlineUs":8652250,"new":{"a":[1]}}`)
-	if event.Kind != Knock || event.ID != 0x069fa6f45d3a91c4 || string(event.Key) != "k:x" || string(event.Class) != "c" || string(event.Tenant) != "p" || event.Deadline != 8652250 {
+	if event.Kind != Knock || event.ID != 0x069fa6f45d3a91c4 || string(event.Key) != "k:x" || string(event.Class) != "c" || string(event.Tenant) != "p" || event.DeadlineUs != 8652250 {
 		t.Errorf("knock: %+v", event)
 	}
 	event = mustDecode(t, `{"t":"finished","sidecarId":"s","id":"069fa6f45d3a91c4","copy":2,"noMore":true,"ending":429,"feedback":{"cpu_share":0.5,"odd":1}}`)
-	if event.Copy != 2 || !event.Over || event.Ending != 429 || !event.Load.HasCPUShare || event.Load.CPUShare != 0.5 || event.Load.HasBusyReqs {
+	if event.Copy != 2 || !event.RequestEnded || event.StatusCode != 429 || !event.Load.HasCPUShare || event.Load.CPUShare != 0.5 || event.Load.HasBusyReqs {
 		t.Errorf("finished: %+v", event)
 	}
 	event = mustDecode(t, `{"t":"checked","sidecarId":"s","server":"10.0.0.1:1","ending":200,"durationUs":1400,"feedback":{"busy_reqs":3}}`)
-	if event.Kind != Checked || string(event.Server) != "10.0.0.1:1" || event.Ending != 200 || !event.Load.HasBusyReqs || event.Load.BusyReqs != 3 {
+	if event.Kind != Checked || string(event.Server) != "10.0.0.1:1" || event.StatusCode != 200 || !event.Load.HasBusyReqs || event.Load.BusyReqs != 3 {
 		t.Errorf("checked: %+v", event)
 	}
 	event = mustDecode(t, `{"t":"ledger","list":3,"hosts":[{"health":"SERVING","powerHint":1.5,"server":"10.0.0.1:1","startTimeUs":6,"unitGroup":4,"generationHw":"g","az":"z"}]}`)
-	if want := (Host{Server: "10.0.0.1:1", Health: "SERVING", Zone: "z", Hint: 1.5, StartUs: 6, Group: 4}); event.List != 3 || len(event.Hosts) != 1 || event.Hosts[0] != want {
+	if want := (Host{Server: "10.0.0.1:1", Health: "SERVING", Zone: "z", Hint: 1.5, StartTimeUs: 6, Group: 4}); event.ListNumber != 3 || len(event.Hosts) != 1 || event.Hosts[0] != want {
 		t.Errorf("ledger: %+v", event)
 	}
 	event = mustDecode(t, `{"t":"powerOn","sidecarId":"s","entropy":18446744073709551615,"env":{"zone":"z","overShareWorth":0.5,"tenants":[{"name":"p","allowancePerS":7.5,"share":1}],"unknown":1,"classes":[{"name":"c","promiseUs":5}]}}`)
