--- a/cmd/fawnctl/plan.go
+++ b/cmd/fawnctl/plan.go
@@ -87,7 +87,7 @@
 	// Lost nodes stay in the fleet without cores, because limits may name them.
 	for n := range fleet.Nodes {
 		if !slices.ContainsFunc(remaining, func(d plan.Node) bool { return d.Name == fleet.Nodes[n].Name }) {
-			fleet.Nodes[n].Cores, fleet.Nodes[n].Today = 0, 0
+			fleet.Nodes[n].Cores, fleet.Nodes[n].CurrentShare = 0, 0
 		}
 	}
 	return nil
@@ -134,9 +134,9 @@
 		case "cores":
 			node.Cores, found = int(newValue(float64(node.Cores))), true
 		case "add":
-			for k := range int(min(number, plan.NodesMost)) {
+			for k := range int(min(number, plan.MaxNodes)) {
 				extra := *node
-				extra.Name, extra.Today = fmt.Sprintf("%s+%d", node.Name, k+1), 0
+				extra.Name, extra.CurrentShare = fmt.Sprintf("%s+%d", node.Name, k+1), 0
 				added = append(added, extra)
 			}
 			found = true
@@ -186,7 +186,7 @@
 	began := time.Now()
 	result, err := plan.Solve(fleet, options)
 	elapsed := time.Since(began)
-	if errors.Is(err, plan.ErrLeft) {
+	if errors.Is(err, plan.ErrStopped) {
 		return fmt.Errorf("%w: after %s: set a longer --time", errNoPlanInTime, elapsed.Round(time.Millisecond))
 	}
 	if err != nil {
@@ -256,30 +256,30 @@
 		fmt.Fprintf(w, "binds\t%s\n", b)
 	}
 	for _, g := range result.Gains {
-		fmt.Fprintf(w, "one more\t%s in %s: %.4g of worth a second (at most %.4g by its dual price)\n", g.Kind, g.Zone, g.Again, g.Dual)
+		fmt.Fprintf(w, "one more\t%s in %s: %.4g of worth a second (at most %.4g by its dual price)\n", g.Kind, g.Zone, g.Actual, g.DualBound)
 	}
 	for _, l := range result.Losses {
 		verdict := "held"
-		if !l.Held {
-			verdict = fmt.Sprintf("short: %.4g of worth a second", l.Worth)
+		if !l.Survived {
+			verdict = fmt.Sprintf("short: %.4g of worth a second", l.WorthLost)
 			for _, name := range sortedKeys(l.Served) {
 				verdict += fmt.Sprintf(", %s %.1f %%", name, 100*l.Served[name])
 			}
 		}
-		fmt.Fprintf(w, "without\t%s: %s\n", l.What, verdict)
+		fmt.Fprintf(w, "without\t%s: %s\n", l.Name, verdict)
 	}
-	if len(result.Left) > 0 {
-		fmt.Fprintf(w, "left\t%s: --time ended before these were computed\n", strings.Join(result.Left, ", "))
+	if len(result.Skipped) > 0 {
+		fmt.Fprintf(w, "left\t%s: --time ended before these were computed\n", strings.Join(result.Skipped, ", "))
 	}
 	if r := result.Robust; r != nil {
-		fmt.Fprintf(w, "robust\t%.4g an hour, %.4g without\n", r.With, r.Without)
-		for _, l := range r.Weak {
+		fmt.Fprintf(w, "robust\t%.4g an hour, %.4g without\n", r.CostWith, r.CostWithout)
+		for _, l := range r.Problems {
 			fmt.Fprintf(w, "loss not borne\t%s\n", l)
 		}
 	}
 	if search := result.Search; search != nil {
 		state := "proven"
-		if search.Left {
+		if search.Stopped {
 			state = fmt.Sprintf("ended early, gap %.2g %%", 100*search.Gap)
 		}
 		fmt.Fprintf(w, "search\t%d steps, %d cuts, %s\n", search.Steps, search.Cuts, state)
@@ -288,7 +288,7 @@
 	for _, d := range result.Nodes {
 		fmt.Fprintf(w, "%s\t%s\t%s\t%.3g\t%.3g\t%.0f %%\t%.2f %%\n", d.Name, d.Zone, d.Kind, d.Load, d.Capacity, 100*d.Busy, 100*d.Share)
 		if explainNodes {
-			for _, why := range d.Why {
+			for _, why := range d.Reasons {
 				fmt.Fprintf(w, "\t%s\n", why)
 			}
 		}
--- a/internal/plan/brute_test.go
+++ b/internal/plan/brute_test.go
@@ -125,8 +125,8 @@
 	for k := range fleet.Nodes {
 		node := &fleet.Nodes[k]
 		capacity := float64(node.Cores) * node.Speed
-		if limits.Free > 0 && disabled.enforces(freeShareLimit(limits)) {
-			capacity *= 1 - limits.Free
+		if limits.FreeShare > 0 && disabled.enforces(freeShareLimit(limits)) {
+			capacity *= 1 - limits.FreeShare
 		}
 		if !disabled.enforces(capacityLimit(node.Zone)) {
 			capacity = totalWork
@@ -279,7 +279,7 @@
 		f.Classes = append(f.Classes, c)
 	}
 	limits := &f.Limits
-	limits.Free = []float64{0, 0, 0.25}[rng.IntN(3)]
+	limits.FreeShare = []float64{0, 0, 0.25}[rng.IntN(3)]
 	limits.MaxNodeShare = []float64{0, 0, 0.5}[rng.IntN(3)]
 	limits.MaxZoneShare = []float64{0, 0, 0.5, 0.75}[rng.IntN(4)]
 	if f.Choose {
--- a/internal/plan/fleet.go
+++ b/internal/plan/fleet.go
@@ -22,7 +22,7 @@
 // Limits on the size of a fleet, which bound time and memory: a fleet of 400 nodes, 12 zones and
 // 20 classes takes seconds and under 200 MB.
 const (
-	NodesMost  = 2000
+	MaxNodes   = 2000
 	MaxZones   = 24
 	MaxClasses = 64
 	MaxPins    = 256
@@ -40,9 +40,9 @@
 	Queue     int     `toml:"queue" json:"queue,omitempty"` // requests that may wait at the node; 0: no limit
 	Price     float64 `toml:"price" json:"price,omitempty"` // per hour, while the node is in use
 	Drain     bool    `toml:"drain" json:"drain,omitempty"` // the node gets no work
-	// Today is the node's current share of all work, from which moved work is computed. If it
+	// CurrentShare is the node's current share of all work, from which moved work is computed. If it
 	// is 0 for all nodes, the current shares are unknown and moved work is not minimised.
-	Today float64 `toml:"today" json:"today,omitempty"`
+	CurrentShare float64 `toml:"today" json:"today,omitempty"`
 
 	notChosen    bool   // left out of use by the choice of nodes
 	sameLimitsAs string // name of a node whose pins, OnlyPlaces and ExcludedPlaces apply to this one too
@@ -83,7 +83,7 @@
 
 // Limits apply to the fleet as a whole. A limit of 0 is not set.
 type Limits struct {
-	Free         float64 `toml:"free" json:"free,omitempty"`                 // share of each node's capacity that stays unused
+	FreeShare    float64 `toml:"free" json:"free,omitempty"`                 // share of each node's capacity that stays unused
 	MaxNodeShare float64 `toml:"most_of_node" json:"most_of_node,omitempty"` // share of all work on one node
 	MaxZoneShare float64 `toml:"most_of_zone" json:"most_of_zone,omitempty"` // share of all work in one zone
 	MaxNodes     int     `toml:"most_nodes" json:"most_nodes,omitempty"`
@@ -119,7 +119,7 @@
 	}
 	checkShare := func(x float64, field string) { require(x >= 0 && x <= 1, field, "must be from 0 to 1, not %v", x) }
 	require(f.Version == 1, "version", "must be 1, not %d", f.Version)
-	require(len(f.Nodes) >= 1 && len(f.Nodes) <= NodesMost, "nodes", "their number must be from 1 to %d", NodesMost)
+	require(len(f.Nodes) >= 1 && len(f.Nodes) <= MaxNodes, "nodes", "their number must be from 1 to %d", MaxNodes)
 	require(len(f.Classes) >= 1 && len(f.Classes) <= MaxClasses, "classes", "their number must be from 1 to %d", MaxClasses)
 	require(len(f.Pins) <= MaxPins, "pins", "their number must be at most %d", MaxPins)
 	require(len(f.Zones()) <= MaxZones, "zones", "their number must be at most %d", MaxZones)
@@ -137,8 +137,8 @@
 		require(node.Cores >= 0 && node.Cores <= 1<<12, prefix+"cores", "must be from 0 to %d, not %d", 1<<12, node.Cores)
 		require(node.Queue >= 0, prefix+"queue", "must be 0 or more, not %d", node.Queue)
 		checkNumber(node.Price, prefix+"price")
-		checkShare(node.Today, prefix+"today")
-		currentShares += node.Today
+		checkShare(node.CurrentShare, prefix+"today")
+		currentShares += node.CurrentShare
 	}
 	require(currentShares <= 1+1e-6, "nodes", "the values of today add up to %v, must be at most 1", currentShares)
 	classNames := make(map[string]bool)
@@ -181,7 +181,7 @@
 		pricedPairs[[2]string{p.From, p.To}] = true
 	}
 	limits := &f.Limits
-	require(limits.Free >= 0 && limits.Free < 1, "limits.free", "must be 0 or more and below 1, not %v", limits.Free)
+	require(limits.FreeShare >= 0 && limits.FreeShare < 1, "limits.free", "must be 0 or more and below 1, not %v", limits.FreeShare)
 	checkShare(limits.MaxNodeShare, "limits.most_of_node")
 	checkShare(limits.MaxZoneShare, "limits.most_of_zone")
 	require(limits.MaxNodes >= 0, "limits.most_nodes", "must be 0 or more, not %d", limits.MaxNodes)
--- a/internal/plan/loss.go
+++ b/internal/plan/loss.go
@@ -18,12 +18,12 @@
 
 // Loss is the effect of a failure on a plan.
 type Loss struct {
-	What string `json:"what"`
-	// Held is true if no more requests are late and no more worth is lost than without the failure.
-	Held   bool               `json:"held"`
-	Served map[string]float64 `json:"served"`
-	// Worth is the worth per second that the plan serves and that is lost after the failure.
-	Worth float64 `json:"worth_lost_s"`
+	Name string `json:"what"`
+	// Survived is true if no more requests are late and no more worth is lost than without the failure.
+	Survived bool               `json:"held"`
+	Served   map[string]float64 `json:"served"`
+	// WorthLost is the worth per second that the plan serves and that is lost after the failure.
+	WorthLost float64 `json:"worth_lost_s"`
 }
 
 // lossCases returns the failures that a fleet is checked against.
@@ -91,7 +91,7 @@
 	}
 	values, solution, _, err = solveLexicographic(m.problem, objectives, stop)
 	if err == nil && solution.Status != simplex.Optimal {
-		err = ErrLeft
+		err = ErrStopped
 	}
 	return values, solution, err
 }
@@ -168,7 +168,7 @@
 				continue
 			}
 			if cutCount++; cutCount > maxCuts {
-				return nil, summary, unsurvivable, ErrLeft
+				return nil, summary, unsurvivable, ErrStopped
 			}
 			cutAdded = true
 			rhs := checked.bestValue - values[0]
@@ -196,8 +196,8 @@
 			return counts, summary, unsurvivable, nil
 		}
 		nextCounts, search, err := m.chooseNodeCounts(false, stop, progress)
-		if search.Left && err == nil {
-			err = ErrLeft
+		if search.Stopped && err == nil {
+			err = ErrStopped
 		}
 		if err != nil || nextCounts == nil {
 			return nil, search, unsurvivable, err
--- a/internal/plan/model.go
+++ b/internal/plan/model.go
@@ -73,7 +73,7 @@
 }
 func drainLimit(node *Node) limit { return limit("nodes: " + node.Name + " has drain = true") }
 func freeShareLimit(limits *Limits) limit {
-	return limit(fmt.Sprintf("limits.free: %v of each node's capacity stays unused", limits.Free))
+	return limit(fmt.Sprintf("limits.free: %v of each node's capacity stays unused", limits.FreeShare))
 }
 func nodeShareLimit(limits *Limits) limit {
 	return limit(fmt.Sprintf("limits.most_of_node: at most %v of all work on one node", limits.MaxNodeShare))
@@ -114,7 +114,7 @@
 		descriptions = append(descriptions, pinLimit(n, &f.Pins[n]))
 	}
 	limits := &f.Limits
-	if limits.Free > 0 {
+	if limits.FreeShare > 0 {
 		descriptions = append(descriptions, freeShareLimit(limits))
 	}
 	if limits.MaxNodeShare > 0 {
@@ -203,8 +203,8 @@
 	for n := range fleet.Nodes {
 		node := &fleet.Nodes[n]
 		capacity := UsableCapacity(node, workMS, aimMS, limits.MaxLateShare, limits.MaxFullShare) / m.totalWork
-		if limits.Free > 0 && disabled.enforces(freeShareLimit(limits)) {
-			capacity *= 1 - limits.Free
+		if limits.FreeShare > 0 && disabled.enforces(freeShareLimit(limits)) {
+			capacity *= 1 - limits.FreeShare
 		}
 		if !disabled.enforces(capacityLimit(node.Zone)) {
 			capacity = 1
@@ -232,7 +232,7 @@
 		}
 		nodeGroup = groupsByKey[key]
 		nodeGroup.nodeIndexes = append(nodeGroup.nodeIndexes, n)
-		nodeGroup.currentShare += node.Today
+		nodeGroup.currentShare += node.CurrentShare
 	}
 }
 
--- a/internal/plan/place.go
+++ b/internal/plan/place.go
@@ -29,12 +29,12 @@
 	Best  []float64 `json:"best"`  // late, worth, cost of the best choice found
 	// Gap is the difference of Best and Bound at the first of the three values that differs,
 	// relative to Best; 0 if Best is proven to be optimal.
-	Gap  float64 `json:"gap"`
-	Left bool    `json:"left,omitempty"` // the search was stopped before Best was proven to be optimal
+	Gap     float64 `json:"gap"`
+	Stopped bool    `json:"left,omitempty"` // the search was stopped before Best was proven to be optimal
 }
 
-// ErrLeft is returned if the search was stopped before it found any answer.
-var ErrLeft = errors.New("plan: the search was stopped before it found an answer")
+// ErrStopped is returned if the search was stopped before it found any answer.
+var ErrStopped = errors.New("plan: the search was stopped before it found an answer")
 
 // searchNode is a node of the branch-and-bound tree: bounds on the integer variables, the values
 // of the parent's relaxation (nil at the root) and the sequence number.
@@ -104,14 +104,14 @@
 			break // all other nodes have bounds that are no lower
 		}
 		if search.Steps >= maxSearchSteps || stop != nil && stop() {
-			search.Left = true
+			search.Stopped = true
 			heap.Push(open, current)
 			break
 		}
 		search.Steps++
 		values, counts, relaxErr := m.solveRelaxation(current, objectives, stop)
-		if errors.Is(relaxErr, ErrLeft) {
-			search.Left = true
+		if errors.Is(relaxErr, ErrStopped) {
+			search.Stopped = true
 			heap.Push(open, current)
 			break
 		}
@@ -163,7 +163,7 @@
 		}
 	}
 	search.Best, search.Bound = bestValues, bestValues
-	if search.Left && open.Len() > 0 {
+	if search.Stopped && open.Len() > 0 {
 		if search.Bound = (*open)[0].bound; search.Bound != nil && bestValues != nil {
 			for n := range bestValues {
 				if d := bestValues[n] - search.Bound[n]; d > valueTolerance*max(1, math.Abs(bestValues[n])) {
@@ -213,7 +213,7 @@
 	case err != nil:
 		return nil, nil, err
 	case solution.Status == simplex.Stopped:
-		return nil, nil, ErrLeft
+		return nil, nil, ErrStopped
 	case solution.Status != simplex.Optimal:
 		return nil, nil, nil
 	}
@@ -228,14 +228,14 @@
 	m := newModel(f, disabled, false)
 	if f.Choose {
 		counts, search, err := m.chooseNodeCounts(true, stop, nil)
-		if counts == nil && search.Left && err == nil {
-			err = ErrLeft
+		if counts == nil && search.Stopped && err == nil {
+			err = ErrStopped
 		}
 		return counts != nil, err
 	}
 	_, solution, _, err := solveLexicographic(m.problem, []objective{{}}, stop)
 	if err == nil && solution.Status == simplex.Stopped {
-		err = ErrLeft
+		err = ErrStopped
 	}
 	return err == nil && solution.Status == simplex.Optimal, err
 }
--- a/internal/plan/plan_test.go
+++ b/internal/plan/plan_test.go
@@ -71,7 +71,7 @@
 			}
 		}, Short, func(p *Plan) bool { return p.Served["activate"] == 0 && nearlyEqual(p.Values["late"], 20) }},
 		{"a drained node gets no work", func(f *Fleet) { f.Nodes[2].Drain = true }, Satisfied, func(p *Plan) bool {
-			return p.Nodes[2].Load == 0 && strings.Contains(strings.Join(p.Nodes[2].Why, " "), "drained")
+			return p.Nodes[2].Load == 0 && strings.Contains(strings.Join(p.Nodes[2].Reasons, " "), "drained")
 		}},
 		{"with costly crossings work stays in its zone", func(f *Fleet) {
 			for _, a := range []string{"a", "b", "c"} {
@@ -84,7 +84,7 @@
 		}, Satisfied, func(p *Plan) bool { return nearlyEqual(p.Crossing, 0) && nearlyEqual(p.Nodes[0].Weights["a"], 0.5) }},
 		{"no more work is moved than needed", func(f *Fleet) {
 			for n, today := range []float64{0.3, 0.3, 0.1, 0.1, 0.1, 0.1} {
-				f.Nodes[n].Today = today
+				f.Nodes[n].CurrentShare = today
 			}
 			f.Limits.MaxNodeShare = 0.25
 		}, Satisfied, func(p *Plan) bool { return nearlyEqual(p.Values["moves"], 0.1) }},
@@ -129,7 +129,7 @@
 		{"nodes[0].price", func(f *Fleet) { f.Nodes[0].Price = -1 }},
 		{"nodes[0].slow_speed", func(f *Fleet) { f.Nodes[0].SlowSpeed = 9 }},
 		{"nodes[3].name", func(f *Fleet) { f.Nodes[3].Name = "a0" }},
-		{"nodes", func(f *Fleet) { f.Nodes[0].Today, f.Nodes[1].Today = 0.6, 0.6 }},
+		{"nodes", func(f *Fleet) { f.Nodes[0].CurrentShare, f.Nodes[1].CurrentShare = 0.6, 0.6 }},
 		{"classes[0].rate", func(f *Fleet) { f.Classes[0].Rate = math.Inf(1) }},
 		{"classes[0].busy_rate", func(f *Fleet) { f.Classes[0].BusyRate = 1 }},
 		{"classes[0].work_ms", func(f *Fleet) { f.Classes[0].WorkMS = 0 }},
@@ -138,7 +138,7 @@
 		{"classes[1].only", func(f *Fleet) { f.Classes[1].OnlyPlaces = []string{"zone:x"} }},
 		{"pins[0].class", func(f *Fleet) { f.Pins = []Pin{{"x", []string{"a0"}, 0.1}} }},
 		{"prices[0].per_request", func(f *Fleet) { f.Prices = []Price{{"a", "b", -1}} }},
-		{"limits.free", func(f *Fleet) { f.Limits.Free = 1 }},
+		{"limits.free", func(f *Fleet) { f.Limits.FreeShare = 1 }},
 		{"limits.most_nodes", func(f *Fleet) { f.Limits.MaxNodes = 1 }},
 		{"version", func(f *Fleet) { f.Version = 2 }},
 	} {
@@ -165,7 +165,7 @@
 			t.Fatalf("seed %d: two plans of the same fleet differ:\n%s\n%s", seed, a, b)
 		}
 	}
-	if _, err := Solve(threeZoneFleet(), Options{Stop: func() bool { return true }}); !errors.Is(err, ErrLeft) {
+	if _, err := Solve(threeZoneFleet(), Options{Stop: func() bool { return true }}); !errors.Is(err, ErrStopped) {
 		t.Errorf("error = %v, want that of a stopped search", err)
 	}
 }
@@ -184,10 +184,10 @@
 		fleet.Limits.MaxNodeShare, fleet.Limits.MaxZoneShare = 0, 0 // more capacity does not relax these shares of all work
 		plan := mustSolve(t, fleet, Options{Gains: true})
 		for _, g := range plan.Gains {
-			if g.Again > 1e-6 {
+			if g.Actual > 1e-6 {
 				seen++
 			}
-			if g.Again > g.Dual+1e-6*max(1, g.Dual) {
+			if g.Actual > g.DualBound+1e-6*max(1, g.DualBound) {
 				t.Fatalf("fleet %d: the gain is above the dual bound: %+v\n%+v", n, g, fleet)
 			}
 		}
@@ -297,15 +297,15 @@
 		plan := mustSolve(t, fleet, Options{Robust: true})
 		want := robustByBruteForce(fleet)
 		if want == nil {
-			if !slices.Contains(plan.Robust.Weak, "no choice of nodes within the limits survives the losses that all nodes together would") {
+			if !slices.Contains(plan.Robust.Problems, "no choice of nodes within the limits survives the losses that all nodes together would") {
 				t.Fatalf("seed %d, fleet %d: no choice survives the losses, and the plan says %+v", seed, n, plan.Robust)
 			}
 			continue
 		}
-		if !nearlyEqual(plan.Robust.With, want[2]) || !nearlyEqual(plan.Values["late"], want[0]) || !nearlyEqual(plan.Values["worth"], want[1]) {
+		if !nearlyEqual(plan.Robust.CostWith, want[2]) || !nearlyEqual(plan.Values["late"], want[0]) || !nearlyEqual(plan.Values["worth"], want[1]) {
 			t.Fatalf("seed %d, fleet %d: %+v %+v, by brute force %v\n%+v", seed, n, plan.Robust, plan.Values, want, fleet)
 		}
-		if plan.Robust.With > plan.Robust.Without {
+		if plan.Robust.CostWith > plan.Robust.CostWithout {
 			costlier++
 		}
 	}
@@ -317,7 +317,7 @@
 // largeFleet returns a realistic fleet: two kinds of nodes, prices of crossings, a limit on the
 // share of a zone, one class that must not be late, and about as much work as the nodes can do.
 func largeFleet(rng *rand.Rand, nodes, zones, classes int) *Fleet {
-	f := &Fleet{Version: 1, Limits: Limits{Free: 0.1, MaxZoneShare: 0.9, MaxLateShare: 0.05, MaxFullShare: 0.2}}
+	f := &Fleet{Version: 1, Limits: Limits{FreeShare: 0.1, MaxZoneShare: 0.9, MaxLateShare: 0.05, MaxFullShare: 0.2}}
 	total := 0.0
 	for n := range nodes {
 		node := Node{Name: fmt.Sprint("n", n), Zone: fmt.Sprint("z", rng.IntN(zones)), Kind: "standard", Cores: 2, Queue: 5, Price: 1}
@@ -394,7 +394,7 @@
 				f := largeFleet(rand.New(rand.NewPCG(1, 1)), size.nodes, size.zones, size.classes)
 				if today {
 					for n := range f.Nodes {
-						f.Nodes[n].Today = 1 / float64(size.nodes)
+						f.Nodes[n].CurrentShare = 1 / float64(size.nodes)
 					}
 				}
 				b.ReportAllocs()
@@ -432,7 +432,7 @@
 		for stopAfter := range 150 {
 			asked := 0
 			plan, err := Solve(fleet, Options{Robust: n%2 == 0, Losses: true, Stop: func() bool { asked++; return asked > stopAfter }})
-			if errors.Is(err, ErrLeft) {
+			if errors.Is(err, ErrStopped) {
 				if answered {
 					t.Fatalf("fleet %d: no answer although a search stopped earlier found one", n)
 				}
@@ -444,13 +444,13 @@
 			}
 			answered = true
 			const noChoice = "no choice of nodes within the limits survives the losses that all nodes together would"
-			if plan.Robust != nil && slices.Contains(plan.Robust.Weak, noChoice) && !slices.Contains(complete.Robust.Weak, noChoice) {
-				t.Fatalf("fleet %d, stopped after %d calls: the plan says that there is no choice: %q", n, stopAfter, plan.Robust.Weak)
+			if plan.Robust != nil && slices.Contains(plan.Robust.Problems, noChoice) && !slices.Contains(complete.Robust.Problems, noChoice) {
+				t.Fatalf("fleet %d, stopped after %d calls: the plan says that there is no choice: %q", n, stopAfter, plan.Robust.Problems)
 			}
-			if !plan.Search.Left && len(plan.Left) == 0 {
+			if !plan.Search.Stopped && len(plan.Skipped) == 0 {
 				break
 			}
-			if !plan.Search.Left {
+			if !plan.Search.Stopped {
 				continue
 			}
 			partial++
--- a/internal/plan/solve.go
+++ b/internal/plan/solve.go
@@ -46,7 +46,7 @@
 	Losses   []Loss             `json:"losses,omitempty"`
 	Nodes    []NodePlan         `json:"nodes"`
 	Crossing float64            `json:"crossing"`       // share of the work that is done outside its zone of origin
-	Left     []string           `json:"left,omitempty"` // parts that were not computed because Options.Stop ended them
+	Skipped  []string           `json:"left,omitempty"` // parts that were not computed because Options.Stop ended them
 
 	Search *Search `json:"search,omitempty"`
 	// Robust gives the price of a choice of nodes that survives losses, and the losses that no
@@ -56,10 +56,10 @@
 
 // Robust compares the price per hour of the nodes in use with and without Options.Robust.
 type Robust struct {
-	Without float64 `json:"cost_without"`
-	With    float64 `json:"cost_with"`
+	CostWithout float64 `json:"cost_without"`
+	CostWith    float64 `json:"cost_with"`
 	// Losses that no choice of nodes survives, and why no robust choice was found, if so.
-	Weak []string `json:"weak,omitempty"`
+	Problems []string `json:"weak,omitempty"`
 }
 
 // Missing is the demand of a class in a zone that is not served.
@@ -73,10 +73,10 @@
 // the upper bound that the dual price of capacity gives, and the actual gain, found by solving
 // with that node.
 type Gain struct {
-	Kind  string  `json:"kind"`
-	Zone  string  `json:"zone"`
-	Dual  float64 `json:"dual"`
-	Again float64 `json:"again"`
+	Kind      string  `json:"kind"`
+	Zone      string  `json:"zone"`
+	DualBound float64 `json:"dual"`
+	Actual    float64 `json:"again"`
 }
 
 // NodePlan is the part of a plan for one node.
@@ -91,7 +91,7 @@
 	Share    float64 `json:"share"` // share of all work served
 	// Weights holds the node's share of the work that comes from each zone, by zone.
 	Weights map[string]float64 `json:"weights"`
-	Why     []string           `json:"why"`
+	Reasons []string           `json:"why"`
 }
 
 // Solve validates a fleet and computes its plan. It returns the error of Validate, or the error of
@@ -142,8 +142,8 @@
 // noteSkipped lists a part as not computed if err says that it was stopped, and returns other
 // errors.
 func (p *Plan) noteSkipped(part string, err error) error {
-	if errors.Is(err, ErrLeft) {
-		p.Left = append(p.Left, part)
+	if errors.Is(err, ErrStopped) {
+		p.Skipped = append(p.Skipped, part)
 		return nil
 	}
 	return err
@@ -154,7 +154,7 @@
 	m := newModel(fleet, nil, false)
 	counts, search, err := m.chooseNodeCounts(false, options.Stop, options.Progress)
 	if err == nil && counts == nil {
-		err = ErrLeft
+		err = ErrStopped
 	}
 	if err != nil {
 		return nil, err
@@ -162,19 +162,19 @@
 	p.Search = &search
 	if options.Robust {
 		robustCounts, robustSearch, unsurvivable, err := m.makeRobust(counts[:len(m.groups)], options.Stop, options.Progress)
-		p.Robust = &Robust{Without: m.totalPrice(counts), Weak: unsurvivable}
+		p.Robust = &Robust{CostWithout: m.totalPrice(counts), Problems: unsurvivable}
 		switch {
-		case errors.Is(err, ErrLeft):
-			p.Robust.Weak = append(p.Robust.Weak, "the search was stopped before it found a choice of nodes that survives the losses")
-			p.Search.Left, robustCounts = true, counts
+		case errors.Is(err, ErrStopped):
+			p.Robust.Problems = append(p.Robust.Problems, "the search was stopped before it found a choice of nodes that survives the losses")
+			p.Search.Stopped, robustCounts = true, counts
 		case err != nil:
 			return nil, err
 		case robustCounts == nil:
-			p.Robust.Weak = append(p.Robust.Weak, "no choice of nodes within the limits survives the losses that all nodes together would")
+			p.Robust.Problems = append(p.Robust.Problems, "no choice of nodes within the limits survives the losses that all nodes together would")
 			robustCounts = counts
 		}
 		counts = robustCounts
-		p.Robust.With = m.totalPrice(counts)
+		p.Robust.CostWith = m.totalPrice(counts)
 		p.Search.Cuts = robustSearch.Cuts
 		p.Search.Steps += robustSearch.Steps
 	}
@@ -184,7 +184,7 @@
 	for n, nodeGroup := range m.groups {
 		// Nodes with the largest current share come first, then those first in the fleet file.
 		nodes := slices.Clone(nodeGroup.nodeIndexes)
-		slices.SortStableFunc(nodes, func(a, b int) int { return cmp.Compare(fleet.Nodes[b].Today, fleet.Nodes[a].Today) })
+		slices.SortStableFunc(nodes, func(a, b int) int { return cmp.Compare(fleet.Nodes[b].CurrentShare, fleet.Nodes[a].CurrentShare) })
 		for _, node := range nodes[:int(counts[n])] {
 			keep[node] = true
 		}
@@ -206,7 +206,7 @@
 
 // splitWork computes how the work is split over the nodes in use, and sets the plan's status.
 func (p *Plan) splitWork(used *Fleet, options Options) error {
-	sharesKnown := slices.ContainsFunc(used.Nodes, func(d Node) bool { return d.Today > 0 })
+	sharesKnown := slices.ContainsFunc(used.Nodes, func(d Node) bool { return d.CurrentShare > 0 })
 	m := newModel(used, nil, sharesKnown)
 	objectives := m.objectives()
 	if !sharesKnown {
@@ -217,7 +217,7 @@
 		return err
 	}
 	if solution.Status != simplex.Optimal {
-		return fmt.Errorf("%w: the linear programme of the split ended as %v", ErrLeft, solution.Status)
+		return fmt.Errorf("%w: the linear programme of the split ended as %v", ErrStopped, solution.Status)
 	}
 	for n, current := range objectives {
 		p.Values[current.name] = values[n]
@@ -286,7 +286,7 @@
 			if servedWork > 0 {
 				nodePlan.Share = nodePlan.Load / m.totalWork / servedWork
 			}
-			nodePlan.Why = m.explainNode(g, node, nodePlan)
+			nodePlan.Reasons = m.explainNode(g, node, nodePlan)
 			plansByName[node.Name] = nodePlan
 			if nodePlan.Used {
 				plan.Capacity += nodePlan.Capacity
@@ -362,7 +362,7 @@
 	}
 	values, solution, _, err := solveLexicographic(m.problem, objectives, options.Stop)
 	if err == nil && solution.Status != simplex.Optimal {
-		err = ErrLeft
+		err = ErrStopped
 	}
 	if err != nil {
 		return err
@@ -405,19 +405,19 @@
 		seen[key] = true
 		larger := *used
 		added := used.Nodes[g.nodeIndexes[0]]
-		added.Name, added.sameLimitsAs, added.Today = added.Name+" again", added.Name, 0
+		added.Name, added.sameLimitsAs, added.CurrentShare = added.Name+" again", added.Name, 0
 		larger.Nodes = append(slices.Clone(used.Nodes), added)
 		largerModel := newModel(&larger, nil, false)
 		largerValues, largerSolution, _, err := solveLexicographic(largerModel.problem, largerModel.objectives()[worthObjective:worthObjective+1], options.Stop)
 		if err == nil && largerSolution.Status != simplex.Optimal {
-			err = ErrLeft
+			err = ErrStopped
 		}
 		if err != nil {
 			return err
 		}
-		p.Gains = append(p.Gains, Gain{Kind: g.kind, Zone: m.zoneNames[g.zoneIndex], Dual: -solution.Duals[m.capacityRows[n]] * g.nodeCapacity, Again: values[0] - largerValues[0]})
+		p.Gains = append(p.Gains, Gain{Kind: g.kind, Zone: m.zoneNames[g.zoneIndex], DualBound: -solution.Duals[m.capacityRows[n]] * g.nodeCapacity, Actual: values[0] - largerValues[0]})
 	}
-	slices.SortStableFunc(p.Gains, func(a, b Gain) int { return cmp.Compare(b.Again, a.Again) })
+	slices.SortStableFunc(p.Gains, func(a, b Gain) int { return cmp.Compare(b.Actual, a.Actual) })
 	return nil
 }
 
@@ -441,7 +441,7 @@
 		}
 		worthLost := max(0, values[worthObjective]-p.Values["worth"])
 		survived := values[lateObjective] <= p.Values["late"]+valueTolerance*max(1, p.Values["late"]) && worthLost <= valueTolerance*max(1, values[worthObjective])
-		p.Losses = append(p.Losses, Loss{What: loss.name, Held: survived, Served: afterLoss.servedShares(solution.Values), Worth: worthLost})
+		p.Losses = append(p.Losses, Loss{Name: loss.name, Survived: survived, Served: afterLoss.servedShares(solution.Values), WorthLost: worthLost})
 	}
 	return nil
 }
--- a/internal/weights/fleet_test.go
+++ b/internal/weights/fleet_test.go
@@ -173,7 +173,7 @@
 // that do not coordinate come within 0.12 of it.
 func TestPlanPredictsZoneLoss(t *testing.T) {
 	for _, load := range []float64{0.5, 0.8, 1.1} {
-		f := &plan.Fleet{Version: 1, Limits: plan.Limits{Free: 0.05}}
+		f := &plan.Fleet{Version: 1, Limits: plan.Limits{FreeShare: 0.05}}
 		cfg := lab.Config{Seed: 3, Sidecars: 10, Classes: classes, Wait: 2500 * time.Millisecond,
 			Rules: chalkrack.Config{MaxAttempts: 5, SecondCopies: true, MaxRetryAfter: 2 * time.Second, WasteCost: 0.002}}
 		capacity := 0.0
