--- a/internal/duty/duty_test.go
+++ b/internal/duty/duty_test.go
@@ -251,7 +251,7 @@
 		{"210 sidecars, half killed", 210, 100, func(w *sim) { kill(w, 105) }, cfg.MaxTakeoverGap(210, 105), 10},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			if (testing.Short() || racing.On) && c.sidecars > 100 {
+			if (testing.Short() || racing.Enabled) && c.sidecars > 100 {
 				t.Skip("long")
 			}
 			w := newSim(1, c.sidecars, c.servers, nil)
--- a/internal/lab/cold_test.go
+++ b/internal/lab/cold_test.go
@@ -67,7 +67,7 @@
 					}
 					l.After(start, func() {
 						for n := range 3 {
-							l.Replace(fmt.Sprint("n", n), Node{Name: fmt.Sprint("fresh", n), Speed: 1.4, Cores: 2, Room: 5, ColdShare: rules.ColdFrom}, time.Second)
+							l.Replace(fmt.Sprint("n", n), Node{Name: fmt.Sprint("fresh", n), Speed: 1.4, Cores: 2, QueueSize: 5, ColdShare: rules.ColdFrom}, time.Second)
 						}
 					})
 					if scenario == "others vanish" {
@@ -105,19 +105,19 @@
 // as each of the others.
 func warmFleetConfig(rules chalkrack.Config, seed uint64, count int, uneven bool, load float64, work time.Duration) Config {
 	rules.MaxAttempts, rules.MayCancel, rules.SecondCopies, rules.MaxRetryAfter, rules.WasteCost = 5, true, true, 2*time.Second, 0.2
-	cfg := Config{Seed: seed, Sidecars: count, Wait: 2500 * time.Millisecond, Tries: 2, Honour: 0.8,
+	cfg := Config{Seed: seed, Sidecars: count, ClientTimeout: 2500 * time.Millisecond, MaxClientRetries: 2, HonourRetryAfterShare: 0.8,
 		Rules:   rules,
-		Classes: []Class{{Class: chalkrack.Class{Aim: 800 * time.Millisecond, Worth: 1, Effect: chalkrack.Safe}, Share: 1, Work: work}}}
+		Classes: []Class{{Class: chalkrack.Class{Aim: 800 * time.Millisecond, Worth: 1, Effect: chalkrack.Safe}, Share: 1, MeanWork: work}}}
 	capacity := 0.0
 	for n := range 12 {
-		cfg.Nodes = append(cfg.Nodes, Node{Name: fmt.Sprint("n", n), Speed: 1.4, Cores: 2, Room: 5})
+		cfg.Nodes = append(cfg.Nodes, Node{Name: fmt.Sprint("n", n), Speed: 1.4, Cores: 2, QueueSize: 5})
 		capacity += 2 * 1.4
 	}
 	cfg.Rate = func(time.Duration) float64 { return load * capacity / work.Seconds() }
 	if uneven {
 		busySidecars := (count + 9) / 10
 		lowShare := 1 / (float64(10*busySidecars) + float64(count-busySidecars))
-		cfg.Share = func(n int) float64 {
+		cfg.SidecarShare = func(n int) float64 {
 			if n < busySidecars {
 				return 10 * lowShare
 			}
@@ -146,12 +146,12 @@
 				const start = 25
 				l.After(start*time.Second, func() {
 					for n := range replaced {
-						l.Replace(fmt.Sprint("n", n), Node{Name: fmt.Sprint("fresh", n), Speed: 1.4, Cores: 2, Room: 5, ColdShare: rules.ColdFrom}, 500*time.Millisecond)
+						l.Replace(fmt.Sprint("n", n), Node{Name: fmt.Sprint("fresh", n), Speed: 1.4, Cores: 2, QueueSize: 5, ColdShare: rules.ColdFrom}, 500*time.Millisecond)
 					}
 				})
 				l.Run((start + 22) * time.Second)
 				for n, from := range [...]int{1, 6, 11} {
-					worth[n] += l.Worth(start+from, start+[...]int{6, 11, 20}[n]) / seeds
+					worth[n] += l.ServedWorthShare(start+from, start+[...]int{6, 11, 20}[n]) / seeds
 				}
 				for n := range replaced {
 					excess, _ := l.maxOverBudget(fmt.Sprint("fresh", n), work)
@@ -186,7 +186,7 @@
 			}
 			l.After(30*time.Second, func() {
 				for n := range 9 {
-					l.Replace(fmt.Sprint("n", n), Node{Name: fmt.Sprint("fresh", n), Speed: 1.4, Cores: 2, Room: 5, ColdShare: rules.ColdFrom}, time.Second)
+					l.Replace(fmt.Sprint("n", n), Node{Name: fmt.Sprint("fresh", n), Speed: 1.4, Cores: 2, QueueSize: 5, ColdShare: rules.ColdFrom}, time.Second)
 				}
 			})
 			l.Run(42 * time.Second)
--- a/internal/lab/fleet_test.go
+++ b/internal/lab/fleet_test.go
@@ -19,13 +19,13 @@
 // configuration; it may be nil.
 func newFleet(t *testing.T, load float64, change func(*Config)) *Lab {
 	t.Helper()
-	cfg := Config{Seed: 7, Sidecars: sidecarCount, Wait: 2500 * time.Millisecond, Tries: 2, Honour: 0.8,
+	cfg := Config{Seed: 7, Sidecars: sidecarCount, ClientTimeout: 2500 * time.Millisecond, MaxClientRetries: 2, HonourRetryAfterShare: 0.8,
 		Rules: chalkrack.Config{MaxAttempts: 5, MayCancel: true, SecondCopies: true, MaxRetryAfter: 2 * time.Second, WasteCost: 0.2,
 			ColdFrom: 0.14, ColdFor: 23 * time.Second, OverloadFactor: 4, OverloadFor: 2 * time.Second},
 		Classes: []Class{
-			{Class: chalkrack.Class{Aim: 800 * time.Millisecond, Worth: 1, Effect: chalkrack.Safe}, Share: 0.52, Work: meanWork},
-			{Class: chalkrack.Class{Aim: time.Second, Worth: 3, Effect: chalkrack.Keyed, Window: 1500 * time.Millisecond}, Share: 0.27, Work: meanWork},
-			{Class: chalkrack.Class{Aim: 750 * time.Millisecond, Worth: 10, Effect: chalkrack.Unsafe}, Share: 0.21, Work: meanWork},
+			{Class: chalkrack.Class{Aim: 800 * time.Millisecond, Worth: 1, Effect: chalkrack.Safe}, Share: 0.52, MeanWork: meanWork},
+			{Class: chalkrack.Class{Aim: time.Second, Worth: 3, Effect: chalkrack.Keyed, Window: 1500 * time.Millisecond}, Share: 0.27, MeanWork: meanWork},
+			{Class: chalkrack.Class{Aim: 750 * time.Millisecond, Worth: 10, Effect: chalkrack.Unsafe}, Share: 0.21, MeanWork: meanWork},
 		}}
 	capacity := 0.0
 	for n := range nodeCount {
@@ -33,7 +33,7 @@
 		capacity += 2 * cfg.Nodes[n].Speed
 	}
 	cfg.Rate = func(time.Duration) float64 { return load * capacity / meanWork.Seconds() }
-	cfg.Share = func(n int) float64 {
+	cfg.SidecarShare = func(n int) float64 {
 		if n%10 == 0 {
 			return 0.5 / 8
 		}
@@ -50,7 +50,7 @@
 }
 
 func newNode(name string, n int) Node {
-	return Node{Name: name, Speed: 1.8 - 0.9*float64(n%2), Cores: 2, Room: 5}
+	return Node{Name: name, Speed: 1.8 - 0.9*float64(n%2), Cores: 2, QueueSize: 5}
 }
 
 // Sidecars that all start at once must spread their requests for the server list over AskWithin,
@@ -125,7 +125,7 @@
 		maxConnections = max(maxConnections, l.ConnectionCount(name))
 	}
 	t.Logf("worth %.3f; a cold node gets at most %.2f times what it can serve; %.0f calls, %d attempts, %d copies, %d further attempts; at most %d connections at a node",
-		l.Worth(5, 45), maxFactor, asked, sent, copies, retries, maxConnections)
+		l.ServedWorthShare(5, 45), maxFactor, asked, sent, copies, retries, maxConnections)
 	if maxFactor >= 4 {
 		t.Errorf("a cold node gets %.2f times what it can serve within two seconds, want less than 4", maxFactor)
 	}
@@ -152,7 +152,7 @@
 	if float64(lost) > maxLostShare*unsafe {
 		t.Errorf("lost %d of %.0f calls that must not run twice, more than maxLostShare of them", lost, unsafe)
 	}
-	if w := l.Worth(17, 24); w < 0.9 {
+	if w := l.ServedWorthShare(17, 24); w < 0.9 {
 		t.Errorf("worth %.3f after all nodes have recovered, want at least 0.9", w)
 	}
 }
--- a/internal/lab/lab.go
+++ b/internal/lab/lab.go
@@ -16,8 +16,8 @@
 // Class is a class of requests.
 type Class struct {
 	chalkrack.Class
-	Share float64       // share of all calls
-	Work  time.Duration // mean on a core of speed 1: a constant fifth and an exponential part
+	Share    float64       // share of all calls
+	MeanWork time.Duration // mean on a core of speed 1: a constant fifth and an exponential part
 }
 
 // Node is a server.
@@ -26,7 +26,7 @@
 	Zone      string
 	Speed     float64 // of a core; a request of Class.Work takes Work/Speed
 	Cores     int
-	Room      int     // capacity of the queue; further requests are rejected
+	QueueSize int     // capacity of the queue; further requests are rejected
 	ErrorRate float64 // share of attempts answered with an error at once
 	// ColdShare is the share of Speed that the node has at its start. It rises linearly to 1
 	// within Rules.ColdFor. A node with 0 is warm from the start.
@@ -35,20 +35,20 @@
 
 // Config holds the fleet, the load and the rules of a Lab.
 type Config struct {
-	Seed        uint64
-	Nodes       []Node
-	Sidecars    int
-	Classes     []Class
-	Rate        func(at time.Duration) float64 // calls per second of all clients
-	Share       func(sidecar int) float64      // share of the calls made to a sidecar; nil: equal
-	Rules       chalkrack.Config               // New sets Instances and Classes
-	Wait        time.Duration                  // how long a client waits for an answer
-	Tries       int                            // maximum number of retries of a client after refusals
-	Honour      float64                        // share of clients that wait for the time given in a refusal
-	InStep      bool                           // the other clients all retry at the next whole second
-	ClockAhead  time.Duration                  // by how much sidecars' clocks are ahead of the clock that reports starts
-	Begin       func(*Sidecar)                 // called with each sidecar before its first server list; may be nil
-	OnSubscribe func(*Sidecar)                 // called when a sidecar requests the server list; may be nil
+	Seed                  uint64
+	Nodes                 []Node
+	Sidecars              int
+	Classes               []Class
+	Rate                  func(at time.Duration) float64 // calls per second of all clients
+	SidecarShare          func(sidecar int) float64      // share of the calls made to a sidecar; nil: equal
+	Rules                 chalkrack.Config               // New sets Instances and Classes
+	ClientTimeout         time.Duration                  // how long a client waits for an answer
+	MaxClientRetries      int                            // maximum number of retries of a client after refusals
+	HonourRetryAfterShare float64                        // share of clients that wait for the time given in a refusal
+	SynchronizedRetries   bool                           // the other clients all retry at the next whole second
+	ClockAhead            time.Duration                  // by how much sidecars' clocks are ahead of the clock that reports starts
+	OnNewSidecar          func(*Sidecar)                 // called with each sidecar before its first server list; may be nil
+	OnSubscribe           func(*Sidecar)                 // called when a sidecar requests the server list; may be nil
 	// OnSend and OnAttemptDone are called at the start and the end of each attempt, like the
 	// methods of core.AttemptObserver. Each may be nil.
 	OnSend        func(s *Sidecar, node string) (ticket uint64)
@@ -83,9 +83,9 @@
 	Lab          *Lab
 	Index        int
 	OpenRequests int
-	// Ended counts all attempts that ended, Late those of them that took longer than the aim
+	// AttemptsEnded counts all attempts that ended, Late those of them that took longer than the aim
 	// of their class, and Full those that a node rejected. A reader may reset them.
-	Ended, Late, Full float64
+	AttemptsEnded, AttemptsLate, AttemptsRejected float64
 
 	calls       map[chalkrack.RequestID]*call
 	lastID      chalkrack.RequestID
@@ -132,8 +132,8 @@
 			return nil, fmt.Errorf("lab: %w", err)
 		}
 		lab.Sidecars = append(lab.Sidecars, s)
-		if cfg.Begin != nil {
-			cfg.Begin(s)
+		if cfg.OnNewSidecar != nil {
+			cfg.OnNewSidecar(s)
 		}
 		s.ServersListed(0, endpoints)
 		lab.startArrivals(s)
@@ -152,9 +152,9 @@
 	return &l.Seconds[n]
 }
 
-// Worth returns the share of the worth of all calls made from firstSecond until before endSecond
+// ServedWorthShare returns the share of the worth of all calls made from firstSecond until before endSecond
 // that was served within the aim.
-func (l *Lab) Worth(firstSecond, endSecond int) float64 {
+func (l *Lab) ServedWorthShare(firstSecond, endSecond int) float64 {
 	asked, served := 0.0, 0.0
 	for n := firstSecond; n < endSecond && n < len(l.Seconds); n++ {
 		for index, class := range l.cfg.Classes {
@@ -169,8 +169,8 @@
 // again for each call and at least once a second.
 func (l *Lab) startArrivals(s *Sidecar) {
 	share := 1 / float64(l.cfg.Sidecars)
-	if l.cfg.Share != nil {
-		share = l.cfg.Share(s.Index)
+	if l.cfg.SidecarShare != nil {
+		share = l.cfg.SidecarShare(s.Index)
 	}
 	var next func()
 	next = func() {
@@ -212,7 +212,7 @@
 	call.done, call.attemptCount, call.inFlight, call.tryStart = false, 0, 0, s.Lab.Now
 	s.calls[id] = call
 	s.OpenRequests++
-	s.Arrive(s.Lab.Now, chalkrack.Request{ID: id, Class: call.class, Tenant: -1, Deadline: s.Lab.Now + s.Lab.cfg.Wait})
+	s.Arrive(s.Lab.Now, chalkrack.Request{ID: id, Class: call.class, Tenant: -1, Deadline: s.Lab.Now + s.Lab.cfg.ClientTimeout})
 }
 
 // endTry ends a try. If mayRetry is set and retries are left, the client retries: after at least
@@ -225,16 +225,16 @@
 	call.done = true
 	s.OpenRequests--
 	delete(s.calls, id)
-	if !mayRetry || call.retryCount >= l.cfg.Tries {
+	if !mayRetry || call.retryCount >= l.cfg.MaxClientRetries {
 		return
 	}
 	retry := *call
 	retry.retryCount++
 	delay := time.Duration((0.5 + l.Random.Float64()) * float64(200*time.Millisecond<<call.retryCount))
 	switch {
-	case l.Random.Float64() < l.cfg.Honour:
+	case l.Random.Float64() < l.cfg.HonourRetryAfterShare:
 		delay = max(retryAfter, delay)
-	case l.cfg.InStep:
+	case l.cfg.SynchronizedRetries:
 		delay = l.Now.Truncate(time.Second) + time.Second - l.Now
 	}
 	l.After(delay, func() { s.startTry(&retry) })
@@ -270,11 +270,11 @@
 		}
 		call.inFlight--
 		s.inFlight[server]--
-		s.Ended++
+		s.AttemptsEnded++
 		if outcome == chalkrack.Full {
-			s.Full++
+			s.AttemptsRejected++
 		} else if l.Now-sentAt > class.Aim {
-			s.Late++
+			s.AttemptsLate++
 		}
 		callDone := call.done
 		if outcome == chalkrack.OK && !callDone {
@@ -287,7 +287,7 @@
 		}
 		s.AttemptDone(l.Now, id, attempt, outcome, call.done, chalkrack.LoadReport{})
 	}
-	work := time.Duration((0.2 + 0.8*l.Random.ExpFloat64()) * float64(class.Work))
+	work := time.Duration((0.2 + 0.8*l.Random.ExpFloat64()) * float64(class.MeanWork))
 	l.After(networkDelay, func() {
 		m := l.nodes[server]
 		if m.unreachable {
@@ -432,7 +432,7 @@
 	switch {
 	case m.busyCores < m.Cores:
 		start()
-	case len(m.queue) < m.Room:
+	case len(m.queue) < m.QueueSize:
 		m.queue = append(m.queue, start)
 	default:
 		return false
@@ -440,5 +440,5 @@
 	return true
 }
 
-// Speed sets the speed of a node's cores for work that starts from now on.
-func (l *Lab) Speed(node string, speed float64) { l.nodes[node].Speed = speed }
+// SetSpeed sets the speed of a node's cores for work that starts from now on.
+func (l *Lab) SetSpeed(node string, speed float64) { l.nodes[node].Speed = speed }
--- a/internal/lab/zones_test.go
+++ b/internal/lab/zones_test.go
@@ -74,13 +74,13 @@
 // zonedConfig returns a fleet at 0.55 of the capacity of its nodes, a third of which are in each of
 // three zones. A nil fleet means that sidecars have no evacuation machines.
 func zonedConfig(sidecars int, fleet *evacuatingFleet) Config {
-	cfg := Config{Seed: 5, Sidecars: sidecars, Wait: 2500 * time.Millisecond, Honour: 1, Tries: 2,
-		Classes: []Class{{Class: chalkrack.Class{Aim: 800 * time.Millisecond, Worth: 1}, Share: 0.7, Work: 120 * time.Millisecond},
-			{Class: chalkrack.Class{Aim: 750 * time.Millisecond, Worth: 10, Effect: chalkrack.Unsafe}, Share: 0.3, Work: 120 * time.Millisecond}},
+	cfg := Config{Seed: 5, Sidecars: sidecars, ClientTimeout: 2500 * time.Millisecond, HonourRetryAfterShare: 1, MaxClientRetries: 2,
+		Classes: []Class{{Class: chalkrack.Class{Aim: 800 * time.Millisecond, Worth: 1}, Share: 0.7, MeanWork: 120 * time.Millisecond},
+			{Class: chalkrack.Class{Aim: 750 * time.Millisecond, Worth: 10, Effect: chalkrack.Unsafe}, Share: 0.3, MeanWork: 120 * time.Millisecond}},
 		Rules: chalkrack.Config{MaxAttempts: 5, MayCancel: true, SecondCopies: true, MaxRetryAfter: time.Second, WasteCost: 0.2}}
 	nodes := max(9, sidecars*3/4/3*3)
 	for n := range nodes {
-		cfg.Nodes = append(cfg.Nodes, Node{Name: fmt.Sprint("n", n), Zone: []string{"a", "b", "c"}[n%3], Speed: 1.5, Cores: 2, Room: 40})
+		cfg.Nodes = append(cfg.Nodes, Node{Name: fmt.Sprint("n", n), Zone: []string{"a", "b", "c"}[n%3], Speed: 1.5, Cores: 2, QueueSize: 40})
 	}
 	rate := 0.55 * float64(nodes) * 2 * 1.5 / 0.12
 	cfg.Rate = func(time.Duration) float64 { return rate }
@@ -141,7 +141,7 @@
 		setZoneUnreachable(false)
 	}
 	lab.Run(length)
-	return lab, lab.Worth(5, int(length/time.Second)), evacuationTimes
+	return lab, lab.ServedWorthShare(5, int(length/time.Second)), evacuationTimes
 }
 
 // Sidecars with evacuation machines all leave a zone that becomes unreachable within 2 s, each
--- a/internal/level/lab_test.go
+++ b/internal/level/lab_test.go
@@ -33,21 +33,21 @@
 // simulate simulates 40 sidecars, 14 of them with little traffic, and 12 servers of two speeds.
 func simulate(t testing.TB, seed uint64, withLevels bool, load func(time.Duration) float64, change func(*lab.Config)) simulation {
 	t.Helper()
-	cfg := lab.Config{Seed: seed, Sidecars: 40, Wait: 2500 * time.Millisecond, Tries: 2, Honour: 0.8,
+	cfg := lab.Config{Seed: seed, Sidecars: 40, ClientTimeout: 2500 * time.Millisecond, MaxClientRetries: 2, HonourRetryAfterShare: 0.8,
 		Rules: chalkrack.Config{MaxAttempts: 5, SecondCopies: true, MaxRetryAfter: 2 * time.Second, WasteCost: 0.002},
 		Classes: []lab.Class{
-			{Class: chalkrack.Class{Aim: 800 * time.Millisecond, Worth: 1, Effect: chalkrack.Safe}, Share: 0.52, Work: 130 * time.Millisecond},
-			{Class: chalkrack.Class{Aim: time.Second, Worth: 3, Effect: chalkrack.Keyed, Window: 1500 * time.Millisecond}, Share: 0.27, Work: 130 * time.Millisecond},
-			{Class: chalkrack.Class{Aim: 750 * time.Millisecond, Worth: 10, Effect: chalkrack.Unsafe}, Share: 0.21, Work: 130 * time.Millisecond},
+			{Class: chalkrack.Class{Aim: 800 * time.Millisecond, Worth: 1, Effect: chalkrack.Safe}, Share: 0.52, MeanWork: 130 * time.Millisecond},
+			{Class: chalkrack.Class{Aim: time.Second, Worth: 3, Effect: chalkrack.Keyed, Window: 1500 * time.Millisecond}, Share: 0.27, MeanWork: 130 * time.Millisecond},
+			{Class: chalkrack.Class{Aim: 750 * time.Millisecond, Worth: 10, Effect: chalkrack.Unsafe}, Share: 0.21, MeanWork: 130 * time.Millisecond},
 		}}
 	capacity := 0.0
 	for n := range 12 {
 		speed := 1.8 - 0.9*float64(n%2)
-		cfg.Nodes = append(cfg.Nodes, lab.Node{Name: fmt.Sprint("n", n), Speed: speed, Cores: 2, Room: 6})
+		cfg.Nodes = append(cfg.Nodes, lab.Node{Name: fmt.Sprint("n", n), Speed: speed, Cores: 2, QueueSize: 6})
 		capacity += 2 * speed
 	}
 	cfg.Rate = func(at time.Duration) float64 { return load(at) * capacity / 0.13 }
-	cfg.Share = func(n int) float64 { // every third has little traffic
+	cfg.SidecarShare = func(n int) float64 { // every third has little traffic
 		if n%3 == 0 {
 			return 0.1 / 14
 		}
@@ -55,15 +55,15 @@
 	}
 	var result simulation
 	if withLevels {
-		cfg.Begin = func(s *lab.Sidecar) {
+		cfg.OnNewSidecar = func(s *lab.Sidecar) {
 			machine := newTestMachine(t, nil)
 			result.machines = append(result.machines, machine)
 			s.SetDegradationPolicy(machine)
 			var ended, late, full float64
 			s.Lab.Every(100*time.Millisecond, func() {
 				const fade = 0.98 // a time constant of five seconds
-				ended, late, full = ended*fade+s.Ended, late*fade+s.Late, full*fade+s.Full
-				s.Ended, s.Late, s.Full = 0, 0, 0
+				ended, late, full = ended*fade+s.AttemptsEnded, late*fade+s.AttemptsLate, full*fade+s.AttemptsRejected
+				s.AttemptsEnded, s.AttemptsLate, s.AttemptsRejected = 0, 0, 0
 				r := Reading{Outcomes: ended}
 				r.Values[Late], r.Values[Full] = late/max(ended, 1), full/max(ended, 1)
 				machine.Tick(s.Lab.Now, r)
@@ -85,7 +85,7 @@
 		result.meanLevels = append(result.meanLevels, sum)
 	})
 	l.Run(simulatedMinutes * time.Minute)
-	result.lab, result.worth = l, l.Worth(5, 60*simulatedMinutes-5)
+	result.lab, result.worth = l, l.ServedWorthShare(5, 60*simulatedMinutes-5)
 	for _, s := range l.Seconds {
 		result.lateCalls += s.Late
 		for c, n := range s.Refused {
@@ -104,7 +104,7 @@
 func TestLevelsKeepWorthUnderOverload(t *testing.T) {
 	seeds := uint64(2)
 	loads := []float64{0.8, 1, 1.2, 1.5, 2, 3}
-	if testing.Short() || racing.On {
+	if testing.Short() || racing.Enabled {
 		seeds, loads = 1, []float64{0.8, 1.5}
 	}
 	for _, x := range loads {
@@ -142,9 +142,9 @@
 		name   string
 		change func(*lab.Config)
 	}{
-		{"clients wait as they are told", func(c *lab.Config) { c.Honour = 1 }},
-		{"clients come when they like", func(c *lab.Config) { c.Honour = 0 }},
-		{"clients come all in step", func(c *lab.Config) { c.Honour, c.InStep = 0, true }},
+		{"clients wait as they are told", func(c *lab.Config) { c.HonourRetryAfterShare = 1 }},
+		{"clients come when they like", func(c *lab.Config) { c.HonourRetryAfterShare = 0 }},
+		{"clients come all in step", func(c *lab.Config) { c.HonourRetryAfterShare, c.SynchronizedRetries = 0, true }},
 	} {
 		result := simulate(t, 5, true, surge, c.change)
 		worst := 0.0
@@ -178,11 +178,11 @@
 	}{
 		{"all servers slow", func(l *lab.Lab) {
 			for n := range 12 {
-				l.Speed(fmt.Sprint("n", n), 0.5*(1.8-0.9*float64(n%2)))
+				l.SetSpeed(fmt.Sprint("n", n), 0.5*(1.8-0.9*float64(n%2)))
 			}
 		}, func(l *lab.Lab) {
 			for n := range 12 {
-				l.Speed(fmt.Sprint("n", n), 1.8-0.9*float64(n%2))
+				l.SetSpeed(fmt.Sprint("n", n), 1.8-0.9*float64(n%2))
 			}
 		}},
 		{"a list that empties", func(l *lab.Lab) {
@@ -200,8 +200,8 @@
 		}},
 	} {
 		result := simulate(t, 3, true, func(time.Duration) float64 { return 0.7 }, func(cfg *lab.Config) {
-			begin := cfg.Begin
-			cfg.Begin = func(s *lab.Sidecar) {
+			begin := cfg.OnNewSidecar
+			cfg.OnNewSidecar = func(s *lab.Sidecar) {
 				begin(s)
 				if s.Index == 0 {
 					s.Lab.After(10*time.Second, func() { c.begin(s.Lab) })
@@ -223,8 +223,8 @@
 			}
 		}
 		t.Logf("%s: %.3f, %.3f, %.3f of the classes served during the failure, %.3f of the worth afterwards; %d of 40 sidecars back at normal", c.name,
-			served[0]/asked[0], served[1]/asked[1], served[2]/asked[2], result.lab.Worth(80, 115), recovered)
-		if recovered < 38 || result.lab.Worth(80, 115) < 0.98 || served[2]/asked[2] < served[0]/asked[0] {
+			served[0]/asked[0], served[1]/asked[1], served[2]/asked[2], result.lab.ServedWorthShare(80, 115), recovered)
+		if recovered < 38 || result.lab.ServedWorthShare(80, 115) < 0.98 || served[2]/asked[2] < served[0]/asked[0] {
 			t.Errorf("%s: want 38 of 40 sidecars back at normal, 0.98 of the worth afterwards, and the class of most worth served no less than that of least", c.name)
 		}
 	}
@@ -248,8 +248,8 @@
 	}
 	for s := 3; s < len(withLevels.lab.Seconds)-3; s++ {
 		load = append(load, plotter.XY{X: float64(s), Y: surge(time.Duration(s) * time.Second)})
-		worth = append(worth, plotter.XY{X: float64(s), Y: withLevels.lab.Worth(s-2, s+3)})
-		without = append(without, plotter.XY{X: float64(s), Y: withoutLevels.lab.Worth(s-2, s+3)})
+		worth = append(worth, plotter.XY{X: float64(s), Y: withLevels.lab.ServedWorthShare(s-2, s+3)})
+		without = append(without, plotter.XY{X: float64(s), Y: withoutLevels.lab.ServedWorthShare(s-2, s+3)})
 	}
 	figure := plot.New()
 	figure.Title.Text = "a surge: load of the capacity, level in the mean (0 to 4), worth served in time"
--- a/internal/level/level_test.go
+++ b/internal/level/level_test.go
@@ -212,7 +212,7 @@
 	for _, sensor := range []Sensor{Late, Held} {
 		for l := Saving; l < levelCount; l++ {
 			for n, period := range []time.Duration{0, time.Second, 3 * time.Second, 10 * time.Second, 30 * time.Second, time.Minute, 3 * time.Minute, 10 * time.Minute} {
-				if racing.On && n%3 != 0 {
+				if racing.Enabled && n%3 != 0 {
 					continue
 				}
 				for _, amplitude := range []float64{0.05, 0.3, 1} {
--- a/internal/plan/brute_test.go
+++ b/internal/plan/brute_test.go
@@ -298,7 +298,7 @@
 func TestSolveAgainstBruteForce(t *testing.T) {
 	const seed = 11
 	fleets := 10000
-	if testing.Short() || racing.On {
+	if testing.Short() || racing.Enabled {
 		fleets = 600
 	}
 	rng := rand.New(rand.NewPCG(seed, 0))
--- a/internal/plan/plan_test.go
+++ b/internal/plan/plan_test.go
@@ -154,7 +154,7 @@
 // break. A search that is stopped at once returns the error for that.
 func TestSolveIsDeterministic(t *testing.T) {
 	seeds := uint64(200)
-	if racing.On {
+	if racing.Enabled {
 		seeds = 30
 	}
 	for seed := range seeds {
@@ -176,7 +176,7 @@
 	rng := rand.New(rand.NewPCG(2, 2))
 	seen := 0
 	cases, minSeen := 1500, 100
-	if racing.On {
+	if racing.Enabled {
 		cases, minSeen = 150, 10
 	}
 	for n := range cases {
@@ -278,7 +278,7 @@
 	const seed = 4
 	rng := rand.New(rand.NewPCG(seed, 4))
 	fleets, costlier := 400, 0
-	if testing.Short() || racing.On {
+	if testing.Short() || racing.Enabled {
 		fleets = 60
 	}
 	for n := range fleets {
@@ -355,7 +355,7 @@
 func TestSolutionsHaveCertificates(t *testing.T) {
 	const seed = 9
 	fleets, maxNodes := 25, 40
-	if racing.On {
+	if racing.Enabled {
 		fleets = 6
 	}
 	if n, err := strconv.Atoi(os.Getenv("FAWN_PLANS")); err == nil {
@@ -415,7 +415,7 @@
 	rng := rand.New(rand.NewPCG(21, 1))
 	unanswered, partial := 0, 0
 	cases := 80
-	if racing.On {
+	if racing.Enabled {
 		cases = 16
 	}
 	for n := range cases {
--- a/internal/racing/off.go
+++ b/internal/racing/off.go
@@ -5,5 +5,5 @@
 // nothing to find in them.
 package racing
 
-// On reports whether the race detector is enabled.
-const On = false
+// Enabled reports whether the race detector is enabled.
+const Enabled = false
--- a/internal/weights/fleet_test.go
+++ b/internal/weights/fleet_test.go
@@ -12,25 +12,25 @@
 )
 
 var classes = []lab.Class{
-	{Class: chalkrack.Class{Aim: 800 * time.Millisecond, Worth: 1, Effect: chalkrack.Safe}, Share: 0.52, Work: 130 * time.Millisecond},
-	{Class: chalkrack.Class{Aim: time.Second, Worth: 3, Effect: chalkrack.Keyed, Window: 1500 * time.Millisecond}, Share: 0.27, Work: 130 * time.Millisecond},
-	{Class: chalkrack.Class{Aim: 750 * time.Millisecond, Worth: 10, Effect: chalkrack.Unsafe}, Share: 0.21, Work: 130 * time.Millisecond},
+	{Class: chalkrack.Class{Aim: 800 * time.Millisecond, Worth: 1, Effect: chalkrack.Safe}, Share: 0.52, MeanWork: 130 * time.Millisecond},
+	{Class: chalkrack.Class{Aim: time.Second, Worth: 3, Effect: chalkrack.Keyed, Window: 1500 * time.Millisecond}, Share: 0.27, MeanWork: 130 * time.Millisecond},
+	{Class: chalkrack.Class{Aim: 750 * time.Millisecond, Worth: 10, Effect: chalkrack.Unsafe}, Share: 0.21, MeanWork: 130 * time.Millisecond},
 }
 
 // simulate returns the share of worth served in time in the first and in the second minute
 // after all sidecars started. A nil plan means no plan.
 func simulate(t testing.TB, seed uint64, load float64, plan map[string]float64) (first, second float64) {
-	cfg := lab.Config{Seed: seed, Sidecars: 10, Classes: classes, Wait: 2500 * time.Millisecond,
+	cfg := lab.Config{Seed: seed, Sidecars: 10, Classes: classes, ClientTimeout: 2500 * time.Millisecond,
 		Rules: chalkrack.Config{MaxAttempts: 5, SecondCopies: true, MaxRetryAfter: 2 * time.Second, WasteCost: 0.002}}
 	capacity := 0.0
 	for n := range 20 {
-		cfg.Nodes = append(cfg.Nodes, lab.Node{Name: fmt.Sprint("n", n), Speed: speedOf(n), Cores: 2, Room: 6})
+		cfg.Nodes = append(cfg.Nodes, lab.Node{Name: fmt.Sprint("n", n), Speed: speedOf(n), Cores: 2, QueueSize: 6})
 		capacity += 2 * speedOf(n)
 	}
 	rate := load * capacity / 0.13
 	cfg.Rate = func(time.Duration) float64 { return rate }
 	if plan != nil {
-		cfg.Begin = func(s *lab.Sidecar) {
+		cfg.OnNewSidecar = func(s *lab.Sidecar) {
 			hc := DefaultConfig()
 			hc.Zone = "here"
 			h := NewController(hc)
@@ -68,7 +68,7 @@
 		t.Fatal(err)
 	}
 	l.Run(2 * time.Minute)
-	return l.Worth(0, 60), l.Worth(60, 118)
+	return l.ServedWorthShare(0, 60), l.ServedWorthShare(60, 118)
 }
 
 func speedOf(n int) float64 {
@@ -97,7 +97,7 @@
 	}
 	sum := make(map[string][2]float64)
 	seeds, loads := 3.0, []float64{0.6, 0.8, 0.95}
-	if racing.On {
+	if racing.Enabled {
 		seeds, loads = 1, loads[:1]
 	}
 	for _, load := range loads {
@@ -174,13 +174,13 @@
 func TestPlanPredictsZoneLoss(t *testing.T) {
 	for _, load := range []float64{0.5, 0.8, 1.1} {
 		f := &plan.Fleet{Version: 1, Limits: plan.Limits{FreeShare: 0.05}}
-		cfg := lab.Config{Seed: 3, Sidecars: 10, Classes: classes, Wait: 2500 * time.Millisecond,
+		cfg := lab.Config{Seed: 3, Sidecars: 10, Classes: classes, ClientTimeout: 2500 * time.Millisecond,
 			Rules: chalkrack.Config{MaxAttempts: 5, SecondCopies: true, MaxRetryAfter: 2 * time.Second, WasteCost: 0.002}}
 		capacity := 0.0
 		for n := range 18 {
 			name := fmt.Sprint("n", n)
 			f.Nodes = append(f.Nodes, plan.Node{Name: name, Zone: []string{"a", "b", "c"}[n%3], Speed: speedOf(n), Cores: 2, Queue: 6})
-			cfg.Nodes = append(cfg.Nodes, lab.Node{Name: name, Speed: speedOf(n), Cores: 2, Room: 6})
+			cfg.Nodes = append(cfg.Nodes, lab.Node{Name: name, Speed: speedOf(n), Cores: 2, QueueSize: 6})
 			capacity += 2 * speedOf(n)
 		}
 		rate := load * capacity / 0.13
@@ -212,7 +212,7 @@
 			s.ServersListed(l.Now, left)
 		}
 		l.Run(90 * time.Second)
-		got := l.Worth(40, 88)
+		got := l.ServedWorthShare(40, 88)
 		t.Logf("load %.1f, a zone of three lost: forecast %.3f of the worth, served in time %.3f", load, served/asked, got)
 		below := 0.12
 		if served == asked {
