--- a/client/bench_test.go
+++ b/client/bench_test.go
@@ -64,7 +64,7 @@
 			for b.Loop() {
 				a := m.Next()
 				began := time.Now()
-				resp, err := way.rt.RoundTrip(newRequest(context.Background(), standin.Ask{ID: a.ID, Class: a.Class, Key: a.Key, Body: a.Body, Deadline: a.Deadline}))
+				resp, err := way.rt.RoundTrip(newRequest(context.Background(), standin.ClientRequest{ID: a.ID, Class: a.Class, Key: a.Key, Body: a.Body, Deadline: a.Deadline}))
 				if err != nil {
 					b.Fatal(err)
 				}
--- a/client/client_test.go
+++ b/client/client_test.go
@@ -40,8 +40,8 @@
 	return list
 }
 
-func askOf(class, id string) standin.Ask {
-	a := standin.Ask{ID: id, Class: standinClasses[class]}
+func askOf(class, id string) standin.ClientRequest {
+	a := standin.ClientRequest{ID: id, Class: standinClasses[class]}
 	if class == "id-register" {
 		a.Key = "key of " + id
 	}
@@ -55,9 +55,9 @@
 // mark that the Transport decides the call.
 func TestRequestForwardedUnchanged(t *testing.T) {
 	got := make(chan standin.Request, 1)
-	site := newSite(t, rig.SiteConfig{Servers: 1, Server: standin.ServerConfig{Script: func(r standin.Request) standin.Act {
+	site := newSite(t, rig.SiteConfig{Servers: 1, Server: standin.ServerConfig{Script: func(r standin.Request) standin.Action {
 		got <- r
-		return standin.Act{}
+		return standin.Action{}
 	}}})
 	tr := newTransport(t, Config{Classes: longDeadlineClasses(), Nodes: fixedNodes(site)})
 	r := newRequest(context.Background(), askOf("id-register", "a1"))
@@ -133,7 +133,7 @@
 			t.Errorf("%s: the request body was not closed", name)
 		}
 	}
-	if n := len(site.Ledger.Log()); n != 0 {
+	if n := len(site.Ledger.Arrivals()); n != 0 {
 		t.Errorf("%d requests reached a server, want none", n)
 	}
 }
@@ -192,8 +192,8 @@
 func TestLongAnswerStreamed(t *testing.T) {
 	long := strings.Repeat("long ", 60<<10)
 	kind := standin.Serve
-	site := newSite(t, rig.SiteConfig{Servers: 1, Server: standin.ServerConfig{Script: func(standin.Request) standin.Act {
-		return standin.Act{Kind: kind, Body: long}
+	site := newSite(t, rig.SiteConfig{Servers: 1, Server: standin.ServerConfig{Script: func(standin.Request) standin.Action {
+		return standin.Action{Kind: kind, Body: long}
 	}}})
 	tr := newTransport(t, Config{Classes: longDeadlineClasses(), Nodes: fixedNodes(site)})
 	if r := send(context.Background(), tr, askOf("activate", "1")); r.Status != 200 || r.Body != long {
@@ -210,8 +210,8 @@
 // reading the response to its end leaves the connection for the next call.
 func TestClosingLongAnswerClosesConnection(t *testing.T) {
 	kind := standin.StopBody
-	site := newSite(t, rig.SiteConfig{Servers: 1, Server: standin.ServerConfig{Script: func(standin.Request) standin.Act {
-		return standin.Act{Kind: kind, Body: strings.Repeat("x", 100<<10)}
+	site := newSite(t, rig.SiteConfig{Servers: 1, Server: standin.ServerConfig{Script: func(standin.Request) standin.Action {
+		return standin.Action{Kind: kind, Body: strings.Repeat("x", 100<<10)}
 	}}})
 	tr := newTransport(t, Config{Classes: longDeadlineClasses(), Nodes: fixedNodes(site), Pause: time.Hour})
 	resp, err := tr.RoundTrip(newRequest(context.Background(), askOf("activate", "1")))
@@ -230,7 +230,7 @@
 		}
 		waitUntil(t, "calls or streams remain active", func() bool { tr.mu.Lock(); defer tr.mu.Unlock(); return tr.active == 0 })
 	}
-	if n := site.Servers[0].Opened(); n != 2 {
+	if n := site.Servers[0].OpenedConns(); n != 2 {
 		t.Errorf("%d connections opened for 4 calls, want 2: one was closed early, the other reused", n)
 	}
 }
@@ -242,7 +242,7 @@
 	big := strings.Repeat("x", 32<<20) // larger than all buffers between client and server
 	half := strings.Repeat("y", 300<<10)
 	for name, c := range map[string]struct {
-		act    standin.Act
+		act    standin.Action
 		body   string
 		freeze bool
 		down   bool
@@ -251,13 +251,13 @@
 	}{
 		"before it begins":                {},
 		"while its request is written":    {freeze: true, body: big},
-		"while the server works":          {act: standin.Act{Kind: standin.Silence}},
-		"while the answer's body stops":   {act: standin.Act{Kind: standin.StopBody}},
-		"within a long answer":            {act: standin.Act{Kind: standin.StopBody, Body: half}, read: 1000},
-		"within one never read":           {act: standin.Act{Body: strings.Repeat("z", 24<<20)}, read: 1},
-		"while the daemon works":          {act: standin.Act{Kind: standin.Silence}, daemon: true},
+		"while the server works":          {act: standin.Action{Kind: standin.Silence}},
+		"while the answer's body stops":   {act: standin.Action{Kind: standin.StopBody}},
+		"within a long answer":            {act: standin.Action{Kind: standin.StopBody, Body: half}, read: 1000},
+		"within one never read":           {act: standin.Action{Body: strings.Repeat("z", 24<<20)}, read: 1},
+		"while the daemon works":          {act: standin.Action{Kind: standin.Silence}, daemon: true},
 		"while the daemon is written to":  {freeze: true, body: big, daemon: true},
-		"within the daemon's long answer": {act: standin.Act{Kind: standin.StopBody, Body: half}, read: 1000, daemon: true},
+		"within the daemon's long answer": {act: standin.Action{Kind: standin.StopBody, Body: half}, read: 1000, daemon: true},
 		"with all servers down":           {down: true},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -303,9 +303,9 @@
 			switch {
 			case c.down || c.read > 0:
 			case c.freeze:
-				waitUntil(t, "no connection to a server was opened", func() bool { return site.Servers[0].Opened()+site.Servers[1].Opened() > 0 })
+				waitUntil(t, "no connection to a server was opened", func() bool { return site.Servers[0].OpenedConns()+site.Servers[1].OpenedConns() > 0 })
 			case c.act.Kind != standin.Serve:
-				waitUntil(t, "no request reached a server", func() bool { return len(site.Ledger.Log()) > 0 })
+				waitUntil(t, "no request reached a server", func() bool { return len(site.Ledger.Arrivals()) > 0 })
 			}
 			if c.read == 0 && !c.down {
 				cancel()
@@ -339,14 +339,14 @@
 func TestCloseWaitsThenAborts(t *testing.T) {
 	defer goleak.VerifyNone(t, goleak.IgnoreCurrent())
 	gates := make(chan chan struct{}, 10) // one for each waiting request
-	site, err := rig.NewSite(rig.SiteConfig{Servers: 2, Server: standin.ServerConfig{Script: func(r standin.Request) standin.Act {
+	site, err := rig.NewSite(rig.SiteConfig{Servers: 2, Server: standin.ServerConfig{Script: func(r standin.Request) standin.Action {
 		if r.Class == "status-check" {
 			gate := make(chan struct{})
 			gates <- gate
 			<-gate
-			return standin.Act{}
+			return standin.Action{}
 		}
-		return standin.Act{Kind: standin.StopBody, Body: strings.Repeat("x", 100<<10)}
+		return standin.Action{Kind: standin.StopBody, Body: strings.Repeat("x", 100<<10)}
 	}}})
 	if err != nil {
 		t.Fatal(err)
@@ -436,7 +436,7 @@
 		}
 		send(context.Background(), tr, askOf("activate", fmt.Sprint(n)))
 	}
-	for n, a := range site.Ledger.Log() {
+	for n, a := range site.Ledger.Arrivals() {
 		if want := site.Servers[n/2].Name(); a.Server != want {
 			t.Errorf("call %d was sent to %s, want %s", n, a.Server, want)
 		}
@@ -449,8 +449,8 @@
 // With PassClientErrors a server's 4xx response is returned to the caller and not retried.
 func TestPassClientErrors(t *testing.T) {
 	status := 0
-	site := newSite(t, rig.SiteConfig{Servers: 3, Server: standin.ServerConfig{Script: func(standin.Request) standin.Act {
-		return standin.Act{Kind: standin.Deny, Status: status, Body: "why"}
+	site := newSite(t, rig.SiteConfig{Servers: 3, Server: standin.ServerConfig{Script: func(standin.Request) standin.Action {
+		return standin.Action{Kind: standin.Deny, Status: status, Body: "why"}
 	}}})
 	tr := newTransport(t, Config{Classes: longDeadlineClasses(), Nodes: fixedNodes(site), PassClientErrors: true})
 	for n, c := range []struct{ status, want, attempts int }{{404, 404, 1}, {409, 409, 1}, {429, 503, 3}, {408, 503, 3}, {500, 503, 3}, {301, 503, 3}} {
@@ -460,7 +460,7 @@
 		if r.Status != c.want || r.Status == c.status && r.Body != "why" {
 			t.Errorf("%d: %+v", c.status, r)
 		}
-		if got := site.Ledger.ID(id).Attempts; c.status != 301 && got > c.attempts || c.want == c.status && got != 1 {
+		if got := site.Ledger.RequestCount(id).Attempts; c.status != 301 && got > c.attempts || c.want == c.status && got != 1 {
 			t.Errorf("%d: %d attempts", c.status, got)
 		}
 	}
@@ -492,7 +492,7 @@
 	}
 	opened := 0
 	for _, s := range site.Servers {
-		opened += s.Opened()
+		opened += s.OpenedConns()
 	}
 	if opened > 0 {
 		t.Errorf("%d connections opened, want none", opened)
--- a/client/keep_test.go
+++ b/client/keep_test.go
@@ -50,17 +50,17 @@
 		name     string
 		class    string
 		size     int
-		act      standin.Act
+		act      standin.Action
 		status   int
 		attempts int
 		only     bool // not through the daemon
 	}{
-		{"in memory", "id-register", 100 << 10, standin.Act{Kind: standin.ResetLate}, 200, 2, false},
-		{"in a file", "id-register", 1 << 20, standin.Act{Kind: standin.ResetLate}, 200, 2, true},
-		{"in a file, must not run twice", "activate", 1 << 20, standin.Act{Kind: standin.ResetLate}, 502, 1, false},
-		{"not kept", "activate", 5 << 20, standin.Act{}, 200, 1, false},
-		{"not kept, reset behind its end", "id-register", 5 << 20, standin.Act{Kind: standin.ResetLate}, 503, 1, false},
-		{"not kept, reset in its middle", "activate", unbufferedBytes, standin.Act{Kind: standin.ResetEarly, Delay: 10 * time.Millisecond}, 503, 0, false},
+		{"in memory", "id-register", 100 << 10, standin.Action{Kind: standin.ResetLate}, 200, 2, false},
+		{"in a file", "id-register", 1 << 20, standin.Action{Kind: standin.ResetLate}, 200, 2, true},
+		{"in a file, must not run twice", "activate", 1 << 20, standin.Action{Kind: standin.ResetLate}, 502, 1, false},
+		{"not kept", "activate", 5 << 20, standin.Action{}, 200, 1, false},
+		{"not kept, reset behind its end", "id-register", 5 << 20, standin.Action{Kind: standin.ResetLate}, 503, 1, false},
+		{"not kept, reset in its middle", "activate", unbufferedBytes, standin.Action{Kind: standin.ResetEarly, Delay: 10 * time.Millisecond}, 503, 0, false},
 	} {
 		for via, tr := range map[string]*Transport{"": tr, "by the daemon, ": by} {
 			if via != "" && c.only {
@@ -70,7 +70,7 @@
 				n++
 				id := fmt.Sprintf("u%d", n)
 				for _, s := range site.Servers {
-					s.Do(standin.Nth(c.act, standin.Act{}))
+					s.SetScript(standin.Sequence(c.act, standin.Action{}))
 				}
 				p := randomBytes(n, c.size)
 				size := int64(-1)
@@ -83,12 +83,12 @@
 					continue
 				}
 				resp.Body.Close()
-				if got := site.Ledger.ID(id).Attempts; resp.StatusCode != c.status || got != c.attempts {
+				if got := site.Ledger.RequestCount(id).Attempts; resp.StatusCode != c.status || got != c.attempts {
 					t.Errorf("%s%s: status %d after %d complete attempts, want status %d after %d", via, c.name, resp.StatusCode, got, c.status, c.attempts)
 				}
-				for _, a := range site.Ledger.Log() {
-					if a.ID == id && a.Sum != sha256.Sum256(p) {
-						t.Errorf("%s%s: attempt %d has a body other than the one that was sent", via, c.name, a.Nth)
+				for _, a := range site.Ledger.Arrivals() {
+					if a.ID == id && a.BodyHash != sha256.Sum256(p) {
+						t.Errorf("%s%s: attempt %d has a body other than the one that was sent", via, c.name, a.AttemptNumber)
 					}
 				}
 			}
@@ -98,7 +98,7 @@
 
 // Bodies counts by class where request bodies were stored and how often they were retried.
 func TestBodiesViewCountsByClass(t *testing.T) {
-	site := newSite(t, rig.SiteConfig{Servers: 3, Classes: longDeadlineRigClasses(), Server: standin.ServerConfig{Script: standin.Nth(standin.Act{Kind: standin.Fail}, standin.Act{})}})
+	site := newSite(t, rig.SiteConfig{Servers: 3, Classes: longDeadlineRigClasses(), Server: standin.ServerConfig{Script: standin.Sequence(standin.Action{Kind: standin.Fail}, standin.Action{})}})
 	tr := newTransport(t, Config{Classes: longDeadlineClasses(), Nodes: fixedNodes(site), Keep: Keep{Memory: 1 << 20, MemoryLongest: 100 << 10}, NoCopies: true})
 	for n, size := range []int{100, 80 << 10, 1 << 20} {
 		resp, err := tr.RoundTrip(newUploadRequest(t.Context(), "id-register", fmt.Sprint("t", n), bytes.NewReader(randomBytes(1, size)), int64(size)))
@@ -136,9 +136,9 @@
 	for name, announced := range map[string]bool{"announced": true, "in chunks": false} {
 		got := make(chan struct{}, 100)
 		site := newSite(t, rig.SiteConfig{Servers: 2, Classes: longDeadlineRigClasses()})
-		dead := newSite(t, rig.SiteConfig{Servers: 1, Server: standin.ServerConfig{Script: func(standin.Request) standin.Act {
+		dead := newSite(t, rig.SiteConfig{Servers: 1, Server: standin.ServerConfig{Script: func(standin.Request) standin.Action {
 			got <- struct{}{}
-			return standin.Act{Kind: standin.ResetEarly}
+			return standin.Action{Kind: standin.ResetEarly}
 		}}}) // resets /_health as well, so the first probe finds it down
 		tr := newTransport(t, Config{Classes: longDeadlineClasses(), Nodes: fixedNodes(site), Daemon: dead.Servers[0].Addr(), Keep: Keep{Memory: 1 << 20, MemoryLongest: 64 << 10}})
 		p := randomBytes(1, 3<<20)
@@ -157,11 +157,11 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if resp.StatusCode != 503 || resp.Header.Get("Retry-After") == "" || site.Ledger.ID("d1").Attempts != 0 {
-			t.Errorf("%s: status %d, header %v, %d attempts at the nodes", name, resp.StatusCode, resp.Header, site.Ledger.ID("d1").Attempts)
+		if resp.StatusCode != 503 || resp.Header.Get("Retry-After") == "" || site.Ledger.RequestCount("d1").Attempts != 0 {
+			t.Errorf("%s: status %d, header %v, %d attempts at the nodes", name, resp.StatusCode, resp.Header, site.Ledger.RequestCount("d1").Attempts)
 		}
 		resp, err = tr.RoundTrip(newUploadRequest(t.Context(), "id-register", "d2", bytes.NewReader(p), size))
-		if err != nil || resp.StatusCode != 200 || site.Ledger.ID("d2").Attempts != 1 {
+		if err != nil || resp.StatusCode != 200 || site.Ledger.RequestCount("d2").Attempts != 1 {
 			t.Errorf("%s, with the daemon down: %v, %v", name, resp, err)
 		}
 	}
@@ -190,7 +190,7 @@
 	if _, err := tr.RoundTrip(req); !errors.Is(err, context.Canceled) {
 		t.Errorf("error %v, want context.Canceled", err)
 	}
-	if n := len(site.Ledger.Log()); n != 0 {
+	if n := len(site.Ledger.Arrivals()); n != 0 {
 		t.Errorf("%d requests reached a server, want none", n)
 	}
 	for name, k := range map[string]Keep{
--- a/client/parity_test.go
+++ b/client/parity_test.go
@@ -82,7 +82,7 @@
 }
 
 // newRequest converts an Ask to a request as a user of net/http would make it.
-func newRequest(ctx context.Context, a standin.Ask) *http.Request {
+func newRequest(ctx context.Context, a standin.ClientRequest) *http.Request {
 	method, body := "POST", io.Reader(strings.NewReader(a.Body))
 	if a.Class.Effect == standin.Safe {
 		method, body = "GET", nil
@@ -102,7 +102,7 @@
 }
 
 // send makes a call through rt and reads its whole response.
-func send(ctx context.Context, rt http.RoundTripper, a standin.Ask) standin.Reply {
+func send(ctx context.Context, rt http.RoundTripper, a standin.ClientRequest) standin.Reply {
 	resp, err := (&http.Client{Transport: rt}).Do(newRequest(ctx, a))
 	if err != nil {
 		return standin.Reply{Err: err}
@@ -150,14 +150,14 @@
 	if sc.before != nil {
 		sc.before(site)
 	}
-	var do func(standin.Ask) standin.Reply
+	var do func(standin.ClientRequest) standin.Reply
 	if plugin {
 		tr, err := New(Config{Platform: site.JSON("127.0.0.1:1", seed), Seed: seed})
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer tr.Close(context.Background())
-		do = func(a standin.Ask) standin.Reply { return send(context.Background(), tr, a) }
+		do = func(a standin.ClientRequest) standin.Reply { return send(context.Background(), tr, a) }
 	} else {
 		d, err := site.StartDaemon(seed, "")
 		if err != nil {
@@ -168,7 +168,7 @@
 			c.Close()
 			pendingStops.Go(func() { d.Stop() }) // shutdown takes a while
 		}()
-		do = func(a standin.Ask) standin.Reply { return c.Do(context.Background(), a) }
+		do = func(a standin.ClientRequest) standin.Reply { return c.Do(context.Background(), a) }
 	}
 	p := runResult{verdicts: make(map[string]string), classOf: make(map[string]string)}
 	m := mix(seed, sc.site.Classes)
@@ -181,11 +181,11 @@
 		}
 	}
 	waitUntil(t, "attempts still reach the servers", func() bool {
-		before := len(site.Ledger.Log())
+		before := len(site.Ledger.Arrivals())
 		time.Sleep(5 * time.Millisecond)
-		return len(site.Ledger.Log()) == before
+		return len(site.Ledger.Arrivals()) == before
 	})
-	p.counts = site.Ledger.IDs()
+	p.counts = site.Ledger.RequestCounts()
 	return p
 }
 
@@ -241,12 +241,12 @@
 	return broken
 }
 
-func nthScript(acts ...standin.Kind) standin.Script {
-	var all []standin.Act
+func nthScript(acts ...standin.ActionKind) standin.Script {
+	var all []standin.Action
 	for _, k := range acts {
-		all = append(all, standin.Act{Kind: k, Status: 404})
+		all = append(all, standin.Action{Kind: k, Status: 404})
 	}
-	return standin.Nth(all...)
+	return standin.Sequence(all...)
 }
 
 // copiesSeed is a seed whose random choices make a hedged copy within few calls.
@@ -258,7 +258,7 @@
 	}
 	silent := newScenario("silent until the deadline", nthScript(standin.Silence))
 	silent.site.Classes, silent.calls = rigClassesWithDeadline(250*time.Millisecond), 6
-	window := newScenario("broken off after the window", standin.Nth(standin.Act{Kind: standin.ResetLate, Delay: 120 * time.Millisecond}, standin.Act{}))
+	window := newScenario("broken off after the window", standin.Sequence(standin.Action{Kind: standin.ResetLate, Delay: 120 * time.Millisecond}, standin.Action{}))
 	window.site.Classes = rigClassesWithDeadline(5 * time.Second)
 	window.site.Classes[1].Window = 40 * time.Millisecond
 	zone := newScenario("broken off, keys known in a zone only", nthScript(standin.ResetLate, standin.Serve))
@@ -276,7 +276,7 @@
 	draining := newScenario("one server drains, unannounced", nil)
 	draining.dependsOnPick = true
 	draining.before = func(s *rig.Site) { s.Servers[2].Drain() }
-	copies := newScenario("first attempts slow, copies made", standin.Nth(standin.Act{Delay: 300 * time.Millisecond}, standin.Act{}))
+	copies := newScenario("first attempts slow, copies made", standin.Sequence(standin.Action{Delay: 300 * time.Millisecond}, standin.Action{}))
 	copies.site.NoHedge, copies.calls, copies.seed = false, 5, copiesSeed
 	stops := newScenario("an answer that stops", nthScript(standin.StopBody, standin.Serve))
 	stops.calls = 5
@@ -302,10 +302,10 @@
 		window, zone, down, allDown, draining, copies,
 		newScenario("declined, then an error, then well", nthScript(standin.Decline, standin.Fail, standin.Serve)),
 		newScenario("at random", standin.Random(11,
-			standin.Odd{Share: 0.15, Act: standin.Act{Kind: standin.Decline}},
-			standin.Odd{Share: 0.15, Act: standin.Act{Kind: standin.Fail}},
-			standin.Odd{Share: 0.1, Act: standin.Act{Kind: standin.CloseLate}},
-			standin.Odd{Share: 0.1, Act: standin.Act{Kind: standin.Noise}})),
+			standin.WeightedAction{Probability: 0.15, Action: standin.Action{Kind: standin.Decline}},
+			standin.WeightedAction{Probability: 0.15, Action: standin.Action{Kind: standin.Fail}},
+			standin.WeightedAction{Probability: 0.1, Action: standin.Action{Kind: standin.CloseLate}},
+			standin.WeightedAction{Probability: 0.1, Action: standin.Action{Kind: standin.Noise}})),
 	}
 	// Few calls for each of several seeds: after more of them, calls are shed on arrival,
 	// which depends on chance and on the machine's speed.
@@ -362,7 +362,7 @@
 
 // With random server faults and settings, neither the daemon nor the plug-in breaks a rule.
 func TestRulesUnderAnyFaults(t *testing.T) {
-	kinds := []standin.Kind{standin.Serve, standin.Fail, standin.Decline, standin.ResetEarly, standin.ResetLate, standin.CloseLate,
+	kinds := []standin.ActionKind{standin.Serve, standin.Fail, standin.Decline, standin.ResetEarly, standin.ResetLate, standin.CloseLate,
 		standin.Noise, standin.EndlessHead, standin.ShortBody, standin.Excess, standin.Interim, standin.Silence}
 	rapid.Check(t, func(rt *rapid.T) {
 		script := rapid.SliceOfN(rapid.SampledFrom(kinds), 1, 5).Draw(rt, "script")
--- a/client/process_test.go
+++ b/client/process_test.go
@@ -30,9 +30,9 @@
 			cs := rigClassesWithDeadline(5 * time.Second)
 			site := newSite(t, rig.SiteConfig{Classes: cs, Servers: 4, Attempts: most, Server: standin.ServerConfig{
 				Script: standin.Random(7,
-					standin.Odd{Share: 0.05, Act: standin.Act{Kind: standin.Decline}},
-					standin.Odd{Share: 0.05, Act: standin.Act{Kind: standin.CloseLate}},
-					standin.Odd{Share: 0.9, Act: standin.Act{Delay: 10 * time.Millisecond}}),
+					standin.WeightedAction{Probability: 0.05, Action: standin.Action{Kind: standin.Decline}},
+					standin.WeightedAction{Probability: 0.05, Action: standin.Action{Kind: standin.CloseLate}},
+					standin.WeightedAction{Probability: 0.9, Action: standin.Action{Delay: 10 * time.Millisecond}}),
 			}})
 			d, err := site.StartProcess(path, 3, "")
 			if err != nil {
@@ -76,8 +76,8 @@
 					t.Errorf("stopping the daemon: %v", err)
 				}
 				waitUntil(t, "the plug-in never takes over", func() bool { return !tr.ByDaemon() })
-				before := len(site.Ledger.Log())
-				waitUntil(t, "no calls bypass the stopped daemon", func() bool { return len(site.Ledger.Log()) > before+20 })
+				before := len(site.Ledger.Arrivals())
+				waitUntil(t, "no calls bypass the stopped daemon", func() bool { return len(site.Ledger.Arrivals()) > before+20 })
 				if err := d.Start(); err != nil {
 					t.Fatal(err)
 				}
@@ -88,7 +88,7 @@
 			close(stop)
 			wg.Wait()
 			waitUntil(t, "the core still holds calls", func() bool { return tr.heldCalls() == 0 })
-			p.counts = site.Ledger.IDs()
+			p.counts = site.Ledger.RequestCounts()
 			if broken := p.violations(most); broken != nil {
 				t.Errorf("%d rule violations: %.2000v", len(broken), broken)
 			}
@@ -106,7 +106,7 @@
 			usual := float64(workers) / pace.Seconds()
 			for _, at := range returns {
 				n := 0
-				for _, a := range site.Ledger.Log() {
+				for _, a := range site.Ledger.Arrivals() {
 					if !a.At.Before(at) && a.At.Before(at.Add(100*time.Millisecond)) {
 						n++
 					}
@@ -115,7 +115,7 @@
 					t.Errorf("%d arrivals in the 100 ms after a return to the daemon, usually %.0f", n, usual*0.1)
 				}
 			}
-			t.Logf("%d calls, %d served, %d attempts reached the servers", len(p.verdicts), served, len(site.Ledger.Log()))
+			t.Logf("%d calls, %d served, %d attempts reached the servers", len(p.verdicts), served, len(site.Ledger.Arrivals()))
 		})
 	}
 }
--- a/cmd/fawnctl/import_test.go
+++ b/cmd/fawnctl/import_test.go
@@ -36,8 +36,8 @@
 	wantExit     int
 	requests     []sampleRequest
 	wantVerdicts []string
-	deadServer   string                  // name of a server that is killed
-	serverKinds  map[string]standin.Kind // what servers do in place of answering, by name
+	deadServer   string                        // name of a server that is killed
+	serverKinds  map[string]standin.ActionKind // what servers do in place of answering, by name
 }{
 	{name: "web farm", text: `
 global
@@ -294,7 +294,7 @@
 	retries 1
 	server a A
 	server b B
-`, wantExit: 1, serverKinds: map[string]standin.Kind{"a": standin.ResetLate, "b": standin.ResetLate},
+`, wantExit: 1, serverKinds: map[string]standin.ActionKind{"a": standin.ResetLate, "b": standin.ResetLate},
 		requests: []sampleRequest{{"x", "POST", "/", "", 502, "a b", 1, ""}, {"x", "GET", "/", "", 503, "a b", 2, ""}}, wantVerdicts: []string{"carried with a difference|retries 1"}},
 	{name: "sticky sessions", text: `
 frontend f
@@ -406,7 +406,7 @@
 			text := sample.text
 			var names []string // pairs of an address and its letter, to restore the letters in the report
 			for _, name := range []string{"a", "b", "c", "d"} {
-				s, err := standin.NewServer(standin.ServerConfig{Name: name, Ledger: site.Ledger, Script: standin.Always(standin.Act{Kind: sample.serverKinds[name]})})
+				s, err := standin.NewServer(standin.ServerConfig{Name: name, Ledger: site.Ledger, Script: standin.Always(standin.Action{Kind: sample.serverKinds[name]})})
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -502,13 +502,13 @@
 				}
 				io.Copy(io.Discard, resp.Body)
 				resp.Body.Close()
-				if got := site.Ledger.ID(id).Attempts; request.wantAttempts > 0 && got != request.wantAttempts {
+				if got := site.Ledger.RequestCount(id).Attempts; request.wantAttempts > 0 && got != request.wantAttempts {
 					t.Errorf("%s %s: %d attempts, want %d", request.method, request.path, got, request.wantAttempts)
 				}
-				if resp.StatusCode != request.wantStatus || (site.Ledger.ID(id).Attempts > 0) != (request.wantServers != "") {
+				if resp.StatusCode != request.wantStatus || (site.Ledger.RequestCount(id).Attempts > 0) != (request.wantServers != "") {
 					t.Errorf("%s %s%s: %d, want %d\n%s", request.method, request.host, request.path, resp.StatusCode, request.wantStatus, settings)
 				}
-				for _, got := range site.Ledger.Log() {
+				for _, got := range site.Ledger.Arrivals() {
 					if got.ID == id && !slices.Contains(strings.Fields(request.wantServers), got.Server) {
 						t.Errorf("%s %s%s went to %s, want %s", request.method, request.host, request.path, got.Server, request.wantServers)
 					}
--- a/cmd/fawnctl/level_test.go
+++ b/cmd/fawnctl/level_test.go
@@ -33,7 +33,7 @@
 	sendRequest := func(class string) int {
 		t.Helper()
 		effect := map[string]standin.Effect{"status-check": standin.Safe, "activate": standin.Unsafe}[class]
-		return client.Do(t.Context(), standin.Ask{Class: standin.Class{Name: class, Effect: effect}, ID: fmt.Sprint(class, t.Name(), len(site.Ledger.Log())), Deadline: 0}).Status
+		return client.Do(t.Context(), standin.ClientRequest{Class: standin.Class{Name: class, Effect: effect}, ID: fmt.Sprint(class, t.Name(), len(site.Ledger.Arrivals())), Deadline: 0}).Status
 	}
 	for _, c := range []commandCase{
 		{"--socket " + socket, 0, "normal", ""},
--- a/cmd/fawnctl/main.go
+++ b/cmd/fawnctl/main.go
@@ -114,7 +114,7 @@
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	cfg := demo.Config{Servers: c.Servers, Rate: c.Rate, For: c.For, Seed: c.Seed, Radius: c.Radius, Script: steps, Out: streams.out, Live: isTerminal(streams.out)}
+	cfg := demo.Config{Servers: c.Servers, CallsPerSecond: c.Rate, Duration: c.For, Seed: c.Seed, Radius: c.Radius, Script: steps, Out: streams.out, IsTerminal: isTerminal(streams.out)}
 	if !c.NoKeys && isTerminal(streams.in) {
 		cfg.Keys = streams.in
 	}
--- a/cmd/fawnctl/radius_test.go
+++ b/cmd/fawnctl/radius_test.go
@@ -18,18 +18,18 @@
 		t.Fatal(err)
 	}
 	defer server.Close()
-	server.Do(func(s standin.RadiusSeen) standin.RadiusAct {
+	server.SetScript(func(s standin.RadiusRequest) standin.RadiusAction {
 		switch {
 		case strings.HasPrefix(s.Name, "asked"):
-			return standin.RadiusAct{Kind: standin.RadiusChallenge}
+			return standin.RadiusAction{Kind: standin.RadiusChallenge}
 		case strings.HasPrefix(s.Name, "bare"):
-			return standin.RadiusAct{Kind: standin.RadiusUnsigned}
+			return standin.RadiusAction{Kind: standin.RadiusUnsigned}
 		case strings.Contains(s.Name, "quiet"):
-			return standin.RadiusAct{Kind: standin.RadiusSilent}
+			return standin.RadiusAction{Kind: standin.RadiusSilent}
 		case s.Packet.Code.String() == "Access-Request" && s.Password != "1234" && !strings.HasPrefix(s.Name, "chap"):
-			return standin.RadiusAct{Kind: standin.RadiusReject}
+			return standin.RadiusAction{Kind: standin.RadiusReject}
 		}
-		return standin.RadiusAct{}
+		return standin.RadiusAction{}
 	})
 	dead, err := standin.NewRadiusServer("r2", "of the shop", ledger)
 	if err != nil {
@@ -76,7 +76,7 @@
 			t.Errorf("%s: the output contains a secret", c.args)
 		}
 	}
-	if n := ledger.Of("fawnctl s1 1 7"); n.Effects != 2 { // each run sends from its own port, so the server sees two terminals
+	if n := ledger.Count("fawnctl s1 1 7"); n.Effects != 2 { // each run sends from its own port, so the server sees two terminals
 		t.Errorf("%+v", n)
 	}
 }
--- a/cmd/fawnrock/main_test.go
+++ b/cmd/fawnrock/main_test.go
@@ -188,7 +188,7 @@
 // endpoint, which is draining. It returns the discovery's address.
 func newDiscovery(t *testing.T, body string, before, after int) (addr string) {
 	t.Helper()
-	server, err := standin.NewServer(standin.ServerConfig{Name: "s", Script: standin.Always(standin.Act{Body: body})})
+	server, err := standin.NewServer(standin.ServerConfig{Name: "s", Script: standin.Always(standin.Action{Body: body})})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/body/body_test.go
+++ b/internal/body/body_test.go
@@ -151,7 +151,7 @@
 				}
 			}
 		}
-		eventually(t, "files stay open", func() bool { return disk.Open() == 0 })
+		eventually(t, "files stay open", func() bool { return disk.OpenFiles() == 0 })
 	})
 }
 
@@ -174,7 +174,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		eventually(t, "no body is moved", func() bool { return disk.Hanging() > 0 })
+		eventually(t, "no body is moved", func() bool { return disk.BlockedCalls() > 0 })
 		b := first // either may be selected; both attempts below read the one that is moved
 		s.mu.Lock()
 		if !first.record.IsMoving() {
@@ -219,7 +219,7 @@
 		}
 		first.Drop()
 		second.Drop()
-		eventually(t, "a descriptor is left", func() bool { return disk.Open() == 0 })
+		eventually(t, "a descriptor is left", func() bool { return disk.OpenFiles() == 0 })
 		eventually(t, "something is held", func() bool { return hasNoBookings(s) })
 	})
 }
@@ -228,11 +228,11 @@
 // if it fits, or else becomes not kept without losing data, or else ends with ErrNoRoom.
 func TestDiskFailsWhileReceiving(t *testing.T) {
 	for name, fail := range map[string]func(*standin.Disk){
-		"full at once":   func(d *standin.Disk) { d.Room(0) },
-		"full at byte N": func(d *standin.Disk) { d.Room(1<<20 + 12345) },
-		"no descriptors": func(d *standin.Disk) { d.NoFiles(syscall.EMFILE) },
+		"full at once":   func(d *standin.Disk) { d.SetFreeBytes(0) },
+		"full at byte N": func(d *standin.Disk) { d.SetFreeBytes(1<<20 + 12345) },
+		"no descriptors": func(d *standin.Disk) { d.FailCreates(syscall.EMFILE) },
 		"hangs":          func(d *standin.Disk) { d.Hang() },
-		"short writes":   func(d *standin.Disk) { d.ShortWrites(true) },
+		"short writes":   func(d *standin.Disk) { d.SetShortWrites(true) },
 	} {
 		for where, c := range map[string]struct {
 			memory  int64 // memory limit
@@ -276,10 +276,10 @@
 						t.Error("the disk is good after a failed write")
 					}
 					disk.Resume()
-					disk.Room(-1)
-					disk.NoFiles(nil)
-					disk.ShortWrites(false)
-					eventually(t, "a descriptor is left", func() bool { return disk.Open() == 0 })
+					disk.SetFreeBytes(-1)
+					disk.FailCreates(nil)
+					disk.SetShortWrites(false)
+					eventually(t, "a descriptor is left", func() bool { return disk.OpenFiles() == 0 })
 					eventually(t, "something is held", func() bool { return hasNoBookings(s) })
 					eventually(t, "the disk does not become good again", func() bool { return s.View().DiskState == "good" })
 				})
@@ -298,12 +298,12 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		disk.NoReads(syscall.EIO)
+		disk.FailReads(syscall.EIO)
 		if got, err := readAll(b); !errors.Is(err, ErrLost) || len(got) != 0 {
 			t.Errorf("EIO: %d bytes, error %v, want none and ErrLost", len(got), err)
 		}
-		disk.NoReads(nil)
-		disk.Spoil(func(at int64, q []byte) {
+		disk.FailReads(nil)
+		disk.Corrupt(func(at int64, q []byte) {
 			if at > 1<<20 {
 				q[0] ^= 1
 			}
@@ -357,7 +357,7 @@
 		if !hasNoBookings(s) {
 			t.Errorf("held: %+v", s.View())
 		}
-		eventually(t, "files stay open", func() bool { return disk.Open() == 0 })
+		eventually(t, "files stay open", func() bool { return disk.OpenFiles() == 0 })
 	})
 }
 
@@ -436,14 +436,14 @@
 		trouble := func(rng *rand.Rand) {
 			switch rng.IntN(6) {
 			case 0:
-				disk.Room(int64(rng.IntN(4 << 20)))
+				disk.SetFreeBytes(int64(rng.IntN(4 << 20)))
 			case 1:
-				disk.NoFiles(syscall.EMFILE)
+				disk.FailCreates(syscall.EMFILE)
 			case 2:
 				disk.Hang()
 			default:
-				disk.Room(-1)
-				disk.NoFiles(nil)
+				disk.SetFreeBytes(-1)
+				disk.FailCreates(nil)
 				disk.Resume()
 			}
 		}
@@ -477,10 +477,10 @@
 			})
 		}
 		wg.Wait()
-		disk.Room(-1)
-		disk.NoFiles(nil)
+		disk.SetFreeBytes(-1)
+		disk.FailCreates(nil)
 		disk.Resume()
 		eventually(t, "something is held", func() bool { return hasNoBookings(s) })
-		eventually(t, "a descriptor is left", func() bool { return disk.Open() == 0 })
+		eventually(t, "a descriptor is left", func() bool { return disk.OpenFiles() == 0 })
 	})
 }
--- a/internal/daemon/client_left_test.go
+++ b/internal/daemon/client_left_test.go
@@ -46,11 +46,11 @@
 	script := func(seed uint64) standin.Script {
 		r := rand.New(rand.NewPCG(seed, 1))
 		var mu sync.Mutex
-		return func(standin.Request) standin.Act {
+		return func(standin.Request) standin.Action {
 			mu.Lock()
 			defer mu.Unlock()
-			kinds := []standin.Kind{standin.Serve, standin.Fail, standin.Fail, standin.Decline, standin.ResetLate, standin.Silence}
-			return standin.Act{Kind: kinds[r.IntN(len(kinds))], Delay: time.Duration(r.IntN(150)) * time.Millisecond}
+			kinds := []standin.ActionKind{standin.Serve, standin.Fail, standin.Fail, standin.Decline, standin.ResetLate, standin.Silence}
+			return standin.Action{Kind: kinds[r.IntN(len(kinds))], Delay: time.Duration(r.IntN(150)) * time.Millisecond}
 		}
 	}
 	site, err := rig.NewSite(rig.SiteConfig{Servers: 6, Classes: rig.Activation(), Attempts: 5})
@@ -63,7 +63,7 @@
 		t.Fatal(err)
 	}
 	for n, s := range site.Servers {
-		s.Do(script(uint64(n)))
+		s.SetScript(script(uint64(n)))
 	}
 	d := startProcess(t, site, binary)
 	waitUntil(t, "the daemon is never ready", func() bool { return isReady(d.Addr) })
@@ -103,7 +103,7 @@
 	}
 	worst, attempts, after := time.Duration(0), 0, 0
 	for _, s := range site.Servers[:1] { // all servers share one ledger
-		for _, a := range s.Ledger().Log() {
+		for _, a := range s.Ledger().Arrivals() {
 			closed, ok := closedAt[a.ID]
 			if !ok {
 				continue
@@ -111,7 +111,7 @@
 			if attempts++; a.At.After(closed) {
 				after++
 				if wakeupDelay := a.At.Sub(closed); wakeupDelay > bound/2 {
-					t.Logf("attempt %d of %s arrived %v after its client closed, act %v", a.Nth, a.ID, wakeupDelay, a.Act)
+					t.Logf("attempt %d of %s arrived %v after its client closed, act %v", a.AttemptNumber, a.ID, wakeupDelay, a.ActionKind)
 				}
 				worst = max(worst, a.At.Sub(closed))
 			}
--- a/internal/daemon/cold_test.go
+++ b/internal/daemon/cold_test.go
@@ -18,9 +18,9 @@
 func TestThirtyProcessesDoNotOverloadColdServer(t *testing.T) {
 	const fleet, servers = 30, 6
 	site, binary := newProcessSite(t, rig.SiteConfig{Servers: servers, Fleet: fleet, Warm: true, ColdFrom: 0.2, ColdFor: 8 * time.Second,
-		Server: standin.ServerConfig{Rate: 40, Cold: 0.2, WarmIn: 8 * time.Second, FallFactor: 4, FallFor: time.Second}})
+		Server: standin.ServerConfig{RequestsPerSecond: 40, ColdShare: 0.2, WarmUpTime: 8 * time.Second, FallFactor: 4, FallFor: time.Second}})
 	for _, s := range site.Servers {
-		s.Warm()
+		s.SetWarm()
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	var wg sync.WaitGroup
@@ -47,7 +47,7 @@
 				if k == 3 {
 					started.Done()
 				}
-				c.Do(ctx, standin.Ask{ID: fmt.Sprintf("%x-%x", n, k), Class: check})
+				c.Do(ctx, standin.ClientRequest{ID: fmt.Sprintf("%x-%x", n, k), Class: check})
 				select {
 				case <-time.After(pause):
 				case <-ctx.Done():
@@ -56,7 +56,7 @@
 		})
 	}
 	started.Wait()
-	logLength := len(site.Servers[0].Ledger().Log())
+	logLength := len(site.Servers[0].Ledger().Arrivals())
 	site.Servers[0].Kill()
 	if err := site.Servers[0].Restart(); err != nil {
 		t.Fatal(err)
@@ -69,7 +69,7 @@
 	name, cold := site.Servers[0].Name(), 0
 	waitUntil(t, "the cold server is not used", func() bool {
 		cold = 0
-		for _, a := range site.Servers[0].Ledger().Log()[logLength:] {
+		for _, a := range site.Servers[0].Ledger().Arrivals()[logLength:] {
 			if a.Server == name {
 				cold++
 			}
--- a/internal/daemon/connections_test.go
+++ b/internal/daemon/connections_test.go
@@ -16,7 +16,7 @@
 func startDaemon(t *testing.T, servers, sockets int, delay time.Duration) (*rig.Site, *rig.Daemon) {
 	t.Helper()
 	site, err := rig.NewSite(rig.SiteConfig{Servers: servers, Classes: rig.Patient(), NoHedge: true, Sockets: sockets,
-		Server: standin.ServerConfig{Script: standin.Always(standin.Act{Kind: standin.Serve, Delay: delay})}})
+		Server: standin.ServerConfig{Script: standin.Always(standin.Action{Kind: standin.Serve, Delay: delay})}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -40,7 +40,7 @@
 			c := standin.NewClient(d.Addr)
 			defer c.Close()
 			for k := range calls {
-				if r := c.Do(context.Background(), standin.Ask{ID: fmt.Sprintf("%d-%d", n, k), Class: check}); r.Verdict() != "served" {
+				if r := c.Do(context.Background(), standin.ClientRequest{ID: fmt.Sprintf("%d-%d", n, k), Class: check}); r.Verdict() != "served" {
 					t.Errorf("client %d, call %d: %s", n, k, r.Verdict())
 				}
 			}
@@ -49,7 +49,7 @@
 	wg.Wait()
 	opened := 0
 	for _, s := range site.Servers {
-		opened += s.Opened()
+		opened += s.OpenedConns()
 	}
 	t.Logf("%d connections for %d calls", opened, clients*calls)
 	if opened > clients*calls/8 {
--- a/internal/daemon/management_test.go
+++ b/internal/daemon/management_test.go
@@ -26,7 +26,7 @@
 func newManagedSite(t *testing.T, servers, sockets int, delay time.Duration) *rig.Site {
 	t.Helper()
 	site, err := rig.NewSite(rig.SiteConfig{Servers: servers, Classes: rig.Patient(), NoHedge: true, Managed: true, Sockets: sockets, Warm: true,
-		ColdFrom: 0.3, ColdFor: 2 * time.Second, Server: standin.ServerConfig{Script: standin.Always(standin.Act{Kind: standin.Serve, Delay: delay})}})
+		ColdFrom: 0.3, ColdFor: 2 * time.Second, Server: standin.ServerConfig{Script: standin.Always(standin.Action{Kind: standin.Serve, Delay: delay})}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -114,7 +114,7 @@
 					return
 				default:
 				}
-				if r := c.Do(context.Background(), standin.Ask{ID: fmt.Sprintf("%d-%d-%d", series, n, k), Class: check}); r.Verdict() != "served" {
+				if r := c.Do(context.Background(), standin.ClientRequest{ID: fmt.Sprintf("%d-%d-%d", series, n, k), Class: check}); r.Verdict() != "served" {
 					t.Errorf("client %d, call %d: %s, %v", n, k, r.Verdict(), r.Err)
 				}
 				mu.Lock()
@@ -132,8 +132,8 @@
 
 // failedAttempts returns how many attempts a server answered with a failure.
 func failedAttempts(site *rig.Site, server string) (n int) {
-	for _, a := range site.Ledger.Log() {
-		if a.Server == server && a.Act == standin.Fail {
+	for _, a := range site.Ledger.Arrivals() {
+		if a.Server == server && a.ActionKind == standin.Fail {
 			n++
 		}
 	}
@@ -145,7 +145,7 @@
 
 // receivedAttempts returns how many attempts a server received.
 func receivedAttempts(site *rig.Site, server string) (n int) {
-	for _, a := range site.Ledger.Log() {
+	for _, a := range site.Ledger.Arrivals() {
 		if a.Server == server {
 			n++
 		}
@@ -172,7 +172,7 @@
 	made := stop() // no earlier attempt is outstanding any more
 	before := receivedAttempts(site, "s1")
 	// Calls that fail at s2 are retried, at s3 only.
-	site.Servers[1].Do(standin.Random(1, standin.Odd{Share: 0.1, Act: standin.Act{Kind: standin.Fail}}))
+	site.Servers[1].SetScript(standin.Random(1, standin.WeightedAction{Probability: 0.1, Action: standin.Action{Kind: standin.Fail}}))
 	stop = startCalls(t, d.Addr, 4)
 	waitUntil(t, "no attempt fails at s2", func() bool { return failedAttempts(site, "s2") > 0 })
 	if n := readFigure(t, d.Management, "ejected"); n != 1 {
@@ -202,7 +202,7 @@
 	if n := readFigure(t, d.Management, "succeeded."+check.Name); n != made {
 		t.Errorf("%d counted as succeeded, %d calls made", n, made)
 	}
-	if n, sent := readFigure(t, d.Management, "forwards"), len(site.Ledger.Log()); n != sent {
+	if n, sent := readFigure(t, d.Management, "forwards"), len(site.Ledger.Arrivals()); n != sent {
 		t.Errorf("%d counted as forwarded, %d received", n, sent)
 	}
 }
@@ -214,13 +214,13 @@
 	requireYes(t, d.Management, "DISABLE s2")
 	c := standin.NewClient(d.Addr)
 	defer c.Close()
-	r := c.Do(context.Background(), standin.Ask{ID: "1", Class: check, Deadline: 10 * time.Second})
-	if r.Verdict() != "refused" || r.Took > 5*time.Second {
-		t.Errorf("%s after %v", r.Verdict(), r.Took)
+	r := c.Do(context.Background(), standin.ClientRequest{ID: "1", Class: check, Deadline: 10 * time.Second})
+	if r.Verdict() != "refused" || r.Elapsed > 5*time.Second {
+		t.Errorf("%s after %v", r.Verdict(), r.Elapsed)
 	}
 	requireYes(t, d.Management, "ENABLE s1")
 	waitUntil(t, "the server does not serve after ENABLE", func() bool {
-		r := c.Do(context.Background(), standin.Ask{ID: fmt.Sprint(time.Now().UnixNano()), Class: check})
+		r := c.Do(context.Background(), standin.ClientRequest{ID: fmt.Sprint(time.Now().UnixNano()), Class: check})
 		return r.Verdict() == "served"
 	})
 }
@@ -324,7 +324,7 @@
 			c := standin.NewClient(d.Addr)
 			defer c.Close()
 			for k := 0; ctx.Err() == nil; k++ {
-				c.Do(ctx, standin.Ask{ID: fmt.Sprintf("%d-%d", n, k), Class: check})
+				c.Do(ctx, standin.ClientRequest{ID: fmt.Sprintf("%d-%d", n, k), Class: check})
 			}
 		})
 	}
--- a/internal/daemon/processes_test.go
+++ b/internal/daemon/processes_test.go
@@ -64,7 +64,7 @@
 	t.Helper()
 	c := standin.NewClient(addr)
 	defer c.Close()
-	if r := c.Do(context.Background(), standin.Ask{ID: id, Class: check}); r.Verdict() != "served" {
+	if r := c.Do(context.Background(), standin.ClientRequest{ID: id, Class: check}); r.Verdict() != "served" {
 		t.Errorf("call %s: %s, %v", id, r.Verdict(), r.Err)
 	}
 }
@@ -83,13 +83,13 @@
 func TestPolledListIsFollowed(t *testing.T) {
 	site, binary := newProcessSite(t, rig.SiteConfig{Servers: 2, Asked: true})
 	d := startProcess(t, site, binary)
-	waitUntil(t, "the daemon does not watch discovery", func() bool { return site.Discovery.Watching() == 1 })
-	site.Discovery.Down(true)
-	waitUntil(t, "the daemon does not reconnect", func() bool { return site.Discovery.Refused() > 1 })
+	waitUntil(t, "the daemon does not watch discovery", func() bool { return site.Discovery.OpenWatches() == 1 })
+	site.Discovery.SetDown(true)
+	waitUntil(t, "the daemon does not reconnect", func() bool { return site.Discovery.RefusedCalls() > 1 })
 	site.Discovery.Change(site.Endpoint(0, "draining"))
 	back := time.Now()
-	site.Discovery.Down(false)
-	waitUntil(t, "the daemon does not watch discovery after its return", func() bool { return site.Discovery.Watching() == 1 })
+	site.Discovery.SetDown(false)
+	waitUntil(t, "the daemon does not watch discovery after its return", func() bool { return site.Discovery.OpenWatches() == 1 })
 	if took := time.Since(back); took >= discovery.MaxChangeDelay {
 		t.Errorf("polled again %v after discovery returned, want under %v", took, discovery.MaxChangeDelay)
 	}
@@ -101,18 +101,18 @@
 func TestReadyNeedsList(t *testing.T) {
 	for _, asked := range []bool{false, true} {
 		site, binary := newProcessSite(t, rig.SiteConfig{Servers: 2, Asked: asked, Unlisted: true})
-		site.Discovery.Down(true)
+		site.Discovery.SetDown(true)
 		d := startProcess(t, site, binary)
-		waitUntil(t, "the daemon does not contact discovery", func() bool { return site.Discovery.Refused() >= 4 })
+		waitUntil(t, "the daemon does not contact discovery", func() bool { return site.Discovery.RefusedCalls() >= 4 })
 		if isReady(d.Addr) {
 			t.Error("ready without a list")
 		}
-		site.Discovery.Down(false)
+		site.Discovery.SetDown(false)
 		waitUntil(t, "the daemon is never ready", func() bool { return isReady(d.Addr) })
 		checkServed(t, d.Addr, "1")
 	}
 	site, binary := newProcessSite(t, rig.SiteConfig{Servers: 2})
-	site.Discovery.Down(true)
+	site.Discovery.SetDown(true)
 	d := startProcess(t, site, binary)
 	waitUntil(t, "not ready with a known list", func() bool { return isReady(d.Addr) })
 	checkServed(t, d.Addr, "1")
@@ -122,7 +122,7 @@
 // exit.
 func TestSignalsBeforeReadyStopProcess(t *testing.T) {
 	site, binary := newProcessSite(t, rig.SiteConfig{Servers: 2, Unlisted: true})
-	site.Discovery.Down(true)
+	site.Discovery.SetDown(true)
 	for _, signals := range [][]syscall.Signal{
 		{syscall.SIGTERM},
 		{syscall.SIGHUP, syscall.SIGTERM, syscall.SIGTERM},
@@ -140,11 +140,11 @@
 		}
 		cmd := exec.Command(binary)
 		cmd.Env = []string{"BALANCER_CONFIG=" + path}
-		before := site.Discovery.Refused()
+		before := site.Discovery.RefusedCalls()
 		if err := cmd.Start(); err != nil {
 			t.Fatal(err)
 		}
-		waitUntil(t, "the daemon does not contact discovery", func() bool { return site.Discovery.Refused() > before })
+		waitUntil(t, "the daemon does not contact discovery", func() bool { return site.Discovery.RefusedCalls() > before })
 		for _, s := range signals {
 			if err := cmd.Process.Signal(s); err != nil && !errors.Is(err, os.ErrProcessDone) {
 				t.Fatal(err)
@@ -161,7 +161,7 @@
 // before the process exits.
 func TestTermClosesIdleConnections(t *testing.T) {
 	site, binary := newProcessSite(t, rig.SiteConfig{Servers: 2, Server: standin.ServerConfig{
-		Script: standin.Always(standin.Act{Kind: standin.Serve, Delay: 300 * time.Millisecond})}})
+		Script: standin.Always(standin.Action{Kind: standin.Serve, Delay: 300 * time.Millisecond})}})
 	d := startProcess(t, site, binary)
 	waitUntil(t, "the daemon is never ready", func() bool { return isReady(d.Addr) })
 	dial := func() (net.Conn, *bufio.Reader) {
@@ -200,7 +200,7 @@
 	half, halfIn := dial()
 	fmt.Fprintf(half, "POST /%s HTTP/1.1\r\nHost: h\r\nReq-Id: 9b1f03\r\nReq-Kind: %s\r\nContent-Length: 2\r\n\r\nh", check.Name, check.Name)
 	ended := make(chan error, 1)
-	waitUntil(t, "no server received the request", func() bool { return len(site.Servers[0].Ledger().Log()) >= 2 })
+	waitUntil(t, "no server received the request", func() bool { return len(site.Servers[0].Ledger().Arrivals()) >= 2 })
 	go func() { ended <- d.Stop() }()
 	for name, br := range map[string]*bufio.Reader{"used connection": usedIn, "unused connection": freshIn} {
 		if _, err := br.ReadByte(); err != io.EOF {
@@ -283,7 +283,7 @@
 // the earliest: it is answered and the process has exited by then.
 func TestDeadlineLaterThanKillIsAnswered(t *testing.T) {
 	site, binary := newProcessSite(t, rig.SiteConfig{Servers: 2, Server: standin.ServerConfig{
-		Script: standin.Always(standin.Act{Kind: standin.Silence})}})
+		Script: standin.Always(standin.Action{Kind: standin.Silence})}})
 	d := startProcess(t, site, binary)
 	waitUntil(t, "the daemon is never ready", func() bool { return isReady(d.Addr) })
 	c, err := net.Dial("tcp", d.Addr)
@@ -293,7 +293,7 @@
 	defer c.Close()
 	c.SetDeadline(time.Now().Add(testTimeout))
 	fmt.Fprintf(c, "GET /%s HTTP/1.1\r\nHost: h\r\nReq-Id: 9b1f\r\nReq-Kind: %s\r\nReq-Deadline-Ms: 15000\r\n\r\n", check.Name, check.Name)
-	waitUntil(t, "no server received the request", func() bool { return len(site.Servers[0].Ledger().Log()) > 0 })
+	waitUntil(t, "no server received the request", func() bool { return len(site.Servers[0].Ledger().Arrivals()) > 0 })
 	late := measureWakeupDelay(t)
 	began := time.Now()
 	ended := make(chan time.Duration, 1)
@@ -322,8 +322,8 @@
 	const descriptors = 128
 	site, binary := newProcessSite(t, rig.SiteConfig{Servers: 4, Sockets: descriptors})
 	d := startProcess(t, site, limitedBinary(t, binary, descriptors))
-	waitUntil(t, "the daemon does not watch discovery", func() bool { return site.Discovery.Watching() == 1 })
-	site.Discovery.Down(true)
+	waitUntil(t, "the daemon does not watch discovery", func() bool { return site.Discovery.OpenWatches() == 1 })
+	site.Discovery.SetDown(true)
 	for n := range 3 * descriptors {
 		c, err := net.Dial("tcp", d.Addr)
 		if err != nil {
@@ -334,11 +334,11 @@
 			io.WriteString(c, "GET /a HTTP/1.1\r\nHost")
 		}
 	}
-	refused := site.Discovery.Refused()
-	waitUntil(t, "the daemon does not contact discovery", func() bool { return site.Discovery.Refused() > refused+1 })
+	refused := site.Discovery.RefusedCalls()
+	waitUntil(t, "the daemon does not contact discovery", func() bool { return site.Discovery.RefusedCalls() > refused+1 })
 	back := time.Now()
-	site.Discovery.Down(false)
-	waitUntil(t, "the daemon does not watch discovery after its return", func() bool { return site.Discovery.Watching() == 1 })
+	site.Discovery.SetDown(false)
+	waitUntil(t, "the daemon does not watch discovery after its return", func() bool { return site.Discovery.OpenWatches() == 1 })
 	if took := time.Since(back); took >= discovery.MaxChangeDelay {
 		t.Errorf("the watch recovered after %v", took)
 	}
@@ -374,9 +374,9 @@
 				many = append(many, e)
 			}
 			site.Discovery.Change(many...)
-			site.Discovery.Down(c.down)
+			site.Discovery.SetDown(c.down)
 			if c.late > 0 {
-				time.AfterFunc(c.late, func() { site.Discovery.Down(false) })
+				time.AfterFunc(c.late, func() { site.Discovery.SetDown(false) })
 			}
 			took := make([]time.Duration, fleet)
 			var wg sync.WaitGroup
--- a/internal/daemon/radius_test.go
+++ b/internal/daemon/radius_test.go
@@ -41,11 +41,11 @@
 			t.Fatal(err)
 		}
 		defer s.Close()
-		s.Do(func(seen standin.RadiusSeen) standin.RadiusAct {
+		s.SetScript(func(seen standin.RadiusRequest) standin.RadiusAction {
 			if strings.Contains(seen.Name, "slow") { // longer than the minimum shutdown time
-				return standin.RadiusAct{Delay: 1200 * time.Millisecond}
+				return standin.RadiusAction{Delay: 1200 * time.Millisecond}
 			}
-			return standin.RadiusAct{Delay: 10 * time.Millisecond}
+			return standin.RadiusAction{Delay: 10 * time.Millisecond}
 		})
 		fmt.Fprintf(&servers, "[[radius.servers]]\nname = %q\nauth = %q\nacct = %q\nsecret = \"of the servers\"\n", s.Name, s.Addr(), s.Addr())
 	}
@@ -80,7 +80,7 @@
 					return
 				case <-time.After(5 * time.Millisecond):
 				}
-				reply := client.Do(standin.RadiusAsk{NAS: "shop", Session: fmt.Sprint(w, "-", n), Status: 1, At: began, Tries: 400, Each: 50 * time.Millisecond, NewID: n%2 == 1})
+				reply := client.Do(standin.RadiusClientRequest{NAS: "shop", Session: fmt.Sprint(w, "-", n), Status: 1, EventTime: began, MaxPackets: 400, ResendInterval: 50 * time.Millisecond, NewID: n%2 == 1})
 				mu.Lock()
 				asked++
 				if reply.Code != lr.CodeAccountingResponse {
@@ -93,18 +93,18 @@
 	for n := range 2 {
 		time.Sleep(300 * time.Millisecond)
 		// A terminal that gets no answer until the daemon has stopped.
-		unlucky := standin.RadiusAsk{NAS: "shop", Session: fmt.Sprint("unlucky-", n), Status: 1, At: began, Tries: 20, Each: time.Second}
+		unlucky := standin.RadiusClientRequest{NAS: "shop", Session: fmt.Sprint("unlucky-", n), Status: 1, EventTime: began, MaxPackets: 20, ResendInterval: time.Second}
 		straight := standin.NewRadiusClient(acct, "of the terminals", "")
-		straight.Throw(straight.Packet(unlucky, 1, [16]byte{}, 0))
-		for end := time.Now().Add(20 * time.Second); ledger.Of(fmt.Sprintf("shop %s 1 %d", unlucky.Session, began.Unix())).Effects == 0; time.Sleep(time.Millisecond) {
+		straight.Send(straight.Encode(unlucky, 1, [16]byte{}, 0))
+		for end := time.Now().Add(20 * time.Second); ledger.Count(fmt.Sprintf("shop %s 1 %d", unlucky.Session, began.Unix())).Effects == 0; time.Sleep(time.Millisecond) {
 			if time.Now().After(end) {
 				t.Fatal("the event is not counted")
 			}
 		}
 		slow := unlucky
 		slow.Session = fmt.Sprint("slow-", n)
-		straight.Throw(straight.Packet(slow, 2, [16]byte{}, 0))
-		for end := time.Now().Add(20 * time.Second); ledger.Of(fmt.Sprintf("shop %s 1 %d", slow.Session, began.Unix())).Effects == 0; time.Sleep(time.Millisecond) {
+		straight.Send(straight.Encode(slow, 2, [16]byte{}, 0))
+		for end := time.Now().Add(20 * time.Second); ledger.Count(fmt.Sprintf("shop %s 1 %d", slow.Session, began.Unix())).Effects == 0; time.Sleep(time.Millisecond) {
 			if time.Now().After(end) {
 				t.Fatal("the event is not counted")
 			}
@@ -115,7 +115,7 @@
 		if err := d.Start(); err != nil {
 			t.Fatal(err)
 		}
-		for _, a := range []standin.RadiusAsk{unlucky, slow} {
+		for _, a := range []standin.RadiusClientRequest{unlucky, slow} {
 			if reply := straight.Do(a); reply.Code != lr.CodeAccountingResponse {
 				t.Errorf("%s: %+v", a.Session, reply)
 			}
@@ -127,11 +127,11 @@
 	time.Sleep(300 * time.Millisecond)
 	close(stop)
 	wg.Wait()
-	access := standin.NewRadiusClient(auth, "of the terminals", "").Do(standin.RadiusAsk{User: "nemo", Password: "1234", NAS: "shop", Tries: 10, Each: time.Second})
+	access := standin.NewRadiusClient(auth, "of the terminals", "").Do(standin.RadiusClientRequest{User: "nemo", Password: "1234", NAS: "shop", MaxPackets: 10, ResendInterval: time.Second})
 	if access.Code != lr.CodeAccessAccept {
 		t.Errorf("access request: %+v, want an accept", access)
 	}
-	all := ledger.All()
+	all := ledger.Counts()
 	delete(all, "nemo")
 	twice := 0
 	for name, c := range all {
--- a/internal/daemon/second_start_test.go
+++ b/internal/daemon/second_start_test.go
@@ -81,7 +81,7 @@
 	client := standin.NewClient(addr)
 	defer client.Close()
 	for _, id := range []string{"a", "b"} {
-		if r := client.Do(context.Background(), standin.Ask{ID: id, Class: check}); r.Verdict() != "served" {
+		if r := client.Do(context.Background(), standin.ClientRequest{ID: id, Class: check}); r.Verdict() != "served" {
 			t.Errorf("call %s: %s", id, r.Verdict())
 		}
 	}
--- a/internal/daemon/tier_test.go
+++ b/internal/daemon/tier_test.go
@@ -51,8 +51,8 @@
 	return site, all
 }
 
-func alwaysServer(k standin.Kind) standin.ServerConfig {
-	return standin.ServerConfig{Script: standin.Always(standin.Act{Kind: k, Status: 404, Body: "why"})}
+func alwaysServer(k standin.ActionKind) standin.ServerConfig {
+	return standin.ServerConfig{Script: standin.Always(standin.Action{Kind: k, Status: 404, Body: "why"})}
 }
 
 // A Req-Attempts header bounds the daemon's attempts: to one if it is invalid, and never to more
@@ -71,8 +71,8 @@
 			site, ds := startDaemons(t, rig.SiteConfig{Attempts: 3, Server: alwaysServer(standin.Decline)}, 1, "")
 			c := standin.NewClient(ds[0].Addr)
 			defer c.Close()
-			r := c.Do(context.Background(), standin.Ask{ID: "1", Class: activate, Header: http.Header{"Req-Attempts": m.marks}})
-			if n := site.Ledger.ID("1").Attempts; n != m.most || r.Status != 503 {
+			r := c.Do(context.Background(), standin.ClientRequest{ID: "1", Class: activate, Header: http.Header{"Req-Attempts": m.marks}})
+			if n := site.Ledger.RequestCount("1").Attempts; n != m.most || r.Status != 503 {
 				t.Errorf("%d attempts, answered %d", n, r.Status)
 			}
 			if told := r.Header.Get("Srv-Declined") == "1"; told != (m.marks != nil) {
@@ -89,8 +89,8 @@
 			mark, verdict string
 			attempts      int
 		}{{"1; nth=1", "refused", 1}, {"1; nth=1", "failed", 1}, {"1; nth=1", "failed", 1}, {"1; nth=2", "refused", 2}} {
-			r := c.Do(context.Background(), standin.Ask{ID: "twice", Class: check, Header: http.Header{"Req-Attempts": {step.mark}}})
-			if got := site.Ledger.ID("twice").Attempts; r.Verdict() != step.verdict || got != step.attempts {
+			r := c.Do(context.Background(), standin.ClientRequest{ID: "twice", Class: check, Header: http.Header{"Req-Attempts": {step.mark}}})
+			if got := site.Ledger.RequestCount("twice").Attempts; r.Verdict() != step.verdict || got != step.attempts {
 				t.Errorf("step %d: %s, %d attempts", n, r.Verdict(), got)
 			}
 		}
@@ -103,7 +103,7 @@
 func TestPluginWithDaemonsAsNodes(t *testing.T) {
 	for _, c := range []struct {
 		name     string
-		act      standin.Kind
+		act      standin.ActionKind
 		class    string
 		verdict  string
 		attempts int
@@ -138,7 +138,7 @@
 				t.Fatal(err)
 			}
 			resp.Body.Close()
-			got := site.Ledger.ID("1")
+			got := site.Ledger.RequestCount("1")
 			if v := (standin.Reply{Status: resp.StatusCode}).Verdict(); v != c.verdict || got.Attempts != c.attempts || got.Effects != c.effects {
 				t.Errorf("%s after %+v, want %s after %d attempts", v, got, c.verdict, c.attempts)
 			}
--- a/internal/daemon/upgrade_test.go
+++ b/internal/daemon/upgrade_test.go
@@ -67,7 +67,7 @@
 					return
 				default:
 				}
-				a := standin.Ask{ID: fmt.Sprintf("%d-%d", n, k), Class: class}
+				a := standin.ClientRequest{ID: fmt.Sprintf("%d-%d", n, k), Class: class}
 				if class.Effect == standin.Keyed {
 					a.Key = a.ID
 				}
@@ -121,7 +121,7 @@
 	waitUntil(t, "s1 is not used after ENABLE", func() bool { return receivedAttempts(s.site, "s1") > n })
 	close(quit)
 	wg.Wait()
-	for id, c := range s.site.Ledger.IDs() {
+	for id, c := range s.site.Ledger.RequestCounts() {
 		if c.Effects > 1 {
 			t.Errorf("%s took effect %d times", id, c.Effects)
 		}
--- a/internal/demo/calls.go
+++ b/internal/demo/calls.go
@@ -65,9 +65,9 @@
 // healthyScript returns the script of a healthy server: it answers after about 100 ms, as the
 // operators' servers do.
 func healthyScript(seed uint64) standin.Script {
-	var actions []standin.Odd
+	var actions []standin.WeightedAction
 	for n := range 20 {
-		actions = append(actions, standin.Odd{Share: 0.05, Act: standin.Act{Delay: time.Duration(60+4*n) * time.Millisecond}})
+		actions = append(actions, standin.WeightedAction{Probability: 0.05, Action: standin.Action{Delay: time.Duration(60+4*n) * time.Millisecond}})
 	}
 	return standin.Random(seed, actions...)
 }
@@ -96,7 +96,7 @@
 
 // makeCall makes one call as the operators' clients do: it repeats a refused call after the time
 // that the answer asks for.
-func (m *httpEnvironment) makeCall(client *standin.Client, request standin.Ask, aim time.Duration) {
+func (m *httpEnvironment) makeCall(client *standin.Client, request standin.ClientRequest, aim time.Duration) {
 	start := time.Now()
 	reply := client.Do(context.Background(), request)
 	for n := 1; n <= maxRetries && reply.Verdict() == "refused"; n++ {
@@ -156,7 +156,7 @@
 	defer m.mu.Unlock()
 	fmt.Fprintf(b, "  %-13s %7s %7s %6s %8s %7s %10s %9s %8s\n", "class", "asked", "served", "late", "refused", "failed", "no answer", "attempts", "effects")
 	for _, c := range m.site.Config.Classes {
-		tally, count := m.tallies[c.Name], m.site.Ledger.Class(c.Name)
+		tally, count := m.tallies[c.Name], m.site.Ledger.ClassCount(c.Name)
 		fmt.Fprintf(b, "  %-13s %7d %7d %6d %8d %7d %10d %9d %8d\n", c.Name, tally.asked, tally.served, tally.late, tally.refused, tally.failed, tally.unanswered, count.Attempts, count.Effects)
 	}
 }
@@ -165,12 +165,12 @@
 // had no answer.
 func (m *httpEnvironment) writeSummary(b *strings.Builder) error {
 	safe := make(map[string]bool)
-	for _, a := range m.site.Ledger.Log() {
+	for _, a := range m.site.Ledger.Arrivals() {
 		safe[a.ID] = a.Class == "status-check"
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	for id, c := range m.site.Ledger.IDs() {
+	for id, c := range m.site.Ledger.RequestCounts() {
 		if c.Effects > 1 && !safe[id] {
 			m.doubleEffects++
 		}
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -21,15 +21,15 @@
 
 // Config configures a demonstration.
 type Config struct {
-	Servers int
-	Rate    float64 // calls a second
-	For     time.Duration
-	Seed    uint64
-	Radius  bool // RADIUS requests of counter terminals instead of HTTP calls
-	Script  []Step
-	Keys    io.Reader // lines with further steps; nil for none
-	Out     io.Writer
-	Live    bool // Out is a terminal, whose screen is redrawn
+	Servers        int
+	CallsPerSecond float64 // calls a second
+	Duration       time.Duration
+	Seed           uint64
+	Radius         bool // RADIUS requests of counter terminals instead of HTTP calls
+	Script         []Step
+	Keys           io.Reader // lines with further steps; nil for none
+	Out            io.Writer
+	IsTerminal     bool // Out is a terminal, whose screen is redrawn
 }
 
 // environment is what a demonstration runs: a proxy, its servers and its clients.
@@ -67,9 +67,9 @@
 	switch {
 	case cfg.Servers < 1 || cfg.Servers > 32:
 		return fmt.Errorf("demo: the number of servers must be from 1 to 32")
-	case !(cfg.Rate > 0 && cfg.Rate <= maxRate):
+	case !(cfg.CallsPerSecond > 0 && cfg.CallsPerSecond <= maxRate):
 		return fmt.Errorf("demo: the rate must be above 0 and at most %d calls a second", maxRate)
-	case cfg.For <= 0 || cfg.For > maxDuration:
+	case cfg.Duration <= 0 || cfg.Duration > maxDuration:
 		return fmt.Errorf("demo: the duration must be above 0 and at most %v", maxDuration)
 	}
 	var env environment
@@ -87,7 +87,7 @@
 	for n := range m.serverStates {
 		m.serverStates[n] = "up"
 	}
-	fmt.Fprintf(cfg.Out, "%s, %.0f calls a second for %v, seed %d\n", env.description(), cfg.Rate, cfg.For, cfg.Seed)
+	fmt.Fprintf(cfg.Out, "%s, %.0f calls a second for %v, seed %d\n", env.description(), cfg.CallsPerSecond, cfg.Duration, cfg.Seed)
 	if cfg.Keys != nil {
 		fmt.Fprintln(cfg.Out, "type f2 and Enter to freeze server 2; t thaws, k kills, r restarts, d drains, u undrains; q ends")
 	}
@@ -107,7 +107,7 @@
 // runSteps sends calls and carries out steps, from the script and from the keyboard, until the
 // duration is over, ctx is done or "q" is typed.
 func (m *demo) runSteps(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, m.cfg.For)
+	ctx, cancel := context.WithTimeout(ctx, m.cfg.Duration)
 	defer cancel()
 	start := time.Now()
 	var wg sync.WaitGroup
@@ -178,7 +178,7 @@
 	var wg sync.WaitGroup
 	defer wg.Wait()
 	for at := time.Now(); ; {
-		at = at.Add(time.Duration(rng.ExpFloat64() / cfg.Rate * float64(time.Second)))
+		at = at.Add(time.Duration(rng.ExpFloat64() / cfg.CallsPerSecond * float64(time.Second)))
 		select {
 		case <-ctx.Done():
 			return skipped
@@ -209,7 +209,7 @@
 		m.notes = m.notes[1:]
 	}
 	m.mu.Unlock()
-	if !m.cfg.Live {
+	if !m.cfg.IsTerminal {
 		fmt.Fprintln(m.cfg.Out, "  *", text)
 	}
 }
@@ -219,7 +219,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	var b strings.Builder
-	if m.cfg.Live {
+	if m.cfg.IsTerminal {
 		b.WriteString("\x1b[H\x1b[2J")
 	}
 	fmt.Fprintf(&b, "%3.0f s ", elapsed.Seconds())
@@ -228,7 +228,7 @@
 	}
 	b.WriteByte('\n')
 	m.environment.writeTable(&b)
-	if m.cfg.Live {
+	if m.cfg.IsTerminal {
 		for _, n := range m.notes {
 			fmt.Fprintln(&b, "  *", n)
 		}
--- a/internal/demo/demo_test.go
+++ b/internal/demo/demo_test.go
@@ -68,7 +68,7 @@
 		io.WriteString(typing, "d3\nnonsense\nu3\n")
 		typing.Close()
 	}()
-	if err := Run(context.Background(), Config{Servers: 4, Rate: 100, For: 1500 * time.Millisecond, Seed: 1, Script: steps, Keys: keys, Out: &out}); err != nil {
+	if err := Run(context.Background(), Config{Servers: 4, CallsPerSecond: 100, Duration: 1500 * time.Millisecond, Seed: 1, Script: steps, Keys: keys, Out: &out}); err != nil {
 		t.Error(err)
 	}
 	for _, want := range []string{"freeze server 1", "thaw server 1", "kill server 2", "restart server 2", "drain server 3", "undrain server 3", `"nonsense"`, "summary", "activate", "happened twice: 0"} {
@@ -76,7 +76,7 @@
 			t.Errorf("the output lacks %q:\n%s", want, out.String())
 		}
 	}
-	for _, bad := range []Config{{Servers: 0, Rate: 1, For: 1}, {Servers: 1, Rate: 0, For: 1}, {Servers: 1, Rate: 1, For: 0}, {Servers: 1, Rate: 1e9, For: 1}} {
+	for _, bad := range []Config{{Servers: 0, CallsPerSecond: 1, Duration: 1}, {Servers: 1, CallsPerSecond: 0, Duration: 1}, {Servers: 1, CallsPerSecond: 1, Duration: 0}, {Servers: 1, CallsPerSecond: 1e9, Duration: 1}} {
 		if err := Run(context.Background(), bad); err == nil {
 			t.Errorf("the invalid configuration %+v gave no error", bad)
 		}
--- a/internal/demo/terminals.go
+++ b/internal/demo/terminals.go
@@ -68,8 +68,8 @@
 			return nil, err
 		}
 		m.servers = append(m.servers, s)
-		s.Do(func(request standin.RadiusSeen) standin.RadiusAct {
-			act := standin.RadiusAct{Delay: 20 * time.Millisecond}
+		s.SetScript(func(request standin.RadiusRequest) standin.RadiusAction {
+			act := standin.RadiusAction{Delay: 20 * time.Millisecond}
 			if request.Password == wrongPIN {
 				act.Kind = standin.RadiusReject
 			}
@@ -128,14 +128,14 @@
 	n := -1
 	skipped := generateCalls(ctx, m.cfg, func(rng *rand.Rand) func() {
 		n++
-		request := standin.RadiusAsk{NAS: "shop", Tries: terminalMaxPackets, Each: terminalResendInterval}
+		request := standin.RadiusClientRequest{NAS: "shop", MaxPackets: terminalMaxPackets, ResendInterval: terminalResendInterval}
 		if n%2 == 0 {
 			request.User, request.Password = fmt.Sprint("u", n), "1234"
 			if rng.Float64() < 0.1 {
 				request.Password = wrongPIN
 			}
 		} else {
-			request.Session, request.Status, request.At = fmt.Sprint("s", n), uint32(1+n/2%3), time.Now()
+			request.Session, request.Status, request.EventTime = fmt.Sprint("s", n), uint32(1+n/2%3), time.Now()
 			request.NewID = n%4 == 1
 		}
 		return func() { m.makeCall(request) }
@@ -146,7 +146,7 @@
 }
 
 // makeCall makes one call and counts its result.
-func (m *radiusEnvironment) makeCall(request standin.RadiusAsk) {
+func (m *radiusEnvironment) makeCall(request standin.RadiusClientRequest) {
 	class := "access"
 	if request.User == "" {
 		class = "accounting"
@@ -156,7 +156,7 @@
 	defer m.mu.Unlock()
 	tally := m.tallies[class]
 	tally.asked++
-	tally.packets += reply.Packets
+	tally.packets += reply.PacketsSent
 	switch {
 	case reply.Code == 0:
 		tally.unanswered++
@@ -166,7 +166,7 @@
 		tally.accepted++
 	}
 	if request.User == "" {
-		m.answeredByEvent[fmt.Sprintf("%s %s %d %v", request.NAS, request.Session, request.Status, request.At.Unix())] = reply.Code != 0
+		m.answeredByEvent[fmt.Sprintf("%s %s %d %v", request.NAS, request.Session, request.Status, request.EventTime.Unix())] = reply.Code != 0
 	}
 }
 
@@ -176,10 +176,10 @@
 	server := m.servers[index]
 	switch step.Verb {
 	case "freeze":
-		server.Freeze(true)
+		server.SetFrozen(true)
 		return "frozen", nil
 	case "thaw":
-		server.Freeze(false)
+		server.SetFrozen(false)
 	case "kill":
 		server.Kill()
 		return "down", nil
@@ -218,7 +218,7 @@
 	defer m.mu.Unlock()
 	countedTwice, notCounted, countedOnce := 0, 0, 0
 	for name, answered := range m.answeredByEvent {
-		c := m.ledger.Of(name)
+		c := m.ledger.Count(name)
 		switch {
 		case c.Effects > 1:
 			countedTwice++
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -71,7 +71,7 @@
 		zones = append(zones, schedule.serverZone(n))
 	}
 	fleet.site, err = rig.NewSite(rig.SiteConfig{Servers: len(zones), Classes: schedule.classes(), Zones: zones, Warm: true, ColdFrom: schedule.ColdFrom, ColdFor: time.Duration(schedule.ColdFor),
-		Server: standin.ServerConfig{Script: fleet.script(standin.Act{}), Rate: schedule.Capacity, Cold: schedule.ColdFrom, WarmIn: time.Duration(schedule.ColdFor), FallFactor: schedule.Fall, FallFor: time.Duration(schedule.FallFor)}})
+		Server: standin.ServerConfig{Script: fleet.script(standin.Action{}), RequestsPerSecond: schedule.Capacity, ColdShare: schedule.ColdFrom, WarmUpTime: time.Duration(schedule.ColdFor), FallFactor: schedule.Fall, FallFor: time.Duration(schedule.FallFor)}})
 	if err != nil {
 		return nil, err
 	}
@@ -111,7 +111,7 @@
 }
 
 // script returns a script that always does act, by default after the Work time of the schedule.
-func (f *Fleet) script(act standin.Act) standin.Script {
+func (f *Fleet) script(act standin.Action) standin.Script {
 	if act.Delay == 0 {
 		act.Delay = time.Duration(f.schedule.Work)
 	}
--- a/internal/fleet/run.go
+++ b/internal/fleet/run.go
@@ -123,7 +123,7 @@
 			ctx, cancel := context.WithTimeout(runCtx, call.Deadline+time.Duration(f.schedule.Linger))
 			defer cancel()
 			reply := client.Do(ctx, call)
-			f.history.add(Event{At: start, Kind: EventCall, Party: f.sidecars[n].party, ID: call.ID, Class: call.Class.Name, Verdict: reply.Verdict(), Elapsed: reply.Took, Deadline: call.Deadline})
+			f.history.add(Event{At: start, Kind: EventCall, Party: f.sidecars[n].party, ID: call.ID, Class: call.Class.Name, Verdict: reply.Verdict(), Elapsed: reply.Elapsed, Deadline: call.Deadline})
 		})
 	}
 }
@@ -330,7 +330,7 @@
 		}
 		return nil
 	}
-	act := standin.Act{}
+	act := standin.Action{}
 	if begin {
 		switch fault.Kind {
 		case Fail:
@@ -341,7 +341,7 @@
 			act.Delay = time.Duration(fault.Factor * float64(f.schedule.Work))
 		}
 	}
-	server.Do(f.script(act))
+	server.SetScript(f.script(act))
 	return nil
 }
 
@@ -350,9 +350,9 @@
 func (f *Fleet) setStatus(server *standin.Server, index int, status string) error {
 	switch status {
 	case "draining":
-		server.NoteDrain()
+		server.RecordDrain()
 	case "up":
-		server.NoteUndrain()
+		server.RecordUndrain()
 	case "new":
 		if err := server.Restart(); err != nil {
 			return err
@@ -383,11 +383,11 @@
 	for _, discovery := range f.discoveries {
 		switch {
 		case fault.Kind == Kill:
-			discovery.Down(begin)
+			discovery.SetDown(begin)
 		case begin:
-			discovery.Lag(time.Duration(fault.By))
+			discovery.SetDelay(time.Duration(fault.By))
 		default:
-			discovery.Lag(0)
+			discovery.SetDelay(0)
 		}
 	}
 }
@@ -500,8 +500,8 @@
 			f.history.Fallen = append(f.history.Fallen, s.Name())
 		}
 	}
-	for _, arrival := range f.site.Ledger.Log() {
-		f.history.add(Event{At: arrival.At.Sub(f.history.started), Kind: EventArrival, Party: serverParty(arrival.Server), ID: arrival.ID, Class: arrival.Class, Zone: zones[arrival.Server], Executed: arrival.Act == standin.Serve || arrival.Act == standin.Fail, DrainingFor: arrival.Draining})
+	for _, arrival := range f.site.Ledger.Arrivals() {
+		f.history.add(Event{At: arrival.At.Sub(f.history.started), Kind: EventArrival, Party: serverParty(arrival.Server), ID: arrival.ID, Class: arrival.Class, Zone: zones[arrival.Server], Executed: arrival.ActionKind == standin.Serve || arrival.ActionKind == standin.Fail, DrainingFor: arrival.DrainingFor})
 	}
 	for _, link := range f.links {
 		link.mu.Lock()
@@ -512,7 +512,7 @@
 		link.mu.Unlock()
 	}
 	f.history.EffectCounts = make(map[string]int)
-	for id, c := range f.site.Ledger.IDs() {
+	for id, c := range f.site.Ledger.RequestCounts() {
 		if c.Effects > 1 {
 			f.history.EffectCounts[id] = c.Effects
 		}
--- a/internal/load/bench_test.go
+++ b/internal/load/bench_test.go
@@ -121,7 +121,7 @@
 // percentiles beside those calculated from the schedule.
 // go test ./internal/load -run '^$' -bench Stall -benchtime 1x
 func BenchmarkStall(b *testing.B) {
-	server, err := standin.NewServer(standin.ServerConfig{Name: "s", Script: standin.Always(standin.Act{Delay: 10 * time.Millisecond})})
+	server, err := standin.NewServer(standin.ServerConfig{Name: "s", Script: standin.Always(standin.Action{Delay: 10 * time.Millisecond})})
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -439,20 +439,20 @@
 		for class := range classes {
 			id := fmt.Sprintf("%d%d", n, class)
 			r, err := call(class, id, size)
-			if err != nil || r.Status != 200 || ledger.ID(id).Attempts != 1 {
+			if err != nil || r.Status != 200 || ledger.RequestCount(id).Attempts != 1 {
 				t.Errorf("%s: %+v, %v", id, r, err)
 			}
-			log := ledger.Log()
-			if last := log[len(log)-1]; (last.Key != "") != (classes[class].Effect == Keyed) || classes[class].Effect != Safe && last.Size != int64(size) {
+			log := ledger.Arrivals()
+			if last := log[len(log)-1]; (last.Key != "") != (classes[class].Effect == Keyed) || classes[class].Effect != Safe && last.BodySize != int64(size) {
 				t.Errorf("%s: %+v", id, last)
 			}
 		}
 	}
-	server.Do(standin.Always(standin.Act{Kind: standin.Deny, Status: 503}))
+	server.SetScript(standin.Always(standin.Action{Kind: standin.Deny, Status: 503}))
 	if r, err := call(0, "refused", 0); err != nil || r.Status != 503 {
 		t.Errorf("%+v, %v", r, err)
 	}
-	server.Do(standin.Always(standin.Act{Kind: standin.ShortBody}))
+	server.SetScript(standin.Always(standin.Action{Kind: standin.ShortBody}))
 	if r, err := call(0, "half", 0); err == nil || errors.Is(err, ErrStaleConn) {
 		t.Errorf("half an answer: %+v, %v", r, err)
 	}
@@ -464,7 +464,7 @@
 	if err := server.Restart(); err != nil {
 		t.Fatal(err)
 	}
-	server.Do(standin.Always(standin.Act{}))
+	server.SetScript(standin.Always(standin.Action{}))
 	if conn, err = (&HTTP1{Addr: server.Addr()}).Dial(time.Now().Add(time.Minute)); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/load/protocol/protocol_test.go
+++ b/internal/load/protocol/protocol_test.go
@@ -48,7 +48,7 @@
 	for _, refuse := range []bool{false, true} {
 		t.Run(fmt.Sprint("refuse ", refuse), func(t *testing.T) {
 			ledger := standin.NewLedger(time.Minute)
-			act := standin.Act{}
+			act := standin.Action{}
 			if refuse {
 				act.Kind = standin.Decline
 			}
@@ -73,8 +73,8 @@
 				return
 			}
 			bodies := 0
-			for _, a := range ledger.Log() {
-				if a.Size > 0 {
+			for _, a := range ledger.Arrivals() {
+				if a.BodySize > 0 {
 					bodies++
 				}
 			}
@@ -94,11 +94,11 @@
 		t.Fatal(err)
 	}
 	defer server.Close()
-	server.Do(func(seen standin.RadiusSeen) standin.RadiusAct {
+	server.SetScript(func(seen standin.RadiusRequest) standin.RadiusAction {
 		if seen.Password == "" { // accounting: answered after Resend, so the packet is sent again
-			return standin.RadiusAct{Delay: 150 * time.Millisecond}
+			return standin.RadiusAction{Delay: 150 * time.Millisecond}
 		}
-		return standin.RadiusAct{Kind: standin.RadiusReject}
+		return standin.RadiusAction{Kind: standin.RadiusReject}
 	})
 	scenario := newScenario(t)
 	addr := netip.MustParseAddrPort(server.Addr())
@@ -109,7 +109,7 @@
 		}
 	}
 	packets, effects := 0, 0
-	for _, c := range ledger.All() {
+	for _, c := range ledger.Counts() {
 		packets, effects = packets+c.Packets, max(effects, c.Effects)
 	}
 	if int64(packets) <= report.Sent || effects != 1 {
--- a/internal/radius/proxy/bench_test.go
+++ b/internal/radius/proxy/bench_test.go
@@ -106,7 +106,7 @@
 						}
 						binary.BigEndian.PutUint64(authenticator[:], uint64(time.Now().UnixNano()))
 						authenticator[15] = byte(terminal)
-						conn.Write(client.Packet(accessRequest("u"), byte(terminal), authenticator, 0))
+						conn.Write(client.Encode(accessRequest("u"), byte(terminal), authenticator, 0))
 						conn.SetReadDeadline(time.Now().Add(testTimeout))
 						if size, err := conn.Read(buf); err != nil || size < 20 || lr.Code(buf[0]) != lr.CodeAccessAccept {
 							b.Errorf("no Access-Accept: error %v, code %v", err, buf[0])
--- a/internal/radius/proxy/health_test.go
+++ b/internal/radius/proxy/health_test.go
@@ -66,7 +66,7 @@
 	for n := range calls {
 		fixture.newClient(false).Do(accessRequest(string(rune('a'+n%26)) + time.Duration(n).String()))
 	}
-	if n := len(fixture.servers[0].Names()); n > calls/5 {
+	if n := len(fixture.servers[0].ReceivedNames()); n > calls/5 {
 		t.Errorf("a cold server got %d of %d calls", n, calls)
 	}
 }
--- a/internal/radius/proxy/hostile_test.go
+++ b/internal/radius/proxy/hostile_test.go
@@ -36,7 +36,7 @@
 	}
 	clientWithSecret := fixture.newClient(false) // signs valid packets, to flood the proxy
 	clientWithWrongSecret := standin.NewRadiusClient(fixture.proxy.Addr(false).String(), "guessed", "")
-	replayed := clientWithSecret.Packet(accessRequest("replayed"), 1, [16]byte{1}, 0)
+	replayed := clientWithSecret.Encode(accessRequest("replayed"), 1, [16]byte{1}, 0)
 	go func() {
 		n := 0
 		for ; ; n++ {
@@ -55,19 +55,19 @@
 					payload[k] = byte(rng.Uint32())
 				}
 			case 1:
-				payload = clientWithWrongSecret.Packet(accessRequest("forged"), byte(n), authenticator, 0)
+				payload = clientWithWrongSecret.Encode(accessRequest("forged"), byte(n), authenticator, 0)
 			case 2:
-				payload = clientWithWrongSecret.Packet(eventRequest("forged", 1), byte(n), authenticator, 0)
+				payload = clientWithWrongSecret.Encode(eventRequest("forged", 1), byte(n), authenticator, 0)
 			case 3: // a valid packet with one bit flipped
-				payload = clientWithSecret.Packet(accessRequest("twisted"), byte(n), authenticator, 0)
+				payload = clientWithSecret.Encode(accessRequest("twisted"), byte(n), authenticator, 0)
 				payload[rng.IntN(len(payload))] ^= 1 << rng.IntN(8)
 			case 4:
-				payload = clientWithSecret.Packet(accessRequest("cut"), byte(n), authenticator, 0)
+				payload = clientWithSecret.Encode(accessRequest("cut"), byte(n), authenticator, 0)
 				payload = payload[:rng.IntN(len(payload))]
 			case 5:
 				payload = replayed
 				if n%12 == 5 {
-					payload = clientWithSecret.Packet(accessRequest(fmt.Sprint("insider", n)), byte(n), authenticator, 0)
+					payload = clientWithSecret.Encode(accessRequest(fmt.Sprint("insider", n)), byte(n), authenticator, 0)
 				}
 			}
 			hostileConns[n%7%2].Write(payload)
@@ -89,31 +89,31 @@
 	}
 	for n := range 500 {
 		accessAsk := accessRequest(fmt.Sprint("quiet", n))
-		accessAsk.Tries, accessAsk.Each = 100, 200*time.Millisecond
+		accessAsk.MaxPackets, accessAsk.ResendInterval = 100, 200*time.Millisecond
 		if reply := regularClients[false].Do(accessAsk); reply.Code != lr.CodeAccessAccept {
 			t.Errorf("%d: unexpected reply: %+v", n, reply)
 		}
 		eventAsk := eventRequest(fmt.Sprint("quiet", n), 1)
-		eventAsk.Tries, eventAsk.Each, eventAsk.NewID = 100, 200*time.Millisecond, true
+		eventAsk.MaxPackets, eventAsk.ResendInterval, eventAsk.NewID = 100, 200*time.Millisecond, true
 		if reply := regularClients[true].Do(eventAsk); reply.Code != lr.CodeAccountingResponse {
 			t.Errorf("%d: unexpected reply: %+v", n, reply)
 		}
-		if c := fixture.ledger.Of(eventName(fmt.Sprint("quiet", n), 1)); c.Effects != 1 {
+		if c := fixture.ledger.Count(eventName(fmt.Sprint("quiet", n), 1)); c.Effects != 1 {
 			t.Errorf("%d: unexpected ledger entry: %+v", n, c)
 		}
 	}
 	close(stop)
 	datagramsSent := <-done
 	waitUntil(t, "held", func() bool { return fixture.proxy.Held() == 0 })
-	for name, c := range fixture.ledger.All() {
+	for name, c := range fixture.ledger.Counts() {
 		if name == "forged" || name == "cut" || name == eventName("forged", 1) {
 			t.Errorf("%s reached a server: %+v", name, c)
 		}
 	}
-	if c := fixture.ledger.Of("replayed"); c.Attempts > 3 {
+	if c := fixture.ledger.Count("replayed"); c.Attempts > 3 {
 		t.Errorf("the replayed packet was sent in more than 3 attempts: %+v", c)
 	}
-	if bad, unsigned, _ := fixture.servers[0].Bad(); bad+unsigned > 0 {
+	if bad, unsigned, _ := fixture.servers[0].PacketCounts(); bad+unsigned > 0 {
 		t.Errorf("a server received %d invalid and %d unsigned packets, want none", bad, unsigned)
 	}
 	if heapGrowth := int64(heapBytes()) - int64(heapBefore); heapGrowth > 32<<20 {
--- a/internal/radius/proxy/many_test.go
+++ b/internal/radius/proxy/many_test.go
@@ -76,9 +76,9 @@
 						}
 						switch n { // faults of servers, each at a fixed call
 						case calls / 4:
-							servers[0].Freeze(true)
+							servers[0].SetFrozen(true)
 						case calls / 2:
-							servers[0].Freeze(false)
+							servers[0].SetFrozen(false)
 							servers[1].Kill()
 						case calls * 3 / 4:
 							proxy.services[0].pools[""].host.ApplyList(drainingList("r3"))
@@ -86,7 +86,7 @@
 						}
 						if n%2 == 0 {
 							ask := accessRequest(fmt.Sprint("u", n))
-							ask.Tries, ask.Each = 80, 80*time.Millisecond
+							ask.MaxPackets, ask.ResendInterval = 80, 80*time.Millisecond
 							reply := clients[false].Do(ask)
 							mu.Lock()
 							switch reply.Code {
@@ -101,7 +101,7 @@
 							continue
 						}
 						ask := eventRequest(fmt.Sprint("s", n), uint32(1+n/2%3))
-						ask.Tries, ask.Each, ask.NewID = 80, 80*time.Millisecond, n%4 == 1
+						ask.MaxPackets, ask.ResendInterval, ask.NewID = 80, 80*time.Millisecond, n%4 == 1
 						reply := clients[true].Do(ask)
 						mu.Lock()
 						eventAnswered[eventName(ask.Session, ask.Status)] = reply.Code == lr.CodeAccountingResponse
@@ -111,7 +111,7 @@
 			}
 			wg.Wait()
 			waitUntil(t, "held", func() bool { return proxy.Held() == 0 })
-			all := ledger.All()
+			all := ledger.Counts()
 			answeredEvents, unansweredEvents := 0, 0
 			for name, ok := range eventAnswered {
 				c := all[name]
@@ -159,7 +159,7 @@
 		client := fixture.newClient(false)
 		heapBefore := heapBytes()
 		for n := range 10000 {
-			if reply := client.Exchange(client.Packet(accessRequest("u"), byte(n), [16]byte{byte(n), byte(n >> 8)}, 0), testTimeout); reply.Code != lr.CodeAccessAccept {
+			if reply := client.Exchange(client.Encode(accessRequest("u"), byte(n), [16]byte{byte(n), byte(n >> 8)}, 0), testTimeout); reply.Code != lr.CodeAccessAccept {
 				b.Fatalf("unexpected reply: %+v", reply)
 			}
 		}
--- a/internal/radius/proxy/memory_test.go
+++ b/internal/radius/proxy/memory_test.go
@@ -53,37 +53,37 @@
 // sent to a server again. Otherwise a restart would count events twice.
 func TestRememberedAnswersAfterRestart(t *testing.T) {
 	fixture := startWithRememberFile(t)
-	fixture.servers[0].Do(func(s standin.RadiusSeen) standin.RadiusAct {
+	fixture.servers[0].SetScript(func(s standin.RadiusRequest) standin.RadiusAction {
 		if s.Name == eventName("silent", 1) {
-			return standin.RadiusAct{Kind: standin.RadiusSilent}
+			return standin.RadiusAction{Kind: standin.RadiusSilent}
 		}
-		return standin.RadiusAct{}
+		return standin.RadiusAction{}
 	})
 	client := fixture.newClient(true)
-	answered := client.Packet(eventRequest("answered", 1), 1, [16]byte{}, 0)
+	answered := client.Encode(eventRequest("answered", 1), 1, [16]byte{}, 0)
 	if reply := client.Exchange(answered, testTimeout); reply.Code != lr.CodeAccountingResponse {
 		t.Fatalf("unexpected reply: %+v", reply)
 	}
-	client.Throw(client.Packet(eventRequest("silent", 1), 2, [16]byte{}, 0))
+	client.Send(client.Encode(eventRequest("silent", 1), 2, [16]byte{}, 0))
 	waitUntil(t, "the silent event was never given up", func() bool { l, _ := fixture.proxy.Counts(true); return l.GivenUp == 1 })
 	fixture.restartProxy()
-	fixture.servers[0].Do(func(standin.RadiusSeen) standin.RadiusAct { return standin.RadiusAct{} })
+	fixture.servers[0].SetScript(func(standin.RadiusRequest) standin.RadiusAction { return standin.RadiusAction{} })
 	if info, err := os.Stat(fixture.proxy.cfg.Radius.RememberFile); err != nil || info.Mode().Perm() != 0o600 {
 		t.Errorf("the file must exist with mode 0600: %v %v", info, err)
 	}
 	client = fixture.newClient(true)
-	for name, wire := range map[string][]byte{"the packet": answered, "the event": client.Packet(eventRequest("answered", 1), 3, [16]byte{}, 5*time.Second)} {
+	for name, wire := range map[string][]byte{"the packet": answered, "the event": client.Encode(eventRequest("answered", 1), 3, [16]byte{}, 5*time.Second)} {
 		if reply := client.Exchange(wire, testTimeout); reply.Code != lr.CodeAccountingResponse {
 			t.Errorf("%s: unexpected reply: %+v", name, reply)
 		}
 	}
-	client.Throw(client.Packet(eventRequest("silent", 1), 4, [16]byte{}, 5*time.Second))
+	client.Send(client.Encode(eventRequest("silent", 1), 4, [16]byte{}, 5*time.Second))
 	waitUntil(t, "lost", func() bool { l, _ := fixture.proxy.Counts(true); return l.Lost == 1 && l.GivenUp == 1 })
-	if reply := client.Exchange(client.Packet(eventRequest("other", 1), 5, [16]byte{}, 0), testTimeout); reply.Code != lr.CodeAccountingResponse {
+	if reply := client.Exchange(client.Encode(eventRequest("other", 1), 5, [16]byte{}, 0), testTimeout); reply.Code != lr.CodeAccountingResponse {
 		t.Errorf("unexpected reply: %+v", reply)
 	}
 	for _, name := range []string{"answered", "silent", "other"} {
-		if n := fixture.ledger.Of(eventName(name, 1)); n.Effects != 1 || n.Packets != 1 {
+		if n := fixture.ledger.Count(eventName(name, 1)); n.Effects != 1 || n.Packets != 1 {
 			t.Errorf("%s: unexpected ledger entry: %+v", name, n)
 		}
 	}
@@ -99,22 +99,22 @@
 	fixture := startWithRememberFile(t)
 	defer fixture.proxy.Close()
 	hold := make(chan struct{})
-	fixture.servers[0].Do(func(standin.RadiusSeen) standin.RadiusAct {
+	fixture.servers[0].SetScript(func(standin.RadiusRequest) standin.RadiusAction {
 		<-hold
-		return standin.RadiusAct{}
+		return standin.RadiusAction{}
 	})
 	client := fixture.newClient(true)
-	wire := client.Packet(eventRequest("held", 1), 1, [16]byte{}, 0)
-	client.Throw(wire)
+	wire := client.Encode(eventRequest("held", 1), 1, [16]byte{}, 0)
+	client.Send(wire)
 	waitUntil(t, "taken", func() bool { return fixture.proxy.Held() == 1 })
 	fixture.proxy.ShutDownWithin(testTimeout)
-	client.Throw(client.Packet(eventRequest("new", 1), 2, [16]byte{}, 0))
+	client.Send(client.Encode(eventRequest("new", 1), 2, [16]byte{}, 0))
 	waitUntil(t, "dropped", func() bool { l, _ := fixture.proxy.Counts(true); return l.TableFull == 1 })
 	close(hold)
 	if reply := client.Exchange(wire, testTimeout); reply.Code != lr.CodeAccountingResponse {
 		t.Errorf("unexpected reply: %+v", reply)
 	}
-	if n := fixture.ledger.Of(eventName("new", 1)); n.Packets != 0 {
+	if n := fixture.ledger.Count(eventName("new", 1)); n.Packets != 0 {
 		t.Errorf("unexpected ledger entry: %+v", n)
 	}
 }
--- a/internal/radius/proxy/proxy_test.go
+++ b/internal/radius/proxy/proxy_test.go
@@ -85,15 +85,15 @@
 }
 
 // setScripts sets the script of all servers.
-func (f *testFixture) setScripts(script func(standin.RadiusSeen) standin.RadiusAct) {
+func (f *testFixture) setScripts(script func(standin.RadiusRequest) standin.RadiusAction) {
 	for _, s := range f.servers {
-		s.Do(script)
+		s.SetScript(script)
 	}
 }
 
 // alwaysDo returns a script that treats each packet alike.
-func alwaysDo(kind standin.RadiusKind) func(standin.RadiusSeen) standin.RadiusAct {
-	return func(standin.RadiusSeen) standin.RadiusAct { return standin.RadiusAct{Kind: kind} }
+func alwaysDo(kind standin.RadiusActionKind) func(standin.RadiusRequest) standin.RadiusAction {
+	return func(standin.RadiusRequest) standin.RadiusAction { return standin.RadiusAction{Kind: kind} }
 }
 
 // newClient returns a terminal that sends access or accounting requests to the proxy.
@@ -101,14 +101,14 @@
 	return standin.NewRadiusClient(f.proxy.Addr(accounting).String(), clientSecret, "")
 }
 
-func accessRequest(user string) standin.RadiusAsk {
-	return standin.RadiusAsk{User: user, Password: "pin of " + user, NAS: "shop", Tries: 1, Each: 8 * time.Second}
+func accessRequest(user string) standin.RadiusClientRequest {
+	return standin.RadiusClientRequest{User: user, Password: "pin of " + user, NAS: "shop", MaxPackets: 1, ResendInterval: 8 * time.Second}
 }
 
 var eventTime = time.Unix(1790000000, 0)
 
-func eventRequest(session string, status uint32) standin.RadiusAsk {
-	return standin.RadiusAsk{NAS: "shop", Session: session, Status: status, At: eventTime, Tries: 1, Each: 8 * time.Second}
+func eventRequest(session string, status uint32) standin.RadiusClientRequest {
+	return standin.RadiusClientRequest{NAS: "shop", Session: session, Status: status, EventTime: eventTime, MaxPackets: 1, ResendInterval: 8 * time.Second}
 }
 
 // eventName returns the name of an event in the ledger.
@@ -132,16 +132,16 @@
 	defer goleak.VerifyNone(t, goleak.IgnoreCurrent())
 	t.Run("calls", func(t *testing.T) {
 		fixture := startProxy(t, 2, nil)
-		var seen standin.RadiusSeen
+		var seen standin.RadiusRequest
 		var mu sync.Mutex
-		fixture.setScripts(func(s standin.RadiusSeen) standin.RadiusAct {
+		fixture.setScripts(func(s standin.RadiusRequest) standin.RadiusAction {
 			mu.Lock()
 			defer mu.Unlock()
 			seen = s
 			if strings.HasPrefix(s.Name, "bad") {
-				return standin.RadiusAct{Kind: standin.RadiusReject}
+				return standin.RadiusAction{Kind: standin.RadiusReject}
 			}
-			return standin.RadiusAct{}
+			return standin.RadiusAction{}
 		})
 		reply := fixture.newClient(false).Do(accessRequest("nemo"))
 		mu.Lock()
@@ -156,8 +156,8 @@
 		if reply := fixture.newClient(false).Do(accessRequest("bad")); reply.Code != lr.CodeAccessReject {
 			t.Errorf("unexpected reply: %+v", reply)
 		}
-		if reply := fixture.newClient(true).Do(eventRequest("s1", 1)); reply.Code != lr.CodeAccountingResponse || fixture.ledger.Of(eventName("s1", 1)) != (standin.RadiusCount{Packets: 1, Attempts: 1, Effects: 1}) {
-			t.Errorf("unexpected reply %+v or ledger entry %+v", reply, fixture.ledger.Of(eventName("s1", 1)))
+		if reply := fixture.newClient(true).Do(eventRequest("s1", 1)); reply.Code != lr.CodeAccountingResponse || fixture.ledger.Count(eventName("s1", 1)) != (standin.RadiusCount{Packets: 1, Attempts: 1, Effects: 1}) {
+			t.Errorf("unexpected reply %+v or ledger entry %+v", reply, fixture.ledger.Count(eventName("s1", 1)))
 		}
 		waitUntil(t, "held", func() bool { return fixture.proxy.Held() == 0 })
 	})
@@ -167,15 +167,17 @@
 // remembered answer afterwards. Otherwise the servers would receive several calls.
 func TestRetransmissionJoinsCall(t *testing.T) {
 	fixture := startProxy(t, 3, nil)
-	fixture.setScripts(func(standin.RadiusSeen) standin.RadiusAct { return standin.RadiusAct{Delay: 120 * time.Millisecond} })
-	for n, change := range []func(*standin.RadiusAsk){func(*standin.RadiusAsk) {}, func(ask *standin.RadiusAsk) { ask.NewPort = true }} {
+	fixture.setScripts(func(standin.RadiusRequest) standin.RadiusAction {
+		return standin.RadiusAction{Delay: 120 * time.Millisecond}
+	})
+	for n, change := range []func(*standin.RadiusClientRequest){func(*standin.RadiusClientRequest) {}, func(ask *standin.RadiusClientRequest) { ask.NewPort = true }} {
 		ask := accessRequest(fmt.Sprint("u", n))
-		ask.Tries, ask.Each = 100, 20*time.Millisecond
+		ask.MaxPackets, ask.ResendInterval = 100, 20*time.Millisecond
 		change(&ask)
-		if reply := fixture.newClient(false).Do(ask); reply.Code != lr.CodeAccessAccept || reply.Packets < 2 {
+		if reply := fixture.newClient(false).Do(ask); reply.Code != lr.CodeAccessAccept || reply.PacketsSent < 2 {
 			t.Errorf("unexpected reply: %+v", reply)
 		}
-		if c := fixture.ledger.Of(ask.User); c.Attempts != 1 {
+		if c := fixture.ledger.Count(ask.User); c.Attempts != 1 {
 			t.Errorf("unexpected ledger entry: %+v", c)
 		}
 	}
@@ -185,14 +187,14 @@
 	}
 	// Repeats of a packet after its answer get the remembered answer.
 	client := fixture.newClient(false)
-	wire := client.Packet(accessRequest("again"), 9, [16]byte{1, 2, 3}, 0)
+	wire := client.Encode(accessRequest("again"), 9, [16]byte{1, 2, 3}, 0)
 	for range 3 {
 		if reply := client.Exchange(wire, testTimeout); reply.Code != lr.CodeAccessAccept {
 			t.Errorf("unexpected reply: %+v", reply)
 		}
 	}
 	counts, _ = fixture.proxy.Counts(false)
-	if n := fixture.ledger.Of("again").Attempts; n != 1 || counts.Remembered < 2 { // late packets of the calls above may be counted as well
+	if n := fixture.ledger.Count("again").Attempts; n != 1 || counts.Remembered < 2 { // late packets of the calls above may be counted as well
 		t.Errorf("%d attempts, want 1; counts %+v", n, counts)
 	}
 }
@@ -203,25 +205,25 @@
 	fixture := startProxy(t, 1, func(s *features.Radius) { s.Access.AttemptTimeout, s.Accounting.MaxResends = millis(5000), 0 })
 	hold := make(chan struct{})
 	t.Cleanup(func() { close(hold) }) // runs before the servers are closed
-	fixture.setScripts(func(standin.RadiusSeen) standin.RadiusAct {
+	fixture.setScripts(func(standin.RadiusRequest) standin.RadiusAction {
 		<-hold
-		return standin.RadiusAct{}
+		return standin.RadiusAction{}
 	})
-	packets := func(client *standin.RadiusClient, ask standin.RadiusAsk, id byte) (first, second []byte) {
-		first = client.Packet(ask, 1, [16]byte{1}, 0)
+	packets := func(client *standin.RadiusClient, ask standin.RadiusClientRequest, id byte) (first, second []byte) {
+		first = client.Encode(ask, 1, [16]byte{1}, 0)
 		if id == 1 {
 			return first, first
 		}
-		return first, client.Packet(ask, id, [16]byte{1}, 3*time.Second)
+		return first, client.Encode(ask, id, [16]byte{1}, 3*time.Second)
 	}
 	for name, test := range map[string]struct {
 		accounting bool
-		ask        standin.RadiusAsk
+		ask        standin.RadiusClientRequest
 		id         byte
 	}{"port": {false, accessRequest("u"), 1}, "event": {true, eventRequest("s1", 1), 2}} {
 		client := fixture.newClient(test.accounting)
 		first, second := packets(client, test.ask, test.id)
-		client.Throw(first)
+		client.Send(first)
 		waitUntil(t, "taken", func() bool { l, _ := fixture.proxy.Counts(test.accounting); return l.Calls == 1 })
 		got := make(chan standin.RadiusReply)
 		go func() { got <- client.Exchange(second, testTimeout) }()
@@ -240,23 +242,23 @@
 		s.Accounting.Aim, s.Accounting.Deadline, s.Accounting.AttemptTimeout, s.Accounting.MaxResends = millis(100), millis(600), millis(500), 0
 	})
 	for _, s := range fixture.servers {
-		s.Freeze(true)
+		s.SetFrozen(true)
 	}
 	const events = 6
 	client := fixture.newClient(true)
 	for n := range events {
-		client.Throw(client.Packet(eventRequest(fmt.Sprint("s", n), 1), byte(n), [16]byte{}, 0))
+		client.Send(client.Encode(eventRequest(fmt.Sprint("s", n), 1), byte(n), [16]byte{}, 0))
 	}
 	waitUntil(t, "the events were not all given up", func() bool { l, _ := fixture.proxy.Counts(true); return l.GivenUp == events })
 	for _, s := range fixture.servers {
-		s.Freeze(false)
+		s.SetFrozen(false)
 	}
 	for n := range events {
-		wire := client.Packet(eventRequest(fmt.Sprint("s", n), 1), byte(100+n), [16]byte{}, time.Second)
+		wire := client.Encode(eventRequest(fmt.Sprint("s", n), 1), byte(100+n), [16]byte{}, time.Second)
 		waitUntil(t, "answered", func() bool { // the decision module may hold calls while their server appears to be failing
 			return client.Exchange(wire, 200*time.Millisecond).Code == lr.CodeAccountingResponse
 		})
-		if c := fixture.ledger.Of(eventName(fmt.Sprint("s", n), 1)); c.Effects != 1 {
+		if c := fixture.ledger.Count(eventName(fmt.Sprint("s", n), 1)); c.Effects != 1 {
 			t.Errorf("event %d: unexpected ledger entry: %+v", n, c)
 		}
 	}
@@ -269,18 +271,18 @@
 // one call, one answer, and no more attempts than the limit.
 func TestRetransmissionDuringRetry(t *testing.T) {
 	fixture := startProxy(t, 4, func(s *features.Radius) { s.Access.AttemptTimeout = millis(400) })
-	fixture.setScripts(func(s standin.RadiusSeen) standin.RadiusAct {
-		if s.Nth < 3 {
-			return standin.RadiusAct{Kind: standin.RadiusSilent}
+	fixture.setScripts(func(s standin.RadiusRequest) standin.RadiusAction {
+		if s.AttemptNumber < 3 {
+			return standin.RadiusAction{Kind: standin.RadiusSilent}
 		}
-		return standin.RadiusAct{Delay: 30 * time.Millisecond}
+		return standin.RadiusAction{Delay: 30 * time.Millisecond}
 	})
 	ask := accessRequest("u")
-	ask.Tries, ask.Each = 1000, 10*time.Millisecond
+	ask.MaxPackets, ask.ResendInterval = 1000, 10*time.Millisecond
 	if reply := fixture.newClient(false).Do(ask); reply.Code != lr.CodeAccessAccept {
 		t.Errorf("unexpected reply: %+v", reply)
 	}
-	if c := fixture.ledger.Of("u"); c.Attempts != 3 {
+	if c := fixture.ledger.Count("u"); c.Attempts != 3 {
 		t.Errorf("unexpected ledger entry: %+v", c)
 	}
 	if l, _ := fixture.proxy.Counts(false); l.Calls != 1 || l.Joined == 0 {
@@ -296,25 +298,27 @@
 		s.Accounting.Deadline, s.Accounting.AttemptTimeout, s.Accounting.ResendDelay, s.Accounting.MaxResends = millis(1500), millis(1400), millis(40), 3
 	})
 	ask := eventRequest("s1", 1)
-	ask.Tries, ask.Each, ask.NewID = 100, 20*time.Millisecond, true
-	fixture.setScripts(func(standin.RadiusSeen) standin.RadiusAct { return standin.RadiusAct{Delay: 100 * time.Millisecond} })
-	if reply := fixture.newClient(true).Do(ask); reply.Code != lr.CodeAccountingResponse || reply.Packets < 2 {
+	ask.MaxPackets, ask.ResendInterval, ask.NewID = 100, 20*time.Millisecond, true
+	fixture.setScripts(func(standin.RadiusRequest) standin.RadiusAction {
+		return standin.RadiusAction{Delay: 100 * time.Millisecond}
+	})
+	if reply := fixture.newClient(true).Do(ask); reply.Code != lr.CodeAccountingResponse || reply.PacketsSent < 2 {
 		t.Errorf("unexpected reply: %+v", reply)
 	}
-	if c := fixture.ledger.Of(eventName("s1", 1)); c.Attempts != 1 || c.Effects != 1 {
+	if c := fixture.ledger.Count(eventName("s1", 1)); c.Attempts != 1 || c.Effects != 1 {
 		t.Errorf("ledger entry after retransmission with new identifiers: %+v", c)
 	}
-	if reply := fixture.newClient(true).Do(ask); reply.Code != lr.CodeAccountingResponse || fixture.ledger.Of(eventName("s1", 1)).Effects != 1 {
-		t.Errorf("reply to a repeat after the answer: %+v, ledger entry %+v", reply, fixture.ledger.Of(eventName("s1", 1)))
+	if reply := fixture.newClient(true).Do(ask); reply.Code != lr.CodeAccountingResponse || fixture.ledger.Count(eventName("s1", 1)).Effects != 1 {
+		t.Errorf("reply to a repeat after the answer: %+v, ledger entry %+v", reply, fixture.ledger.Count(eventName("s1", 1)))
 	}
 	for n := range 3 {
 		update := eventRequest("s1", 3)
-		update.At = eventTime.Add(time.Duration(n) * time.Minute)
+		update.EventTime = eventTime.Add(time.Duration(n) * time.Minute)
 		if reply := fixture.newClient(true).Do(update); reply.Code != lr.CodeAccountingResponse {
 			t.Errorf("unexpected reply: %+v", reply)
 		}
 	}
-	if n := len(fixture.ledger.All()); n != 4 {
+	if n := len(fixture.ledger.Counts()); n != 4 {
 		t.Errorf("%d events, want a start and 3 interim updates", n)
 	}
 
@@ -323,24 +327,24 @@
 	fixture.setScripts(alwaysDo(standin.RadiusSilent))
 	lost := eventRequest("s2", 2)
 	countsBefore, _ := fixture.proxy.Counts(true)
-	fixture.newClient(true).Throw(fixture.newClient(true).Packet(lost, 1, [16]byte{}, 0))
+	fixture.newClient(true).Send(fixture.newClient(true).Encode(lost, 1, [16]byte{}, 0))
 	waitUntil(t, "the event was never given up", func() bool { l, _ := fixture.proxy.Counts(true); return l.GivenUp == 1 })
 	if l, tr := fixture.proxy.Counts(true); l.Answered != countsBefore.Answered || tr.Resent == 0 {
 		t.Errorf("unexpected counts: listener %+v, transport %+v", l, tr)
 	}
-	if c := fixture.ledger.Of(eventName("s2", 2)); c.Attempts != 1 || c.Effects != 1 {
+	if c := fixture.ledger.Count(eventName("s2", 2)); c.Attempts != 1 || c.Effects != 1 {
 		t.Errorf("ledger entry of the event that was given up: %+v", c)
 	}
 	// The terminal's own retries go only to the server that may have counted the event.
 	before := make(map[string]int)
 	for n := range 5 {
-		fixture.newClient(true).Do(standin.RadiusAsk{NAS: "shop", Session: "s2", Status: 2, At: eventTime, Tries: 1, Each: 20 * time.Millisecond})
+		fixture.newClient(true).Do(standin.RadiusClientRequest{NAS: "shop", Session: "s2", Status: 2, EventTime: eventTime, MaxPackets: 1, ResendInterval: 20 * time.Millisecond})
 		before[fmt.Sprint(n)]++
 	}
 	waitUntil(t, "held", func() bool { return fixture.proxy.Held() == 0 })
 	serversReached := 0
 	for _, s := range fixture.servers {
-		if s.Got(eventName("s2", 2)) > 0 {
+		if s.PacketsReceived(eventName("s2", 2)) > 0 {
 			serversReached++
 		}
 	}
@@ -384,7 +388,7 @@
 	if second.Code != lr.CodeAccessReject || time.Since(startTime) > 5*time.Second || rfc3576.ErrorCause_Get(second.Packet) != 502 {
 		t.Errorf("unexpected reply: %+v after %v", second, time.Since(startTime))
 	}
-	if c := fixture.ledger.Of("left"); c.Attempts != 1 {
+	if c := fixture.ledger.Count("left"); c.Attempts != 1 {
 		t.Errorf("unexpected ledger entry: %+v", c)
 	}
 }
@@ -402,10 +406,10 @@
 	}{
 		{"refused, access", (*standin.RadiusServer).Kill, false, true, 1},
 		{"refused, accounting", (*standin.RadiusServer).Kill, true, true, 1},
-		{"silent, access", func(s *standin.RadiusServer) { s.Do(alwaysDo(standin.RadiusSilent)) }, false, true, 2},
-		{"silent, accounting", func(s *standin.RadiusServer) { s.Do(alwaysDo(standin.RadiusSilent)) }, true, false, 1},
-		{"unseen, access", func(s *standin.RadiusServer) { s.Freeze(true) }, false, true, 1},
-		{"unseen, accounting", func(s *standin.RadiusServer) { s.Freeze(true) }, true, false, 0},
+		{"silent, access", func(s *standin.RadiusServer) { s.SetScript(alwaysDo(standin.RadiusSilent)) }, false, true, 2},
+		{"silent, accounting", func(s *standin.RadiusServer) { s.SetScript(alwaysDo(standin.RadiusSilent)) }, true, false, 1},
+		{"unseen, access", func(s *standin.RadiusServer) { s.SetFrozen(true) }, false, true, 1},
+		{"unseen, accounting", func(s *standin.RadiusServer) { s.SetFrozen(true) }, true, false, 0},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			t.Parallel()
@@ -420,7 +424,7 @@
 				_, before := fixture.proxy.Counts(test.accounting)
 				if test.accounting {
 					ask := eventRequest(name, 1)
-					ask.Each = 1500 * time.Millisecond
+					ask.ResendInterval = 1500 * time.Millisecond
 					reply = fixture.newClient(true).Do(ask)
 					name = eventName(name, 1)
 				} else {
@@ -430,7 +434,7 @@
 				if after.Refusals == before.Refusals && after.Sent-before.Sent == 1 && reply.Code != 0 {
 					continue // the healthy server was chosen
 				}
-				got := fixture.ledger.Of(name)
+				got := fixture.ledger.Count(name)
 				if (reply.Code != 0 && reply.Code != lr.CodeAccessReject) != test.answered || got.Attempts != test.attempts || test.accounting && got.Effects > 1 {
 					t.Errorf("unexpected reply %+v or ledger entry %+v", reply, got)
 				}
@@ -444,9 +448,9 @@
 // Invalid answers are dropped: forged ones, ones without a Message-Authenticator, ones from another
 // address, and second copies of an answer.
 func TestInvalidAnswers(t *testing.T) {
-	for kind, want := range map[standin.RadiusKind]lr.Code{
-		standin.RadiusForged: lr.CodeAccessAccept, standin.RadiusTwice: lr.CodeAccessAccept,
-		standin.RadiusUnsigned: lr.CodeAccessReject, standin.RadiusElsewhere: lr.CodeAccessReject,
+	for kind, want := range map[standin.RadiusActionKind]lr.Code{
+		standin.RadiusForged: lr.CodeAccessAccept, standin.RadiusDuplicate: lr.CodeAccessAccept,
+		standin.RadiusUnsigned: lr.CodeAccessReject, standin.RadiusOtherSocket: lr.CodeAccessReject,
 	} {
 		// No resends: the stand-in answers those from its own address.
 		fixture := startProxy(t, 2, func(s *features.Radius) { s.Access.MaxResends = 0 })
@@ -454,13 +458,13 @@
 		if reply := fixture.newClient(false).Do(accessRequest("u")); reply.Code != want {
 			t.Errorf("%d: unexpected reply: %+v", kind, reply)
 		}
-		if kind == standin.RadiusTwice { // the second copy may come after the client has its answer
+		if kind == standin.RadiusDuplicate { // the second copy may come after the client has its answer
 			waitUntil(t, "the second copy of the answer was never dropped", func() bool {
 				_, counts := fixture.proxy.Counts(false)
 				return counts.Unsolicited == 1
 			})
 		}
-		if _, tr := fixture.proxy.Counts(false); kind != standin.RadiusElsewhere && tr.Unverified+tr.Unsolicited == 0 {
+		if _, tr := fixture.proxy.Counts(false); kind != standin.RadiusOtherSocket && tr.Unverified+tr.Unsolicited == 0 {
 			t.Errorf("kind %d: no answer was dropped: %+v", kind, tr)
 		}
 	}
@@ -475,11 +479,11 @@
 // to a later attempt.
 func TestLateAnswerDropped(t *testing.T) {
 	fixture := startProxy(t, 2, func(s *features.Radius) { s.Access.AttemptTimeout = millis(50) })
-	fixture.setScripts(func(s standin.RadiusSeen) standin.RadiusAct {
-		if s.Nth == 1 {
-			return standin.RadiusAct{Delay: 200 * time.Millisecond}
+	fixture.setScripts(func(s standin.RadiusRequest) standin.RadiusAction {
+		if s.AttemptNumber == 1 {
+			return standin.RadiusAction{Delay: 200 * time.Millisecond}
 		}
-		return standin.RadiusAct{Delay: 400 * time.Millisecond, Kind: standin.RadiusReject}
+		return standin.RadiusAction{Delay: 400 * time.Millisecond, Kind: standin.RadiusReject}
 	})
 	ask := accessRequest("u")
 	reply := fixture.newClient(false).Do(ask)
@@ -499,12 +503,15 @@
 		}
 	})
 	addr := fixture.proxy.Addr(false).String()
-	withShortTimeout := func(a standin.RadiusAsk) standin.RadiusAsk { a.Each = 100 * time.Millisecond; return a }
+	withShortTimeout := func(a standin.RadiusClientRequest) standin.RadiusClientRequest {
+		a.ResendInterval = 100 * time.Millisecond
+		return a
+	}
 	unsigned := withShortTimeout(accessRequest("bare"))
-	unsigned.Bare = true
+	unsigned.Unsigned = true
 	for name, test := range map[string]struct {
 		client *standin.RadiusClient
-		ask    standin.RadiusAsk
+		ask    standin.RadiusClientRequest
 	}{
 		"unknown":            {standin.NewRadiusClient(addr, clientSecret, "127.7.0.1"), withShortTimeout(accessRequest("x"))},
 		"wrong secret":       {standin.NewRadiusClient(addr, "guess", "127.0.0.1"), withShortTimeout(accessRequest("x"))},
@@ -516,7 +523,7 @@
 			t.Errorf("%s: unexpected reply: %+v", name, reply)
 		}
 	}
-	if n := len(fixture.ledger.All()); n != 0 {
+	if n := len(fixture.ledger.Counts()); n != 0 {
 		t.Errorf("%d invalid requests reached a server", n)
 	}
 	counts, _ := fixture.proxy.Counts(false)
@@ -526,7 +533,7 @@
 	if reply := standin.NewRadiusClient(addr, "another", "127.0.0.9").Do(accessRequest("one")); reply.Code != lr.CodeAccessAccept {
 		t.Errorf("unexpected reply to a client of the narrower range: %+v", reply)
 	}
-	unsigned.Each = testTimeout
+	unsigned.ResendInterval = testTimeout
 	if reply := standin.NewRadiusClient(addr, clientSecret, "127.0.0.8").Do(unsigned); reply.Code != lr.CodeAccessAccept {
 		t.Errorf("unexpected reply where unsigned packets are allowed: %+v", reply)
 	}
@@ -536,10 +543,10 @@
 		for n := range b {
 			b[n] = byte(rng.Uint32())
 		}
-		standin.NewRadiusClient(addr, clientSecret, "127.0.0.1").Throw(b)
+		standin.NewRadiusClient(addr, clientSecret, "127.0.0.1").Send(b)
 	}
 	after := accessRequest("after") // may be lost among the random datagrams
-	after.Tries, after.Each = 100, 200*time.Millisecond
+	after.MaxPackets, after.ResendInterval = 100, 200*time.Millisecond
 	if reply := fixture.newClient(false).Do(after); reply.Code != lr.CodeAccessAccept {
 		t.Errorf("unexpected reply after the random datagrams: %+v", reply)
 	}
@@ -549,20 +556,22 @@
 // by their authenticators.
 func TestSameIdentifierFromSeveralTerminals(t *testing.T) {
 	fixture := startProxy(t, 2, nil)
-	fixture.setScripts(func(standin.RadiusSeen) standin.RadiusAct { return standin.RadiusAct{Delay: 100 * time.Millisecond} })
+	fixture.setScripts(func(standin.RadiusRequest) standin.RadiusAction {
+		return standin.RadiusAction{Delay: 100 * time.Millisecond}
+	})
 	var wg sync.WaitGroup
 	for n := range 5 {
 		wg.Go(func() {
 			client := fixture.newClient(false)
 			user := fmt.Sprint("u", n)
-			if reply := client.Exchange(client.Packet(accessRequest(user), 7, [16]byte{byte(n)}, 0), testTimeout); reply.Code != lr.CodeAccessAccept {
+			if reply := client.Exchange(client.Encode(accessRequest(user), 7, [16]byte{byte(n)}, 0), testTimeout); reply.Code != lr.CodeAccessAccept {
 				t.Errorf("unexpected reply: %+v", reply)
 			}
 		})
 	}
 	wg.Wait()
 	for n := range 5 {
-		if c := fixture.ledger.Of(fmt.Sprint("u", n)); c.Attempts != 1 {
+		if c := fixture.ledger.Count(fmt.Sprint("u", n)); c.Attempts != 1 {
 			t.Errorf("unexpected ledger entry: %+v", c)
 		}
 	}
@@ -572,20 +581,20 @@
 // calls and does not block other clients.
 func TestFloodFromOneClient(t *testing.T) {
 	fixture := startProxy(t, 2, func(s *features.Radius) { s.MaxCallsPerClient = 20 })
-	fixture.setScripts(func(s standin.RadiusSeen) standin.RadiusAct {
+	fixture.setScripts(func(s standin.RadiusRequest) standin.RadiusAction {
 		if strings.HasPrefix(s.Name, "flood") {
-			return standin.RadiusAct{Kind: standin.RadiusSilent}
+			return standin.RadiusAction{Kind: standin.RadiusSilent}
 		}
-		return standin.RadiusAct{}
+		return standin.RadiusAction{}
 	})
 	floodingClient := standin.NewRadiusClient(fixture.proxy.Addr(false).String(), clientSecret, "127.0.0.66")
 	for n := range 400 {
-		floodingClient.Throw(floodingClient.Packet(accessRequest(fmt.Sprint("flood", n)), byte(n), [16]byte{byte(n), byte(n >> 8), 1}, 0))
+		floodingClient.Send(floodingClient.Encode(accessRequest(fmt.Sprint("flood", n)), byte(n), [16]byte{byte(n), byte(n >> 8), 1}, 0))
 	}
 	waitUntil(t, "no call of the flood was dropped", func() bool { l, _ := fixture.proxy.Counts(false); return l.TableFull > 0 })
 	for n := range 20 {
 		ask := accessRequest(fmt.Sprint("quiet", n))
-		ask.Tries, ask.Each = 100, 200*time.Millisecond
+		ask.MaxPackets, ask.ResendInterval = 100, 200*time.Millisecond
 		if reply := fixture.newClient(false).Do(ask); reply.Code != lr.CodeAccessAccept {
 			t.Errorf("unexpected reply: %+v", reply)
 		}
@@ -595,7 +604,7 @@
 // A server that misses its probes gets no new calls, and is used again after it comes back.
 func TestProbesExcludeDeadServer(t *testing.T) {
 	fixture := startProxy(t, 2, func(s *features.Radius) { s.ProbeInterval, s.MaxProbeMisses = millis(100), 2 })
-	waitUntil(t, "the server received no probes", func() bool { _, _, n := fixture.servers[0].Bad(); return n > 2 })
+	waitUntil(t, "the server received no probes", func() bool { _, _, n := fixture.servers[0].PacketCounts(); return n > 2 })
 	fixture.servers[0].Kill()
 	down := func() bool {
 		pool := fixture.proxy.services[0].pools[""]
@@ -620,7 +629,7 @@
 	waitUntil(t, "the probes do not notice that the server came back", func() bool { return !down() })
 	waitUntil(t, "the server that came back is not used", func() bool {
 		fixture.newClient(false).Do(accessRequest(fmt.Sprint("v", time.Now().UnixNano())))
-		return strings.Contains(fmt.Sprint(fixture.servers[0].Names()), "v")
+		return strings.Contains(fmt.Sprint(fixture.servers[0].ReceivedNames()), "v")
 	})
 }
 
@@ -656,14 +665,16 @@
 		s.MaxSocketsPerServer, s.MaxCallsPerClient, s.MaxAttempts = 2, 1000, 1
 		s.Access.AttemptTimeout, s.Access.Deadline = millis(3000), millis(3500)
 	})
-	fixture.setScripts(func(standin.RadiusSeen) standin.RadiusAct { return standin.RadiusAct{Delay: 1200 * time.Millisecond} })
+	fixture.setScripts(func(standin.RadiusRequest) standin.RadiusAction {
+		return standin.RadiusAction{Delay: 1200 * time.Millisecond}
+	})
 	var wg sync.WaitGroup
 	var mu sync.Mutex
 	codes := make(map[lr.Code]int)
 	for n := range 600 {
 		wg.Go(func() {
 			ask := accessRequest(fmt.Sprint("u", n))
-			ask.Tries, ask.Each = 40, 200*time.Millisecond
+			ask.MaxPackets, ask.ResendInterval = 40, 200*time.Millisecond
 			reply := fixture.newClient(false).Do(ask)
 			mu.Lock()
 			codes[reply.Code]++
@@ -674,7 +685,7 @@
 	if codes[0] > 0 || codes[lr.CodeAccessAccept] < 256 || codes[lr.CodeAccessAccept]+codes[lr.CodeAccessReject] != 600 {
 		t.Errorf("unexpected numbers of replies by code: %v", codes)
 	}
-	for name, c := range fixture.ledger.All() {
+	for name, c := range fixture.ledger.Counts() {
 		if c.Attempts != 1 {
 			t.Errorf("%s: unexpected ledger entry: %+v", name, c)
 		}
--- a/internal/rehearse/rehearse.go
+++ b/internal/rehearse/rehearse.go
@@ -157,12 +157,12 @@
 		}
 		cfg.Classes = append(cfg.Classes, class)
 	}
-	cfg.Server = standin.ServerConfig{Rate: settings.RequestsPerSecond, Cold: settings.ColdShare, WarmIn: time.Duration(settings.WarmUpTime), FallFactor: settings.FallFactor, FallFor: time.Duration(settings.FallFor)}
+	cfg.Server = standin.ServerConfig{RequestsPerSecond: settings.RequestsPerSecond, ColdShare: settings.ColdShare, WarmUpTime: time.Duration(settings.WarmUpTime), FallFactor: settings.FallFactor, FallFor: time.Duration(settings.FallFor)}
 	const workTimeSteps = 20
-	var choices []standin.Odd
+	var choices []standin.WeightedAction
 	for n := range workTimeSteps {
 		work := time.Duration(settings.MinWorkTime) + time.Duration(settings.MaxWorkTime-settings.MinWorkTime)*time.Duration(n)/(workTimeSteps-1)
-		choices = append(choices, standin.Odd{Share: 1.0 / workTimeSteps, Act: standin.Act{Delay: work}})
+		choices = append(choices, standin.WeightedAction{Probability: 1.0 / workTimeSteps, Action: standin.Action{Delay: work}})
 	}
 	cfg.Server.Script = standin.Random(scenario.Seed, choices...)
 	site, err := rig.NewSite(cfg)
@@ -209,14 +209,14 @@
 func (r *rehearsal) applyEvent(event load.Event) error {
 	switch event.Action {
 	case "lag":
-		r.site.Discovery.Lag(time.Duration(event.DiscoveryDelay))
+		r.site.Discovery.SetDelay(time.Duration(event.DiscoveryDelay))
 		r.mu.Lock()
 		r.maxLag = max(r.maxLag, time.Duration(event.DiscoveryDelay))
 		r.mu.Unlock()
 		r.note(fmt.Sprintf("discovery reports changes %v late", time.Duration(event.DiscoveryDelay)))
 		return nil
 	case "break-discovery":
-		r.site.Discovery.Break()
+		r.site.Discovery.CloseWatches()
 		r.note("discovery closes all watches")
 		return nil
 	}
@@ -237,9 +237,9 @@
 			r.site.Discovery.Change(r.site.Endpoint(n, "up"))
 		case "drain":
 			r.site.Discovery.Change(r.site.Endpoint(n, "draining"))
-			server.NoteDrain()
+			server.RecordDrain()
 		case "undrain":
-			server.NoteUndrain()
+			server.RecordUndrain()
 			r.site.Discovery.Change(r.site.Endpoint(n, "up"))
 		}
 		r.note(fmt.Sprintf("%s %s", event.Action, server.Name()))
@@ -263,12 +263,12 @@
 	allowed := r.maxLag + drainGrace + drainGraceMargin
 	r.mu.Unlock()
 	var latest time.Duration
-	for _, a := range r.site.Ledger.Log() {
+	for _, a := range r.site.Ledger.Arrivals() {
 		classByID[firstTryID(a.ID)] = a.Class
-		latest = max(latest, a.Draining)
+		latest = max(latest, a.DrainingFor)
 	}
 	effectsByID := make(map[string]int)
-	for id, c := range r.site.Ledger.IDs() {
+	for id, c := range r.site.Ledger.RequestCounts() {
 		effectsByID[firstTryID(id)] += c.Effects
 	}
 	twice := 0
--- a/internal/rehearse/rehearse_test.go
+++ b/internal/rehearse/rehearse_test.go
@@ -123,8 +123,8 @@
 		t.Fatal(err)
 	}
 	defer run.site.Close()
-	run.site.Ledger.Book("x", "activate", "")
-	run.site.Ledger.Book("x-1", "activate", "")
+	run.site.Ledger.Record("x", "activate", "")
+	run.site.Ledger.Record("x-1", "activate", "")
 	broken := 0
 	for _, f := range run.judge(report) {
 		if !f.Kept {
--- a/internal/rig/bodies_mix_test.go
+++ b/internal/rig/bodies_mix_test.go
@@ -46,11 +46,11 @@
 	socket := filepath.Join(t.TempDir(), "s")
 	site, daemon := startSite(t, 6, bodyFeatures(t.TempDir(), socket))
 	setScript(site, standin.Random(7,
-		standin.Odd{Share: 0.1, Act: standin.Act{Kind: standin.ResetLate}},
-		standin.Odd{Share: 0.1, Act: standin.Act{Kind: standin.Fail}},
-		standin.Odd{Share: 0.1, Act: standin.Act{Kind: standin.Decline}},
-		standin.Odd{Share: 0.1, Act: standin.Act{Kind: standin.ResetEarly, Delay: 5 * time.Millisecond}},
-		standin.Odd{Share: 0.6, Act: standin.Act{Delay: 30 * time.Millisecond}}))
+		standin.WeightedAction{Probability: 0.1, Action: standin.Action{Kind: standin.ResetLate}},
+		standin.WeightedAction{Probability: 0.1, Action: standin.Action{Kind: standin.Fail}},
+		standin.WeightedAction{Probability: 0.1, Action: standin.Action{Kind: standin.Decline}},
+		standin.WeightedAction{Probability: 0.1, Action: standin.Action{Kind: standin.ResetEarly, Delay: 5 * time.Millisecond}},
+		standin.WeightedAction{Probability: 0.6, Action: standin.Action{Delay: 30 * time.Millisecond}}))
 	classes := []string{"status-check", "id-register", "activate"}
 	type sentBody struct {
 		class   string
@@ -89,15 +89,15 @@
 	}
 	wg.Wait()
 	view := waitUntilEmpty(t, socket)
-	for _, a := range site.Ledger.Log() {
+	for _, a := range site.Ledger.Arrivals() {
 		i, err := strconv.Atoi(strings.TrimPrefix(a.ID, "m"))
-		if err != nil || a.Size != int64(sentBodies[i].size) || a.Sum != sentBodies[i].sum {
-			t.Errorf("request %s: %d bytes arrived that differ from those sent", a.ID, a.Size)
+		if err != nil || a.BodySize != int64(sentBodies[i].size) || a.BodyHash != sentBodies[i].sum {
+			t.Errorf("request %s: %d bytes arrived that differ from those sent", a.ID, a.BodySize)
 		}
 	}
 	outcomes := make(map[string]map[string]int)
 	for i, s := range sentBodies {
-		c := site.Ledger.ID(fmt.Sprintf("m%d", i))
+		c := site.Ledger.RequestCount(fmt.Sprintf("m%d", i))
 		if c.Effects > 1 && s.class != "status-check" {
 			t.Errorf("body %d of class %s took effect %d times", i, s.class, c.Effects)
 		}
@@ -158,7 +158,7 @@
 	const longPause, shortPause = 250 * time.Millisecond, 60 * time.Millisecond
 	cases := []backgroundCase{
 		{name: "nothing", baseline: "nothing"}, {name: "200-large-bodies", baseline: "nothing", clients: 200, pause: longPause},
-		{name: "disk-full", baseline: "nothing", clients: 5, pause: shortPause, breakDisk: func(d *standin.Disk) { d.Room(0) }},
+		{name: "disk-full", baseline: "nothing", clients: 5, pause: shortPause, breakDisk: func(d *standin.Disk) { d.SetFreeBytes(0) }},
 		{name: "disk-hung", baseline: "nothing", clients: 5, pause: shortPause, breakDisk: (*standin.Disk).Hang},
 		{name: "nothing-again", baseline: "nothing"},
 		{name: "process-nothing", baseline: "process-nothing", process: true},
@@ -248,12 +248,12 @@
 		if n == warmUpCalls {
 			cpuBefore = ownCPUTime()
 		}
-		reply := client.Do(context.Background(), standin.Ask{ID: fmt.Sprint("a", n), Class: class, Body: body, Deadline: 2500 * time.Millisecond})
+		reply := client.Do(context.Background(), standin.ClientRequest{ID: fmt.Sprint("a", n), Class: class, Body: body, Deadline: 2500 * time.Millisecond})
 		if reply.Status != 200 {
 			b.Errorf("%s: status %d of an activate call, %v", c.name, reply.Status, reply.Err)
 		}
 		if n >= warmUpCalls {
-			took = append(took, reply.Took)
+			took = append(took, reply.Elapsed)
 		}
 		time.Sleep(time.Millisecond)
 	}
--- a/internal/rig/bodies_test.go
+++ b/internal/rig/bodies_test.go
@@ -72,7 +72,7 @@
 // setScript sets the script of all servers.
 func setScript(site *rig.Site, s standin.Script) {
 	for _, server := range site.Servers {
-		server.Do(s)
+		server.SetScript(s)
 	}
 }
 
@@ -141,36 +141,36 @@
 		class    string
 		size     int
 		chunked  bool
-		act      standin.Act // of the server at the first attempt
+		act      standin.Action // of the server at the first attempt
 		status   int
 		attempts int
 	}{
-		{"small", "activate", 300, false, standin.Act{}, 200, 1},
-		{"in memory", "activate", 200 << 10, false, standin.Act{}, 200, 1},
-		{"in memory, in chunks", "id-register", 100 << 10, true, standin.Act{}, 200, 1},
-		{"in a file", "activate", 1 << 20, false, standin.Act{}, 200, 1},
-		{"in a file, in chunks", "activate", 1 << 20, true, standin.Act{}, 200, 1},
-		{"not kept", "activate", 5 << 20, false, standin.Act{}, 200, 1},
-		{"not kept, in chunks", "activate", 5 << 20, true, standin.Act{}, 200, 1},
-		{"memory, failed", "id-register", 200 << 10, false, standin.Act{Kind: standin.Fail}, 200, 2},
-		{"file, failed", "id-register", 1 << 20, false, standin.Act{Kind: standin.ResetLate}, 200, 2},
-		{"file, in chunks, failed", "id-register", 1 << 20, true, standin.Act{Kind: standin.ResetLate}, 200, 2},
-		{"file, declined", "activate", 1 << 20, false, standin.Act{Kind: standin.Decline}, 200, 2},
-		{"file, must not run twice", "activate", 1 << 20, false, standin.Act{Kind: standin.ResetLate}, 502, 1},
-		{"not kept, failed", "id-register", 5 << 20, false, standin.Act{Kind: standin.Fail}, 503, 1},
-		{"not kept, reset behind the last byte", "id-register", 5 << 20, false, standin.Act{Kind: standin.ResetLate}, 503, 1},
-		{"not kept, must not run twice, reset behind", "activate", 5 << 20, true, standin.Act{Kind: standin.ResetLate}, 502, 1},
-		{"not kept, declined", "activate", 5 << 20, false, standin.Act{Kind: standin.Decline}, 503, 1},
-		{"not kept, reset in the middle", "activate", unkeptBytes, false, standin.Act{Kind: standin.ResetEarly, Delay: 20 * time.Millisecond}, 503, 0},
-		{"not kept, 413 early", "activate", unkeptBytes, false, standin.Act{Kind: standin.Deny, Status: 413, Early: true}, 413, 0},
-		{"not kept, 503 early", "activate", unkeptBytes, false, standin.Act{Kind: standin.Deny, Status: 503, Early: true}, 503, 0},
-		{"not kept, 200 early", "activate", unkeptBytes, false, standin.Act{Early: true}, 200, 0},
-		{"small, failed", "id-register", 300, false, standin.Act{Kind: standin.Fail}, 200, 2},
-		{"too long", "activate", 65 << 20, false, standin.Act{}, 413, 0},
+		{"small", "activate", 300, false, standin.Action{}, 200, 1},
+		{"in memory", "activate", 200 << 10, false, standin.Action{}, 200, 1},
+		{"in memory, in chunks", "id-register", 100 << 10, true, standin.Action{}, 200, 1},
+		{"in a file", "activate", 1 << 20, false, standin.Action{}, 200, 1},
+		{"in a file, in chunks", "activate", 1 << 20, true, standin.Action{}, 200, 1},
+		{"not kept", "activate", 5 << 20, false, standin.Action{}, 200, 1},
+		{"not kept, in chunks", "activate", 5 << 20, true, standin.Action{}, 200, 1},
+		{"memory, failed", "id-register", 200 << 10, false, standin.Action{Kind: standin.Fail}, 200, 2},
+		{"file, failed", "id-register", 1 << 20, false, standin.Action{Kind: standin.ResetLate}, 200, 2},
+		{"file, in chunks, failed", "id-register", 1 << 20, true, standin.Action{Kind: standin.ResetLate}, 200, 2},
+		{"file, declined", "activate", 1 << 20, false, standin.Action{Kind: standin.Decline}, 200, 2},
+		{"file, must not run twice", "activate", 1 << 20, false, standin.Action{Kind: standin.ResetLate}, 502, 1},
+		{"not kept, failed", "id-register", 5 << 20, false, standin.Action{Kind: standin.Fail}, 503, 1},
+		{"not kept, reset behind the last byte", "id-register", 5 << 20, false, standin.Action{Kind: standin.ResetLate}, 503, 1},
+		{"not kept, must not run twice, reset behind", "activate", 5 << 20, true, standin.Action{Kind: standin.ResetLate}, 502, 1},
+		{"not kept, declined", "activate", 5 << 20, false, standin.Action{Kind: standin.Decline}, 503, 1},
+		{"not kept, reset in the middle", "activate", unkeptBytes, false, standin.Action{Kind: standin.ResetEarly, Delay: 20 * time.Millisecond}, 503, 0},
+		{"not kept, 413 early", "activate", unkeptBytes, false, standin.Action{Kind: standin.Deny, Status: 413, BeforeBody: true}, 413, 0},
+		{"not kept, 503 early", "activate", unkeptBytes, false, standin.Action{Kind: standin.Deny, Status: 503, BeforeBody: true}, 503, 0},
+		{"not kept, 200 early", "activate", unkeptBytes, false, standin.Action{BeforeBody: true}, 200, 0},
+		{"small, failed", "id-register", 300, false, standin.Action{Kind: standin.Fail}, 200, 2},
+		{"too long", "activate", 65 << 20, false, standin.Action{}, 413, 0},
 	} {
 		caseNumber++
 		id := fmt.Sprintf("r%d", caseNumber)
-		setScript(site, standin.Nth(c.act, standin.Act{}))
+		setScript(site, standin.Sequence(c.act, standin.Action{}))
 		content := randomBytes(uint64(caseNumber), c.size)
 		size := int64(c.size)
 		if c.chunked {
@@ -186,12 +186,12 @@
 		if wantProxyStatus := strings.HasPrefix(c.name, "not kept") && (status == 502 || status == 503); wantProxyStatus != (header.Get("Proxy-Status") != "") && status != 413 {
 			t.Errorf("%s: unexpected Proxy-Status %q", c.name, header.Get("Proxy-Status"))
 		}
-		if got := site.Ledger.ID(id).Attempts; got != c.attempts {
+		if got := site.Ledger.RequestCount(id).Attempts; got != c.attempts {
 			t.Errorf("%s: %d attempts arrived with the whole body, want %d", c.name, got, c.attempts)
 		}
-		for _, a := range site.Ledger.Log() {
-			if a.ID == id && (a.Size != int64(len(content)) || a.Sum != sha256.Sum256(content)) {
-				t.Errorf("%s: attempt %d has %d bytes that differ from those sent", c.name, a.Nth, a.Size)
+		for _, a := range site.Ledger.Arrivals() {
+			if a.ID == id && (a.BodySize != int64(len(content)) || a.BodyHash != sha256.Sum256(content)) {
+				t.Errorf("%s: attempt %d has %d bytes that differ from those sent", c.name, a.AttemptNumber, a.BodySize)
 			}
 		}
 	}
@@ -299,7 +299,7 @@
 		}
 	}
 	waitUntilEmpty(t, socket)
-	for id, c := range site.Ledger.IDs() {
+	for id, c := range site.Ledger.RequestCounts() {
 		t.Errorf("request %s arrived at a server: %+v", id, c)
 	}
 }
@@ -335,7 +335,7 @@
 	}
 	wg.Wait()
 	for n := range 30 {
-		if c := site.Ledger.ID(fmt.Sprintf("a%d", n)); c.Attempts != 1 {
+		if c := site.Ledger.RequestCount(fmt.Sprintf("a%d", n)); c.Attempts != 1 {
 			t.Errorf("activate request %d: %+v, want one attempt", n, c)
 		}
 	}
@@ -405,7 +405,7 @@
 // discard the answer at the client.
 func TestEarlyAnswerIsNotLostToAReset(t *testing.T) {
 	site, testDaemon := startSite(t, 2, bodyFeatures("", ""))
-	setScript(site, standin.Always(standin.Act{Early: true}))
+	setScript(site, standin.Always(standin.Action{BeforeBody: true}))
 	conn, err := net.Dial("tcp", testDaemon.Addr)
 	if err != nil {
 		t.Fatal(err)
@@ -431,9 +431,9 @@
 	folder := t.TempDir()
 	site, testDaemon := startSite(t, 2, bodyFeatures(folder, ""))
 	arrivals := make(chan struct{}, 2)
-	setScript(site, func(r standin.Request) standin.Act {
+	setScript(site, func(r standin.Request) standin.Action {
 		arrivals <- struct{}{}
-		return standin.Act{Delay: 300 * time.Millisecond}
+		return standin.Action{Delay: 300 * time.Millisecond}
 	})
 	var wg sync.WaitGroup
 	send := func(id string, size int, body io.Reader) {
@@ -462,8 +462,8 @@
 	}
 	for id, size := range map[string]int{"file": 1 << 20, "stream": unkeptBytes} {
 		found := false
-		for _, a := range site.Ledger.Log() {
-			found = found || a.ID == id && a.Sum == sha256.Sum256(content[:size])
+		for _, a := range site.Ledger.Arrivals() {
+			found = found || a.ID == id && a.BodyHash == sha256.Sum256(content[:size])
 		}
 		if !found {
 			t.Errorf("the body of %s did not arrive whole", id)
--- a/internal/rig/changes_test.go
+++ b/internal/rig/changes_test.go
@@ -123,7 +123,7 @@
 		t.Fatal(err)
 	}
 	defer site.Close()
-	setScript(site, standin.Random(5, standin.Odd{Share: 0.15, Act: standin.Act{Kind: standin.Decline}}, standin.Odd{Share: 0.85, Act: standin.Act{Delay: time.Millisecond}}))
+	setScript(site, standin.Random(5, standin.WeightedAction{Probability: 0.15, Action: standin.Action{Kind: standin.Decline}}, standin.WeightedAction{Probability: 0.85, Action: standin.Action{Delay: time.Millisecond}}))
 	socket := filepath.Join(t.TempDir(), "s")
 	features := fmt.Sprintf("version = 1\n[admin]\nsocket = %q\n[config]\nenabled = true\nbake = %q\n", socket, bake)
 	daemon, err := site.StartDaemon(1, features)
@@ -148,7 +148,7 @@
 			defer client.Close()
 			for i := 0; ctx.Err() == nil; i++ {
 				call := sentCall{id: fmt.Sprintf("c%d-%d", g, i), class: requestClasses[(g+i)%3].Name, sentAt: time.Now()}
-				request := standin.Ask{ID: call.id, Class: requestClasses[(g+i)%3], Deadline: 20 * time.Second}
+				request := standin.ClientRequest{ID: call.id, Class: requestClasses[(g+i)%3], Deadline: 20 * time.Second}
 				if request.Class.Effect == standin.Keyed {
 					request.Key = call.id
 				}
@@ -227,7 +227,7 @@
 		t.Error(err)
 	}
 
-	counts := site.Ledger.IDs()
+	counts := site.Ledger.RequestCounts()
 	verdicts, callsByConfig := make(map[string]int), make(map[int]int)
 	var nearSwitch, awayFromSwitch []time.Duration
 	for _, call := range calls {
@@ -251,7 +251,7 @@
 				durations = &nearSwitch
 			}
 		}
-		*durations = append(*durations, call.reply.Took)
+		*durations = append(*durations, call.reply.Elapsed)
 	}
 	if len(callsByConfig) < 3 || verdicts["served"] < len(calls)/2 {
 		t.Errorf("%d calls, verdicts %v, calls by configuration %v; want at least 3 configurations and half of the calls served", len(calls), verdicts, callsByConfig)
@@ -346,7 +346,7 @@
 		t.Fatal(err)
 	}
 	reload([]byte(strings.Replace(string(config2), oldAddr, site.Discovery.Addr(), 1)))
-	waitFor("the daemon does not follow discovery to its new address within the trial", func(current changes.Status) bool { return site.Discovery.Watching() > 0 && current.Trial == 4 })
+	waitFor("the daemon does not follow discovery to its new address within the trial", func(current changes.Status) bool { return site.Discovery.OpenWatches() > 0 && current.Trial == 4 })
 	site.Discovery.Change(site.Endpoint(1, "draining"))
 	rollback := func() {
 		t.Helper()
@@ -364,12 +364,12 @@
 	waitFor("the draining server still receives calls", func(changes.Status) bool {
 		for n := range 20 {
 			calls++
-			client.Do(t.Context(), standin.Ask{ID: fmt.Sprint("d", calls, "-", n), Class: standin.Class{Name: "status-check"}, Deadline: 5 * time.Second})
+			client.Do(t.Context(), standin.ClientRequest{ID: fmt.Sprint("d", calls, "-", n), Class: standin.Class{Name: "status-check"}, Deadline: 5 * time.Second})
 		}
-		log := site.Ledger.Log()
+		log := site.Ledger.Arrivals()
 		return !slices.ContainsFunc(log[max(0, len(log)-20):], func(a standin.Arrival) bool { return a.Server == "s2" })
 	})
-	if site.Discovery.Watching() == 0 {
+	if site.Discovery.OpenWatches() == 0 {
 		t.Error("the undo reverted discovery's address")
 	}
 	// The reverse of this change would be refused as a change, but is allowed as an undo.
@@ -414,7 +414,7 @@
 		t.Fatal(err)
 	}
 	defer site.Close()
-	setScript(site, standin.Always(standin.Act{Kind: standin.Decline}))
+	setScript(site, standin.Always(standin.Action{Kind: standin.Decline}))
 	dir := t.TempDir()
 	socket := filepath.Join(dir, "s")
 	daemon, err := site.StartProcess(binary, 1, fmt.Sprintf("version = 1\n[admin]\nsocket = %q\n[config]\nenabled = true\nbake = \"100ms\"\nfolder = %q\n", socket, dir))
@@ -460,7 +460,7 @@
 		current = status()
 		client := standin.NewClient(daemon.Addr)
 		id := fmt.Sprint("k", i)
-		reply := client.Do(t.Context(), standin.Ask{ID: id, Class: standin.Class{Name: "status-check"}, Deadline: 10 * time.Second})
+		reply := client.Do(t.Context(), standin.ClientRequest{ID: id, Class: standin.Class{Name: "status-check"}, Deadline: 10 * time.Second})
 		client.Close()
 		configID, _ := strconv.Atoi(reply.Header.Get("Fawn-Config"))
 		want := int(current.Running)
@@ -468,7 +468,7 @@
 			want = int(current.Trial)
 			trials++
 		}
-		if got := site.Ledger.ID(id).Attempts; configID != want || got > maxAttempts[configID] || got == 0 {
+		if got := site.Ledger.RequestCount(id).Attempts; configID != want || got > maxAttempts[configID] || got == 0 {
 			t.Errorf("kill %d: %d attempts under configuration %d, which allows %d; status %+v", i, got, configID, maxAttempts[configID], current)
 		}
 	}
@@ -514,7 +514,7 @@
 			calls := 0
 			callStatus := func(c *standin.Client) int {
 				calls++
-				return c.Do(t.Context(), standin.Ask{ID: fmt.Sprint("l", calls), Class: standin.Class{Name: "status-check"}, Deadline: 10 * time.Second}).Status
+				return c.Do(t.Context(), standin.ClientRequest{ID: fmt.Sprint("l", calls), Class: standin.Class{Name: "status-check"}, Deadline: 10 * time.Second}).Status
 			}
 			moveListener := func(newAddr string) error {
 				text := strings.Replace(string(site.JSON("127.0.0.1:0", 1)), `"listen":"127.0.0.1:0"`, `"listen":"`+newAddr+`"`, 1)
@@ -607,7 +607,7 @@
 	client := standin.NewClient(daemon.Addr)
 	defer client.Close()
 	for n := range 8 { // the undo is in effect: configuration 1 handles all calls
-		if r := client.Do(t.Context(), standin.Ask{ID: fmt.Sprint("w", n), Class: standin.Class{Name: "status-check"}, Deadline: 10 * time.Second}); r.Header.Get("Fawn-Config") != "1" {
+		if r := client.Do(t.Context(), standin.ClientRequest{ID: fmt.Sprint("w", n), Class: standin.Class{Name: "status-check"}, Deadline: 10 * time.Second}); r.Header.Get("Fawn-Config") != "1" {
 			t.Errorf("call handled under configuration %q, want 1", r.Header.Get("Fawn-Config"))
 		}
 	}
--- a/internal/rig/level_test.go
+++ b/internal/rig/level_test.go
@@ -55,7 +55,7 @@
 					default:
 					}
 					id := fmt.Sprint(n, "-", g, "-", k)
-					request := standin.Ask{ID: id, Class: standin.Class{Name: class.Name, Effect: class.Effect}, Deadline: 15 * time.Second}
+					request := standin.ClientRequest{ID: id, Class: standin.Class{Name: class.Name, Effect: class.Effect}, Deadline: 15 * time.Second}
 					if class.Effect == standin.Keyed {
 						request.Key = id
 					}
@@ -83,7 +83,7 @@
 	}
 	waitForLevel("normal")
 	for _, s := range site.Servers {
-		s.Do(standin.Always(standin.Act{Kind: standin.Decline}))
+		s.SetScript(standin.Always(standin.Action{Kind: standin.Decline}))
 	}
 	waitForLevel("emergency")
 	turnedAway := currentView().Turned // counts calls that arrive after the change, so it rises a moment later
@@ -91,7 +91,7 @@
 		time.Sleep(10 * time.Millisecond)
 	}
 	for _, s := range site.Servers {
-		s.Do(standin.Always(standin.Act{}))
+		s.SetScript(standin.Always(standin.Action{}))
 	}
 	waitForLevel("normal")
 	for _, class := range []string{"status-check", "id-register", "activate"} {
--- a/internal/rig/pools_test.go
+++ b/internal/rig/pools_test.go
@@ -141,11 +141,11 @@
 		if status != c.status || !strings.Contains(body, c.wantBody) || c.status == 301 && header.Get("Location") != "/status-check/new" {
 			t.Errorf("%s%s: status %d, body %q", c.host, c.path, status, body)
 		}
-		count := site.Ledger.ID(id)
+		count := site.Ledger.RequestCount(id)
 		if (c.wantServers == "") != (count.Attempts == 0) {
 			t.Errorf("%s%s: the servers recorded %+v", c.host, c.path, count)
 		}
-		for _, a := range site.Ledger.Log() {
+		for _, a := range site.Ledger.Arrivals() {
 			if a.ID == id && (!slices.Contains(strings.Fields(c.wantServers), a.Server) || a.Class != "status-check") {
 				t.Errorf("%s%s was sent to server %s as class %s", c.host, c.path, a.Server, a.Class)
 			}
@@ -201,14 +201,14 @@
 	}
 	waitForServing("w1")
 	// A call that is in progress in a pool at SIGTERM is answered.
-	extra[3].Do(standin.Always(standin.Act{Delay: 300 * time.Millisecond}))
+	extra[3].SetScript(standin.Always(standin.Action{Delay: 300 * time.Millisecond}))
 	var wg sync.WaitGroup
 	wg.Go(func() {
 		if status, _, _ := getPath(t, daemon.Addr, "a.partners.example", "/status-check/x", "at the end"); status != 200 {
 			t.Errorf("status %d for the call in progress at SIGTERM, want 200", status)
 		}
 	})
-	for deadline := time.Now().Add(30 * time.Second); site.Ledger.ID("at the end").Attempts == 0 && time.Now().Before(deadline); time.Sleep(time.Millisecond) {
+	for deadline := time.Now().Add(30 * time.Second); site.Ledger.RequestCount("at the end").Attempts == 0 && time.Now().Before(deadline); time.Sleep(time.Millisecond) {
 	}
 	if err := daemon.Stop(); err != nil {
 		t.Error(err)
@@ -233,10 +233,10 @@
 		wg.Go(func() {
 			c := standin.NewClient(daemon.Addr)
 			defer c.Close()
-			reply := c.Do(t.Context(), standin.Ask{ID: fmt.Sprint("f", n), Class: standin.Class{Name: "status-check"}, Header: http.Header{"X-Partner": {"1"}}, Deadline: 3 * time.Second})
+			reply := c.Do(t.Context(), standin.ClientRequest{ID: fmt.Sprint("f", n), Class: standin.Class{Name: "status-check"}, Header: http.Header{"X-Partner": {"1"}}, Deadline: 3 * time.Second})
 			mu.Lock()
 			defer mu.Unlock()
-			if reply.Status == 503 && reply.Took < 2*time.Second {
+			if reply.Status == 503 && reply.Elapsed < 2*time.Second {
 				refused++
 			}
 			if reply.Status == 0 {
@@ -287,7 +287,7 @@
 						wg.Go(func() {
 							c := standin.NewClient(daemon.Addr)
 							defer c.Close()
-							c.Do(context.Background(), standin.Ask{ID: fmt.Sprint("f", round, "-", n), Class: standin.Class{Name: "status-check"}, Header: http.Header{"X-Partner": {"1"}}, Deadline: time.Second})
+							c.Do(context.Background(), standin.ClientRequest{ID: fmt.Sprint("f", round, "-", n), Class: standin.Class{Name: "status-check"}, Header: http.Header{"X-Partner": {"1"}}, Deadline: time.Second})
 						})
 					}
 				})
@@ -295,11 +295,11 @@
 			client := standin.NewClient(daemon.Addr)
 			var all []time.Duration
 			for n := range calls {
-				reply := client.Do(context.Background(), standin.Ask{ID: fmt.Sprint("h", round, frozen, n), Class: standin.Class{Name: "status-check"}, Deadline: 5 * time.Second})
+				reply := client.Do(context.Background(), standin.ClientRequest{ID: fmt.Sprint("h", round, frozen, n), Class: standin.Class{Name: "status-check"}, Deadline: 5 * time.Second})
 				if reply.Status != 200 {
 					b.Errorf("status %d from the healthy pool, %v", reply.Status, reply.Err)
 				}
-				all = append(all, reply.Took)
+				all = append(all, reply.Elapsed)
 				time.Sleep(500 * time.Microsecond)
 			}
 			client.Close()
@@ -341,7 +341,7 @@
 		wg.Go(func() {
 			c := standin.NewClient(daemon.Addr)
 			defer c.Close()
-			statuses <- c.Do(t.Context(), standin.Ask{ID: id, Class: standin.Class{Name: "status-check"}, Header: http.Header{"X-Partner": {"1"}}, Deadline: 19 * time.Second}).Status
+			statuses <- c.Do(t.Context(), standin.ClientRequest{ID: id, Class: standin.Class{Name: "status-check"}, Header: http.Header{"X-Partner": {"1"}}, Deadline: 19 * time.Second}).Status
 		})
 	}
 	queueState := func() string {
--- a/internal/rig/rig.go
+++ b/internal/rig/rig.go
@@ -113,7 +113,7 @@
 			return nil, err
 		}
 		if cfg.Warm {
-			server.Warm()
+			server.SetWarm()
 		}
 		site.Servers = append(site.Servers, server)
 		endpoints = append(endpoints, site.Endpoint(n, "up"))
@@ -131,7 +131,7 @@
 	server := s.Servers[index]
 	endpoint := standin.Endpoint{Name: server.Name(), Address: server.Addr(), Zone: s.Config.serverZone(index), Status: status, Weight: 1}
 	if s.Config.ColdFor > 0 {
-		endpoint.SinceMs = server.Started().UnixMilli()
+		endpoint.SinceMs = server.StartTime().UnixMilli()
 	}
 	return endpoint
 }
--- a/internal/rig/size_test.go
+++ b/internal/rig/size_test.go
@@ -33,11 +33,11 @@
 	}
 	answer := strings.Repeat("x", size)
 	site, err := rig.NewSite(rig.SiteConfig{Servers: 4, Classes: classes, NoHedge: true, MemoryMB: 64, Sockets: 1024,
-		Server: standin.ServerConfig{Script: func(reply standin.Request) standin.Act {
+		Server: standin.ServerConfig{Script: func(reply standin.Request) standin.Action {
 			if reply.Class == "id-register" {
-				return standin.Act{Body: answer}
+				return standin.Action{Body: answer}
 			}
-			return standin.Act{}
+			return standin.Action{}
 		}}})
 	if err != nil {
 		t.Fatal(err)
@@ -85,11 +85,11 @@
 			return daemon.PeakResidentBytes(), smallCallTimes
 		case <-time.After(10 * time.Millisecond):
 		}
-		reply := client.Do(context.Background(), standin.Ask{ID: fmt.Sprint("small", n), Class: activate, Body: "hello"})
+		reply := client.Do(context.Background(), standin.ClientRequest{ID: fmt.Sprint("small", n), Class: activate, Body: "hello"})
 		if reply.Verdict() != "served" {
 			t.Errorf("small call %d: verdict %s, %v", n, reply.Verdict(), reply.Err)
 		}
-		smallCallTimes = append(smallCallTimes, reply.Took)
+		smallCallTimes = append(smallCallTimes, reply.Elapsed)
 	}
 }
 
--- a/internal/spool/spool_test.go
+++ b/internal/spool/spool_test.go
@@ -137,7 +137,7 @@
 		rng := rand.New(rand.NewPCG(11, 1))
 		for range 200 {
 			where, bit := rng.IntN(1<<20), byte(1)<<rng.IntN(8)
-			disk.Spoil(func(_ int64, p []byte) { p[where%len(p)] ^= bit })
+			disk.Corrupt(func(_ int64, p []byte) { p[where%len(p)] ^= bit })
 			if err := readAll(a, all); !errors.Is(err, ErrAltered) {
 				t.Fatalf("%s: altered piece: error %v, want ErrAltered", name, err)
 			}
@@ -145,7 +145,7 @@
 		raw, other := a.handle.(interface {
 			ReadAt([]byte, int64) (int, error)
 		}), b.handle
-		disk.Spoil(func(at int64, p []byte) {
+		disk.Corrupt(func(at int64, p []byte) {
 			if bytes.Contains(p, all[0][:32]) {
 				t.Error("the file contains the plain text")
 			}
@@ -153,7 +153,7 @@
 		if err := readAll(a, all); err != nil {
 			t.Fatal(err)
 		}
-		disk.Spoil(nil)
+		disk.Corrupt(nil)
 		// Replace the piece by one of another file, then by another one of the same file.
 		buf := make([]byte, a.sizes[0])
 		a.handle, _ = other, raw
@@ -195,12 +195,12 @@
 		set    func(*standin.Disk)
 		noRoom bool
 	}{
-		"no room":         {func(d *standin.Disk) { d.Room(100) }, true},
-		"no descriptors":  {func(d *standin.Disk) { d.NoFiles(syscall.EMFILE) }, true},
-		"short write":     {func(d *standin.Disk) { d.ShortWrites(true) }, false},
-		"read-only":       {func(d *standin.Disk) { d.NoFiles(syscall.EROFS) }, false},
-		"quota":           {func(d *standin.Disk) { d.NoFiles(syscall.EDQUOT) }, true},
-		"input or output": {func(d *standin.Disk) { d.NoFiles(syscall.EIO) }, false},
+		"no room":         {func(d *standin.Disk) { d.SetFreeBytes(100) }, true},
+		"no descriptors":  {func(d *standin.Disk) { d.FailCreates(syscall.EMFILE) }, true},
+		"short write":     {func(d *standin.Disk) { d.SetShortWrites(true) }, false},
+		"read-only":       {func(d *standin.Disk) { d.FailCreates(syscall.EROFS) }, false},
+		"quota":           {func(d *standin.Disk) { d.FailCreates(syscall.EDQUOT) }, true},
+		"input or output": {func(d *standin.Disk) { d.FailCreates(syscall.EIO) }, false},
 	} {
 		disk := standin.NewDisk()
 		s := newTestSpool(t, Config{FS: disk})
@@ -221,7 +221,7 @@
 		}
 		bad.Close()
 		good.Close()
-		eventually(t, name+": a file stays open", func() bool { return disk.Open() == 0 })
+		eventually(t, name+": a file stays open", func() bool { return disk.OpenFiles() == 0 })
 	}
 	if _, err := os.Stat("/dev/full"); err == nil {
 		s := newTestSpool(t, Config{FS: devFull{}})
@@ -262,14 +262,14 @@
 		}
 		a.Close()
 		hung.Resume()
-		eventually(t, "a descriptor is left", func() bool { return hung.Open() == 0 && well.Open() == 0 && s.OpenFiles() == 0 })
+		eventually(t, "a descriptor is left", func() bool { return hung.OpenFiles() == 0 && well.OpenFiles() == 0 && s.OpenFiles() == 0 })
 	})
 }
 
 type twoDisks struct{ first, then *standin.Disk }
 
 func (d *twoDisks) Create(folder string) (Handle, error) {
-	if d.first.Made()+d.first.Hanging() == 0 {
+	if d.first.CreatedFiles()+d.first.BlockedCalls() == 0 {
 		return d.first.Create(folder)
 	}
 	return d.then.Create(folder)
@@ -303,7 +303,7 @@
 		for _, f := range files {
 			f.Close()
 		}
-		eventually(t, "a descriptor is left", func() bool { return disk.Open() == 0 })
+		eventually(t, "a descriptor is left", func() bool { return disk.OpenFiles() == 0 })
 	})
 }
 
--- a/internal/standin/act.go
+++ b/internal/standin/act.go
@@ -11,12 +11,12 @@
 	"time"
 )
 
-// Kind selects what a server does with a request.
-type Kind int
+// ActionKind selects what a server does with a request.
+type ActionKind int
 
 const (
 	// Serve answers 200.
-	Serve Kind = iota
+	Serve ActionKind = iota
 	// Fail answers 500. The request has run.
 	Fail
 	// Decline answers 503 with Srv-Declined. The request hasn't run.
@@ -53,26 +53,26 @@
 	"noise", "endless head", "short body", "stop body", "excess", "interim", "oversize"}
 
 // String returns the name of the kind.
-func (k Kind) String() string { return kindNames[k] }
+func (k ActionKind) String() string { return kindNames[k] }
 
 // takesEffect reports whether a request that is treated in this way has run.
-func (k Kind) takesEffect() bool { return k != Decline && k != Deny && k != ResetEarly }
+func (k ActionKind) takesEffect() bool { return k != Decline && k != Deny && k != ResetEarly }
 
-// Act describes what a server does with one request.
-type Act struct {
-	Kind   Kind
+// Action describes what a server does with one request.
+type Action struct {
+	Kind   ActionKind
 	Delay  time.Duration // between the request's last byte and the answer
 	Status int           // for Deny
 	Body   string        // of a complete answer; if empty, "done" and the request's id
-	// Early answers after the request's head, reads the beginning of its body and closes the
+	// BeforeBody answers after the request's head, reads the beginning of its body and closes the
 	// connection. The request doesn't count as arrived.
-	Early bool
+	BeforeBody bool
 }
 
 // Request is a request as a Script sees it.
 type Request struct {
 	ID, Class, Key string
-	Nth            int // number of this attempt among the request's arrivals at all servers, from 1
+	AttemptNumber  int // number of this attempt among the request's arrivals at all servers, from 1
 	Server         string
 	Header         http.Header
 	Body           string // at most the first maxScriptBodyBytes
@@ -86,56 +86,56 @@
 // first call for an attempt comes before the body is read and has an empty Body. A second call,
 // with the body, follows only if another attempt of the same request has taken the number
 // meanwhile.
-type Script func(r Request) Act
+type Script func(r Request) Action
 
 // Always returns a Script that treats all requests alike.
-func Always(a Act) Script { return func(Request) Act { return a } }
+func Always(a Action) Script { return func(Request) Action { return a } }
 
-// Nth returns a Script that applies the given actions to the attempts of each request in order.
+// Sequence returns a Script that applies the given actions to the attempts of each request in order.
 // The last action also applies to all later attempts.
-func Nth(acts ...Act) Script {
-	return func(r Request) Act { return acts[min(r.Nth, len(acts))-1] }
+func Sequence(acts ...Action) Script {
+	return func(r Request) Action { return acts[min(r.AttemptNumber, len(acts))-1] }
 }
 
 // ByClass returns a Script that applies the script of the request's class. Classes without a script
 // are served.
 func ByClass(scripts map[string]Script) Script {
-	return func(r Request) Act {
+	return func(r Request) Action {
 		if s := scripts[r.Class]; s != nil {
 			return s(r)
 		}
-		return Act{}
+		return Action{}
 	}
 }
 
-// Odd is an action and its probability.
-type Odd struct {
-	Share float64
-	Act   Act
+// WeightedAction is an action and its probability.
+type WeightedAction struct {
+	Probability float64
+	Action      Action
 }
 
 // Random returns a Script that chooses an action for each attempt at random. If the probabilities
 // add up to less than 1, the remaining attempts are served. The choice depends only on the seed,
 // the request's id and the attempt's number, so it is the same on every run, in whatever order the
 // requests come.
-func Random(seed uint64, odds ...Odd) Script {
-	return func(r Request) Act {
+func Random(seed uint64, odds ...WeightedAction) Script {
+	return func(r Request) Action {
 		h := fnv.New64a()
-		fmt.Fprintf(h, "%s %d", r.ID, r.Nth)
+		fmt.Fprintf(h, "%s %d", r.ID, r.AttemptNumber)
 		draw := rand.New(rand.NewPCG(seed, h.Sum64())).Float64()
 		for _, o := range odds {
-			if draw < o.Share {
-				return o.Act
+			if draw < o.Probability {
+				return o.Action
 			}
-			draw -= o.Share
+			draw -= o.Probability
 		}
-		return Act{}
+		return Action{}
 	}
 }
 
 // writeAnswer sends the answer and reports whether the connection can take another request. Where
 // the connection stays open without being reusable, it blocks until the peer closes it.
-func (a Act) writeAnswer(conn net.Conn, req Request) (reusable bool) {
+func (a Action) writeAnswer(conn net.Conn, req Request) (reusable bool) {
 	body := a.Body
 	if body == "" {
 		body = "done " + req.ID
--- a/internal/standin/client.go
+++ b/internal/standin/client.go
@@ -32,8 +32,8 @@
 	BodySize int // bytes
 }
 
-// Ask is a request that a Client sends.
-type Ask struct {
+// ClientRequest is a request that a Client sends.
+type ClientRequest struct {
 	ID       string
 	Class    Class
 	Key      string
@@ -48,7 +48,7 @@
 	Body       string
 	Header     http.Header
 	RetryAfter time.Duration
-	Took       time.Duration
+	Elapsed    time.Duration
 	Err        error
 }
 
@@ -89,15 +89,15 @@
 // Do sends a request and waits for the complete answer or until ctx is done. It may be called from
 // any goroutine. It sends each request once: a request that meets the close of a kept connection
 // fails.
-func (c *Client) Do(ctx context.Context, req Ask) Reply {
+func (c *Client) Do(ctx context.Context, req ClientRequest) Reply {
 	began := time.Now()
 	reply := c.do(ctx, req)
-	reply.Took = time.Since(began)
+	reply.Elapsed = time.Since(began)
 	return reply
 }
 
 // do is Do without the measurement of the time taken.
-func (c *Client) do(ctx context.Context, req Ask) Reply {
+func (c *Client) do(ctx context.Context, req ClientRequest) Reply {
 	conn, err := c.idleOrNewConn(ctx)
 	if err != nil {
 		return Reply{Err: err}
@@ -140,7 +140,7 @@
 
 // encode returns the request as sent on the connection. A Safe request is a GET, all others are
 // POST.
-func (r Ask) encode() []byte {
+func (r ClientRequest) encode() []byte {
 	method := "POST"
 	if r.Class.Effect == Safe {
 		method = "GET"
@@ -238,7 +238,7 @@
 }
 
 // Next returns the next request. It must not be called concurrently.
-func (m *Mix) Next() Ask {
+func (m *Mix) Next() ClientRequest {
 	draw := m.rng.Float64() * m.totalShare
 	class := m.classes[len(m.classes)-1]
 	for _, c := range m.classes {
@@ -249,7 +249,7 @@
 		draw -= c.Share
 	}
 	m.count++
-	req := Ask{ID: fmt.Sprintf("%08x%08x", m.count, m.rng.Uint32()), Class: class, Deadline: class.Deadline}
+	req := ClientRequest{ID: fmt.Sprintf("%08x%08x", m.count, m.rng.Uint32()), Class: class, Deadline: class.Deadline}
 	if class.Effect == Keyed {
 		req.Key = fmt.Sprintf("%016x%016x", m.rng.Uint64(), m.rng.Uint64())
 	}
--- a/internal/standin/discovery.go
+++ b/internal/standin/discovery.go
@@ -170,8 +170,8 @@
 	}
 }
 
-// Lag sets the delay of all changes from now on.
-func (d *Discovery) Lag(delay time.Duration) {
+// SetDelay sets the delay of all changes from now on.
+func (d *Discovery) SetDelay(delay time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.delay = delay
@@ -185,8 +185,8 @@
 	d.changesToDrop = n
 }
 
-// Break closes the connections of all watchers.
-func (d *Discovery) Break() {
+// CloseWatches closes the connections of all watchers.
+func (d *Discovery) CloseWatches() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for w := range d.watchers {
@@ -194,19 +194,19 @@
 	}
 }
 
-// Down with true closes the connections of all watchers and makes every call fail with 503; with
+// SetDown with true closes the connections of all watchers and makes every call fail with 503; with
 // false it ends the outage.
-func (d *Discovery) Down(down bool) {
+func (d *Discovery) SetDown(down bool) {
 	d.mu.Lock()
 	d.down = down
 	d.mu.Unlock()
 	if down {
-		d.Break()
+		d.CloseWatches()
 	}
 }
 
-// Watching returns how many watchers are connected.
-func (d *Discovery) Watching() int {
+// OpenWatches returns how many watchers are connected.
+func (d *Discovery) OpenWatches() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return len(d.watchers)
@@ -219,8 +219,8 @@
 	return d.totalWatches
 }
 
-// Refused returns how many calls were answered 503 during an outage.
-func (d *Discovery) Refused() int {
+// RefusedCalls returns how many calls were answered 503 during an outage.
+func (d *Discovery) RefusedCalls() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.refusedCalls
--- a/internal/standin/disk.go
+++ b/internal/standin/disk.go
@@ -31,22 +31,22 @@
 // NewDisk returns a Disk without faults.
 func NewDisk() *Disk { return &Disk{freeBytes: -1} }
 
-// Room sets how many more bytes can be written before writes fail with ENOSPC; -1 sets no
+// SetFreeBytes sets how many more bytes can be written before writes fail with ENOSPC; -1 sets no
 // limit.
-func (d *Disk) Room(bytes int64) { d.withLock(func() { d.freeBytes = bytes }) }
+func (d *Disk) SetFreeBytes(bytes int64) { d.withLock(func() { d.freeBytes = bytes }) }
 
-// NoFiles makes Create fail with err; nil ends the fault.
-func (d *Disk) NoFiles(err error) { d.withLock(func() { d.createErr = err }) }
+// FailCreates makes Create fail with err; nil ends the fault.
+func (d *Disk) FailCreates(err error) { d.withLock(func() { d.createErr = err }) }
 
-// NoReads makes reads fail with err; nil ends the fault.
-func (d *Disk) NoReads(err error) { d.withLock(func() { d.readErr = err }) }
+// FailReads makes reads fail with err; nil ends the fault.
+func (d *Disk) FailReads(err error) { d.withLock(func() { d.readErr = err }) }
 
-// ShortWrites makes each write store and report half of its bytes, without an error.
-func (d *Disk) ShortWrites(on bool) { d.withLock(func() { d.shortWrites = on }) }
+// SetShortWrites makes each write store and report half of its bytes, without an error.
+func (d *Disk) SetShortWrites(on bool) { d.withLock(func() { d.shortWrites = on }) }
 
-// Spoil sets a function that alters the bytes of each read, which gets their offset in the file;
+// Corrupt sets a function that alters the bytes of each read, which gets their offset in the file;
 // nil ends the fault.
-func (d *Disk) Spoil(alter func(at int64, p []byte)) { d.withLock(func() { d.corrupt = alter }) }
+func (d *Disk) Corrupt(alter func(at int64, p []byte)) { d.withLock(func() { d.corrupt = alter }) }
 
 // Hang makes all file calls block until Resume.
 func (d *Disk) Hang() {
@@ -74,14 +74,14 @@
 	access()
 }
 
-// Open returns how many files are open.
-func (d *Disk) Open() (n int) { d.withLock(func() { n = d.openFiles }); return n }
+// OpenFiles returns how many files are open.
+func (d *Disk) OpenFiles() (n int) { d.withLock(func() { n = d.openFiles }); return n }
 
-// Made returns how many files were ever created.
-func (d *Disk) Made() (n int) { d.withLock(func() { n = d.createdFiles }); return n }
+// CreatedFiles returns how many files were ever created.
+func (d *Disk) CreatedFiles() (n int) { d.withLock(func() { n = d.createdFiles }); return n }
 
-// Hanging returns how many calls wait for Resume.
-func (d *Disk) Hanging() (n int) { d.withLock(func() { n = d.blockedCalls }); return n }
+// BlockedCalls returns how many calls wait for Resume.
+func (d *Disk) BlockedCalls() (n int) { d.withLock(func() { n = d.blockedCalls }); return n }
 
 // lockWhenResumed blocks while the disk hangs and returns with the lock held.
 func (d *Disk) lockWhenResumed() {
--- a/internal/standin/ledger.go
+++ b/internal/standin/ledger.go
@@ -31,12 +31,12 @@
 type Arrival struct {
 	ID, Class, Key string
 	Server         string
-	Nth            int // number of this attempt among the request's arrivals at all servers, from 1
+	AttemptNumber  int // number of this attempt among the request's arrivals at all servers, from 1
 	At             time.Time
-	Act            Kind
-	Draining       time.Duration // how long the server had been draining; 0 if it was not draining
-	Size           int64         // bytes of the body
-	Sum            [32]byte      // SHA-256 of the body
+	ActionKind     ActionKind
+	DrainingFor    time.Duration // how long the server had been draining; 0 if it was not draining
+	BodySize       int64         // bytes of the body
+	BodyHash       [32]byte      // SHA-256 of the body
 }
 
 // Ledger records the requests that all servers of a fleet receive. Its methods may be called from
@@ -84,7 +84,7 @@
 	c := countFor(l.byID, a.ID)
 	c.Attempts++
 	countFor(l.byClass, a.Class).Attempts++
-	a.Nth = c.Attempts
+	a.AttemptNumber = c.Attempts
 	if len(l.arrivals) < maxLoggedArrivals {
 		l.arrivals = append(l.arrivals, a)
 	}
@@ -106,14 +106,14 @@
 	countFor(l.byClass, class).Effects++
 }
 
-// Book records a request that arrived and took effect, as a server does.
-func (l *Ledger) Book(id, class, key string) {
+// Record records a request that arrived and took effect, as a server does.
+func (l *Ledger) Record(id, class, key string) {
 	l.recordArrival(Arrival{ID: id, Class: class, Key: key, At: time.Now()})
 	l.recordEffect(id, class, key)
 }
 
-// ID returns the Count of one request, zero for an unknown one.
-func (l *Ledger) ID(id string) Count {
+// RequestCount returns the Count of one request, zero for an unknown one.
+func (l *Ledger) RequestCount(id string) Count {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if c := l.byID[id]; c != nil {
@@ -122,8 +122,8 @@
 	return Count{}
 }
 
-// Class returns the Count of a class, zero for an unknown one.
-func (l *Ledger) Class(name string) Count {
+// ClassCount returns the Count of a class, zero for an unknown one.
+func (l *Ledger) ClassCount(name string) Count {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if c := l.byClass[name]; c != nil {
@@ -132,8 +132,8 @@
 	return Count{}
 }
 
-// IDs returns the Count of every request by its id.
-func (l *Ledger) IDs() map[string]Count {
+// RequestCounts returns the Count of every request by its id.
+func (l *Ledger) RequestCounts() map[string]Count {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	all := make(map[string]Count, len(l.byID))
@@ -143,8 +143,8 @@
 	return all
 }
 
-// Log returns the first maxLoggedArrivals arrivals in the order in which they came.
-func (l *Ledger) Log() []Arrival {
+// Arrivals returns the first maxLoggedArrivals arrivals in the order in which they came.
+func (l *Ledger) Arrivals() []Arrival {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return slices.Clone(l.arrivals)
@@ -152,7 +152,7 @@
 
 // String returns a line for each request, in the order of their ids.
 func (l *Ledger) String() string {
-	all := l.IDs()
+	all := l.RequestCounts()
 	var b strings.Builder
 	for _, id := range slices.Sorted(maps.Keys(all)) {
 		fmt.Fprintf(&b, "%s: %d attempts, %d effects\n", id, all[id].Attempts, all[id].Effects)
--- a/internal/standin/radius.go
+++ b/internal/standin/radius.go
@@ -21,18 +21,18 @@
 // The RADIUS stand-ins use a third-party library for packets, so that they check the sidecar's
 // encoding independently too.
 
-// RadiusAct describes what a RADIUS server does with a packet.
-type RadiusAct struct {
-	Kind  RadiusKind
+// RadiusAction describes what a RADIUS server does with a packet.
+type RadiusAction struct {
+	Kind  RadiusActionKind
 	Delay time.Duration // before the answer
 }
 
-// RadiusKind selects what a RADIUS server does with a packet.
-type RadiusKind int
+// RadiusActionKind selects what a RADIUS server does with a packet.
+type RadiusActionKind int
 
 const (
 	// RadiusAccept accepts access or acknowledges accounting.
-	RadiusAccept RadiusKind = iota
+	RadiusAccept RadiusActionKind = iota
 	// RadiusReject rejects access.
 	RadiusReject
 	// RadiusChallenge answers access with a challenge and accepts a request that has a State.
@@ -41,13 +41,13 @@
 	RadiusIgnore
 	// RadiusSilent runs the request and doesn't answer.
 	RadiusSilent
-	// RadiusTwice sends the answer twice.
-	RadiusTwice
+	// RadiusDuplicate sends the answer twice.
+	RadiusDuplicate
 	// RadiusForged first sends an answer signed with another secret and one with a wrong
 	// identifier, then the valid answer.
 	RadiusForged
-	// RadiusElsewhere sends its only answer from another socket.
-	RadiusElsewhere
+	// RadiusOtherSocket sends its only answer from another socket.
+	RadiusOtherSocket
 	// RadiusUnsigned answers access without Message-Authenticator.
 	RadiusUnsigned
 )
@@ -86,8 +86,8 @@
 	c.Effects += effects
 }
 
-// Of returns the totals of one call or event, zero for an unknown one.
-func (l *RadiusLedger) Of(name string) RadiusCount {
+// Count returns the totals of one call or event, zero for an unknown one.
+func (l *RadiusLedger) Count(name string) RadiusCount {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if c := l.counts[name]; c != nil {
@@ -96,8 +96,8 @@
 	return RadiusCount{}
 }
 
-// All returns the totals of every call and event by name.
-func (l *RadiusLedger) All() map[string]RadiusCount {
+// Counts returns the totals of every call and event by name.
+func (l *RadiusLedger) Counts() map[string]RadiusCount {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	all := make(map[string]RadiusCount, len(l.counts))
@@ -107,12 +107,12 @@
 	return all
 }
 
-// RadiusSeen is a request as a server's script sees it.
-type RadiusSeen struct {
-	Name     string // of the call or event in the ledger
-	Nth      int    // number of this attempt among the call's attempts at all servers, from 1
-	Password string
-	Packet   *radius.Packet
+// RadiusRequest is a request as a server's script sees it.
+type RadiusRequest struct {
+	Name          string // of the call or event in the ledger
+	AttemptNumber int    // number of this attempt among the call's attempts at all servers, from 1
+	Password      string
+	Packet        *radius.Packet
 }
 
 // RadiusServer stands in for a RADIUS server that takes access and accounting on one port. It
@@ -127,7 +127,7 @@
 	goroutines sync.WaitGroup
 
 	mu             sync.Mutex
-	script         func(RadiusSeen) RadiusAct
+	script         func(RadiusRequest) RadiusAction
 	conn           *net.UDPConn      // nil while the server is down
 	answers        map[string][]byte // to resend to duplicates; nil for a request without an answer
 	frozen         bool
@@ -141,7 +141,7 @@
 // picks. The caller must close it.
 func NewRadiusServer(name, secret string, ledger *RadiusLedger) (*RadiusServer, error) {
 	s := &RadiusServer{Name: name, Ledger: ledger, secret: []byte(secret), addr: "127.0.0.2:0", answers: make(map[string][]byte), packetsByName: make(map[string]int)}
-	s.script = func(RadiusSeen) RadiusAct { return RadiusAct{} }
+	s.script = func(RadiusRequest) RadiusAction { return RadiusAction{} }
 	if err := s.Restart(); err != nil {
 		return nil, err
 	}
@@ -188,23 +188,23 @@
 // Addr returns the server's address, which stays the same over restarts.
 func (s *RadiusServer) Addr() string { return s.addr }
 
-// Do replaces the server's script for all packets from now on.
-func (s *RadiusServer) Do(script func(RadiusSeen) RadiusAct) {
+// SetScript replaces the server's script for all packets from now on.
+func (s *RadiusServer) SetScript(script func(RadiusRequest) RadiusAction) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.script = script
 }
 
-// Freeze with true makes the server drop all packets; with false it ends that.
-func (s *RadiusServer) Freeze(frozen bool) {
+// SetFrozen with true makes the server drop all packets; with false it ends that.
+func (s *RadiusServer) SetFrozen(frozen bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.frozen = frozen
 }
 
-// Bad returns how many packets failed verification, how many lacked a valid
+// PacketCounts returns how many packets failed verification, how many lacked a valid
 // Message-Authenticator, and how many Status-Server packets the server answered.
-func (s *RadiusServer) Bad() (unverified, unsigned, statusRequests int) {
+func (s *RadiusServer) PacketCounts() (unverified, unsigned, statusRequests int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.unverified, s.unsigned, s.statusRequests
@@ -279,7 +279,7 @@
 		s.sendAnswer(conn, client, packet, radius.CodeAccessAccept, nil, true)
 		return
 	}
-	request := RadiusSeen{Packet: packet}
+	request := RadiusRequest{Packet: packet}
 	if packet.Code == radius.CodeAccessRequest {
 		request.Name, request.Password = rfc2865.UserName_GetString(packet), rfc2865.UserPassword_GetString(packet)
 	} else {
@@ -297,7 +297,7 @@
 		}
 		return
 	}
-	request.Nth = s.Ledger.Of(request.Name).Attempts + 1
+	request.AttemptNumber = s.Ledger.Count(request.Name).Attempts + 1
 	act := script(request)
 	if act.Kind == RadiusIgnore {
 		return
@@ -332,9 +332,9 @@
 			conn.WriteTo(forger.encodeAnswer(&altered, code, nil, true), client)
 			altered.Secret, altered.Identifier = s.secret, packet.Identifier+1
 			conn.WriteTo(s.encodeAnswer(&altered, code, nil, true), client)
-		case RadiusTwice:
+		case RadiusDuplicate:
 			conn.WriteTo(validAnswer, client)
-		case RadiusElsewhere:
+		case RadiusOtherSocket:
 			if c, err := net.DialUDP("udp", nil, client); err == nil {
 				c.Write(validAnswer)
 				c.Close()
@@ -392,27 +392,27 @@
 	return wire
 }
 
-// RadiusAsk is a request that a terminal sends.
-type RadiusAsk struct {
+// RadiusClientRequest is a request that a terminal sends.
+type RadiusClientRequest struct {
 	User, Password string // of an access request; without a User it is an accounting request
 	State          []byte
 	NAS, Session   string    // Session is for accounting only
 	Status         uint32    // of accounting: 1 start, 2 stop, 3 interim
-	At             time.Time // of the accounting event; zero to leave it out
+	EventTime      time.Time // of the accounting event; zero to leave it out
 
-	Tries   int           // how many packets are sent at most
-	Each    time.Duration // how long to wait for an answer to each packet
-	NewID   bool          // each retransmission has a new identifier and a new Acct-Delay-Time
-	NewPort bool          // each retransmission comes from another port
-	Bare    bool          // access without a Message-Authenticator
+	MaxPackets     int           // how many packets are sent at most
+	ResendInterval time.Duration // how long to wait for an answer to each packet
+	NewID          bool          // each retransmission has a new identifier and a new Acct-Delay-Time
+	NewPort        bool          // each retransmission comes from another port
+	Unsigned       bool          // access without a Message-Authenticator
 }
 
 // RadiusReply is the result of a terminal's request.
 type RadiusReply struct {
-	Code    radius.Code // 0 if no valid answer came
-	Packet  *radius.Packet
-	Packets int // how many were sent
-	Err     error
+	Code        radius.Code // 0 if no valid answer came
+	Packet      *radius.Packet
+	PacketsSent int // how many were sent
+	Err         error
 }
 
 // RadiusClient stands in for a counter terminal. It may be used from any goroutine.
@@ -441,15 +441,15 @@
 	return net.DialUDP("udp", from, to)
 }
 
-// Packet returns a request as sent; acctDelay is its Acct-Delay-Time.
-func (c *RadiusClient) Packet(request RadiusAsk, identifier byte, authenticator [16]byte, acctDelay time.Duration) []byte {
+// Encode returns a request as sent; acctDelay is its Acct-Delay-Time.
+func (c *RadiusClient) Encode(request RadiusClientRequest, identifier byte, authenticator [16]byte, acctDelay time.Duration) []byte {
 	code := radius.CodeAccountingRequest
 	if request.User != "" {
 		code = radius.CodeAccessRequest
 	}
 	packet := &radius.Packet{Code: code, Identifier: identifier, Authenticator: authenticator, Secret: c.secret}
 	if request.User != "" {
-		if !request.Bare {
+		if !request.Unsigned {
 			rfc2869.MessageAuthenticator_Set(packet, make([]byte, 16))
 		}
 		rfc2865.UserName_SetString(packet, request.User)
@@ -461,8 +461,8 @@
 		rfc2866.AcctStatusType_Set(packet, rfc2866.AcctStatusType(request.Status))
 		rfc2866.AcctSessionID_SetString(packet, request.Session)
 		rfc2866.AcctDelayTime_Set(packet, rfc2866.AcctDelayTime(acctDelay/time.Second))
-		if !request.At.IsZero() {
-			rfc2869.EventTimestamp_Set(packet, request.At)
+		if !request.EventTime.IsZero() {
+			rfc2869.EventTimestamp_Set(packet, request.EventTime)
 		}
 	}
 	rfc2865.NASIdentifier_SetString(packet, request.NAS)
@@ -472,7 +472,7 @@
 
 // Do sends a request and sends it again while no valid answer comes. It blocks until the answer
 // comes or the last packet has been waited for.
-func (c *RadiusClient) Do(request RadiusAsk) (reply RadiusReply) {
+func (c *RadiusClient) Do(request RadiusClientRequest) (reply RadiusReply) {
 	conn, err := c.dial()
 	if err != nil {
 		return RadiusReply{Err: err}
@@ -481,22 +481,22 @@
 	var authenticator [16]byte
 	rand.Read(authenticator[:])
 	identifier := authenticator[0]
-	wire := c.Packet(request, identifier, authenticator, 0)
+	wire := c.Encode(request, identifier, authenticator, 0)
 	buf := make([]byte, 4096)
-	for n := range request.Tries {
+	for n := range request.MaxPackets {
 		if n > 0 && request.NewPort {
 			conn.Close()
 			if conn, err = c.dial(); err != nil {
-				return RadiusReply{Packets: n, Err: err}
+				return RadiusReply{PacketsSent: n, Err: err}
 			}
 		}
 		if n > 0 && request.NewID {
 			identifier++
-			wire = c.Packet(request, identifier, authenticator, time.Duration(n)*time.Second)
+			wire = c.Encode(request, identifier, authenticator, time.Duration(n)*time.Second)
 		}
 		conn.Write(wire)
-		reply.Packets++
-		deadline := time.Now().Add(request.Each)
+		reply.PacketsSent++
+		deadline := time.Now().Add(request.ResendInterval)
 		for {
 			conn.SetReadDeadline(deadline)
 			length, err := conn.Read(buf)
@@ -528,7 +528,7 @@
 // Relay forwards datagrams between clients and a server. It drops, duplicates and delays some of
 // them, chosen by its seed.
 type Relay struct {
-	Loss, Double, DelayShare float64 // shares of all datagrams in each direction
+	LossShare, DuplicateShare, DelayShare float64 // shares of all datagrams in each direction
 
 	conn       *net.UDPConn
 	serverAddr *net.UDPAddr
@@ -555,7 +555,7 @@
 		return nil, fmt.Errorf("standin: start relay: %w", err)
 	}
 	conn.SetReadBuffer(4 << 20)
-	r := &Relay{Loss: lossShare, Double: duplicateShare, DelayShare: delayShare, conn: conn, serverAddr: udpAddr, rng: mrand.New(mrand.NewPCG(seed, 4)), sockets: make(map[string]*net.UDPConn)}
+	r := &Relay{LossShare: lossShare, DuplicateShare: duplicateShare, DelayShare: delayShare, conn: conn, serverAddr: udpAddr, rng: mrand.New(mrand.NewPCG(seed, 4)), sockets: make(map[string]*net.UDPConn)}
 	r.goroutines.Go(r.serve)
 	return r, nil
 }
@@ -566,7 +566,7 @@
 // forward sends a datagram, unless it is lost, perhaps twice and perhaps up to 20 ms late.
 func (r *Relay) forward(send func([]byte), datagram []byte) {
 	r.mu.Lock()
-	lost, duplicated, delayed := r.rng.Float64() < r.Loss, r.rng.Float64() < r.Double, r.rng.Float64() < r.DelayShare
+	lost, duplicated, delayed := r.rng.Float64() < r.LossShare, r.rng.Float64() < r.DuplicateShare, r.rng.Float64() < r.DelayShare
 	delay := time.Duration(r.rng.Float64() * float64(20*time.Millisecond))
 	r.mu.Unlock()
 	if lost {
@@ -652,8 +652,8 @@
 	r.goroutines.Wait()
 }
 
-// Throw sends a datagram without waiting for an answer. Errors are ignored.
-func (c *RadiusClient) Throw(datagram []byte) {
+// Send sends a datagram without waiting for an answer. Errors are ignored.
+func (c *RadiusClient) Send(datagram []byte) {
 	if conn, err := c.dial(); err == nil {
 		conn.Write(datagram)
 		conn.Close()
@@ -672,26 +672,26 @@
 	buf := make([]byte, 4096)
 	length, err := conn.Read(buf)
 	if err != nil {
-		return RadiusReply{Packets: 1, Err: err}
+		return RadiusReply{PacketsSent: 1, Err: err}
 	}
 	packet, err := radius.Parse(buf[:length], c.secret)
 	if err != nil || packet.Identifier != wire[1] || !radius.IsAuthenticResponse(buf[:length], wire, c.secret) {
-		return RadiusReply{Packets: 1, Err: errors.New("standin: the answer is malformed or has a wrong identifier or authenticator")}
+		return RadiusReply{PacketsSent: 1, Err: errors.New("standin: the answer is malformed or has a wrong identifier or authenticator")}
 	}
-	return RadiusReply{Code: packet.Code, Packet: packet, Packets: 1}
+	return RadiusReply{Code: packet.Code, Packet: packet, PacketsSent: 1}
 }
 
-// Got returns how many verified packets of a call or event this server received, with
+// PacketsReceived returns how many verified packets of a call or event this server received, with
 // duplicates.
-func (s *RadiusServer) Got(name string) int {
+func (s *RadiusServer) PacketsReceived(name string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.packetsByName[name]
 }
 
-// Names returns the calls and events of which this server received packets, in no fixed
+// ReceivedNames returns the calls and events of which this server received packets, in no fixed
 // order.
-func (s *RadiusServer) Names() (all []string) {
+func (s *RadiusServer) ReceivedNames() (all []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for name := range s.packetsByName {
--- a/internal/standin/server.go
+++ b/internal/standin/server.go
@@ -19,14 +19,14 @@
 	Name   string
 	Ledger *Ledger // shared by the fleet; nil for a Ledger of its own
 	Script Script  // nil serves every request
-	// Rate is how many requests a second a warm server can serve; 0 sets no limit.
+	// RequestsPerSecond is how many requests a second a warm server can serve; 0 sets no limit.
 	// Requests beyond it wait in a queue and are answered late, in the order in which they came.
-	Rate float64
-	// Cold is the share of the request rate that a server has at its start; 0 means that it
+	RequestsPerSecond float64
+	// ColdShare is the share of the request rate that a server has at its start; 0 means that it
 	// starts warm. The share rises linearly to 1.
-	Cold float64
-	// WarmIn is how long a cold server takes to reach its full rate.
-	WarmIn time.Duration
+	ColdShare float64
+	// WarmUpTime is how long a cold server takes to reach its full rate.
+	WarmUpTime time.Duration
 	// FallFactor is how many times its present rate a cold server withstands. If it receives
 	// more over FallFor, it stops and stays down. 0 means that it never stops.
 	FallFactor float64
@@ -72,7 +72,7 @@
 		cfg.Ledger = NewLedger(0)
 	}
 	if cfg.Script == nil {
-		cfg.Script = Always(Act{})
+		cfg.Script = Always(Action{})
 	}
 	s := &Server{cfg: cfg, script: cfg.Script, conns: make(map[net.Conn]struct{}), thawed: make(chan struct{})}
 	close(s.thawed)
@@ -106,36 +106,36 @@
 // Ledger returns the Ledger that records the server's requests.
 func (s *Server) Ledger() *Ledger { return s.cfg.Ledger }
 
-// Warm makes the server count as fully warmed up until its next restart.
-func (s *Server) Warm() {
+// SetWarm makes the server count as fully warmed up until its next restart.
+func (s *Server) SetWarm() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.startTime = time.Unix(0, 0)
 }
 
-// Started returns when the server last started.
-func (s *Server) Started() time.Time {
+// StartTime returns when the server last started.
+func (s *Server) StartTime() time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.startTime
 }
 
-// Do replaces the server's Script for all requests from now on.
-func (s *Server) Do(script Script) {
+// SetScript replaces the server's Script for all requests from now on.
+func (s *Server) SetScript(script Script) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.script = script
 }
 
-// Opened returns how many connections the server has accepted since it was created.
-func (s *Server) Opened() int {
+// OpenedConns returns how many connections the server has accepted since it was created.
+func (s *Server) OpenedConns() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.openedConns
 }
 
-// Open returns how many connections to the server are open.
-func (s *Server) Open() int {
+// OpenConns returns how many connections to the server are open.
+func (s *Server) OpenConns() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.conns)
@@ -171,12 +171,12 @@
 	}
 }
 
-// NoteDrain makes the server record with each arrival how long it has been draining. It declines
+// RecordDrain makes the server record with each arrival how long it has been draining. It declines
 // nothing: a draining server still serves the requests that come.
-func (s *Server) NoteDrain() { s.setRecordedDrain(time.Now()) }
+func (s *Server) RecordDrain() { s.setRecordedDrain(time.Now()) }
 
-// NoteUndrain ends the recording of draining times.
-func (s *Server) NoteUndrain() { s.setRecordedDrain(time.Time{}) }
+// RecordUndrain ends the recording of draining times.
+func (s *Server) RecordUndrain() { s.setRecordedDrain(time.Time{}) }
 
 func (s *Server) setRecordedDrain(since time.Time) {
 	s.mu.Lock()
@@ -292,7 +292,7 @@
 	s.mu.Lock()
 	script, drainingSince, recordedDrainSince := s.script, s.drainingSince, s.recordedDrainSince
 	s.mu.Unlock()
-	req.Nth = s.cfg.Ledger.nextAttemptNumber(req.ID)
+	req.AttemptNumber = s.cfg.Ledger.nextAttemptNumber(req.ID)
 	act := script(req)
 	if act.Kind == ResetEarly {
 		if act.Delay > 0 { // resets in the middle of the body
@@ -300,7 +300,7 @@
 		}
 		return act.writeAnswer(conn, req)
 	}
-	if act.Early {
+	if act.BeforeBody {
 		act.writeAnswer(conn, req)
 		io.CopyN(io.Discard, httpReq.Body, maxScriptBodyBytes)
 		return false
@@ -310,24 +310,24 @@
 		return false
 	}
 	req.Body = string(body)
-	arrival := Arrival{ID: req.ID, Class: class, Key: req.Key, Server: s.cfg.Name, At: time.Now(), Size: size, Sum: hash}
+	arrival := Arrival{ID: req.ID, Class: class, Key: req.Key, Server: s.cfg.Name, At: time.Now(), BodySize: size, BodyHash: hash}
 	if !recordedDrainSince.IsZero() {
-		arrival.Draining = max(time.Since(recordedDrainSince), 1)
+		arrival.DrainingFor = max(time.Since(recordedDrainSince), 1)
 	}
 	if !drainingSince.IsZero() {
-		arrival.Draining = max(time.Since(drainingSince), 1)
-		act = Act{Kind: Decline}
+		arrival.DrainingFor = max(time.Since(drainingSince), 1)
+		act = Action{Kind: Decline}
 	}
 	wait, fallsOver := s.reserveTurn(arrival.At)
 	if fallsOver {
 		s.Kill()
 		return false
 	}
-	arrival.Act = act.Kind
+	arrival.ActionKind = act.Kind
 	// Attempts that arrive at the same time can have been given the same number above. The number
 	// of the Ledger is final.
-	if number := s.cfg.Ledger.recordArrival(arrival); number != req.Nth && drainingSince.IsZero() {
-		req.Nth = number
+	if number := s.cfg.Ledger.recordArrival(arrival); number != req.AttemptNumber && drainingSince.IsZero() {
+		req.AttemptNumber = number
 		act = script(req)
 	}
 	if act.Kind.takesEffect() {
@@ -353,12 +353,12 @@
 // reserveTurn adds a request to the queue of the server's present rate. It returns how long the
 // request waits in the queue, and whether the request overloads a cold server.
 func (s *Server) reserveTurn(now time.Time) (wait time.Duration, fallsOver bool) {
-	if s.cfg.Rate <= 0 {
+	if s.cfg.RequestsPerSecond <= 0 {
 		return 0, false
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	rate := s.cfg.Rate * s.rateShare(now)
+	rate := s.cfg.RequestsPerSecond * s.rateShare(now)
 	if s.busyUntil.Before(now) {
 		s.busyUntil = now
 	}
@@ -378,8 +378,8 @@
 
 // rateShare returns the share of its full rate that the server has now, at most 1.
 func (s *Server) rateShare(now time.Time) float64 {
-	if s.cfg.Cold <= 0 || s.cfg.WarmIn <= 0 {
+	if s.cfg.ColdShare <= 0 || s.cfg.WarmUpTime <= 0 {
 		return 1
 	}
-	return min(1, s.cfg.Cold+(1-s.cfg.Cold)*float64(now.Sub(s.startTime))/float64(s.cfg.WarmIn))
+	return min(1, s.cfg.ColdShare+(1-s.cfg.ColdShare)*float64(now.Sub(s.startTime))/float64(s.cfg.WarmUpTime))
 }
--- a/internal/standin/standin_test.go
+++ b/internal/standin/standin_test.go
@@ -42,25 +42,25 @@
 // every test that relies on it wrong. Each action is checked at the client and in the ledger.
 func TestEachActionOnTheWireAndInTheLedger(t *testing.T) {
 	for _, want := range []struct {
-		act               Act
+		act               Action
 		verdict           string
 		attempts, effects int
 	}{
-		{Act{}, "served", 1, 1},
-		{Act{Delay: time.Millisecond, Body: "x"}, "served", 1, 1},
-		{Act{Kind: Fail}, "failed", 1, 1},
-		{Act{Kind: Decline}, "refused", 1, 0},
-		{Act{Kind: Deny, Status: 404}, "failed", 1, 0},
-		{Act{Kind: ResetEarly}, "none", 0, 0},
-		{Act{Kind: ResetLate}, "none", 1, 1},
-		{Act{Kind: CloseLate}, "none", 1, 1},
-		{Act{Kind: Silence}, "none", 1, 1},
-		{Act{Kind: Noise}, "none", 1, 1},
-		{Act{Kind: EndlessHead}, "none", 1, 1},
-		{Act{Kind: ShortBody}, "none", 1, 1},
-		{Act{Kind: StopBody}, "none", 1, 1},
-		{Act{Kind: Excess}, "served", 1, 1},
-		{Act{Kind: Oversize}, "none", 1, 1},
+		{Action{}, "served", 1, 1},
+		{Action{Delay: time.Millisecond, Body: "x"}, "served", 1, 1},
+		{Action{Kind: Fail}, "failed", 1, 1},
+		{Action{Kind: Decline}, "refused", 1, 0},
+		{Action{Kind: Deny, Status: 404}, "failed", 1, 0},
+		{Action{Kind: ResetEarly}, "none", 0, 0},
+		{Action{Kind: ResetLate}, "none", 1, 1},
+		{Action{Kind: CloseLate}, "none", 1, 1},
+		{Action{Kind: Silence}, "none", 1, 1},
+		{Action{Kind: Noise}, "none", 1, 1},
+		{Action{Kind: EndlessHead}, "none", 1, 1},
+		{Action{Kind: ShortBody}, "none", 1, 1},
+		{Action{Kind: StopBody}, "none", 1, 1},
+		{Action{Kind: Excess}, "served", 1, 1},
+		{Action{Kind: Oversize}, "none", 1, 1},
 	} {
 		t.Run(want.act.Kind.String(), func(t *testing.T) {
 			t.Parallel()
@@ -71,15 +71,15 @@
 			defer cancel()
 			if want.verdict == "none" && want.attempts > 0 { // some of these answers never end
 				go func() {
-					for ctx.Err() == nil && s.Ledger().ID("1").Effects == 0 {
+					for ctx.Err() == nil && s.Ledger().RequestCount("1").Effects == 0 {
 						time.Sleep(time.Millisecond)
 					}
 					cancel()
 				}()
 			}
-			reply := client.Do(ctx, Ask{ID: "1", Class: activateClass, Body: "body"})
-			if reply.Verdict() != want.verdict || s.Ledger().ID("1") != (Count{want.attempts, want.effects}) || s.Ledger().Class("activate") != s.Ledger().ID("1") {
-				t.Errorf("the client got %+v, the ledger has %+v", reply, s.Ledger().ID("1"))
+			reply := client.Do(ctx, ClientRequest{ID: "1", Class: activateClass, Body: "body"})
+			if reply.Verdict() != want.verdict || s.Ledger().RequestCount("1") != (Count{want.attempts, want.effects}) || s.Ledger().ClassCount("activate") != s.Ledger().RequestCount("1") {
+				t.Errorf("the client got %+v, the ledger has %+v", reply, s.Ledger().RequestCount("1"))
 			}
 		})
 	}
@@ -93,13 +93,13 @@
 		a, b := newServer(t, ServerConfig{Ledger: ledger}), newServer(t, ServerConfig{Ledger: ledger})
 		for _, s := range []*Server{a, b, b} {
 			client := NewClient(s.Addr())
-			client.Do(context.Background(), Ask{ID: "1", Class: registerClass, Key: "k"})
+			client.Do(context.Background(), ClientRequest{ID: "1", Class: registerClass, Key: "k"})
 			client.Close()
 		}
-		if c := ledger.ID("1"); c != (Count{3, effects}) {
+		if c := ledger.RequestCount("1"); c != (Count{3, effects}) {
 			t.Errorf("window %v: the ledger has %+v", window, c)
 		}
-		if log := ledger.Log(); len(log) != 3 || log[2].Nth != 3 || !strings.Contains(ledger.String(), "1: 3 attempts") {
+		if log := ledger.Arrivals(); len(log) != 3 || log[2].AttemptNumber != 3 || !strings.Contains(ledger.String(), "1: 3 attempts") {
 			t.Errorf("the arrivals are %+v", log)
 		}
 	}
@@ -109,9 +109,9 @@
 // number; otherwise a failing test could not be repeated.
 func TestRandomActionsDependOnSeedRequestAndAttempt(t *testing.T) {
 	draw := func(seed uint64) (all string) {
-		s := Random(seed, Odd{0.3, Act{Kind: Fail}}, Odd{0.3, Act{Kind: Decline}})
+		s := Random(seed, WeightedAction{0.3, Action{Kind: Fail}}, WeightedAction{0.3, Action{Kind: Decline}})
 		for n := range 200 {
-			all += fmt.Sprint(int(s(Request{ID: fmt.Sprint(n % 50), Nth: n / 50}).Kind))
+			all += fmt.Sprint(int(s(Request{ID: fmt.Sprint(n % 50), AttemptNumber: n / 50}).Kind))
 		}
 		return all
 	}
@@ -121,8 +121,8 @@
 	if n := strings.Count(draw(1), "1"); n < 40 || n > 80 {
 		t.Errorf("%d of 200 fail, expected about 60", n)
 	}
-	s := ByClass(map[string]Script{"a": Nth(Act{Kind: Fail}, Act{Kind: Decline})})
-	if s(Request{Class: "a", Nth: 1}).Kind != Fail || s(Request{Class: "a", Nth: 7}).Kind != Decline || s(Request{Class: "b", Nth: 1}).Kind != Serve {
+	s := ByClass(map[string]Script{"a": Sequence(Action{Kind: Fail}, Action{Kind: Decline})})
+	if s(Request{Class: "a", AttemptNumber: 1}).Kind != Fail || s(Request{Class: "a", AttemptNumber: 7}).Kind != Decline || s(Request{Class: "b", AttemptNumber: 1}).Kind != Serve {
 		t.Error("the action is not that of the class and the attempt's number")
 	}
 }
@@ -136,7 +136,7 @@
 	askWithin := func(timeout time.Duration) string {
 		ctx, cancel := context.WithTimeout(context.Background(), timeout)
 		defer cancel()
-		return client.Do(ctx, Ask{ID: "1", Class: checkClass}).Verdict()
+		return client.Do(ctx, ClientRequest{ID: "1", Class: checkClass}).Verdict()
 	}
 	s.Freeze()
 	if verdict := askWithin(50 * time.Millisecond); verdict != "none" {
@@ -150,7 +150,7 @@
 	if verdict := askWithin(testTimeout); verdict != "refused" {
 		t.Errorf("draining: the verdict is %s, expected refused", verdict)
 	}
-	if log := s.Ledger().Log(); log[len(log)-1].Draining <= 0 {
+	if log := s.Ledger().Arrivals(); log[len(log)-1].DrainingFor <= 0 {
 		t.Error("the arrival is not recorded as draining")
 	}
 	s.Kill()
@@ -168,27 +168,27 @@
 // A cold server that receives far more than its rate stops and stays down, while a warm one only
 // gets slow. Without that, tests of cold starts would pass under any load.
 func TestColdServerFallsOverWhenOverloaded(t *testing.T) {
-	warm := newServer(t, ServerConfig{Rate: 10000, FallFactor: 2, FallFor: 10 * time.Millisecond})
+	warm := newServer(t, ServerConfig{RequestsPerSecond: 10000, FallFactor: 2, FallFor: 10 * time.Millisecond})
 	client := NewClient(warm.Addr())
 	defer client.Close()
 	for n := range 100 {
-		client.Do(context.Background(), Ask{ID: fmt.Sprint(n), Class: checkClass})
+		client.Do(context.Background(), ClientRequest{ID: fmt.Sprint(n), Class: checkClass})
 	}
 	if warm.Fallen() {
 		t.Error("the warm server stopped")
 	}
-	cold := newServer(t, ServerConfig{Rate: 10, Cold: 0.1, WarmIn: time.Hour, FallFactor: 2, FallFor: time.Hour})
+	cold := newServer(t, ServerConfig{RequestsPerSecond: 10, ColdShare: 0.1, WarmUpTime: time.Hour, FallFactor: 2, FallFor: time.Hour})
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	cold.cfg.FallFactor = 2 / time.Hour.Seconds() // two requests an hour, so timing doesn't matter
 	for n := range 10 {
-		go NewClient(cold.Addr()).Do(ctx, Ask{ID: fmt.Sprint(n), Class: checkClass})
+		go NewClient(cold.Addr()).Do(ctx, ClientRequest{ID: fmt.Sprint(n), Class: checkClass})
 	}
 	waitFor(t, "the cold server did not stop", cold.Fallen)
 	if cold.Up() {
 		t.Error("the cold server is up after it fell")
 	}
-	now := cold.Started()
+	now := cold.StartTime()
 	if share := cold.rateShare(now.Add(30 * time.Minute)); share < 0.5 || share > 0.6 {
 		t.Errorf("half way through the warm-up the share of the rate is %v", share)
 	}
@@ -241,7 +241,7 @@
 	if listing := next(); !listing.Snapshot || len(listing.Endpoints) != 1 || listing.Index != 1 {
 		t.Errorf("the first listing is %+v", listing)
 	}
-	waitFor(t, "the watch was not opened", func() bool { return d.Watching() == 1 })
+	waitFor(t, "the watch was not opened", func() bool { return d.OpenWatches() == 1 })
 	d.Change(b)
 	if listing := next(); listing.Snapshot || len(listing.Endpoints) != 1 || listing.Endpoints[0] != b || listing.Index != 2 {
 		t.Errorf("after a change: %+v", listing)
@@ -260,7 +260,7 @@
 	if listing, _ := openCatalog(t, d, "?watch=1&after=3"); listing().Index != 4 {
 		t.Error("the watch does not resume after its index")
 	}
-	d.Lag(50 * time.Millisecond)
+	d.SetDelay(50 * time.Millisecond)
 	start := time.Now()
 	d.Change(b)
 	if next(); time.Since(start) < 50*time.Millisecond {
@@ -273,7 +273,7 @@
 	if _, err := net.Dial("tcp", old); err == nil {
 		t.Error("the old address takes connections")
 	}
-	d.Down(true)
+	d.SetDown(true)
 	if listing := next(); listing.Index != -1 {
 		t.Errorf("down: got %+v, expected the end of the connection", listing)
 	}
@@ -284,13 +284,13 @@
 		io.Copy(io.Discard, resp.Body)
 		resp.Body.Close()
 	}
-	waitFor(t, "the watch was not closed", func() bool { return d.Watching() == 0 })
+	waitFor(t, "the watch was not closed", func() bool { return d.OpenWatches() == 0 })
 }
 
 // Two mixes of the same seed give the same requests, each id once, in the shares of the classes;
 // otherwise a failing test could not be repeated.
 func TestMixRepeatsTheRequestsOfItsSeed(t *testing.T) {
-	drawRequests := func() (all []Ask) {
+	drawRequests := func() (all []ClientRequest) {
 		m := NewMix(4, Class{Name: "a", Share: 3}, Class{Name: "b", Effect: Keyed, Share: 1, BodySize: 5})
 		for range 400 {
 			all = append(all, m.Next())
