--- a/client/bench_test.go
+++ b/client/bench_test.go
@@ -29,8 +29,8 @@
 func BenchmarkCall(b *testing.B) {
 	cs := rigClassesWithDeadline(5 * time.Second)
 	site := newSite(b, rig.SiteConfig{Classes: cs, Servers: 4, NoHedge: true})
-	plugin := newTransport(b, Config{Platform: site.JSON("127.0.0.1:1", 1), Seed: 1})
-	path, err := rig.Binary()
+	plugin := newTransport(b, Config{Platform: site.PlatformConfig("127.0.0.1:1", 1), Seed: 1})
+	path, err := rig.BuildDaemon()
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -39,7 +39,7 @@
 		b.Fatal(err)
 	}
 	b.Cleanup(d.Close)
-	byDaemon := newTransport(b, Config{Platform: site.JSON("127.0.0.1:1", 1), Seed: 1, Daemon: d.Addr})
+	byDaemon := newTransport(b, Config{Platform: site.PlatformConfig("127.0.0.1:1", 1), Seed: 1, Daemon: d.Addr})
 	plain := func(addr string) http.RoundTripper {
 		t := &http.Transport{DialContext: func(ctx context.Context, _, _ string) (net.Conn, error) {
 			return new(net.Dialer).DialContext(ctx, "tcp", addr)
@@ -87,7 +87,7 @@
 	path := os.Getenv("DAEMON")
 	if path == "" {
 		var err error
-		if path, err = rig.Binary(); err != nil {
+		if path, err = rig.BuildDaemon(); err != nil {
 			b.Fatal(err)
 		}
 	}
@@ -110,7 +110,7 @@
 		if err := d.Stop(); err != nil {
 			b.Fatal(err)
 		}
-		return d.CPU()
+		return d.CPUTime()
 	}
 	const calls = 40000
 	for b.Loop() {
--- a/client/keep_test.go
+++ b/client/keep_test.go
@@ -119,7 +119,7 @@
 
 // longDeadlineRigClasses have deadlines longer than any test waits, as longDeadlineClasses.
 func longDeadlineRigClasses() []rig.Class {
-	classes := rig.Activation()
+	classes := rig.ActivationClasses()
 	for n := range classes {
 		classes[n].Aim, classes[n].Deadline = 10*time.Second, 5*time.Minute
 		if classes[n].Window > 0 {
--- a/client/parity_test.go
+++ b/client/parity_test.go
@@ -27,7 +27,7 @@
 	flag.Set("rapid.checks", "30") // each check takes real time; the command line may override this
 	code := m.Run()
 	pendingStops.Wait()
-	rig.RemoveBinary()
+	rig.RemoveBuiltDaemon()
 	os.Exit(code)
 }
 
@@ -152,7 +152,7 @@
 	}
 	var do func(standin.ClientRequest) standin.Reply
 	if plugin {
-		tr, err := New(Config{Platform: site.JSON("127.0.0.1:1", seed), Seed: seed})
+		tr, err := New(Config{Platform: site.PlatformConfig("127.0.0.1:1", seed), Seed: seed})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -281,7 +281,7 @@
 	stops := newScenario("an answer that stops", nthScript(standin.StopBody, standin.Serve))
 	stops.calls = 5
 	two := newScenario("two attempts at most, all declined", nthScript(standin.Decline))
-	two.site.Attempts, two.calls = 2, 1
+	two.site.MaxAttempts, two.calls = 2, 1
 	all := []scenario{
 		newScenario("all well", nil),
 		two,
@@ -371,13 +371,13 @@
 		cs := rigClassesWithDeadline(150 * time.Millisecond)
 		cs[1].Window = time.Duration(rapid.IntRange(5, 400).Draw(rt, "window")) * time.Millisecond
 		sc := scenario{name: "any", calls: 3, site: rig.SiteConfig{
-			Classes: cs, NoHedge: !copies, Attempts: rapid.IntRange(1, 5).Draw(rt, "attempts"),
+			Classes: cs, NoHedge: !copies, MaxAttempts: rapid.IntRange(1, 5).Draw(rt, "attempts"),
 			Server: standin.ServerConfig{Script: nthScript(script...)},
 		}}
 		// The servers remember keys for a little longer than the window, as they must: an
 		// attempt that begins within the window arrives a moment later.
 		p := sc.run(t, rapid.Uint64().Draw(rt, "seed"), plugin)
-		if broken := p.violations(sc.site.Attempts); broken != nil {
+		if broken := p.violations(sc.site.MaxAttempts); broken != nil {
 			rt.Fatalf("%v", broken)
 		}
 	})
--- a/client/process_test.go
+++ b/client/process_test.go
@@ -16,7 +16,7 @@
 // tiers together may make, the plug-in decides calls during the outage and then returns to
 // the daemon, and the servers see no burst of calls on that return.
 func TestDaemonRestartsUnderLoad(t *testing.T) {
-	path, err := rig.Binary()
+	path, err := rig.BuildDaemon()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -28,7 +28,7 @@
 				most    = 4
 			)
 			cs := rigClassesWithDeadline(5 * time.Second)
-			site := newSite(t, rig.SiteConfig{Classes: cs, Servers: 4, Attempts: most, Server: standin.ServerConfig{
+			site := newSite(t, rig.SiteConfig{Classes: cs, Servers: 4, MaxAttempts: most, Server: standin.ServerConfig{
 				Script: standin.Random(7,
 					standin.WeightedAction{Probability: 0.05, Action: standin.Action{Kind: standin.Decline}},
 					standin.WeightedAction{Probability: 0.05, Action: standin.Action{Kind: standin.CloseLate}},
@@ -39,7 +39,7 @@
 				t.Fatal(err)
 			}
 			defer d.Close()
-			tr := newTransport(t, Config{Platform: site.JSON("127.0.0.1:1", 5), Daemon: d.Addr, Seed: 5})
+			tr := newTransport(t, Config{Platform: site.PlatformConfig("127.0.0.1:1", 5), Daemon: d.Addr, Seed: 5})
 			stop := make(chan struct{})
 			var wg sync.WaitGroup
 			var mu sync.Mutex
--- a/cmd/fawnctl/config_test.go
+++ b/cmd/fawnctl/config_test.go
@@ -61,7 +61,7 @@
 // change that is refused, empty, on trial, kept or undone, and for a daemon that can't be reached.
 func TestConfigCommands(t *testing.T) {
 	slog.SetDefault(slog.New(slog.DiscardHandler))
-	site, err := rig.NewSite(rig.SiteConfig{Servers: 1, Classes: rig.Activation()})
+	site, err := rig.NewSite(rig.SiteConfig{Servers: 1, Classes: rig.ActivationClasses()})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -74,7 +74,7 @@
 	}
 	defer daemon.Stop()
 	writeVariant := func(name, old, new string) string {
-		text := strings.Replace(string(site.JSON("127.0.0.1:0", 1)), old, new, 1)
+		text := strings.Replace(string(site.PlatformConfig("127.0.0.1:0", 1)), old, new, 1)
 		path := filepath.Join(dir, name)
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
--- a/cmd/fawnctl/import_test.go
+++ b/cmd/fawnctl/import_test.go
@@ -398,7 +398,7 @@
 	slog.SetDefault(slog.New(slog.DiscardHandler))
 	for _, sample := range samples {
 		t.Run(sample.name, func(t *testing.T) {
-			site, err := rig.NewSite(rig.SiteConfig{Servers: 1, Classes: rig.Patient(), NoHedge: true})
+			site, err := rig.NewSite(rig.SiteConfig{Servers: 1, Classes: rig.LongDeadlineClasses(), NoHedge: true})
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/cmd/fawnctl/level_test.go
+++ b/cmd/fawnctl/level_test.go
@@ -17,7 +17,7 @@
 // Guards that a pinned level takes effect: at "essential" the cheapest class is turned away and the
 // dearest is served. The command's output, the page, the JSON and the metrics must show that level.
 func TestLevelCommandAndPage(t *testing.T) {
-	site, err := rig.NewSite(rig.SiteConfig{Servers: 2, Classes: rig.Patient(), NoHedge: true})
+	site, err := rig.NewSite(rig.SiteConfig{Servers: 2, Classes: rig.LongDeadlineClasses(), NoHedge: true})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/fawnctl/load.go
+++ b/cmd/fawnctl/load.go
@@ -261,7 +261,7 @@
 
 // Run sends the scenario's load and writes the report.
 func (c *loadRunCmd) Run(streams *stdStreams) error {
-	scenario, err := rehearse.Read(c.Scenario)
+	scenario, err := rehearse.ReadScenario(c.Scenario)
 	if err != nil {
 		return err
 	}
@@ -339,8 +339,8 @@
 // on each rule.
 func (c *rehearseCmd) Run(streams *stdStreams) error {
 	if c.List || c.Scenario == "" {
-		for _, name := range rehearse.Names() {
-			scenario, err := rehearse.Read(name)
+		for _, name := range rehearse.ScenarioNames() {
+			scenario, err := rehearse.ReadScenario(name)
 			if err != nil {
 				return err
 			}
@@ -348,7 +348,7 @@
 		}
 		return nil
 	}
-	scenario, err := rehearse.Read(c.Scenario)
+	scenario, err := rehearse.ReadScenario(c.Scenario)
 	if err != nil {
 		return err
 	}
@@ -356,7 +356,7 @@
 		slog.SetDefault(slog.New(slog.DiscardHandler))
 	}
 	report, err := c.runWithProgress(streams, scenario.Name, func(ctx context.Context, view func(load.Progress), note func(string)) (*load.Report, error) {
-		return rehearse.Run(ctx, scenario, rehearse.By(c.By), view, note)
+		return rehearse.Run(ctx, scenario, rehearse.CallPath(c.By), view, note)
 	})
 	if err != nil {
 		return err
--- a/internal/daemon/client_left_test.go
+++ b/internal/daemon/client_left_test.go
@@ -53,12 +53,12 @@
 			return standin.Action{Kind: kinds[r.IntN(len(kinds))], Delay: time.Duration(r.IntN(150)) * time.Millisecond}
 		}
 	}
-	site, err := rig.NewSite(rig.SiteConfig{Servers: 6, Classes: rig.Activation(), Attempts: 5})
+	site, err := rig.NewSite(rig.SiteConfig{Servers: 6, Classes: rig.ActivationClasses(), MaxAttempts: 5})
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(site.Close)
-	binary, err := rig.Binary()
+	binary, err := rig.BuildDaemon()
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/daemon/cold_test.go
+++ b/internal/daemon/cold_test.go
@@ -17,7 +17,7 @@
 // do at its start.
 func TestThirtyProcessesDoNotOverloadColdServer(t *testing.T) {
 	const fleet, servers = 30, 6
-	site, binary := newProcessSite(t, rig.SiteConfig{Servers: servers, Fleet: fleet, Warm: true, ColdFrom: 0.2, ColdFor: 8 * time.Second,
+	site, binary := newProcessSite(t, rig.SiteConfig{Servers: servers, DaemonCount: fleet, StartWarm: true, ColdShare: 0.2, WarmUpTime: 8 * time.Second,
 		Server: standin.ServerConfig{RequestsPerSecond: 40, ColdShare: 0.2, WarmUpTime: 8 * time.Second, FallFactor: 4, FallFor: time.Second}})
 	for _, s := range site.Servers {
 		s.SetWarm()
--- a/internal/daemon/connections_test.go
+++ b/internal/daemon/connections_test.go
@@ -15,7 +15,7 @@
 // servers answer after a delay.
 func startDaemon(t *testing.T, servers, sockets int, delay time.Duration) (*rig.Site, *rig.Daemon) {
 	t.Helper()
-	site, err := rig.NewSite(rig.SiteConfig{Servers: servers, Classes: rig.Patient(), NoHedge: true, Sockets: sockets,
+	site, err := rig.NewSite(rig.SiteConfig{Servers: servers, Classes: rig.LongDeadlineClasses(), NoHedge: true, MaxSockets: sockets,
 		Server: standin.ServerConfig{Script: standin.Always(standin.Action{Kind: standin.Serve, Delay: delay})}})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/daemon/management_test.go
+++ b/internal/daemon/management_test.go
@@ -25,8 +25,8 @@
 // default.
 func newManagedSite(t *testing.T, servers, sockets int, delay time.Duration) *rig.Site {
 	t.Helper()
-	site, err := rig.NewSite(rig.SiteConfig{Servers: servers, Classes: rig.Patient(), NoHedge: true, Managed: true, Sockets: sockets, Warm: true,
-		ColdFrom: 0.3, ColdFor: 2 * time.Second, Server: standin.ServerConfig{Script: standin.Always(standin.Action{Kind: standin.Serve, Delay: delay})}})
+	site, err := rig.NewSite(rig.SiteConfig{Servers: servers, Classes: rig.LongDeadlineClasses(), NoHedge: true, HasManagement: true, MaxSockets: sockets, StartWarm: true,
+		ColdShare: 0.3, WarmUpTime: 2 * time.Second, Server: standin.ServerConfig{Script: standin.Always(standin.Action{Kind: standin.Serve, Delay: delay})}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -157,25 +157,25 @@
 // enabled again; then it is used again. The figures count the calls and attempts exactly.
 func TestDisabledServerGetsNoCalls(t *testing.T) {
 	site, d := startManagedDaemon(t, 3, 0, 2*time.Millisecond)
-	if got := sendCommand(t, d.Management, "READY"); got != "YES\n" {
+	if got := sendCommand(t, d.ManagementAddr, "READY"); got != "YES\n" {
 		t.Errorf("READY answers %q", got)
 	}
 	for _, id := range []string{"DISABLE nobody", "ENABLE nobody"} {
-		if got := sendCommand(t, d.Management, id); !strings.HasPrefix(got, "NO ") {
+		if got := sendCommand(t, d.ManagementAddr, id); !strings.HasPrefix(got, "NO ") {
 			t.Errorf("%s: answered %q", id, got)
 		}
 	}
 	stop := startCalls(t, d.Addr, 4)
 	waitUntil(t, "s1 is never used", func() bool { return receivedAttempts(site, "s1") > 5 })
-	requireYes(t, d.Management, "DISABLE s1")
-	requireYes(t, d.Management, "DISABLE s1")
+	requireYes(t, d.ManagementAddr, "DISABLE s1")
+	requireYes(t, d.ManagementAddr, "DISABLE s1")
 	made := stop() // no earlier attempt is outstanding any more
 	before := receivedAttempts(site, "s1")
 	// Calls that fail at s2 are retried, at s3 only.
 	site.Servers[1].SetScript(standin.Random(1, standin.WeightedAction{Probability: 0.1, Action: standin.Action{Kind: standin.Fail}}))
 	stop = startCalls(t, d.Addr, 4)
 	waitUntil(t, "no attempt fails at s2", func() bool { return failedAttempts(site, "s2") > 0 })
-	if n := readFigure(t, d.Management, "ejected"); n != 1 {
+	if n := readFigure(t, d.ManagementAddr, "ejected"); n != 1 {
 		t.Errorf("%d ejected, want 1", n)
 	}
 	// s1 is removed from the list, restarted, and listed again with the same id at another address.
@@ -183,26 +183,26 @@
 	removed := e
 	removed.Status = "removed"
 	site.Discovery.Change(removed)
-	waitUntil(t, "s1 stays on the list", func() bool { return readFigure(t, d.Management, "discovered") == 2 })
+	waitUntil(t, "s1 stays on the list", func() bool { return readFigure(t, d.ManagementAddr, "discovered") == 2 })
 	site.Servers[0].Kill()
 	if err := site.Servers[0].Restart(); err != nil {
 		t.Fatal(err)
 	}
 	site.Discovery.Change(site.Endpoint(0, "up"))
-	waitUntil(t, "s1 does not return to the list", func() bool { return readFigure(t, d.Management, "discovered") == 3 })
+	waitUntil(t, "s1 does not return to the list", func() bool { return readFigure(t, d.ManagementAddr, "discovered") == 3 })
 	rest := receivedAttempts(site, "s2") + receivedAttempts(site, "s3")
 	waitUntil(t, "the others are not used", func() bool { return receivedAttempts(site, "s2")+receivedAttempts(site, "s3") > rest+200 })
 	if n := receivedAttempts(site, "s1"); n != before {
 		t.Errorf("s1 got %d attempts while disabled", n-before)
 	}
-	requireYes(t, d.Management, "ENABLE s1")
+	requireYes(t, d.ManagementAddr, "ENABLE s1")
 	waitUntil(t, "s1 is not used after ENABLE", func() bool { return receivedAttempts(site, "s1") > before })
 	made += stop()
-	waitUntil(t, "calls stay outstanding", func() bool { return readFigure(t, d.Management, "outstanding") == 0 })
-	if n := readFigure(t, d.Management, "succeeded."+check.Name); n != made {
+	waitUntil(t, "calls stay outstanding", func() bool { return readFigure(t, d.ManagementAddr, "outstanding") == 0 })
+	if n := readFigure(t, d.ManagementAddr, "succeeded."+check.Name); n != made {
 		t.Errorf("%d counted as succeeded, %d calls made", n, made)
 	}
-	if n, sent := readFigure(t, d.Management, "forwards"), len(site.Ledger.Arrivals()); n != sent {
+	if n, sent := readFigure(t, d.ManagementAddr, "forwards"), len(site.Ledger.Arrivals()); n != sent {
 		t.Errorf("%d counted as forwarded, %d received", n, sent)
 	}
 }
@@ -210,15 +210,15 @@
 // With every server disabled, calls are refused at once instead of waiting for their deadline.
 func TestAllServersDisabledRefusesCalls(t *testing.T) {
 	_, d := startManagedDaemon(t, 2, 0, 0)
-	requireYes(t, d.Management, "DISABLE s1")
-	requireYes(t, d.Management, "DISABLE s2")
+	requireYes(t, d.ManagementAddr, "DISABLE s1")
+	requireYes(t, d.ManagementAddr, "DISABLE s2")
 	c := standin.NewClient(d.Addr)
 	defer c.Close()
 	r := c.Do(context.Background(), standin.ClientRequest{ID: "1", Class: check, Deadline: 10 * time.Second})
 	if r.Verdict() != "refused" || r.Elapsed > 5*time.Second {
 		t.Errorf("%s after %v", r.Verdict(), r.Elapsed)
 	}
-	requireYes(t, d.Management, "ENABLE s1")
+	requireYes(t, d.ManagementAddr, "ENABLE s1")
 	waitUntil(t, "the server does not serve after ENABLE", func() bool {
 		r := c.Do(context.Background(), standin.ClientRequest{ID: fmt.Sprint(time.Now().UnixNano()), Class: check})
 		return r.Verdict() == "served"
@@ -254,13 +254,13 @@
 		t.Fatalf("before the drain: %v, %v", resp, err)
 	}
 	stop := startCalls(t, d.Addr, 3)
-	waitUntil(t, "no call succeeds", func() bool { return readFigure(t, d.Management, "succeeded."+check.Name) > 10 })
+	waitUntil(t, "no call succeeds", func() bool { return readFigure(t, d.ManagementAddr, "succeeded."+check.Name) > 10 })
 	if s := healthStatus(t, d.Addr); s != http.StatusOK {
 		t.Errorf("health check before the drain: %d", s)
 	}
-	requireYes(t, d.Management, "DRAIN")
+	requireYes(t, d.ManagementAddr, "DRAIN")
 	began := time.Now()
-	requireYes(t, d.Management, "DRAIN")
+	requireYes(t, d.ManagementAddr, "DRAIN")
 	if s := healthStatus(t, d.Addr); s != http.StatusServiceUnavailable {
 		t.Errorf("health check in a drain: %d", s)
 	}
@@ -269,9 +269,9 @@
 	if _, err := idle.Read(make([]byte, 1)); err == nil || time.Since(began) > 3*time.Second {
 		t.Errorf("an idle connection ended with %v after %v", err, time.Since(began))
 	}
-	requireYes(t, d.Management, "READY")
-	requireYes(t, d.Management, "DISABLE s1")
-	requireYes(t, d.Management, "UNDRAIN")
+	requireYes(t, d.ManagementAddr, "READY")
+	requireYes(t, d.ManagementAddr, "DISABLE s1")
+	requireYes(t, d.ManagementAddr, "UNDRAIN")
 	if s := healthStatus(t, d.Addr); s != http.StatusOK {
 		t.Errorf("health check after the drain: %d", s)
 	}
@@ -301,7 +301,7 @@
 	for n := range 200 {
 		wg.Go(func() {
 			for ctx.Err() == nil {
-				c, err := new(net.Dialer).DialContext(ctx, "tcp", d.Management)
+				c, err := new(net.Dialer).DialContext(ctx, "tcp", d.ManagementAddr)
 				if err != nil {
 					return
 				}
@@ -328,12 +328,12 @@
 			}
 		})
 	}
-	waitUntil(t, "no load reaches the servers", func() bool { return readFigure(t, d.Management, "forwards") > 100 })
+	waitUntil(t, "no load reaches the servers", func() bool { return readFigure(t, d.ManagementAddr, "forwards") > 100 })
 	var most time.Duration
 	for range 4 {
 		for _, line := range []string{"READY", "STATS", "DISABLE s1", "ENABLE s1"} {
 			began := time.Now()
-			sendCommand(t, d.Management, line)
+			sendCommand(t, d.ManagementAddr, line)
 			most = max(most, time.Since(began))
 		}
 	}
@@ -364,8 +364,8 @@
 	}
 	waits, _ := send("waits", "")
 	half, rest := send("half", "half")
-	waitUntil(t, "the first request is not outstanding", func() bool { return readFigure(t, d.Management, "outstanding") == 1 })
-	requireYes(t, d.Management, "DRAIN")
+	waitUntil(t, "the first request is not outstanding", func() bool { return readFigure(t, d.ManagementAddr, "outstanding") == 1 })
+	requireYes(t, d.ManagementAddr, "DRAIN")
 	fmt.Fprint(half, rest)
 	for name, c := range map[string]net.Conn{"waits": waits, "half": half} {
 		resp, err := http.ReadResponse(bufio.NewReader(c), nil)
--- a/internal/daemon/processes_test.go
+++ b/internal/daemon/processes_test.go
@@ -26,13 +26,13 @@
 // newProcessSite returns a site for daemons that run as separate processes, and the daemon's binary.
 func newProcessSite(t *testing.T, cfg rig.SiteConfig) (*rig.Site, string) {
 	t.Helper()
-	cfg.Classes, cfg.NoHedge = rig.Patient(), true
+	cfg.Classes, cfg.NoHedge = rig.LongDeadlineClasses(), true
 	site, err := rig.NewSite(cfg)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(site.Close)
-	binary, err := rig.Binary()
+	binary, err := rig.BuildDaemon()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -81,7 +81,7 @@
 // A polled list is followed like a pushed one: changes arrive, and after an outage of discovery
 // the process polls again within discovery.MaxChangeDelay.
 func TestPolledListIsFollowed(t *testing.T) {
-	site, binary := newProcessSite(t, rig.SiteConfig{Servers: 2, Asked: true})
+	site, binary := newProcessSite(t, rig.SiteConfig{Servers: 2, SubscribesToDiscovery: true})
 	d := startProcess(t, site, binary)
 	waitUntil(t, "the daemon does not watch discovery", func() bool { return site.Discovery.OpenWatches() == 1 })
 	site.Discovery.SetDown(true)
@@ -100,7 +100,7 @@
 // fail. A process with a known list is ready even while discovery is down.
 func TestReadyNeedsList(t *testing.T) {
 	for _, asked := range []bool{false, true} {
-		site, binary := newProcessSite(t, rig.SiteConfig{Servers: 2, Asked: asked, Unlisted: true})
+		site, binary := newProcessSite(t, rig.SiteConfig{Servers: 2, SubscribesToDiscovery: asked, NoInitialList: true})
 		site.Discovery.SetDown(true)
 		d := startProcess(t, site, binary)
 		waitUntil(t, "the daemon does not contact discovery", func() bool { return site.Discovery.RefusedCalls() >= 4 })
@@ -121,7 +121,7 @@
 // SIGTERM before a process is ready, repeated and combined with SIGHUP, must end it by a normal
 // exit.
 func TestSignalsBeforeReadyStopProcess(t *testing.T) {
-	site, binary := newProcessSite(t, rig.SiteConfig{Servers: 2, Unlisted: true})
+	site, binary := newProcessSite(t, rig.SiteConfig{Servers: 2, NoInitialList: true})
 	site.Discovery.SetDown(true)
 	for _, signals := range [][]syscall.Signal{
 		{syscall.SIGTERM},
@@ -135,7 +135,7 @@
 		}
 		addr := ln.Addr().String()
 		ln.Close()
-		if err := os.WriteFile(path, site.JSON(addr, 1), 0o600); err != nil {
+		if err := os.WriteFile(path, site.PlatformConfig(addr, 1), 0o600); err != nil {
 			t.Fatal(err)
 		}
 		cmd := exec.Command(binary)
@@ -320,7 +320,7 @@
 // must be possible, so that calls are served.
 func TestDiscoveryRecoversWithFullDescriptors(t *testing.T) {
 	const descriptors = 128
-	site, binary := newProcessSite(t, rig.SiteConfig{Servers: 4, Sockets: descriptors})
+	site, binary := newProcessSite(t, rig.SiteConfig{Servers: 4, MaxSockets: descriptors})
 	d := startProcess(t, site, limitedBinary(t, binary, descriptors))
 	waitUntil(t, "the daemon does not watch discovery", func() bool { return site.Discovery.OpenWatches() == 1 })
 	site.Discovery.SetDown(true)
@@ -358,11 +358,11 @@
 		down bool
 		late time.Duration // when discovery returns
 	}{
-		{name: "pushed, at once", cfg: rig.SiteConfig{Unlisted: true}},
-		{name: "asked, at once", cfg: rig.SiteConfig{Unlisted: true, Asked: true}},
+		{name: "pushed, at once", cfg: rig.SiteConfig{NoInitialList: true}},
+		{name: "asked, at once", cfg: rig.SiteConfig{NoInitialList: true, SubscribesToDiscovery: true}},
 		{name: "down, an old list known", down: true},
-		{name: "down, none known", cfg: rig.SiteConfig{Unlisted: true}, down: true},
-		{name: "back late, none known", cfg: rig.SiteConfig{Unlisted: true, Asked: true}, down: true, late: time.Second},
+		{name: "down, none known", cfg: rig.SiteConfig{NoInitialList: true}, down: true},
+		{name: "back late, none known", cfg: rig.SiteConfig{NoInitialList: true, SubscribesToDiscovery: true}, down: true, late: time.Second},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			c.cfg.Servers = 2
--- a/internal/daemon/radius_test.go
+++ b/internal/daemon/radius_test.go
@@ -51,7 +51,7 @@
 	}
 	auth, acct, memory := freeUDP(t), freeUDP(t), filepath.Join(t.TempDir(), "memory")
 	features := fmt.Sprintf("[radius]\nenabled = true\nauth = %q\nacct = %q\nremember_file = %q\ncalls_each = 1000\n[radius.accounting]\nresends = 0\n[[radius.clients]]\nrange = \"127.0.0.0/8\"\nsecret = \"of the terminals\"\n%s", auth, acct, memory, servers.String())
-	site, err := rig.NewSite(rig.SiteConfig{Servers: 1, Classes: rig.Activation()})
+	site, err := rig.NewSite(rig.SiteConfig{Servers: 1, Classes: rig.ActivationClasses()})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/daemon/second_start_test.go
+++ b/internal/daemon/second_start_test.go
@@ -23,7 +23,7 @@
 // the cause; the first goes on serving.
 func TestSecondStartAtSameAddressFails(t *testing.T) {
 	site, d := startDaemon(t, 2, 0, 0)
-	c := loadConfig(t, site.JSON(d.Addr, 1))
+	c := loadConfig(t, site.PlatformConfig(d.Addr, 1))
 	if err := daemon.Run(c, make(chan os.Signal), make(chan os.Signal), nil); err == nil || !strings.Contains(err.Error(), "listen") || !strings.Contains(err.Error(), syscall.EADDRINUSE.Error()) {
 		t.Errorf("the second start ended with %v", err)
 	}
@@ -42,7 +42,7 @@
 		<-r.Context().Done()
 	}))
 	defer lost.Close()
-	c := loadConfig(t, bytes.Replace(site.JSON("127.0.0.1:0", 1), []byte(site.Discovery.Addr()), []byte(lost.Listener.Addr().String()), 1))
+	c := loadConfig(t, bytes.Replace(site.PlatformConfig("127.0.0.1:0", 1), []byte(site.Discovery.Addr()), []byte(lost.Listener.Addr().String()), 1))
 	term, addr, done := make(chan os.Signal, 1), make(chan string, 1), make(chan error, 1)
 	go func() { done <- daemon.Run(c, term, nil, func(a net.Addr) { addr <- a.String() }) }()
 	// The second request shows that the daemon has rejected the first answer.
--- a/internal/daemon/tier_test.go
+++ b/internal/daemon/tier_test.go
@@ -19,7 +19,7 @@
 func TestMain(m *testing.M) {
 	slog.SetDefault(slog.New(slog.NewTextHandler(io.Discard, nil)))
 	code := m.Run()
-	rig.RemoveBinary()
+	rig.RemoveBuiltDaemon()
 	os.Exit(code)
 }
 
@@ -31,7 +31,7 @@
 func startDaemons(t *testing.T, cfg rig.SiteConfig, daemons int, features string) (*rig.Site, []*rig.Daemon) {
 	t.Helper()
 	if cfg.Classes == nil {
-		cfg.Classes = rig.Patient()
+		cfg.Classes = rig.LongDeadlineClasses()
 	}
 	cfg.Servers, cfg.NoHedge = 5, true
 	site, err := rig.NewSite(cfg)
@@ -68,7 +68,7 @@
 	} {
 		t.Run(fmt.Sprintf("%q", m.marks), func(t *testing.T) {
 			t.Parallel()
-			site, ds := startDaemons(t, rig.SiteConfig{Attempts: 3, Server: alwaysServer(standin.Decline)}, 1, "")
+			site, ds := startDaemons(t, rig.SiteConfig{MaxAttempts: 3, Server: alwaysServer(standin.Decline)}, 1, "")
 			c := standin.NewClient(ds[0].Addr)
 			defer c.Close()
 			r := c.Do(context.Background(), standin.ClientRequest{ID: "1", Class: activate, Header: http.Header{"Req-Attempts": m.marks}})
@@ -82,7 +82,7 @@
 	}
 	t.Run("twice", func(t *testing.T) {
 		t.Parallel()
-		site, ds := startDaemons(t, rig.SiteConfig{Attempts: 3, Server: alwaysServer(standin.Fail)}, 1, "")
+		site, ds := startDaemons(t, rig.SiteConfig{MaxAttempts: 3, Server: alwaysServer(standin.Fail)}, 1, "")
 		c := standin.NewClient(ds[0].Addr)
 		defer c.Close()
 		for n, step := range []struct {
--- a/internal/daemon/upgrade_test.go
+++ b/internal/daemon/upgrade_test.go
@@ -39,7 +39,7 @@
 func (s *sidecar) start(t *testing.T) *rig.Daemon {
 	t.Helper()
 	s.seed++
-	d, err := s.site.StartSuccessor(s.seed, s.socket, s.duties)
+	d, err := s.site.StartDaemonOnSocket(s.seed, s.socket, s.duties)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -54,7 +54,7 @@
 	d := s.start(t)
 	quit := make(chan struct{})
 	var wg sync.WaitGroup
-	classes := rig.Patient()
+	classes := rig.LongDeadlineClasses()
 	var ended [6]atomic.Int64
 	for n := range ended {
 		wg.Go(func() {
@@ -79,22 +79,22 @@
 		})
 	}
 	waitUntil(t, "s1 is never used", func() bool { return receivedAttempts(s.site, "s1") > 10 })
-	requireYes(t, d.Management, "DISABLE s1")
+	requireYes(t, d.ManagementAddr, "DISABLE s1")
 	out := []string{"s1"}
 	for round := range 3 {
 		next := s.start(t)
-		if got := sendCommand(t, next.Management, "READY"); got != "YES\n" {
+		if got := sendCommand(t, next.ManagementAddr, "READY"); got != "YES\n" {
 			t.Errorf("READY after the start: %q", got)
 		}
 		// Both processes serve: a command to the old or the new one disables another server.
 		asked := []*rig.Daemon{d, next}[round%2]
 		server := fmt.Sprintf("s%d", round+2)
 		if round < 2 {
-			requireYes(t, asked.Management, "DISABLE "+server)
+			requireYes(t, asked.ManagementAddr, "DISABLE "+server)
 			out = append(out, server)
 		}
 		for _, p := range []*rig.Daemon{d, next} {
-			waitUntil(t, "a process did not learn of the disabled servers", func() bool { return readFigure(t, p.Management, "ejected") == len(out) })
+			waitUntil(t, "a process did not learn of the disabled servers", func() bool { return readFigure(t, p.ManagementAddr, "ejected") == len(out) })
 		}
 		for n := range ended { // once a client's next call ends, its earlier calls have ended
 			had := ended[n].Load()
@@ -108,15 +108,15 @@
 			t.Errorf("the old process exited with %v", err)
 		}
 		d = next
-		served := readFigure(t, d.Management, "forwards")
-		waitUntil(t, "the new process does not serve", func() bool { return readFigure(t, d.Management, "forwards") > served+50 })
+		served := readFigure(t, d.ManagementAddr, "forwards")
+		waitUntil(t, "the new process does not serve", func() bool { return readFigure(t, d.ManagementAddr, "forwards") > served+50 })
 		for id, n := range before {
 			if now := receivedAttempts(s.site, id); now != n {
 				t.Errorf("round %d: %s got %d attempts while disabled", round, id, now-n)
 			}
 		}
 	}
-	requireYes(t, d.Management, "ENABLE s1")
+	requireYes(t, d.ManagementAddr, "ENABLE s1")
 	n := receivedAttempts(s.site, "s1")
 	waitUntil(t, "s1 is not used after ENABLE", func() bool { return receivedAttempts(s.site, "s1") > n })
 	close(quit)
@@ -133,11 +133,11 @@
 func TestDrainOutlivesUpgrade(t *testing.T) {
 	s := newSidecar(t, 2)
 	d := s.start(t)
-	requireYes(t, d.Management, "DISABLE s2")
-	requireYes(t, d.Management, "DRAIN")
+	requireYes(t, d.ManagementAddr, "DISABLE s2")
+	requireYes(t, d.ManagementAddr, "DRAIN")
 	next := s.start(t)
-	requireYes(t, next.Management, "READY")
-	if n := readFigure(t, next.Management, "ejected"); n != 1 {
+	requireYes(t, next.ManagementAddr, "READY")
+	if n := readFigure(t, next.ManagementAddr, "ejected"); n != 1 {
 		t.Errorf("%d ejected in the new process, want 1", n)
 	}
 	if err := d.Stop(); err != nil {
@@ -146,7 +146,7 @@
 	if got := healthStatus(t, next.Addr); got != 503 {
 		t.Errorf("health check of the new process in a drain: %d", got)
 	}
-	requireYes(t, next.Management, "UNDRAIN")
+	requireYes(t, next.ManagementAddr, "UNDRAIN")
 	if got := healthStatus(t, next.Addr); got != 200 {
 		t.Errorf("health check of the new process after UNDRAIN: %d", got)
 	}
@@ -154,7 +154,7 @@
 		t.Fatal(err)
 	}
 	last := s.start(t) // while no other process runs
-	if n := readFigure(t, last.Management, "ejected"); n != 1 {
+	if n := readFigure(t, last.ManagementAddr, "ejected"); n != 1 {
 		t.Errorf("%d ejected in a later process, want 1", n)
 	}
 }
@@ -164,7 +164,7 @@
 func TestTruncatedHandoverIsIgnored(t *testing.T) {
 	s := newSidecar(t, 2)
 	d := s.start(t)
-	requireYes(t, d.Management, "DISABLE s2")
+	requireYes(t, d.ManagementAddr, "DISABLE s2")
 	d.Stop()
 	files, err := filepath.Glob(filepath.Join(s.duties, "*", "done"))
 	if err != nil || len(files) != 1 {
@@ -179,7 +179,7 @@
 	}
 	d = s.start(t)
 	checkServesTwoCalls(t, d.Addr)
-	if n := readFigure(t, d.Management, "ejected"); n != 0 {
+	if n := readFigure(t, d.ManagementAddr, "ejected"); n != 0 {
 		t.Errorf("%d ejected from a truncated file, want 0", n)
 	}
 }
@@ -199,7 +199,7 @@
 	}
 	defer f.Close()
 	for _, fd := range []string{"2", "x", "-1", "999983", fmt.Sprint(f.Fd())} {
-		if err := s.site.Refused(map[string]string{"BALANCER_FD": fd}); err == nil || !strings.Contains(err.Error(), "BALANCER_FD") {
+		if err := s.site.StartError(map[string]string{"BALANCER_FD": fd}); err == nil || !strings.Contains(err.Error(), "BALANCER_FD") {
 			t.Errorf("descriptor %s: %v", fd, err)
 		}
 	}
--- a/internal/demo/calls.go
+++ b/internal/demo/calls.go
@@ -36,7 +36,7 @@
 // newHTTPEnvironment starts the servers, discovery and the daemon. The caller must close it.
 func newHTTPEnvironment(cfg Config) (*httpEnvironment, error) {
 	site, err := rig.NewSite(rig.SiteConfig{
-		Servers: cfg.Servers, Classes: rig.Activation(),
+		Servers: cfg.Servers, Classes: rig.ActivationClasses(),
 		Server: standin.ServerConfig{Script: healthyScript(cfg.Seed)},
 	})
 	if err != nil {
--- a/internal/fleet/cases_test.go
+++ b/internal/fleet/cases_test.go
@@ -218,7 +218,7 @@
 	s.Features, s.Length, s.Quiet = zoneFeatures, duration.Duration(6*time.Second), 4
 	falseSidecar := s.Sidecars - 1
 	s.Faults = []Fault{{Kind: Kill, On: string(sidecarParty(falseSidecar)), At: duration.Duration(time.Second)}}
-	path, err := rig.Binary()
+	path, err := rig.BuildDaemon()
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -38,7 +38,7 @@
 // classes returns the classes for the settings of the sidecars, with the deadlines replaced if the
 // schedule has Wait.
 func (s *Schedule) classes() []rig.Class {
-	classes := rig.Activation()
+	classes := rig.ActivationClasses()
 	if s.Wait > 0 {
 		for n := range classes {
 			classes[n].Deadline = time.Duration(s.Wait)
@@ -70,7 +70,7 @@
 	for n := range schedule.Servers * len(schedule.Zones) {
 		zones = append(zones, schedule.serverZone(n))
 	}
-	fleet.site, err = rig.NewSite(rig.SiteConfig{Servers: len(zones), Classes: schedule.classes(), Zones: zones, Warm: true, ColdFrom: schedule.ColdFrom, ColdFor: time.Duration(schedule.ColdFor),
+	fleet.site, err = rig.NewSite(rig.SiteConfig{Servers: len(zones), Classes: schedule.classes(), Zones: zones, StartWarm: true, ColdShare: schedule.ColdFrom, WarmUpTime: time.Duration(schedule.ColdFor),
 		Server: standin.ServerConfig{Script: fleet.script(standin.Action{}), RequestsPerSecond: schedule.Capacity, ColdShare: schedule.ColdFrom, WarmUpTime: time.Duration(schedule.ColdFor), FallFactor: schedule.Fall, FallFor: time.Duration(schedule.FallFor)}})
 	if err != nil {
 		return nil, err
@@ -194,7 +194,7 @@
 		}
 	}
 	var config map[string]any
-	if err := json.Unmarshal(f.site.JSON(p.clientAddr, seed|1<<60), &config); err != nil {
+	if err := json.Unmarshal(f.site.PlatformConfig(p.clientAddr, seed|1<<60), &config); err != nil {
 		return err
 	}
 	config["name"], config["discovery"] = fmt.Sprintf("n%d", n+1), discoveryLink.Addr()
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -13,7 +13,7 @@
 
 func TestMain(m *testing.M) {
 	code := m.Run()
-	rig.RemoveBinary()
+	rig.RemoveBuiltDaemon()
 	os.Exit(code)
 }
 
@@ -35,7 +35,7 @@
 // unexcused finding fails the test.
 func runSchedule(t *testing.T, s *Schedule) *History {
 	t.Helper()
-	path, err := rig.Binary()
+	path, err := rig.BuildDaemon()
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/fleet/process.go
+++ b/internal/fleet/process.go
@@ -303,5 +303,5 @@
 	if p.cmd == nil {
 		return 0
 	}
-	return rig.Resident(p.cmd.Process.Pid)
+	return rig.PeakResidentBytes(p.cmd.Process.Pid)
 }
--- a/internal/fleet/shrink_test.go
+++ b/internal/fleet/shrink_test.go
@@ -112,7 +112,7 @@
 	if os.Getenv("FAWN_HUNT") == "" {
 		t.Skip("by hand: FAWN_HUNT=1 go test ./internal/fleet -run HuntByRapid -rapid.checks=20 -rapid.shrinktime=5m")
 	}
-	path, err := rig.Binary()
+	path, err := rig.BuildDaemon()
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/rehearse/rehearse.go
+++ b/internal/rehearse/rehearse.go
@@ -24,8 +24,8 @@
 //go:embed scenarios/*.toml
 var scenarioFiles embed.FS
 
-// Names returns the names of the library's scenarios, which are embedded in the program.
-func Names() []string {
+// ScenarioNames returns the names of the library's scenarios, which are embedded in the program.
+func ScenarioNames() []string {
 	files, _ := fs.Glob(scenarioFiles, "scenarios/*.toml")
 	for n, f := range files {
 		files[n] = strings.TrimSuffix(path.Base(f), ".toml")
@@ -33,15 +33,15 @@
 	return files
 }
 
-// Read returns the library's scenario of that name or, without one, reads the scenario file at that
+// ReadScenario returns the library's scenario of that name or, without one, reads the scenario file at that
 // path.
-func Read(name string) (*load.Scenario, error) {
+func ReadScenario(name string) (*load.Scenario, error) {
 	if data, err := scenarioFiles.ReadFile("scenarios/" + name + ".toml"); err == nil {
 		return load.ParseScenario(data)
 	}
 	s, err := load.ReadScenario(name)
 	if err != nil {
-		return nil, fmt.Errorf("%w; the library has %s", err, strings.Join(Names(), ", "))
+		return nil, fmt.Errorf("%w; the library has %s", err, strings.Join(ScenarioNames(), ", "))
 	}
 	return s, nil
 }
@@ -64,22 +64,22 @@
 	maxLag time.Duration // the longest delay that was set for discovery
 }
 
-// By selects who decides on a rehearsal's calls: the daemon, the plug-in or both.
-type By string
+// CallPath selects who decides on a rehearsal's calls: the daemon, the plug-in or both.
+type CallPath string
 
 // The ways in which a rehearsal's calls are decided on.
 const (
-	ViaDaemon          By = "daemon"
-	ViaPlugin          By = "plugin" // the plug-in in the clients' process, with the daemon's settings
-	ViaPluginAndDaemon By = "both"   // the plug-in, which sends its calls through the daemon
+	ViaDaemon          CallPath = "daemon"
+	ViaPlugin          CallPath = "plugin" // the plug-in in the clients' process, with the daemon's settings
+	ViaPluginAndDaemon CallPath = "both"   // the plug-in, which sends its calls through the daemon
 )
 
 // newProtocol returns the protocol that sends the calls. The caller closes it with closeProtocol.
-func (r *rehearsal) newProtocol(callPath By, daemonAddr string) (p load.Protocol, closeProtocol func(), err error) {
+func (r *rehearsal) newProtocol(callPath CallPath, daemonAddr string) (p load.Protocol, closeProtocol func(), err error) {
 	if callPath == ViaDaemon {
 		return &load.HTTP1{Addr: daemonAddr}, func() {}, nil
 	}
-	cfg := client.Config{Platform: r.site.JSON(daemonAddr, r.scenario.Seed), Seed: r.scenario.Seed, MaxCalls: r.scenario.Limits.Outstanding, MaxConns: r.scenario.Limits.Connections, Log: slog.Default()}
+	cfg := client.Config{Platform: r.site.PlatformConfig(daemonAddr, r.scenario.Seed), Seed: r.scenario.Seed, MaxCalls: r.scenario.Limits.Outstanding, MaxConns: r.scenario.Limits.Connections, Log: slog.Default()}
 	if callPath == ViaPluginAndDaemon {
 		cfg.Daemon = daemonAddr
 	}
@@ -93,7 +93,7 @@
 // Run starts a site and a daemon, sends the scenario's load, applies its events and returns the
 // report with the findings on the rules. It blocks until the load ends or ctx is cancelled.
 // showProgress and note may be nil.
-func Run(ctx context.Context, scenario *load.Scenario, callPath By, showProgress func(load.Progress), note func(string)) (*load.Report, error) {
+func Run(ctx context.Context, scenario *load.Scenario, callPath CallPath, showProgress func(load.Progress), note func(string)) (*load.Report, error) {
 	if scenario.Site == nil {
 		return nil, fmt.Errorf("rehearse: scenario %q has no [site]", scenario.Name)
 	}
@@ -149,7 +149,7 @@
 // are spread evenly from work_from to work_to in workTimeSteps steps.
 func newSite(scenario *load.Scenario) (*rig.Site, error) {
 	settings := scenario.Site
-	cfg := rig.SiteConfig{Servers: settings.Servers, Zones: settings.Zones, Warm: true, ColdFrom: settings.ColdShare, ColdFor: time.Duration(settings.WarmUpTime)}
+	cfg := rig.SiteConfig{Servers: settings.Servers, Zones: settings.Zones, StartWarm: true, ColdShare: settings.ColdShare, WarmUpTime: time.Duration(settings.WarmUpTime)}
 	for _, c := range scenario.Classes {
 		class := rig.Class{Name: c.Name, Effect: standinEffects[c.Effect], Aim: time.Duration(c.Aim), Deadline: time.Duration(c.Deadline), Worth: c.Worth}
 		if c.Effect == load.Keyed {
--- a/internal/rehearse/rehearse_test.go
+++ b/internal/rehearse/rehearse_test.go
@@ -10,16 +10,16 @@
 // Guards against library scenarios that do not parse or lack a site, a description or an aim, and
 // against an error for an unknown name that does not list the library.
 func TestLibraryScenariosAreValid(t *testing.T) {
-	if n := len(Names()); n < 5 {
+	if n := len(ScenarioNames()); n < 5 {
 		t.Fatalf("%d scenarios, want at least 5", n)
 	}
-	for _, name := range Names() {
-		s, err := Read(name)
+	for _, name := range ScenarioNames() {
+		s, err := ReadScenario(name)
 		if err != nil || s.Site == nil || s.About == "" || s.Aims.Earned == 0 {
 			t.Errorf("scenario %s: %+v, %v", name, s, err)
 		}
 	}
-	if _, err := Read("no-such-day"); err == nil || !strings.Contains(err.Error(), "quiet-day") {
+	if _, err := ReadScenario("no-such-day"); err == nil || !strings.Contains(err.Error(), "quiet-day") {
 		t.Errorf("unknown scenario: %v, want an error that names quiet-day", err)
 	}
 }
@@ -79,7 +79,7 @@
 // Guards against events that are not applied under load and against rules that a sound run breaks,
 // with the daemon, the plug-in or both deciding on the calls.
 func TestRehearsalKeepsTheRules(t *testing.T) {
-	for _, callPath := range []By{ViaDaemon, ViaPlugin, ViaPluginAndDaemon} {
+	for _, callPath := range []CallPath{ViaDaemon, ViaPlugin, ViaPluginAndDaemon} {
 		t.Run(string(callPath), func(t *testing.T) {
 			t.Parallel()
 			scenario, err := load.ParseScenario([]byte(shortScenario))
--- a/internal/rig/bodies_mix_test.go
+++ b/internal/rig/bodies_mix_test.go
@@ -203,7 +203,7 @@
 // warmUpCalls, and the CPU time that this process used for them.
 func (c *backgroundCase) runRound(b *testing.B, binary string, calls, warmUpCalls int) (took []time.Duration, cpu time.Duration) {
 	b.Helper()
-	site, err := rig.NewSite(rig.SiteConfig{Servers: 4, Classes: rig.Activation(), NoHedge: true})
+	site, err := rig.NewSite(rig.SiteConfig{Servers: 4, Classes: rig.ActivationClasses(), NoHedge: true})
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -302,7 +302,7 @@
 		b.Fatal(err)
 	}
 	return addr, func() (time.Duration, int64) {
-		peakBytes := rig.Resident(cmd.Process.Pid)
+		peakBytes := rig.PeakResidentBytes(cmd.Process.Pid)
 		stdin.Close()
 		cmd.Wait()
 		return cmd.ProcessState.UserTime() + cmd.ProcessState.SystemTime(), peakBytes
@@ -350,7 +350,7 @@
 					addr, stop = daemon.Addr, func() (time.Duration, int64) {
 						peakBytes := daemon.PeakResidentBytes()
 						daemon.Stop()
-						return daemon.CPU(), peakBytes
+						return daemon.CPUTime(), peakBytes
 					}
 				}
 				requests := max(1, min(200, 512<<20/size))
@@ -401,7 +401,7 @@
 		"off":          "version = 1\n",
 		"kept-in-64MB": fmt.Sprintf("version = 1\n[bodies]\nenabled = true\nmemory_mb = 64\ndisk_mb = 1200\nfiles = 200\nfolder = %q\n", b.TempDir()),
 	} {
-		site, err := rig.NewSite(rig.SiteConfig{Servers: 4, Classes: rig.Activation()})
+		site, err := rig.NewSite(rig.SiteConfig{Servers: 4, Classes: rig.ActivationClasses()})
 		if err != nil {
 			b.Fatal(err)
 		}
--- a/internal/rig/bodies_test.go
+++ b/internal/rig/bodies_test.go
@@ -50,7 +50,7 @@
 // startSite starts a site with long deadlines and a daemon in this process. Both end with the test.
 func startSite(t *testing.T, servers int, features string) (*rig.Site, *rig.Daemon) {
 	t.Helper()
-	classes := rig.Patient()
+	classes := rig.LongDeadlineClasses()
 	for n := range classes {
 		if classes[n].Window > 0 {
 			classes[n].Window = 8 * time.Second
--- a/internal/rig/changes_test.go
+++ b/internal/rig/changes_test.go
@@ -118,7 +118,7 @@
 	if v, err := strconv.Atoi(os.Getenv("FAWN_CHANGES")); err == nil {
 		changeCount, bake = v, 1200*time.Millisecond
 	}
-	site, err := rig.NewSite(rig.SiteConfig{Servers: 6, Classes: rig.Patient(), NoHedge: true, NoCopies: true})
+	site, err := rig.NewSite(rig.SiteConfig{Servers: 6, Classes: rig.LongDeadlineClasses(), NoHedge: true, NoCopies: true})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -164,7 +164,7 @@
 	rng := rand.New(rand.NewPCG(7, 3))
 	maxAttempts := map[int]int{1: 5}     // by configuration ID
 	missingClass := make(map[int]string) // by configuration ID: the class that it does not define
-	runningConfig := site.JSON("127.0.0.1:0", 1)
+	runningConfig := site.PlatformConfig("127.0.0.1:0", 1)
 	status := func() (current changes.Status) {
 		if err := admin.Get(t.Context(), socket, "config", &current); err != nil {
 			t.Fatal(err)
@@ -272,7 +272,7 @@
 // file and many signals in a row change nothing, and a change that was undone is not tried again.
 // An undo leaves discovery's address and drains as they are.
 func TestConfigChangesByFileAndSignal(t *testing.T) {
-	site, err := rig.NewSite(rig.SiteConfig{Servers: 2, Classes: rig.Activation()})
+	site, err := rig.NewSite(rig.SiteConfig{Servers: 2, Classes: rig.ActivationClasses()})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -286,7 +286,7 @@
 		t.Fatal(err)
 	}
 	defer daemon.Stop()
-	config1 := site.JSON("127.0.0.1:0", 1)
+	config1 := site.PlatformConfig("127.0.0.1:0", 1)
 	status := func() (current changes.Status) {
 		if err := admin.Get(t.Context(), socket, "config", &current); err != nil {
 			t.Fatal(err)
@@ -409,7 +409,7 @@
 	if out, err := runCommand("go", "build", "-o", binary, "chalkrack/cmd/fawnrock"); err != nil {
 		t.Fatalf("%v\n%s", err, out)
 	}
-	site, err := rig.NewSite(rig.SiteConfig{Servers: 6, Classes: rig.Activation(), NoHedge: true, NoCopies: true})
+	site, err := rig.NewSite(rig.SiteConfig{Servers: 6, Classes: rig.ActivationClasses(), NoHedge: true, NoCopies: true})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -422,7 +422,7 @@
 		t.Fatal(err)
 	}
 	defer daemon.Close()
-	platform := site.JSON(daemon.Addr, 1)
+	platform := site.PlatformConfig(daemon.Addr, 1)
 	rng := rand.New(rand.NewPCG(uint64(kills), 8))
 	maxAttempts := map[int]int{1: 5}
 	lastID, trials := 1, 0
@@ -494,7 +494,7 @@
 func TestListenerAddressChange(t *testing.T) {
 	for _, keep := range []bool{false, true} {
 		t.Run(fmt.Sprint("keep ", keep), func(t *testing.T) {
-			site, err := rig.NewSite(rig.SiteConfig{Servers: 1, Classes: rig.Activation()})
+			site, err := rig.NewSite(rig.SiteConfig{Servers: 1, Classes: rig.ActivationClasses()})
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -517,7 +517,7 @@
 				return c.Do(t.Context(), standin.ClientRequest{ID: fmt.Sprint("l", calls), Class: standin.Class{Name: "status-check"}, Deadline: 10 * time.Second}).Status
 			}
 			moveListener := func(newAddr string) error {
-				text := strings.Replace(string(site.JSON("127.0.0.1:0", 1)), `"listen":"127.0.0.1:0"`, `"listen":"`+newAddr+`"`, 1)
+				text := strings.Replace(string(site.PlatformConfig("127.0.0.1:0", 1)), `"listen":"127.0.0.1:0"`, `"listen":"`+newAddr+`"`, 1)
 				return admin.Do(t.Context(), socket, "config/apply", changes.Proposal{Platform: []byte(text)}, new(changes.Outcome))
 			}
 			var current changes.Status
@@ -574,7 +574,7 @@
 // effect, the status reports the problem, the write is retried, and no other change is put on trial
 // until it succeeds.
 func TestRollbackIsRetriedWhenStateCannotBeWritten(t *testing.T) {
-	site, err := rig.NewSite(rig.SiteConfig{Servers: 1, Classes: rig.Activation()})
+	site, err := rig.NewSite(rig.SiteConfig{Servers: 1, Classes: rig.ActivationClasses()})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -590,7 +590,7 @@
 		t.Fatal(err)
 	}
 	defer daemon.Stop()
-	platform := site.JSON("127.0.0.1:0", 1)
+	platform := site.PlatformConfig("127.0.0.1:0", 1)
 	apply := func(attempts int) error {
 		return admin.Do(t.Context(), socket, "config/apply", changes.Proposal{Platform: editPlatform(t, platform, setCap("attemptsCap", attempts))}, new(changes.Outcome))
 	}
--- a/internal/rig/level_test.go
+++ b/internal/rig/level_test.go
@@ -17,7 +17,7 @@
 // daemon rises to emergency, where it tries only the class of the highest worth. When they serve
 // again, it returns to normal one level at a time and accepts every class. Each call has one answer.
 func TestReducedService(t *testing.T) {
-	site, err := rig.NewSite(rig.SiteConfig{Servers: 3, Classes: rig.Patient(), NoHedge: true})
+	site, err := rig.NewSite(rig.SiteConfig{Servers: 3, Classes: rig.LongDeadlineClasses(), NoHedge: true})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -42,7 +42,7 @@
 	var wg sync.WaitGroup
 	var mu sync.Mutex
 	answers := make(map[string]map[int]int)
-	for n, class := range rig.Patient() {
+	for n, class := range rig.LongDeadlineClasses() {
 		answers[class.Name] = make(map[int]int)
 		for g := range 4 {
 			wg.Go(func() {
--- a/internal/rig/pools_test.go
+++ b/internal/rig/pools_test.go
@@ -25,7 +25,7 @@
 // w2 and spare of pool web and p1 of pool partners.
 func newPoolSite(t testing.TB, socket string) (site *rig.Site, extra []*standin.Server, features string) {
 	t.Helper()
-	site, err := rig.NewSite(rig.SiteConfig{Servers: 2, Classes: rig.Patient(), NoHedge: true})
+	site, err := rig.NewSite(rig.SiteConfig{Servers: 2, Classes: rig.LongDeadlineClasses(), NoHedge: true})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/rig/rig.go
+++ b/internal/rig/rig.go
@@ -41,8 +41,8 @@
 // sent within the window arrives a little later.
 const dedupWindowMargin = 250 * time.Millisecond
 
-// Activation returns the three classes that the operators' brief defines.
-func Activation() []Class {
+// ActivationClasses returns the three classes that the operators' brief defines.
+func ActivationClasses() []Class {
 	return []Class{
 		{"status-check", standin.Safe, "", 0, 800 * time.Millisecond, 3 * time.Second, 1},
 		{"id-register", standin.Keyed, "all", 1500 * time.Millisecond, time.Second, 2500 * time.Millisecond, 3},
@@ -50,10 +50,10 @@
 	}
 }
 
-// Patient returns the operators' three classes with aims and deadlines so long that a machine
+// LongDeadlineClasses returns the operators' three classes with aims and deadlines so long that a machine
 // short of CPU does not exceed them.
-func Patient() []Class {
-	classes := Activation()
+func LongDeadlineClasses() []Class {
+	classes := ActivationClasses()
 	for n := range classes {
 		classes[n].Aim, classes[n].Deadline = 10*time.Second, 20*time.Second
 	}
@@ -62,22 +62,22 @@
 
 // SiteConfig configures a Site.
 type SiteConfig struct {
-	Servers  int
-	Classes  []Class
-	Server   standin.ServerConfig // of every server; NewSite sets Name and Ledger
-	Attempts int                  // maximum for one request; 0 means 5
-	NoCopies bool                 // hedging is disabled
-	NoHedge  bool                 // hedging is enabled, but so costly that its budget is almost 0
-	ColdFrom float64              // share of its capacity that a server has right after its start
-	ColdFor  time.Duration        // for which a server that has started is cold; 0: never
-	Warm     bool                 // servers start warm; they are cold after a restart
-	Sockets  int                  // the daemon's limit; 0 means 1,024
-	MemoryMB int                  // the daemon's limit; 0 means 192
-	Managed  bool                 // the daemon listens on a management address
-	Zones    []string             // assigned to servers in turn, the first to the daemon; empty: one zone
-	Asked    bool                 // the daemon subscribes to discovery for the list of servers
-	Unlisted bool                 // the daemon's configuration contains no list of servers
-	Fleet    int                  // number of daemons that the configuration states; 0 means 1
+	Servers               int
+	Classes               []Class
+	Server                standin.ServerConfig // of every server; NewSite sets Name and Ledger
+	MaxAttempts           int                  // maximum for one request; 0 means 5
+	NoCopies              bool                 // hedging is disabled
+	NoHedge               bool                 // hedging is enabled, but so costly that its budget is almost 0
+	ColdShare             float64              // share of its capacity that a server has right after its start
+	WarmUpTime            time.Duration        // for which a server that has started is cold; 0: never
+	StartWarm             bool                 // servers start warm; they are cold after a restart
+	MaxSockets            int                  // the daemon's limit; 0 means 1,024
+	MemoryMB              int                  // the daemon's limit; 0 means 192
+	HasManagement         bool                 // the daemon listens on a management address
+	Zones                 []string             // assigned to servers in turn, the first to the daemon; empty: one zone
+	SubscribesToDiscovery bool                 // the daemon subscribes to discovery for the list of servers
+	NoInitialList         bool                 // the daemon's configuration contains no list of servers
+	DaemonCount           int                  // number of daemons that the configuration states; 0 means 1
 }
 
 // serverZone returns the zone of the server with an index from 0.
@@ -112,7 +112,7 @@
 			site.Close()
 			return nil, err
 		}
-		if cfg.Warm {
+		if cfg.StartWarm {
 			server.SetWarm()
 		}
 		site.Servers = append(site.Servers, server)
@@ -130,7 +130,7 @@
 func (s *Site) Endpoint(index int, status string) standin.Endpoint {
 	server := s.Servers[index]
 	endpoint := standin.Endpoint{Name: server.Name(), Address: server.Addr(), Zone: s.Config.serverZone(index), Status: status, Weight: 1}
-	if s.Config.ColdFor > 0 {
+	if s.Config.WarmUpTime > 0 {
 		endpoint.SinceMs = server.StartTime().UnixMilli()
 	}
 	return endpoint
@@ -146,8 +146,8 @@
 	}
 }
 
-// JSON returns a daemon's configuration for the site, in the platform's format.
-func (s *Site) JSON(listen string, seed uint64) []byte {
+// PlatformConfig returns a daemon's configuration for the site, in the platform's format.
+func (s *Site) PlatformConfig(listen string, seed uint64) []byte {
 	effects := map[standin.Effect]string{standin.Safe: "repeatable", standin.Keyed: "by_key", standin.Unsafe: "once"}
 	var classes []map[string]any
 	for _, class := range s.Config.Classes {
@@ -157,7 +157,7 @@
 		}
 		classes = append(classes, entry)
 	}
-	attempts := s.Config.Attempts
+	attempts := s.Config.MaxAttempts
 	if attempts == 0 {
 		attempts = 5
 	}
@@ -170,28 +170,28 @@
 		endpoints = append(endpoints, s.Endpoint(n, "up"))
 	}
 	initialList := map[string]any{"index": 1, "snapshot": true, "endpoints": endpoints}
-	if s.Config.Unlisted {
+	if s.Config.NoInitialList {
 		initialList = nil
 	}
 	registryMode := "automatic"
-	if s.Config.Asked {
+	if s.Config.SubscribesToDiscovery {
 		registryMode = "subscribe"
 	}
 	management := ""
-	if s.Config.Managed {
+	if s.Config.HasManagement {
 		management = "127.0.0.1:0"
 	}
 	text, err := json.Marshal(map[string]any{
 		"management": management,
 		"name":       "n1", "listen": listen, "discovery": s.Discovery.Addr(), "seed": fmt.Sprintf("%016x", seed),
-		"limits": map[string]any{"cores": 1.0, "memory_mb": cmp.Or(s.Config.MemoryMB, 192), "sockets": cmp.Or(s.Config.Sockets, 1024)},
+		"limits": map[string]any{"cores": 1.0, "memory_mb": cmp.Or(s.Config.MemoryMB, 192), "sockets": cmp.Or(s.Config.MaxSockets, 1024)},
 		"known":  initialList,
 		"settings": map[string]any{
-			"replicasOfMe": max(1, s.Config.Fleet), "zone": s.Config.serverZone(0), "registryMode": registryMode,
+			"replicasOfMe": max(1, s.Config.DaemonCount), "zone": s.Config.serverZone(0), "registryMode": registryMode,
 			"caps": map[string]any{"attemptsCap": attempts, "mayCancel": true, "secondCopies": !s.Config.NoCopies, "retryAfter": true,
 				"maxRetryAfterUs": 1000000, "connIdleUs": 15000000, "dialTimeoutUs": 250000, "mostHeld": 4096},
 			"costs": map[string]any{"waste": wasteCost},
-			"guarantees": map[string]any{"drainGraceUs": 2000000, "askWithinUs": 10000000, "coldFrom": s.Config.ColdFrom, "coldUs": s.Config.ColdFor.Microseconds(),
+			"guarantees": map[string]any{"drainGraceUs": 2000000, "askWithinUs": 10000000, "coldFrom": s.Config.ColdShare, "coldUs": s.Config.WarmUpTime.Microseconds(),
 				"overloadFactor": s.Config.Server.FallFactor, "overloadForUs": s.Config.Server.FallFor.Microseconds()},
 			"classes": classes,
 		},
@@ -204,10 +204,10 @@
 
 // Daemon is a daemon in front of a site, either in this process or in one of its own.
 type Daemon struct {
-	Addr       string
-	Management string // set only in this process and with a management listener
-	configPath string // of the platform's configuration file
-	dir        string
+	Addr           string
+	ManagementAddr string // set only in this process and with a management listener
+	configPath     string // of the platform's configuration file
+	dir            string
 
 	// For a daemon in this process:
 	sigterm chan os.Signal
@@ -252,7 +252,7 @@
 		return nil, err
 	}
 	d := &Daemon{dir: dir, configPath: filepath.Join(dir, "config.json")}
-	if err := os.WriteFile(d.configPath, s.JSON(listen, seed), 0o600); err != nil {
+	if err := os.WriteFile(d.configPath, s.PlatformConfig(listen, seed), 0o600); err != nil {
 		return nil, err
 	}
 	return d, os.WriteFile(d.featuresPath(), []byte(features), 0o600)
@@ -271,10 +271,10 @@
 	return s.startInProcess(disk, seed, features, nil)
 }
 
-// StartSuccessor runs a daemon within this process that accepts clients from a listening socket
+// StartDaemonOnSocket runs a daemon within this process that accepts clients from a listening socket
 // which it shares, as it shares a folder for temporary files, with other daemons of the same
 // sidecar.
-func (s *Site) StartSuccessor(seed uint64, socket *net.TCPListener, sharedDir string) (*Daemon, error) {
+func (s *Site) StartDaemonOnSocket(seed uint64, socket *net.TCPListener, sharedDir string) (*Daemon, error) {
 	file, err := socket.File() // a duplicate is passed on: the daemon closes its descriptor
 	if err != nil {
 		return nil, err
@@ -302,7 +302,7 @@
 		return nil, err
 	}
 	cfg.BodyFS = disk
-	cfg.OnManagementListen = func(a net.Addr) { d.Management = a.String() } // called before the daemon is ready
+	cfg.OnManagementListen = func(a net.Addr) { d.ManagementAddr = a.String() } // called before the daemon is ready
 	if cfg, err = config.RestoreHistory(cfg); err != nil {
 		os.RemoveAll(d.dir)
 		return nil, err
@@ -369,12 +369,12 @@
 	return path, nil
 })
 
-// Binary builds the daemon, once in a process, and returns the path of its binary. The working
+// BuildDaemon builds the daemon, once in a process, and returns the path of its binary. The working
 // directory has to be within the module.
-func Binary() (string, error) { return buildOnce() }
+func BuildDaemon() (string, error) { return buildOnce() }
 
-// RemoveBinary deletes the binary, if one was built. No daemon may be started from it afterwards.
-func RemoveBinary() {
+// RemoveBuiltDaemon deletes the binary, if one was built. No daemon may be started from it afterwards.
+func RemoveBuiltDaemon() {
 	if buildDir != "" {
 		os.RemoveAll(buildDir)
 	}
@@ -467,11 +467,11 @@
 	if d.cmd == nil || d.cmd.Process == nil {
 		return 0
 	}
-	return Resident(d.cmd.Process.Pid)
+	return PeakResidentBytes(d.cmd.Process.Pid)
 }
 
-// Resident returns the peak resident memory of a process in bytes, 0 where it cannot be read.
-func Resident(pid int) int64 {
+// PeakResidentBytes returns the peak resident memory of a process in bytes, 0 where it cannot be read.
+func PeakResidentBytes(pid int) int64 {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
 		return 0
@@ -482,15 +482,15 @@
 	return kibibytes << 10
 }
 
-// CPU returns the user and system time of the process that Stop ended last, 0 before.
-func (d *Daemon) CPU() time.Duration { return d.cpuTime }
+// CPUTime returns the user and system time of the process that Stop ended last, 0 before.
+func (d *Daemon) CPUTime() time.Duration { return d.cpuTime }
 
 // Log returns the first maxLogBytes of what the process has written to standard error.
 func (d *Daemon) Log() string { return d.stderrLog.String() }
 
-// Refused starts a daemon with additional environment variables and returns the error with which
+// StartError starts a daemon with additional environment variables and returns the error with which
 // it ends before it is ready. It returns nil if the daemon serves, and stops it.
-func (s *Site) Refused(overrides map[string]string) error {
+func (s *Site) StartError(overrides map[string]string) error {
 	d, err := s.startInProcess(nil, 1, "", overrides)
 	if err == nil {
 		d.Stop()
--- a/internal/rig/size_test.go
+++ b/internal/rig/size_test.go
@@ -27,12 +27,12 @@
 	if out, err := runCommand("go", "build", "-o", binary, "chalkrack/cmd/fawnrock"); err != nil {
 		t.Fatalf("%v\n%s", err, out)
 	}
-	classes := rig.Patient()
+	classes := rig.LongDeadlineClasses()
 	for n := range classes {
 		classes[n].Aim, classes[n].Deadline = time.Minute, 2*time.Minute
 	}
 	answer := strings.Repeat("x", size)
-	site, err := rig.NewSite(rig.SiteConfig{Servers: 4, Classes: classes, NoHedge: true, MemoryMB: 64, Sockets: 1024,
+	site, err := rig.NewSite(rig.SiteConfig{Servers: 4, Classes: classes, NoHedge: true, MemoryMB: 64, MaxSockets: 1024,
 		Server: standin.ServerConfig{Script: func(reply standin.Request) standin.Action {
 			if reply.Class == "id-register" {
 				return standin.Action{Body: answer}
