--- a/cmd/fawnctl/fleet.go
+++ b/cmd/fawnctl/fleet.go
@@ -80,14 +80,14 @@
 		if err != nil {
 			return false, err
 		}
-		findings := fleet.Held(fleet.Check(history))
+		findings := fleet.Unexcused(fleet.Check(history))
 		for n, f := range findings[:min(len(findings), 3)] {
 			fmt.Fprintf(streams.out, "  %d of %d: %v\n", n+1, len(findings), f)
 		}
 		return len(findings) > 0, nil
 	}
 	for seed := c.From; seed < c.From+uint64(c.Count); seed++ {
-		candidate := fleet.Draw(*schedule, seed, c.Faults)
+		candidate := fleet.RandomSchedule(*schedule, seed, c.Faults)
 		fmt.Fprintf(streams.out, "seed %d: %v\n", seed, candidate.Faults)
 		broken, err := breaksRule(candidate)
 		if err != nil {
@@ -124,7 +124,7 @@
 	if err != nil {
 		return nil, "", err
 	}
-	schedule, err = fleet.Read(text)
+	schedule, err = fleet.ParseSchedule(text)
 	if err != nil {
 		return nil, "", err
 	}
@@ -190,15 +190,15 @@
 // printHistory prints the report of a history and writes it as a page, if htmlPath is not empty. It
 // returns errRuleBroken if the history breaks a rule.
 func printHistory(streams *stdStreams, history *fleet.History, htmlPath string) error {
-	if err := history.Text(streams.out); err != nil {
+	if err := history.WriteReport(streams.out); err != nil {
 		return err
 	}
 	if htmlPath != "" {
-		if err := writeFile(htmlPath, history.HTML); err != nil {
+		if err := writeFile(htmlPath, history.WriteHTML); err != nil {
 			return err
 		}
 	}
-	if len(fleet.Held(fleet.Check(history))) > 0 {
+	if len(fleet.Unexcused(fleet.Check(history))) > 0 {
 		return errRuleBroken
 	}
 	return nil
--- a/internal/fleet/cases_test.go
+++ b/internal/fleet/cases_test.go
@@ -241,7 +241,7 @@
 	if departed := h.departures("a"); len(departed) > 0 {
 		t.Errorf("zone a was left by %v, want none", departed)
 	}
-	for _, finding := range Held(Check(h)) {
+	for _, finding := range Unexcused(Check(h)) {
 		t.Error(finding)
 	}
 }
--- a/internal/fleet/check.go
+++ b/internal/fleet/check.go
@@ -185,8 +185,8 @@
 	})
 }
 
-// Held returns the findings that no starvation of the machine excuses.
-func Held(findings []Finding) []Finding {
+// Unexcused returns the findings that no starvation of the machine excuses.
+func Unexcused(findings []Finding) []Finding {
 	return slices.DeleteFunc(slices.Clone(findings), func(f Finding) bool { return f.Excused })
 }
 
--- a/internal/fleet/check_test.go
+++ b/internal/fleet/check_test.go
@@ -14,7 +14,7 @@
 
 // validHistory returns a history without violations.
 func validHistory() *History {
-	s, err := Read([]byte("name = \"x\"\nsidecars = 2\n"))
+	s, err := ParseSchedule([]byte("name = \"x\"\nsidecars = 2\n"))
 	if err != nil {
 		panic(err)
 	}
@@ -66,7 +66,7 @@
 			t.Errorf("%s: found %v, want one finding of this rule, not excused", test.name, all)
 		}
 		h.Events = append(h.Events, Event{At: all[0].At + 10*ms, Kind: EventStarved, Elapsed: 300 * ms})
-		if all = Check(h); len(Held(all)) != 0 || len(all) != 1 {
+		if all = Check(h); len(Unexcused(all)) != 0 || len(all) != 1 {
 			t.Errorf("%s on a starved machine: %v, want one excused finding", test.name, all)
 		}
 	}
@@ -114,7 +114,7 @@
 			t.Errorf("reading %.20q: error %v, want one that begins with \"history: \"", bad, err)
 		}
 	}
-	if err := h.HTML(&b); err != nil || !strings.Contains(b.String(), "<svg") {
+	if err := h.WriteHTML(&b); err != nil || !strings.Contains(b.String(), "<svg") {
 		t.Error(err)
 	}
 }
@@ -127,7 +127,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		s, err := Read(text)
+		s, err := ParseSchedule(text)
 		if err != nil {
 			t.Errorf("%s: %v", name, err)
 			continue
@@ -145,7 +145,7 @@
 	}
 	for seed := range uint64(200) {
 		base := validHistory().Schedule
-		s := Draw(*base, seed, 6)
+		s := RandomSchedule(*base, seed, 6)
 		if err := s.Validate(); err != nil {
 			t.Fatalf("seed %d: %v", seed, err)
 		}
@@ -153,8 +153,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		again, err := Read(text)
-		if err != nil || !reflect.DeepEqual(again, Draw(*base, seed, 6)) {
+		again, err := ParseSchedule(text)
+		if err != nil || !reflect.DeepEqual(again, RandomSchedule(*base, seed, 6)) {
 			t.Fatalf("seed %d: %v\n%s", seed, err, text)
 		}
 	}
@@ -179,7 +179,7 @@
 		"faults[0].name":   "[[faults]]\nkind = \"deed\"\non = \"sidecar:1\"",
 		"sidecar numbers":  "[[faults]]\nkind = \"stop\"\non = \"sidecar:3-1x\"",
 	} {
-		if _, err := Read([]byte(text)); err == nil || !strings.Contains(err.Error(), want) {
+		if _, err := ParseSchedule([]byte(text)); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%q: error %v, want one with %q", text, err, want)
 		}
 	}
--- a/internal/fleet/figures.go
+++ b/internal/fleet/figures.go
@@ -122,8 +122,8 @@
 	return exits
 }
 
-// Text writes a report for a terminal.
-func (h *History) Text(w io.Writer) error {
+// WriteReport writes a report for a terminal.
+func (h *History) WriteReport(w io.Writer) error {
 	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	schedule := h.Schedule
 	fmt.Fprintf(table, "schedule\t%s, seed %d: %d sidecars, %d servers in each of %d zones, runs for %v\n", schedule.Name, schedule.Seed, schedule.Sidecars, schedule.Servers, len(schedule.Zones), time.Duration(schedule.Length))
@@ -150,7 +150,7 @@
 	sidecarSeconds := float64(schedule.Sidecars) * time.Duration(schedule.Length).Seconds()
 	fmt.Fprintf(table, "notes\t%.1f per sidecar per second, %.0f bytes\n", notes/sidecarSeconds, bytes/sidecarSeconds)
 	findings := Check(h)
-	fmt.Fprintf(table, "rules\t%d violations, %d more excused because the machine was starved\n", len(Held(findings)), len(findings)-len(Held(findings)))
+	fmt.Fprintf(table, "rules\t%d violations, %d more excused because the machine was starved\n", len(Unexcused(findings)), len(findings)-len(Unexcused(findings)))
 	for n, f := range findings {
 		if n == 20 {
 			fmt.Fprintf(table, "\tand %d more\n", len(findings)-n)
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -24,7 +24,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s, err := Read(text)
+	s, err := ParseSchedule(text)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -46,7 +46,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		for _, f := range Held(Check(h)) {
+		for _, f := range Unexcused(Check(h)) {
 			t.Errorf("%s: %v", s.Name, f)
 		}
 		if len(h.starvedSpans()) == 0 || t.Failed() {
--- a/internal/fleet/page.go
+++ b/internal/fleet/page.go
@@ -47,15 +47,15 @@
 	ZoneExits []ZoneExit
 }
 
-// HTML writes a page with a lane over time for each fault, sidecar and server. It shows when
+// WriteHTML writes a page with a lane over time for each fault, sidecar and server. It shows when
 // sidecars were down, calls by verdict, requests that arrived at servers, and findings.
-func (h *History) HTML(w io.Writer) error {
+func (h *History) WriteHTML(w io.Writer) error {
 	length := time.Duration(h.Schedule.Length)
 	x := func(at time.Duration) float64 {
 		return laneOffset + laneWidth*min(1, max(0, float64(at)/float64(length)))
 	}
 	var report strings.Builder
-	if err := h.Text(&report); err != nil {
+	if err := h.WriteReport(&report); err != nil {
 		return err
 	}
 	data := pageData{Heading: fmt.Sprintf("%s, seed %d", h.Schedule.Name, h.Schedule.Seed), Width: laneOffset + laneWidth + 20, Report: report.String(), Findings: Check(h), ZoneExits: h.ZoneExits()}
--- a/internal/fleet/schedule.go
+++ b/internal/fleet/schedule.go
@@ -122,9 +122,9 @@
 	Faults   []Fault `toml:"faults"`
 }
 
-// Read decodes a schedule from TOML, fills in defaults and validates it. Errors name the
+// ParseSchedule decodes a schedule from TOML, fills in defaults and validates it. Errors name the
 // field or the line.
-func Read(text []byte) (*Schedule, error) {
+func ParseSchedule(text []byte) (*Schedule, error) {
 	schedule := &Schedule{Seed: 1, Sidecars: 12, Zones: []string{"a", "b", "c"}, Servers: 3, Rate: 10, Length: duration.Duration(5 * time.Second),
 		Work: duration.Duration(20 * time.Millisecond), Linger: duration.Duration(300 * time.Millisecond)}
 	decoder := toml.NewDecoder(bytes.NewReader(text)).DisallowUnknownFields()
@@ -213,9 +213,9 @@
 	})
 }
 
-// Draw returns base with between 1 and maxFaults random faults appended. The same seed
+// RandomSchedule returns base with between 1 and maxFaults random faults appended. The same seed
 // always gives the same faults.
-func Draw(base Schedule, seed uint64, maxFaults int) *Schedule {
+func RandomSchedule(base Schedule, seed uint64, maxFaults int) *Schedule {
 	rng := rand.New(rand.NewPCG(seed, 0xf1ee7))
 	schedule := base
 	schedule.Seed, schedule.Name, schedule.Faults = seed, fmt.Sprintf("%s-%d", base.Name, seed), slices.Clone(base.Faults)
--- a/internal/fleet/shrink_test.go
+++ b/internal/fleet/shrink_test.go
@@ -125,7 +125,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		found := Held(Check(h))
+		found := Unexcused(Check(h))
 		if os.Getenv("FAWN_PLANT") != "" {
 			found = append(found, plantedFindings(h)...)
 		}
