--- a/client/keep.go
+++ b/client/keep.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"chalkrack/internal/body"
-	"chalkrack/internal/keep"
+	"chalkrack/internal/bodypolicy"
 	"chalkrack/internal/spool"
 )
 
@@ -50,9 +50,9 @@
 	k.Files, k.Streams, k.Within = orDefault(k.Files, 32), orDefault(k.Streams, 32), orDefault(k.Within, time.Minute)
 	names := p.settings.ClassNames()
 	cfg := body.Config{
-		Limits: keep.Limits{Memory: k.Memory, MemoryMost: k.MemoryLongest, MoveLeast: spool.MaxPieceBytes, FileMost: k.MemoryLongest,
+		Limits: bodypolicy.Limits{Memory: k.Memory, MemoryMost: k.MemoryLongest, MoveLeast: spool.MaxPieceBytes, FileMost: k.MemoryLongest,
 			Streams: k.Streams, Shares: make([]float64, len(names)), High: 0.8, Low: 0.6, Tenants: len(p.settings.Config.Tenants)},
-		Disk:    keep.DiskLimits{SlowAfter: 100 * time.Millisecond, MinTrialDelay: time.Second, MaxTrialDelay: 30 * time.Second, RequiredTrials: 3},
+		Disk:    bodypolicy.DiskLimits{SlowAfter: 100 * time.Millisecond, MinTrialDelay: time.Second, MaxTrialDelay: 30 * time.Second, RequiredTrials: 3},
 		Classes: names, Window: bodyWindowBytes, Log: p.Log,
 	}
 	for n := range names { // half of the capacity is reserved for the classes in equal shares
--- a/cmd/fawncouncil/main.go
+++ b/cmd/fawncouncil/main.go
@@ -11,7 +11,7 @@
 	"os/signal"
 	"syscall"
 
-	"chalkrack/internal/council"
+	"chalkrack/internal/consensus"
 )
 
 func main() {
@@ -32,11 +32,11 @@
 	if err != nil {
 		return err
 	}
-	cfg, err := council.Read(text)
+	cfg, err := consensus.Read(text)
 	if err != nil {
 		return err
 	}
-	s, err := council.Open(cfg)
+	s, err := consensus.Open(cfg)
 	if err != nil {
 		return err
 	}
--- a/cmd/fawnctl/config.go
+++ b/cmd/fawnctl/config.go
@@ -12,8 +12,8 @@
 
 	"chalkrack/internal/admin"
 	"chalkrack/internal/change"
+	"chalkrack/internal/components/changes"
 	"chalkrack/internal/config"
-	"chalkrack/internal/rooms/changes"
 )
 
 type configCmd struct {
--- a/cmd/fawnctl/council.go
+++ b/cmd/fawnctl/council.go
@@ -14,8 +14,8 @@
 
 	"github.com/pelletier/go-toml/v2"
 
-	"chalkrack/internal/agreed"
-	"chalkrack/internal/council"
+	"chalkrack/internal/agreement"
+	"chalkrack/internal/consensus"
 )
 
 // errCouncilUnreachable means that the council has no majority or that no member can be reached;
@@ -88,12 +88,12 @@
 }
 
 // clientConfig reads the council's key and members from the file that --council names.
-func (c *councilFlags) clientConfig() (council.ClientConfig, error) {
+func (c *councilFlags) clientConfig() (consensus.ClientConfig, error) {
 	text, err := os.ReadFile(c.Council)
 	if err != nil {
-		return council.ClientConfig{}, err
+		return consensus.ClientConfig{}, err
 	}
-	cfg, err := council.ReadClientConfig(text)
+	cfg, err := consensus.ReadClientConfig(text)
 	if err != nil {
 		return cfg, fmt.Errorf("%s: %w", c.Council, err)
 	}
@@ -102,7 +102,7 @@
 
 // callCouncil passes call a client of the council, which finds the leader by itself. It returns a
 // *council.Refusal unchanged, and any other error of call within errCouncilUnreachable.
-func (c *councilFlags) callCouncil(call func(context.Context, *council.Client) (council.Status, error)) (status council.Status, err error) {
+func (c *councilFlags) callCouncil(call func(context.Context, *consensus.Client) (consensus.Status, error)) (status consensus.Status, err error) {
 	cfg, err := c.clientConfig()
 	if err != nil {
 		return status, err
@@ -114,7 +114,7 @@
 	if status, err = call(ctx, client); err == nil {
 		return status, nil
 	}
-	var refusal *council.Refusal
+	var refusal *consensus.Refusal
 	if errors.As(err, &refusal) {
 		return status, refusal
 	}
@@ -151,7 +151,7 @@
 	w := tabwriter.NewWriter(streams.out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "member\taddress\tleads\tlog\tin force\tid")
 	for _, name := range sortedKeys(cfg.Members) {
-		client := council.NewClient(cfg.Key, 0, map[string]string{name: cfg.Members[name]})
+		client := consensus.NewClient(cfg.Key, 0, map[string]string{name: cfg.Members[name]})
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 		status, err := client.Status(ctx)
 		cancel()
@@ -183,17 +183,17 @@
 
 // Run adds the member.
 func (c *councilAddCmd) Run(streams *stdStreams) error {
-	return c.changeMember(streams, c.ID, council.Endpoint{Name: c.Name, Addr: c.Addr}, false)
+	return c.changeMember(streams, c.ID, consensus.Endpoint{Name: c.Name, Addr: c.Addr}, false)
 }
 
 // Run removes the member.
 func (c *councilRemoveCmd) Run(streams *stdStreams) error {
-	return c.changeMember(streams, c.ID, council.Endpoint{}, true)
+	return c.changeMember(streams, c.ID, consensus.Endpoint{}, true)
 }
 
 // changeMember adds or removes a member, and returns once the council has accepted the change.
-func (c *councilFlags) changeMember(streams *stdStreams, id uint64, endpoint council.Endpoint, remove bool) error {
-	status, err := c.callCouncil(func(ctx context.Context, client *council.Client) (council.Status, error) {
+func (c *councilFlags) changeMember(streams *stdStreams, id uint64, endpoint consensus.Endpoint, remove bool) error {
+	status, err := c.callCouncil(func(ctx context.Context, client *consensus.Client) (consensus.Status, error) {
 		return client.ChangeMember(ctx, id, endpoint, remove)
 	})
 	if err != nil {
@@ -204,8 +204,10 @@
 }
 
 // latestStatus returns the leader's status, with everything committed before the call.
-func (c *councilFlags) latestStatus() (council.Status, error) {
-	return c.callCouncil(func(ctx context.Context, client *council.Client) (council.Status, error) { return client.Latest(ctx) })
+func (c *councilFlags) latestStatus() (consensus.Status, error) {
+	return c.callCouncil(func(ctx context.Context, client *consensus.Client) (consensus.Status, error) {
+		return client.Latest(ctx)
+	})
 }
 
 // Run prints the version in force and the pending one.
@@ -221,7 +223,7 @@
 }
 
 // printSettings prints the version in force, the pending proposal and the sidecars of a status.
-func printSettings(streams *stdStreams, status *council.Status) error {
+func printSettings(streams *stdStreams, status *consensus.Status) error {
 	live, silent := 0, []string{}
 	for _, name := range sortedKeys(status.Sidecars) {
 		if status.Sidecars[name].LeaseExpired {
@@ -266,8 +268,8 @@
 		return err
 	}
 	var file struct {
-		Rules agreed.Rules `toml:"rules"`
-		Floor agreed.Rules `toml:"floor"`
+		Rules agreement.Rules `toml:"rules"`
+		Floor agreement.Rules `toml:"floor"`
 	}
 	decoder := toml.NewDecoder(strings.NewReader(string(text)))
 	decoder.DisallowUnknownFields()
@@ -277,12 +279,12 @@
 	if c.Key == "" {
 		c.Key = rand.Text()
 	}
-	doc := &agreed.Doc{Rules: file.Rules, Floor: file.Floor, Key: c.Key, Who: requesterName(c.Who), Reason: c.Reason}
+	doc := &agreement.Doc{Rules: file.Rules, Floor: file.Floor, Key: c.Key, Who: requesterName(c.Who), Reason: c.Reason}
 	if err := doc.Validate(); err != nil {
 		return fmt.Errorf("%s: %w", c.File, err)
 	}
-	status, err := c.callCouncil(func(ctx context.Context, client *council.Client) (council.Status, error) {
-		return client.Apply(ctx, agreed.Entry{Kind: agreed.KindPropose, BaseVersion: c.Base, Doc: doc})
+	status, err := c.callCouncil(func(ctx context.Context, client *consensus.Client) (consensus.Status, error) {
+		return client.Apply(ctx, agreement.Entry{Kind: agreement.KindPropose, BaseVersion: c.Base, Doc: doc})
 	})
 	if err != nil {
 		return err
@@ -291,9 +293,9 @@
 	for deadline := time.Now().Add(c.Wait); ; time.Sleep(200 * time.Millisecond) {
 		result := proposalResult(&status, c.Key)
 		switch {
-		case result.Outcome == agreed.OutcomeRefused || result.Outcome == agreed.OutcomeWithdrawn:
+		case result.Outcome == agreement.OutcomeRefused || result.Outcome == agreement.OutcomeWithdrawn:
 			return fmt.Errorf("version %d was %s by %s: %s", result.Version, result.Outcome, result.Who, result.Reason)
-		case result.Outcome == agreed.OutcomeInForce && (status.IsSettled || status.InForce.Version > result.Version):
+		case result.Outcome == agreement.OutcomeInForce && (status.IsSettled || status.InForce.Version > result.Version):
 			fmt.Fprintf(streams.out, "version %d is in force and settled\n", result.Version)
 			return nil
 		case time.Now().After(deadline):
@@ -311,21 +313,21 @@
 
 // proposalResult returns the result of the proposal with the key. Its Outcome is preparing while
 // the proposal is pending, and empty if the status does not have the proposal.
-func proposalResult(status *council.Status, key string) agreed.ProposalResult {
+func proposalResult(status *consensus.Status, key string) agreement.ProposalResult {
 	for _, result := range status.Results {
 		if result.Key == key {
 			return result
 		}
 	}
 	if status.Pending != nil && status.Pending.Key == key {
-		return agreed.ProposalResult{Key: key, Version: status.Pending.Version, Outcome: agreed.OutcomePreparing}
+		return agreement.ProposalResult{Key: key, Version: status.Pending.Version, Outcome: agreement.OutcomePreparing}
 	}
-	return agreed.ProposalResult{Key: key}
+	return agreement.ProposalResult{Key: key}
 }
 
 // applyEntry submits an operator's entry to the council and prints the settings after it.
-func (c *councilFlags) applyEntry(streams *stdStreams, entry agreed.Entry) error {
-	status, err := c.callCouncil(func(ctx context.Context, client *council.Client) (council.Status, error) {
+func (c *councilFlags) applyEntry(streams *stdStreams, entry agreement.Entry) error {
+	status, err := c.callCouncil(func(ctx context.Context, client *consensus.Client) (consensus.Status, error) {
 		return client.Apply(ctx, entry)
 	})
 	if err != nil {
@@ -336,12 +338,12 @@
 
 // Run withdraws the proposal.
 func (c *settingsWithdrawCmd) Run(streams *stdStreams) error {
-	return c.applyEntry(streams, agreed.Entry{Kind: agreed.KindWithdraw, Version: c.Version, Who: requesterName(c.Who), Reason: c.Reason})
+	return c.applyEntry(streams, agreement.Entry{Kind: agreement.KindWithdraw, Version: c.Version, Who: requesterName(c.Who), Reason: c.Reason})
 }
 
 // Run removes the sidecar from the council's records.
 func (c *settingsForgetCmd) Run(streams *stdStreams) error {
-	return c.applyEntry(streams, agreed.Entry{Kind: agreed.KindRemove, Sidecar: c.Sidecar, Who: requesterName(c.Who), Reason: c.Reason})
+	return c.applyEntry(streams, agreement.Entry{Kind: agreement.KindRemove, Sidecar: c.Sidecar, Who: requesterName(c.Who), Reason: c.Reason})
 }
 
 // Run lists the last proposals and their outcomes.
--- a/cmd/fawnctl/council_test.go
+++ b/cmd/fawnctl/council_test.go
@@ -9,17 +9,17 @@
 	"strings"
 	"testing"
 
-	"chalkrack/internal/council"
+	"chalkrack/internal/consensus"
 )
 
 // Guards the output and exit status of the settings and council commands against a council of one
 // member: proposals that are repeated, outdated or invalid, and a council that can't be reached.
 func TestCouncilCommands(t *testing.T) {
 	dir := t.TempDir()
-	cfg := council.Default()
+	cfg := consensus.Default()
 	cfg.Fleet, cfg.Name, cfg.Listen, cfg.Folder, cfg.Key = "f", "a", "127.0.0.1:0", filepath.Join(dir, "log"), "sixteen bytes and more"
 	cfg.Members = map[string]string{"a": "127.0.0.1:1"}
-	runningMember, err := council.Open(cfg)
+	runningMember, err := consensus.Open(cfg)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/fawnctl/duty.go
+++ b/cmd/fawnctl/duty.go
@@ -6,7 +6,7 @@
 	"text/tabwriter"
 	"time"
 
-	"chalkrack/internal/rooms/duties"
+	"chalkrack/internal/components/duties"
 )
 
 type dutyCmd struct {
--- a/cmd/fawnctl/level.go
+++ b/cmd/fawnctl/level.go
@@ -20,8 +20,8 @@
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 
 	"chalkrack/internal/admin"
+	"chalkrack/internal/components/levels"
 	"chalkrack/internal/level"
-	"chalkrack/internal/rooms/levels"
 )
 
 type levelCmd struct {
--- a/cmd/fawnctl/zone.go
+++ b/cmd/fawnctl/zone.go
@@ -10,8 +10,8 @@
 	"time"
 
 	"chalkrack/internal/admin"
+	"chalkrack/internal/components/zones"
 	"chalkrack/internal/evacuation"
-	"chalkrack/internal/rooms/zones"
 )
 
 // zoneOrderFlags are the flags of the commands that send an order for a zone.
--- a/cmd/fawnrock/main.go
+++ b/cmd/fawnrock/main.go
@@ -12,11 +12,11 @@
 
 	"chalkrack/internal/config"
 	"chalkrack/internal/daemon"
-	"chalkrack/internal/limitlog"
+	"chalkrack/internal/ratelimitlog"
 )
 
 func main() {
-	slog.SetDefault(limitlog.New(os.Stderr, slog.LevelInfo))
+	slog.SetDefault(ratelimitlog.New(os.Stderr, slog.LevelInfo))
 	terminate := make(chan os.Signal, 1)
 	signal.Notify(terminate, syscall.SIGTERM, os.Interrupt)
 	reload := make(chan os.Signal, 1)
--- a/internal/agreed/leases.go
+++ b/internal/agreement/leases.go
@@ -1,4 +1,4 @@
-package agreed
+package agreement
 
 import (
 	"slices"
--- a/internal/agreed/rules.go
+++ b/internal/agreement/rules.go
@@ -1,10 +1,10 @@
-// Package agreed contains the state machines by which a fleet of sidecars agrees on one version
+// Package agreement contains the state machines by which a fleet of sidecars agrees on one version
 // of the settings: the replicated state that each member of the council (the raft cluster of the
 // fleet) builds from the log, the tracking of sidecar leases at the leader, and the sidecar's side
 // of the protocol. A new version is prepared by every live sidecar before it comes into force, as
 // in two-phase commit. The package does no I/O, reads no clock and starts no goroutines.
 // docs/design/agreement.md describes the protocol and its reasons.
-package agreed
+package agreement
 
 import (
 	"encoding/json"
--- a/internal/body/body.go
+++ b/internal/body/body.go
@@ -5,7 +5,7 @@
 	"sync"
 	"time"
 
-	"chalkrack/internal/keep"
+	"chalkrack/internal/bodypolicy"
 	"chalkrack/internal/message"
 	"chalkrack/internal/spool"
 )
@@ -18,7 +18,7 @@
 	incoming      Incoming
 	class         int
 	length        int64 // announced length; -1: none
-	record        *keep.Body
+	record        *bodypolicy.Body
 	buf           []byte // for pieces that go to the file; used only by the receiving goroutine
 	lastPieceSize int    // size of the previous piece
 
@@ -61,7 +61,7 @@
 }
 
 // Place returns where the body is kept.
-func (b *Body) Place() keep.Place {
+func (b *Body) Place() bodypolicy.Place {
 	b.store.mu.Lock()
 	defer b.store.mu.Unlock()
 	return b.record.Place()
@@ -83,7 +83,7 @@
 func (b *Body) Pieces() [][]byte {
 	b.store.mu.Lock()
 	defer b.store.mu.Unlock()
-	if !b.isComplete || b.isStreamed || b.record.Place() != keep.Memory || b.record.Size() >= b.store.cfg.Limits.MoveLeast {
+	if !b.isComplete || b.isStreamed || b.record.Place() != bodypolicy.Memory || b.record.Size() >= b.store.cfg.Limits.MoveLeast {
 		return nil
 	}
 	all := make([][]byte, len(b.segments))
@@ -105,9 +105,9 @@
 	place := s.book(b, size)
 	s.mu.Unlock()
 	switch place {
-	case keep.Refused:
+	case bodypolicy.Refused:
 		return ErrNoRoom
-	case keep.NotKept:
+	case bodypolicy.NotKept:
 		b.startStreaming()
 		if len(b.segments) == 0 {
 			_, err := b.receiveStreamed(size)
@@ -115,7 +115,7 @@
 		}
 		b.releaseUnreceived(size) // the call can start with what has been received
 		return nil
-	case keep.Memory:
+	case bodypolicy.Memory:
 		p := make([]byte, size)
 		n, err := b.readFull(p)
 		b.releaseUnreceived(size - int64(n))
@@ -156,9 +156,9 @@
 	place := b.store.keeper.RecordFileFailure(b.record, n, false)
 	b.store.mu.Unlock()
 	switch place {
-	case keep.Refused:
+	case bodypolicy.Refused:
 		return ErrNoRoom
-	case keep.NotKept:
+	case bodypolicy.NotKept:
 		b.startStreaming()
 	}
 	return nil
--- a/internal/body/body_test.go
+++ b/internal/body/body_test.go
@@ -14,23 +14,23 @@
 
 	"go.uber.org/goleak"
 
-	"chalkrack/internal/keep"
+	"chalkrack/internal/bodypolicy"
 	"chalkrack/internal/spool"
 	"chalkrack/internal/standin"
 )
 
 const testTimeout = 20 * time.Second
 
-func testLimits() keep.Limits {
-	return keep.Limits{Memory: 4 << 20, MemoryMost: 1 << 20, MoveLeast: maxPieceBytes, Disk: 64 << 20, FileMost: 8 << 20, Files: 8, Streams: 4,
+func testLimits() bodypolicy.Limits {
+	return bodypolicy.Limits{Memory: 4 << 20, MemoryMost: 1 << 20, MoveLeast: maxPieceBytes, Disk: 64 << 20, FileMost: 8 << 20, Files: 8, Streams: 4,
 		Shares: []float64{0.3, 0.3}, Lend: 0.5, High: 0.8, Low: 0.5}
 }
 
 // newTestStore creates a Store on a simulated disk, or without files if disk is nil.
-func newTestStore(tb testing.TB, disk *standin.Disk, lim keep.Limits, wait time.Duration) *Store {
+func newTestStore(tb testing.TB, disk *standin.Disk, lim bodypolicy.Limits, wait time.Duration) *Store {
 	tb.Helper()
 	cfg := Config{Limits: lim, Classes: []string{"a", "b"}, Window: maxPieceBytes,
-		Disk: keep.DiskLimits{SlowAfter: testTimeout, MinTrialDelay: 5 * time.Millisecond, MaxTrialDelay: 20 * time.Millisecond, RequiredTrials: 1}}
+		Disk: bodypolicy.DiskLimits{SlowAfter: testTimeout, MinTrialDelay: 5 * time.Millisecond, MaxTrialDelay: 20 * time.Millisecond, RequiredTrials: 1}}
 	if disk != nil {
 		s, err := spool.New(spool.Config{Folder: tb.TempDir(), Workers: 2, Queue: 16, Classes: 2, Wait: wait, FS: disk})
 		if err != nil {
@@ -115,8 +115,8 @@
 	t.Run("all", func(t *testing.T) {
 		s := newTestStore(t, disk, testLimits(), testTimeout)
 		for _, announced := range []bool{true, false} {
-			for size, want := range map[int]keep.Place{0: keep.Memory, 1: keep.Memory, 300: keep.Memory, 70 << 10: keep.Memory, 1 << 20: keep.Memory,
-				1<<20 + 1: keep.File, 5 << 20: keep.File, 8 << 20: keep.File, 8<<20 + 1: keep.NotKept, 20 << 20: keep.NotKept} {
+			for size, want := range map[int]bodypolicy.Place{0: bodypolicy.Memory, 1: bodypolicy.Memory, 300: bodypolicy.Memory, 70 << 10: bodypolicy.Memory, 1 << 20: bodypolicy.Memory,
+				1<<20 + 1: bodypolicy.File, 5 << 20: bodypolicy.File, 8 << 20: bodypolicy.File, 8<<20 + 1: bodypolicy.NotKept, 20 << 20: bodypolicy.NotKept} {
 				p := randomBytes(uint64(size), size)
 				b, err := s.Receive(incoming(0, p, announced))
 				if err != nil {
@@ -135,12 +135,12 @@
 				if got, err := readAll(b); err != nil || sha256.Sum256(got) != sha256.Sum256(p) {
 					t.Errorf("%d bytes: first reading got %d, error %v", size, len(got), err)
 				}
-				if got, err := readAll(b); want != keep.NotKept && (err != nil || !bytes.Equal(got, p)) {
+				if got, err := readAll(b); want != bodypolicy.NotKept && (err != nil || !bytes.Equal(got, p)) {
 					t.Errorf("%d bytes: second reading got %d, error %v", size, len(got), err)
-				} else if want == keep.NotKept && !errors.Is(err, ErrOnce) {
+				} else if want == bodypolicy.NotKept && !errors.Is(err, ErrOnce) {
 					t.Errorf("%d bytes, not kept: second reading got error %v, want ErrOnce", size, err)
 				}
-				if want == keep.NotKept {
+				if want == bodypolicy.NotKept {
 					if err := <-forwarded; err != nil {
 						t.Error(err)
 					}
@@ -190,7 +190,7 @@
 			t.Fatal("first piece of the slow reading: wrong content or error", err)
 		}
 		disk.Resume()
-		eventually(t, "the body is not moved to its file", func() bool { return b.Place() == keep.File })
+		eventually(t, "the body is not moved to its file", func() bool { return b.Place() == bodypolicy.File })
 		if v := s.View(); v.Memory.Now < 1<<20 {
 			t.Errorf("memory %+v: want the memory of an open reading still booked", v.Memory)
 		}
@@ -237,11 +237,11 @@
 		for where, c := range map[string]struct {
 			memory  int64 // memory limit
 			streams int64
-			place   keep.Place
+			place   bodypolicy.Place
 		}{
-			"memory":  {4 << 20, 1, keep.File}, // the place stays File, though the rest is held in memory
-			"nowhere": {2<<20 + 100, 1, keep.NotKept},
-			"no room": {2<<20 + 100, 0, keep.Refused},
+			"memory":  {4 << 20, 1, bodypolicy.File}, // the place stays File, though the rest is held in memory
+			"nowhere": {2<<20 + 100, 1, bodypolicy.NotKept},
+			"no room": {2<<20 + 100, 0, bodypolicy.Refused},
 		} {
 			t.Run(name+"/"+where, func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
@@ -253,7 +253,7 @@
 					fail(disk)
 					p := randomBytes(9, 3<<20+777)
 					b, err := s.Receive(incoming(0, p, true))
-					if c.place == keep.Refused {
+					if c.place == bodypolicy.Refused {
 						if !errors.Is(err, ErrNoRoom) {
 							t.Fatalf("error %v, want ErrNoRoom", err)
 						}
--- a/internal/body/store.go
+++ b/internal/body/store.go
@@ -11,7 +11,7 @@
 	"sync"
 	"time"
 
-	"chalkrack/internal/keep"
+	"chalkrack/internal/bodypolicy"
 	"chalkrack/internal/spool"
 )
 
@@ -34,8 +34,8 @@
 
 // Config holds the settings of a Store.
 type Config struct {
-	Limits  keep.Limits // Shares must have one element per class
-	Disk    keep.DiskLimits
+	Limits  bodypolicy.Limits // Shares must have one element per class
+	Disk    bodypolicy.DiskLimits
 	Spool   *spool.Spool // nil: no files are used; closed by Store.Close
 	Classes []string     // names of the classes
 	Window  int64        // maximum bytes of a body that is not kept waiting for its server
@@ -50,8 +50,8 @@
 	start time.Time
 
 	mu        sync.Mutex
-	keeper    *keep.Keeper
-	disk      keep.Disk
+	keeper    *bodypolicy.Keeper
+	disk      bodypolicy.Disk
 	diskSince time.Time // when the state of the disk last changed
 	wake      chan struct{}
 	quit      chan struct{}
@@ -66,7 +66,7 @@
 	if cfg.Spool == nil {
 		cfg.Limits.Disk = 0
 	}
-	k, err := keep.New(cfg.Limits)
+	k, err := bodypolicy.New(cfg.Limits)
 	if err != nil {
 		return nil, err
 	}
@@ -74,7 +74,7 @@
 		cfg.Log = slog.Default()
 	}
 	cfg.Window = max(cfg.Window, maxPieceBytes)
-	s := &Store{cfg: cfg, start: time.Now(), diskSince: time.Now(), keeper: k, disk: keep.NewDisk(cfg.Disk, 0), wake: make(chan struct{}, 1), quit: make(chan struct{})}
+	s := &Store{cfg: cfg, start: time.Now(), diskSince: time.Now(), keeper: k, disk: bodypolicy.NewDisk(cfg.Disk, 0), wake: make(chan struct{}, 1), quit: make(chan struct{})}
 	if cfg.Spool != nil {
 		s.wg.Go(s.runBackground)
 	}
@@ -96,22 +96,22 @@
 // canCreateFile reports whether files may be created now. The lock must be held.
 func (s *Store) canCreateFile() bool {
 	state, _ := s.disk.State()
-	return s.cfg.Spool != nil && state == keep.Good
+	return s.cfg.Spool != nil && state == bodypolicy.Good
 }
 
 // recordFileCall records the outcome of a file call for the state of the disk. The lock must be
 // held.
 func (s *Store) recordFileCall(err error, took time.Duration, trial bool) {
-	fault := keep.Broken
+	fault := bodypolicy.Broken
 	switch {
 	case err == nil:
-		fault = keep.None
+		fault = bodypolicy.None
 	case errors.Is(err, spool.ErrClosed):
 		return
 	case errors.Is(err, spool.ErrTimeout), errors.Is(err, spool.ErrBusy):
-		fault = keep.Late
+		fault = bodypolicy.Late
 	case spool.NoRoom(err):
-		fault = keep.NoRoom
+		fault = bodypolicy.NoRoom
 	}
 	old, _ := s.disk.State()
 	if trial {
@@ -135,7 +135,7 @@
 }
 
 // book books n more bytes of a body. The lock must be held.
-func (s *Store) book(b *Body, n int64) keep.Place {
+func (s *Store) book(b *Body, n int64) bodypolicy.Place {
 	p := s.keeper.Put(b.record, n, s.canCreateFile())
 	if s.keeper.IsTight() {
 		s.wakeBackground()
--- a/internal/body/view.go
+++ b/internal/body/view.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"chalkrack/internal/keep"
+	"chalkrack/internal/bodypolicy"
 )
 
 // ClassView holds the totals of the bodies of a class as shown to operators.
@@ -60,6 +60,6 @@
 	return v
 }
 
-func classView(name string, c keep.Count) ClassView {
+func classView(name string, c bodypolicy.Count) ClassView {
 	return ClassView{name, c.Memory, c.File, c.NotKept, c.Refused, c.Moved, c.RetriedMemory, c.RetriedFile, c.UnkeptRefused, c.UnkeptFailed, c.Bytes, c.DiskBytes}
 }
--- a/internal/keep/account.go
+++ b/internal/bodypolicy/account.go
@@ -1,4 +1,4 @@
-package keep
+package bodypolicy
 
 // account divides a limited amount (bytes, files or streams) among classes and tenants. Each
 // class has a guaranteed share. Other classes may borrow a part of a share while it is unused;
--- a/internal/keep/keep.go
+++ b/internal/bodypolicy/keep.go
@@ -1,4 +1,4 @@
-package keep
+package bodypolicy
 
 // Place is where a body is kept. A body only moves to higher places.
 type Place uint8
--- a/internal/keep/keep_test.go
+++ b/internal/bodypolicy/keep_test.go
@@ -1,4 +1,4 @@
-package keep
+package bodypolicy
 
 import (
 	"math"
--- a/internal/keep/limits.go
+++ b/internal/bodypolicy/limits.go
@@ -1,10 +1,10 @@
-// Package keep decides where the body of each call is kept for further attempts: in memory,
+// Package bodypolicy decides where the body of each call is kept for further attempts: in memory,
 // in a file, or not at all, in which case the call has only one attempt. It has no I/O, clock
 // or goroutines; callers serialize all calls with one lock.
 //
 // A body only moves from memory to a file, and from there to not kept. The exception is a body
 // whose file cannot be written: its remaining bytes are kept in memory if they fit.
-package keep
+package bodypolicy
 
 import (
 	"fmt"
--- a/internal/rooms/changes/changes.go
+++ b/internal/components/changes/changes.go
@@ -14,9 +14,9 @@
 	"sync"
 	"time"
 
-	"chalkrack/internal/bake"
 	"chalkrack/internal/change"
 	"chalkrack/internal/config"
+	"chalkrack/internal/configtrial"
 	"chalkrack/internal/core"
 	"chalkrack/internal/discovery"
 	"chalkrack/internal/figures"
@@ -228,7 +228,7 @@
 	f := &g.current.Features.Config
 	g.trialCount++
 	began := time.Now()
-	err := g.host.StartTrial(next.Generation(id), bake.Config{
+	err := g.host.StartTrial(next.Generation(id), configtrial.Config{
 		Share: f.TrialShare, FalseUndo: f.FalseUndoProbability, Notice: f.DetectableShare, Bake: time.Duration(f.TrialDuration), ThinUndo: f.OnFewCalls == "undo",
 	}, g.current.Seed^g.trialCount)
 	if err != nil {
@@ -299,17 +299,17 @@
 		}
 	case g.trial != nil:
 		r, class, _, err := g.host.TrialRuling()
-		if err != nil || r.Verdict == bake.Watching {
+		if err != nil || r.Verdict == configtrial.Watching {
 			return
 		}
 		why := fmt.Sprintf("%d calls", r.Calls)
 		switch {
 		case r.Thin:
 			why = fmt.Sprintf("too few calls for a verdict: %d of %d; [config] thin says so", r.Calls, r.Needed)
-		case r.Verdict == bake.Undo:
+		case r.Verdict == configtrial.Undo:
 			why = fmt.Sprintf("more calls %v than under the one before, most of class %s, after %d calls", r.Kind, class, r.Calls)
 		}
-		g.finishTrial(r.Verdict == bake.Keep, why)
+		g.finishTrial(r.Verdict == configtrial.Keep, why)
 	case g.current.OnTrial && time.Since(g.startTime) >= time.Duration(g.current.Features.Config.TrialDuration):
 		g.current.OnTrial = false
 		g.saveResult(trialResult{true, "served since a start, with nothing beside it"})
--- a/internal/bake/judge.go
+++ b/internal/configtrial/judge.go
@@ -1,4 +1,4 @@
-// Package bake judges a new configuration (generation) against the one before it while
+// Package configtrial judges a new configuration (generation) against the one before it while
 // both serve. It has no I/O, clock, random source or goroutines.
 //
 // During the bake each call is assigned at random, and unpredictably for the caller, to one
@@ -12,7 +12,7 @@
 // related to the law of the iterated logarithm, 1970). Its mean stays 1 while both do
 // equally well, so by Ville's inequality the probability that it ever passes 1/FalseUndo
 // is at most FalseUndo, however often it is evaluated.
-package bake
+package configtrial
 
 import (
 	"fmt"
--- a/internal/bake/judge_test.go
+++ b/internal/configtrial/judge_test.go
@@ -1,4 +1,4 @@
-package bake
+package configtrial
 
 import (
 	"fmt"
--- a/internal/council/bound_test.go
+++ b/internal/consensus/bound_test.go
@@ -1,4 +1,4 @@
-package council
+package consensus
 
 import (
 	"context"
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	"chalkrack/internal/agreed"
+	"chalkrack/internal/agreement"
 )
 
 // boundChecker checks the levels that the sidecars of a run apply against the versions in force.
@@ -99,11 +99,11 @@
 			a.mu.Lock()
 			a.levels = append(a.levels[:version+1], level)
 			a.mu.Unlock()
-			st, err := c.Apply(ctx, agreed.Entry{Kind: agreed.KindPropose, BaseVersion: version, Doc: &agreed.Doc{Key: fmt.Sprint("k", version), Who: "kim", Reason: "a test", Rules: agreed.Rules{"class/a": level}}})
+			st, err := c.Apply(ctx, agreement.Entry{Kind: agreement.KindPropose, BaseVersion: version, Doc: &agreement.Doc{Key: fmt.Sprint("k", version), Who: "kim", Reason: "a test", Rules: agreement.Rules{"class/a": level}}})
 			for ctx.Err() == nil && (err != nil || !st.IsSettled || st.InForce.Version != version+1) {
 				time.Sleep(20 * time.Millisecond)
 				if err != nil { // not settled yet, or no response: repeat the proposal
-					st, err = c.Apply(ctx, agreed.Entry{Kind: agreed.KindPropose, BaseVersion: version, Doc: &agreed.Doc{Key: fmt.Sprint("k", version), Who: "kim", Reason: "a test", Rules: agreed.Rules{"class/a": level}}})
+					st, err = c.Apply(ctx, agreement.Entry{Kind: agreement.KindPropose, BaseVersion: version, Doc: &agreement.Doc{Key: fmt.Sprint("k", version), Who: "kim", Reason: "a test", Rules: agreement.Rules{"class/a": level}}})
 				} else {
 					st, err = c.Latest(ctx)
 				}
--- a/internal/council/client.go
+++ b/internal/consensus/client.go
@@ -1,4 +1,4 @@
-package council
+package consensus
 
 import (
 	"cmp"
@@ -13,7 +13,7 @@
 	"sync"
 	"time"
 
-	"chalkrack/internal/agreed"
+	"chalkrack/internal/agreement"
 )
 
 // Client calls the leader of a council. It is safe for concurrent use.
@@ -111,7 +111,7 @@
 
 // Renew sends a sidecar's request. The council may delay the response for up to hold while there
 // is nothing new to report.
-func (c *Client) Renew(ctx context.Context, r agreed.Request, hold time.Duration) (a agreed.Response, err error) {
+func (c *Client) Renew(ctx context.Context, r agreement.Request, hold time.Duration) (a agreement.Response, err error) {
 	err = c.callLeader(ctx, "/v1/renew", hold+commitTimeout, r, &a)
 	return a, err
 }
@@ -119,7 +119,7 @@
 // Apply submits an operator's entry to the log and returns the status after it was applied. It may
 // be repeated safely: a proposal is identified by its key, other entries by the version or sidecar
 // that they name.
-func (c *Client) Apply(ctx context.Context, e agreed.Entry) (s Status, err error) {
+func (c *Client) Apply(ctx context.Context, e agreement.Entry) (s Status, err error) {
 	err = c.callLeader(ctx, "/v1/entry", commitTimeout+time.Second, e, &s)
 	return s, err
 }
--- a/internal/council/config.go
+++ b/internal/consensus/config.go
@@ -1,9 +1,9 @@
-// Package council implements a member of a fleet's council, a raft cluster of usually three or
+// Package consensus implements a member of a fleet's council, a raft cluster of usually three or
 // five processes, and a client for it. The council replicates the log from which package agreed
 // derives the settings version that the sidecars apply. This package supplies storage, network and
 // clock to package agreed and to the raft state machine, both of which run in one goroutine.
 // docs/design/agreement.md describes the design and its reasons.
-package council
+package consensus
 
 import (
 	"bytes"
@@ -17,7 +17,7 @@
 
 	"github.com/pelletier/go-toml/v2"
 
-	"chalkrack/internal/agreed"
+	"chalkrack/internal/agreement"
 	"chalkrack/internal/duration"
 )
 
@@ -78,8 +78,8 @@
 }
 
 // LeaseTimes returns the parameters of the leases.
-func (c *Config) LeaseTimes() agreed.LeaseTimes {
-	return agreed.LeaseTimes{Lease: time.Duration(c.Lease), Drift: c.Drift, Margin: time.Duration(c.Margin), Call: time.Duration(c.Call)}
+func (c *Config) LeaseTimes() agreement.LeaseTimes {
+	return agreement.LeaseTimes{Lease: time.Duration(c.Lease), Drift: c.Drift, Margin: time.Duration(c.Margin), Call: time.Duration(c.Call)}
 }
 
 // Validate returns an error that names the first invalid field.
@@ -88,10 +88,10 @@
 		return fmt.Errorf("council.%s: %s", field, fmt.Sprintf(format, args...))
 	}
 	switch {
-	case c.Fleet == "" || len(c.Fleet) > agreed.MaxKeyBytes:
-		return invalid("fleet", "must have 1 to %d bytes", agreed.MaxKeyBytes)
-	case c.Name == "" || len(c.Name) > agreed.MaxKeyBytes:
-		return invalid("name", "must have 1 to %d bytes", agreed.MaxKeyBytes)
+	case c.Fleet == "" || len(c.Fleet) > agreement.MaxKeyBytes:
+		return invalid("fleet", "must have 1 to %d bytes", agreement.MaxKeyBytes)
+	case c.Name == "" || len(c.Name) > agreement.MaxKeyBytes:
+		return invalid("name", "must have 1 to %d bytes", agreement.MaxKeyBytes)
 	case c.Folder == "":
 		return invalid("folder", "is missing: without a disk a member loses its votes and its log on a restart")
 	case len(c.Key) < minKeyBytes:
--- a/internal/council/council_test.go
+++ b/internal/consensus/council_test.go
@@ -1,4 +1,4 @@
-package council
+package consensus
 
 import (
 	"context"
@@ -18,7 +18,7 @@
 	"go.etcd.io/bbolt"
 	"go.etcd.io/raft/v3/raftpb"
 
-	"chalkrack/internal/agreed"
+	"chalkrack/internal/agreement"
 	"chalkrack/internal/duration"
 )
 
@@ -148,7 +148,7 @@
 	defer end()
 	ctx, cancel := context.WithTimeout(context.Background(), 30*time.Second)
 	defer cancel()
-	if _, err := c.Apply(ctx, agreed.Entry{Kind: agreed.KindPropose, Doc: level("k1", 1)}); err != nil {
+	if _, err := c.Apply(ctx, agreement.Entry{Kind: agreement.KindPropose, Doc: level("k1", 1)}); err != nil {
 		t.Fatal(err)
 	}
 	before, err := c.Status(ctx)
@@ -196,14 +196,14 @@
 	defer end()
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
-	if _, err := c.Apply(ctx, agreed.Entry{Kind: agreed.KindPropose, Doc: level("k1", 1)}); err != nil {
+	if _, err := c.Apply(ctx, agreement.Entry{Kind: agreement.KindPropose, Doc: level("k1", 1)}); err != nil {
 		t.Fatal(err)
 	}
 	m := s.currentMember()
 	if err := s.store.close(); err != nil {
 		t.Fatal(err)
 	}
-	if err := m.ProposeEntry(ctx, agreed.Entry{Kind: agreed.KindPropose, BaseVersion: 1, Doc: level("k2", 1)}); err == nil {
+	if err := m.ProposeEntry(ctx, agreement.Entry{Kind: agreement.KindPropose, BaseVersion: 1, Doc: level("k2", 1)}); err == nil {
 		t.Error("a proposal that could not be stored is accepted")
 	}
 	<-m.done
@@ -222,7 +222,7 @@
 	s, c, end := startSingleMember(t, folder)
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
-	if _, err := c.Apply(ctx, agreed.Entry{Kind: agreed.KindPropose, Doc: level("k1", 1)}); err != nil {
+	if _, err := c.Apply(ctx, agreement.Entry{Kind: agreement.KindPropose, Doc: level("k1", 1)}); err != nil {
 		t.Fatal(err)
 	}
 	m := s.currentMember()
@@ -231,7 +231,7 @@
 		result := make(chan error, 1)
 		results = append(results, result)
 		if err := m.enqueue(ctx, func() { // queued together, so that one write to disk covers many entries
-			if err := m.propose(&agreed.Entry{Kind: agreed.KindJoin, Sidecar: fmt.Sprint("car", n%7), Incarnation: uint64(n + 1), Version: 1}, result); err != nil {
+			if err := m.propose(&agreement.Entry{Kind: agreement.KindJoin, Sidecar: fmt.Sprint("car", n%7), Incarnation: uint64(n + 1), Version: 1}, result); err != nil {
 				result <- err
 			}
 		}); err != nil {
@@ -250,7 +250,7 @@
 	}
 	end()
 	_, c, end = startSingleMember(t, folder)
-	st, err := c.Apply(ctx, agreed.Entry{Kind: agreed.KindPropose, BaseVersion: 1, Doc: level("k1", 1)}) // succeeds once the member leads
+	st, err := c.Apply(ctx, agreement.Entry{Kind: agreement.KindPropose, BaseVersion: 1, Doc: level("k1", 1)}) // succeeds once the member leads
 	if err != nil || st.InForce.Version != 1 || len(st.Sidecars) != 7 || st.Sidecars["car3"] != was.Sidecars["car3"] {
 		t.Errorf("after the restart: status %+v, error %v", st, err)
 	}
--- a/internal/council/history_test.go
+++ b/internal/consensus/history_test.go
@@ -1,4 +1,4 @@
-package council
+package consensus
 
 import (
 	"context"
@@ -15,7 +15,7 @@
 
 	"github.com/anishathalye/porcupine"
 
-	"chalkrack/internal/agreed"
+	"chalkrack/internal/agreement"
 )
 
 // operation is an operation of an operator: a proposal against a base version, or a read if key is
@@ -83,13 +83,13 @@
 				if d.key == "" {
 					st, err = c.Latest(opCtx)
 				} else {
-					st, err = c.Apply(opCtx, agreed.Entry{Kind: agreed.KindPropose, BaseVersion: d.base, Doc: level(d.key, uint64(i)%3)})
+					st, err = c.Apply(opCtx, agreement.Entry{Kind: agreement.KindPropose, BaseVersion: d.base, Doc: level(d.key, uint64(i)%3)})
 				}
 				stop()
 				o := result{version: st.InForce.Version}
 				var no *Refusal
 				switch {
-				case errors.As(err, &no) && strings.Contains(no.Text, agreed.ErrBaseVersion.Error()):
+				case errors.As(err, &no) && strings.Contains(no.Text, agreement.ErrBaseVersion.Error()):
 					o.version = 0
 					known++
 				case err != nil:
--- a/internal/council/links_test.go
+++ b/internal/consensus/links_test.go
@@ -1,11 +1,11 @@
-package council
+package consensus
 
 import (
 	"context"
 	"testing"
 	"time"
 
-	"chalkrack/internal/agreed"
+	"chalkrack/internal/agreement"
 )
 
 // otherMembers returns all members but p.
@@ -103,11 +103,11 @@
 	for _, p := range g.procs {
 		g.links[[2]string{"old", p.name}].SetDelay(3 * time.Second)
 	}
-	waitUntil(t, "the delayed sidecar applies the strictest level", func() bool { return slow.level() == agreed.LevelOnce })
+	waitUntil(t, "the delayed sidecar applies the strictest level", func() bool { return slow.level() == agreement.LevelOnce })
 	g.commitVersions(&base, 1, 20*time.Second) // level 1
 	waitUntil(t, "the new version is active at the other sidecar", func() bool { return well.activeVersion() == base })
 	for end := time.Now().Add(5 * time.Second); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
-		if now := slow.level(); now != agreed.LevelOnce {
+		if now := slow.level(); now != agreement.LevelOnce {
 			t.Fatalf("the delayed sidecar applies level %d after a response older than its lease", now)
 		}
 	}
--- a/internal/council/member.go
+++ b/internal/consensus/member.go
@@ -1,4 +1,4 @@
-package council
+package consensus
 
 import (
 	"context"
@@ -16,7 +16,7 @@
 	"golang.org/x/sys/unix"
 	"google.golang.org/protobuf/proto"
 
-	"chalkrack/internal/agreed"
+	"chalkrack/internal/agreement"
 )
 
 const (
@@ -50,15 +50,15 @@
 // replicatedState is the replicated state that results from the log, as stored in a snapshot.
 type replicatedState struct {
 	Fleet   string              `json:"fleet"`
-	State   agreed.State        `json:"state"`
+	State   agreement.State     `json:"state"`
 	Members map[uint64]Endpoint `json:"members"`
 }
 
 // logRecord is the data of a raft entry: an entry of package agreed, and a number by which the
 // member that proposed it finds the waiting caller.
 type logRecord struct {
-	Number uint64       `json:"n"`
-	Entry  agreed.Entry `json:"entry"`
+	Number uint64          `json:"n"`
+	Entry  agreement.Entry `json:"entry"`
 }
 
 // Member is a running member of the council. One goroutine owns raft and the replicated state;
@@ -80,13 +80,13 @@
 	// Owned by the goroutine:
 	confState     *raftpb.ConfState
 	appliedIndex  uint64
-	snapshotIndex uint64                // index of the newest snapshot
-	leases        *agreed.LeaseTracker  // nil: this member is not the leader
-	expiring      map[string]bool       // sidecars whose expiry has been proposed; they are granted no lease
-	entryWaiters  map[uint64]chan error // callers that wait for an entry, by its number
-	readWaiters   map[uint64]chan error // callers that wait for a linearizable read, by its number
-	readIndexes   map[uint64]uint64     // by number of a read that a majority has confirmed, the index that must be applied first
-	lastNumber    uint64                // the last number used for an entry or a read
+	snapshotIndex uint64                  // index of the newest snapshot
+	leases        *agreement.LeaseTracker // nil: this member is not the leader
+	expiring      map[string]bool         // sidecars whose expiry has been proposed; they are granted no lease
+	entryWaiters  map[uint64]chan error   // callers that wait for an entry, by its number
+	readWaiters   map[uint64]chan error   // callers that wait for a linearizable read, by its number
+	readIndexes   map[uint64]uint64       // by number of a read that a majority has confirmed, the index that must be applied first
+	lastNumber    uint64                  // the last number used for an entry or a read
 	// hasChangedMembers means that the members have changed since the newest snapshot.
 	hasChangedMembers bool
 
@@ -257,7 +257,7 @@
 func (m *Member) updateLeadership(s *raft.SoftState) {
 	isLeader := s.RaftState == raft.StateLeader
 	if isLeader && m.leases == nil {
-		m.leases = agreed.NewLeaseTracker(m.cfg.LeaseTimes(), bootTime())
+		m.leases = agreement.NewLeaseTracker(m.cfg.LeaseTimes(), bootTime())
 		clear(m.expiring)
 		slog.Info("council: this member is now the leader", "name", m.cfg.Name)
 	}
@@ -282,7 +282,7 @@
 			continue
 		}
 		m.expiring[name] = true
-		e := agreed.Entry{Kind: agreed.KindLeaseExpired, Sidecar: name, Incarnation: m.content.State.Sidecars[name].Incarnation}
+		e := agreement.Entry{Kind: agreement.KindLeaseExpired, Sidecar: name, Incarnation: m.content.State.Sidecars[name].Incarnation}
 		if m.propose(&e, nil) != nil {
 			delete(m.expiring, name)
 		}
@@ -292,7 +292,7 @@
 
 // propose proposes an entry to raft. Unless result is nil, it receives the result once the entry is
 // applied, or the error that ended the wait.
-func (m *Member) propose(e *agreed.Entry, result chan error) error {
+func (m *Member) propose(e *agreement.Entry, result chan error) error {
 	m.lastNumber++
 	record := logRecord{m.lastNumber, *e}
 	data, err := json.Marshal(record)
@@ -347,7 +347,7 @@
 	s := &m.content.State
 	inForce, pending := s.InForce.Version, s.Pending
 	err := s.Apply(&record.Entry)
-	if record.Entry.Kind == agreed.KindLeaseExpired {
+	if record.Entry.Kind == agreement.KindLeaseExpired {
 		delete(m.expiring, record.Entry.Sidecar)
 	}
 	if s.InForce.Version != inForce || s.Pending != pending {
@@ -453,7 +453,7 @@
 
 // ProposeEntry proposes an entry and waits until it is applied. An error of package agreed says why
 // the entry has no effect. After ErrTimeout or ErrStopping the entry may still be applied.
-func (m *Member) ProposeEntry(ctx context.Context, e agreed.Entry) error {
+func (m *Member) ProposeEntry(ctx context.Context, e agreement.Entry) error {
 	return m.awaitAsLeader(ctx, func(result chan error) error { return m.propose(&e, result) })
 }
 
@@ -473,7 +473,7 @@
 
 // Renew records what a sidecar's request reports, renews its lease if possible, and returns the
 // response. While there is nothing new to report, it delays the response for up to hold.
-func (m *Member) Renew(ctx context.Context, r agreed.Request, hold time.Duration) (response agreed.Response, err error) {
+func (m *Member) Renew(ctx context.Context, r agreement.Request, hold time.Duration) (response agreement.Response, err error) {
 	arrived := bootTime()
 	if err := m.ConfirmRead(ctx); err != nil {
 		return response, err
@@ -529,43 +529,43 @@
 }
 
 // reportedEntries returns the entries that record in the log what a request reports.
-func (m *Member) reportedEntries(r *agreed.Request) (entries []agreed.Entry) {
+func (m *Member) reportedEntries(r *agreement.Request) (entries []agreement.Entry) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	s := &m.content.State
 	c, ok := s.Sidecars[r.Sidecar]
 	if !ok || c.LeaseExpired || c.Incarnation != r.Incarnation {
-		entries = append(entries, agreed.Entry{Kind: agreed.KindJoin, Sidecar: r.Sidecar, Incarnation: r.Incarnation, Version: r.ActiveVersion})
-		c = agreed.Sidecar{Incarnation: r.Incarnation, ActiveVersion: r.ActiveVersion}
+		entries = append(entries, agreement.Entry{Kind: agreement.KindJoin, Sidecar: r.Sidecar, Incarnation: r.Incarnation, Version: r.ActiveVersion})
+		c = agreement.Sidecar{Incarnation: r.Incarnation, ActiveVersion: r.ActiveVersion}
 	}
 	if r.ActiveVersion > c.ActiveVersion {
-		entries = append(entries, agreed.Entry{Kind: agreed.KindActive, Sidecar: r.Sidecar, Incarnation: r.Incarnation, Version: r.ActiveVersion})
+		entries = append(entries, agreement.Entry{Kind: agreement.KindActive, Sidecar: r.Sidecar, Incarnation: r.Incarnation, Version: r.ActiveVersion})
 	}
 	switch next := s.Pending; {
 	case next == nil:
 	case r.PreparedVersion == next.Version && c.PreparedVersion < r.PreparedVersion:
-		entries = append(entries, agreed.Entry{Kind: agreed.KindPrepared, Sidecar: r.Sidecar, Incarnation: r.Incarnation, Version: r.PreparedVersion})
+		entries = append(entries, agreement.Entry{Kind: agreement.KindPrepared, Sidecar: r.Sidecar, Incarnation: r.Incarnation, Version: r.PreparedVersion})
 	case r.RejectedVersion == next.Version:
-		entries = append(entries, agreed.Entry{Kind: agreed.KindRejected, Sidecar: r.Sidecar, Incarnation: r.Incarnation, Version: r.RejectedVersion, Reason: r.RejectReason})
+		entries = append(entries, agreement.Entry{Kind: agreement.KindRejected, Sidecar: r.Sidecar, Incarnation: r.Incarnation, Version: r.RejectedVersion, Reason: r.RejectReason})
 	}
 	return entries
 }
 
 // Status is the state of the council as one member knows it.
 type Status struct {
-	Fleet           string                    `json:"fleet"`
-	Name            string                    `json:"name"`
-	Leader          Endpoint                  `json:"leader"` // empty: not known
-	IsLeader        bool                      `json:"leads"`
-	Index           uint64                    `json:"index"`
-	Members         map[uint64]Endpoint       `json:"members"`
-	InForce         agreed.Doc                `json:"in_force"`
-	IsSettled       bool                      `json:"settled"`
-	Pending         *agreed.Doc               `json:"next,omitempty"`
-	PendingSidecars []string                  `json:"waits,omitempty"`
-	Sidecars        map[string]agreed.Sidecar `json:"cars"`
-	Results         []agreed.ProposalResult   `json:"endings,omitempty"`
-	MaxStaleness    time.Duration             `json:"bound_ns"` // T, as LeaseTimes.MaxStaleness returns it
+	Fleet           string                       `json:"fleet"`
+	Name            string                       `json:"name"`
+	Leader          Endpoint                     `json:"leader"` // empty: not known
+	IsLeader        bool                         `json:"leads"`
+	Index           uint64                       `json:"index"`
+	Members         map[uint64]Endpoint          `json:"members"`
+	InForce         agreement.Doc                `json:"in_force"`
+	IsSettled       bool                         `json:"settled"`
+	Pending         *agreement.Doc               `json:"next,omitempty"`
+	PendingSidecars []string                     `json:"waits,omitempty"`
+	Sidecars        map[string]agreement.Sidecar `json:"cars"`
+	Results         []agreement.ProposalResult   `json:"endings,omitempty"`
+	MaxStaleness    time.Duration                `json:"bound_ns"` // T, as LeaseTimes.MaxStaleness returns it
 }
 
 // Status returns the state that this member knows, which may be out of date. Call ConfirmRead
@@ -580,7 +580,7 @@
 		members[id] = x
 	}
 	return Status{Fleet: m.cfg.Fleet, Name: m.cfg.Name, Leader: members[m.leaderID], IsLeader: m.isLeader, Index: m.statusIndex, Members: members,
-		InForce: s.InForce, IsSettled: s.IsSettled(), Pending: s.Pending, PendingSidecars: s.PendingSidecars(), Sidecars: maps.Clone(s.Sidecars), Results: append([]agreed.ProposalResult(nil), s.Results...), MaxStaleness: m.cfg.LeaseTimes().MaxStaleness()}
+		InForce: s.InForce, IsSettled: s.IsSettled(), Pending: s.Pending, PendingSidecars: s.PendingSidecars(), Sidecars: maps.Clone(s.Sidecars), Results: append([]agreement.ProposalResult(nil), s.Results...), MaxStaleness: m.cfg.LeaseTimes().MaxStaleness()}
 }
 
 // Close stops the member. A leader first tries, for up to transferTimeout, to transfer the
--- a/internal/council/process_test.go
+++ b/internal/consensus/process_test.go
@@ -1,4 +1,4 @@
-package council
+package consensus
 
 import (
 	"bytes"
@@ -15,7 +15,7 @@
 	"testing"
 	"time"
 
-	"chalkrack/internal/agreed"
+	"chalkrack/internal/agreement"
 	"chalkrack/internal/fleet"
 )
 
@@ -68,7 +68,7 @@
 type testCouncil struct {
 	t        *testing.T
 	procs    []*proc
-	times    agreed.LeaseTimes
+	times    agreement.LeaseTimes
 	host     string                    // address at which the links listen
 	links    map[[2]string]*fleet.Link // by the party that connects and the member it connects to
 	cutLinks map[[2]string][2]bool     // by the same, which directions are cut: requests, responses
@@ -125,7 +125,7 @@
 // startCouncil starts a council and waits until a member leads.
 func startCouncil(t *testing.T, count int) *testCouncil {
 	t.Helper()
-	g := &testCouncil{t: t, host: newHost(), links: make(map[[2]string]*fleet.Link), cutLinks: make(map[[2]string][2]bool), times: agreed.LeaseTimes{Lease: 2 * time.Second, Margin: 200 * time.Millisecond, Drift: 0.01, Call: time.Second}}
+	g := &testCouncil{t: t, host: newHost(), links: make(map[[2]string]*fleet.Link), cutLinks: make(map[[2]string][2]bool), times: agreement.LeaseTimes{Lease: 2 * time.Second, Margin: 200 * time.Millisecond, Drift: 0.01, Call: time.Second}}
 	dir := t.TempDir()
 	for n := range count {
 		p := &proc{name: fmt.Sprintf("m%d", n+1), addr: freeAddr(t)}
@@ -232,7 +232,7 @@
 	done        chan struct{}
 
 	mu           sync.Mutex
-	participant  *agreed.Participant
+	participant  *agreement.Participant
 	received     []uint64 // versions in force that it received
 	rejectReason string   // the reason for which it rejects the next version; empty: it accepts it
 	isSilent     bool     // it sends no requests and ignores responses
@@ -242,13 +242,13 @@
 func (g *testCouncil) startSidecar(name string, n int) *testSidecar {
 	ctx, stop := context.WithCancel(context.Background())
 	inc := uint64(bootTime())
-	k := &testSidecar{c: g.client(n), incarnation: inc, stop: stop, done: make(chan struct{}), participant: agreed.NewParticipant(name, inc, g.times, agreed.PersistentState{})}
+	k := &testSidecar{c: g.client(n), incarnation: inc, stop: stop, done: make(chan struct{}), participant: agreement.NewParticipant(name, inc, g.times, agreement.PersistentState{})}
 	go func() {
 		defer close(k.done)
 		for ctx.Err() == nil {
 			k.mu.Lock()
 			quiet := k.isSilent
-			var r agreed.Request
+			var r agreement.Request
 			if !quiet {
 				r = k.participant.NextRequest(bootTime())
 			}
@@ -317,17 +317,17 @@
 }
 
 // level returns a document that sets the level of the test's class.
-func level(key string, level uint64) *agreed.Doc {
-	return &agreed.Doc{Key: key, Who: "kim", Reason: "a test", Rules: agreed.Rules{"class/a": level}}
+func level(key string, level uint64) *agreement.Doc {
+	return &agreement.Doc{Key: key, Who: "kim", Reason: "a test", Rules: agreement.Rules{"class/a": level}}
 }
 
 // propose proposes a version. It repeats the proposal while the version before is not settled.
-func (g *testCouncil) propose(base uint64, d *agreed.Doc) (Status, error) {
+func (g *testCouncil) propose(base uint64, d *agreement.Doc) (Status, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 	defer cancel()
 	for {
-		st, err := g.client(0).Apply(ctx, agreed.Entry{Kind: agreed.KindPropose, BaseVersion: base, Doc: d})
-		if err == nil || !strings.Contains(err.Error(), agreed.ErrNotSettled.Error()) {
+		st, err := g.client(0).Apply(ctx, agreement.Entry{Kind: agreement.KindPropose, BaseVersion: base, Doc: d})
+		if err == nil || !strings.Contains(err.Error(), agreement.ErrNotSettled.Error()) {
 			return st, err
 		}
 		time.Sleep(10 * time.Millisecond)
@@ -422,7 +422,7 @@
 	for _, p := range g.procs {
 		g.killProcess(p)
 	}
-	waitUntil(t, "the sidecar applies the strictest level", func() bool { return k.level() == agreed.LevelOnce })
+	waitUntil(t, "the sidecar applies the strictest level", func() bool { return k.level() == agreement.LevelOnce })
 	for _, p := range g.procs {
 		g.startProcess(p)
 	}
@@ -435,10 +435,10 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
-	if _, err := g.client(0).Apply(ctx, agreed.Entry{Kind: agreed.KindPropose, BaseVersion: 1, Doc: level("k2", 1)}); err == nil {
+	if _, err := g.client(0).Apply(ctx, agreement.Entry{Kind: agreement.KindPropose, BaseVersion: 1, Doc: level("k2", 1)}); err == nil {
 		t.Error("one of three members accepted a proposal")
 	}
-	waitUntil(t, "the sidecar applies the strictest level again", func() bool { return k.level() == agreed.LevelOnce })
+	waitUntil(t, "the sidecar applies the strictest level again", func() bool { return k.level() == agreement.LevelOnce })
 }
 
 // A leader that is suspended and resumed after another member has become leader must grant no lease
@@ -462,9 +462,9 @@
 	// knows, with the version active that was in force when it was suspended: it must not grant a
 	// lease without a majority.
 	k.mu.Lock()
-	r := agreed.Request{Sidecar: "car", Incarnation: k.incarnation, Seq: 1, ActiveVersion: 1}
+	r := agreement.Request{Sidecar: "car", Incarnation: k.incarnation, Seq: 1, ActiveVersion: 1}
 	k.mu.Unlock()
-	answers := make(chan agreed.Response, 20)
+	answers := make(chan agreement.Response, 20)
 	var wait sync.WaitGroup
 	for range cap(answers) {
 		wait.Go(func() {
@@ -501,14 +501,14 @@
 	waitUntil(t, "refused", func() bool {
 		ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 		defer cancel()
-		st, err := g.client(0).Apply(ctx, agreed.Entry{Kind: agreed.KindPropose, BaseVersion: 2, Doc: level("k3", 1)}) // repeats the proposal
+		st, err := g.client(0).Apply(ctx, agreement.Entry{Kind: agreement.KindPropose, BaseVersion: 2, Doc: level("k3", 1)}) // repeats the proposal
 		if err != nil {
 			t.Fatal(err)
 		}
 		seen = st
 		for _, e := range st.Results {
 			if e.Key == "k3" {
-				return e.Outcome == agreed.OutcomeRefused && e.Who == "car" && strings.Contains(e.Reason, "can't be that")
+				return e.Outcome == agreement.OutcomeRefused && e.Who == "car" && strings.Contains(e.Reason, "can't be that")
 			}
 		}
 		return false
--- a/internal/council/serve.go
+++ b/internal/consensus/serve.go
@@ -1,4 +1,4 @@
-package council
+package consensus
 
 import (
 	"bytes"
@@ -20,12 +20,12 @@
 
 	"go.etcd.io/raft/v3/raftpb"
 
-	"chalkrack/internal/agreed"
+	"chalkrack/internal/agreement"
 )
 
 const (
 	// maxRequestBytes is the maximum size in bytes of a request of a sidecar or operator.
-	maxRequestBytes = agreed.MaxBodyBytes + 64<<10
+	maxRequestBytes = agreement.MaxBodyBytes + 64<<10
 	// holdDivisor is the part of a lease, as a divisor, for which the response to a renewal is
 	// delayed while there is nothing new to report.
 	holdDivisor = 4
@@ -368,7 +368,7 @@
 	if err != nil {
 		return nil, err
 	}
-	var r agreed.Request
+	var r agreement.Request
 	if err := decodeStrict(body, &r); err != nil {
 		return nil, err
 	}
@@ -381,11 +381,11 @@
 	if err != nil {
 		return nil, err
 	}
-	var e agreed.Entry
+	var e agreement.Entry
 	if err := decodeStrict(body, &e); err != nil {
 		return nil, err
 	}
-	if e.Kind != agreed.KindPropose && e.Kind != agreed.KindWithdraw && e.Kind != agreed.KindRemove {
+	if e.Kind != agreement.KindPropose && e.Kind != agreement.KindWithdraw && e.Kind != agreement.KindRemove {
 		return nil, &Refusal{Code: http.StatusBadRequest, Text: fmt.Sprintf("%q is nothing that an operator does", e.Kind)}
 	}
 	if err := m.ProposeEntry(ctx, e); err != nil {
--- a/internal/council/transport.go
+++ b/internal/consensus/transport.go
@@ -1,4 +1,4 @@
-package council
+package consensus
 
 import (
 	"bytes"
--- a/internal/core/host.go
+++ b/internal/core/host.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"chalkrack"
-	"chalkrack/internal/bake"
+	"chalkrack/internal/configtrial"
 	"chalkrack/internal/generation"
 	"chalkrack/internal/membership"
 	"chalkrack/internal/settings"
@@ -198,7 +198,7 @@
 		classIndex := gen.Class(c.Class)
 		if h.closed || callSettings.MaxHeld > 0 && len(h.held) >= callSettings.MaxHeld {
 			h.log().Warn("call refused: call limit reached or closed", "held", len(h.held), "closed", h.closed)
-			h.generations.RecordFailure(c.Generation, classIndex, bake.Refused)
+			h.generations.RecordFailure(c.Generation, classIndex, configtrial.Refused)
 			h.queueAction(action{kind: actRefuse, caller: c.Caller, retryAfter: callSettings.Config.MaxRetryAfter / 10, unsent: true})
 			h.queueAction(action{kind: actRelease, caller: c.Caller})
 			return
--- a/internal/core/trial.go
+++ b/internal/core/trial.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"chalkrack/internal/bake"
+	"chalkrack/internal/configtrial"
 	"chalkrack/internal/generation"
 )
 
@@ -37,7 +37,7 @@
 // StartTrial starts a trial of next beside the current generation, atomically. The Balancer keeps
 // everything that it has learned, and calls in progress keep their generation. On an error
 // nothing changes.
-func (h *Host) StartTrial(next *generation.Generation, cfg bake.Config, seed uint64) (err error) {
+func (h *Host) StartTrial(next *generation.Generation, cfg configtrial.Config, seed uint64) (err error) {
 	h.handleEvent(func(now time.Duration) {
 		rules, e := h.generations.BeginTrial(now, next, cfg, seed)
 		if err = e; err == nil {
@@ -52,7 +52,7 @@
 
 // TrialRuling returns the ruling on the trial so far, the name of the class that weighs most in it,
 // and for how long the trial has run. It returns an error if there is no trial.
-func (h *Host) TrialRuling() (ruling bake.Result, class string, since time.Duration, err error) {
+func (h *Host) TrialRuling() (ruling configtrial.Result, class string, since time.Duration, err error) {
 	h.handleEvent(func(now time.Duration) {
 		if ruling, since, err = h.generations.Evaluate(now); err == nil {
 			class = h.generations.Classes()[ruling.Class]
@@ -83,11 +83,11 @@
 	late := call.class != nil && now-call.arrivedAt > call.class.Aim
 	switch {
 	case end == "failed":
-		h.generations.RecordFailure(call.details.Generation, call.classIndex, bake.Failed)
+		h.generations.RecordFailure(call.details.Generation, call.classIndex, configtrial.Failed)
 	case end == "refused":
-		h.generations.RecordFailure(call.details.Generation, call.classIndex, bake.Refused)
+		h.generations.RecordFailure(call.details.Generation, call.classIndex, configtrial.Refused)
 	case late:
-		h.generations.RecordFailure(call.details.Generation, call.classIndex, bake.Late)
+		h.generations.RecordFailure(call.details.Generation, call.classIndex, configtrial.Late)
 	case end == "served":
 		h.generations.RecordSuccess(call.details.Generation)
 	}
--- a/internal/core/trial_test.go
+++ b/internal/core/trial_test.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"chalkrack"
-	"chalkrack/internal/bake"
+	"chalkrack/internal/configtrial"
 	"chalkrack/internal/core"
 	"chalkrack/internal/generation"
 	"chalkrack/internal/membership"
@@ -97,10 +97,10 @@
 		}
 		next := newGeneration(t, 2, `"attemptsCap":4`, `"attemptsCap":1`)
 		next = &generation.Generation{ID: 2, Settings: next.Settings, Paths: map[string]string{"/b": "a"}}
-		if err := h.StartTrial(next, bake.Config{Share: 0.5, FalseUndo: 0.01, Notice: 0.5, Bake: time.Minute}, 1); err != nil {
+		if err := h.StartTrial(next, configtrial.Config{Share: 0.5, FalseUndo: 0.01, Notice: 0.5, Bake: time.Minute}, 1); err != nil {
 			t.Fatal(err)
 		}
-		if err := h.StartTrial(newGeneration(t, 3, "", ""), bake.Config{}, 1); err == nil {
+		if err := h.StartTrial(newGeneration(t, 3, "", ""), configtrial.Config{}, 1); err == nil {
 			t.Error("a second trial was started during the first")
 		}
 		seen := make(map[int]generation.Stamp)
@@ -149,7 +149,7 @@
 	defer h.Close()
 	h.ApplyList(&membership.List{Complete: true, Entries: []membership.Entry{{Endpoint: chalkrack.Endpoint{Name: "s0", Zone: "z", Hint: 1}, Address: "x"}}})
 	_, early, _ := h.Route("/u")
-	if err := h.StartTrial(newGeneration(t, 2, `"name":"u"`, `"name":"v"`), bake.Config{Share: 0.5, FalseUndo: 0.01, Notice: 0.5, Bake: time.Minute}, 1); err != nil {
+	if err := h.StartTrial(newGeneration(t, 2, `"name":"u"`, `"name":"v"`), configtrial.Config{Share: 0.5, FalseUndo: 0.01, Notice: 0.5, Bake: time.Minute}, 1); err != nil {
 		t.Fatal(err)
 	}
 	c := new(countingCaller)
@@ -164,7 +164,7 @@
 		}
 	}
 	r, class, _, err := h.TrialRuling()
-	if err != nil || r.Verdict != bake.Undo || class != "u" || r.Calls != unknown {
+	if err != nil || r.Verdict != configtrial.Undo || class != "u" || r.Calls != unknown {
 		t.Errorf("ruling %+v, class %q, %d calls of an unknown class, error %v", r, class, unknown, err)
 	}
 	if err := h.EndTrial(false); err != nil {
@@ -186,7 +186,7 @@
 		call  func(h *core.Host, c *core.Call, last func() core.Sink)
 		calls int // calls of the new generation that count, out of 60
 		undo  bool
-		kind  bake.Kind
+		kind  configtrial.Kind
 	}{
 		{"served in time", [2]string{}, func(h *core.Host, c *core.Call, last func() core.Sink) {
 			h.Arrive(c)
@@ -197,12 +197,12 @@
 			h.Arrive(c)
 			time.Sleep(aim + time.Millisecond)
 			last().Done(chalkrack.OK, "", chalkrack.LoadReport{})
-		}, 60, true, bake.Late},
+		}, 60, true, configtrial.Late},
 		{"failed", [2]string{}, func(h *core.Host, c *core.Call, last func() core.Sink) {
 			c.Class = "u"
 			h.Arrive(c)
 			last().Done(chalkrack.Reset, nil, chalkrack.LoadReport{})
-		}, 60, true, bake.Failed},
+		}, 60, true, configtrial.Failed},
 		{"left in time", [2]string{}, func(h *core.Host, c *core.Call, _ func() core.Sink) {
 			h.Arrive(c)
 			time.Sleep(aim / 2)
@@ -212,7 +212,7 @@
 			h.Arrive(c)
 			time.Sleep(aim + time.Millisecond)
 			h.ClientGone(c)
-		}, 60, true, bake.Late},
+		}, 60, true, configtrial.Late},
 		{"body that takes long", [2]string{}, func(h *core.Host, c *core.Call, last func() core.Sink) {
 			c.Limits = &core.Limits{BodyTimeout: time.Minute}
 			h.Arrive(c)
@@ -225,7 +225,7 @@
 			h.Arrive(other) // uses the only place
 			h.Arrive(c)
 			h.ClientGone(other)
-		}, 60, true, bake.Refused},
+		}, 60, true, configtrial.Refused},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -236,7 +236,7 @@
 				}
 				defer h.Close()
 				h.ApplyList(&membership.List{Complete: true, Entries: []membership.Entry{{Endpoint: chalkrack.Endpoint{Name: "s0", Zone: "z", Hint: 1}, Address: "x"}}})
-				if err := h.StartTrial(newGeneration(t, 2, c.next[0], c.next[1]), bake.Config{Share: 0.5, FalseUndo: 0.01, Notice: 0.5, Bake: time.Hour}, 1); err != nil {
+				if err := h.StartTrial(newGeneration(t, 2, c.next[0], c.next[1]), configtrial.Config{Share: 0.5, FalseUndo: 0.01, Notice: 0.5, Bake: time.Hour}, 1); err != nil {
 					t.Fatal(err)
 				}
 				var under generation.Stamp
@@ -247,7 +247,7 @@
 					c.call(h, &core.Call{ID: fmt.Sprint(n), Class: "a", Generation: under, Received: time.Now(), Caller: new(countingCaller)}, func() core.Sink { return transport.orders[len(transport.orders)-1].Sink })
 				}
 				r, _, _, err := h.TrialRuling()
-				if err != nil || r.Calls != c.calls || (r.Verdict == bake.Undo) != c.undo || c.undo && r.Kind != c.kind {
+				if err != nil || r.Calls != c.calls || (r.Verdict == configtrial.Undo) != c.undo || c.undo && r.Kind != c.kind {
 					t.Errorf("ruling %+v, error %v", r, err)
 				}
 			})
--- a/internal/core/watch_test.go
+++ b/internal/core/watch_test.go
@@ -10,11 +10,11 @@
 	"time"
 
 	"chalkrack"
+	"chalkrack/internal/components/zones"
 	"chalkrack/internal/core"
 	"chalkrack/internal/evacuation"
 	"chalkrack/internal/front"
 	"chalkrack/internal/membership"
-	"chalkrack/internal/rooms/zones"
 	"chalkrack/internal/upstream"
 )
 
--- a/internal/daemon/bodies.go
+++ b/internal/daemon/bodies.go
@@ -7,9 +7,9 @@
 	"time"
 
 	"chalkrack/internal/body"
+	"chalkrack/internal/bodypolicy"
 	"chalkrack/internal/core"
 	"chalkrack/internal/front"
-	"chalkrack/internal/keep"
 	"chalkrack/internal/spool"
 	"chalkrack/internal/upstream"
 )
@@ -33,7 +33,7 @@
 		return nil, nil
 	}
 	cfg := body.Config{
-		Limits: keep.Limits{
+		Limits: bodypolicy.Limits{
 			Memory:     int64(settings.MemoryKB(c.MemoryMB)-settings.TransferKB()) << 10,
 			MemoryMost: int64(settings.MaxBodyMemoryKB) << 10,
 			MoveLeast:  spool.MaxPieceBytes,
@@ -44,7 +44,7 @@
 			Lend:       settings.Lend, High: settings.High, Low: settings.Low,
 			Tenants: len(c.Settings.Config.Tenants),
 		},
-		Disk: keep.DiskLimits{
+		Disk: bodypolicy.DiskLimits{
 			SlowAfter: time.Duration(settings.SlowAfter), MinTrialDelay: time.Duration(settings.MinTrialDelay),
 			MaxTrialDelay: time.Duration(settings.MaxTrialDelay), RequiredTrials: settings.RequiredTrials,
 		},
@@ -117,7 +117,7 @@
 	classes := c.Settings.ClassNames()
 	storeBytes := maxBodyBytes(c) / 4
 	cfg := body.Config{
-		Limits: keep.Limits{
+		Limits: bodypolicy.Limits{
 			Memory: storeBytes, MemoryMost: min(maxStoredLongBodyBytes, storeBytes), MoveLeast: spool.MaxPieceBytes, FileMost: min(maxStoredLongBodyBytes, storeBytes),
 			Streams: maxLongBodyStreams(c), Lend: 1, High: 1, Low: 0.9, Shares: make([]float64, len(classes)),
 		},
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -12,12 +12,12 @@
 	"runtime/debug"
 	"time"
 
+	"chalkrack/internal/components/changes"
+	"chalkrack/internal/components/pools"
 	"chalkrack/internal/config"
 	"chalkrack/internal/core"
 	"chalkrack/internal/front"
 	"chalkrack/internal/radius/proxy"
-	"chalkrack/internal/rooms/changes"
-	"chalkrack/internal/rooms/pools"
 )
 
 const (
--- a/internal/daemon/duties.go
+++ b/internal/daemon/duties.go
@@ -7,9 +7,9 @@
 	"log/slog"
 	"time"
 
+	"chalkrack/internal/components/duties"
 	"chalkrack/internal/core"
 	"chalkrack/internal/duty"
-	"chalkrack/internal/rooms/duties"
 )
 
 // dutyDescriptors returns the number of descriptors that duties may hold.
--- a/internal/daemon/duties_test.go
+++ b/internal/daemon/duties_test.go
@@ -12,11 +12,11 @@
 	"time"
 
 	"chalkrack"
+	"chalkrack/internal/components/duties"
 	"chalkrack/internal/config/configtest"
 	"chalkrack/internal/core"
 	"chalkrack/internal/duration"
 	"chalkrack/internal/membership"
-	"chalkrack/internal/rooms/duties"
 	"chalkrack/internal/upstream"
 )
 
--- a/internal/daemon/levels.go
+++ b/internal/daemon/levels.go
@@ -6,10 +6,10 @@
 	"slices"
 	"time"
 
+	"chalkrack/internal/components/levels"
 	"chalkrack/internal/core"
 	"chalkrack/internal/front"
 	"chalkrack/internal/level"
-	"chalkrack/internal/rooms/levels"
 	"chalkrack/internal/upstream"
 )
 
--- a/internal/daemon/management.go
+++ b/internal/daemon/management.go
@@ -4,8 +4,8 @@
 	"log/slog"
 	"net"
 
+	"chalkrack/internal/components/operating"
 	"chalkrack/internal/management"
-	"chalkrack/internal/rooms/operating"
 )
 
 const (
--- a/internal/daemon/pools.go
+++ b/internal/daemon/pools.go
@@ -1,6 +1,6 @@
 package daemon
 
-import "chalkrack/internal/rooms/pools"
+import "chalkrack/internal/components/pools"
 
 // newRouting returns the routing, or nil if the operators' file has no routes, pools or listeners.
 func newRouting(c *Config) (*pools.Routing, error) {
--- a/internal/daemon/pools_test.go
+++ b/internal/daemon/pools_test.go
@@ -7,12 +7,12 @@
 	"testing"
 	"time"
 
+	"chalkrack/internal/components/pools"
 	"chalkrack/internal/config/configtest"
 	"chalkrack/internal/core"
 	"chalkrack/internal/duration"
 	"chalkrack/internal/features"
 	"chalkrack/internal/message"
-	"chalkrack/internal/rooms/pools"
 )
 
 // A pool's own settings override the platform's; the others are inherited.
--- a/internal/daemon/weights.go
+++ b/internal/daemon/weights.go
@@ -4,8 +4,8 @@
 	"fmt"
 	"time"
 
+	"chalkrack/internal/components/weighted"
 	"chalkrack/internal/core"
-	"chalkrack/internal/rooms/weighted"
 	"chalkrack/internal/weights"
 )
 
--- a/internal/daemon/zones.go
+++ b/internal/daemon/zones.go
@@ -6,10 +6,10 @@
 	"fmt"
 	"time"
 
+	"chalkrack/internal/components/zones"
 	"chalkrack/internal/core"
 	"chalkrack/internal/evacuation"
 	"chalkrack/internal/features"
-	"chalkrack/internal/rooms/zones"
 )
 
 // evacuationConfig returns the configuration of package evacuation and this sidecar's name, from
--- a/internal/daemon/zones_test.go
+++ b/internal/daemon/zones_test.go
@@ -8,10 +8,10 @@
 	"time"
 
 	"chalkrack"
+	"chalkrack/internal/components/zones"
 	"chalkrack/internal/duration"
 	"chalkrack/internal/evacuation"
 	"chalkrack/internal/membership"
-	"chalkrack/internal/rooms/zones"
 )
 
 // recordingClock stands in for the core: it has a clock and records abandoned attempts.
--- a/internal/front/min_rate_test.go
+++ b/internal/front/min_rate_test.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"chalkrack/internal/body"
-	"chalkrack/internal/keep"
+	"chalkrack/internal/bodypolicy"
 )
 
 // A body at twice minBodyRate never misses a deadline, however long it is. A body below the
@@ -64,7 +64,7 @@
 func newLongBodies(t *testing.T, streams int64) *Bodies {
 	t.Helper()
 	store, err := body.New(body.Config{
-		Limits: keep.Limits{Memory: 1 << 20, MemoryMost: 256 << 10, FileMost: 256 << 10, MoveLeast: 64 << 10, Streams: streams, Shares: []float64{0}, Lend: 1, High: 1, Low: 0.9},
+		Limits: bodypolicy.Limits{Memory: 1 << 20, MemoryMost: 256 << 10, FileMost: 256 << 10, MoveLeast: 64 << 10, Streams: streams, Shares: []float64{0}, Lend: 1, High: 1, Low: 0.9},
 		Window: 64 << 10, Classes: []string{"a"},
 	})
 	if err != nil {
--- a/internal/generation/generation_test.go
+++ b/internal/generation/generation_test.go
@@ -11,7 +11,7 @@
 	"pgregory.net/rapid"
 
 	"chalkrack"
-	"chalkrack/internal/bake"
+	"chalkrack/internal/configtrial"
 	"chalkrack/internal/settings"
 )
 
@@ -34,7 +34,7 @@
 	return &Generation{ID: id, Settings: testSettings}
 }
 
-var testBake = bake.Config{Share: 0.3, FalseUndo: 0.01, Notice: 0.5, Bake: time.Minute}
+var testBake = configtrial.Config{Share: 0.3, FalseUndo: 0.01, Notice: 0.5, Bake: time.Minute}
 
 // Over any sequence of changes a class keeps its index, a generation's rules do not
 // change, a class that a generation does not have stays unknown to it, and during a trial
@@ -145,14 +145,14 @@
 		return s
 	}
 	m.RecordSuccess(early)
-	m.RecordFailure(early, 0, bake.Failed)
-	m.RecordFailure(stampFor(old), -1, bake.Failed)
-	m.RecordFailure(stampFor(next), 0, bake.Late)
+	m.RecordFailure(early, 0, configtrial.Failed)
+	m.RecordFailure(stampFor(old), -1, configtrial.Failed)
+	m.RecordFailure(stampFor(next), 0, configtrial.Late)
 	m.RecordSuccess(stampFor(next))
 	m.RecordUnknownClass(stampFor(next), "gone")
 	m.RecordUnknownClass(stampFor(next), "never there") // unknown to both generations: a client error
 	m.RecordUnknownClass(stampFor(old), "gone")
-	if r, _, err := m.Evaluate(time.Second); err != nil || r.Calls != 3 || r.Verdict != bake.Watching {
+	if r, _, err := m.Evaluate(time.Second); err != nil || r.Calls != 3 || r.Verdict != configtrial.Watching {
 		t.Errorf("%+v, %v", r, err)
 	}
 	stale := stampFor(next)
@@ -165,13 +165,13 @@
 	// If calls of an ended trial, or from before any trial, counted, they would hide the
 	// failures of the new generation.
 	for range 1000 {
-		m.RecordFailure(stale, 0, bake.Failed)
-		m.RecordFailure(early, 0, bake.Failed)
+		m.RecordFailure(stale, 0, configtrial.Failed)
+		m.RecordFailure(early, 0, configtrial.Failed)
 	}
 	for range 60 {
-		m.RecordFailure(stampFor(m.View().Next), 0, bake.Failed)
+		m.RecordFailure(stampFor(m.View().Next), 0, configtrial.Failed)
 	}
-	if r, _, _ := m.Evaluate(time.Second); r.Calls != 60 || r.Verdict != bake.Undo {
+	if r, _, _ := m.Evaluate(time.Second); r.Calls != 60 || r.Verdict != configtrial.Undo {
 		t.Errorf("calls that this trial did not assign count: %+v", r)
 	}
 	if _, err := m.EndTrial(false); err != nil {
@@ -184,7 +184,7 @@
 	for range 100 {
 		m.RecordUnknownClass(stampFor(m.View().Next), "gone")
 	}
-	if r, _, _ := m.Evaluate(time.Second); r.Verdict != bake.Undo || m.Classes()[r.Class] != "gone" {
+	if r, _, _ := m.Evaluate(time.Second); r.Verdict != configtrial.Undo || m.Classes()[r.Class] != "gone" {
 		t.Errorf("%+v", r)
 	}
 }
@@ -203,7 +203,7 @@
 	if _, err := m.BeginTrial(0, newTestGeneration(t, 2, many, nil), testBake, 1); !errors.Is(err, ErrTooManyNames) {
 		t.Errorf("Begin with too many classes: got error %v, want ErrTooManyNames", err)
 	}
-	if _, err := m.BeginTrial(0, newTestGeneration(t, 2, []string{"b"}, nil), bake.Config{}, 1); err == nil {
+	if _, err := m.BeginTrial(0, newTestGeneration(t, 2, []string{"b"}, nil), configtrial.Config{}, 1); err == nil {
 		t.Error("Begin accepted an empty bake.Config")
 	}
 	if m.View() != v || len(m.Classes()) != 1 {
--- a/internal/generation/trial.go
+++ b/internal/generation/trial.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"chalkrack"
-	"chalkrack/internal/bake"
+	"chalkrack/internal/configtrial"
 )
 
 // Stamp assigns a call to a generation when it arrives; it stays the same until the call
@@ -52,7 +52,7 @@
 type Machine struct {
 	view       *View
 	names      nameTable
-	judge      *bake.Judge
+	judge      *configtrial.Judge
 	trialStart time.Duration
 	trialCount int
 }
@@ -77,7 +77,7 @@
 // BeginTrial starts a trial of next beside the current generation, with a judge configured by
 // cfg (Begin sets its Classes). It returns the rules for state that both share. On an
 // error m does not change.
-func (m *Machine) BeginTrial(now time.Duration, next *Generation, cfg bake.Config, seed uint64) (chalkrack.Config, error) {
+func (m *Machine) BeginTrial(now time.Duration, next *Generation, cfg configtrial.Config, seed uint64) (chalkrack.Config, error) {
 	if m.view.Next != nil {
 		return chalkrack.Config{}, ErrTrial
 	}
@@ -87,7 +87,7 @@
 	}
 	rules := stricterRules(&m.view.Current.rules, &next.rules) // valid because both are
 	cfg.Classes = len(names.classes)
-	judge, err := bake.New(cfg)
+	judge, err := configtrial.New(cfg)
 	if err != nil {
 		return chalkrack.Config{}, err
 	}
@@ -109,7 +109,7 @@
 }
 
 // RecordFailure records a call that failed, was refused or was late.
-func (m *Machine) RecordFailure(s Stamp, class int, k bake.Kind) {
+func (m *Machine) RecordFailure(s Stamp, class int, k configtrial.Kind) {
 	if m.inTrial(s) {
 		m.judge.RecordBad(class, k, s.Gen == m.view.Next)
 	}
@@ -121,13 +121,13 @@
 func (m *Machine) RecordUnknownClass(s Stamp, class string) {
 	if m.inTrial(s) && s.Gen == m.view.Next {
 		if index := m.view.Current.Class(class); index >= 0 {
-			m.judge.RecordBad(index, bake.Failed, true)
+			m.judge.RecordBad(index, configtrial.Failed, true)
 		}
 	}
 }
 
 // Evaluate returns the judge's ruling so far and the time since the trial began, or ErrIdle.
-func (m *Machine) Evaluate(now time.Duration) (r bake.Result, since time.Duration, err error) {
+func (m *Machine) Evaluate(now time.Duration) (r configtrial.Result, since time.Duration, err error) {
 	if m.view.Next == nil {
 		return r, 0, ErrIdle
 	}
--- a/internal/limitlog/limitlog.go
+++ b/internal/ratelimitlog/limitlog.go
@@ -1,7 +1,7 @@
-// Package limitlog provides a rate-limited slog logger, so that a process under load
+// Package ratelimitlog provides a rate-limited slog logger, so that a process under load
 // does not flood its log. It writes at most 5 lines per second with the same message and
 // adds the number of omitted lines, as left_out, to the first line of the next interval.
-package limitlog
+package ratelimitlog
 
 import (
 	"context"
--- a/internal/limitlog/limitlog_test.go
+++ b/internal/ratelimitlog/limitlog_test.go
@@ -1,4 +1,4 @@
-package limitlog
+package ratelimitlog
 
 import (
 	"bytes"
--- a/internal/rig/changes_test.go
+++ b/internal/rig/changes_test.go
@@ -16,8 +16,8 @@
 	"time"
 
 	"chalkrack/internal/admin"
+	"chalkrack/internal/components/changes"
 	"chalkrack/internal/rig"
-	"chalkrack/internal/rooms/changes"
 	"chalkrack/internal/standin"
 )
 
--- a/internal/rig/pools_test.go
+++ b/internal/rig/pools_test.go
@@ -15,8 +15,8 @@
 	"time"
 
 	"chalkrack/internal/admin"
+	"chalkrack/internal/components/pools"
 	"chalkrack/internal/rig"
-	"chalkrack/internal/rooms/pools"
 	"chalkrack/internal/standin"
 )
 
--- a/test.sh
+++ b/test.sh
@@ -39,10 +39,10 @@
 		go vet ./...
 		go run honnef.co/go/tools/cmd/staticcheck@v0.7.0 ./...
 		# What fleets and councils of processes hold is held in real time: they go last, and alone.
-		go test -race -count=1 -skip "$skip" $(go list ./... | grep -vE '/internal/(fleet|council)$')
+		go test -race -count=1 -skip "$skip" $(go list ./... | grep -vE '/internal/(fleet|consensus)$')
 	)
 done
-go test -race -count=1 -skip "$skip" -p 1 ./internal/council ./internal/fleet
+go test -race -count=1 -skip "$skip" -p 1 ./internal/consensus ./internal/fleet
 while read -r package name; do
 	if go test -race -count=1 -run "^$name\$" "$package" </dev/null; then
 		echo "known red, passed this time: $package $name"
