--- a/internal/racing/on.go
+++ b/internal/racing/on.go
@@ -2,5 +2,5 @@
 
 package racing
 
-// On reports whether the race detector is enabled.
-const On = true
+// Enabled reports whether the race detector is enabled.
+const Enabled = true
