--- a/internal/radius/client/client.go
+++ b/internal/radius/client/client.go
@@ -21,15 +21,15 @@
 	Secret         []byte
 	MaxPackets     int           // number of packets sent at most, 1 to 100
 	ResendInterval time.Duration // time to wait for the answer after each packet
-	// AllowUnsignedAnswers accepts answers to Access-Requests without Message-Authenticator, which can be
-	// forged (CVE-2024-3596).
+	// AllowUnsignedAnswers accepts answers to Access-Requests without Message-Authenticator, which
+	// can be forged (CVE-2024-3596).
 	AllowUnsignedAnswers bool
 }
 
-// Reply is an answer, with what the exchange took.
+// Reply is an answer, with the packets and the time that the exchange took.
 type Reply struct {
 	Packet      *radius.Packet
-	PacketsSent int           // packets sent
+	PacketsSent int
 	Dropped     int           // datagrams received that were not a valid answer
 	Elapsed     time.Duration // from the first packet to the answer
 }
@@ -41,17 +41,17 @@
 	ErrPortRefused = errors.New("connection refused: nothing listens on the port")
 )
 
-// maxTries bounds the packets of one request.
-const maxTries = 100
+// maxPacketsLimit is the highest valid MaxPackets.
+const maxPacketsLimit = 100
 
 // Ask signs the request, sends it until a valid answer comes, and returns the answer. It blocks
 // until then, until ctx is done, or until all packets were sent and the wait after the last one is
 // over. It first sets the authenticator of an Access-Request or Status-Server to random bytes if it
-// is zero. The error ErrNoAnswer comes with the number of datagrams dropped: with a wrong secret,
-// all answers are.
+// is zero. The text of ErrNoAnswer contains the number of datagrams that were dropped as invalid:
+// with a wrong secret, all answers are.
 func Ask(ctx context.Context, cfg Config, request *radius.Packet) (reply Reply, err error) {
-	if cfg.MaxPackets < 1 || cfg.MaxPackets > maxTries || cfg.ResendInterval <= 0 {
-		return reply, fmt.Errorf("radius: tries must be 1 to %d, and the wait above 0", maxTries)
+	if cfg.MaxPackets < 1 || cfg.MaxPackets > maxPacketsLimit || cfg.ResendInterval <= 0 {
+		return reply, fmt.Errorf("radius: MaxPackets must be 1 to %d, and ResendInterval above 0", maxPacketsLimit)
 	}
 	if request.Code != radius.AccountingRequest && request.Authenticator == (radius.Authenticator{}) {
 		rand.Read(request.Authenticator[:])
--- a/internal/radius/conversation/conversation.go
+++ b/internal/radius/conversation/conversation.go
@@ -40,8 +40,8 @@
 	return &Table{cfg: cfg, byKey: make(map[key]*list.Element), byExpiry: list.New()}
 }
 
-// Bind records that the server sent the State to the client, evicts what has expired and, above
-// the bound, the oldest entries.
+// Bind records that the server sent the State to the client. It evicts expired entries and, above
+// the bound, the oldest ones.
 func (t *Table) Bind(now time.Duration, client netip.Addr, state []byte, server string) {
 	k := key{client, string(state)}
 	if e := t.byKey[k]; e != nil {
--- a/internal/radius/conversation/conversation_test.go
+++ b/internal/radius/conversation/conversation_test.go
@@ -15,7 +15,7 @@
 	table.Bind(0, a, []byte("x"), "s1")
 	table.Bind(1, b, []byte("x"), "s2")
 	if table.ServerFor(2, a, []byte("x")) != "s1" || table.ServerFor(2, b, []byte("x")) != "s2" || table.ServerFor(2, a, []byte("y")) != "" {
-		t.Error("entries are not told apart by client and State")
+		t.Error("entries of another client or State were returned")
 	}
 	if table.ServerFor(10*time.Second, a, []byte("x")) != "" {
 		t.Error("an entry is found after its time")
--- a/internal/radius/crypto.go
+++ b/internal/radius/crypto.go
@@ -7,11 +7,11 @@
 	"errors"
 )
 
-// ErrBadHiddenValue reports a hidden value (password or salted value) whose length is impossible, or
-// which was hidden under another secret.
+// ErrBadHiddenValue reports a hidden value (password or salted value) that has an impossible length
+// or was hidden under another secret.
 var ErrBadHiddenValue = errors.New("radius: hidden value is malformed or hidden under another secret")
 
-// maxPasswordBytes is the longest User-Password (RFC 2865 section 5.2).
+// maxPasswordBytes is the length of the longest User-Password (RFC 2865 section 5.2).
 const maxPasswordBytes = 128
 
 func md5Digest(parts ...[]byte) Authenticator {
@@ -64,8 +64,8 @@
 }
 
 // RevealPassword returns the password that HidePassword hid. It keeps the zero bytes of the
-// padding: they can't be told from zeros at the end of the password, and the next hop pads in the
-// same way.
+// padding: they can't be distinguished from zeros at the end of the password, and the next hop pads
+// in the same way.
 func RevealPassword(hidden, secret []byte, authenticator Authenticator) ([]byte, error) {
 	if len(hidden) == 0 || len(hidden)%16 != 0 || len(hidden) > maxPasswordBytes {
 		return nil, ErrBadHiddenValue
--- a/internal/radius/ident/ident.go
+++ b/internal/radius/ident/ident.go
@@ -4,8 +4,8 @@
 //
 // An identifier that is released after its answer can be used again at once: duplicates of the
 // answer fail the check against the next request's authenticator. An identifier that is released
-// without an answer rests for as long as a late answer may come, so that no other request waits
-// under its number when it does.
+// without an answer rests for as long as a late answer may come, so that no other request has its
+// number when the answer comes.
 package ident
 
 import "time"
@@ -18,14 +18,14 @@
 	Number byte
 }
 
-// Pool allocates identifiers. It holds at most 256 for each socket: 16 bytes for one that is free,
-// 24 for one that rests. It is not safe for concurrent use.
+// Pool allocates identifiers. Its memory is at most 256 entries for each socket, with 16 bytes for
+// a free identifier and 24 for a resting one. It is not safe for concurrent use.
 type Pool struct {
 	maxSockets int
 	restTime   time.Duration // how long an identifier rests after a request without answer
 	free       []ID          // a queue: the identifier that has been free for longest is next
 	resting    []restingID   // in the order in which they become free
-	sockets    int           // in use so far
+	sockets    int           // that have identifiers in the Pool
 	inUse      int           // identifiers in use
 }
 
@@ -70,8 +70,8 @@
 	p.resting = append(p.resting, restingID{id, now + p.restTime})
 }
 
-// freeRested frees the identifiers whose rest is over. All rest for the same time, so that the
-// first one in the list is always the next to become free.
+// freeRested frees the identifiers whose rest is over. All rest equally long, so the first one in
+// the list is always the next to become free.
 func (p *Pool) freeRested(now time.Duration) {
 	n := 0
 	for n < len(p.resting) && p.resting[n].until <= now {
--- a/internal/radius/listener/listener.go
+++ b/internal/radius/listener/listener.go
@@ -34,15 +34,15 @@
 type Config struct {
 	Accounting bool // handles accounting, otherwise access
 	Clients    []Client
-	// HostForRealm returns the core for a realm, nil if there is none. The realm is what follows the last
-	// '@' of User-Name, empty if there is no '@'.
+	// HostForRealm returns the core for a realm, nil if there is none. The realm is the part of
+	// User-Name after the last '@', empty if there is no '@'.
 	HostForRealm  func(realm string) *core.Host
 	Class         string        // of all calls
 	AnswerTimeout time.Duration // how long a client waits for its answer
 	Replies       replies.Config
 	Conversations conversation.Config
-	// SilentOnGiveUp sends no answer to an Access-Request that no server answered. Otherwise it is
-	// rejected, with ErrorCause (RFC 5176 section 3.5) if that is above 0.
+	// SilentOnGiveUp leaves an Access-Request that no server answered without an answer. Otherwise
+	// the request is rejected, with ErrorCause (RFC 5176 section 3.5) if that is above 0.
 	SilentOnGiveUp bool
 	ErrorCause     uint32
 	Conn           Conn // to listen on; nil for a new UDP socket
@@ -67,12 +67,12 @@
 	Calls         int64 // new calls and retries
 	Joined        int64 // retransmissions of calls under way
 	Remembered    int64 // retransmissions that got the remembered answer
-	Retried       int64 // repeats of calls that were given up, which are counted as calls too
+	Retried       int64 // repeats of calls that were given up; also counted in Calls
 	TableFull     int64 // dropped: no room to remember the call, or draining
 	Answered      int64 // calls answered by servers
 	Rejected      int64 // access calls that no server answered, and that were rejected
 	GivenUp       int64 // calls that ended without any answer
-	Lost          int64 // of GivenUp: retries that ended at once, as the first call may have run and can't be resumed
+	Lost          int64 // part of GivenUp: retries ended at once, as their call may have run and can't be resumed
 	NoRealm       int64 // calls for a realm without a core
 }
 
@@ -153,8 +153,8 @@
 // Close closes the socket, which ends Serve. Calls under way get no answer any more.
 func (l *Listener) Close() { l.conn.Close() }
 
-// clientFor returns the client whose range contains the address, the narrowest if there are
-// several, nil if there is none.
+// clientFor returns the client whose range contains the address, the one with the narrowest range
+// if there are several, nil if there is none.
 func (l *Listener) clientFor(addr netip.Addr) *Client {
 	var best *Client
 	for n := range l.cfg.Clients {
@@ -237,10 +237,10 @@
 type exchange struct {
 	core.Call
 	listener    *Listener
-	request     *transport.Request // for a retry, that of the call which was given up
+	request     *transport.Request // a retry has the request of the call that was given up
 	entry       *replies.Call
-	firstPacket *radius.Packet // the packet whose key the entry has
-	firstHop    radius.Hop     // of that packet
+	firstPacket *radius.Packet // the entry has its key
+	firstHop    radius.Hop     // of firstPacket
 
 	// The last packet that the client sent for the call, its hop and its sender, guarded by the
 	// Listener's lock.
@@ -314,7 +314,7 @@
 	host.Arrive(&x.Call)
 }
 
-// realmOf returns what follows the last '@' of a user name, empty if there is no '@'.
+// realmOf returns the part of a user name after the last '@', empty if there is no '@'.
 func realmOf(name []byte) string {
 	for n := len(name) - 1; n >= 0; n-- {
 		if name[n] == '@' {
@@ -347,8 +347,8 @@
 	l.send(wire, from)
 }
 
-// Refuse implements core.Caller. RADIUS can't tell a client when to retry: clients do so by timers
-// of their own.
+// Refuse implements core.Caller. RADIUS has no field for the time until a retry: clients retry by
+// timers of their own.
 func (x *exchange) Refuse(_ time.Duration, unsent bool) {
 	server := ""
 	if !unsent {
@@ -360,10 +360,10 @@
 // Fail implements core.Caller.
 func (x *exchange) Fail() { x.giveUp(x.request.SentTo()) }
 
-// giveUp ends a call that no server answered. server is the one that may have run it, empty if none
-// did. Access is rejected at once, unless the Listener is silent. Accounting has no negative answer,
-// so that none is sent, and the client retries. If a server may have run the call, the retry goes
-// to that server only: it recognizes the event, which another server would count a second time.
+// giveUp ends a call that no server answered. server may have run it; empty if none can have.
+// Access is rejected at once, unless SilentOnGiveUp is set. Accounting has no negative answer, so
+// none is sent, and the client retries. If a server may have run the call, the retry goes to that
+// server only: it recognizes the event, which another server would count a second time.
 func (x *exchange) giveUp(server string) {
 	l := x.listener
 	l.mu.Lock()
--- a/internal/radius/listener/listener_test.go
+++ b/internal/radius/listener/listener_test.go
@@ -26,7 +26,7 @@
 	clientAddr   = netip.MustParseAddr("127.0.0.1")
 )
 
-// newListenerWithoutServers opens a Listener that has no servers, so that each call is given up.
+// newListenerWithoutServers opens a Listener that has no servers, so each call is given up.
 func newListenerWithoutServers(t testing.TB, accounting bool) *Listener {
 	l, err := Listen("127.0.0.1:0", Config{
 		Accounting:    accounting,
@@ -152,8 +152,8 @@
 	return id
 }
 
-// Whatever a file contains, the calls loaded from it must be counted right and stay within the
-// bounds, and it must be possible to save them again.
+// Load must return the right number of calls for any file, valid or not. The calls must stay within
+// the bounds, and it must be possible to save them again.
 func FuzzLoad(f *testing.F) {
 	f.Add(`{"Version":1,"Saved":"2026-01-01T00:00:00Z","Calls":[{"Client":"127.0.0.1","Code":4,"ID":1,"Authenticator":"AAAAAAAAAAAAAAAAAAAAAA==","Event":"AAAA","Answer":"AAAA","Until":"2026-01-01T00:00:30Z"}]}`)
 	f.Add(`{"Version":1,"Calls":[{"Client":"","MayHaveRun":"r1"}]}`)
--- a/internal/radius/listener/memory.go
+++ b/internal/radius/listener/memory.go
@@ -37,7 +37,7 @@
 var errBadSavedState = errors.New("radius: not a valid saved state of a listener")
 
 // Save writes the calls that have ended and are remembered. Calls under way are not included: the
-// caller should let them end first.
+// caller should wait for their end first.
 func (l *Listener) Save(w io.Writer) error {
 	l.mu.Lock()
 	now := time.Now()
@@ -57,8 +57,8 @@
 }
 
 // Load adds the calls that another Listener saved and that have not expired, and returns their
-// number. A call that was given up and may have run is lost: its packet and the socket that it was
-// sent from went with the other Listener's process.
+// number. A call that was given up and may have run is lost: its packet, and the socket that it was
+// sent from, ended with the other Listener's process.
 func (l *Listener) Load(r io.Reader) (int, error) {
 	var state savedState
 	if err := json.NewDecoder(r).Decode(&state); err != nil {
--- a/internal/radius/packet.go
+++ b/internal/radius/packet.go
@@ -57,7 +57,7 @@
 		return c == AccessAccept || c == AccessReject || c == AccessChallenge
 	case AccountingRequest:
 		return c == AccountingResponse
-	case StatusServer: // the port decides which of both (RFC 5997 section 3)
+	case StatusServer: // the answer depends on the port (RFC 5997 section 3)
 		return c == AccessAccept || c == AccountingResponse
 	}
 	return false
--- a/internal/radius/proxy/bench_test.go
+++ b/internal/radius/proxy/bench_test.go
@@ -13,9 +13,9 @@
 	lr "layeh.com/radius"
 )
 
-// plainRelay forwards datagrams with as little work as possible: one socket in each direction,
-// and the client address of each RADIUS identifier. Its cost is what the operating system takes
-// for an extra hop.
+// plainRelay forwards datagrams with as little work as possible: one socket in each direction, and
+// the client address of each RADIUS identifier. Its cost is that of an additional hop in the
+// operating system.
 type plainRelay struct {
 	clientConn, serverConn *net.UDPConn
 	wg                     sync.WaitGroup
@@ -74,9 +74,9 @@
 // socket and its own identifier.
 const concurrentTerminals = 16
 
-// BenchmarkAccessCalls measures access calls sent directly to a stand-in, through a plain relay
-// of datagrams, and through the proxy. The terminals and the stand-in run in the same process,
-// so the CPU time of a route is its difference from the direct one.
+// BenchmarkAccessCalls measures access calls sent directly to a stand-in, through a plain relay of
+// datagrams, and through the proxy. The terminals and the stand-in run in the same process, so the
+// CPU time of the relay or the proxy is the difference from the direct route.
 func BenchmarkAccessCalls(b *testing.B) {
 	fixture := startProxy(b, 1, func(s *features.Radius) { s.RememberTTL = millis(1000) })
 	for _, route := range []struct{ name, addr, secret string }{
--- a/internal/radius/proxy/health.go
+++ b/internal/radius/proxy/health.go
@@ -13,7 +13,7 @@
 type serverState struct {
 	consecutiveMisses int
 	down              bool
-	upSince           time.Duration // when it last came back after being down; 0 if it never was down
+	upSince           time.Duration // when it last came back after being down; 0 if it has not
 }
 
 func newHealth(maxMisses int) *health {
--- a/internal/radius/proxy/hostile_test.go
+++ b/internal/radius/proxy/hostile_test.go
@@ -34,7 +34,7 @@
 		defer conn.Close()
 		hostileConns = append(hostileConns, conn)
 	}
-	clientWithSecret := fixture.newClient(false) // signs valid packets, to flood the proxy
+	clientWithSecret := fixture.newClient(false) // its packets are valid
 	clientWithWrongSecret := standin.NewRadiusClient(fixture.proxy.Addr(false).String(), "guessed", "")
 	replayed := clientWithSecret.Encode(accessRequest("replayed"), 1, [16]byte{1}, 0)
 	go func() {
@@ -51,8 +51,8 @@
 			switch n % 6 {
 			case 0:
 				payload = make([]byte, rng.IntN(5000))
-				for k := range payload {
-					payload[k] = byte(rng.Uint32())
+				for index := range payload {
+					payload[index] = byte(rng.Uint32())
 				}
 			case 1:
 				payload = clientWithWrongSecret.Encode(accessRequest("forged"), byte(n), authenticator, 0)
@@ -113,8 +113,8 @@
 	if c := fixture.ledger.Count("replayed"); c.Attempts > 3 {
 		t.Errorf("the replayed packet was sent in more than 3 attempts: %+v", c)
 	}
-	if bad, unsigned, _ := fixture.servers[0].PacketCounts(); bad+unsigned > 0 {
-		t.Errorf("a server received %d invalid and %d unsigned packets, want none", bad, unsigned)
+	if unverified, unsigned, _ := fixture.servers[0].PacketCounts(); unverified+unsigned > 0 {
+		t.Errorf("a server received %d invalid and %d unsigned packets, want none", unverified, unsigned)
 	}
 	if heapGrowth := int64(heapBytes()) - int64(heapBefore); heapGrowth > 32<<20 {
 		t.Errorf("the heap has grown by %d bytes, including the stand-ins, want at most 32 MiB", heapGrowth)
--- a/internal/radius/proxy/many_test.go
+++ b/internal/radius/proxy/many_test.go
@@ -85,9 +85,9 @@
 							proxy.services[1].pools[""].host.ApplyList(drainingList("r3"))
 						}
 						if n%2 == 0 {
-							ask := accessRequest(fmt.Sprint("u", n))
-							ask.MaxPackets, ask.ResendInterval = 80, 80*time.Millisecond
-							reply := clients[false].Do(ask)
+							request := accessRequest(fmt.Sprint("u", n))
+							request.MaxPackets, request.ResendInterval = 80, 80*time.Millisecond
+							reply := clients[false].Do(request)
 							mu.Lock()
 							switch reply.Code {
 							case lr.CodeAccessAccept:
@@ -100,11 +100,11 @@
 							mu.Unlock()
 							continue
 						}
-						ask := eventRequest(fmt.Sprint("s", n), uint32(1+n/2%3))
-						ask.MaxPackets, ask.ResendInterval, ask.NewID = 80, 80*time.Millisecond, n%4 == 1
-						reply := clients[true].Do(ask)
+						request := eventRequest(fmt.Sprint("s", n), uint32(1+n/2%3))
+						request.MaxPackets, request.ResendInterval, request.NewID = 80, 80*time.Millisecond, n%4 == 1
+						reply := clients[true].Do(request)
 						mu.Lock()
-						eventAnswered[eventName(ask.Session, ask.Status)] = reply.Code == lr.CodeAccountingResponse
+						eventAnswered[eventName(request.Session, request.Status)] = reply.Code == lr.CodeAccountingResponse
 						mu.Unlock()
 					}
 				})
--- a/internal/radius/proxy/memory.go
+++ b/internal/radius/proxy/memory.go
@@ -13,8 +13,8 @@
 	"chalkrack/internal/radius/listener"
 )
 
-// fileBytesPerMemoryByte limits how much of the file is read, as a multiple of the limit on
-// the remembered answers in memory. The file is text and so larger than what it describes.
+// fileBytesPerMemoryByte limits how much of the file is read, as a multiple of the limit on the
+// remembered answers in memory. The file is text, which takes more bytes than the entries.
 const fileBytesPerMemoryByte = 4
 
 // loadRemembered reads the remembered answers that saveRemembered wrote before the last
--- a/internal/radius/proxy/proxy.go
+++ b/internal/radius/proxy/proxy.go
@@ -55,9 +55,9 @@
 	name       string
 	accounting bool
 	listener   *listener.Listener
-	pools      map[string]*realmPool // by realm in lower case; "": realms that no server names
+	pools      map[string]*realmPool // by realm in lower case; "" for realms that no server names
 	class      features.RadiusClass
-	watcher    *discovery.Watcher // nil: a fixed list of servers
+	watcher    *discovery.Watcher // nil for a fixed list of servers
 }
 
 // realmPool holds the servers of a realm and the core host that chooses among them.
@@ -74,7 +74,7 @@
 }
 
 // New opens the listeners and starts to serve, to watch discovery and to probe servers. If it
-// returns an error, everything that it had opened is closed.
+// returns an error, it has closed all that it opened.
 func New(cfg Config) (*Proxy, error) {
 	p := &Proxy{cfg: cfg, stop: make(chan struct{})}
 	section := &cfg.Radius
@@ -236,10 +236,10 @@
 	return &realmPool{host: host, transport: callTransport, probes: transport.New(transportConfig), health: newHealth(p.cfg.Radius.MaxProbeMisses)}, nil
 }
 
-// applyServers gives the core host the fixed list of servers. Servers that are down by their
-// probes are marked as draining; servers that came back have the time of their return as their
-// start. probeStart is when probing started, as the time since the Unix epoch. The caller holds
-// p.mu or is the only user of p.
+// applyServers gives the core host the fixed list of servers. Servers that are down by their probes
+// are marked as draining; servers that came back have the time of their return as their start.
+// probeStart is the time at which probing started, since the Unix epoch. The caller holds p.mu or
+// is the only user of p.
 func (p *realmPool) applyServers(probeStart time.Duration) {
 	list := &membership.List{Complete: true, Entries: slices.Clone(p.servers)}
 	for n := range list.Entries {
@@ -302,7 +302,7 @@
 
 // Done implements core.Sink.
 func (s *probeSink) Done(outcome chalkrack.Outcome, _ any, _ chalkrack.LoadReport) {
-	if outcome != chalkrack.NotSent { // a probe that was not sent tells nothing about the server
+	if outcome != chalkrack.NotSent { // a probe that was not sent says nothing about the server
 		s.onResult(outcome == chalkrack.OK)
 	}
 }
--- a/internal/radius/proxy/proxy_test.go
+++ b/internal/radius/proxy/proxy_test.go
@@ -126,8 +126,8 @@
 	}
 }
 
-// A call through the proxy: the server receives the decrypted password, and the terminal a valid
-// answer with only its own Proxy-State.
+// In a call through the proxy, the server must be able to read the password, and the terminal must
+// get a valid answer with only its own Proxy-State.
 func TestAccessAndAccounting(t *testing.T) {
 	defer goleak.VerifyNone(t, goleak.IgnoreCurrent())
 	t.Run("calls", func(t *testing.T) {
@@ -163,21 +163,21 @@
 	})
 }
 
-// A terminal's retransmission joins the open call, whatever port it comes from, and gets the
-// remembered answer afterwards. Otherwise the servers would receive several calls.
+// A terminal's retransmission joins the open call, even from another port, and gets the remembered
+// answer afterwards. Otherwise the servers would receive several calls.
 func TestRetransmissionJoinsCall(t *testing.T) {
 	fixture := startProxy(t, 3, nil)
 	fixture.setScripts(func(standin.RadiusRequest) standin.RadiusAction {
 		return standin.RadiusAction{Delay: 120 * time.Millisecond}
 	})
-	for n, change := range []func(*standin.RadiusClientRequest){func(*standin.RadiusClientRequest) {}, func(ask *standin.RadiusClientRequest) { ask.NewPort = true }} {
-		ask := accessRequest(fmt.Sprint("u", n))
-		ask.MaxPackets, ask.ResendInterval = 100, 20*time.Millisecond
-		change(&ask)
-		if reply := fixture.newClient(false).Do(ask); reply.Code != lr.CodeAccessAccept || reply.PacketsSent < 2 {
+	for n, change := range []func(*standin.RadiusClientRequest){func(*standin.RadiusClientRequest) {}, func(request *standin.RadiusClientRequest) { request.NewPort = true }} {
+		request := accessRequest(fmt.Sprint("u", n))
+		request.MaxPackets, request.ResendInterval = 100, 20*time.Millisecond
+		change(&request)
+		if reply := fixture.newClient(false).Do(request); reply.Code != lr.CodeAccessAccept || reply.PacketsSent < 2 {
 			t.Errorf("unexpected reply: %+v", reply)
 		}
-		if c := fixture.ledger.Count(ask.User); c.Attempts != 1 {
+		if c := fixture.ledger.Count(request.User); c.Attempts != 1 {
 			t.Errorf("unexpected ledger entry: %+v", c)
 		}
 	}
@@ -209,20 +209,20 @@
 		<-hold
 		return standin.RadiusAction{}
 	})
-	packets := func(client *standin.RadiusClient, ask standin.RadiusClientRequest, id byte) (first, second []byte) {
-		first = client.Encode(ask, 1, [16]byte{1}, 0)
+	packets := func(client *standin.RadiusClient, request standin.RadiusClientRequest, id byte) (first, second []byte) {
+		first = client.Encode(request, 1, [16]byte{1}, 0)
 		if id == 1 {
 			return first, first
 		}
-		return first, client.Encode(ask, id, [16]byte{1}, 3*time.Second)
+		return first, client.Encode(request, id, [16]byte{1}, 3*time.Second)
 	}
 	for name, test := range map[string]struct {
 		accounting bool
-		ask        standin.RadiusClientRequest
+		request    standin.RadiusClientRequest
 		id         byte
 	}{"port": {false, accessRequest("u"), 1}, "event": {true, eventRequest("s1", 1), 2}} {
 		client := fixture.newClient(test.accounting)
-		first, second := packets(client, test.ask, test.id)
+		first, second := packets(client, test.request, test.id)
 		client.Send(first)
 		waitUntil(t, "taken", func() bool { l, _ := fixture.proxy.Counts(test.accounting); return l.Calls == 1 })
 		got := make(chan standin.RadiusReply)
@@ -277,9 +277,9 @@
 		}
 		return standin.RadiusAction{Delay: 30 * time.Millisecond}
 	})
-	ask := accessRequest("u")
-	ask.MaxPackets, ask.ResendInterval = 1000, 10*time.Millisecond
-	if reply := fixture.newClient(false).Do(ask); reply.Code != lr.CodeAccessAccept {
+	request := accessRequest("u")
+	request.MaxPackets, request.ResendInterval = 1000, 10*time.Millisecond
+	if reply := fixture.newClient(false).Do(request); reply.Code != lr.CodeAccessAccept {
 		t.Errorf("unexpected reply: %+v", reply)
 	}
 	if c := fixture.ledger.Count("u"); c.Attempts != 3 {
@@ -297,18 +297,18 @@
 	fixture := startProxy(t, 3, func(s *features.Radius) {
 		s.Accounting.Deadline, s.Accounting.AttemptTimeout, s.Accounting.ResendDelay, s.Accounting.MaxResends = millis(1500), millis(1400), millis(40), 3
 	})
-	ask := eventRequest("s1", 1)
-	ask.MaxPackets, ask.ResendInterval, ask.NewID = 100, 20*time.Millisecond, true
+	request := eventRequest("s1", 1)
+	request.MaxPackets, request.ResendInterval, request.NewID = 100, 20*time.Millisecond, true
 	fixture.setScripts(func(standin.RadiusRequest) standin.RadiusAction {
 		return standin.RadiusAction{Delay: 100 * time.Millisecond}
 	})
-	if reply := fixture.newClient(true).Do(ask); reply.Code != lr.CodeAccountingResponse || reply.PacketsSent < 2 {
+	if reply := fixture.newClient(true).Do(request); reply.Code != lr.CodeAccountingResponse || reply.PacketsSent < 2 {
 		t.Errorf("unexpected reply: %+v", reply)
 	}
 	if c := fixture.ledger.Count(eventName("s1", 1)); c.Attempts != 1 || c.Effects != 1 {
 		t.Errorf("ledger entry after retransmission with new identifiers: %+v", c)
 	}
-	if reply := fixture.newClient(true).Do(ask); reply.Code != lr.CodeAccountingResponse || fixture.ledger.Count(eventName("s1", 1)).Effects != 1 {
+	if reply := fixture.newClient(true).Do(request); reply.Code != lr.CodeAccountingResponse || fixture.ledger.Count(eventName("s1", 1)).Effects != 1 {
 		t.Errorf("reply to a repeat after the answer: %+v, ledger entry %+v", reply, fixture.ledger.Count(eventName("s1", 1)))
 	}
 	for n := range 3 {
@@ -368,23 +368,23 @@
 		if first.Code != lr.CodeAccessChallenge {
 			t.Fatalf("unexpected reply: %+v", first)
 		}
-		ask := accessRequest(user)
-		ask.State = rfc2865.State_Get(first.Packet)
-		second := fixture.newClient(false).Do(ask)
-		if want := "welcome from " + strings.Fields(string(ask.State))[2]; second.Code != lr.CodeAccessAccept || rfc2865.ReplyMessage_GetString(second.Packet) != want {
+		request := accessRequest(user)
+		request.State = rfc2865.State_Get(first.Packet)
+		second := fixture.newClient(false).Do(request)
+		if want := "welcome from " + strings.Fields(string(request.State))[2]; second.Code != lr.CodeAccessAccept || rfc2865.ReplyMessage_GetString(second.Packet) != want {
 			t.Errorf("unexpected reply: %v, want %s", second, want)
 		}
 	}
 	first := fixture.newClient(false).Do(accessRequest("left"))
-	ask := accessRequest("left")
-	ask.State = rfc2865.State_Get(first.Packet)
+	request := accessRequest("left")
+	request.State = rfc2865.State_Get(first.Packet)
 	for _, s := range fixture.servers {
-		if strings.Contains(string(ask.State), s.Name) {
+		if strings.Contains(string(request.State), s.Name) {
 			s.Kill()
 		}
 	}
 	startTime := time.Now()
-	second := fixture.newClient(false).Do(ask)
+	second := fixture.newClient(false).Do(request)
 	if second.Code != lr.CodeAccessReject || time.Since(startTime) > 5*time.Second || rfc3576.ErrorCause_Get(second.Packet) != 502 {
 		t.Errorf("unexpected reply: %+v after %v", second, time.Since(startTime))
 	}
@@ -399,7 +399,7 @@
 func TestFailingServer(t *testing.T) {
 	for _, test := range []struct {
 		name       string
-		do         func(*standin.RadiusServer)
+		fail       func(*standin.RadiusServer)
 		accounting bool
 		answered   bool
 		attempts   int
@@ -417,15 +417,15 @@
 			fixture := startProxy(t, 2, func(s *features.Radius) {
 				s.Accounting.Deadline, s.Accounting.AttemptTimeout, s.Accounting.MaxResends = millis(600), millis(500), 2
 			})
-			test.do(fixture.servers[0])
+			test.fail(fixture.servers[0])
 			for n := range 50 {
 				name := fmt.Sprint("c", n)
 				var reply standin.RadiusReply
 				_, before := fixture.proxy.Counts(test.accounting)
 				if test.accounting {
-					ask := eventRequest(name, 1)
-					ask.ResendInterval = 1500 * time.Millisecond
-					reply = fixture.newClient(true).Do(ask)
+					request := eventRequest(name, 1)
+					request.ResendInterval = 1500 * time.Millisecond
+					reply = fixture.newClient(true).Do(request)
 					name = eventName(name, 1)
 				} else {
 					reply = fixture.newClient(false).Do(accessRequest(name))
@@ -485,8 +485,8 @@
 		}
 		return standin.RadiusAction{Delay: 400 * time.Millisecond, Kind: standin.RadiusReject}
 	})
-	ask := accessRequest("u")
-	reply := fixture.newClient(false).Do(ask)
+	request := accessRequest("u")
+	reply := fixture.newClient(false).Do(request)
 	if reply.Code != lr.CodeAccessReject {
 		t.Errorf("unexpected reply: %+v", reply)
 	}
@@ -510,8 +510,8 @@
 	unsigned := withShortTimeout(accessRequest("bare"))
 	unsigned.Unsigned = true
 	for name, test := range map[string]struct {
-		client *standin.RadiusClient
-		ask    standin.RadiusClientRequest
+		client  *standin.RadiusClient
+		request standin.RadiusClientRequest
 	}{
 		"unknown":            {standin.NewRadiusClient(addr, clientSecret, "127.7.0.1"), withShortTimeout(accessRequest("x"))},
 		"wrong secret":       {standin.NewRadiusClient(addr, "guess", "127.0.0.1"), withShortTimeout(accessRequest("x"))},
@@ -519,7 +519,7 @@
 		"unsigned":           {standin.NewRadiusClient(addr, clientSecret, "127.0.0.1"), unsigned},
 		"accounting":         {standin.NewRadiusClient(addr, clientSecret, "127.0.0.1"), withShortTimeout(eventRequest("x", 1))},
 	} {
-		if reply := test.client.Do(test.ask); reply.Code != 0 {
+		if reply := test.client.Do(test.request); reply.Code != 0 {
 			t.Errorf("%s: unexpected reply: %+v", name, reply)
 		}
 	}
@@ -552,8 +552,8 @@
 	}
 }
 
-// Requests with the same identifier from terminals behind one address are separate calls, told apart
-// by their authenticators.
+// Requests with the same identifier from terminals behind one address are separate calls: their
+// authenticators differ.
 func TestSameIdentifierFromSeveralTerminals(t *testing.T) {
 	fixture := startProxy(t, 2, nil)
 	fixture.setScripts(func(standin.RadiusRequest) standin.RadiusAction {
@@ -593,9 +593,9 @@
 	}
 	waitUntil(t, "no call of the flood was dropped", func() bool { l, _ := fixture.proxy.Counts(false); return l.TableFull > 0 })
 	for n := range 20 {
-		ask := accessRequest(fmt.Sprint("quiet", n))
-		ask.MaxPackets, ask.ResendInterval = 100, 200*time.Millisecond
-		if reply := fixture.newClient(false).Do(ask); reply.Code != lr.CodeAccessAccept {
+		request := accessRequest(fmt.Sprint("quiet", n))
+		request.MaxPackets, request.ResendInterval = 100, 200*time.Millisecond
+		if reply := fixture.newClient(false).Do(request); reply.Code != lr.CodeAccessAccept {
 			t.Errorf("unexpected reply: %+v", reply)
 		}
 	}
@@ -658,8 +658,8 @@
 	}
 }
 
-// A socket has 256 identifiers. More concurrent calls use more sockets up to the limit; calls beyond
-// that are rejected at once rather than left without an answer.
+// A socket has 256 identifiers. More concurrent calls use more sockets, up to the limit; further
+// calls are rejected at once rather than left without an answer.
 func TestMoreCallsThanIdentifiers(t *testing.T) {
 	fixture := startProxy(t, 1, func(s *features.Radius) {
 		s.MaxSocketsPerServer, s.MaxCallsPerClient, s.MaxAttempts = 2, 1000, 1
@@ -673,9 +673,9 @@
 	codes := make(map[lr.Code]int)
 	for n := range 600 {
 		wg.Go(func() {
-			ask := accessRequest(fmt.Sprint("u", n))
-			ask.MaxPackets, ask.ResendInterval = 40, 200*time.Millisecond
-			reply := fixture.newClient(false).Do(ask)
+			request := accessRequest(fmt.Sprint("u", n))
+			request.MaxPackets, request.ResendInterval = 40, 200*time.Millisecond
+			reply := fixture.newClient(false).Do(request)
 			mu.Lock()
 			codes[reply.Code]++
 			mu.Unlock()
--- a/internal/radius/proxy/virtual_test.go
+++ b/internal/radius/proxy/virtual_test.go
@@ -77,8 +77,8 @@
 type virtualSocket struct {
 	network   *virtualNetwork
 	addr      netip.AddrPort
-	peer      netip.AddrPort                      // the address that Write sends to; if valid, the only one received from
-	receive   func(from netip.AddrPort, b []byte) // if set, is called instead of filling incoming
+	peer      netip.AddrPort                      // Write sends to it; if valid, datagrams from others are dropped
+	receive   func(from netip.AddrPort, b []byte) // if set, gets the datagrams instead of incoming
 	incoming  chan datagram
 	closed    chan struct{}
 	closeOnce sync.Once
@@ -90,7 +90,7 @@
 // datagram is a received datagram or the notice that one was refused.
 type datagram struct {
 	from    netip.AddrPort
-	payload []byte // nil: a refusal
+	payload []byte // nil for a refusal
 }
 
 func (v *virtualNetwork) openSocket(peer netip.AddrPort, receive func(netip.AddrPort, []byte)) *virtualSocket {
@@ -151,7 +151,7 @@
 	return nil
 }
 
-// reportRefusal queues the notice that the port which payload was sent to refused it.
+// reportRefusal queues the notice that the receiver's port refused payload.
 func (s *virtualSocket) reportRefusal(payload []byte) {
 	s.mu.Lock()
 	s.refused = append(s.refused, payload)
@@ -173,8 +173,8 @@
 	}
 }
 
-// receivedCounts counts what all servers of a run received for one call or event: datagrams,
-// datagrams that are no duplicates, and executions.
+// receivedCounts counts, over all servers of a run, the datagrams of one call or event (packets),
+// those that are no duplicates (attempts) and the executions (effects).
 type receivedCounts struct{ packets, attempts, effects int }
 
 // virtualServer counts requests as the RADIUS stand-in does and recognizes duplicates by address,
@@ -228,7 +228,7 @@
 
 // callResult is the result of one call at the terminal.
 type callResult struct {
-	code        radius.Code // of the answer; 0: none
+	code        radius.Code // of the answer; 0 if there was none
 	packetsSent int
 }
 
@@ -277,9 +277,9 @@
 	return result
 }
 
-// runVirtualCalls sends calls through the proxy while one server is frozen for a time, one is killed
-// and one is drained. It returns the results and the servers' ledger, both by call, and the proxy's
-// counts as text.
+// runVirtualCalls sends calls through the proxy while one server is frozen for a time, one is
+// killed and one is drained. It returns the results and the servers' ledger, both by call, and the
+// proxy's counts as text.
 func runVirtualCalls(t *testing.T, loss float64, calls, maxAttempts int) (results map[string]callResult, ledger map[string]receivedCounts, counts string) {
 	results, ledger = make(map[string]callResult), make(map[string]receivedCounts)
 	synctest.Test(t, func(t *testing.T) {
@@ -327,9 +327,9 @@
 				name = fmt.Sprint("s", n)
 			}
 			wg.Go(func() {
-				s := network.runTerminal(to, name, accounting)
+				result := network.runTerminal(to, name, accounting)
 				mu.Lock()
-				results[name] = s
+				results[name] = result
 				mu.Unlock()
 			})
 			time.Sleep(2*time.Millisecond + time.Duration(n%97)*time.Nanosecond)
--- a/internal/radius/radius_test.go
+++ b/internal/radius/radius_test.go
@@ -62,7 +62,7 @@
 	// pass the challenge on as an attribute (RFC 2865 section 5.3).
 	out, _, err := ForwardRequest(chap, Hop{secret, chap.Authenticator}, []byte("other"), 9, Authenticator{1}, []byte("p"))
 	if err != nil || !bytes.Equal(out.Get(CHAPChallenge), chap.Authenticator[:]) || !bytes.Equal(out.Get(CHAPPassword), chap.Get(CHAPPassword)) {
-		t.Errorf("challenge %x, %v", out.Get(CHAPChallenge), err)
+		t.Errorf("CHAP challenge %x, %v; want the client's authenticator and an unchanged CHAP-Password", out.Get(CHAPChallenge), err)
 	}
 }
 
@@ -97,14 +97,14 @@
 		"the longest":                 {header(4096, bytes.Repeat(append([]byte{1, 163}, make([]byte, 161)...), 25)...), ErrTruncated},
 	} {
 		if _, err := Parse(c.datagram); !errors.Is(err, c.want) {
-			t.Errorf("%s: %v, want %v", name, err, c.want)
+			t.Errorf("%s: error %v, want %v", name, err, c.want)
 		}
 	}
 	p := &Packet{Code: AccessRequest}
 	for p.Add(UserName, make([]byte, MaxValueBytes)) == nil {
 	}
 	if p.Size() > MaxPacketBytes || !errors.Is(p.Add(UserName, make([]byte, MaxValueBytes)), ErrPacketTooLong) || !errors.Is(p.Add(UserName, make([]byte, MaxValueBytes+1)), ErrBadAttribute) {
-		t.Errorf("a packet full of attributes has %d bytes, or it took more", p.Size())
+		t.Errorf("a packet full of attributes has %d bytes, or Add accepted another attribute", p.Size())
 	}
 	if _, err := Parse(p.Marshal()); err != nil {
 		t.Error(err)
@@ -170,7 +170,7 @@
 		t.Errorf("Status-Server without Message-Authenticator: %v, want ErrNoMessageAuthenticator", err)
 	}
 	if err := newRequest(t, AccountingRequest, secret, false).VerifyRequest(secret, true); err != nil {
-		t.Errorf("accounting without Message-Authenticator, which it need not have: %v", err)
+		t.Errorf("accounting without Message-Authenticator, which is optional there: %v", err)
 	}
 	if err := newRequest(t, AccountingRequest, secret, false).VerifyRequest([]byte("x"), true); !errors.Is(err, ErrBadAuthenticator) {
 		t.Errorf("accounting under another secret: %v, want an authenticator error", err)
@@ -252,13 +252,13 @@
 	request := newRequest(t, AccountingRequest, clientSecret, false)
 	forwarded, serverHop, err := ForwardRequest(request, Hop{clientSecret, request.Authenticator}, serverSecret, 3, Authenticator{1}, []byte("mine"))
 	if err != nil || forwarded.VerifyRequest(serverSecret, true) != nil || serverHop.Authenticator != forwarded.Authenticator {
-		t.Fatalf("%v, %+v", err, forwarded)
+		t.Fatalf("request forwarded to the server: %v, %+v", err, forwarded)
 	}
 	answer := NewAnswer(forwarded, AccountingResponse)
 	answer.SignAnswer(serverSecret, forwarded.Authenticator)
 	returned, err := ForwardAnswer(answer, request, serverHop, Hop{clientSecret, request.Authenticator}, []byte("mine"))
 	if err != nil || returned.VerifyAnswer(clientSecret, request.Authenticator, true) != nil {
-		t.Errorf("%v", err)
+		t.Errorf("answer forwarded to the client: error %v, or its signature is wrong", err)
 	}
 }
 
@@ -298,7 +298,7 @@
 			t.Fatal(err)
 		}
 		if got, err := RevealPassword(h, secret, authenticator); err != nil || !bytes.Equal(got[:len(text)], text) {
-			t.Fatalf("%x, %v", got, err)
+			t.Fatalf("revealed another password: %x, %v", got, err)
 		}
 		salt := Salt(rapid.SliceOfN(rapid.Byte(), 2, 2).Draw(t, "salt"))
 		s, err := HideSalted(text, secret, authenticator, salt)
@@ -306,7 +306,7 @@
 			t.Fatal(err)
 		}
 		if got, err := RevealSalted(s, secret, authenticator); err != nil || !bytes.Equal(got, text) {
-			t.Fatalf("%x, %v", got, err)
+			t.Fatalf("revealed another value: %x, %v", got, err)
 		}
 	})
 }
--- a/internal/radius/replies/replies.go
+++ b/internal/radius/replies/replies.go
@@ -1,4 +1,4 @@
-// Package replies tells retransmissions of RADIUS clients from new calls, and remembers the
+// Package replies distinguishes retransmissions of RADIUS clients from new calls, and remembers the
 // answers of calls for them (RFC 5080 section 2.2.2). It has no I/O and no clock: callers pass in
 // the time since a fixed start.
 //
@@ -29,7 +29,7 @@
 	Authenticator [16]byte
 }
 
-// Config bounds a Table. All must be above 0.
+// Config bounds a Table. All numbers must be above 0.
 type Config struct {
 	TTL               time.Duration // how long an entry is kept after the end of its call
 	MaxBytes          int           // bound of all entries
@@ -40,8 +40,8 @@
 	OnForget func(retryState any)
 }
 
-// entryOverheadBytes is the memory that an entry takes besides its answer and its event name:
-// itself, its places in two maps and two lists, and its client if no other entry has it.
+// entryOverheadBytes is the memory that an entry takes besides its answer and its event name: the
+// Call, its places in two maps and two lists, and its clientCalls if it is the client's only entry.
 const entryOverheadBytes = 640
 
 // Verdict says how a packet relates to the calls that a Table remembers.
@@ -155,8 +155,9 @@
 	return call, verdict
 }
 
-// End records the end of a call and its encoded answer, nil if it was given up without one. What
-// repeats a call without answer is a retry by the client. A second End of a call does nothing.
+// End records the end of a call and its encoded answer, nil if it was given up without one. A
+// packet that repeats a call without answer is a retry by the client. A second End of a call does
+// nothing.
 func (t *Table) End(now time.Duration, call *Call, answer []byte) {
 	if call.ended || call.removed {
 		return
@@ -175,8 +176,8 @@
 	}
 }
 
-// Drain makes Arrive return Full for new calls and retries from now on. What repeats a call under
-// way or an answered one is joined or answered as before.
+// Drain makes Arrive return Full for new calls and retries from now on. A packet that repeats a
+// call under way or an answered one gets Joined or Answered as before.
 func (t *Table) Drain() { t.draining = true }
 
 // Record describes a call that has ended, so that it can be handed over to another Table.
@@ -200,8 +201,8 @@
 }
 
 // Restore adds a call that another Table remembered, if the bounds of this one allow it. It ignores
-// a record whose key or event is already known, one that has expired, and one that would be kept
-// for longer than entries of this Table are.
+// a record whose key or event is already known, one that has expired, and one whose Remaining is
+// above the TTL of this Table.
 func (t *Table) Restore(now time.Duration, record Record) {
 	if record.Remaining <= 0 || record.Remaining > t.cfg.TTL || t.byKey[record.Key] != nil || record.Event != "" && t.byEvent[record.Event] != nil {
 		return
@@ -217,15 +218,15 @@
 // Expire removes the entries that have expired, as each Arrive does.
 func (t *Table) Expire(now time.Duration) { t.removeExpired(now) }
 
-// HasKey reports whether the call began with a packet of that key. If not, a packet was recognized
-// as part of the call by its event.
+// HasKey reports whether the call began with a packet of that key. A packet with another key
+// belongs to the call only if it reports the same event.
 func (c *Call) HasKey(key Key) bool { return c.key == key }
 
 // Answer returns the encoded answer of the call, nil if it has none.
 func (c *Call) Answer() []byte { return c.answer }
 
 // makeRoom evicts ended calls until size more bytes fit into the bounds of the client and of the
-// Table. It returns false if that is not possible; it may have evicted some by then.
+// Table. It returns false if that is not possible, perhaps after evicting some.
 func (t *Table) makeRoom(client *clientCalls, size int) bool {
 	for client.size+size > t.cfg.MaxBytesPerClient {
 		first := client.ended.Front()
--- a/internal/radius/replies/replies_test.go
+++ b/internal/radius/replies/replies_test.go
@@ -21,7 +21,7 @@
 func expectVerdict(t *testing.T, step string, got, want Verdict) {
 	t.Helper()
 	if got != want {
-		t.Errorf("%s: %d, want %d", step, got, want)
+		t.Errorf("%s: verdict %d, want %d", step, got, want)
 	}
 }
 
@@ -38,7 +38,7 @@
 	table.End(2*time.Second, call, []byte("answer"))
 	again, verdict = table.Arrive(11*time.Second, testKey(1, 1), "")
 	if expectVerdict(t, "after its answer", verdict, Answered); string(again.Answer()) != "answer" {
-		t.Errorf("remembered answer %q", again.Answer())
+		t.Errorf("remembered answer %q, want \"answer\"", again.Answer())
 	}
 	_, verdict = table.Arrive(12*time.Second, testKey(1, 1), "")
 	expectVerdict(t, "after the entry expired", verdict, New)
@@ -98,7 +98,7 @@
 	for n := range 500 { // calls that never end
 		_, verdict := table.Arrive(1, testKey(2, n), "")
 		if n < 20 != (verdict == New) {
-			t.Fatalf("call %d of the flood: %d", n, verdict)
+			t.Fatalf("call %d of the flood: verdict %d", n, verdict)
 		}
 	}
 	for n := range 500 { // calls that are answered at once
@@ -115,14 +115,14 @@
 		}
 	}
 	if table.Size() > config.MaxBytes {
-		t.Errorf("%d bytes, %d at most", table.Size(), config.MaxBytes)
+		t.Errorf("%d bytes counted, want at most %d", table.Size(), config.MaxBytes)
 	}
 	_, verdict = table.Arrive(5, testKey(5000, 1), "")
 	expectVerdict(t, "a new client's call", verdict, New)
 }
 
 // The RetryState of a call must be passed on to its retry, or reported to OnForget, and that only
-// once: it stands for resources that must be freed.
+// once: it holds resources that must be freed.
 func TestRetryStateIsPassedOnOrForgottenOnce(t *testing.T) {
 	config := testConfig()
 	var forgotten []any
@@ -133,12 +133,12 @@
 	table.End(0, call, nil)
 	retry, verdict := table.Arrive(1, testKey(1, 1), "e")
 	if expectVerdict(t, "its retry", verdict, Retried); retry.RetryState != "a" || len(forgotten) > 0 {
-		t.Errorf("%v, forgotten %v", retry.RetryState, forgotten)
+		t.Errorf("RetryState %v, forgotten %v; want a and none", retry.RetryState, forgotten)
 	}
 	table.End(2, retry, nil)
 	table.Expire(time.Minute)
 	if fmt.Sprint(forgotten) != "[a]" || table.Len() != 0 {
-		t.Errorf("forgotten %v", forgotten)
+		t.Errorf("forgotten %v, want [a] and no entry left", forgotten)
 	}
 	// There is no room for the retry: its state must be reported, as no entry has it any more.
 	config.MaxCallsPerClient = 1
@@ -195,7 +195,7 @@
 	for n := range 5 {
 		call, verdict := table.Arrive(0, testKey(1, n), "")
 		if n < 3 != (verdict == New) {
-			t.Errorf("call %d: %d", n, verdict)
+			t.Errorf("call %d: verdict %d", n, verdict)
 		}
 		if call != nil {
 			last = call
@@ -264,8 +264,8 @@
 	})
 }
 
-// Size must be close to the memory in use: entries may take at most half as much again as is
-// counted, or the bounds in bytes would not limit the memory.
+// Size must be close to the memory in use: entries may take at most 1.5 times the counted bytes, or
+// the bounds in bytes would not limit the memory.
 func TestSizeIsCloseToUsedMemory(t *testing.T) {
 	heap := func() int {
 		runtime.GC()
@@ -283,7 +283,7 @@
 	used := heap() - before
 	t.Logf("%d remembered answers: %d KB used, %d KB counted", many, used>>10, table.Size()>>10)
 	if used > table.Size()*3/2 {
-		t.Errorf("%d bytes used, %d counted", used, table.Size())
+		t.Errorf("%d bytes used for %d counted, want at most 1.5 times as many", used, table.Size())
 	}
 	runtime.KeepAlive(table)
 }
--- a/internal/radius/rfc2869_test.go
+++ b/internal/radius/rfc2869_test.go
@@ -19,8 +19,7 @@
 	return b
 }
 
-// encodeAttribute encodes an attribute as RFC 2869 draws it: type, length of the whole attribute,
-// value.
+// encodeAttribute encodes an attribute as in RFC 2869: type, length of the whole attribute, value.
 func encodeAttribute(t byte, value ...byte) []byte {
 	return append([]byte{t, byte(2 + len(value))}, value...)
 }
@@ -45,8 +44,8 @@
 }
 
 // RFC 2869 contains no example packets. This test builds the packets of the exchange in its section
-// 2.3.1 (EAP with a one-time password), with attributes as section 5 draws them, and passes them
-// through a proxy. It compares every byte that the server and the client get.
+// 2.3.1 (EAP with a one-time password), with attributes as in section 5, and passes them through a
+// proxy. It compares every byte that the server and the client get.
 func TestForwardRFC2869EAPExchange(t *testing.T) {
 	const clientSecret, serverSecret = "of the terminals", "of the servers"
 	state := []byte("01234567")
--- a/internal/radius/transport/socket.go
+++ b/internal/radius/transport/socket.go
@@ -16,9 +16,9 @@
 	Read([]byte) (int, error) // returns net.ErrClosed after Close
 	Write([]byte) (int, error)
 	Close() error
-	// Refused calls its argument with the first bytes of each sent packet that the server's port
-	// refused, as far as the system has reported it since the last call. It must not block. The
-	// transport calls it after each Read.
+	// Refused calls its argument with the first bytes of each sent packet whose refusal by the
+	// server's port the system has reported since the last call. It must not block. The transport
+	// calls it after each Read.
 	Refused(func(packet []byte))
 }
 
@@ -45,9 +45,9 @@
 	return sock, nil
 }
 
-// write sends a packet, in up to four tries. The system may report the refusal of an earlier packet in place of sending
-// this one, so that it is tried again then. A packet that can't be sent is treated like one that
-// was lost on the way.
+// write sends a packet, in up to four tries: the system may report the refusal of an earlier packet
+// instead of sending this one. A packet that can't be sent is treated like one that was lost on the
+// way.
 func (s *socket) write(wire []byte) {
 	for range 4 {
 		_, err := s.conn.Write(wire)
@@ -77,7 +77,7 @@
 // same identifier.
 func (s *socket) handleRefusal(packet []byte) {
 	if len(packet) < 20 {
-		return // without the whole header the attempt can't be told
+		return // the attempt can't be identified without the whole header
 	}
 	s.transport.mu.Lock()
 	s.transport.counts.Refusals++
@@ -89,8 +89,8 @@
 	}
 }
 
-// handleDatagram drops a datagram that is not a verified answer to a waiting attempt, and passes
-// on any other. An answer for a parked attempt is kept for the retry of its call.
+// handleDatagram reports a verified answer to the attempt that waits for it, and keeps one for a
+// parked attempt for the retry of its call. It drops all other datagrams.
 func (s *socket) handleDatagram(datagram []byte) {
 	t := s.transport
 	p, err := radius.Parse(datagram)
--- a/internal/radius/transport/transport.go
+++ b/internal/radius/transport/transport.go
@@ -37,14 +37,14 @@
 	AttemptTimeout      time.Duration              // how long an attempt waits for its answer
 	ResendDelay         time.Duration              // wait before a packet is sent again, doubled up to three times
 	MaxResends          int                        // how often a packet is sent again at most
-	// AllowUnsignedAnswers accepts answers to access without Message-Authenticator. An attacker on the network
-	// path can forge them (CVE-2024-3596).
+	// AllowUnsignedAnswers accepts answers to access without Message-Authenticator. An attacker on
+	// the network path can forge them (CVE-2024-3596).
 	AllowUnsignedAnswers bool
-	Grace                time.Duration                      // after a server has left, it gets packets for this long
+	Grace                time.Duration                      // how long a retired server still gets packets
 	Dial                 func(netip.AddrPort) (Conn, error) // opens a Conn to a server; Dial (UDP) if nil
 }
 
-// Request is the payload of a call: the client's request, and the hop that it came by.
+// Request is the payload of a call: the client's request, and the hop between client and proxy.
 type Request struct {
 	Packet    *radius.Packet
 	ClientHop radius.Hop
@@ -54,10 +54,10 @@
 	Resumable bool
 
 	mu         sync.Mutex // guards the next three fields
-	transport  *Transport // that makes attempts for it; nil before the first attempt
-	sentTo     string     // the server that last got a packet of it and may have run it
-	lost       bool       // it may have run, and no attempt is kept that could be resumed
-	parked     *attempt   // given up, kept for a retry; guarded by the Transport's lock
+	transport  *Transport // of its attempts; nil before the first one
+	sentTo     string     // see SentTo
+	lost       bool       // see IsLost
+	parked     *attempt   // attempt kept for a retry; guarded by the Transport's lock
 	lateAnswer *Answer    // answer to the parked attempt; guarded by the Transport's lock
 }
 
@@ -125,7 +125,7 @@
 	Sent, Resent int64
 	Answers      int64 // verified answers
 	Unverified   int64 // dropped: authenticator or Message-Authenticator wrong or missing
-	Unsolicited  int64 // dropped: no attempt waits for it
+	Unsolicited  int64 // dropped: no attempt waits for such an answer
 	Refusals     int64 // packets refused by a server's port
 	NoIdentifier int64 // attempts not sent because all identifiers were in use or resting
 	Malformed    int64 // dropped: not a RADIUS packet, or an answer that can't be translated
@@ -137,7 +137,7 @@
 
 	mu          sync.Mutex
 	servers     map[string]*server
-	removed     map[*server]bool // removed, while attempts wait on their sockets
+	removed     map[*server]bool // removed servers on whose sockets attempts still wait
 	counts      Counts
 	parkedCount int // attempts kept for calls that the client may retry
 	start       time.Time
@@ -152,8 +152,8 @@
 	identifiers  *ident.Pool
 	sockets      []*socket // nil for one that could not be opened
 	waitingCount int       // attempts that hold an identifier
-	leftAt       time.Time // when it left; zero if it has not
-	removed      bool      // off the list or at another address now: its sockets close once no attempt waits
+	leftAt       time.Time // when it was retired or removed; zero if it was not
+	removed      bool      // not listed any more, or listed at another address
 }
 
 // New returns a Transport without servers.
@@ -235,9 +235,9 @@
 	if !s.removed || s.waitingCount > 0 {
 		return
 	}
-	for _, k := range s.sockets {
-		if k != nil {
-			k.conn.Close()
+	for _, sock := range s.sockets {
+		if sock != nil {
+			sock.conn.Close()
 		}
 	}
 	s.sockets = nil
@@ -255,37 +255,38 @@
 func (t *Transport) Close() {
 	t.mu.Lock()
 	t.closed = true
-	var all, parked []*attempt
+	var active, parked []*attempt
 	for s := range t.removed {
-		s.collect(&all, &parked)
+		s.collect(&active, &parked)
 	}
 	for _, s := range t.servers {
-		s.collect(&all, &parked)
+		s.collect(&active, &parked)
 	}
 	t.mu.Unlock()
 	for _, a := range parked {
 		a.request.Forget()
 	}
-	for _, a := range all {
+	for _, a := range active {
 		a.timeOut()
 	}
 	t.RetainServers(nil)
 	t.wg.Wait()
 }
 
-// collect adds the attempts that wait on a server to all, but those kept for a retry to parked.
-func (s *server) collect(all, parked *[]*attempt) {
-	for _, k := range s.sockets {
-		if k == nil {
+// collect appends the attempts that wait on a server to parked if they are kept for a retry, to
+// active otherwise.
+func (s *server) collect(active, parked *[]*attempt) {
+	for _, sock := range s.sockets {
+		if sock == nil {
 			continue
 		}
-		for _, a := range k.waiting {
+		for _, a := range sock.waiting {
 			switch {
 			case a == nil:
 			case a.request.parked == a:
 				*parked = append(*parked, a)
 			default:
-				*all = append(*all, a)
+				*active = append(*active, a)
 			}
 		}
 	}
@@ -314,12 +315,12 @@
 	wire           []byte     // the encoded packet
 	hop            radius.Hop // between proxy and server
 	proxyState     []byte     // the Proxy-State that the packet carries
-	packetsSent    int        // packets sent
-	packetsRefused int        // of them, packets that the port refused
-	resendUnsafe   bool       // the port was refused after a packet that the server may have read
-	resends        int        // times that a resend was due
+	packetsSent    int
+	packetsRefused int  // part of packetsSent that the server's port refused
+	resendUnsafe   bool // the port was refused after a packet that the server may have read
+	resends        int  // how often a resend was due, also if it was left out
 	startedAt      time.Time
-	timeoutAt      time.Time // when it times out
+	timeoutAt      time.Time
 	timer          *time.Timer
 	ended          bool // abandoned, or its outcome was reported
 	answered       bool
@@ -370,7 +371,7 @@
 		if err != nil {
 			slog.Warn("radius: can't open a socket to the server", "server", s.name, "err", err)
 		}
-		s.sockets = append(s.sockets, sock) // nil after an error: tried again below, and by later attempts
+		s.sockets = append(s.sockets, sock) // nil after an error: opened again below, or by a later attempt
 	}
 	sock := s.sockets[id.Socket]
 	if sock == nil {
@@ -518,8 +519,8 @@
 	a.release(answered)
 }
 
-// maxParked bounds the attempts that are kept for calls that clients may retry. Requests that are
-// given up beyond it are lost.
+// maxParked is how many attempts are kept for calls that clients may retry. Further requests that
+// are given up are lost.
 const maxParked = 512
 
 // release releases the attempt's identifier, if it holds one.
@@ -574,7 +575,7 @@
 }
 
 // countRefusal counts the refusal of a packet. Once all packets of the attempt were refused, the
-// server can't have read any: the attempt ends, and finished is true.
+// server can't have run the request: the attempt ends, and finished is true.
 func (a *attempt) countRefusal() (finished bool) {
 	if a.packetsRefused++; a.packetsRefused < a.packetsSent || a.ended {
 		a.resendUnsafe = true
--- a/internal/radius/transport/transport_test.go
+++ b/internal/radius/transport/transport_test.go
@@ -107,7 +107,7 @@
 	return transport
 }
 
-// sink records the outcomes of an attempt.
+// sink implements core.Sink. It records the outcomes of an attempt and its answer.
 type sink struct {
 	done chan chalkrack.Outcome
 	got  any
@@ -141,7 +141,7 @@
 	select {
 	case got := <-s.done:
 		if got != want {
-			t.Errorf("%s: %v, want %v", step, got, want)
+			t.Errorf("%s: outcome %v, want %v", step, got, want)
 		}
 	case <-time.After(testTimeout):
 		t.Errorf("%s: no outcome", step)
@@ -161,7 +161,7 @@
 	outcomes.expectOutcome(t, "nothing came", chalkrack.TimedOut)
 	attempt.Close()
 	if request.IsLost() || request.SentTo() != "r1" {
-		t.Errorf("lost %v, sent to %q", request.IsLost(), request.SentTo())
+		t.Errorf("lost: %v, sent to %q, want false and r1", request.IsLost(), request.SentTo())
 	}
 	transport.cfg.AttemptTimeout = testTimeout
 	again, outcomes := startAttempt(transport, request)
@@ -225,11 +225,12 @@
 	}
 }
 
-// fakeConn is a Conn for tests in virtual time. The test reads what was sent and feeds what comes.
+// fakeConn is a Conn for tests in virtual time. The test reads the sent packets and supplies the
+// received ones.
 type fakeConn struct {
 	sent          [][]byte // guarded by mu, as are the next two fields
 	refused       [][]byte
-	pendingErrors int // writes that return the error of an earlier packet in place of sending
+	pendingErrors int // how many writes return the error of an earlier packet instead of sending
 	mu            sync.Mutex
 	in            chan []byte // datagrams to read; nil makes Read report a refusal
 	closed        chan struct{}
@@ -294,9 +295,9 @@
 	synctest.Wait()
 }
 
-// A server whose port refuses a second packet after it may have read the first may have crashed
-// after it ran the call. Restarted, it would run another packet again: none may be sent, and the
-// request is lost.
+// A server whose port refuses the second packet of an attempt may have run the call for the first
+// one and crashed. After a restart it would run the call for a third packet again: none may be
+// sent, and the request is lost.
 func TestNoResendAfterRefusalOfLaterPacket(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		conn := newFakeConn()
@@ -319,7 +320,7 @@
 		}
 		attempt.Close()
 		if !request.IsLost() || request.SentTo() != "r1" {
-			t.Errorf("lost %v, sent to %q", request.IsLost(), request.SentTo())
+			t.Errorf("lost: %v, sent to %q, want true and r1", request.IsLost(), request.SentTo())
 		}
 	})
 }
@@ -362,7 +363,7 @@
 		conn.in <- answer.Marshal()
 		synctest.Wait()
 		if c := transport.Counts(); c.Answers != 1 || len(outcomes.done) != 0 {
-			t.Errorf("%+v, %d outcomes", c, len(outcomes.done))
+			t.Errorf("counts %+v and %d outcomes, want 1 answer and no outcome", c, len(outcomes.done))
 		}
 		attempt.Close()
 		secret = nil
@@ -391,11 +392,11 @@
 			at += wait * time.Millisecond
 			time.Sleep(time.Until(started.Add(at - time.Millisecond)))
 			if got := len(conn.packets()); wait > 0 && got != n {
-				t.Errorf("%d packets just before %v", got, at)
+				t.Errorf("%d packets just before %v, want no resend yet", got, at)
 			}
 			time.Sleep(2 * time.Millisecond)
 			if got := len(conn.packets()); got != n+1 {
-				t.Errorf("%d packets just after %v", got, at)
+				t.Errorf("%d packets just after %v, want one more", got, at)
 			}
 		}
 		outcomes.expectOutcome(t, "nothing came", chalkrack.TimedOut)
@@ -424,7 +425,7 @@
 			attempt.Start()
 			outcomes.expectOutcome(t, "nothing came", chalkrack.TimedOut)
 			if took := time.Since(started); took != 2*time.Second {
-				t.Errorf("ended after %v", took)
+				t.Errorf("timed out after %v, want 2s", took)
 			}
 			attempt.Close()
 		}
@@ -451,7 +452,7 @@
 	outcomes.expectOutcome(t, "refused", chalkrack.ConnectFailed)
 	attempt.Close()
 	if request.IsLost() || request.SentTo() != "" || transport.parkedCount != 0 {
-		t.Errorf("lost %v, sent to %q, %d parked", request.IsLost(), request.SentTo(), transport.parkedCount)
+		t.Errorf("lost: %v, sent to %q, %d attempts parked; want false, none and 0", request.IsLost(), request.SentTo(), transport.parkedCount)
 	}
 }
 
@@ -482,8 +483,8 @@
 	outcomes.expectOutcome(t, "answered", chalkrack.OK)
 }
 
-// An answer of the wrong kind must be dropped. An answer without the proxy's Proxy-State can't be
-// passed on, but the server has run the call, so that the request is lost.
+// An answer with the wrong code must be dropped. An answer without the proxy's Proxy-State can't be
+// passed on, but the server has run the call, so the request is lost.
 func TestAnswersThatCannotBePassedOn(t *testing.T) {
 	server := newTestServer(t, "127.0.0.2:0")
 	transport := newTransport(t, nil)
@@ -495,7 +496,7 @@
 	server.answer(wire, radius.AccountingResponse, false)
 	outcomes.expectOutcome(t, "without our state", chalkrack.Reset)
 	if c := transport.Counts(); c.Unsolicited != 1 || c.Malformed != 1 || !request.IsLost() {
-		t.Errorf("%+v, lost %v", c, request.IsLost())
+		t.Errorf("counts %+v, want 1 unsolicited and 1 malformed answer; lost: %v, want true", c, request.IsLost())
 	}
 }
 
@@ -514,7 +515,7 @@
 		time.Sleep(200 * time.Millisecond)
 		startAttempt(transport, accountingRequest()) // within the grace
 		if n := len(conn.packets()); n != 3 {
-			t.Errorf("%d packets within the grace", n)
+			t.Errorf("%d packets within the grace period, want 3", n)
 		}
 		time.Sleep(51 * time.Millisecond)
 		before := len(conn.packets())
@@ -522,18 +523,18 @@
 		_, outcomes = startAttempt(transport, accountingRequest())
 		outcomes.expectOutcome(t, "after the grace", chalkrack.ConnectFailed)
 		if n := len(conn.packets()); n != before {
-			t.Errorf("%d packets after the grace", n-before)
+			t.Errorf("%d packets after the grace period, want none", n-before)
 		}
 		transport.AddServer("r1", "127.0.0.2:1", 0)
-		startAttempt(transport, accountingRequest()) // it is back
+		startAttempt(transport, accountingRequest()) // the server is listed again
 		if n := len(conn.packets()); n != before+1 {
 			t.Errorf("%d packets after the server came back, want 1", n-before)
 		}
 	})
 }
 
-// An identifier must not be used again while a late answer may come. So with one socket, the 257th
-// attempt is not sent although those before have timed out.
+// An identifier must not be used again while a late answer may come. With one socket, the 257th
+// attempt is therefore not sent, although all earlier ones have timed out.
 func TestIdentifiersRestAfterTimeout(t *testing.T) {
 	server := newTestServer(t, "127.0.0.2:0")
 	transport := newTransport(t, func(c *Config) { c.AttemptTimeout = 50 * time.Millisecond })
@@ -551,7 +552,7 @@
 	_, outcomes := startAttempt(transport, accountingRequest())
 	outcomes.expectOutcome(t, "no identifier", chalkrack.NotSent)
 	if c := transport.Counts(); c.NoIdentifier != 1 || c.Sent != 256 {
-		t.Errorf("%+v", c)
+		t.Errorf("counts %+v, want 256 packets sent and 1 attempt without identifier", c)
 	}
 }
 
@@ -571,13 +572,13 @@
 	}
 	for n, request := range all {
 		if request.IsLost() != (n == maxParked) {
-			t.Errorf("request %d: lost %v", n, request.IsLost())
+			t.Errorf("request %d: lost: %v, want true only for the last", n, request.IsLost())
 		}
 	}
 	all[0].Forget()
 	all[0].Forget() // a second call does nothing
 	if transport.parkedCount != maxParked-1 {
-		t.Errorf("%d attempts are parked after one was forgotten", transport.parkedCount)
+		t.Errorf("%d attempts are parked after one was forgotten, want one fewer than maxParked", transport.parkedCount)
 	}
 	request := accountingRequest()
 	attempt, outcomes := startAttempt(transport, request)
@@ -588,6 +589,6 @@
 	}
 	transport.Close()
 	if transport.parkedCount != 0 {
-		t.Errorf("%d attempts are parked after Close", transport.parkedCount)
+		t.Errorf("%d attempts are parked after Close, want none", transport.parkedCount)
 	}
 }
