--- a/internal/standin/act.go
+++ b/internal/standin/action.go
@@ -72,7 +72,7 @@
 // Request is a request as a Script sees it.
 type Request struct {
 	ID, Class, Key string
-	AttemptNumber  int // number of this attempt among the request's arrivals at all servers, from 1
+	AttemptNumber  int // among the request's arrivals at all servers, from 1
 	Server         string
 	Header         http.Header
 	Body           string // at most the first maxScriptBodyBytes
@@ -91,10 +91,10 @@
 // Always returns a Script that treats all requests alike.
 func Always(a Action) Script { return func(Request) Action { return a } }
 
-// Sequence returns a Script that applies the given actions to the attempts of each request in order.
-// The last action also applies to all later attempts.
-func Sequence(acts ...Action) Script {
-	return func(r Request) Action { return acts[min(r.AttemptNumber, len(acts))-1] }
+// Sequence returns a Script that applies the given actions to the attempts of each request in
+// order. The last action also applies to all later attempts.
+func Sequence(actions ...Action) Script {
+	return func(r Request) Action { return actions[min(r.AttemptNumber, len(actions))-1] }
 }
 
 // ByClass returns a Script that applies the script of the request's class. Classes without a script
--- a/internal/standin/client.go
+++ b/internal/standin/client.go
@@ -52,8 +52,8 @@
 	Err        error
 }
 
-// Verdict returns the platform's word for the result: served, refused, failed, or none if no
-// complete answer came.
+// Verdict returns the class of the result: "served", "refused", "failed", or "none" if no complete
+// answer came.
 func (r Reply) Verdict() string {
 	switch r.Status {
 	case 0:
@@ -87,8 +87,8 @@
 func NewClient(sidecarAddr string) *Client { return &Client{sidecarAddr: sidecarAddr} }
 
 // Do sends a request and waits for the complete answer or until ctx is done. It may be called from
-// any goroutine. It sends each request once: a request that meets the close of a kept connection
-// fails.
+// any goroutine. It sends each request once: a request fails if the sidecar closes the reused
+// connection at that moment.
 func (c *Client) Do(ctx context.Context, req ClientRequest) Reply {
 	began := time.Now()
 	reply := c.do(ctx, req)
@@ -96,7 +96,7 @@
 	return reply
 }
 
-// do is Do without the measurement of the time taken.
+// do is Do without setting Elapsed.
 func (c *Client) do(ctx context.Context, req ClientRequest) Reply {
 	conn, err := c.idleOrNewConn(ctx)
 	if err != nil {
--- a/internal/standin/discovery.go
+++ b/internal/standin/discovery.go
@@ -72,7 +72,7 @@
 	return d, nil
 }
 
-// Addr returns the address at which it listens now.
+// Addr returns the address at which the service listens now.
 func (d *Discovery) Addr() string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/standin/disk.go
+++ b/internal/standin/disk.go
@@ -114,7 +114,7 @@
 	closed bool
 }
 
-// WriteAt implements io.WriterAt, apart from the faults that are set.
+// WriteAt implements io.WriterAt, with the faults that are set.
 func (f *diskFile) WriteAt(p []byte, offset int64) (n int, err error) {
 	f.disk.lockWhenResumed()
 	defer f.disk.mu.Unlock()
@@ -135,7 +135,7 @@
 	return copy(f.data[offset:], p), err
 }
 
-// ReadAt implements io.ReaderAt, apart from the faults that are set.
+// ReadAt implements io.ReaderAt, with the faults that are set.
 func (f *diskFile) ReadAt(p []byte, offset int64) (n int, err error) {
 	f.disk.lockWhenResumed()
 	defer f.disk.mu.Unlock()
--- a/internal/standin/ledger.go
+++ b/internal/standin/ledger.go
@@ -17,8 +17,7 @@
 	"time"
 )
 
-// maxLoggedArrivals is how many arrivals a Ledger keeps one by one. Later arrivals are only
-// counted.
+// maxLoggedArrivals is how many arrivals a Ledger stores. Later arrivals are only counted.
 const maxLoggedArrivals = 1 << 17
 
 // Count holds the totals of one request or of all requests of a class.
@@ -31,7 +30,7 @@
 type Arrival struct {
 	ID, Class, Key string
 	Server         string
-	AttemptNumber  int // number of this attempt among the request's arrivals at all servers, from 1
+	AttemptNumber  int // among the request's arrivals at all servers, from 1
 	At             time.Time
 	ActionKind     ActionKind
 	DrainingFor    time.Duration // how long the server had been draining; 0 if it was not draining
--- a/internal/standin/radius.go
+++ b/internal/standin/radius.go
@@ -110,7 +110,7 @@
 // RadiusRequest is a request as a server's script sees it.
 type RadiusRequest struct {
 	Name          string // of the call or event in the ledger
-	AttemptNumber int    // number of this attempt among the call's attempts at all servers, from 1
+	AttemptNumber int    // among the call's attempts at all servers, from 1
 	Password      string
 	Packet        *radius.Packet
 }
@@ -298,8 +298,8 @@
 		return
 	}
 	request.AttemptNumber = s.Ledger.Count(request.Name).Attempts + 1
-	act := script(request)
-	if act.Kind == RadiusIgnore {
+	action := script(request)
+	if action.Kind == RadiusIgnore {
 		return
 	}
 	s.Ledger.record(request.Name, 1, 1)
@@ -308,23 +308,23 @@
 	switch {
 	case packet.Code == radius.CodeAccountingRequest:
 		code = radius.CodeAccountingResponse
-	case act.Kind == RadiusReject:
+	case action.Kind == RadiusReject:
 		code = radius.CodeAccessReject
-	case act.Kind == RadiusChallenge && len(rfc2865.State_Get(packet)) == 0:
+	case action.Kind == RadiusChallenge && len(rfc2865.State_Get(packet)) == 0:
 		code, state = radius.CodeAccessChallenge, []byte("state of "+s.Name+" for "+request.Name)
 	}
-	if act.Kind == RadiusSilent {
+	if action.Kind == RadiusSilent {
 		s.mu.Lock()
 		s.answers[duplicateKey] = nil
 		s.mu.Unlock()
 		return
 	}
-	validAnswer := s.encodeAnswer(packet, code, state, act.Kind != RadiusUnsigned)
+	validAnswer := s.encodeAnswer(packet, code, state, action.Kind != RadiusUnsigned)
 	s.mu.Lock()
 	s.answers[duplicateKey] = validAnswer
 	s.mu.Unlock()
 	reply := func() {
-		switch act.Kind {
+		switch action.Kind {
 		case RadiusForged:
 			forger := &RadiusServer{secret: []byte("forged")}
 			altered := *packet
@@ -343,8 +343,8 @@
 		}
 		conn.WriteTo(validAnswer, client)
 	}
-	if act.Delay > 0 {
-		time.AfterFunc(act.Delay, reply)
+	if action.Delay > 0 {
+		time.AfterFunc(action.Delay, reply)
 		return
 	}
 	reply()
@@ -397,7 +397,7 @@
 	User, Password string // of an access request; without a User it is an accounting request
 	State          []byte
 	NAS, Session   string    // Session is for accounting only
-	Status         uint32    // of accounting: 1 start, 2 stop, 3 interim
+	Status         uint32    // Acct-Status-Type: 1 start, 2 stop, 3 interim update
 	EventTime      time.Time // of the accounting event; zero to leave it out
 
 	MaxPackets     int           // how many packets are sent at most
@@ -411,7 +411,7 @@
 type RadiusReply struct {
 	Code        radius.Code // 0 if no valid answer came
 	Packet      *radius.Packet
-	PacketsSent int // how many were sent
+	PacketsSent int
 	Err         error
 }
 
@@ -471,7 +471,7 @@
 }
 
 // Do sends a request and sends it again while no valid answer comes. It blocks until the answer
-// comes or the last packet has been waited for.
+// comes or the ResendInterval after the last packet is over.
 func (c *RadiusClient) Do(request RadiusClientRequest) (reply RadiusReply) {
 	conn, err := c.dial()
 	if err != nil {
@@ -540,8 +540,8 @@
 	closed  bool
 }
 
-// maxRelayClients is for how many clients a Relay keeps a socket. A further client replaces
-// another.
+// maxRelayClients is how many clients a Relay keeps a socket for. A new client beyond it takes the
+// place of another.
 const maxRelayClients = 512
 
 // NewRelay starts a Relay to serverAddr. The shares are between 0 and 1. The caller must close it.
@@ -563,7 +563,7 @@
 // Addr returns the address at which the relay listens.
 func (r *Relay) Addr() string { return r.conn.LocalAddr().String() }
 
-// forward sends a datagram, unless it is lost, perhaps twice and perhaps up to 20 ms late.
+// forward sends a datagram, duplicates it, delays it by up to 20 ms or drops it, at random.
 func (r *Relay) forward(send func([]byte), datagram []byte) {
 	r.mu.Lock()
 	lost, duplicated, delayed := r.rng.Float64() < r.LossShare, r.rng.Float64() < r.DuplicateShare, r.rng.Float64() < r.DelayShare
--- a/internal/standin/server.go
+++ b/internal/standin/server.go
@@ -27,8 +27,8 @@
 	ColdShare float64
 	// WarmUpTime is how long a cold server takes to reach its full rate.
 	WarmUpTime time.Duration
-	// FallFactor is how many times its present rate a cold server withstands. If it receives
-	// more over FallFor, it stops and stays down. 0 means that it never stops.
+	// FallFactor bounds the load of a cold server as a multiple of its present rate. If more
+	// requests arrive over FallFor, the server stops and stays down. 0 sets no limit.
 	FallFactor float64
 	// FallFor is the time span over which the overload is measured.
 	FallFor time.Duration
@@ -293,15 +293,15 @@
 	script, drainingSince, recordedDrainSince := s.script, s.drainingSince, s.recordedDrainSince
 	s.mu.Unlock()
 	req.AttemptNumber = s.cfg.Ledger.nextAttemptNumber(req.ID)
-	act := script(req)
-	if act.Kind == ResetEarly {
-		if act.Delay > 0 { // resets in the middle of the body
-			time.Sleep(act.Delay)
+	action := script(req)
+	if action.Kind == ResetEarly {
+		if action.Delay > 0 { // the reset comes while the client sends the body
+			time.Sleep(action.Delay)
 		}
-		return act.writeAnswer(conn, req)
+		return action.writeAnswer(conn, req)
 	}
-	if act.BeforeBody {
-		act.writeAnswer(conn, req)
+	if action.BeforeBody {
+		action.writeAnswer(conn, req)
 		io.CopyN(io.Discard, httpReq.Body, maxScriptBodyBytes)
 		return false
 	}
@@ -316,28 +316,28 @@
 	}
 	if !drainingSince.IsZero() {
 		arrival.DrainingFor = max(time.Since(drainingSince), 1)
-		act = Action{Kind: Decline}
+		action = Action{Kind: Decline}
 	}
 	wait, fallsOver := s.reserveTurn(arrival.At)
 	if fallsOver {
 		s.Kill()
 		return false
 	}
-	arrival.ActionKind = act.Kind
+	arrival.ActionKind = action.Kind
 	// Attempts that arrive at the same time can have been given the same number above. The number
 	// of the Ledger is final.
 	if number := s.cfg.Ledger.recordArrival(arrival); number != req.AttemptNumber && drainingSince.IsZero() {
 		req.AttemptNumber = number
-		act = script(req)
+		action = script(req)
 	}
-	if act.Kind.takesEffect() {
+	if action.Kind.takesEffect() {
 		s.cfg.Ledger.recordEffect(req.ID, class, req.Key)
 	}
-	if delay := act.Delay + wait; delay > 0 {
+	if delay := action.Delay + wait; delay > 0 {
 		time.Sleep(delay)
 		s.waitUntilThawed()
 	}
-	return act.writeAnswer(conn, req)
+	return action.writeAnswer(conn, req)
 }
 
 // readBody reads a complete body of any length and returns its first maxScriptBodyBytes, its size
--- a/internal/standin/standin_test.go
+++ b/internal/standin/standin_test.go
@@ -13,7 +13,7 @@
 	"time"
 )
 
-// testTimeout is how long a test waits for what must happen.
+// testTimeout is how long a test waits for an expected event.
 const testTimeout = 20 * time.Second
 
 func newServer(t *testing.T, cfg ServerConfig) *Server {
@@ -42,7 +42,7 @@
 // every test that relies on it wrong. Each action is checked at the client and in the ledger.
 func TestEachActionOnTheWireAndInTheLedger(t *testing.T) {
 	for _, want := range []struct {
-		act               Action
+		action            Action
 		verdict           string
 		attempts, effects int
 	}{
@@ -62,9 +62,9 @@
 		{Action{Kind: Excess}, "served", 1, 1},
 		{Action{Kind: Oversize}, "none", 1, 1},
 	} {
-		t.Run(want.act.Kind.String(), func(t *testing.T) {
+		t.Run(want.action.Kind.String(), func(t *testing.T) {
 			t.Parallel()
-			s := newServer(t, ServerConfig{Script: Always(want.act)})
+			s := newServer(t, ServerConfig{Script: Always(want.action)})
 			client := NewClient(s.Addr())
 			defer client.Close()
 			ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
@@ -99,8 +99,8 @@
 		if c := ledger.RequestCount("1"); c != (Count{3, effects}) {
 			t.Errorf("window %v: the ledger has %+v", window, c)
 		}
-		if log := ledger.Arrivals(); len(log) != 3 || log[2].AttemptNumber != 3 || !strings.Contains(ledger.String(), "1: 3 attempts") {
-			t.Errorf("the arrivals are %+v", log)
+		if arrivals := ledger.Arrivals(); len(arrivals) != 3 || arrivals[2].AttemptNumber != 3 || !strings.Contains(ledger.String(), "1: 3 attempts") {
+			t.Errorf("the arrivals are %+v", arrivals)
 		}
 	}
 }
@@ -150,7 +150,7 @@
 	if verdict := askWithin(testTimeout); verdict != "refused" {
 		t.Errorf("draining: the verdict is %s, expected refused", verdict)
 	}
-	if log := s.Ledger().Arrivals(); log[len(log)-1].DrainingFor <= 0 {
+	if arrivals := s.Ledger().Arrivals(); arrivals[len(arrivals)-1].DrainingFor <= 0 {
 		t.Error("the arrival is not recorded as draining")
 	}
 	s.Kill()
