--- a/internal/demo/calls.go
+++ b/internal/demo/calls.go
@@ -47,20 +47,20 @@
 		site.Close()
 		return nil, err
 	}
-	m := &httpEnvironment{cfg: cfg, site: site, daemon: daemon, tallies: make(map[string]*classTally)}
+	e := &httpEnvironment{cfg: cfg, site: site, daemon: daemon, tallies: make(map[string]*classTally)}
 	for _, c := range site.Config.Classes {
-		m.tallies[c.Name] = new(classTally)
+		e.tallies[c.Name] = new(classTally)
 	}
-	return m, nil
+	return e, nil
 }
 
-func (m *httpEnvironment) description() string {
-	return fmt.Sprintf("daemon at %s, %d servers, discovery at %s", m.daemon.Addr, m.cfg.Servers, m.site.Discovery.Addr())
+func (e *httpEnvironment) description() string {
+	return fmt.Sprintf("daemon at %s, %d servers, discovery at %s", e.daemon.Addr, e.cfg.Servers, e.site.Discovery.Addr())
 }
 
-func (m *httpEnvironment) stopProxy() error { return m.daemon.Stop() }
+func (e *httpEnvironment) stopProxy() error { return e.daemon.Stop() }
 
-func (m *httpEnvironment) close() { m.site.Close() }
+func (e *httpEnvironment) close() { e.site.Close() }
 
 // healthyScript returns the script of a healthy server: it answers after about 100 ms, as the
 // operators' servers do.
@@ -73,30 +73,30 @@
 }
 
 // sendCalls starts each call at its time, whether or not earlier ones have ended.
-func (m *httpEnvironment) sendCalls(ctx context.Context) {
+func (e *httpEnvironment) sendCalls(ctx context.Context) {
 	var classes []standin.Class
-	for n, c := range m.site.Config.Classes {
+	for n, c := range e.site.Config.Classes {
 		classes = append(classes, standin.Class{Name: c.Name, Effect: c.Effect, Share: []float64{52, 27, 21}[n], Deadline: c.Deadline, BodySize: 200})
 	}
 	aims := make(map[string]time.Duration)
-	for _, c := range m.site.Config.Classes {
+	for _, c := range e.site.Config.Classes {
 		aims[c.Name] = c.Aim
 	}
-	mix := standin.NewMix(m.cfg.Seed, classes...)
-	client := standin.NewClient(m.daemon.Addr)
+	mix := standin.NewMix(e.cfg.Seed, classes...)
+	client := standin.NewClient(e.daemon.Addr)
 	defer client.Close()
-	skipped := generateCalls(ctx, m.cfg, func(*rand.Rand) func() {
+	skipped := generateCalls(ctx, e.cfg, func(*rand.Rand) func() {
 		request := mix.Next()
-		return func() { m.makeCall(client, request, aims[request.Class.Name]) }
+		return func() { e.makeCall(client, request, aims[request.Class.Name]) }
 	})
-	m.mu.Lock()
-	m.skippedCalls = skipped
-	m.mu.Unlock()
+	e.mu.Lock()
+	e.skippedCalls = skipped
+	e.mu.Unlock()
 }
 
 // makeCall makes one call as the operators' clients do: it repeats a refused call after the time
 // that the answer asks for.
-func (m *httpEnvironment) makeCall(client *standin.Client, request standin.ClientRequest, aim time.Duration) {
+func (e *httpEnvironment) makeCall(client *standin.Client, request standin.ClientRequest, aim time.Duration) {
 	start := time.Now()
 	reply := client.Do(context.Background(), request)
 	for n := 1; n <= maxRetries && reply.Verdict() == "refused"; n++ {
@@ -105,9 +105,9 @@
 		retry.ID = fmt.Sprintf("%s-%d", request.ID, n)
 		reply = client.Do(context.Background(), retry)
 	}
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	tally := m.tallies[request.Class.Name]
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	tally := e.tallies[request.Class.Name]
 	tally.asked++
 	switch reply.Verdict() {
 	case "served":
@@ -124,9 +124,9 @@
 }
 
 // applyStep carries out a step and updates discovery. It returns the state of the server after it.
-func (m *httpEnvironment) applyStep(step Step) (state string, err error) {
+func (e *httpEnvironment) applyStep(step Step) (state string, err error) {
 	index := step.Server - 1
-	server := m.site.Servers[index]
+	server := e.site.Servers[index]
 	switch step.Verb {
 	case "freeze":
 		server.Freeze()
@@ -135,53 +135,53 @@
 		server.Thaw()
 	case "kill":
 		server.Kill()
-		m.site.Discovery.Change(m.site.Endpoint(index, "removed"))
+		e.site.Discovery.Change(e.site.Endpoint(index, "removed"))
 		return "down", nil
 	case "restart":
 		if err := server.Restart(); err != nil {
 			return "", err
 		}
-		m.site.Discovery.Change(m.site.Endpoint(index, "up"))
+		e.site.Discovery.Change(e.site.Endpoint(index, "up"))
 	case "drain":
-		m.site.Discovery.Change(m.site.Endpoint(index, "draining"))
+		e.site.Discovery.Change(e.site.Endpoint(index, "draining"))
 		return "draining", nil
 	case "undrain":
-		m.site.Discovery.Change(m.site.Endpoint(index, "up"))
+		e.site.Discovery.Change(e.site.Endpoint(index, "up"))
 	}
 	return "up", nil
 }
 
-func (m *httpEnvironment) writeTable(b *strings.Builder) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
+func (e *httpEnvironment) writeTable(b *strings.Builder) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
 	fmt.Fprintf(b, "  %-13s %7s %7s %6s %8s %7s %10s %9s %8s\n", "class", "asked", "served", "late", "refused", "failed", "no answer", "attempts", "effects")
-	for _, c := range m.site.Config.Classes {
-		tally, count := m.tallies[c.Name], m.site.Ledger.ClassCount(c.Name)
+	for _, c := range e.site.Config.Classes {
+		tally, count := e.tallies[c.Name], e.site.Ledger.ClassCount(c.Name)
 		fmt.Fprintf(b, "  %-13s %7d %7d %6d %8d %7d %10d %9d %8d\n", c.Name, tally.asked, tally.served, tally.late, tally.refused, tally.failed, tally.unanswered, count.Attempts, count.Effects)
 	}
 }
 
 // writeSummary writes how many effects happened twice. It returns an error if any did or if a call
 // had no answer.
-func (m *httpEnvironment) writeSummary(b *strings.Builder) error {
+func (e *httpEnvironment) writeSummary(b *strings.Builder) error {
 	safe := make(map[string]bool)
-	for _, a := range m.site.Ledger.Arrivals() {
+	for _, a := range e.site.Ledger.Arrivals() {
 		safe[a.ID] = a.Class == "status-check"
 	}
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	for id, c := range m.site.Ledger.RequestCounts() {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	for id, c := range e.site.Ledger.RequestCounts() {
 		if c.Effects > 1 && !safe[id] {
-			m.doubleEffects++
+			e.doubleEffects++
 		}
 	}
-	fmt.Fprintf(b, "  effects that happened twice: %d; calls skipped at the limit of %d at once: %d\n", m.doubleEffects, maxConcurrentCalls, m.skippedCalls)
+	fmt.Fprintf(b, "  effects that happened twice: %d; calls skipped at the limit of %d at once: %d\n", e.doubleEffects, maxConcurrentCalls, e.skippedCalls)
 	unanswered := 0
-	for _, t := range m.tallies {
+	for _, t := range e.tallies {
 		unanswered += t.unanswered
 	}
-	if unanswered > 0 || m.doubleEffects > 0 {
-		return fmt.Errorf("demo: %d calls had no answer and %d effects happened twice, expected 0 of both", unanswered, m.doubleEffects)
+	if unanswered > 0 || e.doubleEffects > 0 {
+		return fmt.Errorf("demo: %d calls had no answer and %d effects happened twice, expected 0 of both", unanswered, e.doubleEffects)
 	}
 	return nil
 }
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -15,14 +15,14 @@
 
 const (
 	maxDuration        = 10 * time.Minute
-	maxRate            = 2000
+	maxCallsPerSecond  = 2000
 	maxConcurrentCalls = 512 // calls beyond it are skipped and counted
 )
 
 // Config configures a demonstration.
 type Config struct {
-	Servers        int
-	CallsPerSecond float64 // calls a second
+	Servers        int // number of servers
+	CallsPerSecond float64
 	Duration       time.Duration
 	Seed           uint64
 	Radius         bool // RADIUS requests of counter terminals instead of HTTP calls
@@ -32,7 +32,7 @@
 	IsTerminal     bool // Out is a terminal, whose screen is redrawn
 }
 
-// environment is what a demonstration runs: a proxy, its servers and its clients.
+// environment holds the proxy of a demonstration with its servers and clients.
 type environment interface {
 	// description returns the addresses and sizes for the first line of output.
 	description() string
@@ -51,7 +51,7 @@
 	close()
 }
 
-// demo is a demonstration that runs.
+// demo is a running demonstration.
 type demo struct {
 	cfg         Config
 	environment environment
@@ -67,8 +67,8 @@
 	switch {
 	case cfg.Servers < 1 || cfg.Servers > 32:
 		return fmt.Errorf("demo: the number of servers must be from 1 to 32")
-	case !(cfg.CallsPerSecond > 0 && cfg.CallsPerSecond <= maxRate):
-		return fmt.Errorf("demo: the rate must be above 0 and at most %d calls a second", maxRate)
+	case !(cfg.CallsPerSecond > 0 && cfg.CallsPerSecond <= maxCallsPerSecond):
+		return fmt.Errorf("demo: the rate must be above 0 and at most %d calls a second", maxCallsPerSecond)
 	case cfg.Duration <= 0 || cfg.Duration > maxDuration:
 		return fmt.Errorf("demo: the duration must be above 0 and at most %v", maxDuration)
 	}
@@ -83,15 +83,15 @@
 		return fmt.Errorf("demo: %w", err)
 	}
 	defer env.close()
-	m := &demo{cfg: cfg, environment: env, serverStates: make([]string, cfg.Servers)}
-	for n := range m.serverStates {
-		m.serverStates[n] = "up"
+	d := &demo{cfg: cfg, environment: env, serverStates: make([]string, cfg.Servers)}
+	for n := range d.serverStates {
+		d.serverStates[n] = "up"
 	}
 	fmt.Fprintf(cfg.Out, "%s, %.0f calls a second for %v, seed %d\n", env.description(), cfg.CallsPerSecond, cfg.Duration, cfg.Seed)
 	if cfg.Keys != nil {
 		fmt.Fprintln(cfg.Out, "type f2 and Enter to freeze server 2; t thaws, k kills, r restarts, d drains, u undrains; q ends")
 	}
-	m.runSteps(ctx)
+	d.runSteps(ctx)
 	err = env.stopProxy()
 	var summary strings.Builder
 	summary.WriteString("summary\n")
@@ -106,16 +106,16 @@
 
 // runSteps sends calls and carries out steps, from the script and from the keyboard, until the
 // duration is over, ctx is done or "q" is typed.
-func (m *demo) runSteps(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, m.cfg.Duration)
+func (d *demo) runSteps(ctx context.Context) {
+	ctx, cancel := context.WithTimeout(ctx, d.cfg.Duration)
 	defer cancel()
 	start := time.Now()
 	var wg sync.WaitGroup
 	defer wg.Wait()
 	typedLines := make(chan string)
-	if m.cfg.Keys != nil {
-		go func() { // may last until the process ends: a read from a terminal can't be cancelled
-			lines := bufio.NewScanner(m.cfg.Keys)
+	if d.cfg.Keys != nil {
+		go func() { // may run until the process ends: a read from a terminal can't be cancelled
+			lines := bufio.NewScanner(d.cfg.Keys)
 			for lines.Scan() {
 				select {
 				case typedLines <- lines.Text():
@@ -125,8 +125,8 @@
 			}
 		}()
 	}
-	wg.Go(func() { m.environment.sendCalls(ctx) })
-	steps := m.cfg.Script
+	wg.Go(func() { d.environment.sendCalls(ctx) })
+	steps := d.cfg.Script
 	refresh := time.NewTicker(time.Second)
 	defer refresh.Stop()
 	for {
@@ -138,35 +138,35 @@
 		case <-ctx.Done():
 			return
 		case <-nextStep:
-			m.applyStep(steps[0])
+			d.applyStep(steps[0])
 			steps = steps[1:]
 		case text := <-typedLines:
 			if strings.TrimSpace(text) == "q" {
 				return
 			}
-			step, err := ParseKeys(text, m.cfg.Servers)
+			step, err := ParseKeys(text, d.cfg.Servers)
 			if err != nil {
-				m.addNote(err.Error())
+				d.addNote(err.Error())
 				continue
 			}
-			m.applyStep(step)
+			d.applyStep(step)
 		case <-refresh.C:
-			m.printState(time.Since(start))
+			d.printState(time.Since(start))
 		}
 	}
 }
 
-// applyStep carries out a step and notes it.
-func (m *demo) applyStep(step Step) {
-	state, err := m.environment.applyStep(step)
+// applyStep carries out a step and adds a note of it.
+func (d *demo) applyStep(step Step) {
+	state, err := d.environment.applyStep(step)
 	if err != nil {
-		m.addNote(err.Error())
+		d.addNote(err.Error())
 		return
 	}
-	m.mu.Lock()
-	m.serverStates[step.Server-1] = state
-	m.mu.Unlock()
-	m.addNote(fmt.Sprintf("%s server %d", step.Verb, step.Server))
+	d.mu.Lock()
+	d.serverStates[step.Server-1] = state
+	d.mu.Unlock()
+	d.addNote(fmt.Sprintf("%s server %d", step.Verb, step.Server))
 }
 
 // generateCalls starts calls at random times until ctx is done, and returns when all of them have
@@ -202,36 +202,36 @@
 const maxNotes = 4
 
 // addNote shows a note: with the next state on a terminal, at once elsewhere.
-func (m *demo) addNote(text string) {
-	m.mu.Lock()
-	m.notes = append(m.notes, text)
-	if len(m.notes) > maxNotes {
-		m.notes = m.notes[1:]
+func (d *demo) addNote(text string) {
+	d.mu.Lock()
+	d.notes = append(d.notes, text)
+	if len(d.notes) > maxNotes {
+		d.notes = d.notes[1:]
 	}
-	m.mu.Unlock()
-	if !m.cfg.IsTerminal {
-		fmt.Fprintln(m.cfg.Out, "  *", text)
+	d.mu.Unlock()
+	if !d.cfg.IsTerminal {
+		fmt.Fprintln(d.cfg.Out, "  *", text)
 	}
 }
 
 // printState prints the states of the servers and the results so far.
-func (m *demo) printState(elapsed time.Duration) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
+func (d *demo) printState(elapsed time.Duration) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
 	var b strings.Builder
-	if m.cfg.IsTerminal {
+	if d.cfg.IsTerminal {
 		b.WriteString("\x1b[H\x1b[2J")
 	}
 	fmt.Fprintf(&b, "%3.0f s ", elapsed.Seconds())
-	for n, s := range m.serverStates {
+	for n, s := range d.serverStates {
 		fmt.Fprintf(&b, " %d:%s", n+1, s)
 	}
 	b.WriteByte('\n')
-	m.environment.writeTable(&b)
-	if m.cfg.IsTerminal {
-		for _, n := range m.notes {
+	d.environment.writeTable(&b)
+	if d.cfg.IsTerminal {
+		for _, n := range d.notes {
 			fmt.Fprintln(&b, "  *", n)
 		}
 	}
-	io.WriteString(m.cfg.Out, b.String())
+	io.WriteString(d.cfg.Out, b.String())
 }
--- a/internal/demo/demo_test.go
+++ b/internal/demo/demo_test.go
@@ -16,8 +16,8 @@
 	os.Exit(m.Run())
 }
 
-// A script or a typed line that is parsed wrongly would act on another server or at another time.
-// Valid ones give the steps sorted by time, invalid ones an error.
+// A script or a typed line that is parsed wrongly would act on another server or at another time. A
+// valid script gives its steps sorted by time, an invalid script or line an error.
 func TestParseScriptAndKeys(t *testing.T) {
 	steps, err := ParseScript("4s thaw 3; 2s freeze 3 # why\n\n 1ms kill 1;", 4)
 	if err != nil || len(steps) != 3 || steps[0] != (Step{time.Millisecond, "kill", 1}) || steps[2] != (Step{4 * time.Second, "thaw", 3}) {
--- a/internal/demo/terminals.go
+++ b/internal/demo/terminals.go
@@ -15,8 +15,8 @@
 	"chalkrack/internal/standin"
 )
 
-// Shares of the datagrams between terminals and proxy that are lost, duplicated and delayed so that
-// later ones overtake them, in each direction.
+// Shares of the datagrams between terminals and proxy, in each direction, that are lost, duplicated
+// or delayed. Later datagrams can overtake a delayed one.
 const (
 	lossShare      = 0.05
 	duplicateShare = 0.02
@@ -50,66 +50,66 @@
 // terminalTally counts the results of calls, and the packets that terminals sent for them.
 type terminalTally struct{ asked, accepted, rejected, unanswered, packets int }
 
-// newRadiusEnvironment starts the servers, discovery, the proxy and the lossy relays before it. The
-// caller must close it.
-func newRadiusEnvironment(cfg Config) (m *radiusEnvironment, err error) {
-	m = &radiusEnvironment{
+// newRadiusEnvironment starts the servers, discovery, the proxy, and the lossy relays between the
+// terminals and the proxy. The caller must close it.
+func newRadiusEnvironment(cfg Config) (e *radiusEnvironment, err error) {
+	e = &radiusEnvironment{
 		cfg: cfg, ledger: standin.NewRadiusLedger(), relays: make(map[bool]*standin.Relay), clients: make(map[bool]*standin.RadiusClient),
 		tallies: map[string]*terminalTally{"access": {}, "accounting": {}}, answeredByEvent: make(map[string]bool),
 	}
 	defer func() {
 		if err != nil {
-			m.close()
+			e.close()
 		}
 	}()
 	for n := range cfg.Servers {
-		s, err := standin.NewRadiusServer(fmt.Sprint("s", n+1), serverSecret, m.ledger)
+		s, err := standin.NewRadiusServer(fmt.Sprint("s", n+1), serverSecret, e.ledger)
 		if err != nil {
 			return nil, err
 		}
-		m.servers = append(m.servers, s)
+		e.servers = append(e.servers, s)
 		s.SetScript(func(request standin.RadiusRequest) standin.RadiusAction {
-			act := standin.RadiusAction{Delay: 20 * time.Millisecond}
+			action := standin.RadiusAction{Delay: 20 * time.Millisecond}
 			if request.Password == wrongPIN {
-				act.Kind = standin.RadiusReject
+				action.Kind = standin.RadiusReject
 			}
-			return act
+			return action
 		})
 	}
 	var endpoints []standin.Endpoint
-	for n := range m.servers {
-		endpoints = append(endpoints, m.endpoint(n, "up"))
+	for n := range e.servers {
+		endpoints = append(endpoints, e.endpoint(n, "up"))
 	}
-	if m.discovery, err = standin.NewDiscovery(endpoints...); err != nil {
+	if e.discovery, err = standin.NewDiscovery(endpoints...); err != nil {
 		return nil, err
 	}
 	radiusConfig := features.Default().Radius
 	radiusConfig.Enabled, radiusConfig.Auth, radiusConfig.Acct = true, "127.0.0.1:0", "127.0.0.1:0"
 	radiusConfig.Clients = []features.RadiusClient{{Name: "terminals", Range: "127.0.0.0/8", Secret: terminalSecret}}
-	radiusConfig.AuthDiscovery, radiusConfig.AcctDiscovery, radiusConfig.DiscoverySecret = m.discovery.Addr(), m.discovery.Addr(), serverSecret
+	radiusConfig.AuthDiscovery, radiusConfig.AcctDiscovery, radiusConfig.DiscoverySecret = e.discovery.Addr(), e.discovery.Addr(), serverSecret
 	radiusConfig.MaxCallsPerClient = maxConcurrentCalls
 	radiusConfig.Accounting.Deadline, radiusConfig.Accounting.AttemptTimeout = duration.Duration(5*time.Second), duration.Duration(5*time.Second)
-	if m.proxy, err = proxy.New(proxy.Config{Radius: radiusConfig, Platform: chalkrack.Config{Instances: 1, MaxRetryAfter: time.Second}, DrainGrace: drainGrace, Seed: cfg.Seed}); err != nil {
+	if e.proxy, err = proxy.New(proxy.Config{Radius: radiusConfig, Platform: chalkrack.Config{Instances: 1, MaxRetryAfter: time.Second}, DrainGrace: drainGrace, Seed: cfg.Seed}); err != nil {
 		return nil, err
 	}
 	for _, accounting := range []bool{false, true} {
-		relay, err := standin.NewRelay(m.proxy.Addr(accounting).String(), cfg.Seed, lossShare, duplicateShare, delayShare)
+		relay, err := standin.NewRelay(e.proxy.Addr(accounting).String(), cfg.Seed, lossShare, duplicateShare, delayShare)
 		if err != nil {
 			return nil, err
 		}
-		m.relays[accounting] = relay
-		m.clients[accounting] = standin.NewRadiusClient(relay.Addr(), terminalSecret, "")
+		e.relays[accounting] = relay
+		e.clients[accounting] = standin.NewRadiusClient(relay.Addr(), terminalSecret, "")
 	}
-	return m, nil
+	return e, nil
 }
 
-func (m *radiusEnvironment) endpoint(n int, status string) standin.Endpoint {
-	s := m.servers[n]
+func (e *radiusEnvironment) endpoint(n int, status string) standin.Endpoint {
+	s := e.servers[n]
 	return standin.Endpoint{Name: s.Name, Address: s.Addr(), Zone: "z", Status: status, Weight: 1}
 }
 
-func (m *radiusEnvironment) description() string {
-	return fmt.Sprintf("RADIUS proxy, access at %v and accounting at %v, %d servers, %.0f %% of datagrams lost each way before it", m.proxy.Addr(false), m.proxy.Addr(true), m.cfg.Servers, lossShare*100)
+func (e *radiusEnvironment) description() string {
+	return fmt.Sprintf("RADIUS proxy, access at %v and accounting at %v, %d servers, %.0f %% of datagrams lost each way before it", e.proxy.Addr(false), e.proxy.Addr(true), e.cfg.Servers, lossShare*100)
 }
 
 // wrongPIN is the password that servers reject.
@@ -124,9 +124,9 @@
 
 // sendCalls sends access requests and accounting events in turn. A tenth of the access requests
 // have a wrong PIN, and half of the events get a new identifier with each retransmission.
-func (m *radiusEnvironment) sendCalls(ctx context.Context) {
+func (e *radiusEnvironment) sendCalls(ctx context.Context) {
 	n := -1
-	skipped := generateCalls(ctx, m.cfg, func(rng *rand.Rand) func() {
+	skipped := generateCalls(ctx, e.cfg, func(rng *rand.Rand) func() {
 		n++
 		request := standin.RadiusClientRequest{NAS: "shop", MaxPackets: terminalMaxPackets, ResendInterval: terminalResendInterval}
 		if n%2 == 0 {
@@ -138,23 +138,23 @@
 			request.Session, request.Status, request.EventTime = fmt.Sprint("s", n), uint32(1+n/2%3), time.Now()
 			request.NewID = n%4 == 1
 		}
-		return func() { m.makeCall(request) }
+		return func() { e.makeCall(request) }
 	})
-	m.mu.Lock()
-	m.skippedCalls = skipped
-	m.mu.Unlock()
+	e.mu.Lock()
+	e.skippedCalls = skipped
+	e.mu.Unlock()
 }
 
 // makeCall makes one call and counts its result.
-func (m *radiusEnvironment) makeCall(request standin.RadiusClientRequest) {
+func (e *radiusEnvironment) makeCall(request standin.RadiusClientRequest) {
 	class := "access"
 	if request.User == "" {
 		class = "accounting"
 	}
-	reply := m.clients[request.User == ""].Do(request)
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	tally := m.tallies[class]
+	reply := e.clients[request.User == ""].Do(request)
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	tally := e.tallies[class]
 	tally.asked++
 	tally.packets += reply.PacketsSent
 	switch {
@@ -166,14 +166,14 @@
 		tally.accepted++
 	}
 	if request.User == "" {
-		m.answeredByEvent[fmt.Sprintf("%s %s %d %v", request.NAS, request.Session, request.Status, request.EventTime.Unix())] = reply.Code != 0
+		e.answeredByEvent[fmt.Sprintf("%s %s %d %v", request.NAS, request.Session, request.Status, request.EventTime.Unix())] = reply.Code != 0
 	}
 }
 
 // applyStep carries out a step. Only drain and undrain show in discovery.
-func (m *radiusEnvironment) applyStep(step Step) (state string, err error) {
+func (e *radiusEnvironment) applyStep(step Step) (state string, err error) {
 	index := step.Server - 1
-	server := m.servers[index]
+	server := e.servers[index]
 	switch step.Verb {
 	case "freeze":
 		server.SetFrozen(true)
@@ -188,37 +188,37 @@
 			return "", err
 		}
 	case "drain":
-		m.discovery.Change(m.endpoint(index, "draining"))
+		e.discovery.Change(e.endpoint(index, "draining"))
 		return "draining", nil
 	case "undrain":
-		m.discovery.Change(m.endpoint(index, "up"))
+		e.discovery.Change(e.endpoint(index, "up"))
 	}
 	return "up", nil
 }
 
-func (m *radiusEnvironment) writeTable(b *strings.Builder) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
+func (e *radiusEnvironment) writeTable(b *strings.Builder) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
 	fmt.Fprintf(b, "  %-11s %7s %9s %9s %10s %8s %7s %11s %9s %9s\n", "calls", "asked", "accepted", "rejected", "no answer", "packets", "joined", "remembered", "given up", "resent")
 	for _, accounting := range []bool{false, true} {
 		name := "access"
 		if accounting {
 			name = "accounting"
 		}
-		tally := m.tallies[name]
-		listenerCounts, transportCounts := m.proxy.Counts(accounting)
+		tally := e.tallies[name]
+		listenerCounts, transportCounts := e.proxy.Counts(accounting)
 		fmt.Fprintf(b, "  %-11s %7d %9d %9d %10d %8d %7d %11d %9d %9d\n", name, tally.asked, tally.accepted, tally.rejected, tally.unanswered, tally.packets, listenerCounts.Joined, listenerCounts.Remembered, listenerCounts.Rejected+listenerCounts.GivenUp, transportCounts.Resent)
 	}
 }
 
 // writeSummary writes how often the answered events were counted. It returns an error if an access
 // call had no answer, an event was counted twice or an answered event was not counted.
-func (m *radiusEnvironment) writeSummary(b *strings.Builder) error {
-	m.mu.Lock()
-	defer m.mu.Unlock()
+func (e *radiusEnvironment) writeSummary(b *strings.Builder) error {
+	e.mu.Lock()
+	defer e.mu.Unlock()
 	countedTwice, notCounted, countedOnce := 0, 0, 0
-	for name, answered := range m.answeredByEvent {
-		c := m.ledger.Count(name)
+	for name, answered := range e.answeredByEvent {
+		c := e.ledger.Count(name)
 		switch {
 		case c.Effects > 1:
 			countedTwice++
@@ -228,34 +228,34 @@
 			countedOnce++
 		}
 	}
-	fmt.Fprintf(b, "  events answered and counted once: %d; counted twice: %d; answered and not counted: %d; calls skipped at the limit of %d at once: %d\n", countedOnce, countedTwice, notCounted, maxConcurrentCalls, m.skippedCalls)
-	if unanswered := m.tallies["access"].unanswered; unanswered > 0 || countedTwice > 0 || notCounted > 0 {
+	fmt.Fprintf(b, "  events answered and counted once: %d; counted twice: %d; answered and not counted: %d; calls skipped at the limit of %d at once: %d\n", countedOnce, countedTwice, notCounted, maxConcurrentCalls, e.skippedCalls)
+	if unanswered := e.tallies["access"].unanswered; unanswered > 0 || countedTwice > 0 || notCounted > 0 {
 		return fmt.Errorf("demo: %d access calls had no answer, %d events were counted twice and %d answered events were not counted, expected 0 of each", unanswered, countedTwice, notCounted)
 	}
 	return nil
 }
 
-func (m *radiusEnvironment) stopProxy() error {
-	m.proxy.ShutDownWithin(time.Second)
-	for deadline := time.Now().Add(2 * time.Second); m.proxy.Held() > 0; time.Sleep(10 * time.Millisecond) {
+func (e *radiusEnvironment) stopProxy() error {
+	e.proxy.ShutDownWithin(time.Second)
+	for deadline := time.Now().Add(2 * time.Second); e.proxy.Held() > 0; time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(deadline) {
-			return fmt.Errorf("%d calls are still under way 2 s after the stop", m.proxy.Held())
+			return fmt.Errorf("%d calls are still under way 2 s after the stop", e.proxy.Held())
 		}
 	}
 	return nil
 }
 
-func (m *radiusEnvironment) close() {
-	if m.proxy != nil {
-		m.proxy.Close()
+func (e *radiusEnvironment) close() {
+	if e.proxy != nil {
+		e.proxy.Close()
 	}
-	for _, r := range m.relays {
+	for _, r := range e.relays {
 		r.Close()
 	}
-	if m.discovery != nil {
-		m.discovery.Close()
+	if e.discovery != nil {
+		e.discovery.Close()
 	}
-	for _, s := range m.servers {
+	for _, s := range e.servers {
 		s.Close()
 	}
 }
