--- /dev/null
+++ b/internal/radius/transport/attempt.go
@@ -0,0 +1,307 @@
+package transport
+
+import (
+	"crypto/rand"
+	"log/slog"
+	"time"
+
+	"chalkrack"
+	"chalkrack/internal/core"
+	"chalkrack/internal/radius"
+	"chalkrack/internal/radius/ident"
+)
+
+// NewAttempt implements core.Transport. The payload is a *Request.
+func (t *Transport) NewAttempt(order core.Order) core.Attempt {
+	request := order.Payload.(*Request)
+	request.mu.Lock()
+	request.transport = t
+	request.mu.Unlock()
+	return &attempt{transport: t, order: order, request: request}
+}
+
+// attempt implements core.Attempt.
+type attempt struct {
+	transport *Transport
+	order     core.Order
+	request   *Request
+
+	// The fields below are guarded by the Transport's lock.
+
+	socket         *socket // nil if the attempt holds no identifier
+	id             ident.ID
+	server         *server
+	wire           []byte     // the encoded packet
+	hop            radius.Hop // between proxy and server
+	proxyState     []byte     // the Proxy-State that the packet carries
+	packetsSent    int
+	packetsRefused int  // part of packetsSent that the server's port refused
+	resendUnsafe   bool // the port was refused after a packet that the server may have read
+	resends        int  // how often a resend was due, also if it was left out
+	startedAt      time.Time
+	timeoutAt      time.Time
+	timer          *time.Timer
+	ended          bool // abandoned, or its outcome was reported
+	answered       bool
+}
+
+// proxyStateBytes is the length of the Proxy-State that an attempt adds.
+const proxyStateBytes = 8
+
+// Start implements core.Attempt.
+func (a *attempt) Start() {
+	if outcome, failed := a.tryStart(); failed {
+		a.order.Sink.Done(outcome, nil, chalkrack.LoadReport{})
+	}
+}
+
+// tryStart sends the first packet, or resumes the request's parked attempt. It returns the outcome
+// and true if the attempt failed at once.
+func (a *attempt) tryStart() (outcome chalkrack.Outcome, failed bool) {
+	t := a.transport
+	secret := t.cfg.Secret(a.order.Server)
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if a.ended {
+		return chalkrack.ConnectFailed, true
+	}
+	s := t.servers[a.order.Server]
+	if s == nil || t.graceOver(s) || t.closed || len(secret) == 0 || !a.order.NotAfter.IsZero() && time.Now().After(a.order.NotAfter) {
+		a.ended = true
+		return chalkrack.ConnectFailed, true
+	}
+	if p := a.request.parked; p != nil {
+		// A server at another address would not recognize the packet as a duplicate.
+		if p.server != s && a.request.lateAnswer == nil {
+			a.ended = true
+			return chalkrack.NotSent, true
+		}
+		a.resume(p)
+		return 0, false
+	}
+	id, opened, ok := s.identifiers.Acquire(t.now())
+	if !ok {
+		t.counts.NoIdentifier++
+		a.ended = true
+		return chalkrack.NotSent, true
+	}
+	if opened {
+		sock, err := t.openSocket(s)
+		if err != nil {
+			slog.Warn("radius: can't open a socket to the server", "server", s.name, "err", err)
+		}
+		s.sockets = append(s.sockets, sock) // nil after an error: opened again below, or by a later attempt
+	}
+	sock := s.sockets[id.Socket]
+	if sock == nil {
+		if sock, _ = t.openSocket(s); sock == nil {
+			s.identifiers.Release(t.now(), id, false)
+			a.ended = true
+			return chalkrack.NotSent, true
+		}
+		s.sockets[id.Socket] = sock
+	}
+	var authenticator radius.Authenticator
+	rand.Read(authenticator[:])
+	a.proxyState = make([]byte, proxyStateBytes)
+	rand.Read(a.proxyState)
+	p, hop, err := radius.ForwardRequest(a.request.Packet, a.request.ClientHop, secret, id.Number, authenticator, a.proxyState)
+	if err != nil {
+		slog.Info("radius: can't translate the request for the server", "err", err)
+		s.identifiers.Release(t.now(), id, true)
+		a.ended = true
+		return chalkrack.NotSent, true
+	}
+	a.server, a.socket, a.id, a.wire, a.hop, a.startedAt = s, sock, id, p.Marshal(), hop, time.Now()
+	a.setTimeout()
+	sock.waiting[id.Number] = a
+	s.waitingCount++
+	a.send()
+	a.startTimer()
+	return 0, false
+}
+
+// resume takes over the packet, identifier and socket of a parked attempt of the same request. It
+// sends the packet again, or reports the late answer if there is one.
+func (a *attempt) resume(parked *attempt) {
+	t := a.transport
+	a.request.parked = nil
+	t.parkedCount--
+	a.server, a.socket, a.id, a.wire, a.hop, a.proxyState = parked.server, parked.socket, parked.id, parked.wire, parked.hop, parked.proxyState
+	a.packetsSent, a.packetsRefused = parked.packetsSent, parked.packetsRefused
+	parked.socket = nil
+	a.socket.waiting[a.id.Number] = a
+	a.startedAt = time.Now()
+	a.setTimeout()
+	if answer := a.request.lateAnswer; answer != nil {
+		a.request.lateAnswer = nil
+		a.ended, a.answered = true, true
+		a.release(true)
+		go a.order.Sink.Done(chalkrack.OK, answer, chalkrack.LoadReport{})
+		return
+	}
+	a.send()
+	a.startTimer()
+}
+
+// setTimeout sets the time at which the attempt times out, no later than the call's deadline.
+func (a *attempt) setTimeout() {
+	a.timeoutAt = a.startedAt.Add(a.transport.cfg.AttemptTimeout)
+	if !a.order.Deadline.IsZero() && a.order.Deadline.Before(a.timeoutAt) {
+		a.timeoutAt = a.order.Deadline
+	}
+}
+
+// graceOver reports whether a server has left and its grace period is over. It is called with the
+// lock held, as are the methods below.
+func (t *Transport) graceOver(s *server) bool {
+	return !s.leftAt.IsZero() && time.Since(s.leftAt) > t.cfg.Grace
+}
+
+func (a *attempt) send() {
+	a.packetsSent++
+	if a.packetsSent == 1 {
+		a.transport.counts.Sent++
+		a.request.setSentTo(a.server.name)
+	} else {
+		a.transport.counts.Resent++
+	}
+	a.socket.write(a.wire)
+}
+
+// maxResendDoublings is how often the time between two packets of an attempt is doubled.
+const maxResendDoublings = 3
+
+// startTimer starts the timer for the next resend or, after the last one, for the timeout.
+func (a *attempt) startTimer() {
+	wait := time.Until(a.timeoutAt)
+	if a.resends < a.transport.cfg.MaxResends {
+		wait = min(wait, a.transport.cfg.ResendDelay<<min(a.resends, maxResendDoublings))
+	}
+	a.timer = time.AfterFunc(max(wait, 0), a.onTimer)
+}
+
+// onTimer sends the packet again, or ends the attempt if it has timed out. It takes the lock.
+func (a *attempt) onTimer() {
+	a.transport.mu.Lock()
+	if a.ended {
+		a.transport.mu.Unlock()
+		return
+	}
+	if time.Now().Before(a.timeoutAt) {
+		a.resends++
+		// A server that has left gets nothing after the grace period. A server whose port refused
+		// a packet after an earlier one of this attempt may have run the request and crashed: once
+		// restarted, it would not recognize another packet as a duplicate.
+		if !a.transport.graceOver(a.server) && !a.resendUnsafe {
+			a.send()
+		}
+		a.startTimer()
+		a.transport.mu.Unlock()
+		return
+	}
+	a.transport.mu.Unlock()
+	a.timeOut()
+}
+
+// timeOut ends the attempt as timed out, unless it has ended. It takes the lock.
+func (a *attempt) timeOut() {
+	a.transport.mu.Lock()
+	if a.ended {
+		a.transport.mu.Unlock()
+		return
+	}
+	a.ended = true
+	a.releaseOrPark(false)
+	a.transport.mu.Unlock()
+	a.order.Sink.Done(chalkrack.TimedOut, nil, chalkrack.LoadReport{})
+}
+
+// releaseOrPark releases the attempt's identifier. If the client may retry the call and the server
+// may have run it, the attempt is parked instead, so that it can be resumed. If that is not
+// possible, the request is lost.
+func (a *attempt) releaseOrPark(answered bool) {
+	if a.socket == nil {
+		return
+	}
+	if a.timer != nil {
+		a.timer.Stop()
+	}
+	if a.request.Resumable && !answered && a.packetsSent > a.packetsRefused {
+		if !a.resendUnsafe && a.request.parked == nil && a.transport.parkedCount < maxParked && !a.transport.closed {
+			a.request.parked = a
+			a.transport.parkedCount++
+			return
+		}
+		a.request.markLost()
+	}
+	a.release(answered)
+}
+
+// maxParked is how many attempts are kept for calls that clients may retry. Further requests that
+// are given up are lost.
+const maxParked = 512
+
+// release releases the attempt's identifier, if it holds one.
+func (a *attempt) release(answered bool) {
+	if a.socket == nil {
+		return
+	}
+	a.socket.waiting[a.id.Number] = nil
+	a.server.identifiers.Release(a.transport.now(), a.id, answered)
+	a.socket = nil
+	a.server.waitingCount--
+	a.transport.closeIfUnused(a.server)
+}
+
+// Abandon implements core.Attempt.
+func (a *attempt) Abandon() (began bool) {
+	a.transport.mu.Lock()
+	defer a.transport.mu.Unlock()
+	a.ended = true
+	return a.packetsSent > a.packetsRefused
+}
+
+// CancelUnsent implements core.Attempt.
+func (a *attempt) CancelUnsent() bool {
+	a.transport.mu.Lock()
+	defer a.transport.mu.Unlock()
+	if a.packetsSent > 0 {
+		return false
+	}
+	a.ended = true
+	return true
+}
+
+// Close implements core.Attempt. An identifier without an answer rests until no late answer can
+// come.
+func (a *attempt) Close() {
+	a.transport.mu.Lock()
+	defer a.transport.mu.Unlock()
+	if a.request.parked != a {
+		a.releaseOrPark(a.answered)
+	}
+}
+
+// Phase implements core.Attempt.
+func (a *attempt) Phase() string {
+	a.transport.mu.Lock()
+	defer a.transport.mu.Unlock()
+	if a.packetsSent == 0 {
+		return "not sent"
+	}
+	return "waiting"
+}
+
+// countRefusal counts the refusal of a packet. Once all packets of the attempt were refused, the
+// server can't have run the request: the attempt ends, and finished is true.
+func (a *attempt) countRefusal() (finished bool) {
+	if a.packetsRefused++; a.packetsRefused < a.packetsSent || a.ended {
+		a.resendUnsafe = true
+		return false
+	}
+	a.ended = true
+	a.request.setSentTo("")
+	a.releaseOrPark(true) // no answer can come, so the identifier need not rest
+	return true
+}
