--- a/internal/radius/ident/ident_test.go
+++ b/internal/radius/ident/ident_test.go
@@ -9,9 +9,9 @@
 
 const restTime = 10 * time.Second
 
-// Identifiers must be given out once each on as few sockets as possible. After an answer one can
-// be used again at once, without an answer only after the rest: otherwise a late answer could meet
-// another request under the same identifier.
+// Identifiers must be given out once each, on as few sockets as possible. After an answer, an
+// identifier can be used again at once; without an answer only after restTime, or a late answer
+// could be taken for that of another request with the same identifier.
 func TestAcquireAndRelease(t *testing.T) {
 	pool := New(2, restTime)
 	seen := make(map[ID]bool)
--- a/internal/radius/listener/listener.go
+++ b/internal/radius/listener/listener.go
@@ -166,7 +166,7 @@
 	return best
 }
 
-// increment adds 1 to one of the counters.
+// increment adds 1 to a counter. It takes the lock.
 func (l *Listener) increment(counter *int64) {
 	l.mu.Lock()
 	*counter++
--- a/internal/radius/packet.go
+++ b/internal/radius/packet.go
@@ -50,7 +50,7 @@
 	return c == AccessRequest || c == AccountingRequest || c == StatusServer
 }
 
-// Answers reports whether a packet of code c may answer one of code request.
+// Answers reports whether a packet of code c may answer a request of the given code.
 func (c Code) Answers(request Code) bool {
 	switch request {
 	case AccessRequest:
--- a/internal/radius/proxy/virtual_test.go
+++ b/internal/radius/proxy/virtual_test.go
@@ -72,8 +72,8 @@
 	}
 }
 
-// virtualSocket is a socket of a virtualNetwork: the listener's, one of the proxy to a server, a
-// terminal's or a server's.
+// virtualSocket is a socket of a virtualNetwork. It belongs to the proxy's listener, to the proxy's
+// transport, to a terminal or to a server.
 type virtualSocket struct {
 	network   *virtualNetwork
 	addr      netip.AddrPort
--- a/internal/radius/radius_test.go
+++ b/internal/radius/radius_test.go
@@ -262,7 +262,7 @@
 	}
 }
 
-// Hiding pads a password to a multiple of 16 bytes and rejects one of more than 128. Revealing
+// Hiding pads a password to a multiple of 16 bytes and rejects more than 128 bytes. Revealing
 // rejects every length that hiding can't produce.
 func TestLengthsOfHiddenValues(t *testing.T) {
 	for n := range 129 {
--- a/internal/radius/transport/socket.go
+++ b/internal/radius/transport/socket.go
@@ -114,7 +114,7 @@
 		return
 	}
 	translated, err := radius.ForwardAnswer(p, a.request.Packet, a.hop, a.request.ClientHop, a.proxyState)
-	if err != nil { // the server has run the call, so another answer would be no better
+	if err != nil { // the server has run the call: waiting for another answer would not help
 		t.counts.Malformed++
 		slog.Warn("radius: can't translate the answer for the client", "server", s.server.name, "err", err)
 	}
