--- a/internal/radius/packet.go
+++ b/internal/radius/packet.go
@@ -50,14 +50,14 @@
 	return c == AccessRequest || c == AccountingRequest || c == StatusServer
 }
 
-// Answers reports whether a packet of code c may answer one of code request.
+// Answers reports whether a packet of code c may answer a request of the given code.
 func (c Code) Answers(request Code) bool {
 	switch request {
 	case AccessRequest:
 		return c == AccessAccept || c == AccessReject || c == AccessChallenge
 	case AccountingRequest:
 		return c == AccountingResponse
-	case StatusServer: // the port decides which of both (RFC 5997 section 3)
+	case StatusServer: // the answer depends on the port (RFC 5997 section 3)
 		return c == AccessAccept || c == AccountingResponse
 	}
 	return false
