--- a/cmd/fawnctl/load.go
+++ b/cmd/fawnctl/load.go
@@ -76,7 +76,7 @@
 			return errCheckFailed
 		}
 	}
-	if !report.Holds {
+	if !report.FiguresHold {
 		return errGeneratorLimited
 	}
 	return nil
@@ -180,7 +180,7 @@
 	fmt.Fprintf(&b, "%s\n\n%s\n\n", m.name, progress.Line())
 	second := progress.LastSecond
 	fmt.Fprintf(&b, "second %d: %d due, %d sent, %d dropped; %d served (%d late), %d refused, %d failed, %d without answer\n",
-		second.Second, second.Due, second.Sent, second.Dropped, second.Served, second.Late, second.Refused, second.Failed, second.None)
+		second.Second, second.Due, second.Sent, second.Dropped, second.Served, second.Late, second.Refused, second.Failed, second.NoAnswer)
 	fmt.Fprintf(&b, "latency p50 %.1f ms, p99 %.1f ms, max %.1f ms; sends left late by %.2f ms at p99; %.2f cores\n", second.P50, second.P99, second.Max, second.SendDelayP99, second.CPU)
 	fmt.Fprintf(&b, "p99 %s\n\n", sparkline(m.p99History))
 	for _, n := range m.notes {
--- a/internal/load/html.go
+++ b/internal/load/html.go
@@ -68,7 +68,7 @@
 		s := endSecond * float64(n) / 6
 		fmt.Fprintf(&svg, `<text x="%.1f" y="%g" text-anchor="middle">%.0f s</text>`, x(s), plotHeight-8, s)
 	}
-	if !report.Holds { // shade the seconds from the first with invalid figures on
+	if !report.FiguresHold { // shade the seconds from the first with invalid figures on
 		fmt.Fprintf(&svg, `<rect x="%.1f" y="%g" width="%.1f" height="%g" class="doubt"/>`, x(float64(report.LimitFromSecond)), plotTop, x(endSecond)-x(float64(report.LimitFromSecond)), plotHeight-plotTop-plotBottom)
 	}
 	for _, l := range lines {
@@ -118,7 +118,7 @@
 			{"served in time", "#2a7f3f", false, func(s *Second) float64 { return float64(s.Served - s.Late) }},
 			{"served late", "#d9a404", false, func(s *Second) float64 { return float64(s.Late) }},
 			{"refused", "#1b6ca8", true, func(s *Second) float64 { return float64(s.Refused) }},
-			{"failed or no answer", "#c8553d", false, func(s *Second) float64 { return float64(s.Failed + s.None) }},
+			{"failed or no answer", "#c8553d", false, func(s *Second) float64 { return float64(s.Failed + s.NoAnswer) }},
 		})
 	},
 	"lag": func(r *Report) template.HTML {
@@ -141,13 +141,13 @@
 @media print{body{margin:0;max-width:none}h2{break-after:avoid}svg,table{break-inside:avoid}}
 </style></head><body>
 <h1>{{or .Name "load"}}</h1>
-<p id="verdict" class="{{if .Holds}}good{{else}}bad{{end}}">{{.Verdict}}</p>
+<p id="verdict" class="{{if .FiguresHold}}good{{else}}bad{{end}}">{{.Verdict}}</p>
 <p>{{.Sent}} calls sent, {{.Dropped}} dropped, in {{n .Took}} s{{if .CutShort}}, cut short{{end}}; {{n .CPU}} s of CPU. Earned {{printf "%.3f" .Earned}} of the worth.</p>
 {{range .DropReasons}}<p class="bad">dropped, {{.}}</p>{{end}}
 {{if .Judged}}<h2>Rules</h2><table><tr><th>rule</th><th>kept</th><th>found</th></tr>
 {{range .Judged}}<tr><td>{{.Rule}}</td><td class="{{if .Kept}}good{{else}}bad{{end}}">{{if .Kept}}yes{{else}}no{{end}}</td><td>{{.Found}}</td></tr>{{end}}</table>{{end}}
 <h2>By class</h2><table><tr><th>class</th><th>sent</th><th>served</th><th>late</th><th>refused</th><th>failed</th><th>no answer</th><th>retries</th><th>earned</th></tr>
-{{range .Classes}}<tr><td>{{.Class}}</td><td>{{.Sent}}</td><td>{{.Served}}</td><td>{{.Late}}</td><td>{{.Refused}}</td><td>{{.Failed}}</td><td>{{.None}}</td><td>{{.Retries}}</td><td>{{printf "%.3f" .Earned}}</td></tr>{{end}}</table>
+{{range .Classes}}<tr><td>{{.Class}}</td><td>{{.Sent}}</td><td>{{.Served}}</td><td>{{.Late}}</td><td>{{.Refused}}</td><td>{{.Failed}}</td><td>{{.NoAnswer}}</td><td>{{.Retries}}</td><td>{{printf "%.3f" .Earned}}</td></tr>{{end}}</table>
 <h2>Latency, ms</h2><table><tr><th></th><th>mean</th><th>p50</th><th>p90</th><th>p99</th><th>p99.9</th><th>p99.99</th><th>most</th></tr>
 {{define "q"}}<td>{{n .Mean}}</td><td>{{n .P50}}</td><td>{{n .P90}}</td><td>{{n .P99}}</td><td>{{n .P999}}</td><td>{{n .P9999}}</td><td>{{n .Max}}</td>{{end}}
 {{range .Classes}}<tr><td>{{.Class}}</td>{{template "q" .Latency}}</tr>{{end}}
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -210,7 +210,7 @@
 					}
 					want = append(want, c.took(at))
 				}
-				if report.Sent != int64(len(want)) || !report.Holds {
+				if report.Sent != int64(len(want)) || !report.FiguresHold {
 					t.Fatalf("%d of %d sent: %s", report.Sent, len(want), report.Verdict())
 				}
 				for n, p := range reportedPercentiles {
@@ -243,7 +243,7 @@
 		scenario := constantLoad(100, 6*time.Second)
 		scenario.Limits.Connections = 5
 		report := runScenario(t, scenario, slow)
-		if report.Holds || report.LimitFromSecond != 3 || report.Limit != "calls were dropped" || report.Dropped == 0 {
+		if report.FiguresHold || report.LimitFromSecond != 3 || report.Limit != "calls were dropped" || report.Dropped == 0 {
 			t.Errorf("with 5 connections: %s; %d dropped", report.Verdict(), report.Dropped)
 		}
 		if report.Sent+report.Dropped != 600 {
@@ -267,8 +267,8 @@
 			},
 		}
 		report := runScenario(t, constantLoad(20, 5*time.Second), starved)
-		if report.Holds || report.LimitFromSecond != 2 || report.Classes[0].None != 0 || report.Dropped != 50 {
-			t.Errorf("out of ports: %s; dropped %d, no answer %d", report.Verdict(), report.Dropped, report.Classes[0].None)
+		if report.FiguresHold || report.LimitFromSecond != 2 || report.Classes[0].NoAnswer != 0 || report.Dropped != 50 {
+			t.Errorf("out of ports: %s; dropped %d, no answer %d", report.Verdict(), report.Dropped, report.Classes[0].NoAnswer)
 		}
 	})
 	synctest.Test(t, func(t *testing.T) { // late sends, as when the CPU is busy
@@ -291,7 +291,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if report.Holds || report.LimitFromSecond < 1 || report.LimitFromSecond > 2 || report.Limit != "sends left late" {
+		if report.FiguresHold || report.LimitFromSecond < 1 || report.LimitFromSecond > 2 || report.Limit != "sends left late" {
 			t.Errorf("late sends: %s", report.Verdict())
 		}
 		if report.Latency.P50 > 1.5+20 { // latency still counts from the due time
@@ -365,8 +365,8 @@
 		scenario.Classes[0].Deadline = duration.Duration(2 * time.Second)
 		server := silent()
 		report := runScenario(t, scenario, server)
-		if report.Classes[0].None != report.Sent || report.Sent != 120000 || len(report.Seconds) != 600 || server.openConns != 0 {
-			t.Errorf("%d sent, %d without answer, %d seconds, %d connections open", report.Sent, report.Classes[0].None, len(report.Seconds), server.openConns)
+		if report.Classes[0].NoAnswer != report.Sent || report.Sent != 120000 || len(report.Seconds) != 600 || server.openConns != 0 {
+			t.Errorf("%d sent, %d without answer, %d seconds, %d connections open", report.Sent, report.Classes[0].NoAnswer, len(report.Seconds), server.openConns)
 		}
 		if math.Abs(report.Latency.P50-2000) > 20 {
 			t.Errorf("p50 is %v ms, want the deadline of 2000 ms", report.Latency.P50)
@@ -382,7 +382,7 @@
 		}
 		defer closeSource()
 		report, err := Run(ctx, cfg)
-		if err != nil || !report.CutShort || report.Sent < 290 || report.Sent > 301 || report.Classes[0].None != report.Sent {
+		if err != nil || !report.CutShort || report.Sent < 290 || report.Sent > 301 || report.Classes[0].NoAnswer != report.Sent {
 			t.Errorf("%+v, %v", report, err)
 		}
 		var text, page bytes.Buffer
--- a/internal/load/protocol/protocol_test.go
+++ b/internal/load/protocol/protocol_test.go
@@ -65,7 +65,7 @@
 			defer plugin.Close()
 			report := runScenario(t, scenario, plugin)
 			for _, c := range report.Classes {
-				if c.None != 0 || !refuse && c.Served != c.Sent || refuse && c.Refused != c.Sent {
+				if c.NoAnswer != 0 || !refuse && c.Served != c.Sent || refuse && c.Refused != c.Sent {
 					t.Errorf("%+v", c)
 				}
 			}
@@ -104,7 +104,7 @@
 	addr := netip.MustParseAddrPort(server.Addr())
 	report := runScenario(t, scenario, &RADIUS{Access: addr, Accounting: addr, Secret: []byte("secret"), Resend: 50 * time.Millisecond})
 	for n, c := range report.Classes {
-		if c.None != 0 || c.Retries != 0 || n == 1 && c.Served != c.Sent || n != 1 && c.Failed != c.Sent {
+		if c.NoAnswer != 0 || c.Retries != 0 || n == 1 && c.Served != c.Sent || n != 1 && c.Failed != c.Sent {
 			t.Errorf("%+v", c)
 		}
 	}
--- a/internal/load/record.go
+++ b/internal/load/record.go
@@ -211,7 +211,7 @@
 // closeSecond makes a row of a second, and says in it which limit of the generator makes its figures
 // invalid, if any. The caller holds r.mu.
 func (r *recorder) closeSecond(second *openSecond) {
-	row := Second{Second: second.index, Due: second.due, Sent: second.sent, Dropped: second.dropped, Served: second.served, Late: second.late, Refused: second.refused, Failed: second.failed, None: second.noAnswer,
+	row := Second{Second: second.index, Due: second.due, Sent: second.sent, Dropped: second.dropped, Served: second.served, Late: second.late, Refused: second.refused, Failed: second.failed, NoAnswer: second.noAnswer,
 		CPU: second.cpu.Seconds()}
 	if second.latency.TotalCount() > 0 {
 		row.P50, row.P99, row.Max = millis(second.latency.ValueAtQuantile(50)), millis(second.latency.ValueAtQuantile(99)), millis(second.latency.Max())
@@ -247,7 +247,7 @@
 		CPU: (processCPU() - r.cpuAtStart).Seconds()}
 	offeredWorth, earnedWorth := 0.0, 0.0
 	for n, c := range r.perClass {
-		row := ClassReport{Class: r.classes[n].Name, Sent: c.sent, Served: c.served, Late: c.late, Refused: c.refused, Failed: c.failed, None: c.noAnswer, Retries: c.retries,
+		row := ClassReport{Class: r.classes[n].Name, Sent: c.sent, Served: c.served, Late: c.late, Refused: c.refused, Failed: c.failed, NoAnswer: c.noAnswer, Retries: c.retries,
 			Latency: quantiles(c.latency), Naive: quantiles(c.naive)}
 		for _, limit := range slices.Sorted(maps.Keys(c.dropped)) {
 			row.Dropped += c.dropped[limit]
@@ -264,10 +264,10 @@
 	if offeredWorth > 0 {
 		report.Earned = earnedWorth / offeredWorth
 	}
-	report.Holds = true
+	report.FiguresHold = true
 	for _, s := range report.Seconds {
 		if s.Limit != "" {
-			report.Holds, report.LimitFromSecond, report.Limit = false, s.Second, s.Limit
+			report.FiguresHold, report.LimitFromSecond, report.Limit = false, s.Second, s.Limit
 			break
 		}
 	}
--- a/internal/load/report.go
+++ b/internal/load/report.go
@@ -36,7 +36,7 @@
 	Late         int64   `json:"late"` // part of Served
 	Refused      int64   `json:"refused"`
 	Failed       int64   `json:"failed"`
-	None         int64   `json:"no_answer"` // calls without an answer
+	NoAnswer     int64   `json:"no_answer"` // calls without an answer
 	P50          float64 `json:"p50_ms"`
 	P99          float64 `json:"p99_ms"`
 	Max          float64 `json:"most_ms"`
@@ -48,18 +48,18 @@
 
 // ClassReport counts the outcomes of the calls of a class. A call and its retries count as one call.
 type ClassReport struct {
-	Class   string    `json:"class"`
-	Sent    int64     `json:"sent"`
-	Dropped int64     `json:"dropped"`
-	Served  int64     `json:"served"`
-	Late    int64     `json:"late"`
-	Refused int64     `json:"refused"`
-	Failed  int64     `json:"failed"`
-	None    int64     `json:"no_answer"` // calls without an answer
-	Retries int64     `json:"retries"`
-	Earned  float64   `json:"earned"`     // share of the worth answered within the aim, from 0 to 1
-	Latency Quantiles `json:"latency_ms"` // from the time at which a call was due
-	Naive   Quantiles `json:"naive_ms"`   // from the last send, so without the time that a call waited before it
+	Class    string    `json:"class"`
+	Sent     int64     `json:"sent"`
+	Dropped  int64     `json:"dropped"`
+	Served   int64     `json:"served"`
+	Late     int64     `json:"late"`
+	Refused  int64     `json:"refused"`
+	Failed   int64     `json:"failed"`
+	NoAnswer int64     `json:"no_answer"` // calls without an answer
+	Retries  int64     `json:"retries"`
+	Earned   float64   `json:"earned"`     // share of the worth answered within the aim, from 0 to 1
+	Latency  Quantiles `json:"latency_ms"` // from the time at which a call was due
+	Naive    Quantiles `json:"naive_ms"`   // from the last send, so without the time that a call waited before it
 }
 
 // Report is the result of a run.
@@ -68,7 +68,7 @@
 	Name            string        `json:"name"`
 	Took            float64       `json:"took_s"` // seconds
 	CutShort        bool          `json:"cut_short"`
-	Holds           bool          `json:"figures_hold"`                // whether the figures of all seconds are valid
+	FiguresHold     bool          `json:"figures_hold"`                // whether the figures of all seconds are valid
 	LimitFromSecond int           `json:"limit_from_second,omitempty"` // first second with invalid figures
 	Limit           string        `json:"limit,omitempty"`             // why they are not valid
 	Sent            int64         `json:"sent"`
@@ -94,7 +94,7 @@
 
 // Verdict says in words whether the figures are valid and, if not, from which second on and why.
 func (r *Report) Verdict() string {
-	if r.Holds {
+	if r.FiguresHold {
 		return "these figures hold"
 	}
 	return fmt.Sprintf("the generator was the limit from second %d on: %s", r.LimitFromSecond, r.Limit)
@@ -111,7 +111,7 @@
 	}
 	fmt.Fprintln(w, "class\tsent\tdropped\tserved\tlate\trefused\tfailed\tno answer\tretries\tearned\t")
 	for _, c := range r.Classes {
-		fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%.3f\t\n", c.Class, c.Sent, c.Dropped, c.Served, c.Late, c.Refused, c.Failed, c.None, c.Retries, c.Earned)
+		fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%.3f\t\n", c.Class, c.Sent, c.Dropped, c.Served, c.Late, c.Refused, c.Failed, c.NoAnswer, c.Retries, c.Earned)
 	}
 	fmt.Fprintf(w, "all\t%d\t%d\t\t\t\t\t\t\t%.3f\t\n", r.Sent, r.Dropped, r.Earned)
 	w.Flush()
--- a/internal/rehearse/rehearse.go
+++ b/internal/rehearse/rehearse.go
@@ -251,7 +251,7 @@
 func (r *rehearsal) judge(report *load.Report) []load.Finding {
 	var unanswered, sent int64
 	for _, c := range report.Classes {
-		unanswered += c.None
+		unanswered += c.NoAnswer
 		sent += c.Sent
 	}
 	effectByClass := make(map[string]load.Effect)
--- a/internal/rehearse/rehearse_test.go
+++ b/internal/rehearse/rehearse_test.go
@@ -117,7 +117,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	report.Classes[0].None, report.Earned = 1, 0.5
+	report.Classes[0].NoAnswer, report.Earned = 1, 0.5
 	run := &rehearsal{scenario: scenario, site: nil}
 	if run.site, err = newSite(scenario); err != nil {
 		t.Fatal(err)
