--- a/cmd/drill/instance.go
+++ b/cmd/drill/instance.go
@@ -17,8 +17,8 @@
 	settings *settings.Settings
 }
 
-// handleEvent passes an event to the balancer. It returns an error for an event with an unknown kind
-// of list or ending.
+// handleEvent passes an event to the balancer. It returns an error for an event with an unknown
+// kind of list or ending.
 func (i *instance) handleEvent(e *wire.Event, d *drill) error {
 	now, id := d.now, chalkrack.RequestID(e.ID)
 	switch e.Kind {
--- a/cmd/drill/main.go
+++ b/cmd/drill/main.go
@@ -28,8 +28,8 @@
 // listCount is the number of list numbers in use on the wire.
 const listCount = 16
 
-// drill holds the state of the adapter: the balancer instances by id, and the numbered server lists,
-// which all instances share.
+// drill holds the state of the adapter: the balancer instances by id, and the numbered server
+// lists, which all instances share.
 type drill struct {
 	in          *bufio.Reader
 	out         io.Writer
@@ -83,8 +83,8 @@
 	return line, nil
 }
 
-// processBatch reads one batch and writes the reply to it. It returns false if the input ended before
-// the batch, and an error if the input ended within it.
+// processBatch reads one batch and writes the reply to it. It returns false if the input ended
+// before the batch, and an error if the input ended within it.
 func (d *drill) processBatch() (more bool, err error) {
 	var e wire.Event
 	turn := int64(-1)
--- a/cmd/drill/main_test.go
+++ b/cmd/drill/main_test.go
@@ -100,8 +100,8 @@
 	return b.String()
 }
 
-// actionsByInstance returns the actions in the output sorted by instance, in the order of the output
-// within an instance.
+// actionsByInstance returns the actions in the output sorted by instance, in the order of the
+// output within an instance.
 func actionsByInstance(out string) []string {
 	var lines []string
 	for line := range strings.Lines(out) {
@@ -121,8 +121,8 @@
 }
 
 // Each instance must act the same whether one process hosts all four instances or two processes
-// host two each, and the same in a second run: state shared by instances of a process, or randomness
-// without a seed, would make results of the simulator depend on the layout or the run.
+// host two each, and the same in a second run: state shared by instances of a process, or
+// randomness without a seed, would make results of the simulator depend on the layout or the run.
 func TestInstancesActAlikeInOneProcessAndInTwo(t *testing.T) {
 	all := func(int) bool { return true }
 	whole, stderr, code := runDrill(t, eventScript(4, all))
--- a/cmd/fawnrock/link_test.go
+++ b/cmd/fawnrock/link_test.go
@@ -10,9 +10,9 @@
 	"testing"
 )
 
-// The daemon that the deploy file builds must be linked dynamically and name an interpreter, because
-// libraries that the platform preloads into the process have no effect otherwise. The run command
-// must exec the daemon, so that it replaces the shell.
+// The daemon that the deploy file builds must be linked dynamically and name an interpreter,
+// because libraries that the platform preloads into the process have no effect otherwise. The run
+// command must exec the daemon, so that it replaces the shell.
 func TestDaemonIsLinkedDynamically(t *testing.T) {
 	text, err := os.ReadFile("../../deploy/balancer.toml")
 	if err != nil {
--- a/cmd/fawnrock/main.go
+++ b/cmd/fawnrock/main.go
@@ -1,6 +1,6 @@
-// Command fawnrock is the sidecar: a process between an application and its servers, which hosts one
-// balancer. SIGTERM and SIGINT end it after the open calls have been answered; SIGHUP reloads its
-// configuration. It exits with status 1 on an invalid configuration and on any other error.
+// Command fawnrock is the sidecar: a process between an application and its servers, which hosts
+// one balancer. SIGTERM and SIGINT end it after the open calls have been answered; SIGHUP reloads
+// its configuration. It exits with status 1 on an invalid configuration and on any other error.
 package main
 
 import (
--- a/internal/lab/cold_test.go
+++ b/internal/lab/cold_test.go
@@ -32,10 +32,10 @@
 	return maxExcess, arrivals
 }
 
-// The attempts that all processes of a fleet together send to a cold node exceeded its budget if
-// each process computed its own part wrongly: with few or many processes, equal or unequal
-// traffic, when most other nodes vanish or leave the server list, so that all processes choose
-// other nodes at once, and when all processes have just started.
+// If each process of a fleet computes its part of a cold node's budget wrongly, the attempts of all
+// processes together exceed the budget. It must hold with few or many processes, with equal or
+// unequal traffic, when most other nodes vanish or leave the server list, so that all processes
+// choose other nodes at once, and when all processes have just started.
 func TestColdBudgetHoldsForTheFleet(t *testing.T) {
 	for _, rules := range []chalkrack.Config{
 		{ColdFrom: 0.15, ColdFor: 20 * time.Second, OverloadFactor: 4, OverloadFor: 2 * time.Second},
@@ -100,9 +100,9 @@
 	}
 }
 
-// warmFleetConfig returns a fleet of twelve warm nodes and count sidecars at a load, which is a share
-// of the nodes' capacity. If uneven is set, a tenth of the sidecars have ten times as much traffic
-// as each of the others.
+// warmFleetConfig returns a fleet of twelve warm nodes and count sidecars. load is the share of the
+// nodes' capacity that the calls need. If uneven is set, a tenth of the sidecars have ten times as
+// much traffic as each of the others.
 func warmFleetConfig(rules chalkrack.Config, seed uint64, count int, uneven bool, load float64, work time.Duration) Config {
 	rules.MaxAttempts, rules.MayCancel, rules.SecondCopies, rules.MaxRetryAfter, rules.WasteCost = 5, true, true, 2*time.Second, 0.2
 	cfg := Config{Seed: seed, Sidecars: count, ClientTimeout: 2500 * time.Millisecond, MaxClientRetries: 2, HonourRetryAfterShare: 0.8,
--- a/internal/lab/lab.go
+++ b/internal/lab/lab.go
@@ -1,6 +1,6 @@
 // Package lab simulates a fleet in virtual time: sidecars that run the decision module, nodes
 // with cores, a speed and a queue, and clients that make calls at random times and retry. It
-// shows in seconds how decisions work out over minutes or hours of load, and is deterministic
+// shows within seconds the effect of decisions over minutes or hours of load, and is deterministic
 // for a seed. Nodes don't know of sidecars, and sidecars learn about a node only from its answers.
 package lab
 
@@ -17,14 +17,14 @@
 type Class struct {
 	chalkrack.Class
 	Share    float64       // share of all calls
-	MeanWork time.Duration // mean on a core of speed 1: a constant fifth and an exponential part
+	MeanWork time.Duration // mean time on a core of speed 1: a fifth is constant, the rest exponential
 }
 
 // Node is a server.
 type Node struct {
 	Name      string
 	Zone      string
-	Speed     float64 // of a core; a request of Class.Work takes Work/Speed
+	Speed     float64 // of a core; a request with work w takes w/Speed
 	Cores     int
 	QueueSize int     // capacity of the queue; further requests are rejected
 	ErrorRate float64 // share of attempts answered with an error at once
@@ -45,8 +45,8 @@
 	ClientTimeout         time.Duration                  // how long a client waits for an answer
 	MaxClientRetries      int                            // maximum number of retries of a client after refusals
 	HonourRetryAfterShare float64                        // share of clients that wait for the time given in a refusal
-	SynchronizedRetries   bool                           // the other clients all retry at the next whole second
-	ClockAhead            time.Duration                  // by how much sidecars' clocks are ahead of the clock that reports starts
+	SynchronizedRetries   bool                           // clients that do not wait for that time all retry at the next whole second
+	ClockAhead            time.Duration                  // by how much the sidecars' clocks are ahead of the one that dates the nodes' starts
 	OnNewSidecar          func(*Sidecar)                 // called with each sidecar before its first server list; may be nil
 	OnSubscribe           func(*Sidecar)                 // called when a sidecar requests the server list; may be nil
 	// OnSend and OnAttemptDone are called at the start and the end of each attempt, like the
@@ -57,7 +57,7 @@
 
 // Second counts the events of one second. Slices are indexed by class.
 type Second struct {
-	Asked, Served []float64 // calls made, and those of them of which a try was answered within the aim
+	Asked, Served []float64 // calls made, and those with a try that was answered within the aim
 	Refused       []int     // refusals, of first tries and retries
 	Late, Failed  int       // tries answered after the aim, and tries that failed
 	Sent          int       // attempts
@@ -83,8 +83,9 @@
 	Lab          *Lab
 	Index        int
 	OpenRequests int
-	// AttemptsEnded counts all attempts that ended, Late those of them that took longer than the aim
-	// of their class, and Full those that a node rejected. A reader may reset them.
+	// AttemptsEnded counts all attempts that ended, AttemptsLate those of them that took longer
+	// than the aim of their class, and AttemptsRejected those that a node rejected because its
+	// queue was full. A reader may reset them.
 	AttemptsEnded, AttemptsLate, AttemptsRejected float64
 
 	calls       map[chalkrack.RequestID]*call
@@ -93,7 +94,8 @@
 	connections map[string]int // maximum of inFlight: as many connections stay open
 }
 
-// call is a client's call, of which one try at a time is open at the sidecar.
+// call is a client's call: a first try and its retries. Only one of them at a time is open at the
+// sidecar.
 type call struct {
 	class         int
 	arrivedAt     time.Duration // start of the first try
@@ -101,18 +103,18 @@
 	retryCount    int           // retries of the client before this try
 	attemptCount  int           // attempts of this try
 	inFlight      int           // attempts of this try in flight
-	done          bool          // this try has ended
+	tryEnded      bool
 	tryStart      time.Duration
 }
 
-// dialTimeout is how long a sidecar waits for a connection to a machine that is gone.
+// dialTimeout is how long a sidecar waits for a connection to a node that is unreachable.
 const dialTimeout = 250 * time.Millisecond
 
 // networkDelay is the time that data takes from one machine to another.
 const networkDelay = 500 * time.Microsecond
 
-// New returns a Lab at time 0, in which all sidecars know all nodes. Its error is that of
-// chalkrack.New for the rules.
+// New returns a Lab at time 0, in which all sidecars know all nodes. It returns an error if
+// chalkrack.New rejects the rules.
 func New(cfg Config) (*Lab, error) {
 	lab := &Lab{cfg: cfg, Random: rand.New(rand.NewPCG(cfg.Seed, 1)), nodes: make(map[string]*machine)}
 	rules := cfg.Rules
@@ -152,8 +154,8 @@
 	return &l.Seconds[n]
 }
 
-// ServedWorthShare returns the share of the worth of all calls made from firstSecond until before endSecond
-// that was served within the aim.
+// ServedWorthShare returns the share of the worth that was served within the aim, of all calls made
+// from firstSecond until before endSecond.
 func (l *Lab) ServedWorthShare(firstSecond, endSecond int) float64 {
 	asked, served := 0.0, 0.0
 	for n := firstSecond; n < endSecond && n < len(l.Seconds); n++ {
@@ -209,20 +211,20 @@
 func (s *Sidecar) startTry(call *call) {
 	s.lastID++
 	id := s.lastID
-	call.done, call.attemptCount, call.inFlight, call.tryStart = false, 0, 0, s.Lab.Now
+	call.tryEnded, call.attemptCount, call.inFlight, call.tryStart = false, 0, 0, s.Lab.Now
 	s.calls[id] = call
 	s.OpenRequests++
 	s.Arrive(s.Lab.Now, chalkrack.Request{ID: id, Class: call.class, Tenant: -1, Deadline: s.Lab.Now + s.Lab.cfg.ClientTimeout})
 }
 
 // endTry ends a try. If mayRetry is set and retries are left, the client retries: after at least
-// retryAfter if it honours that time.
+// retryAfter if the client honours that time.
 func (s *Sidecar) endTry(id chalkrack.RequestID, retryAfter time.Duration, mayRetry bool) {
 	l, call := s.Lab, s.calls[id]
-	if call == nil || call.done {
+	if call == nil || call.tryEnded {
 		return
 	}
-	call.done = true
+	call.tryEnded = true
 	s.OpenRequests--
 	delete(s.calls, id)
 	if !mayRetry || call.retryCount >= l.cfg.MaxClientRetries {
@@ -254,17 +256,17 @@
 	call.inFlight++
 	s.inFlight[server]++
 	s.connections[server] = max(s.connections[server], s.inFlight[server])
-	done := false
+	attemptEnded := false
 	sentAt := l.Now
 	ticket := uint64(0)
 	if l.cfg.OnSend != nil {
 		ticket = l.cfg.OnSend(s, server)
 	}
-	end := func(outcome chalkrack.Outcome) {
-		if done {
+	endAttempt := func(outcome chalkrack.Outcome) {
+		if attemptEnded {
 			return
 		}
-		done = true
+		attemptEnded = true
 		if l.cfg.OnAttemptDone != nil {
 			l.cfg.OnAttemptDone(s, ticket, outcome)
 		}
@@ -276,8 +278,8 @@
 		} else if l.Now-sentAt > class.Aim {
 			s.AttemptsLate++
 		}
-		callDone := call.done
-		if outcome == chalkrack.OK && !callDone {
+		tryHadEnded := call.tryEnded
+		if outcome == chalkrack.OK && !tryHadEnded {
 			if l.Now-call.tryStart <= class.Aim {
 				l.secondAt(call.arrivalSecond).Served[call.class]++
 			} else {
@@ -285,24 +287,24 @@
 			}
 			s.endTry(id, 0, false)
 		}
-		s.AttemptDone(l.Now, id, attempt, outcome, call.done, chalkrack.LoadReport{})
+		s.AttemptDone(l.Now, id, attempt, outcome, call.tryEnded, chalkrack.LoadReport{})
 	}
 	work := time.Duration((0.2 + 0.8*l.Random.ExpFloat64()) * float64(class.MeanWork))
 	l.After(networkDelay, func() {
 		m := l.nodes[server]
 		if m.unreachable {
-			l.After(dialTimeout, func() { end(chalkrack.ConnectFailed) })
+			l.After(dialTimeout, func() { endAttempt(chalkrack.ConnectFailed) })
 			return
 		}
 		if m.recordArrival(); m.ErrorRate > 0 && l.Random.Float64() < m.ErrorRate {
-			l.After(networkDelay, func() { end(chalkrack.ServerError) })
+			l.After(networkDelay, func() { endAttempt(chalkrack.ServerError) })
 			return
 		}
-		if !m.serve(work, func() { l.After(networkDelay, func() { end(chalkrack.OK) }) }) {
-			l.After(networkDelay, func() { end(chalkrack.Full) })
+		if !m.serve(work, func() { l.After(networkDelay, func() { endAttempt(chalkrack.OK) }) }) {
+			l.After(networkDelay, func() { endAttempt(chalkrack.Full) })
 		}
 	})
-	l.After(timeout, func() { end(chalkrack.TimedOut) })
+	l.After(timeout, func() { endAttempt(chalkrack.TimedOut) })
 }
 
 // Refuse implements chalkrack.Host.
@@ -373,8 +375,8 @@
 	}
 }
 
-// SetUnreachable makes a node's machine unreachable or reachable again. Attempts that reach it while
-// it is unreachable fail to connect; those that it had received before are still answered.
+// SetUnreachable makes a node unreachable or reachable again. Attempts that arrive while it is
+// unreachable fail to connect; those that it had received before are still answered.
 func (l *Lab) SetUnreachable(node string, unreachable bool) { l.nodes[node].unreachable = unreachable }
 
 // SetErrorRate sets the share of attempts that a node answers with errors from now on.
@@ -388,7 +390,7 @@
 	coldArrivals     []time.Duration // times of the attempts that arrived while it was cold
 	lab              *Lab
 	busyCores        int
-	queue            []func()
+	queue            []func() // each starts a request
 	unreachable      bool
 }
 
--- a/internal/lab/zonal/notes.go
+++ b/internal/lab/zonal/notes.go
@@ -11,25 +11,24 @@
 	"chalkrack/internal/lab/virtual"
 )
 
-// Defaults of package duty for notes: the number sent to random peers per second, the maximum rate,
-// up to twice of which may be sent in a burst, the room for zones in a note, and the range of
-// transit times.
+// Limits of notes, as package duty has them by default.
 const (
-	notesPerSecond    = 4
-	maxNotesPerSecond = 20.0
-	maxNoteBytes      = 150
+	notesPerSecond    = 4    // to random peers
+	maxNotesPerSecond = 20.0 // a burst may have twice as many
+	maxNoteBytes      = 150  // space for zones in a note
 	minTransitTime    = 1400 * time.Microsecond
-	transitTimeRange  = 32600 * time.Microsecond
+	transitTimeRange  = 32600 * time.Microsecond // a random part of it is added to minTransitTime
 )
 
-// NoteNetwork simulates the network that carries notes between machines, with the limits of package duty.
+// NoteNetwork simulates the network that carries notes between machines, with the limits of package
+// duty.
 type NoteNetwork struct {
 	Clock            *virtual.Clock
 	Rand             *rand.Rand
 	LossRate         float64                 // share of notes that are lost
 	ExtraDelay       time.Duration           // additional transit time
 	IsReachable      func(from, to int) bool // whether a note arrives; nil: always
-	OnHopeless       func(n int, l []uint64) // receives the attempts that machine n gives up; nil: ignored
+	OnHopeless       func(n int, l []uint64) // receives the tickets of attempts that machine n gives up; nil: ignored
 	OnUsesChanged    func(n int)             // called when the zones that machine n uses have changed; nil: ignored
 	NoteCount        int                     // notes sent
 	NoteBytes        int                     // total length of the notes' parts for zones
@@ -47,8 +46,8 @@
 	notesThisSecond int // notes sent in the current second
 }
 
-// SetMachine sets the machine of sidecar n and starts a new incarnation of it. A nil machine stands for a
-// dead process.
+// SetMachine sets the machine of sidecar n and starts a new incarnation of it. A nil machine stands
+// for a dead process.
 func (s *NoteNetwork) SetMachine(n int, m *evacuation.Machine) {
 	for len(s.senders) <= n {
 		s.senders = append(s.senders, &sender{})
--- a/internal/lab/zonal/rehearse.go
+++ b/internal/lab/zonal/rehearse.go
@@ -25,7 +25,7 @@
 	faultKindCount
 )
 
-// Fault is a fault of a simulated run, active between From and To.
+// Fault is a fault of a simulated run, active from the time From until before the time To.
 type Fault struct {
 	Kind     FaultKind
 	Zone     string
@@ -36,21 +36,21 @@
 
 // String describes the fault in one line.
 func (f Fault) String() string {
-	what := [...]string{"zone %s fails, %v", "cut off from %s, %v", "half cut off from %s, %v", "parted", "half of the notes lost", "stopped", "killed", "ordered out of %s"}[f.Kind]
+	description := [...]string{"zone %s fails, %v", "cut off from %s, %v", "half cut off from %s, %v", "parted", "half of the notes lost", "stopped", "killed", "ordered out of %s"}[f.Kind]
 	switch f.Kind {
 	case FaultZoneFails, FaultCutOff, FaultHalfCutOff:
-		what = fmt.Sprintf(what, f.Zone, f.Result)
+		description = fmt.Sprintf(description, f.Zone, f.Result)
 	case FaultOrder:
-		what = fmt.Sprintf(what, f.Zone)
+		description = fmt.Sprintf(description, f.Zone)
 	}
-	return fmt.Sprintf("%v to %v: %s (%d)", f.From.Round(time.Millisecond), f.To.Round(time.Millisecond), what, f.Target)
+	return fmt.Sprintf("%v to %v: %s (%d)", f.From.Round(time.Millisecond), f.To.Round(time.Millisecond), description, f.Target)
 }
 
-// warmup is how long a run lasts before the first fault.
+// warmup is the time from the start of a run to the first possible fault.
 const warmup = 3 * time.Second
 
 // DrawFaults returns one to five random faults, all within the first 34 seconds of a run.
-func DrawFaults(rng *rand.Rand, sidecars int, zones []string) (all []Fault) {
+func DrawFaults(rng *rand.Rand, sidecars int, zones []string) (faults []Fault) {
 	for range 1 + rng.IntN(5) {
 		f := Fault{Kind: FaultKind(rng.IntN(int(faultKindCount))), Zone: zones[rng.IntN(len(zones))], From: warmup + time.Duration(rng.Int64N(int64(20*time.Second))), Target: rng.IntN(sidecars),
 			Result: []evacuation.ResultKind{evacuation.ResultConnectFailed, evacuation.ResultReset, evacuation.ResultLate, evacuation.ResultError}[rng.IntN(4)]}
@@ -58,9 +58,9 @@
 		if f.Kind == FaultPartition {
 			f.Target = 1 + rng.IntN(max(1, sidecars-1))
 		}
-		all = append(all, f)
+		faults = append(faults, f)
 	}
-	return all
+	return faults
 }
 
 // Outcome is the result of a run.
@@ -68,7 +68,8 @@
 	Violations []string          // violated invariants
 	Departures map[string]uint32 // of the fleet, by zone
 	SettleTime time.Duration     // time from the end of the last fault until all sidecars used all zones
-	// LeaveTimes maps zones that failed for all sidecars to the time until all had left them; -1: never.
+	// LeaveTimes maps each zone that failed for all sidecars to the time until all had left it; -1
+	// means that some had not left it by the end of the fault.
 	LeaveTimes     map[string]time.Duration
 	NotesPerSecond float64 // per sidecar and second
 	BytesPerSecond float64 // length of the notes' parts for zones, per sidecar and second
@@ -80,8 +81,7 @@
 }
 
 // RunFaults runs the fleet with the given faults and reports violations: a departure of the fleet
-// without a cause, or zones that are not in use again by all sidecars after the end of the last
-// fault.
+// without a cause, or a zone that some sidecars do not use again after the end of the last fault.
 func (w *World) RunFaults(faults []Fault) (outcome Outcome, err error) {
 	sidecars := len(w.Sidecars)
 	cfg := w.Sidecars[0].Config
@@ -109,7 +109,7 @@
 		switch f.Kind {
 		case FaultZoneFails, FaultHalfCutOff, FaultOrder:
 			caused[f.Zone] = true
-		case FaultCutOff: // the fleet can't tell this number of cut off sidecars from a failing zone
+		case FaultCutOff: // to the fleet, minVotes sidecars that are cut off look like a failing zone
 			if cutOff[f.Zone] == nil {
 				cutOff[f.Zone] = make(map[int]bool)
 			}
@@ -148,10 +148,10 @@
 	return outcome, err
 }
 
-// giveOrder gives an order to the first running sidecar for which meant returns true.
-func (w *World) giveOrder(zone, action string, meant func(c *Sidecar) bool) {
+// giveOrder gives an order to the first running sidecar for which isRecipient returns true.
+func (w *World) giveOrder(zone, action string, isRecipient func(c *Sidecar) bool) {
 	for _, c := range w.Sidecars {
-		if !c.Dead && !c.Stopped && meant(c) {
+		if !c.Dead && !c.Stopped && isRecipient(c) {
 			c.SubmitOrder(w.Now, zone, action, "operator", "a rehearsal")
 			return
 		}
@@ -182,7 +182,7 @@
 	}
 }
 
-// watchInterval is the resolution with which the departure time is measured.
+// watchInterval is the resolution of LeaveTimes.
 const watchInterval = 20 * time.Millisecond
 
 // measureDeparture measures how long all sidecars take to leave a zone that fails.
@@ -200,8 +200,9 @@
 	w.After(watchInterval, func() { w.measureDeparture(f, outcome) })
 }
 
-// RunRandomFaults runs a fleet with random faults, determined by seed. If an invariant is violated it
-// drops faults while the violation remains, and returns the outcome with the remaining faults.
+// RunRandomFaults runs a fleet with random faults, determined by seed. If an invariant is violated,
+// it removes faults without which there is still a violation, and returns the remaining faults with
+// their outcome.
 func RunRandomFaults(cfg evacuation.Config, seed uint64, sidecars, serversPerZone int, zones ...string) (Outcome, []Fault, error) {
 	faults := DrawFaults(rand.New(rand.NewPCG(seed, 9)), sidecars, zones)
 	run := func(faults []Fault) (Outcome, error) {
--- a/internal/lab/zonal/world.go
+++ b/internal/lab/zonal/world.go
@@ -9,15 +9,15 @@
 	"chalkrack/internal/lab/virtual"
 )
 
-// World simulates a fleet of sidecars that make calls at random times. Its owner sets the result of
-// calls.
+// World simulates a fleet of sidecars that make calls at random times. CallResult determines how
+// the calls end.
 type World struct {
 	virtual.Clock
 	NoteNetwork
 	Zones        []string
 	Servers      []evacuation.Server
 	Rate         func(n int) float64                                    // calls per second of sidecar n; nil: 12
-	CallResult   func(n int, s evacuation.Server) evacuation.ResultKind // result of a call of sidecar n; nil: Good
+	CallResult   func(n int, s evacuation.Server) evacuation.ResultKind // result of a call of sidecar n; nil: ResultGood
 	CallDuration time.Duration                                          // mean duration of a successful call
 	SendTimes    map[string][]time.Duration                             // send times by zone
 	Sidecars     []*Sidecar
@@ -31,10 +31,10 @@
 	Config   evacuation.Config
 	Dead     bool
 	Stopped  bool
-	callLoop int // current chain of calls; increases with each start and kill
+	callLoop int // number of the current series of calls; increases with each start and kill
 }
 
-// New returns a World with a number of sidecars, whose machines differ only in Self, and with
+// New returns a World with a number of sidecars, whose configurations differ only in Self, and with
 // serversPerZone servers in each zone. It returns an error if cfg is invalid.
 func New(seed uint64, cfg evacuation.Config, sidecars, serversPerZone int, zones ...string) (*World, error) {
 	w := &World{Zones: zones, CallDuration: 40 * time.Millisecond, SendTimes: make(map[string][]time.Duration), rng: rand.New(rand.NewPCG(seed, 3))}
@@ -142,19 +142,20 @@
 
 // scheduleEnd reports the end of an attempt to a sidecar after the given time, or once the sidecar
 // resumes.
-func (w *World) scheduleEnd(after time.Duration, c *Sidecar, loop int, ticket uint64, k evacuation.ResultKind) {
+func (w *World) scheduleEnd(after time.Duration, c *Sidecar, loop int, ticket uint64, result evacuation.ResultKind) {
 	w.After(after, func() {
 		switch {
 		case c.callLoop != loop:
 		case c.Stopped:
-			w.scheduleEnd(resumeCheckInterval, c, loop, ticket, k)
+			w.scheduleEnd(resumeCheckInterval, c, loop, ticket, result)
 		default:
-			c.RecordEnd(w.Now, ticket, k, false)
+			c.RecordEnd(w.Now, ticket, result, false)
 		}
 	})
 }
 
-// RecordAndOrder returns the record and the order that the sidecar holds of a zone.
+// RecordAndOrder returns the record and the order that the sidecar holds for a zone, empty ones if
+// it does not know the zone.
 func (c *Sidecar) RecordAndOrder(zone string) (evacuation.Record, evacuation.Order) {
 	for _, s := range c.State() {
 		if s.Zone == zone {
@@ -166,62 +167,62 @@
 
 // CountByStage returns the number of live sidecars by stage of a zone.
 func (w *World) CountByStage(zone string) map[evacuation.Stage]int {
-	all := make(map[evacuation.Stage]int)
+	counts := make(map[evacuation.Stage]int)
 	for _, c := range w.Sidecars {
 		if !c.Dead {
 			rec, _ := c.RecordAndOrder(zone)
-			all[rec.Stage]++
+			counts[rec.Stage]++
 		}
 	}
-	return all
+	return counts
 }
 
-// CountUsing returns how many of the running sidecars send to a zone, and the number of running
+// CountUsing returns how many of the running sidecars use a zone, and the number of running
 // sidecars.
-func (w *World) CountUsing(zone string) (n, of int) {
+func (w *World) CountUsing(zone string) (using, running int) {
 	for _, c := range w.Sidecars {
 		if c.Dead || c.Stopped {
 			continue
 		}
-		if of++; c.UsesZone(zone) {
-			n++
+		if running++; c.UsesZone(zone) {
+			using++
 		}
 	}
-	return n, of
+	return using, running
 }
 
 // MaxDepartures returns the highest number of departures of a zone in any live sidecar's record.
-func (w *World) MaxDepartures(zone string) (most uint32) {
+func (w *World) MaxDepartures(zone string) (highest uint32) {
 	for _, c := range w.Sidecars {
 		if !c.Dead {
 			rec, _ := c.RecordAndOrder(zone)
-			most = max(most, rec.Gen)
+			highest = max(highest, rec.Gen)
 		}
 	}
-	return most
+	return highest
 }
 
-// IsAgreed reports whether all running sidecars hold the same departures, stage and order of a
-// zone.
+// IsAgreed reports whether all running sidecars hold the same number of departures, stage and order
+// of a zone.
 func (w *World) IsAgreed(zone string) bool {
-	type held struct {
+	type heldState struct {
 		gen     uint32
 		stage   evacuation.Stage
 		version uint32
 		author  uint16
 	}
-	all := make(map[held]bool)
+	distinct := make(map[heldState]bool)
 	for _, c := range w.Sidecars {
 		if !c.Dead && !c.Stopped {
 			rec, order := c.RecordAndOrder(zone)
-			all[held{rec.Gen, rec.Stage, order.Version, order.Author}] = true
+			distinct[heldState{rec.Gen, rec.Stage, order.Version, order.Author}] = true
 		}
 	}
-	return len(all) <= 1
+	return len(distinct) <= 1
 }
 
-// RunUntil runs the fleet in steps until holds returns true. It returns the time taken, and false
-// if that reached maxTime.
+// RunUntil runs the fleet in steps until holds returns true or maxTime has passed. It returns the
+// time taken, and whether holds returned true.
 func (w *World) RunUntil(maxTime, step time.Duration, holds func() bool) (time.Duration, bool) {
 	began := w.Now
 	for !holds() {
--- a/internal/lab/zones_test.go
+++ b/internal/lab/zones_test.go
@@ -66,8 +66,8 @@
 	}
 }
 
-// resultKinds maps outcomes of attempts to results for evacuation. Other outcomes tell nothing about
-// a server.
+// resultKinds maps outcomes of attempts to results for evacuation. Other outcomes tell nothing
+// about a server.
 var resultKinds = map[chalkrack.Outcome]evacuation.ResultKind{chalkrack.OK: evacuation.ResultGood, chalkrack.ServerError: evacuation.ResultError, chalkrack.Full: evacuation.ResultRefused,
 	chalkrack.TimedOut: evacuation.ResultLate, chalkrack.ConnectFailed: evacuation.ResultConnectFailed, chalkrack.Reset: evacuation.ResultReset}
 
@@ -98,9 +98,8 @@
 }
 
 // runZoneLosses simulates a run of the given length, in each third of which zone a is unreachable
-// for 20 s. It returns the share of worth served and, for each loss that all sidecars reacted to
-// within 10 s, how long it took until all had left the zone. With a nil fleet there are no such
-// times.
+// for 20 s. It returns the share of worth served and, for each loss after which all sidecars left
+// the zone within 10 s, the time that this took. With a nil fleet there are no such times.
 func runZoneLosses(t *testing.T, sidecars int, fleet *evacuatingFleet, length time.Duration) (lab *Lab, worth float64, evacuationTimes []time.Duration) {
 	t.Helper()
 	cfg := zonedConfig(sidecars, fleet)
@@ -145,7 +144,7 @@
 }
 
 // Sidecars with evacuation machines all leave a zone that becomes unreachable within 2 s, each
-// time. The notes that a sidecar sends don't become more with the size of the fleet, and the worth
+// time. A sidecar does not send more notes in a larger fleet, and the worth
 // served is not lower than without evacuation. FAWN_LAB, a number of minutes, selects large fleets
 // and that length.
 func TestEvacuationOfUnreachableZone(t *testing.T) {
--- a/internal/load/bench_test.go
+++ b/internal/load/bench_test.go
@@ -16,8 +16,9 @@
 	"chalkrack/internal/standin"
 )
 
-// TestMain serves as a stand-in server if LOAD_SERVER is set. Benchmarks start it so in a process of
-// its own, so that the CPU time of their process is that of the generator alone.
+// TestMain runs a stand-in server if LOAD_SERVER is set, and the tests otherwise. Benchmarks start
+// the server in a process of its own, so that the CPU time of theirs is that of the generator
+// alone.
 func TestMain(m *testing.M) {
 	if os.Getenv("LOAD_SERVER") == "" {
 		os.Exit(m.Run())
--- a/internal/load/html_test.go
+++ b/internal/load/html_test.go
@@ -11,9 +11,9 @@
 	"chalkrack/internal/headless"
 )
 
-// The report page is opened from a file, often offline, so a script or external resource in it would
-// leave it incomplete. In a browser it must show the figures, the plots and the shaded seconds,
-// escape names, and print to PDF.
+// The report page is opened from a file, often offline, so a script or external resource in it
+// would leave it incomplete. In a browser it must show the figures, the plots and the shaded
+// seconds, escape names, and print to PDF.
 func TestReportPageInBrowser(t *testing.T) {
 	report := &Report{Version: ReportVersion, Name: "a <b>bold</b> & odd name", Took: 5, Sent: 500, LimitFromSecond: 3, Limit: "sends left late",
 		Classes: []ClassReport{{Class: "activate", Sent: 500, Served: 490, Earned: 0.987}},
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -50,8 +50,8 @@
 type Limits struct {
 	Connections  int               `toml:"connections"`
 	Outstanding  int               `toml:"outstanding"` // calls in progress, including those waiting for a retry
-	MaxSendDelay duration.Duration `toml:"lag"`         // largest p99 delay of sends in a second with valid figures
-	MaxCores     float64           `toml:"cpu"`         // most cores used in a second with valid figures; 0 means nine tenths of all
+	MaxSendDelay duration.Duration `toml:"lag"`         // the figures of a second with a higher p99 delay of sends are not valid
+	MaxCores     float64           `toml:"cpu"`         // the figures of a second that used more cores are not valid; 0 means nine tenths of all cores
 }
 
 // Call is one attempt of a call, as a Conn sends it.
@@ -169,7 +169,7 @@
 	attempt           int       // number of the attempt, from 0
 	honoursRetryAfter bool      // whether the client waits as Retry-After says
 	backoffSeed       uint64    // seed of the random part of its backoff
-	sentAt            time.Time
+	sentAt            time.Time // start of the latest attempt
 }
 
 // worker sends jobs over one connection, one at a time.
@@ -187,10 +187,10 @@
 	runningWorkers sync.WaitGroup
 
 	mu              sync.Mutex
-	idleWorkers     []*worker // idle workers, the most recently used last
-	workerCount     int       // number of workers, busy or idle
-	callsInProgress int       // calls in progress
-	closed          bool
+	idleWorkers     []*worker // the most recently used last
+	workerCount     int       // busy and idle workers
+	callsInProgress int       // including calls that wait for a retry
+	closed          bool      // the run is over: workers end instead of becoming idle
 }
 
 // dispatch sends each call at its due time. It returns true if ctx ended before the source did.
@@ -297,9 +297,9 @@
 	}
 }
 
-// attempt makes one attempt of a call, which is sent again on a new connection if the kept-alive one
-// was closed. failure says why there is no reply, or is empty. keepConn says whether the connection
-// can be used again.
+// attempt makes one attempt of a call, which is sent again on a new connection if the kept-alive
+// one was closed. failure says why there is no reply, or is empty. keepConn says whether the
+// connection can be used again.
 func (r *run) attempt(w *worker, j *job) (reply Reply, failure string, keepConn bool) {
 	j.sentAt = time.Now()
 	if j.attempt == 0 {
@@ -386,7 +386,7 @@
 	r.release()
 }
 
-// runTicker closes the rows of ended seconds once a second and calls the view, until stop is closed.
+// runTicker calls closeSeconds and the view once a second, until stop is closed.
 func (r *run) runTicker(stop chan struct{}) {
 	ticker := time.NewTicker(time.Second)
 	defer ticker.Stop()
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -140,7 +140,7 @@
 func TestReportedLatencyIncludesStalls(t *testing.T) {
 	const work = 20 * time.Millisecond
 	const stallStart, stall = 4 * time.Second, 2 * time.Second
-	remainingStall := func(at time.Duration) time.Duration { // remaining stall for an action that begins at at
+	remainingStall := func(at time.Duration) time.Duration { // for an action that begins at the time at
 		if at >= stallStart && at < stallStart+stall {
 			return stallStart + stall - at
 		}
@@ -197,7 +197,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				begin := time.Now().Add(10 * time.Millisecond) // the delay that Run begins with
+				begin := time.Now().Add(10 * time.Millisecond) // Run begins with this delay
 				scenario := constantLoad(200, 10*time.Second)
 				scenario.Limits.Connections = c.conns
 				scenario.Classes[0].Effect, scenario.Classes[0].MinBodyBytes = Once, 20000
@@ -332,18 +332,18 @@
 		if refused.Served != refused.Sent || refused.Retries != 2*refused.Sent || broken.Failed != broken.Sent || broken.Retries != 0 {
 			t.Errorf("%+v\n%+v", refused, broken)
 		}
-		heeded := 0
+		honouringClients := 0
 		for _, times := range attempts {
 			if len(times) == 3 {
 				if first, second := times[1].Sub(times[0]), times[2].Sub(times[1]); first >= time.Second && second >= time.Second {
-					heeded++
+					honouringClients++
 				} else if first > 150*time.Millisecond || second > 250*time.Millisecond {
 					t.Errorf("a client that ignores Retry-After waits %v and %v, want at most 150ms and 250ms", first, second)
 				}
 			}
 		}
-		if share := float64(heeded) / float64(refused.Sent); math.Abs(share-0.5) > 0.15 {
-			t.Errorf("a share of %.2f of the clients heeds Retry-After, want 0.5", share)
+		if share := float64(honouringClients) / float64(refused.Sent); math.Abs(share-0.5) > 0.15 {
+			t.Errorf("a share of %.2f of the clients honours Retry-After, want 0.5", share)
 		}
 		if refused.Latency.P50 < 300 || refused.Naive.P50 > 5 {
 			t.Errorf("p50 of %.1f ms from the due time, %.1f ms naive, want at least 300 ms and at most 5 ms", refused.Latency.P50, refused.Naive.P50)
@@ -395,7 +395,7 @@
 	})
 }
 
-// A generator that cannot keep up with a burst drops calls of it. A burst of 50,000 calls in one
+// A generator that is too slow for a burst drops some of its calls. A burst of 50,000 calls in one
 // second must be sent in full in that second, and each call counted.
 func TestBurstIsSentInFull(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -412,10 +412,11 @@
 	})
 }
 
-// Over real sockets, calls must be sent as HTTP/1.1 with the method and key of their effect and with
-// bodies of the set length. A kept-alive connection that the server closed gives ErrStaleConn, so
-// that the call is sent again. An answer that stops half way must not, because that call may have
-// run. A refused connection must not count as a lack of ports or descriptors of this machine.
+// Over real sockets, calls must be sent as HTTP/1.1 with the method and key of their effect and
+// with bodies of the set length. A kept-alive connection that the server closed gives ErrStaleConn,
+// so that the call is sent again. An answer that stops half way must give another error, because
+// that call may have run. A refused connection must not count as a lack of ports or descriptors of
+// this machine.
 func TestHTTP1(t *testing.T) {
 	ledger := standin.NewLedger(0)
 	server, err := standin.NewServer(standin.ServerConfig{Name: "s", Ledger: ledger})
--- a/internal/load/protocol/plugin.go
+++ b/internal/load/protocol/plugin.go
@@ -15,14 +15,14 @@
 	"chalkrack/internal/load"
 )
 
-// Plugin sends calls through the plug-in, which chooses servers itself or sends to a daemon. All its
-// Conns share one Transport, as the calls of an application do.
+// Plugin sends calls through the plug-in, which chooses servers itself or sends to a daemon. All
+// its Conns share one Transport, as the calls of an application do.
 type Plugin struct {
 	transport *client.Transport
 }
 
-// NewPlugin returns a Plugin, which the caller closes. cfg says where the servers and the daemon are.
-// Without cfg.Platform the plug-in gets the classes of the load.
+// NewPlugin returns a Plugin, which the caller closes. cfg says where the servers and the daemon
+// are. Without cfg.Platform the plug-in gets the classes of the load.
 func NewPlugin(cfg client.Config, classes []load.Class) (*Plugin, error) {
 	if len(cfg.Platform) == 0 {
 		effects := map[load.Effect]client.Effect{load.Safe: client.Safe, load.Keyed: client.Keyed, load.Once: client.Unsafe}
--- a/internal/load/protocol/radius.go
+++ b/internal/load/protocol/radius.go
@@ -13,9 +13,9 @@
 	"chalkrack/internal/radius/client"
 )
 
-// RADIUS sends calls as counter terminals do. A keyed call is an accounting event, which counts once
-// however often its packet arrives; all other calls are access requests. A terminal resends the same
-// packet until it has an answer or the call's deadline passes.
+// RADIUS sends calls as counter terminals do. A keyed call is an accounting event, which counts
+// once however often its packet arrives; all other calls are access requests. A terminal resends
+// the same packet until it has an answer or the call's deadline passes.
 type RADIUS struct {
 	Access, Accounting netip.AddrPort
 	Secret             []byte
--- a/internal/load/record.go
+++ b/internal/load/record.go
@@ -22,14 +22,14 @@
 // clampMicros returns d in microseconds, within the range of the histograms.
 func clampMicros(d time.Duration) int64 { return min(max(int64(d/time.Microsecond), 1), maxMicros) }
 
-// openSecond holds the counts of a second some of whose calls may still be in progress.
+// openSecond holds the counts of a second. Some of its calls may still be in progress.
 type openSecond struct {
 	index                                   int
 	due, sent, dropped                      int64
 	served, late, refused, failed, noAnswer int64
 	latency, sendDelay                      *hdrhistogram.Histogram
 	inProgress                              int64 // calls due in this second that have not ended
-	cpu                                     time.Duration
+	cpuTime                                 time.Duration
 }
 
 // classCounts holds the counts of a class.
@@ -37,7 +37,7 @@
 	sent, served, late, refused, failed, noAnswer, retries int64
 	dropped                                                map[string]int64 // by limit of the generator
 	offeredWorth, earnedWorth                              float64
-	latency, naive                                         *hdrhistogram.Histogram
+	latency, naive                                         *hdrhistogram.Histogram // as in recorder
 }
 
 // recorder counts the calls of a run. It keeps histograms for each second that still has calls in
@@ -100,13 +100,13 @@
 	return second
 }
 
-// recordSent counts the first attempt of a call, due at due and sent at sentAt.
-func (r *recorder) recordSent(due, sentAt time.Time, class int) {
+// recordSent counts the first attempt of a call.
+func (r *recorder) recordSent(due, sentAt time.Time, classIndex int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.sentCount++
-	r.perClass[class].sent++
-	r.perClass[class].offeredWorth += r.classes[class].Worth
+	r.perClass[classIndex].sent++
+	r.perClass[classIndex].offeredWorth += r.classes[classIndex].Worth
 	delayMicros := clampMicros(sentAt.Sub(due))
 	r.sendDelay.RecordValue(delayMicros)
 	second := r.second(due)
@@ -117,12 +117,12 @@
 }
 
 // recordDropped counts a call that a limit of the generator kept from being sent or completed. A
-// call that failed for want of descriptors or ports was counted as sent and due before, so only its
+// call that failed for lack of descriptors or ports was counted as sent and due before, so only its
 // end is counted here.
-func (r *recorder) recordDropped(due time.Time, class int, limit string) {
+func (r *recorder) recordDropped(due time.Time, classIndex int, limit string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.perClass[class].dropped[limit]++
+	r.perClass[classIndex].dropped[limit]++
 	second := r.second(due)
 	second.dropped++
 	if limit == "descriptors or ports" {
@@ -134,10 +134,10 @@
 }
 
 // recordRetry counts a retry.
-func (r *recorder) recordRetry(class int) {
+func (r *recorder) recordRetry(classIndex int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.perClass[class].retries++
+	r.perClass[classIndex].retries++
 }
 
 // recordDone counts the final reply of a call, in the second in which its first attempt was due.
@@ -184,8 +184,8 @@
 	return r.sentCount, r.doneCount
 }
 
-// closeSeconds adds the CPU time since it was last called to the last complete second, makes rows of
-// the complete seconds that have no calls in progress, and returns the last row.
+// closeSeconds adds the CPU time since its last call to the last complete second, makes rows of the
+// complete seconds that have no calls in progress, and returns the last row.
 func (r *recorder) closeSeconds(now time.Time) (lastRow Second) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -193,7 +193,7 @@
 	cpuTime := processCPU()
 	if lastComplete >= 0 {
 		if s := r.openSeconds[lastComplete]; s != nil { // nil if no call was due in it
-			s.cpu += cpuTime - r.cpuAtLastClose
+			s.cpuTime += cpuTime - r.cpuAtLastClose
 		}
 		r.cpuAtLastClose = cpuTime
 	}
@@ -208,11 +208,11 @@
 	return lastRow
 }
 
-// closeSecond makes a row of a second, and says in it which limit of the generator makes its figures
-// invalid, if any. The caller holds r.mu.
+// closeSecond makes a row of a second. If a limit of the generator makes the row's figures invalid,
+// it sets Limit. The caller holds r.mu.
 func (r *recorder) closeSecond(second *openSecond) {
 	row := Second{Second: second.index, Due: second.due, Sent: second.sent, Dropped: second.dropped, Served: second.served, Late: second.late, Refused: second.refused, Failed: second.failed, NoAnswer: second.noAnswer,
-		CPU: second.cpu.Seconds()}
+		CPU: second.cpuTime.Seconds()}
 	if second.latency.TotalCount() > 0 {
 		row.P50, row.P99, row.Max = millis(second.latency.ValueAtQuantile(50)), millis(second.latency.ValueAtQuantile(99)), millis(second.latency.Max())
 	}
--- a/internal/load/report.go
+++ b/internal/load/report.go
@@ -46,7 +46,8 @@
 	Limit        string  `json:"limit,omitempty"` // why the figures of this second are not valid; empty if they are
 }
 
-// ClassReport counts the outcomes of the calls of a class. A call and its retries count as one call.
+// ClassReport counts the outcomes of the calls of a class. A call and its retries count as one
+// call.
 type ClassReport struct {
 	Class    string    `json:"class"`
 	Sent     int64     `json:"sent"`
@@ -66,26 +67,26 @@
 type Report struct {
 	Version         int           `json:"version"`
 	Name            string        `json:"name"`
-	Took            float64       `json:"took_s"` // seconds
-	CutShort        bool          `json:"cut_short"`
+	Took            float64       `json:"took_s"`                      // seconds
+	CutShort        bool          `json:"cut_short"`                   // whether the run was cancelled
 	FiguresHold     bool          `json:"figures_hold"`                // whether the figures of all seconds are valid
 	LimitFromSecond int           `json:"limit_from_second,omitempty"` // first second with invalid figures
 	Limit           string        `json:"limit,omitempty"`             // why they are not valid
 	Sent            int64         `json:"sent"`
 	Dropped         int64         `json:"dropped"`
 	DropReasons     []string      `json:"drops,omitempty"`
-	Earned          float64       `json:"earned"`
-	Latency         Quantiles     `json:"latency_ms"`
-	Naive           Quantiles     `json:"naive_ms"`
-	SendDelay       Quantiles     `json:"lag_ms"` // delay of sends after their due time
-	CPU             float64       `json:"cpu_s"`  // CPU time of the generator in seconds
+	Earned          float64       `json:"earned"`     // share of the worth answered within the aim, from 0 to 1
+	Latency         Quantiles     `json:"latency_ms"` // from the time at which a call was due
+	Naive           Quantiles     `json:"naive_ms"`   // from the last send
+	SendDelay       Quantiles     `json:"lag_ms"`     // delay of sends after their due time
+	CPU             float64       `json:"cpu_s"`      // CPU time of the generator in seconds
 	Classes         []ClassReport `json:"classes"`
 	Seconds         []Second      `json:"seconds"`
 	// Judged holds the findings of a rehearsal; it is empty for other runs.
 	Judged []Finding `json:"judged,omitempty"`
 }
 
-// Finding says whether a rehearsal kept one rule or aim.
+// Finding says whether a rehearsal kept a rule or reached an aim, and what was found.
 type Finding struct {
 	Rule  string `json:"rule"`
 	Kept  bool   `json:"kept"`
--- a/internal/load/scenario.go
+++ b/internal/load/scenario.go
@@ -66,7 +66,7 @@
 	DiscoveryDelay duration.Duration `toml:"by"`      // delay of discovery, for the action lag
 }
 
-// eventActions has the known actions of events, and whether they need servers or a zone.
+// eventActions maps each known action of an event to whether it needs servers or a zone.
 var eventActions = map[string]bool{"freeze": true, "thaw": true, "kill": true, "restart": true, "drain": true, "undrain": true,
 	"lag": false, "break-discovery": false}
 
@@ -110,8 +110,8 @@
 	}
 }
 
-// ReadScenario reads and checks a scenario file. Errors name the file and the field. A relative path
-// of a trace is taken from the scenario's directory.
+// ReadScenario reads and checks a scenario file. Errors name the file and the field. A relative
+// path of a trace is relative to the scenario's directory.
 func ReadScenario(path string) (*Scenario, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -127,8 +127,8 @@
 	return s, nil
 }
 
-// ParseScenario parses and checks a scenario. Unknown fields and values out of range are errors that
-// name the field.
+// ParseScenario parses and checks a scenario. Unknown fields and values out of range are errors
+// that name the field.
 func ParseScenario(data []byte) (*Scenario, error) {
 	if len(data) > maxScenarioBytes {
 		return nil, fmt.Errorf("the scenario is larger than the limit of %d bytes", maxScenarioBytes)
@@ -213,8 +213,8 @@
 	return s.checkSite(invalid, validSpan)
 }
 
-// checkSite checks the site and its events. invalid makes an error for a field, and validSpan reports
-// whether a duration is within bounds.
+// checkSite checks the site and its events. invalid makes an error for a field, and validSpan
+// reports whether a duration is within bounds.
 func (s *Scenario) checkSite(invalid func(field, want string) error, validSpan func(duration.Duration) bool) error {
 	site := s.Site
 	if site == nil {
@@ -295,8 +295,8 @@
 	return &traceSource{generator: generator, reader: reader, speed: s.Speed, classes: byName}, func() { f.Close() }, nil
 }
 
-// Configure returns config completed for a run of the scenario, and a function that the caller calls when
-// the run is over. It sends nothing itself.
+// Configure returns config completed for a run of the scenario, and a function that the caller
+// calls when the run is over. It sends nothing itself.
 func (s *Scenario) Configure(config Config) (Config, func(), error) {
 	source, closeSource, err := s.Source()
 	if err != nil {
@@ -312,11 +312,11 @@
 	classes    []Class
 	totalShare float64
 	rng        *rand.Rand
-	count      uint64
+	callCount  uint64
 	runID      uint64
 }
 
-// newCallGenerator returns a callGenerator.
+// newCallGenerator returns a callGenerator with a random run ID.
 func newCallGenerator(classes []Class, seed uint64) *callGenerator {
 	generator := &callGenerator{classes: classes, rng: rand.New(rand.NewPCG(seed, 0xc1a55)), runID: rand.Uint64()}
 	for _, c := range classes {
@@ -339,13 +339,13 @@
 			position -= g.classes[n].Share
 		}
 	}
-	g.count++
-	call := Call{ID: fmt.Sprintf("%08x%08x", uint32(g.runID), g.count), Class: class, BodyBytes: class.MinBodyBytes}
+	g.callCount++
+	call := Call{ID: fmt.Sprintf("%08x%08x", uint32(g.runID), g.callCount), Class: class, BodyBytes: class.MinBodyBytes}
 	if class.MaxBodyBytes > class.MinBodyBytes {
 		call.BodyBytes += g.rng.IntN(class.MaxBodyBytes - class.MinBodyBytes + 1)
 	}
 	if class.Effect == Keyed {
-		call.Key = fmt.Sprintf("%016x%016x", g.runID, g.count)
+		call.Key = fmt.Sprintf("%016x%016x", g.runID, g.callCount)
 	}
 	return call
 }
@@ -367,14 +367,12 @@
 
 // traceSource is a Source that replays a trace.
 type traceSource struct {
-	generator *callGenerator
-	reader    *trace.Reader
-	speed     float64
-	classes   map[string]*Class
-	// Err is the error that Next ended with, io.EOF at the end of the trace. Unknown counts calls whose
-	// class the scenario does not have; they are skipped.
-	Err     error
-	Unknown int64
+	generator         *callGenerator
+	reader            *trace.Reader
+	speed             float64
+	classes           map[string]*Class
+	err               error // the error that ended the trace, io.EOF at its regular end
+	unknownClassCount int64 // calls skipped because the scenario does not have their class
 }
 
 // Next implements Source.
@@ -382,12 +380,12 @@
 	for {
 		entry, err := s.reader.Next()
 		if err != nil {
-			s.Err = err
+			s.err = err
 			return 0, Call{}, false
 		}
 		class := s.classes[entry.Class]
 		if class == nil {
-			s.Unknown++
+			s.unknownClassCount++
 			continue
 		}
 		call := s.generator.next(class)
--- a/internal/load/schedule/schedule_test.go
+++ b/internal/load/schedule/schedule_test.go
@@ -13,9 +13,9 @@
 // tomlDuration converts a duration to the type of scenario fields.
 func tomlDuration(d time.Duration) duration.Duration { return duration.Duration(d) }
 
-// An error in a shape's formula gives another load than the scenario describes. In each tenth of the
-// length, a shape must produce as many arrivals as its integral, in ascending order, and the same
-// times for the same seed.
+// An error in a shape's formula gives another load than the scenario describes. In each tenth of
+// the length, a shape must produce as many arrivals as its integral, in ascending order, and the
+// same times for the same seed.
 func TestArrivalsMatchRateIntegral(t *testing.T) {
 	const length = 20 * time.Second
 	base := Shape{Kind: "constant", Rate: 400}
@@ -84,8 +84,8 @@
 	}
 }
 
-// At a high rate many arrivals fall into one integration step. All 50,000 arrivals of one second must
-// be produced, each at its time.
+// At a high rate many arrivals fall into one integration step. All 50,000 arrivals of one second
+// must be produced, each at its time.
 func TestArrivalTimesInBurst(t *testing.T) {
 	plan := &Plan{Shapes: []Shape{{Kind: "constant", Rate: 50000}}, Length: time.Second}
 	n := 0
--- a/internal/load/trace/trace.go
+++ b/internal/load/trace/trace.go
@@ -45,8 +45,9 @@
 // Options says how a recording is read.
 type Options struct {
 	Format string // json, csv, haproxy or combined
-	// Columns maps at, class, path, key and body to the columns of a CSV file, or the fields of JSON
-	// lines, that hold them, as in 'at=ts,class=kind'. The default is a column of the same name.
+	// Columns maps the names at, class, path, key and body to the columns of a CSV file, or the
+	// fields of JSON lines, that hold their values, as in 'at=ts,class=kind'. The default is a
+	// column of the same name.
 	Columns map[string]string
 	// Prefixes maps path prefixes to classes; the longest matching prefix applies. Without any, the
 	// class is the first segment of the path.
@@ -68,11 +69,11 @@
 // converted are skipped and counted.
 func Import(in io.Reader, out io.Writer, options Options) (*ImportSummary, error) {
 	summary := &ImportSummary{LeftOut: make(map[string]int64)}
-	type timed struct {
+	type timedEntry struct {
 		at    time.Time
 		entry Entry
 	}
-	var entries []timed
+	var entries []timedEntry
 	addRecord := func(r record, err error) error {
 		summary.Lines++
 		if err == nil {
@@ -85,7 +86,7 @@
 		if len(entries) >= MaxEntries {
 			return fmt.Errorf("trace: the recording has more than %d calls: split it", MaxEntries)
 		}
-		entries = append(entries, timed{r.at, Entry{Class: r.class, Path: r.path, Key: r.key, BodyBytes: r.bodyBytes}})
+		entries = append(entries, timedEntry{r.at, Entry{Class: r.class, Path: r.path, Key: r.key, BodyBytes: r.bodyBytes}})
 		return nil
 	}
 	var err error
@@ -99,12 +100,12 @@
 	case "csv":
 		err = options.readCSV(in, addRecord)
 	default:
-		return nil, fmt.Errorf("trace: unknown form %q: expected json, csv, haproxy or combined", options.Format)
+		return nil, fmt.Errorf("trace: unknown format %q: expected json, csv, haproxy or combined", options.Format)
 	}
 	if err != nil {
 		return nil, err
 	}
-	slices.SortStableFunc(entries, func(a, b timed) int { return a.at.Compare(b.at) })
+	slices.SortStableFunc(entries, func(a, b timedEntry) int { return a.at.Compare(b.at) })
 	writer := bufio.NewWriter(out)
 	encoder := json.NewEncoder(writer)
 	for _, t := range entries {
@@ -121,9 +122,9 @@
 	return summary, writer.Flush()
 }
 
-// eachLine calls do with each line that is not empty. For a line that is longer than MaxLineBytes it
-// calls do with nil, which does not parse. It stops at the first error.
-func eachLine(in io.Reader, do func([]byte) error) error {
+// eachLine calls handleLine with each line that is not empty. For a line that is longer than
+// MaxLineBytes it calls handleLine with nil, which does not parse. It stops at the first error.
+func eachLine(in io.Reader, handleLine func([]byte) error) error {
 	reader := bufio.NewReaderSize(in, MaxLineBytes)
 	for {
 		line, err := reader.ReadSlice('\n')
@@ -131,14 +132,14 @@
 			line = line[:0]
 			_, err = reader.ReadSlice('\n')
 			if err == nil || err == io.EOF {
-				if doErr := do(nil); doErr != nil {
-					return doErr
+				if handleErr := handleLine(nil); handleErr != nil {
+					return handleErr
 				}
 			}
 		}
 		if line = []byte(strings.TrimSpace(string(line))); len(line) > 0 {
-			if doErr := do(line); doErr != nil {
-				return doErr
+			if handleErr := handleLine(line); handleErr != nil {
+				return handleErr
 			}
 		}
 		if err == io.EOF {
@@ -158,7 +159,7 @@
 	if r.path != "" {
 		path, _, _ := strings.Cut(r.path, "?")
 		if !strings.HasPrefix(r.path, "/") || strings.ContainsFunc(r.path, func(c rune) bool { return c <= ' ' || c >= 0x7f }) {
-			return errors.New("a path that is none")
+			return errors.New("a path that is not valid")
 		}
 		longestPrefix := ""
 		for prefix := range o.Prefixes {
@@ -171,7 +172,7 @@
 		case longestPrefix != "":
 			r.class = o.Prefixes[longestPrefix]
 		case len(o.Prefixes) > 0:
-			return errors.New("a path of no class")
+			return errors.New("a path that matches no prefix")
 		default:
 			r.class, _, _ = strings.Cut(strings.TrimPrefix(path, "/"), "/")
 		}
@@ -184,7 +185,7 @@
 	case len(r.path) > maxNameBytes || len(r.class) > maxNameBytes || len(r.key) > maxNameBytes:
 		return errors.New("a name that is too long")
 	case strings.ContainsFunc(r.key+r.class, func(c rune) bool { return c <= ' ' || c >= 0x7f }):
-		return errors.New("a class or key with odd characters")
+		return errors.New("a class or key with spaces, control or non-ASCII characters")
 	case r.bodyBytes < 0 || r.bodyBytes > maxBodyBytes:
 		return errors.New("a body of an impossible length")
 	}
@@ -244,7 +245,7 @@
 	return r, nil
 }
 
-// readCSV calls take with each row of a CSV file, whose first row holds the column names.
+// readCSV calls addRecord with each row of a CSV file, whose first row holds the column names.
 func (o *Options) readCSV(in io.Reader, addRecord func(record, error) error) error {
 	reader := csv.NewReader(in)
 	reader.FieldsPerRecord, reader.ReuseRecord = -1, true
@@ -289,8 +290,8 @@
 }
 
 // parseRequest parses the quoted request line of an access log.
-func parseRequest(text string) (method, path string, err error) {
-	words := strings.Fields(text)
+func parseRequest(requestLine string) (method, path string, err error) {
+	words := strings.Fields(requestLine)
 	if len(words) != 3 || !strings.HasPrefix(words[2], "HTTP/") {
 		return "", "", errors.New("no request that can be read")
 	}
@@ -309,11 +310,11 @@
 		return r, errNoTime
 	}
 	_, rest, _ = strings.Cut(rest, "\"")
-	text, _, ok := strings.Cut(rest, "\"")
+	requestLine, _, ok := strings.Cut(rest, "\"")
 	if !ok {
 		return r, errors.New("no request that can be read")
 	}
-	r.method, r.path, err = parseRequest(text)
+	r.method, r.path, err = parseRequest(requestLine)
 	return r, err
 }
 
@@ -333,19 +334,19 @@
 	if quoteStart < 0 || dateEnd+quoteStart >= quoteEnd {
 		return r, errors.New("no request that can be read")
 	}
-	text := line[dateEnd+quoteStart+1 : quoteEnd]
-	if strings.HasPrefix(text, "<") { // <BADREQ> in place of a request
+	requestLine := line[dateEnd+quoteStart+1 : quoteEnd]
+	if strings.HasPrefix(requestLine, "<") { // <BADREQ> in place of a request
 		return r, errors.New("no request that can be read")
 	}
-	r.method, r.path, err = parseRequest(text)
+	r.method, r.path, err = parseRequest(requestLine)
 	return r, err
 }
 
 // Reader reads a trace that Import wrote.
 type Reader struct {
-	scanner *bufio.Scanner
-	line    int
-	lastAt  time.Duration
+	scanner    *bufio.Scanner
+	lineNumber int
+	lastAt     time.Duration
 }
 
 // NewReader returns a Reader of in. The error is always nil.
@@ -355,21 +356,21 @@
 	return &Reader{scanner: s}, nil
 }
 
-// Next returns the next call, and io.EOF at the end. Entries out of order, or with a body length out
-// of range, are errors.
+// Next returns the next call, and io.EOF at the end. Entries out of order, or with a body length
+// out of range, are errors.
 func (r *Reader) Next() (e Entry, err error) {
 	if !r.scanner.Scan() {
 		if err := r.scanner.Err(); err != nil {
-			return e, fmt.Errorf("trace: line %d: %w", r.line+1, err)
+			return e, fmt.Errorf("trace: line %d: %w", r.lineNumber+1, err)
 		}
 		return e, io.EOF
 	}
-	r.line++
+	r.lineNumber++
 	if err := json.Unmarshal(r.scanner.Bytes(), &e); err != nil {
-		return e, fmt.Errorf("trace: line %d: %w", r.line, err)
+		return e, fmt.Errorf("trace: line %d: %w", r.lineNumber, err)
 	}
 	if e.At < r.lastAt || e.BodyBytes < 0 || e.BodyBytes > maxBodyBytes {
-		return e, fmt.Errorf("trace: line %d: at_ns is less than in the line before, or body is out of range", r.line)
+		return e, fmt.Errorf("trace: line %d: at_ns is less than in the line before, or body is out of range", r.lineNumber)
 	}
 	r.lastAt = e.At
 	return e, nil
--- a/internal/rehearse/rehearse.go
+++ b/internal/rehearse/rehearse.go
@@ -33,8 +33,8 @@
 	return files
 }
 
-// ReadScenario returns the library's scenario of that name or, without one, reads the scenario file at that
-// path.
+// ReadScenario returns the library's scenario of that name. If there is none, it reads the scenario
+// file at that path.
 func ReadScenario(name string) (*load.Scenario, error) {
 	if data, err := scenarioFiles.ReadFile("scenarios/" + name + ".toml"); err == nil {
 		return load.ParseScenario(data)
@@ -61,13 +61,13 @@
 	note     func(string) // reports each event and each error of one
 
 	mu     sync.Mutex
-	maxLag time.Duration // the longest delay that was set for discovery
+	maxLag time.Duration // longest delay of discovery that an event has set
 }
 
-// CallPath selects who decides on a rehearsal's calls: the daemon, the plug-in or both.
+// CallPath selects what balances a rehearsal's calls: the daemon, the plug-in or both.
 type CallPath string
 
-// The ways in which a rehearsal's calls are decided on.
+// The call paths.
 const (
 	ViaDaemon          CallPath = "daemon"
 	ViaPlugin          CallPath = "plugin" // the plug-in in the clients' process, with the daemon's settings
@@ -260,21 +260,21 @@
 	}
 	classByID := make(map[string]string)
 	r.mu.Lock()
-	allowed := r.maxLag + drainGrace + drainGraceMargin
+	allowedDrain := r.maxLag + drainGrace + drainGraceMargin
 	r.mu.Unlock()
-	var latest time.Duration
+	var longestDrain time.Duration
 	for _, a := range r.site.Ledger.Arrivals() {
 		classByID[firstTryID(a.ID)] = a.Class
-		latest = max(latest, a.DrainingFor)
+		longestDrain = max(longestDrain, a.DrainingFor)
 	}
 	effectsByID := make(map[string]int)
 	for id, c := range r.site.Ledger.RequestCounts() {
 		effectsByID[firstTryID(id)] += c.Effects
 	}
-	twice := 0
+	repeatedCount := 0
 	for id, n := range effectsByID {
 		if n > 1 && effectByClass[classByID[id]] != load.Safe {
-			twice++
+			repeatedCount++
 		}
 	}
 	var fallen []string
@@ -285,8 +285,8 @@
 	}
 	findings := []load.Finding{
 		{Rule: "each call has one final answer, in time", Kept: unanswered == 0, Found: fmt.Sprintf("%d of %d calls without an answer", unanswered, sent)},
-		{Rule: "no effect twice", Kept: twice == 0, Found: fmt.Sprintf("%d calls of keyed and once classes took effect twice", twice)},
-		{Rule: "drains kept", Kept: latest <= allowed, Found: fmt.Sprintf("the last request arrived %v after the start of a drain, %v allowed including discovery's delay", latest.Round(time.Millisecond), allowed)},
+		{Rule: "no effect twice", Kept: repeatedCount == 0, Found: fmt.Sprintf("%d calls of keyed and once classes took effect twice", repeatedCount)},
+		{Rule: "drains kept", Kept: longestDrain <= allowedDrain, Found: fmt.Sprintf("the last request arrived %v after the start of a drain, %v allowed including discovery's delay", longestDrain.Round(time.Millisecond), allowedDrain)},
 		{Rule: "no cold server pushed over", Kept: len(fallen) == 0, Found: fmt.Sprintf("fallen servers: %d %s", len(fallen), strings.Join(fallen, " "))},
 	}
 	if r.scenario.Aims.Earned > 0 {
@@ -295,8 +295,8 @@
 	return findings
 }
 
-// firstTryID returns the request ID of a call's first try. Clients append -1, -2 and so on to it for
-// their retries.
+// firstTryID returns the request ID of a call's first try. Clients append -1, -2 and so on to it
+// for their retries.
 func firstTryID(id string) string {
 	id, _, _ = strings.Cut(id, "-")
 	return id
--- a/internal/rig/bodies_mix_test.go
+++ b/internal/rig/bodies_mix_test.go
@@ -40,7 +40,8 @@
 
 // Guards against errors when bodies fill memory and disk while servers fail, with a seeded mix of
 // the three classes. Each body that a server received whole is as sent, no unsafe or keyed request
-// takes effect twice, a body that was not kept is sent at most once, and nothing is held at the end.
+// takes effect twice, a body that was not kept is sent at most once, and nothing is held at the
+// end.
 func TestMixedBodiesFillMemoryAndDisk(t *testing.T) {
 	count, maxBytes := mixSize()
 	socket := filepath.Join(t.TempDir(), "s")
@@ -143,10 +144,11 @@
 // BenchmarkBeside measures activate calls of 300 bytes without background load; beside 200 clients
 // that each send bodies of 1 MiB, four seconds for each; and beside 5 such bodies per second while
 // the disk is full or hangs. The first two cases also run with the daemon in its own process, apart
-// from clients and servers. All cases alternate within one run, and each baseline runs twice to show
-// the difference between equal cases. The metrics are medians over the rounds: p50, p99, p99 divided
-// by that of the baseline in the same round, and this process's CPU time per call. The CPU time
-// beside 200 clients is left out where clients and servers share the process: it is mostly theirs.
+// from clients and servers. All cases alternate within one run, and each baseline runs twice to
+// show the difference between equal cases. The metrics are medians over the rounds: p50, p99, p99
+// divided by that of the baseline in the same round, and this process's CPU time per call. The CPU
+// time beside 200 clients is left out where clients and servers share the process: it is mostly
+// theirs.
 //
 // go test ./internal/rig -run '^$' -bench Beside -benchtime 1x
 func BenchmarkBeside(b *testing.B) {
@@ -284,8 +286,8 @@
 	io.Copy(io.Discard, os.Stdin) // until the parent process closes the pipe
 }
 
-// startReverseProxy starts an httputil.ReverseProxy in its own process. stop ends it and returns its
-// CPU time and its peak resident memory in bytes.
+// startReverseProxy starts an httputil.ReverseProxy in its own process. stop ends it and returns
+// its CPU time and its peak resident memory in bytes.
 func startReverseProxy(b *testing.B, target string) (addr string, stop func() (time.Duration, int64)) {
 	b.Helper()
 	cmd := exec.Command(os.Args[0])
@@ -309,9 +311,9 @@
 	}
 }
 
-// BenchmarkPlaces sends bodies of several sizes through a daemon that keeps them in different places,
-// and through an httputil.ReverseProxy, each in its own process. It measures throughput and the
-// process's CPU time and peak resident memory. The servers hash the bodies in all cases.
+// BenchmarkPlaces sends bodies of several sizes through a daemon that keeps them in different
+// places, and through an httputil.ReverseProxy, each in its own process. It measures throughput and
+// the process's CPU time and peak resident memory. The servers hash the bodies in all cases.
 //
 // go test ./internal/rig -run '^$' -bench Places -benchtime 1x
 func BenchmarkPlaces(b *testing.B) {
--- a/internal/rig/bodies_test.go
+++ b/internal/rig/bodies_test.go
@@ -33,8 +33,9 @@
 // its way: its last byte cannot be sent before the server reads.
 const unkeptBytes = 24 << 20
 
-// bodyFeatures returns a features file with a small store for bodies: memory keeps a body of at most
-// 256 KiB and a file one of at most 2 MiB, if folder is not empty. An admin socket is optional too.
+// bodyFeatures returns a features file with a small store for bodies: memory keeps a body of at
+// most 256 KiB and a file one of at most 2 MiB, if folder is not empty. An admin socket is optional
+// too.
 func bodyFeatures(folder, socket string) string {
 	text := "version = 1\n[bodies]\nenabled = true\nmemory_mb = 16\nmemory_longest_kb = 256\nfile_longest_mb = 2\ndisk_mb = 16\nfiles = 8\nstreams = 8\nlongest_mb = 64\nproxy_status = true\n" +
 		"[bodies.shares]\nstatus-check = 0.1\nid-register = 0.2\nactivate = 0.4\n"
--- a/internal/rig/changes_test.go
+++ b/internal/rig/changes_test.go
@@ -114,9 +114,9 @@
 // configuration that its answer names, no unsafe or keyed call takes effect twice, and only the
 // faulty changes are refused or undone. FAWN_CHANGES=200 runs more changes with shorter trials.
 func TestConfigChangesUnderLoad(t *testing.T) {
-	changeCount, bake := len(changeCases(rand.New(rand.NewPCG(0, 0)))), 4*time.Second // long enough for sufficient calls on slow machines
+	changeCount, trialTime := len(changeCases(rand.New(rand.NewPCG(0, 0)))), 4*time.Second // enough calls for a verdict on slow machines too
 	if v, err := strconv.Atoi(os.Getenv("FAWN_CHANGES")); err == nil {
-		changeCount, bake = v, 1200*time.Millisecond
+		changeCount, trialTime = v, 1200*time.Millisecond
 	}
 	site, err := rig.NewSite(rig.SiteConfig{Servers: 6, Classes: rig.LongDeadlineClasses(), NoHedge: true, NoCopies: true})
 	if err != nil {
@@ -125,7 +125,7 @@
 	defer site.Close()
 	setScript(site, standin.Random(5, standin.WeightedAction{Probability: 0.15, Action: standin.Action{Kind: standin.Decline}}, standin.WeightedAction{Probability: 0.85, Action: standin.Action{Delay: time.Millisecond}}))
 	socket := filepath.Join(t.TempDir(), "s")
-	features := fmt.Sprintf("version = 1\n[admin]\nsocket = %q\n[config]\nenabled = true\nbake = %q\n", socket, bake)
+	features := fmt.Sprintf("version = 1\n[admin]\nsocket = %q\n[config]\nenabled = true\nbake = %q\n", socket, trialTime)
 	daemon, err := site.StartDaemon(1, features)
 	if err != nil {
 		t.Fatal(err)
@@ -492,16 +492,16 @@
 // Afterwards one listener is closed, the new one after an undo, the old one otherwise, and open
 // connections continue.
 func TestListenerAddressChange(t *testing.T) {
-	for _, keep := range []bool{false, true} {
-		t.Run(fmt.Sprint("keep ", keep), func(t *testing.T) {
+	for _, keepChange := range []bool{false, true} {
+		t.Run(fmt.Sprint("keep ", keepChange), func(t *testing.T) {
 			site, err := rig.NewSite(rig.SiteConfig{Servers: 1, Classes: rig.ActivationClasses()})
 			if err != nil {
 				t.Fatal(err)
 			}
 			defer site.Close()
 			socket := filepath.Join(t.TempDir(), "s")
-			bake := map[bool]string{false: "10m", true: "500ms"}[keep]
-			daemon, err := site.StartDaemon(1, fmt.Sprintf("version = 1\n[admin]\nsocket = %q\n[config]\nenabled = true\nbake = %q\n", socket, bake))
+			trialTime := map[bool]string{false: "10m", true: "500ms"}[keepChange]
+			daemon, err := site.StartDaemon(1, fmt.Sprintf("version = 1\n[admin]\nsocket = %q\n[config]\nenabled = true\nbake = %q\n", socket, trialTime))
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -538,7 +538,7 @@
 				t.Errorf("status %d at the new address, want 200", a)
 			}
 			closedAddr := newAddr
-			if keep {
+			if keepChange {
 				closedAddr = daemon.Addr
 			} else {
 				if a := callStatus(oldClient); a != 200 {
@@ -561,7 +561,7 @@
 			if a := callStatus(newClient); a != 200 {
 				t.Errorf("status %d on a connection opened during the trial, want 200", a)
 			}
-			freshClient := standin.NewClient(map[bool]string{false: daemon.Addr, true: newAddr}[keep])
+			freshClient := standin.NewClient(map[bool]string{false: daemon.Addr, true: newAddr}[keepChange])
 			defer freshClient.Close()
 			if a := callStatus(freshClient); a != 200 {
 				t.Errorf("status %d at the remaining address, want 200", a)
--- a/internal/rig/level_test.go
+++ b/internal/rig/level_test.go
@@ -15,7 +15,8 @@
 
 // Guards against a service level that does not follow the servers. When all servers decline, the
 // daemon rises to emergency, where it tries only the class of the highest worth. When they serve
-// again, it returns to normal one level at a time and accepts every class. Each call has one answer.
+// again, it returns to normal one level at a time and accepts every class. Each call has one
+// answer.
 func TestReducedService(t *testing.T) {
 	site, err := rig.NewSite(rig.SiteConfig{Servers: 3, Classes: rig.LongDeadlineClasses(), NoHedge: true})
 	if err != nil {
--- a/internal/rig/rig.go
+++ b/internal/rig/rig.go
@@ -37,8 +37,8 @@
 	Worth    float64
 }
 
-// dedupWindowMargin is added to the window for which servers remember a key, because a request
-// sent within the window arrives a little later.
+// dedupWindowMargin is added to the window for which servers remember a key, because a request that
+// is sent just before its end arrives a little later.
 const dedupWindowMargin = 250 * time.Millisecond
 
 // ActivationClasses returns the three classes that the operators' brief defines.
@@ -50,8 +50,8 @@
 	}
 }
 
-// LongDeadlineClasses returns the operators' three classes with aims and deadlines so long that a machine
-// short of CPU does not exceed them.
+// LongDeadlineClasses returns the operators' three classes with aims and deadlines so long that
+// calls on a machine short of CPU do not exceed them.
 func LongDeadlineClasses() []Class {
 	classes := ActivationClasses()
 	for n := range classes {
@@ -245,7 +245,8 @@
 	return l.buffer.String()
 }
 
-// writeConfigFiles writes both files of a new daemon to a temporary folder, without starting it.
+// writeConfigFiles writes the configuration and features files of a new daemon to a temporary
+// folder, without starting it.
 func (s *Site) writeConfigFiles(listen string, seed uint64, features string) (*Daemon, error) {
 	dir, err := os.MkdirTemp("", "rig")
 	if err != nil {
@@ -271,9 +272,9 @@
 	return s.startInProcess(disk, seed, features, nil)
 }
 
-// StartDaemonOnSocket runs a daemon within this process that accepts clients from a listening socket
-// which it shares, as it shares a folder for temporary files, with other daemons of the same
-// sidecar.
+// StartDaemonOnSocket runs a daemon within this process that accepts clients from a listening
+// socket. Other daemons of the same sidecar may share the socket and the folder for temporary
+// files.
 func (s *Site) StartDaemonOnSocket(seed uint64, socket *net.TCPListener, sharedDir string) (*Daemon, error) {
 	file, err := socket.File() // a duplicate is passed on: the daemon closes its descriptor
 	if err != nil {
@@ -353,7 +354,7 @@
 	return ln.Addr().String(), ln.Close()
 }
 
-var buildDir string // contains the daemon's binary; empty: none was built
+var buildDir string // folder of the daemon's binary; empty: none was built
 
 // buildOnce builds the daemon once in a process and returns the path of its binary.
 var buildOnce = sync.OnceValues(func() (string, error) {
@@ -373,7 +374,8 @@
 // directory has to be within the module.
 func BuildDaemon() (string, error) { return buildOnce() }
 
-// RemoveBuiltDaemon deletes the binary, if one was built. No daemon may be started from it afterwards.
+// RemoveBuiltDaemon deletes the binary, if one was built. No daemon may be started from it
+// afterwards.
 func RemoveBuiltDaemon() {
 	if buildDir != "" {
 		os.RemoveAll(buildDir)
@@ -461,8 +463,8 @@
 	os.RemoveAll(d.dir)
 }
 
-// PeakResidentBytes returns the peak resident memory of the daemon's process, 0 where it cannot be
-// read.
+// PeakResidentBytes returns the peak resident memory of the daemon's process in bytes, 0 where it
+// cannot be read.
 func (d *Daemon) PeakResidentBytes() int64 {
 	if d.cmd == nil || d.cmd.Process == nil {
 		return 0
@@ -470,7 +472,8 @@
 	return PeakResidentBytes(d.cmd.Process.Pid)
 }
 
-// PeakResidentBytes returns the peak resident memory of a process in bytes, 0 where it cannot be read.
+// PeakResidentBytes returns the peak resident memory of a process in bytes, 0 where it cannot be
+// read.
 func PeakResidentBytes(pid int) int64 {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
--- a/internal/rig/size_test.go
+++ b/internal/rig/size_test.go
@@ -33,8 +33,8 @@
 	}
 	answer := strings.Repeat("x", size)
 	site, err := rig.NewSite(rig.SiteConfig{Servers: 4, Classes: classes, NoHedge: true, MemoryMB: 64, MaxSockets: 1024,
-		Server: standin.ServerConfig{Script: func(reply standin.Request) standin.Action {
-			if reply.Class == "id-register" {
+		Server: standin.ServerConfig{Script: func(request standin.Request) standin.Action {
+			if request.Class == "id-register" {
 				return standin.Action{Body: answer}
 			}
 			return standin.Action{}
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -28,7 +28,7 @@
 	TimedOutClient              // a client gives up its request
 	Wakeup                      // a timer fires
 	Checked                     // a probe ends
-	Inbox                       // decoded without its fields
+	Inbox                       // only its instance is decoded
 )
 
 // kindsByName maps the type on the wire to its kind.
@@ -133,7 +133,7 @@
 	return nil
 }
 
-// decodeLoad decodes a load report. A missing one gives an empty Load.
+// decodeLoad decodes a load report. A missing one gives an empty LoadReport.
 func decodeLoad(v *fastjson.Value) (load LoadReport) {
 	if v == nil {
 		return load
