--- a/internal/load/scenario.go
+++ b/internal/load/scenario.go
@@ -70,7 +70,7 @@
 var eventActions = map[string]bool{"freeze": true, "thaw": true, "kill": true, "restart": true, "drain": true, "undrain": true,
 	"lag": false, "break-discovery": false}
 
-// Aims are the results that a rehearsal must reach in addition to the operators' rules.
+// Aims are the results that a rehearsal must reach in addition to the rules of package rehearse.
 type Aims struct {
 	Earned float64 `toml:"earned"` // smallest share of the worth answered within the aim
 }
@@ -100,7 +100,8 @@
 	}
 }
 
-// DefaultClasses returns the operators' three classes, which a scenario without classes has.
+// DefaultClasses returns the three classes of the activation service, which a scenario without
+// classes has.
 func DefaultClasses() []Class {
 	scenarioDuration := func(v time.Duration) duration.Duration { return duration.Duration(v) }
 	return []Class{
--- a/internal/load/trace/trace_test.go
+++ b/internal/load/trace/trace_test.go
@@ -97,15 +97,15 @@
 // FuzzImport checks that for any input the taken and left-out lines add up to the total and that
 // Reader can read the trace.
 func FuzzImport(f *testing.F) {
-	for _, form := range []string{"json", "csv", "haproxy", "combined"} {
-		f.Add(form, []byte("at,class\n1,a\n"))
-		f.Add(form, []byte(`{"at":1,"class":"a"}`))
-		f.Add(form, []byte(`x [06/Feb/2009:12:14:14.655] f b/s 1 "GET /a HTTP/1.1"`))
-		f.Add(form, []byte(`h - - [10/Oct/2000:13:55:36 -0700] "GET /a HTTP/1.0" 200 1`))
+	for _, format := range []string{"json", "csv", "haproxy", "combined"} {
+		f.Add(format, []byte("at,class\n1,a\n"))
+		f.Add(format, []byte(`{"at":1,"class":"a"}`))
+		f.Add(format, []byte(`x [06/Feb/2009:12:14:14.655] f b/s 1 "GET /a HTTP/1.1"`))
+		f.Add(format, []byte(`h - - [10/Oct/2000:13:55:36 -0700] "GET /a HTTP/1.0" 200 1`))
 	}
-	f.Fuzz(func(t *testing.T, form string, data []byte) {
+	f.Fuzz(func(t *testing.T, format string, data []byte) {
 		var out bytes.Buffer
-		summary, err := Import(bytes.NewReader(data), &out, Options{Format: form})
+		summary, err := Import(bytes.NewReader(data), &out, Options{Format: format})
 		if err != nil {
 			return
 		}
--- a/internal/rehearse/rehearse.go
+++ b/internal/rehearse/rehearse.go
@@ -1,5 +1,6 @@
 // Package rehearse runs a daemon with stand-in servers under the load of a scenario and checks the
-// result against the operators' rules.
+// result against the operators' rules: each call is answered in time, no effect happens twice,
+// drains are kept and no cold server is overloaded.
 package rehearse
 
 import (
--- a/internal/rig/rig.go
+++ b/internal/rig/rig.go
@@ -26,7 +26,8 @@
 // is sent just before its end arrives a little later.
 const dedupWindowMargin = 250 * time.Millisecond
 
-// ActivationClasses returns the three classes that the operators' brief defines.
+// ActivationClasses returns the three classes of the activation service: status checks, which are
+// safe, registrations of an ID, which have a key, and activations, which must not run twice.
 func ActivationClasses() []Class {
 	return []Class{
 		{"status-check", standin.Safe, "", 0, 800 * time.Millisecond, 3 * time.Second, 1},
@@ -35,7 +36,7 @@
 	}
 }
 
-// LongDeadlineClasses returns the operators' three classes with aims and deadlines so long that
+// LongDeadlineClasses returns the classes of ActivationClasses with aims and deadlines so long that
 // calls on a machine short of CPU do not exceed them.
 func LongDeadlineClasses() []Class {
 	classes := ActivationClasses()
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -97,8 +97,7 @@
 	}
 }
 
-// FuzzDecode checks that no line makes Decode panic, and that events other than those of the
-// process name their instance.
+// FuzzDecode checks that no line makes Decode panic, and that each event of an instance names it.
 func FuzzDecode(f *testing.F) {
 	for _, s := range []string{
 		`{"t":"end"}`, `{"t":"wakeup","sidecarId":"s","cookie":77}`,
