--- a/internal/load/trace/trace.go
+++ b/internal/load/trace/trace.go
@@ -159,7 +159,7 @@
 	if r.path != "" {
 		path, _, _ := strings.Cut(r.path, "?")
 		if !strings.HasPrefix(r.path, "/") || strings.ContainsFunc(r.path, func(c rune) bool { return c <= ' ' || c >= 0x7f }) {
-			return errors.New("a path that is not valid")
+			return errors.New("a path that is none")
 		}
 		longestPrefix := ""
 		for prefix := range o.Prefixes {
@@ -172,7 +172,7 @@
 		case longestPrefix != "":
 			r.class = o.Prefixes[longestPrefix]
 		case len(o.Prefixes) > 0:
-			return errors.New("a path that matches no prefix")
+			return errors.New("a path of no class")
 		default:
 			r.class, _, _ = strings.Cut(strings.TrimPrefix(path, "/"), "/")
 		}
@@ -185,7 +185,7 @@
 	case len(r.path) > maxNameBytes || len(r.class) > maxNameBytes || len(r.key) > maxNameBytes:
 		return errors.New("a name that is too long")
 	case strings.ContainsFunc(r.key+r.class, func(c rune) bool { return c <= ' ' || c >= 0x7f }):
-		return errors.New("a class or key with spaces, control or non-ASCII characters")
+		return errors.New("a class or key with odd characters")
 	case r.bodyBytes < 0 || r.bodyBytes > maxBodyBytes:
 		return errors.New("a body of an impossible length")
 	}
--- a/internal/load/trace/trace_test.go
+++ b/internal/load/trace/trace_test.go
@@ -32,7 +32,7 @@
 		"csv": {Options{Format: "csv", Columns: map[string]string{"at": "when", "path": "uri"}, Prefixes: prefixes},
 			"when,uri,body\n1700000001,/api/act/7?x=1,300\n1700000000,/api/list,\n1700000002,/elsewhere,1\n1700000003,/status,x\n1700000004,/st\n",
 			[]Entry{{0, "other", "/api/list", "", 0}, {time.Second, "activate", "/api/act/7?x=1", "", 300}},
-			map[string]int64{"a path that matches no prefix": 2, "a body of an impossible length": 1}},
+			map[string]int64{"a path of no class": 2, "a body of an impossible length": 1}},
 		"haproxy": {Options{Format: "haproxy", Prefixes: prefixes},
 			`Feb  6 12:14:14 localhost haproxy[14389]: 10.0.1.2:33317 [06/Feb/2009:12:14:14.655] http-in static/srv1 10/0/30/69/109 200 2750 - - ---- 1/1/1/1/0 0/0 {1wt.eu} {} "GET /status/9 HTTP/1.1"
 Feb  6 12:14:14 localhost haproxy[14389]: 10.0.1.2:33318 [06/Feb/2009:12:14:13.655] http-in static/srv1 10/0/30/69/109 200 2750 - - ---- 1/1/1/1/0 0/0 "POST /api/act HTTP/1.1"
