--- a/internal/haproxy/cond.go
+++ b/internal/haproxy/cond.go
@@ -21,7 +21,7 @@
 // String returns "false", "true" or "unknown".
 func (t Truth) String() string { return [...]string{"false", "true", "unknown"}[t] }
 
-// not returns the negation; that of Unknown is Unknown.
+// not returns the negation; the negation of Unknown is Unknown.
 func (t Truth) not() Truth {
 	if t == Unknown {
 		return Unknown
@@ -29,7 +29,8 @@
 	return 1 - t
 }
 
-// and returns Kleene's conjunction: Unknown unless the other operand is False.
+// and returns Kleene's conjunction: if an operand is Unknown, it is Unknown unless the other
+// operand is False.
 func (t Truth) and(u Truth) Truth {
 	switch {
 	case t == False || u == False:
@@ -40,7 +41,8 @@
 	return True
 }
 
-// or returns Kleene's disjunction: Unknown unless the other operand is True.
+// or returns Kleene's disjunction: if an operand is Unknown, it is Unknown unless the other
+// operand is True.
 func (t Truth) or(u Truth) Truth { return t.not().and(u.not()).not() }
 
 // maxConditionDepth limits the nesting of parentheses and negations in a condition, and of
--- a/internal/haproxy/config.go
+++ b/internal/haproxy/config.go
@@ -123,7 +123,7 @@
 		if len(line.Words) == 0 && line.Err == "" {
 			continue
 		}
-		directive := &Directive{File: source.Name, Line: line, Active: r.activeHere()}
+		directive := &Directive{File: source.Name, Line: line, Active: r.activeInBlocks()}
 		if line.Err != "" {
 			r.addProblem(directive, line.Pos, "%s", line.Err)
 		}
@@ -152,8 +152,8 @@
 	r.blocks = nil
 }
 
-// activeHere returns whether the conditions of all open blocks are met.
-func (r *reader) activeHere() Truth {
+// activeInBlocks returns whether the conditions of all blocks that are open now are met.
+func (r *reader) activeInBlocks() Truth {
 	if n := len(r.blocks); n > 0 {
 		return r.blocks[n-1].outerActive.and(r.blocks[n-1].branchActive)
 	}
@@ -192,7 +192,7 @@
 		r.addProblem(directive, directive.Pos, "conditional blocks are nested deeper than %d levels", maxConditionDepth)
 	case keyword == ".if":
 		t := evaluate()
-		r.blocks = append(r.blocks, block{start: directive, outerActive: r.activeHere(), branchActive: t, branchTaken: t})
+		r.blocks = append(r.blocks, block{start: directive, outerActive: r.activeInBlocks(), branchActive: t, branchTaken: t})
 	case keyword == ".diag" || keyword == ".notice" || keyword == ".warning" || keyword == ".alert":
 	case keyword != ".elif" && keyword != ".else" && keyword != ".endif":
 		r.addProblem(directive, directive.Pos, "unknown conditional directive %q", keyword)
--- a/internal/haproxy/config_test.go
+++ b/internal/haproxy/config_test.go
@@ -88,9 +88,9 @@
 		"frontend f (true, web) bind :80 true use_backend a true use_backend b false use_backend c false acl x path /x unknown acl y path /y unknown",
 		"backend a (true, trip) server s1 1.2.3.4:80  true", "listen a (true, trip)", "frontend g (true, )", "resolvers r (true, ) nameserver n 1.1.1.1:53 true", "defaults web (true, )",
 	}
-	for count := range max(len(got), len(want)) {
-		if count >= len(got) || count >= len(want) || got[count] != want[count] {
-			t.Errorf("section %d:\ngot  %q\nwant %q", count, got[min(count, len(got)-1)], want[min(count, len(want)-1)])
+	for n := range max(len(got), len(want)) {
+		if n >= len(got) || n >= len(want) || got[n] != want[n] {
+			t.Errorf("section %d:\ngot  %q\nwant %q", n, got[min(n, len(got)-1)], want[min(n, len(want)-1)])
 		}
 	}
 	problems := ""
--- a/internal/haproxy/lex.go
+++ b/internal/haproxy/lex.go
@@ -56,7 +56,7 @@
 	return all
 }
 
-// Env looks up an environment variable and returns whether it is set.
+// Env looks up an environment variable and returns its value and whether it is set.
 type Env func(name string) (value string, set bool)
 
 // ParseLines splits a text into logical lines and those into words. It never fails: a line's Err
--- a/internal/plan/brute_test.go
+++ b/internal/plan/brute_test.go
@@ -17,11 +17,13 @@
 	targets, nextEdge []int     // by edge, its target and the next edge of the same vertex; -1: none
 	residual          []float64 // by edge, the residual capacity
 	firstEdge         []int     // by vertex, its first edge; -1: none
-	excess            []float64 // by vertex, lower bounds of edges into it less those of edges out of it
+	// excess is by vertex the sum of the lower bounds of edges into it, less that of edges out of it.
+	excess []float64
 }
 
-func newNetwork(n int) *network {
-	w := &network{firstEdge: make([]int, n), excess: make([]float64, n)}
+// newNetwork returns a network without edges.
+func newNetwork(vertexCount int) *network {
+	w := &network{firstEdge: make([]int, vertexCount), excess: make([]float64, vertexCount)}
 	for i := range w.firstEdge {
 		w.firstEdge[i] = -1
 	}
@@ -211,7 +213,7 @@
 	for n := range order {
 		order[n] = n
 	}
-	valueOfWork := func(n int) (must, worth float64) {
+	worthPerWork := func(n int) (must, worth float64) {
 		c := &fleet.Classes[n]
 		if c.MustNotBeLate {
 			must = 1 / c.WorkMS
@@ -219,8 +221,8 @@
 		return must, c.Worth / c.WorkMS
 	}
 	slices.SortStableFunc(order, func(a, b int) int {
-		am, aw := valueOfWork(a)
-		bm, bw := valueOfWork(b)
+		am, aw := worthPerWork(a)
+		bm, bw := worthPerWork(b)
 		return compareLexicographic([]float64{bm, bw}, []float64{am, aw})
 	})
 	for _, subset := range allowedSubsets(fleet, nil) {
--- a/internal/plan/capacity.go
+++ b/internal/plan/capacity.go
@@ -17,7 +17,8 @@
 		return rawCapacity
 	}
 	serviceRate := node.Speed / (workMS / 1000) // requests per second and core
-	slackSeconds := aimMS/1000 - 3/serviceRate  // e^-3 is about 1/20: 19 of 20 requests take at most 3/mu
+	// e^-3 is about 1/20, so that 19 of 20 requests take at most 3/mu.
+	slackSeconds := aimMS/1000 - 3/serviceRate
 	if slackSeconds < 0 {
 		slackSeconds = 0
 	}
@@ -45,7 +46,8 @@
 	if utilization >= 1 {
 		return 1
 	}
-	load, blocking := utilization*float64(servers), 1.0 // blocking is Erlang's B, computed by its recursion
+	// blocking is Erlang's B, computed by its recursion.
+	load, blocking := utilization*float64(servers), 1.0
 	for n := 1; n <= servers; n++ {
 		blocking = load * blocking / (float64(n) + load*blocking)
 	}
--- a/internal/plan/fleet.go
+++ b/internal/plan/fleet.go
@@ -37,15 +37,17 @@
 	// SlowSpeed is the lowest speed expected of a core; 0 means Speed.
 	SlowSpeed float64 `toml:"slow_speed" json:"slow_speed,omitempty"`
 	Cores     int     `toml:"cores" json:"cores"`
-	Queue     int     `toml:"queue" json:"queue,omitempty"` // requests that may wait at the node; 0: no limit
+	Queue     int     `toml:"queue" json:"queue,omitempty"` // requests that may wait at it; 0: no limit
 	Price     float64 `toml:"price" json:"price,omitempty"` // per hour, while the node is in use
 	Drain     bool    `toml:"drain" json:"drain,omitempty"` // the node gets no work
 	// CurrentShare is the node's current share of all work, from which moved work is computed. If it
 	// is 0 for all nodes, the current shares are unknown and moved work is not minimised.
 	CurrentShare float64 `toml:"today" json:"today,omitempty"`
 
-	notChosen    bool   // left out of use by the choice of nodes
-	sameLimitsAs string // name of a node whose pins, OnlyPlaces and ExcludedPlaces apply to this one too
+	notChosen bool // left out of use by the choice of nodes
+	// sameLimitsAs is the name of a node whose pins, OnlyPlaces and ExcludedPlaces apply to this one
+	// too; empty: none.
+	sameLimitsAs string
 }
 
 // Class is a kind of request and its demand.
@@ -53,9 +55,10 @@
 	Name string  `toml:"name" json:"name"`
 	Rate float64 `toml:"rate" json:"rate"` // requests per second, of all zones together
 	// BusyRate is the highest rate expected; 0 means Rate.
-	BusyRate      float64            `toml:"busy_rate" json:"busy_rate,omitempty"`
-	Zones         map[string]float64 `toml:"zones" json:"zones,omitempty"` // share of the rate by zone of origin; empty: equal shares
-	WorkMS        float64            `toml:"work_ms" json:"work_ms"`       // CPU time of a request on a core of speed 1
+	BusyRate float64 `toml:"busy_rate" json:"busy_rate,omitempty"`
+	// Zones is the share of the rate that comes from each zone; if it is empty, the shares are equal.
+	Zones         map[string]float64 `toml:"zones" json:"zones,omitempty"`
+	WorkMS        float64            `toml:"work_ms" json:"work_ms"` // CPU time of a request on a core of speed 1
 	AimMS         float64            `toml:"aim_ms" json:"aim_ms"`
 	Worth         float64            `toml:"worth" json:"worth"`
 	MustNotBeLate bool               `toml:"must" json:"must,omitempty"` // served before all other classes
@@ -206,7 +209,7 @@
 	return sortedKeys(names)
 }
 
-// sortedKeys returns the keys of a map in order.
+// sortedKeys returns the keys of a map in ascending order.
 func sortedKeys(m map[string]float64) []string {
 	var keys []string
 	for k := range m {
@@ -217,13 +220,13 @@
 }
 
 // matches reports whether places name the node, its zone or its kind, or the node whose limits
-// it shares.
+// also apply to it.
 func (d *Node) matches(places []string) bool {
 	return slices.Contains(places, d.Name) || d.sameLimitsAs != "" && slices.Contains(places, d.sameLimitsAs) || slices.Contains(places, "zone:"+d.Zone) || slices.Contains(places, "kind:"+d.Kind)
 }
 
 // worstCase returns the fleet with each node at its slow speed and each class at its busy rate,
-// which is the worst case for every class at once, and whether that differs from the fleet.
+// which is the worst case for every class at once, and whether any speed or rate changed.
 func (f *Fleet) worstCase() (*Fleet, bool) {
 	worst := *f
 	worst.Nodes, worst.Classes = slices.Clone(f.Nodes), slices.Clone(f.Classes)
--- a/internal/plan/loss.go
+++ b/internal/plan/loss.go
@@ -19,7 +19,8 @@
 // Loss is the effect of a failure on a plan.
 type Loss struct {
 	Name string `json:"what"`
-	// Survived is true if no more requests are late and no more worth is lost than without the failure.
+	// Survived is true if no more requests are late and no more worth is lost than without the
+	// failure.
 	Survived bool               `json:"held"`
 	Served   map[string]float64 `json:"served"`
 	// WorthLost is the worth per second that the plan serves and that is lost after the failure.
@@ -113,11 +114,11 @@
 // late are late than if all nodes had been in use (or, if no class has MustNotBeLate set, no more
 // worth is lost). It returns the new choice, or nil if there is none.
 //
-// Each loss that the choice does not survive adds a cut to the choice of nodes (Benders 1962). What
-// is late after a loss decreases with the nodes that are left and is convex in them, so that its
-// reduced costs bound it everywhere. A group that loses a node counts one node less if any of its
-// nodes is in use. unsurvivable names the losses that even all nodes together do not survive
-// without late requests.
+// Each loss that the choice does not survive adds a cut to the choice of nodes (Benders 1962). The
+// number of late requests after a loss falls as more nodes are left and is convex in their numbers,
+// so that the reduced costs at one choice give a lower bound for every other choice. A group that
+// loses a node counts one node less if any of its nodes is in use. unsurvivable names the losses
+// that even all nodes together do not survive without late requests.
 func (m *model) makeRobust(counts []float64, stop func() bool, progress func(Search)) (robustCounts []float64, summary Search, unsurvivable []string, err error) {
 	objectives := m.objectives()[:lateObjective+1]
 	if len(objectives[lateObjective].costs) == 0 { // no class must not be late: worth counts instead
--- a/internal/plan/model.go
+++ b/internal/plan/model.go
@@ -9,8 +9,8 @@
 	"chalkrack/internal/simplex"
 )
 
-// limit describes a limit that the operators have set, in the words of the fleet file. Sets of
-// limits can contradict each other.
+// limit describes a limit that the operators have set, in the words of the fleet file. Limits can
+// contradict each other.
 type limit string
 
 // group is a set of nodes that are identical in everything that the linear programme uses.
@@ -56,8 +56,8 @@
 	anyOpenVarByGroup map[int]int
 }
 
-// capacityLimit and the functions below it return descriptions of limits. A description also
-// identifies its limit.
+// capacityLimit and the functions below it return the descriptions of limits. Each limit has a
+// different description, so that a description serves as the limit's key.
 func capacityLimit(zone string) limit { return limit("the capacity of zone " + zone) }
 func minServedLimit(class *Class) limit {
 	return limit(fmt.Sprintf("classes: %s: at_least %v of its requests are served", class.Name, class.MinServedShare))
@@ -141,7 +141,7 @@
 func (disabled disabledLimits) enforces(l limit) bool { return !disabled[l] }
 
 // newModel returns the linear programme of a fleet without the disabled limits. With perNode each
-// node forms a group of its own, which moved work needs: it is computed for each group.
+// node forms a group of its own, so that the work moved from or to each node is known.
 func newModel(fleet *Fleet, disabled disabledLimits, perNode bool) *model {
 	m := &model{fleet: fleet, zoneNames: fleet.Zones(), problem: new(simplex.Problem), rowLimits: make(map[int]limit), anyOpenVarByGroup: make(map[int]int)}
 	m.computeDemand()
@@ -448,11 +448,12 @@
 	return objectives
 }
 
-// solveLexicographic minimises the objectives one after the other. After each, variables and
-// slacks whose reduced cost is nonzero, and which are therefore at the same bound in every optimal
-// solution, are fixed there; exactly the optimal solutions remain for the next objective. It works
-// on a clone of the problem, which it returns with the values and the last solution. If an
-// objective has no optimum, it returns there with fewer values and that solution's status.
+// solveLexicographic minimises the objectives one after the other. A variable or slack with a
+// nonzero reduced cost is at the same bound in every optimal solution. After each objective these
+// variables and slacks are fixed at that bound, so that exactly the optimal solutions remain for the
+// next objective. It works on a clone of the problem, which it returns with the values and the last
+// solution. At the first objective without an optimum it returns the values of the objectives
+// before it, and a solution whose status says why.
 func solveLexicographic(problem *simplex.Problem, objectives []objective, stop func() bool) (values []float64, solution *simplex.Solution, working *simplex.Problem, err error) {
 	working = problem.Clone()
 	varCount, rowCount := working.Size()
--- a/internal/plan/place.go
+++ b/internal/plan/place.go
@@ -14,7 +14,7 @@
 	integerTolerance = 1e-6
 	// maxSearchSteps bounds the steps of a search. Each solves a few linear programmes.
 	maxSearchSteps = 4000
-	// maxCuts bounds the cuts that one search for a choice of nodes that survives losses adds.
+	// maxCuts bounds the cuts that makeRobust adds.
 	maxCuts = 400
 	// valueTolerance is how near two values must be to count as equal, relative to the larger of
 	// them and 1.
@@ -30,10 +30,11 @@
 	// Gap is the difference of Best and Bound at the first of the three values that differs,
 	// relative to Best; 0 if Best is proven to be optimal.
 	Gap     float64 `json:"gap"`
-	Stopped bool    `json:"left,omitempty"` // the search was stopped before Best was proven to be optimal
+	Stopped bool    `json:"left,omitempty"` // the search ended before Best was proven to be optimal
 }
 
-// ErrStopped is returned if the search was stopped before it found any answer.
+// ErrStopped is returned if Options.Stop or a limit on steps ended the search before it found any
+// answer.
 var ErrStopped = errors.New("plan: the search was stopped before it found an answer")
 
 // searchNode is a node of the branch-and-bound tree: bounds on the integer variables, the values
--- a/internal/plan/plan_test.go
+++ b/internal/plan/plan_test.go
@@ -408,9 +408,10 @@
 	}
 }
 
-// Stops a search after each number of calls of Stop in turn. It must return the error of a stopped
-// search, or a plan that meets the limits and whose search has bounds that hold: the optimum lies between Bound and Best,
-// and the gap is 0 only if they are equal. A stopped search must not claim that no choice exists.
+// Stops a search after 0, 1, 2 and up to 149 calls of Stop. It must return the error of a stopped
+// search, or a plan that meets the limits and whose search has bounds that hold: the optimum lies
+// between Bound and Best, and the gap is 0 only if they are equal. A stopped search must not claim
+// that no choice exists.
 func TestStoppedSearchReportsBounds(t *testing.T) {
 	rng := rand.New(rand.NewPCG(21, 1))
 	unanswered, partial := 0, 0
@@ -430,8 +431,8 @@
 		}
 		answered := false
 		for stopAfter := range 150 {
-			asked := 0
-			plan, err := Solve(fleet, Options{Robust: n%2 == 0, Losses: true, Stop: func() bool { asked++; return asked > stopAfter }})
+			calls := 0
+			plan, err := Solve(fleet, Options{Robust: n%2 == 0, Losses: true, Stop: func() bool { calls++; return calls > stopAfter }})
 			if errors.Is(err, ErrStopped) {
 				if answered {
 					t.Fatalf("fleet %d: no answer although a search stopped earlier found one", n)
--- a/internal/plan/solve.go
+++ b/internal/plan/solve.go
@@ -22,7 +22,9 @@
 
 // Options control Solve.
 type Options struct {
-	Stop     func() bool  // nil or called at intervals; once true, Solve ends with the best plan found
+	// Stop may be nil. Solve calls it at intervals, and ends with the best plan found once it
+	// returns true.
+	Stop     func() bool
 	Progress func(Search) // nil or called with each better choice of nodes
 	Losses   bool         // compute the effect of the loss of each zone and node
 	Robust   bool         // with Fleet.Choose: choose nodes that survive these losses
@@ -36,7 +38,7 @@
 
 	Demand   float64            `json:"demand"`   // work, in seconds of a core of speed 1 per second
 	Capacity float64            `json:"capacity"` // usable capacity of the nodes in use, as Demand
-	Served   map[string]float64 `json:"served"`   // share of its demand, by class
+	Served   map[string]float64 `json:"served"`   // by class, share of its demand that is served
 	// Values holds the values of the objectives by name: late requests per second, worth lost per
 	// second, cost per hour, share of the work moved and load of the busiest group.
 	Values   map[string]float64 `json:"values"`
@@ -46,7 +48,7 @@
 	Losses   []Loss             `json:"losses,omitempty"`
 	Nodes    []NodePlan         `json:"nodes"`
 	Crossing float64            `json:"crossing"`       // share of the work that is done outside its zone of origin
-	Skipped  []string           `json:"left,omitempty"` // parts that were not computed because Options.Stop ended them
+	Skipped  []string           `json:"left,omitempty"` // parts that Options.Stop ended before their result
 
 	Search *Search `json:"search,omitempty"`
 	// Robust gives the price of a choice of nodes that survives losses, and the losses that no
@@ -58,7 +60,8 @@
 type Robust struct {
 	CostWithout float64 `json:"cost_without"`
 	CostWith    float64 `json:"cost_with"`
-	// Losses that no choice of nodes survives, and why no robust choice was found, if so.
+	// Problems lists the losses that no choice of nodes survives. If no choice that survives the
+	// other losses was found, the last entry is the reason.
 	Problems []string `json:"weak,omitempty"`
 }
 
@@ -110,9 +113,9 @@
 		return plan, err
 	}
 	plan := &Plan{Values: make(map[string]float64)}
-	used := fleet
+	plannedFleet := fleet
 	if fleet.Choose {
-		if used, err = plan.chooseNodes(fleet, options); err != nil {
+		if plannedFleet, err = plan.chooseNodes(fleet, options); err != nil {
 			return nil, err
 		}
 	}
@@ -122,17 +125,17 @@
 	if fleet.Choose {
 		splitOptions.Stop = nil
 	}
-	if err := plan.splitWork(used, splitOptions); err != nil {
+	if err := plan.splitWork(plannedFleet, splitOptions); err != nil {
 		return nil, err
 	}
 	// The rest is optional: parts that are stopped are listed in the plan.
 	if plan.Status == Short {
-		if err := plan.noteSkipped("shortage", plan.explainShortage(used, options)); err != nil {
+		if err := plan.noteSkipped("shortage", plan.explainShortage(plannedFleet, options)); err != nil {
 			return nil, err
 		}
 	}
 	if options.Losses {
-		if err := plan.noteSkipped("losses", plan.checkLosses(used, options)); err != nil {
+		if err := plan.noteSkipped("losses", plan.checkLosses(plannedFleet, options)); err != nil {
 			return nil, err
 		}
 	}
@@ -180,17 +183,17 @@
 	}
 	chosen := *fleet
 	chosen.Choose, chosen.Nodes = false, slices.Clone(fleet.Nodes)
-	keep := make([]bool, len(fleet.Nodes))
+	isChosen := make([]bool, len(fleet.Nodes))
 	for n, nodeGroup := range m.groups {
 		// Nodes with the largest current share come first, then those first in the fleet file.
 		nodes := slices.Clone(nodeGroup.nodeIndexes)
 		slices.SortStableFunc(nodes, func(a, b int) int { return cmp.Compare(fleet.Nodes[b].CurrentShare, fleet.Nodes[a].CurrentShare) })
 		for _, node := range nodes[:int(counts[n])] {
-			keep[node] = true
+			isChosen[node] = true
 		}
 	}
 	for n := range chosen.Nodes {
-		chosen.Nodes[n].notChosen = !keep[n]
+		chosen.Nodes[n].notChosen = !isChosen[n]
 	}
 	chosen.Limits.MaxNodes, chosen.Limits.MaxPrice = 0, 0 // already met by the choice
 	return &chosen, nil
@@ -205,9 +208,9 @@
 }
 
 // splitWork computes how the work is split over the nodes in use, and sets the plan's status.
-func (p *Plan) splitWork(used *Fleet, options Options) error {
-	sharesKnown := slices.ContainsFunc(used.Nodes, func(d Node) bool { return d.CurrentShare > 0 })
-	m := newModel(used, nil, sharesKnown)
+func (p *Plan) splitWork(plannedFleet *Fleet, options Options) error {
+	sharesKnown := slices.ContainsFunc(plannedFleet.Nodes, func(d Node) bool { return d.CurrentShare > 0 })
+	m := newModel(plannedFleet, nil, sharesKnown)
 	objectives := m.objectives()
 	if !sharesKnown {
 		objectives = slices.Delete(objectives, movesObjective, movesObjective+1)
@@ -225,11 +228,11 @@
 	p.Status = Satisfied
 	p.Demand = m.totalWork
 	p.Served = m.servedShares(solution.Values)
-	for c := range used.Classes {
+	for c := range plannedFleet.Classes {
 		for z, v := range m.unservedVars[c] {
 			if v >= 0 && solution.Values[v] > valueTolerance {
 				p.Status = Short
-				p.Missing = append(p.Missing, Missing{used.Classes[c].Name, m.zoneNames[z], solution.Values[v] * m.rates[c] * m.demandShares[c][z]})
+				p.Missing = append(p.Missing, Missing{plannedFleet.Classes[c].Name, m.zoneNames[z], solution.Values[v] * m.rates[c] * m.demandShares[c][z]})
 			}
 		}
 	}
@@ -240,7 +243,8 @@
 // fillNodes sets the plan's nodes, capacity and crossing work. Identical nodes get equal parts.
 func (m *model) fillNodes(plan *Plan, values []float64) {
 	zoneCount := len(m.zoneNames)
-	classWork := make([][]float64, len(m.workShares)) // by class and zone of the nodes, share of the class's work
+	// by class and zone of the nodes, share of the class's work
+	classWork := make([][]float64, len(m.workShares))
 	for c := range m.workShares {
 		classWork[c] = make([]float64, zoneCount)
 		for _, g := range m.groups {
@@ -354,8 +358,8 @@
 
 // explainShortage sets the binding limits of a plan that does not serve all demand, and the gains
 // if the options ask for them.
-func (p *Plan) explainShortage(used *Fleet, options Options) error {
-	m := newModel(used, nil, false)
+func (p *Plan) explainShortage(plannedFleet *Fleet, options Options) error {
+	m := newModel(plannedFleet, nil, false)
 	objectives := m.objectives()[worthObjective : worthObjective+1]
 	if len(objectives[0].costs) == 0 {
 		return nil
@@ -373,8 +377,8 @@
 			binding[l] = true
 		}
 	}
-	for n := range used.Classes { // where a class is not allowed but would be served
-		c := &used.Classes[n]
+	for n := range plannedFleet.Classes { // where a class is not allowed but would be served
+		c := &plannedFleet.Classes[n]
 		for _, g := range m.groups {
 			if !g.allowed[n] && solution.ReducedCosts[g.workVars[n]] < -valueTolerance {
 				if len(c.OnlyPlaces) > 0 {
@@ -386,7 +390,7 @@
 			}
 		}
 	}
-	for _, l := range used.allLimits() {
+	for _, l := range plannedFleet.allLimits() {
 		if binding[l] {
 			p.Binding = append(p.Binding, string(l))
 		}
@@ -403,10 +407,10 @@
 			continue
 		}
 		seen[key] = true
-		larger := *used
-		added := used.Nodes[g.nodeIndexes[0]]
+		larger := *plannedFleet
+		added := plannedFleet.Nodes[g.nodeIndexes[0]]
 		added.Name, added.sameLimitsAs, added.CurrentShare = added.Name+" again", added.Name, 0
-		larger.Nodes = append(slices.Clone(used.Nodes), added)
+		larger.Nodes = append(slices.Clone(plannedFleet.Nodes), added)
 		largerModel := newModel(&larger, nil, false)
 		largerValues, largerSolution, _, err := solveLexicographic(largerModel.problem, largerModel.objectives()[worthObjective:worthObjective+1], options.Stop)
 		if err == nil && largerSolution.Status != simplex.Optimal {
@@ -422,17 +426,17 @@
 }
 
 // checkLosses computes the effect of each loss on the plan.
-func (p *Plan) checkLosses(used *Fleet, options Options) error {
-	m := newModel(used, nil, false)
+func (p *Plan) checkLosses(plannedFleet *Fleet, options Options) error {
+	m := newModel(plannedFleet, nil, false)
 	openNodes := make([]float64, len(m.groups))
 	for n, g := range m.groups {
 		_, openNodes[n] = m.problem.Bounds(g.openVar)
 	}
-	normalModel := newLossModel(used)
+	normalModel := newLossModel(plannedFleet)
 	for _, loss := range m.lossCases() {
 		afterLoss := normalModel
 		if loss.worstCase {
-			worstFleet, _ := used.worstCase()
+			worstFleet, _ := plannedFleet.worstCase()
 			afterLoss = newLossModel(worstFleet)
 		}
 		values, solution, err := afterLoss.solveAfter(&loss, openNodes, afterLoss.objectives()[:costObjective], options.Stop)
--- a/internal/simplex/certificate.go
+++ b/internal/simplex/certificate.go
@@ -5,10 +5,12 @@
 	"math"
 )
 
-// Certificate says how exact a solution is, computed from the problem and the solution alone.
+// Certificate holds the errors of a solution, computed from the problem and the solution alone.
 type Certificate struct {
 	Primal float64 // largest violation of a row or bound, relative to its size
-	Gap    float64 // difference of the objective and the bound that the duals prove, relative to their size
+	// Gap is the difference of the objective and the bound that the duals prove, relative to their
+	// size.
+	Gap float64
 }
 
 // Certify returns how far an optimal solution violates the rows and bounds, and how far its
@@ -31,11 +33,11 @@
 		}
 	}
 	for r, b := range p.rhs {
-		miss := rowSums[r] - b
-		if p.senses[r] == LE && miss < 0 || p.senses[r] == GE && miss > 0 {
-			miss = 0
+		violation := rowSums[r] - b
+		if p.senses[r] == LE && violation < 0 || p.senses[r] == GE && violation > 0 {
+			violation = 0
 		}
-		certificate.Primal = max(certificate.Primal, math.Abs(miss)/max(rowScales[r], math.Abs(b), 1e-300))
+		certificate.Primal = max(certificate.Primal, math.Abs(violation)/max(rowScales[r], math.Abs(b), 1e-300))
 	}
 	bound, magnitude := p.dualBound(solution.Duals, p.costs)
 	certificate.Gap = math.Abs(solution.Objective-bound) / max(1e-300, magnitude, math.Abs(solution.Objective))
--- a/internal/simplex/simplex_test.go
+++ b/internal/simplex/simplex_test.go
@@ -108,11 +108,11 @@
 	p := new(Problem)
 	varCount, rowCount := 1+rng.IntN(8), 1+rng.IntN(8)
 	for range varCount {
-		hi := math.Inf(1)
+		upper := math.Inf(1)
 		if rng.IntN(2) == 0 {
-			hi = float64(1 + rng.IntN(4))
+			upper = float64(1 + rng.IntN(4))
 		}
-		p.AddVar(0, hi, float64(rng.IntN(9)-3))
+		p.AddVar(0, upper, float64(rng.IntN(9)-3))
 	}
 	for range rowCount {
 		var terms []Term
@@ -121,8 +121,8 @@
 				terms = append(terms, Term{v, float64(rng.IntN(7) - 2)})
 			}
 		}
-		b := float64(rng.IntN(9) - 2)
-		p.AddRow(Sense(rng.IntN(3)), b, terms...)
+		rhs := float64(rng.IntN(9) - 2)
+		p.AddRow(Sense(rng.IntN(3)), rhs, terms...)
 	}
 	return p
 }
--- a/internal/simplex/solve.go
+++ b/internal/simplex/solve.go
@@ -114,7 +114,7 @@
 		return cmp.Or(cmp.Compare(len(s.cols[a].rows), len(s.cols[b].rows)), cmp.Compare(b, a))
 	})
 	takenRows := make([]bool, s.rowCount)
-	pendingColumns := make([]int, s.rowCount) // by row, columns not yet processed that have a coefficient there
+	pendingColumns := make([]int, s.rowCount) // by row, columns with a coefficient there, not yet processed
 	for _, j := range basicVars {
 		for _, r := range s.cols[j].rows {
 			pendingColumns[r]++
@@ -351,7 +351,8 @@
 }
 
 // pivot moves the entering variable as far as its own bounds and those of the basic variables
-// allow, and exchanges it for the variable that blocks it. It returns false if nothing does.
+// allow, and exchanges it for the basic variable that limits the move. It returns false if nothing
+// limits it.
 func (s *solver) pivot(entering int, bland bool) bool {
 	s.ftran(entering)
 	direction := 1.0
@@ -411,7 +412,8 @@
 		stepLength = max(distance, 0)
 	}
 	boundRange := s.upper[entering] - s.lower[entering]
-	if boundRange <= stepLength && !math.IsInf(boundRange, 0) { // moves to its other bound; the basis stays
+	if boundRange <= stepLength && !math.IsInf(boundRange, 0) {
+		// The variable moves to its other bound, and the basis stays.
 		s.moveVariable(entering, direction*boundRange)
 		if s.statuses[entering] == atLower {
 			s.statuses[entering] = atUpper
