--- a/internal/haproxy/translate/rules.go
+++ b/internal/haproxy/translate/rules.go
@@ -91,7 +91,7 @@
 	return route, fmt.Errorf("unknown criterion %q: rules that use it are not carried", words[0])
 }
 
-// parsePathACL returns a route with the path conditions of an acl. Other matches than the exact one
+// parsePathACL returns a route with the path conditions of an acl. All matches but the exact one
 // become regular expressions.
 func (t *translator) parsePathACL(matchMethod string, ignoreCase bool, values []string) (route features.Route, err error) {
 	for _, value := range values {
@@ -128,11 +128,11 @@
 }
 
 // mergeRoutes returns a route with the conditions of both. It returns an error if both have
-// conditions on the same part of a request, because a route can't express that.
+// conditions on the host, the path, the method or the source, because a route can't express that.
 func mergeRoutes(a, b features.Route) (features.Route, error) {
 	conflict := func(inA, inB bool, part string) error {
 		if inA && inB {
-			return fmt.Errorf("two conditions on the %s at once can't be said by a route", part)
+			return fmt.Errorf("a route can't have two conditions on the %s", part)
 		}
 		return nil
 	}
@@ -160,7 +160,7 @@
 		return []features.Route{{}}, nil
 	}
 	if words[0] != "if" {
-		return nil, fmt.Errorf("%q: a route says what must hold, not what must not", words[0])
+		return nil, fmt.Errorf("%q: a route can only require that conditions hold", words[0])
 	}
 	current := []features.Route{{}}
 	flush := func() {
@@ -206,7 +206,7 @@
 		}
 		if negated {
 			if len(choices) != 1 || len(choices[0].Headers) != 1 || len(choices[0].Hosts)+len(choices[0].Paths)+len(choices[0].Regexps)+len(choices[0].Methods)+len(choices[0].Sources) > 0 {
-				return nil, fmt.Errorf("!%s: only a field can be asked not to be there", word)
+				return nil, fmt.Errorf("!%s: only a condition on a single header field can be negated", word)
 			}
 			choices[0].Headers[0].Negate = !choices[0].Headers[0].Negate
 		}
@@ -233,10 +233,10 @@
 const maxAlternatives = 64
 
 // fallThroughNote is appended to the reason why a rule is not carried.
-const fallThroughNote = "; what it would have taken goes on to the rules behind it"
+const fallThroughNote = "; requests that it would match go on to the rules after it"
 
-// translateRule adds the routes of a directive that chooses a backend or answers requests itself. It
-// returns the verdict and its reason.
+// translateRule adds the routes of a directive that chooses a backend or answers requests itself.
+// It returns the verdict and its reason.
 func (t *translator) translateRule(proxy *proxySettings, directive *haproxy.Directive, name string) (Verdict, string) {
 	args := directive.Args()
 	conditionStart := slices.IndexFunc(args, func(w string) bool { return w == "if" || w == "unless" })
@@ -253,7 +253,7 @@
 		}
 		switch {
 		case strings.Contains(args[0], "%["):
-			return NotCarried, "a backend that is worked out for each request" + fallThroughNote
+			return NotCarried, "the backend is computed for each request" + fallThroughNote
 		case t.backends[args[0]] == nil:
 			return NotCarried, fmt.Sprintf("there is no backend %q", args[0]) + fallThroughNote
 		case !t.hasPool(args[0]):
@@ -265,7 +265,7 @@
 				return NotCarried, "default_backend takes no condition"
 			}
 			t.defaultPools[proxy] = target.Pool
-			return Carried, "the route behind all others"
+			return Carried, "the route after all others"
 		}
 	case "http-request deny":
 		target.Status = 403
@@ -321,8 +321,8 @@
 }
 
 // rankedRoute is a route with its rank and the location of its rule. HAProxy evaluates http-request
-// rules first, then redirects, then rules that choose a backend, each group in the order of the file
-// (section 4.2 of the manual).
+// rules first, then redirects, then rules that choose a backend, each group in the order of the
+// file (section 4.2 of the manual).
 type rankedRoute struct {
 	rank     int
 	route    features.Route
--- a/internal/haproxy/translate/translate.go
+++ b/internal/haproxy/translate/translate.go
@@ -1,7 +1,8 @@
 // Package translate turns a HAProxy configuration into listeners, pools and routes, and gives
 // each directive a verdict: whether it is carried over. The package does no I/O. It never guesses:
-// a directive that it does not know is not carried, and one that would repeat requests that must
-// not run twice is reported as dangerous and left out.
+// a directive that it does not know is not carried. A directive that would repeat requests that
+// must not run twice is reported as dangerous and left out, and so is a directive that rejects
+// requests but can't be carried over.
 package translate
 
 import (
@@ -64,8 +65,8 @@
 
 // Options are the platform's settings that a translation needs.
 type Options struct {
-	// Classes are the platform's classes. A health check whose path begins with one of them is
-	// dangerous, because it would run a request of that class.
+	// Classes are the names of the platform's classes. A health check is dangerous if the first part
+	// of its path is such a name, because it would run a request of that class.
 	Classes []string
 	// SafeClass is the class of imported GET, HEAD and OPTIONS requests, OtherClass that of all
 	// others. If they are empty, the first part of a request's path names its class.
@@ -91,10 +92,11 @@
 	maxActive, maxWaiting int
 	hasUnboundedServer    bool
 	queueTimeout          time.Duration // timeout queue
-	connectTimeout        time.Duration // timeout connect, which HAProxy uses if timeout queue is not set
-	listener              string        // the listener's name; empty if the section is not a carried frontend
-	bind                  *haproxy.Directive
-	bindAddress           string // the address that bind listens at
+	// connectTimeout is timeout connect, which HAProxy uses if timeout queue is not set.
+	connectTimeout time.Duration
+	listener       string             // the listener's name; empty: not a carried frontend
+	bind           *haproxy.Directive // the first bind without TLS that has an address and a port
+	bindAddress    string             // the address that bind listens at
 	// defaultServerArgs are the options of default-server, which come before a server's own.
 	// defaultBackend is the backend that default_backend names, possibly in a defaults section.
 	defaultServerArgs []string
@@ -109,7 +111,7 @@
 	proxies      map[*haproxy.Section]*proxySettings
 	backends     map[string]*proxySettings
 	routes       []rankedRoute
-	defaultPools map[*proxySettings]string // by frontend: the pool of requests that no rule takes
+	defaultPools map[*proxySettings]string // by frontend, the pool of requests that match no rule
 	frontends    []*proxySettings          // the carried ones, in the order of the files
 }
 
@@ -169,15 +171,15 @@
 	case section.Kind == "global" || section.Kind == "defaults":
 		t.addEntry(section, section.Head, Carried, "its directives have verdicts of their own")
 	case proxy == nil && section.Known:
-		t.addEntry(section, section.Head, NotCarried, "there is nothing of its kind here")
+		t.addEntry(section, section.Head, NotCarried, "the platform has nothing of this kind")
 	case proxy == nil:
-		t.addEntry(section, section.Head, NotCarried, "HAProxy has no section of this kind, as far as is known here")
+		t.addEntry(section, section.Head, NotCarried, "HAProxy is not known to have sections of this kind")
 	case section.Head.Active != haproxy.True:
 		t.addEntry(section, section.Head, NotCarried, inactiveReason(section.Head))
 	case proxy.mode != "http":
 		t.addEntry(section, section.Head, NotCarried, "mode "+proxy.mode+": only HTTP is carried")
 	case section.Kind == "backend" && t.backends[section.Name] != proxy:
-		t.addEntry(section, section.Head, NotCarried, "a backend of that name is there already")
+		t.addEntry(section, section.Head, NotCarried, "an earlier backend has the same name")
 	case section.Kind == "backend" && len(proxy.servers) == 0:
 		t.addEntry(section, section.Head, NotCarried, "none of its servers is carried")
 	case section.Kind == "backend":
@@ -187,14 +189,14 @@
 	case proxy.listener != features.PlatformListener:
 		t.addEntry(section, section.Head, Carried, "a listener and its routes")
 	default:
-		t.addEntry(section, section.Head, Different, "routes; where it listens is for the platform to say")
+		t.addEntry(section, section.Head, Different, "routes; the platform sets the address that it listens at")
 	}
 }
 
 // inactiveReason explains why a directive whose condition is false or unknown is not carried.
 func inactiveReason(directive *haproxy.Directive) string {
 	if directive.Active == haproxy.False {
-		return "in a conditional block that does not hold"
+		return "in a conditional block whose condition is false"
 	}
 	return "in a conditional block that depends on the HAProxy that reads it: decide by hand"
 }
@@ -329,7 +331,7 @@
 	return method == "GET" || method == "HEAD" || method == "OPTIONS"
 }
 
-// isClassPath returns whether the first part of a path is the name of one of the platform's classes.
+// isClassPath returns whether the first part of a path is the name of a class of the platform.
 func (t *translator) isClassPath(path string) bool {
 	first, _, _ := strings.Cut(strings.TrimPrefix(path, "/"), "/")
 	first, _, _ = strings.Cut(first, "?")
@@ -351,7 +353,7 @@
 	server := features.PoolServer{Name: args[0], Address: args[1], Weight: 1}
 	host, port, err := net.SplitHostPort(server.Address)
 	if n, portErr := strconv.Atoi(port); err != nil || portErr != nil || n < 1 || n > 65535 || net.ParseIP(host) == nil {
-		return NotCarried, "its address must be an IP address with a port: names are not looked up, and a port is not made up"
+		return NotCarried, "its address must be an IP address with a port: names are not resolved, and there is no default port"
 	}
 	verdict, reason, checked := Carried, "", false
 	addDifference := func(text string) {
@@ -386,7 +388,7 @@
 					proxy.check.Fall = count
 				}
 			}
-			addDifference(args[n-1] + " holds for all servers of the pool, as the last one says it")
+			addDifference(args[n-1] + " applies to all servers of the pool, with the value of the last one")
 		case "weight":
 			n++
 			weight, err := strconv.Atoi(next)
@@ -403,7 +405,7 @@
 			if parsed, ok := parseDuration(next); ok {
 				slowStart = parsed
 			}
-			addDifference("a slow start is the pool's, and limits calls by what a cold server is known to bear")
+			addDifference("a slow start applies to the whole pool, and limits calls by the known capacity of a cold server")
 		case "maxconn", "maxqueue":
 			n++
 			count, err := strconv.Atoi(next)
@@ -415,14 +417,14 @@
 			} else {
 				maxQueue = count
 			}
-			addDifference(args[n-1] + " holds for the pool as a whole, as the sum of its servers', if each has a maxconn")
+			addDifference(args[n-1] + " applies to the pool as a whole, as the sum over its servers, if each has a maxconn")
 		case "cookie":
 			n++
 			addDifference("no stickiness by cookie: clients are not bound to it")
 		case "ssl", "send-proxy", "send-proxy-v2", "proto", "socks4", "disabled", "track", "agent-check":
-			return NotCarried, args[n] + ": there is nothing like it here, and without it the server would be spoken to wrongly"
+			return NotCarried, args[n] + ": not supported, and the server can't be used correctly without it"
 		default:
-			return NotCarried, args[n] + " is not known here, and what the server is without it neither"
+			return NotCarried, args[n] + " is unknown, and so is its effect on the server"
 		}
 	}
 	if add {
@@ -453,13 +455,13 @@
 	case directive.Active == haproxy.False:
 		t.addEntry(section, directive, NotCarried, inactiveReason(directive))
 	case directive.Active == haproxy.Unknown && rejectsRequests(directive, name):
-		t.addEntry(section, directive, Dangerous, "it keeps requests out, "+inactiveReason(directive))
+		t.addEntry(section, directive, Dangerous, "it rejects requests, "+inactiveReason(directive))
 	case directive.Active == haproxy.Unknown:
 		t.addEntry(section, directive, NotCarried, inactiveReason(directive))
 	case dangerReason(directive, name) != "":
 		t.addEntry(section, directive, Dangerous, dangerReason(directive, name))
 	case section.Kind == "global":
-		t.addEntry(section, directive, NotCarried, "of HAProxy's process: the platform sets up this one")
+		t.addEntry(section, directive, NotCarried, "about HAProxy's process: the platform sets up the daemon's")
 	case proxy == nil && section.Kind != "defaults":
 		t.addEntry(section, directive, NotCarried, "its section is not carried")
 	case proxy != nil && proxy.mode != "http":
@@ -467,7 +469,7 @@
 	case proxy != nil && section.Kind != "backend" && proxy.listener == "" && name != "server" && name != "balance":
 		t.addEntry(section, directive, NotCarried, "its section is a listener that is not carried")
 	case proxy != nil && section.Kind == "backend" && t.backends[section.Name] != proxy:
-		t.addEntry(section, directive, NotCarried, "its section has the name of another")
+		t.addEntry(section, directive, NotCarried, "an earlier section has the same name")
 	case name == "bind" && slices.Contains(directive.Args(), "ssl"):
 		t.addEntry(section, directive, NotCarried, reasonNoTLS)
 	case name == "bind" && proxy != nil && proxy.listener != "" && proxy.listener != features.PlatformListener:
@@ -479,7 +481,7 @@
 	case name == "server" && proxy != nil:
 		verdict, reason := t.translateServer(proxy, directive.Args(), false)
 		if proxy.dangerousCheck && verdict != NotCarried && slices.Contains(slices.Concat(proxy.defaultServerArgs, directive.Args()), "check") {
-			verdict, reason = Different, reason+"; it is not checked, for the check is dangerous"
+			verdict, reason = Different, reason+"; it is not checked, because the check is dangerous"
 		}
 		t.addEntry(section, directive, verdict, reason)
 	case name == "default-server":
@@ -489,13 +491,13 @@
 			t.addEntry(section, directive, Carried, "before each server's own options")
 		}
 	case name == "default_backend" && section.Kind == "defaults":
-		t.addEntry(section, directive, Carried, "for the frontend that is carried, if it has none of its own")
+		t.addEntry(section, directive, Carried, "for carried frontends without a default_backend of their own")
 	case name == "option httpchk" || name == "http-check send":
 		t.translateCheck(section, directive, proxy)
 	case proxy != nil && proxy.listener == "" && rejectsRequests(directive, name):
-		t.addEntry(section, directive, Dangerous, "it keeps requests out, and rules of a backend are not carried: routes are chosen before it")
+		t.addEntry(section, directive, Dangerous, "it rejects requests, and rules of a backend are not carried, because routes are chosen before the backend")
 	case proxy != nil && proxy.listener == "" && (name == "http-request return" || name == "redirect" || name == "http-request redirect"):
-		t.addEntry(section, directive, NotCarried, "rules of a backend are not carried: routes are chosen before it")
+		t.addEntry(section, directive, NotCarried, "rules of a backend are not carried, because routes are chosen before the backend")
 	case (name == "use_backend" || name == "default_backend" || name == "http-request deny" || name == "http-request return" || name == "redirect" || name == "http-request redirect") && proxy != nil:
 		verdict, reason := t.translateRule(proxy, directive, name)
 		if verdict == NotCarried && rejectsRequests(directive, name) {
@@ -515,10 +517,10 @@
 			return
 		}
 		if rejectsRequests(directive, name) {
-			t.addEntry(section, directive, Dangerous, "it keeps requests out: without it they come in")
+			t.addEntry(section, directive, Dangerous, "it rejects requests, which are let in without it")
 			return
 		}
-		t.addEntry(section, directive, NotCarried, "not known here: nothing of it is carried")
+		t.addEntry(section, directive, NotCarried, "unknown directive: not carried")
 	}
 }
 
@@ -548,7 +550,7 @@
 		switch word {
 		case "none", "conn-failure", "0rtt-rejected":
 		default:
-			return word + " repeats requests that may have run, also those that must run once: what may be repeated is for the classes' effects to say, by hand"
+			return word + " repeats requests that may have run, also those that must run only once: set the effects of the classes by hand"
 		}
 	}
 	return ""
@@ -560,7 +562,7 @@
 	t.applyDirective(parsed, directive)
 	switch {
 	case parsed.dangerousCheck:
-		t.addEntry(section, directive, Dangerous, "a check that may take effect at a server, once for each check: choose a path that only looks")
+		t.addEntry(section, directive, Dangerous, "each check may have an effect at a server: choose a path that only reads")
 	case parsed.check.Path == "":
 		t.addEntry(section, directive, Different, "checks are GET requests without a body or additional header fields")
 	default:
@@ -568,7 +570,7 @@
 	}
 }
 
-// Keyword is the verdict on a directive that does not depend on its arguments or its section.
+// Keyword is the verdict on a directive whose arguments and section don't change the verdict.
 type Keyword struct {
 	Verdict Verdict
 	Reason  string
@@ -619,7 +621,8 @@
 		pool := features.Pool{Name: section.Name, Servers: proxy.servers, MaxAttempts: proxy.retries + 1, SlowStart: duration.Duration(proxy.slowStart)}
 		if !proxy.hasUnboundedServer && proxy.maxActive > 0 && proxy.maxActive <= maxPoolCalls {
 			pool.MaxActive, pool.MaxHeld = proxy.maxActive, max(proxy.maxActive, 256)
-			pool.MaxWaiting = cmp.Or(min(proxy.maxWaiting, maxPoolCalls), 1024) // 0 means unlimited in HAProxy
+			// A sum of 0 means unlimited in HAProxy.
+			pool.MaxWaiting = cmp.Or(min(proxy.maxWaiting, maxPoolCalls), 1024)
 			pool.QueueWait = duration.Duration(cmp.Or(proxy.queueTimeout, proxy.connectTimeout, time.Minute))
 		}
 		if proxy.check.Interval > 0 && !proxy.dangerousCheck {
