--- a/cmd/fawnctl/config.go
+++ b/cmd/fawnctl/config.go
@@ -67,7 +67,7 @@
 // postAction sends body to an action of the daemon's admin interface and decodes the answer into
 // result. If the daemon refuses, it prints all reasons and returns errChangeRefused, exit status 1;
 // if the daemon can't be reached, it returns errDaemonUnreachable, exit status 3. With --json it
-// prints the answer as it came and returns printed true.
+// prints the answer unchanged and returns true for printed.
 func (f *socketFlags) postAction(streams *stdStreams, action string, body, result any) (printed bool, err error) {
 	var raw json.RawMessage
 	if err := admin.Do(context.Background(), f.Socket, action, body, &raw); err != nil {
@@ -134,7 +134,7 @@
 // verdictPollInterval is the time between two requests for the verdict.
 const verdictPollInterval = 200 * time.Millisecond
 
-// errChangeUndone is returned by 'config apply --wait'; exit status 1.
+// errChangeUndone is returned by 'config apply --wait' if the trial fails; exit status 1.
 var errChangeUndone = errors.New("the change was undone")
 
 type configStatusCmd struct{ socketFlags }
@@ -191,7 +191,7 @@
 	return err
 }
 
-// errChangeRefused follows the printed reasons for a refusal; exit status 1.
+// errChangeRefused is returned after the reasons for a refusal were printed; exit status 1.
 var errChangeRefused = errors.New("the change is not possible while the daemon runs")
 
 // loadDocument loads and validates a configuration as the daemon does when it starts.
--- a/cmd/fawnctl/council.go
+++ b/cmd/fawnctl/council.go
@@ -18,8 +18,8 @@
 	"chalkrack/internal/consensus"
 )
 
-// errCouncilUnreachable means that the council has no majority or that no member can be reached;
-// exit status 3.
+// errCouncilUnreachable means that a call of the council failed without a refusal: the council has
+// no majority, or no member can be reached. Exit status 3.
 var errCouncilUnreachable = errors.New("the council can't be asked")
 
 // councilTimeout bounds one call of the council, including the wait for a majority.
@@ -100,8 +100,8 @@
 	return cfg, nil
 }
 
-// callCouncil passes call a client of the council, which finds the leader by itself. It returns a
-// *council.Refusal unchanged, and any other error of call within errCouncilUnreachable.
+// callCouncil calls call with a client of the council, which finds the leader by itself. It returns
+// a *consensus.Refusal unchanged, and wraps any other error of call in errCouncilUnreachable.
 func (c *councilFlags) callCouncil(call func(context.Context, *consensus.Client) (consensus.Status, error)) (status consensus.Status, err error) {
 	cfg, err := c.clientConfig()
 	if err != nil {
@@ -141,7 +141,7 @@
 	return "somebody"
 }
 
-// Run asks each member of the file for its own view. It fails if none of them leads.
+// Run asks each member that the file names for its own status. It fails if none of them leads.
 func (c *councilStatusCmd) Run(streams *stdStreams) error {
 	cfg, err := c.clientConfig()
 	if err != nil {
@@ -311,8 +311,8 @@
 	}
 }
 
-// proposalResult returns the result of the proposal with the key. Its Outcome is preparing while
-// the proposal is pending, and empty if the status does not have the proposal.
+// proposalResult returns the result of the proposal with the key. Its Outcome is OutcomePreparing
+// while the proposal is pending, and empty if the status does not contain the proposal.
 func proposalResult(status *consensus.Status, key string) agreement.ProposalResult {
 	for _, result := range status.Results {
 		if result.Key == key {
--- a/cmd/fawnctl/duty.go
+++ b/cmd/fawnctl/duty.go
@@ -15,7 +15,7 @@
 }
 
 // Run prints the live sidecars, the counts of probes and notes, and for each node its state, the
-// age of that finding and who made it.
+// age of that finding and whether this sidecar or another made it.
 func (c *dutyCmd) Run(streams *stdStreams) error {
 	var view duties.View
 	if printed, err := c.fetchPage(streams, "duty", &view); printed || err != nil {
--- a/cmd/fawnctl/import.go
+++ b/cmd/fawnctl/import.go
@@ -31,8 +31,8 @@
 	Classes []string `help:"Names of the platform's classes: health checks must not request their paths."`
 }
 
-// Results of an import that have their own exit status: 1, 2 and 3. Other commands return
-// errUnreadable as well.
+// Errors of an import that have their own exit statuses: 1, 2 and 3, in this order. Other commands
+// return errUnreadable as well.
 var (
 	errPartialImport       = errors.New("not everything was carried over")
 	errDangerousDirectives = errors.New("something dangerous was left out: decide by hand")
@@ -79,8 +79,8 @@
 	return false
 }
 
-// Run converts the files, writes features.toml and prints the verdicts. The error follows from the
-// worst verdict.
+// Run converts the files, writes features.toml and prints the verdicts. It returns errUnreadable if
+// a file has a problem, and otherwise the error for the worst verdict.
 func (c *importHaproxyCmd) Run(streams *stdStreams) error {
 	if (c.Safe == "") != (c.Other == "") {
 		return errors.New("--safe-class and --other-class go together")
--- a/cmd/fawnctl/import_test.go
+++ b/cmd/fawnctl/import_test.go
@@ -28,16 +28,17 @@
 	listener                   string // E: the second listener; empty: the platform's
 }
 
-// samples are configurations like those in use. A to D stand for the addresses of stand-in servers,
-// E for the address of a second listener. Each request must go where HAProxy's manual says. Each
-// text in wantVerdicts is the verdict on a line and a part of the directive.
+// samples are realistic configurations. A to D stand for the addresses of stand-in servers, E for
+// the address of a second listener, and a line of three dashes begins another file. Each request
+// must go where HAProxy's manual says. Each text in wantVerdicts is a verdict, a bar and a part of
+// the directive that has the verdict.
 var samples = []struct {
 	name, text   string
 	wantExit     int
 	requests     []sampleRequest
 	wantVerdicts []string
 	deadServer   string                        // name of a server that is killed
-	serverKinds  map[string]standin.ActionKind // what servers do in place of answering, by name
+	serverKinds  map[string]standin.ActionKind // by name of a server, its action in place of answering
 }{
 	{name: "web farm", text: `
 global
@@ -418,7 +419,8 @@
 				names = append(names, s.Addr(), strings.ToUpper(name))
 			}
 			dir := t.TempDir()
-			listener, err := net.Listen("tcp", "127.0.0.3:0") // a free port; outgoing connections come from 127.0.0.1 and can't take it
+			// Finds a free port. Outgoing connections come from 127.0.0.1 and can't take it meanwhile.
+			listener, err := net.Listen("tcp", "127.0.0.3:0")
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/cmd/fawnctl/level_test.go
+++ b/cmd/fawnctl/level_test.go
@@ -76,7 +76,8 @@
 		t.Errorf("%s", text)
 	}
 	commandCase{"--socket " + socket + " --unpin", 0, "normal", ""}.runAndCheck(t, "level")
-	if got := sendRequest("status-check"); got != 200 && got != 503 { // the share turned away falls in steps after the pin ends
+	// After the pin ends, the share turned away falls in steps, so that both answers are right.
+	if got := sendRequest("status-check"); got != 200 && got != 503 {
 		t.Errorf("the cheapest class at normal: %d", got)
 	}
 	page := string(headless.Run(t, server.URL+"/", "--dump-dom"))
--- a/cmd/fawnctl/load.go
+++ b/cmd/fawnctl/load.go
@@ -30,8 +30,8 @@
 	Import loadImportCmd `cmd:"" help:"Convert recorded traffic to a trace, for a scenario to replay."`
 }
 
-// errGeneratorLimited means that the generator, not the target, limited the run, so that the
-// figures do not hold; exit status 2. The report has the reason.
+// errGeneratorLimited means that the generator, not the target, limited the run, so that its figures
+// say nothing about the target; exit status 2. The report contains the reason.
 var errGeneratorLimited = errors.New("the generator was the limit")
 
 // reportFlags are the flags of commands that write a load report.
@@ -41,8 +41,8 @@
 	Live bool   `help:"Show a live view; q ends the run and writes the whole report."`
 }
 
-// writeReport writes the report in the forms that the flags name. It returns errCheckFailed if a
-// rule of the scenario was not kept, and errGeneratorLimited if the figures do not hold.
+// writeReport writes the report in the formats that the flags name. It returns errCheckFailed if a
+// rule of the scenario was broken, and errGeneratorLimited if the generator limited the run.
 func (f *reportFlags) writeReport(streams *stdStreams, report *load.Report) error {
 	if f.JSON != "-" {
 		if err := report.WriteText(streams.out); err != nil {
@@ -132,7 +132,7 @@
 // Init implements tea.Model.
 func (m *loadView) Init() tea.Cmd { return nil }
 
-// maxSparkBars and maxNotes limit the history that the view keeps.
+// maxSparkBars limits the seconds, and maxNotes the notes, that the view keeps.
 const (
 	maxSparkBars = 60
 	maxNotes     = 5
@@ -145,7 +145,7 @@
 		switch msg.String() {
 		case "q", "esc", "ctrl+c":
 			m.ending = true
-			m.cancel() // the view ends after the run
+			m.cancel() // runWithProgress quits the view once the run has ended
 		}
 	case load.Progress:
 		m.progress = msg
--- a/cmd/fawnctl/plan.go
+++ b/cmd/fawnctl/plan.go
@@ -25,14 +25,14 @@
 	"chalkrack/internal/weights"
 )
 
-// capacityPlanCmd is the plan command. Its errors have the exit statuses 1 to 4.
+// capacityPlanCmd is the plan command. An error ends it with exit status 1, 2, 3 or 4.
 type capacityPlanCmd struct {
 	Fleet   string        `arg:"" help:"The fleet's file (TOML): nodes, classes, prices and limits."`
 	Lose    []string      `placeholder:"WHAT" help:"Plan without the nodes of zone=Z, kind=K or node=N. May be repeated."`
 	WhatIf  []string      `name:"what-if" placeholder:"CHANGE" help:"Change the fleet before planning: rate:CLASS=X, speed:PLACE=X, price:PLACE=X, cores:PLACE=X, add:NODE=COUNT; X is a number, or *1.5 for a multiple. May be repeated."`
 	Diff    string        `placeholder:"OTHER" help:"Plan the fleet of this file too, and show the differences."`
 	Losses  bool          `help:"Check the plan against the loss of each zone and node, and the worst case of its intervals."`
-	Robust  bool          `help:"With choose = true: choose nodes that can bear these losses, and show what that costs."`
+	Robust  bool          `help:"With choose = true: choose nodes that survive these losses, and show what that costs."`
 	Explain bool          `help:"Show for each node why it has its share."`
 	JSON    bool          `help:"Print the plan as JSON."`
 	SVG     string        `placeholder:"FILE" help:"Draw the load of each node to this file."`
@@ -42,14 +42,14 @@
 	Valid   time.Duration `default:"24h" help:"How long the weights are valid."`
 }
 
-// Results of a plan that have their own exit status: 1, 2 and 4.
+// Errors of the plan command that have their own exit statuses: 1, 2 and 4, in this order.
 var (
 	errNotAllServed        = errors.New("not all can be served")
 	errContradictoryLimits = errors.New("the limits contradict each other")
 	errNoPlanInTime        = errors.New("no plan was found in time")
 )
 
-// readFleet reads and validates a fleet's file of at most 8 MiB. Its errors are errUnreadable.
+// readFleet reads and validates a fleet's file of at most 8 MiB. All its errors wrap errUnreadable.
 func readFleet(path string) (*plan.Fleet, error) {
 	file, err := os.Open(path)
 	if err != nil {
@@ -100,7 +100,7 @@
 	isFactor := strings.HasPrefix(value, "*")
 	number, err := strconv.ParseFloat(strings.TrimPrefix(value, "*"), 64)
 	if !hasValue || !hasPlace || err != nil || !(number >= 0) {
-		return fmt.Errorf("--what-if: %q must be WHAT:PLACE=NUMBER with a number of at least 0", change)
+		return fmt.Errorf("--what-if: %q must be PROPERTY:PLACE=NUMBER with a number of at least 0", change)
 	}
 	newValue := func(old float64) float64 {
 		if isFactor {
@@ -274,7 +274,7 @@
 	if r := result.Robust; r != nil {
 		fmt.Fprintf(w, "robust\t%.4g an hour, %.4g without\n", r.CostWith, r.CostWithout)
 		for _, l := range r.Problems {
-			fmt.Fprintf(w, "loss not borne\t%s\n", l)
+			fmt.Fprintf(w, "not survived\t%s\n", l)
 		}
 	}
 	if search := result.Search; search != nil {
--- a/cmd/fawnctl/radius_test.go
+++ b/cmd/fawnctl/radius_test.go
@@ -76,7 +76,8 @@
 			t.Errorf("%s: the output contains a secret", c.args)
 		}
 	}
-	if n := ledger.Count("fawnctl s1 1 7"); n.Effects != 2 { // each run sends from its own port, so the server sees two terminals
+	// Each run sends from its own port, so the server sees two terminals.
+	if n := ledger.Count("fawnctl s1 1 7"); n.Effects != 2 {
 		t.Errorf("%+v", n)
 	}
 }
--- a/cmd/fawnctl/rehearse_zones.go
+++ b/cmd/fawnctl/rehearse_zones.go
@@ -27,8 +27,8 @@
 // errRehearsal means that a schedule of a rehearsal broke an invariant; exit status 1.
 var errRehearsal = errors.New("a zone was left with no cause, or the fleet did not come to the same")
 
-// maxRehearsedProcesses limits the sidecars, and the servers of all zones; maxRehearsedSchedules
-// the schedules.
+// maxRehearsedProcesses limits the sidecars, and the servers of all zones together;
+// maxRehearsedSchedules limits the schedules.
 const (
 	maxRehearsedProcesses = 5000
 	maxRehearsedSchedules = 1000000
@@ -88,7 +88,7 @@
 			totalNotesPerSecond, totalBytesPerSecond, played = totalNotesPerSecond+outcome.NotesPerSecond, totalBytesPerSecond+outcome.BytesPerSecond, played+1
 			if len(outcome.Violations) > 0 {
 				broken++
-				fmt.Fprintf(streams.out, "seed %d: %v by %v\n", seed, outcome.Violations, faults)
+				fmt.Fprintf(streams.out, "seed %d: %v with the faults %v\n", seed, outcome.Violations, faults)
 			}
 		})
 	}
@@ -122,5 +122,5 @@
 	quantile := func(fraction float64) time.Duration {
 		return durations[int(fraction*float64(len(durations)-1))].Round(10 * time.Millisecond)
 	}
-	return fmt.Sprintf("%v in the middle, %v for nine tenths, %v at the most (of %d)", quantile(0.5), quantile(0.9), quantile(1), len(durations))
+	return fmt.Sprintf("%v at the median, %v at the 90th percentile, %v at most (of %d)", quantile(0.5), quantile(0.9), quantile(1), len(durations))
 }
--- a/cmd/fawnctl/status.go
+++ b/cmd/fawnctl/status.go
@@ -24,11 +24,12 @@
 	JSON   bool   `help:"Print the daemon's answer as JSON."`
 }
 
-// errDaemonUnreachable means that the daemon can't be reached or gives an error; exit status 3.
+// errDaemonUnreachable means that the daemon can't be reached or answers with an error; exit
+// status 3.
 var errDaemonUnreachable = errors.New("the daemon can't be asked")
 
 // fetchPage gets a page of the daemon's admin interface and decodes it into result. With --json it
-// prints the page as it came instead, and returns printed true.
+// prints the page unchanged instead, and returns true for printed.
 func (f *socketFlags) fetchPage(streams *stdStreams, page string, result any) (printed bool, err error) {
 	var raw json.RawMessage
 	if err := admin.Get(context.Background(), f.Socket, page, &raw); err != nil {
--- a/cmd/fawnctl/zone.go
+++ b/cmd/fawnctl/zone.go
@@ -43,7 +43,7 @@
 	Rehearse zoneRehearseCmd `cmd:"" help:"Simulate random faults against a fleet in virtual time, with the settings of a file."`
 }
 
-// Run sends the order.
+// Run sends the order that the command names.
 func (c *zoneLeaveCmd) Run(streams *stdStreams) error  { return c.sendOrder(streams, "leave") }
 func (c *zoneReturnCmd) Run(streams *stdStreams) error { return c.sendOrder(streams, "return") }
 func (c *zoneHoldCmd) Run(streams *stdStreams) error   { return c.sendOrder(streams, "hold") }
