--- a/cmd/fawnctl/load.go
+++ b/cmd/fawnctl/load.go
@@ -30,8 +30,8 @@
 	Import loadImportCmd `cmd:"" help:"Convert recorded traffic to a trace, for a scenario to replay."`
 }
 
-// errGeneratorLimited means that the generator, not the target, limited the run, so that its figures
-// say nothing about the target; exit status 2. The report contains the reason.
+// errGeneratorLimited means that the generator, not the target, limited the run, so that the run's
+// figures say nothing about the target; exit status 2. The report contains the reason.
 var errGeneratorLimited = errors.New("the generator was the limit")
 
 // reportFlags are the flags of commands that write a load report.
--- a/internal/plan/model.go
+++ b/internal/plan/model.go
@@ -450,9 +450,9 @@
 
 // solveLexicographic minimises the objectives one after the other. A variable or slack with a
 // nonzero reduced cost is at the same bound in every optimal solution. After each objective these
-// variables and slacks are fixed at that bound, so that exactly the optimal solutions remain for the
-// next objective. It works on a clone of the problem, which it returns with the values and the last
-// solution. At the first objective without an optimum it returns the values of the objectives
+// variables and slacks are fixed at that bound, so that exactly the optimal solutions remain for
+// the next objective. It works on a clone of the problem, which it returns with the values and the
+// last solution. At the first objective without an optimum it returns the values of the objectives
 // before it, and a solution whose status says why.
 func solveLexicographic(problem *simplex.Problem, objectives []objective, stop func() bool) (values []float64, solution *simplex.Solution, working *simplex.Problem, err error) {
 	working = problem.Clone()
--- a/internal/plan/plan_test.go
+++ b/internal/plan/plan_test.go
@@ -181,7 +181,8 @@
 	}
 	for n := range cases {
 		fleet := randomFleet(rng, false)
-		fleet.Limits.MaxNodeShare, fleet.Limits.MaxZoneShare = 0, 0 // more capacity does not relax these shares of all work
+		// More capacity does not relax these shares of all work.
+		fleet.Limits.MaxNodeShare, fleet.Limits.MaxZoneShare = 0, 0
 		plan := mustSolve(t, fleet, Options{Gains: true})
 		for _, g := range plan.Gains {
 			if g.Actual > 1e-6 {
--- a/internal/plan/solve.go
+++ b/internal/plan/solve.go
@@ -41,14 +41,18 @@
 	Served   map[string]float64 `json:"served"`   // by class, share of its demand that is served
 	// Values holds the values of the objectives by name: late requests per second, worth lost per
 	// second, cost per hour, share of the work moved and load of the busiest group.
-	Values   map[string]float64 `json:"values"`
-	Missing  []Missing          `json:"missing,omitempty"`
-	Binding  []string           `json:"binding,omitempty"` // limits without which more demand would be served
-	Gains    []Gain             `json:"gains,omitempty"`
-	Losses   []Loss             `json:"losses,omitempty"`
-	Nodes    []NodePlan         `json:"nodes"`
-	Crossing float64            `json:"crossing"`       // share of the work that is done outside its zone of origin
-	Skipped  []string           `json:"left,omitempty"` // parts that Options.Stop ended before their result
+	Values  map[string]float64 `json:"values"`
+	Missing []Missing          `json:"missing,omitempty"`
+	// Binding describes the limits without which more demand would be served.
+	Binding []string   `json:"binding,omitempty"`
+	Gains   []Gain     `json:"gains,omitempty"`
+	Losses  []Loss     `json:"losses,omitempty"`
+	Nodes   []NodePlan `json:"nodes"`
+	// Crossing is the share of the work that is done outside its zone of origin.
+	Crossing float64 `json:"crossing"`
+	// Skipped names the parts, losses or shortage, that were not computed because Options.Stop
+	// returned true.
+	Skipped []string `json:"left,omitempty"`
 
 	Search *Search `json:"search,omitempty"`
 	// Robust gives the price of a choice of nodes that survives losses, and the losses that no
--- a/internal/simplex/simplex.go
+++ b/internal/simplex/simplex.go
@@ -198,7 +198,7 @@
 	}
 	for v := range p.cols {
 		if math.IsNaN(p.costs[v]) || math.IsInf(p.costs[v], 0) || math.IsNaN(p.lower[v]) || math.IsNaN(p.upper[v]) || math.IsInf(p.lower[v], 1) || math.IsInf(p.upper[v], -1) {
-			return fmt.Errorf("simplex: variable %d: the cost must be a finite number, and the bounds numbers other than a lower one of +Inf and an upper one of -Inf", v)
+			return fmt.Errorf("simplex: variable %d: the cost must be a finite number, the lower bound a number below +Inf, and the upper bound a number above -Inf", v)
 		}
 		for _, a := range p.cols[v].coeffs {
 			if math.IsNaN(a) || math.IsInf(a, 0) {
--- a/internal/simplex/solve.go
+++ b/internal/simplex/solve.go
@@ -114,7 +114,7 @@
 		return cmp.Or(cmp.Compare(len(s.cols[a].rows), len(s.cols[b].rows)), cmp.Compare(b, a))
 	})
 	takenRows := make([]bool, s.rowCount)
-	pendingColumns := make([]int, s.rowCount) // by row, columns with a coefficient there, not yet processed
+	pendingColumns := make([]int, s.rowCount) // by row, unprocessed columns with a coefficient there
 	for _, j := range basicVars {
 		for _, r := range s.cols[j].rows {
 			pendingColumns[r]++
