--- a/internal/haproxy/translate/translate.go
+++ b/internal/haproxy/translate/translate.go
@@ -1,19 +1,16 @@
 // Package translate turns a HAProxy configuration into listeners, pools and routes, and gives
 // each directive a verdict: whether it is carried over. The package does no I/O. It never guesses:
-// a directive that it does not know is not carried, and one that would repeat requests that must
-// not run twice is reported as dangerous and left out.
+// a directive that it does not know is not carried. A directive that would repeat requests that
+// must not run twice is reported as dangerous and left out, and so is a directive that rejects
+// requests but can't be carried over.
 package translate
 
 import (
-	"cmp"
-	"net"
 	"regexp"
 	"slices"
-	"strconv"
 	"strings"
 	"time"
 
-	"chalkrack/internal/duration"
 	"chalkrack/internal/features"
 	"chalkrack/internal/haproxy"
 )
@@ -64,43 +61,14 @@
 
 // Options are the platform's settings that a translation needs.
 type Options struct {
-	// Classes are the platform's classes. A health check whose path begins with one of them is
-	// dangerous, because it would run a request of that class.
+	// Classes are the names of the platform's classes. A health check is dangerous if the first part
+	// of its path is such a name, because it would run a request of that class.
 	Classes []string
 	// SafeClass is the class of imported GET, HEAD and OPTIONS requests, OtherClass that of all
 	// others. If they are empty, the first part of a request's path names its class.
 	SafeClass, OtherClass string
 }
 
-// proxySettings are the settings of a frontend, backend or listen section, including those of its
-// defaults.
-type proxySettings struct {
-	section        *haproxy.Section
-	mode           string
-	retries        int
-	check          features.PoolChecks
-	hasHTTPCheck   bool // option httpchk is set; check.Path holds its path
-	dangerousCheck bool // a check may change state at the server
-	checkInterval  time.Duration
-	acls           map[string][]*haproxy.Directive
-	servers        []features.PoolServer
-	slowStart      time.Duration
-	conns          int
-	// maxActive and maxWaiting are the sums of maxconn and maxqueue over all servers but backups.
-	// hasUnboundedServer says that one of these servers has no maxconn.
-	maxActive, maxWaiting int
-	hasUnboundedServer    bool
-	queueTimeout          time.Duration // timeout queue
-	connectTimeout        time.Duration // timeout connect, which HAProxy uses if timeout queue is not set
-	listener              string        // the listener's name; empty if the section is not a carried frontend
-	bind                  *haproxy.Directive
-	bindAddress           string // the address that bind listens at
-	// defaultServerArgs are the options of default-server, which come before a server's own.
-	// defaultBackend is the backend that default_backend names, possibly in a defaults section.
-	defaultServerArgs []string
-	defaultBackend    string
-}
-
 // translator holds the state of one translation.
 type translator struct {
 	options      Options
@@ -109,7 +77,7 @@
 	proxies      map[*haproxy.Section]*proxySettings
 	backends     map[string]*proxySettings
 	routes       []rankedRoute
-	defaultPools map[*proxySettings]string // by frontend: the pool of requests that no rule takes
+	defaultPools map[*proxySettings]string // by frontend, the pool of requests that match no rule
 	frontends    []*proxySettings          // the carried ones, in the order of the files
 }
 
@@ -169,15 +137,15 @@
 	case section.Kind == "global" || section.Kind == "defaults":
 		t.addEntry(section, section.Head, Carried, "its directives have verdicts of their own")
 	case proxy == nil && section.Known:
-		t.addEntry(section, section.Head, NotCarried, "there is nothing of its kind here")
+		t.addEntry(section, section.Head, NotCarried, "the platform has nothing of this kind")
 	case proxy == nil:
-		t.addEntry(section, section.Head, NotCarried, "HAProxy has no section of this kind, as far as is known here")
+		t.addEntry(section, section.Head, NotCarried, "HAProxy is not known to have sections of this kind")
 	case section.Head.Active != haproxy.True:
 		t.addEntry(section, section.Head, NotCarried, inactiveReason(section.Head))
 	case proxy.mode != "http":
 		t.addEntry(section, section.Head, NotCarried, "mode "+proxy.mode+": only HTTP is carried")
 	case section.Kind == "backend" && t.backends[section.Name] != proxy:
-		t.addEntry(section, section.Head, NotCarried, "a backend of that name is there already")
+		t.addEntry(section, section.Head, NotCarried, "an earlier backend has the same name")
 	case section.Kind == "backend" && len(proxy.servers) == 0:
 		t.addEntry(section, section.Head, NotCarried, "none of its servers is carried")
 	case section.Kind == "backend":
@@ -187,14 +155,14 @@
 	case proxy.listener != features.PlatformListener:
 		t.addEntry(section, section.Head, Carried, "a listener and its routes")
 	default:
-		t.addEntry(section, section.Head, Different, "routes; where it listens is for the platform to say")
+		t.addEntry(section, section.Head, Different, "routes; the platform sets the address that it listens at")
 	}
 }
 
 // inactiveReason explains why a directive whose condition is false or unknown is not carried.
 func inactiveReason(directive *haproxy.Directive) string {
 	if directive.Active == haproxy.False {
-		return "in a conditional block that does not hold"
+		return "in a conditional block whose condition is false"
 	}
 	return "in a conditional block that depends on the HAProxy that reads it: decide by hand"
 }
@@ -217,232 +185,6 @@
 	return keyword
 }
 
-// parseDuration parses a time with one of HAProxy's units; the default unit is milliseconds. It
-// returns false for an invalid or negative time.
-func parseDuration(text string) (time.Duration, bool) {
-	units := []struct {
-		name string
-		unit time.Duration
-	}{{"us", time.Microsecond}, {"ms", time.Millisecond}, {"s", time.Second}, {"m", time.Minute}, {"h", time.Hour}, {"d", 24 * time.Hour}, {"", time.Millisecond}}
-	for _, u := range units {
-		if number, ok := strings.CutSuffix(text, u.name); ok {
-			if n, err := strconv.ParseInt(number, 10, 32); err == nil && n >= 0 {
-				return time.Duration(n) * u.unit, true
-			}
-		}
-	}
-	return 0, false
-}
-
-// applyDirective stores the settings that a directive makes for a section.
-func (t *translator) applyDirective(proxy *proxySettings, directive *haproxy.Directive) {
-	args := directive.Args()
-	arg := func(n int) string {
-		if n < len(args) {
-			return args[n]
-		}
-		return ""
-	}
-	switch directiveName(directive) {
-	case "mode":
-		proxy.mode = arg(0)
-	case "retries":
-		if n, err := strconv.Atoi(arg(0)); err == nil && n >= 0 && n < 20 {
-			proxy.retries = n
-		}
-	case "option httpchk":
-		proxy.hasHTTPCheck = true
-		method, path := "OPTIONS", "/"
-		switch {
-		case strings.HasPrefix(arg(1), "/"):
-			path = arg(1)
-		case arg(1) != "":
-			method = arg(1)
-			if arg(2) != "" {
-				path = arg(2)
-			}
-		}
-		proxy.check.Path = path
-		proxy.dangerousCheck = proxy.dangerousCheck || !isSafeMethod(method) || t.isClassPath(path)
-	case "http-check send":
-		for n := 1; n+1 < len(args); n++ {
-			switch args[n] {
-			case "meth":
-				proxy.dangerousCheck = proxy.dangerousCheck || !isSafeMethod(args[n+1])
-			case "uri":
-				proxy.check.Path = args[n+1]
-				proxy.dangerousCheck = proxy.dangerousCheck || t.isClassPath(args[n+1])
-			}
-		}
-	case "timeout queue":
-		proxy.queueTimeout, _ = parseDuration(arg(1))
-	case "timeout connect":
-		proxy.connectTimeout, _ = parseDuration(arg(1))
-	case "acl":
-		proxy.acls[arg(0)] = append(proxy.acls[arg(0)], directive)
-	case "default-server":
-		proxy.defaultServerArgs = append(proxy.defaultServerArgs[:len(proxy.defaultServerArgs):len(proxy.defaultServerArgs)], args...)
-	case "default_backend":
-		proxy.defaultBackend = arg(0)
-	case "bind":
-		if addr := listenAddress(arg(0)); proxy.bind == nil && addr != "" && !slices.Contains(args, "ssl") {
-			proxy.bind, proxy.bindAddress = directive, addr
-		}
-	case "server":
-		t.translateServer(proxy, args, true)
-	}
-}
-
-// listenAddress returns the host and port of a bind, or an empty string if it does not consist of
-// an IP address and a single port. A bind without a host listens at all IPv4 addresses.
-func listenAddress(bind string) string {
-	host, port, err := net.SplitHostPort(strings.TrimPrefix(bind, "ipv4@"))
-	if n, portErr := strconv.Atoi(port); err != nil || portErr != nil || n < 1 || n > 65535 {
-		return ""
-	}
-	if host == "" || host == "*" {
-		host = "0.0.0.0"
-	}
-	if net.ParseIP(host) == nil {
-		return ""
-	}
-	return net.JoinHostPort(host, port)
-}
-
-// assignListener gives a frontend its listener: the platform's to the first frontend, and to each
-// further one a listener of its own if it has a bind and a unique name.
-func (t *translator) assignListener(proxy *proxySettings) {
-	switch {
-	case len(t.frontends) == 0:
-		proxy.listener = features.PlatformListener
-	case proxy.bind == nil || proxy.section.Name == features.PlatformListener || slices.ContainsFunc(t.frontends, func(other *proxySettings) bool { return other.section.Name == proxy.section.Name }):
-		return
-	default:
-		proxy.listener = proxy.section.Name
-		t.result.Listeners = append(t.result.Listeners, features.Listener{Name: proxy.section.Name, Address: proxy.bindAddress})
-	}
-	t.frontends = append(t.frontends, proxy)
-}
-
-// isSafeMethod returns whether requests of the method have no effect at a server.
-func isSafeMethod(method string) bool {
-	return method == "GET" || method == "HEAD" || method == "OPTIONS"
-}
-
-// isClassPath returns whether the first part of a path is the name of one of the platform's classes.
-func (t *translator) isClassPath(path string) bool {
-	first, _, _ := strings.Cut(strings.TrimPrefix(path, "/"), "/")
-	first, _, _ = strings.Cut(first, "?")
-	for _, class := range t.options.Classes {
-		if class == first {
-			return true
-		}
-	}
-	return false
-}
-
-// translateServer returns the verdict on a server line with the given arguments and its reason. If
-// add is true, it also adds the server and its options to the proxy.
-func (t *translator) translateServer(proxy *proxySettings, args []string, add bool) (Verdict, string) {
-	if len(args) < 2 {
-		return NotCarried, "the server has no address"
-	}
-	args = slices.Concat(args[:2], proxy.defaultServerArgs, args[2:])
-	server := features.PoolServer{Name: args[0], Address: args[1], Weight: 1}
-	host, port, err := net.SplitHostPort(server.Address)
-	if n, portErr := strconv.Atoi(port); err != nil || portErr != nil || n < 1 || n > 65535 || net.ParseIP(host) == nil {
-		return NotCarried, "its address must be an IP address with a port: names are not looked up, and a port is not made up"
-	}
-	verdict, reason, checked := Carried, "", false
-	addDifference := func(text string) {
-		if verdict = Different; strings.Contains(reason, text) {
-			return // the option is in default-server and in the server line
-		}
-		if reason != "" {
-			reason += "; "
-		}
-		reason += text
-	}
-	var slowStart time.Duration
-	maxConns, maxQueue := 0, 0
-	for n := 2; n < len(args); n++ {
-		next := ""
-		if n+1 < len(args) {
-			next = args[n+1]
-		}
-		switch args[n] {
-		case "check":
-			checked = true
-		case "inter", "rise", "fall":
-			n++
-			if parsed, ok := parseDuration(next); ok && args[n-1] == "inter" && add {
-				proxy.checkInterval = parsed
-			}
-			if count, err := strconv.Atoi(next); err == nil && count > 0 && add {
-				switch args[n-1] {
-				case "rise":
-					proxy.check.Rise = count
-				case "fall":
-					proxy.check.Fall = count
-				}
-			}
-			addDifference(args[n-1] + " holds for all servers of the pool, as the last one says it")
-		case "weight":
-			n++
-			weight, err := strconv.Atoi(next)
-			if err != nil || weight < 0 || weight > 256 {
-				return NotCarried, "weight " + next + " is not between 0 and 256"
-			}
-			if server.Weight = float64(weight); weight == 0 {
-				return NotCarried, "weight 0: it gets no calls in HAProxy, so it is left out"
-			}
-		case "backup":
-			server.Backup = true
-		case "slowstart":
-			n++
-			if parsed, ok := parseDuration(next); ok {
-				slowStart = parsed
-			}
-			addDifference("a slow start is the pool's, and limits calls by what a cold server is known to bear")
-		case "maxconn", "maxqueue":
-			n++
-			count, err := strconv.Atoi(next)
-			if err != nil || count < 0 {
-				return NotCarried, args[n-1] + " " + next + " is not a number of at least 0"
-			}
-			if args[n-1] == "maxconn" {
-				maxConns = count
-			} else {
-				maxQueue = count
-			}
-			addDifference(args[n-1] + " holds for the pool as a whole, as the sum of its servers', if each has a maxconn")
-		case "cookie":
-			n++
-			addDifference("no stickiness by cookie: clients are not bound to it")
-		case "ssl", "send-proxy", "send-proxy-v2", "proto", "socks4", "disabled", "track", "agent-check":
-			return NotCarried, args[n] + ": there is nothing like it here, and without it the server would be spoken to wrongly"
-		default:
-			return NotCarried, args[n] + " is not known here, and what the server is without it neither"
-		}
-	}
-	if add {
-		proxy.servers = append(proxy.servers, server)
-		proxy.slowStart = max(proxy.slowStart, slowStart)
-		if !server.Backup { // backups serve instead of the others, so they add no capacity
-			proxy.maxActive += maxConns
-			proxy.maxWaiting += maxQueue
-			proxy.hasUnboundedServer = proxy.hasUnboundedServer || maxConns == 0
-		}
-		if checked {
-			proxy.check.Interval = duration.Duration(proxy.checkInterval)
-		}
-	}
-	if reason == "" {
-		reason = "a server of the pool"
-	}
-	return verdict, reason
-}
-
 // translateDirective records the verdict on a directive, and adds the routes that it makes.
 func (t *translator) translateDirective(section *haproxy.Section, directive *haproxy.Directive) {
 	proxy := t.proxies[section]
@@ -453,13 +195,13 @@
 	case directive.Active == haproxy.False:
 		t.addEntry(section, directive, NotCarried, inactiveReason(directive))
 	case directive.Active == haproxy.Unknown && rejectsRequests(directive, name):
-		t.addEntry(section, directive, Dangerous, "it keeps requests out, "+inactiveReason(directive))
+		t.addEntry(section, directive, Dangerous, "it rejects requests, "+inactiveReason(directive))
 	case directive.Active == haproxy.Unknown:
 		t.addEntry(section, directive, NotCarried, inactiveReason(directive))
 	case dangerReason(directive, name) != "":
 		t.addEntry(section, directive, Dangerous, dangerReason(directive, name))
 	case section.Kind == "global":
-		t.addEntry(section, directive, NotCarried, "of HAProxy's process: the platform sets up this one")
+		t.addEntry(section, directive, NotCarried, "about HAProxy's process: the platform sets up the daemon's")
 	case proxy == nil && section.Kind != "defaults":
 		t.addEntry(section, directive, NotCarried, "its section is not carried")
 	case proxy != nil && proxy.mode != "http":
@@ -467,7 +209,7 @@
 	case proxy != nil && section.Kind != "backend" && proxy.listener == "" && name != "server" && name != "balance":
 		t.addEntry(section, directive, NotCarried, "its section is a listener that is not carried")
 	case proxy != nil && section.Kind == "backend" && t.backends[section.Name] != proxy:
-		t.addEntry(section, directive, NotCarried, "its section has the name of another")
+		t.addEntry(section, directive, NotCarried, "an earlier section has the same name")
 	case name == "bind" && slices.Contains(directive.Args(), "ssl"):
 		t.addEntry(section, directive, NotCarried, reasonNoTLS)
 	case name == "bind" && proxy != nil && proxy.listener != "" && proxy.listener != features.PlatformListener:
@@ -479,7 +221,7 @@
 	case name == "server" && proxy != nil:
 		verdict, reason := t.translateServer(proxy, directive.Args(), false)
 		if proxy.dangerousCheck && verdict != NotCarried && slices.Contains(slices.Concat(proxy.defaultServerArgs, directive.Args()), "check") {
-			verdict, reason = Different, reason+"; it is not checked, for the check is dangerous"
+			verdict, reason = Different, reason+"; it is not checked, because the check is dangerous"
 		}
 		t.addEntry(section, directive, verdict, reason)
 	case name == "default-server":
@@ -489,13 +231,13 @@
 			t.addEntry(section, directive, Carried, "before each server's own options")
 		}
 	case name == "default_backend" && section.Kind == "defaults":
-		t.addEntry(section, directive, Carried, "for the frontend that is carried, if it has none of its own")
+		t.addEntry(section, directive, Carried, "for carried frontends without a default_backend of their own")
 	case name == "option httpchk" || name == "http-check send":
 		t.translateCheck(section, directive, proxy)
 	case proxy != nil && proxy.listener == "" && rejectsRequests(directive, name):
-		t.addEntry(section, directive, Dangerous, "it keeps requests out, and rules of a backend are not carried: routes are chosen before it")
+		t.addEntry(section, directive, Dangerous, "it rejects requests, and rules of a backend are not carried, because routes are chosen before the backend")
 	case proxy != nil && proxy.listener == "" && (name == "http-request return" || name == "redirect" || name == "http-request redirect"):
-		t.addEntry(section, directive, NotCarried, "rules of a backend are not carried: routes are chosen before it")
+		t.addEntry(section, directive, NotCarried, "rules of a backend are not carried, because routes are chosen before the backend")
 	case (name == "use_backend" || name == "default_backend" || name == "http-request deny" || name == "http-request return" || name == "redirect" || name == "http-request redirect") && proxy != nil:
 		verdict, reason := t.translateRule(proxy, directive, name)
 		if verdict == NotCarried && rejectsRequests(directive, name) {
@@ -515,10 +257,10 @@
 			return
 		}
 		if rejectsRequests(directive, name) {
-			t.addEntry(section, directive, Dangerous, "it keeps requests out: without it they come in")
+			t.addEntry(section, directive, Dangerous, "it rejects requests, which are let in without it")
 			return
 		}
-		t.addEntry(section, directive, NotCarried, "not known here: nothing of it is carried")
+		t.addEntry(section, directive, NotCarried, "unknown directive: not carried")
 	}
 }
 
@@ -548,7 +290,7 @@
 		switch word {
 		case "none", "conn-failure", "0rtt-rejected":
 		default:
-			return word + " repeats requests that may have run, also those that must run once: what may be repeated is for the classes' effects to say, by hand"
+			return word + " repeats requests that may have run, also those that must run only once: set the effects of the classes by hand"
 		}
 	}
 	return ""
@@ -560,7 +302,7 @@
 	t.applyDirective(parsed, directive)
 	switch {
 	case parsed.dangerousCheck:
-		t.addEntry(section, directive, Dangerous, "a check that may take effect at a server, once for each check: choose a path that only looks")
+		t.addEntry(section, directive, Dangerous, "each check may have an effect at a server: choose a path that only reads")
 	case parsed.check.Path == "":
 		t.addEntry(section, directive, Different, "checks are GET requests without a body or additional header fields")
 	default:
@@ -568,7 +310,7 @@
 	}
 }
 
-// Keyword is the verdict on a directive that does not depend on its arguments or its section.
+// Keyword is the verdict on a directive whose arguments and section don't change the verdict.
 type Keyword struct {
 	Verdict Verdict
 	Reason  string
@@ -583,9 +325,6 @@
 	reasonNoStickiness = "there are no tables and no stickiness"
 )
 
-// maxPoolCalls limits the calls at the servers of an imported pool, and those that wait.
-const maxPoolCalls = 1 << 16
-
 // Keywords holds the verdicts that depend only on the directive's name. The operators' page lists
 // them.
 var Keywords = map[string]Keyword{
@@ -609,37 +348,5 @@
 	"server-template": {NotCarried, "names are not looked up: use a discovery"}, "description": {Carried, "a text for people"}, "disabled": {NotCarried, "the section is imported all the same: take it out by hand"},
 }
 
-// buildPools adds a pool for each carried backend and listen section.
-func (t *translator) buildPools() {
-	for _, section := range t.config.Sections {
-		proxy := t.proxies[section]
-		if proxy == nil || section.Kind == "frontend" || t.backends[section.Name] != proxy || proxy.mode != "http" || len(proxy.servers) == 0 || section.Head.Active != haproxy.True {
-			continue
-		}
-		pool := features.Pool{Name: section.Name, Servers: proxy.servers, MaxAttempts: proxy.retries + 1, SlowStart: duration.Duration(proxy.slowStart)}
-		if !proxy.hasUnboundedServer && proxy.maxActive > 0 && proxy.maxActive <= maxPoolCalls {
-			pool.MaxActive, pool.MaxHeld = proxy.maxActive, max(proxy.maxActive, 256)
-			pool.MaxWaiting = cmp.Or(min(proxy.maxWaiting, maxPoolCalls), 1024) // 0 means unlimited in HAProxy
-			pool.QueueWait = duration.Duration(cmp.Or(proxy.queueTimeout, proxy.connectTimeout, time.Minute))
-		}
-		if proxy.check.Interval > 0 && !proxy.dangerousCheck {
-			pool.Checks = proxy.check
-			if !proxy.hasHTTPCheck {
-				pool.Checks.Path = ""
-			}
-		}
-		t.result.Pools = append(t.result.Pools, pool)
-		if proxy.listener != "" && t.defaultPools[proxy] == "" { // a listen section is its own backend
-			t.defaultPools[proxy] = section.Name
-		}
-	}
-}
-
-// hasPool returns whether a backend is carried as a pool.
-func (t *translator) hasPool(name string) bool {
-	proxy := t.backends[name]
-	return proxy != nil && proxy.mode == "http" && len(proxy.servers) > 0 && proxy.section.Head.Active == haproxy.True
-}
-
 // quoteRegexp returns a regular expression that matches the text itself.
 func quoteRegexp(text string) string { return regexp.QuoteMeta(text) }
--- a/internal/plan/plan_test.go
+++ b/internal/plan/plan_test.go
@@ -181,7 +181,8 @@
 	}
 	for n := range cases {
 		fleet := randomFleet(rng, false)
-		fleet.Limits.MaxNodeShare, fleet.Limits.MaxZoneShare = 0, 0 // more capacity does not relax these shares of all work
+		// More capacity does not relax these shares of all work.
+		fleet.Limits.MaxNodeShare, fleet.Limits.MaxZoneShare = 0, 0
 		plan := mustSolve(t, fleet, Options{Gains: true})
 		for _, g := range plan.Gains {
 			if g.Actual > 1e-6 {
@@ -408,9 +409,10 @@
 	}
 }
 
-// Stops a search after each number of calls of Stop in turn. It must return the error of a stopped
-// search, or a plan that meets the limits and whose search has bounds that hold: the optimum lies between Bound and Best,
-// and the gap is 0 only if they are equal. A stopped search must not claim that no choice exists.
+// Stops a search after 0, 1, 2 and up to 149 calls of Stop. It must return the error of a stopped
+// search, or a plan that meets the limits and whose search has bounds that hold: the optimum lies
+// between Bound and Best, and the gap is 0 only if they are equal. A stopped search must not claim
+// that no choice exists.
 func TestStoppedSearchReportsBounds(t *testing.T) {
 	rng := rand.New(rand.NewPCG(21, 1))
 	unanswered, partial := 0, 0
@@ -430,8 +432,8 @@
 		}
 		answered := false
 		for stopAfter := range 150 {
-			asked := 0
-			plan, err := Solve(fleet, Options{Robust: n%2 == 0, Losses: true, Stop: func() bool { asked++; return asked > stopAfter }})
+			calls := 0
+			plan, err := Solve(fleet, Options{Robust: n%2 == 0, Losses: true, Stop: func() bool { calls++; return calls > stopAfter }})
 			if errors.Is(err, ErrStopped) {
 				if answered {
 					t.Fatalf("fleet %d: no answer although a search stopped earlier found one", n)
