--- a/internal/agreement/council.go
+++ b/internal/agreement/council.go
@@ -53,7 +53,8 @@
 	OutcomeWithdrawn Outcome = "withdrawn" // by an operator
 )
 
-// ProposalResult is the result of a proposal, kept so that a repeated proposal gets the same result.
+// ProposalResult is the result of a proposal. It is kept so that a repeated proposal gets the same
+// result.
 type ProposalResult struct {
 	Key     string  `json:"key"`
 	Version uint64  `json:"version"`
@@ -73,25 +74,26 @@
 	Results     []ProposalResult   `json:"endings,omitempty"`
 }
 
-// Errors of Apply. An entry that fails changes nothing.
+// Errors of Apply. An entry that fails changes nothing. The messages call a sidecar silent if its
+// lease has expired.
 var (
-	ErrBaseVersion      = errors.New("another version is in force than the one that this was written against")
-	ErrProposalPending  = errors.New("another proposal is on its way")
+	ErrBaseVersion      = errors.New("the base version of the proposal is not in force")
+	ErrProposalPending  = errors.New("another proposal is pending")
 	ErrNotSettled       = errors.New("the version in force is not settled yet")
-	ErrNoProposal       = errors.New("there is no such proposal on its way")
+	ErrNoProposal       = errors.New("no such proposal is pending")
 	ErrUnknownSidecar   = errors.New("there is no such sidecar")
-	ErrOtherIncarnation = errors.New("another start of this sidecar is known")
-	ErrLeaseActive      = errors.New("it is not silent: its lease runs")
-	ErrStaleSidecar     = errors.New("a sidecar that is silent may still act on less")
-	ErrUnknownVersion   = errors.New("what that version asked is not known any more: it takes the one in force first")
+	ErrOtherIncarnation = errors.New("the sidecar is known with another incarnation")
+	ErrLeaseActive      = errors.New("its lease has not expired: only a silent sidecar can be removed")
+	ErrStaleSidecar     = errors.New("a silent sidecar may still apply a less strict level")
+	ErrUnknownVersion   = errors.New("the rules of that version are no longer known: the sidecar must activate the version in force first")
 	ErrLimit            = errors.New("too many")
-	ErrInvalidEntry     = errors.New("the entry makes no sense")
+	ErrInvalidEntry     = errors.New("invalid log entry")
 )
 
 // IsSettled reports whether each live sidecar has the version in force active.
 func (s *State) IsSettled() bool {
-	for _, c := range s.Sidecars {
-		if !c.LeaseExpired && c.ActiveVersion < s.InForce.Version {
+	for _, sidecar := range s.Sidecars {
+		if !sidecar.LeaseExpired && sidecar.ActiveVersion < s.InForce.Version {
 			return false
 		}
 	}
@@ -101,8 +103,8 @@
 // PendingSidecars returns the names, sorted, of the live sidecars that have not prepared the
 // pending proposal or do not have the version in force active.
 func (s *State) PendingSidecars() (names []string) {
-	for name, c := range s.Sidecars {
-		if !c.LeaseExpired && (s.Pending != nil && c.PreparedVersion < s.Pending.Version || c.ActiveVersion < s.InForce.Version) {
+	for name, sidecar := range s.Sidecars {
+		if !sidecar.LeaseExpired && (s.Pending != nil && sidecar.PreparedVersion < s.Pending.Version || sidecar.ActiveVersion < s.InForce.Version) {
 			names = append(names, name)
 		}
 	}
@@ -125,32 +127,32 @@
 	case KindJoin:
 		return s.join(e)
 	case KindRemove:
-		c, ok := s.Sidecars[e.Sidecar]
+		sidecar, ok := s.Sidecars[e.Sidecar]
 		switch {
 		case !ok:
 			return fmt.Errorf("%q: %w", e.Sidecar, ErrUnknownSidecar)
-		case !c.LeaseExpired:
+		case !sidecar.LeaseExpired:
 			return fmt.Errorf("%q: %w", e.Sidecar, ErrLeaseActive)
 		}
 		delete(s.Sidecars, e.Sidecar)
 		s.advance()
 		return nil
 	}
-	c, ok := s.Sidecars[e.Sidecar]
+	sidecar, ok := s.Sidecars[e.Sidecar]
 	switch {
 	case !ok:
 		return fmt.Errorf("%q: %w", e.Sidecar, ErrUnknownSidecar)
-	case c.Incarnation != e.Incarnation:
+	case sidecar.Incarnation != e.Incarnation:
 		return fmt.Errorf("%q: %w", e.Sidecar, ErrOtherIncarnation)
 	case e.Kind == KindLeaseExpired:
-		c.LeaseExpired = true
-	case c.LeaseExpired: // its lease has expired: it must join first
+		sidecar.LeaseExpired = true
+	case sidecar.LeaseExpired: // its lease has expired: it must join first
 		return fmt.Errorf("%q: %w", e.Sidecar, ErrUnknownSidecar)
 	case e.Kind == KindPrepared:
 		if s.Pending == nil || s.Pending.Version != e.Version {
 			return fmt.Errorf("version %d: %w", e.Version, ErrNoProposal)
 		}
-		c.PreparedVersion = max(c.PreparedVersion, e.Version)
+		sidecar.PreparedVersion = max(sidecar.PreparedVersion, e.Version)
 	case e.Kind == KindRejected:
 		if s.Pending == nil || s.Pending.Version != e.Version {
 			return fmt.Errorf("version %d: %w", e.Version, ErrNoProposal)
@@ -161,11 +163,11 @@
 		if e.Version > s.InForce.Version {
 			return fmt.Errorf("version %d: %w", e.Version, ErrNoProposal)
 		}
-		c.ActiveVersion = max(c.ActiveVersion, e.Version)
+		sidecar.ActiveVersion = max(sidecar.ActiveVersion, e.Version)
 	default:
 		return fmt.Errorf("%q: %w", e.Kind, ErrInvalidEntry)
 	}
-	s.Sidecars[e.Sidecar] = c
+	s.Sidecars[e.Sidecar] = sidecar
 	s.advance()
 	return nil
 }
@@ -176,16 +178,16 @@
 	if e.Doc == nil {
 		return fmt.Errorf("no document: %w", ErrInvalidEntry)
 	}
-	d := *e.Doc
-	for _, x := range s.Results { // a repeated proposal
-		if x.Key == d.Key {
+	doc := *e.Doc
+	for _, result := range s.Results { // a repeated proposal
+		if result.Key == doc.Key {
 			return nil
 		}
 	}
-	if s.Pending != nil && s.Pending.Key == d.Key {
+	if s.Pending != nil && s.Pending.Key == doc.Key {
 		return nil
 	}
-	if err := d.Validate(); err != nil {
+	if err := doc.Validate(); err != nil {
 		return err
 	}
 	switch {
@@ -196,31 +198,31 @@
 	case !s.IsSettled():
 		return fmt.Errorf("version %d: %w", s.InForce.Version, ErrNotSettled)
 	case len(s.Superseded) >= maxSuperseded:
-		return fmt.Errorf("versions that silent sidecars act on: %w", ErrLimit)
+		return fmt.Errorf("versions that silent sidecars have active: %w", ErrLimit)
 	}
-	if err := s.checkStaleSidecars(&d); err != nil {
+	if err := s.checkStaleSidecars(&doc); err != nil {
 		return err
 	}
 	s.LastVersion++
-	d.Version = s.LastVersion
-	s.Pending = &d
+	doc.Version = s.LastVersion
+	s.Pending = &doc
 	s.advance()
 	return nil
 }
 
-// checkStaleSidecars returns an error if d requires a stricter level of a class than a sidecar with
-// an expired lease applies that has not prepared d. Server keys are not checked: such a sidecar
-// can't learn which servers were taken out, and that does not hold up the version.
-func (s *State) checkStaleSidecars(d *Doc) error {
+// checkStaleSidecars returns an error if doc requires a stricter level of a class than is applied
+// by a sidecar that has an expired lease and has not prepared doc. Server keys are not checked:
+// such a sidecar can't learn which servers were taken out, and that does not hold up the version.
+func (s *State) checkStaleSidecars(doc *Doc) error {
 	for _, name := range slices.Sorted(maps.Keys(s.Sidecars)) {
-		c := s.Sidecars[name]
-		if !c.LeaseExpired || d.Version != 0 && c.PreparedVersion == d.Version { // a prepared sidecar applies d's levels too
+		sidecar := s.Sidecars[name]
+		if !sidecar.LeaseExpired || doc.Version != 0 && sidecar.PreparedVersion == doc.Version { // a prepared sidecar applies the levels of doc too
 			continue
 		}
-		active := s.docOf(c.ActiveVersion)
-		for _, key := range slices.Sorted(maps.Keys(d.Rules)) {
-			if len(key) > len(ClassPrefix) && key[:len(ClassPrefix)] == ClassPrefix && active.StaleLevel(key) < d.Rules[key] {
-				return fmt.Errorf("%s: sidecar %q, silent under version %d: %w", key, name, c.ActiveVersion, ErrStaleSidecar)
+		active := s.docOf(sidecar.ActiveVersion)
+		for _, key := range slices.Sorted(maps.Keys(doc.Rules)) {
+			if len(key) > len(ClassPrefix) && key[:len(ClassPrefix)] == ClassPrefix && active.StaleLevel(key) < doc.Rules[key] {
+				return fmt.Errorf("%s: sidecar %q, silent with version %d active: %w", key, name, sidecar.ActiveVersion, ErrStaleSidecar)
 			}
 		}
 	}
@@ -242,19 +244,19 @@
 	if e.Sidecar == "" || len(e.Sidecar) > MaxKeyBytes {
 		return fmt.Errorf("a sidecar's name has 1 to %d bytes: %w", MaxKeyBytes, ErrInvalidEntry)
 	}
-	c, ok := s.Sidecars[e.Sidecar]
+	sidecar, ok := s.Sidecars[e.Sidecar]
 	switch {
 	case !ok && len(s.Sidecars) >= MaxSidecars:
 		return fmt.Errorf("sidecars: %w", ErrLimit)
-	case ok && e.Incarnation < c.Incarnation:
+	case ok && e.Incarnation < sidecar.Incarnation:
 		return fmt.Errorf("%q: %w", e.Sidecar, ErrOtherIncarnation)
-	case ok && e.Incarnation == c.Incarnation && !c.LeaseExpired:
+	case ok && e.Incarnation == sidecar.Incarnation && !sidecar.LeaseExpired:
 		return nil
 	case e.Version > s.InForce.Version: // this council never had that version
-		return fmt.Errorf("%q acts on version %d, %d is in force: %w", e.Sidecar, e.Version, s.InForce.Version, ErrInvalidEntry)
+		return fmt.Errorf("%q has version %d active, %d is in force: %w", e.Sidecar, e.Version, s.InForce.Version, ErrInvalidEntry)
 	}
 	if _, isSuperseded := s.Superseded[e.Version]; e.Version != 0 && e.Version != s.InForce.Version && !isSuperseded { // its rules and floors are no longer known
-		return fmt.Errorf("%q acts on version %d, %d is in force: %w", e.Sidecar, e.Version, s.InForce.Version, ErrUnknownVersion)
+		return fmt.Errorf("%q has version %d active, %d is in force: %w", e.Sidecar, e.Version, s.InForce.Version, ErrUnknownVersion)
 	}
 	if s.Sidecars == nil {
 		s.Sidecars = make(map[string]Sidecar)
@@ -286,8 +288,8 @@
 // isReady reports whether each live sidecar has prepared the pending proposal and no sidecar whose
 // lease has expired meanwhile may apply less strict levels.
 func (s *State) isReady() bool {
-	for _, c := range s.Sidecars {
-		if !c.LeaseExpired && c.PreparedVersion != s.Pending.Version {
+	for _, sidecar := range s.Sidecars {
+		if !sidecar.LeaseExpired && sidecar.PreparedVersion != s.Pending.Version {
 			return false
 		}
 	}
@@ -305,8 +307,8 @@
 func (s *State) pruneSuperseded() {
 	for version := range s.Superseded {
 		isActive := false
-		for _, c := range s.Sidecars {
-			isActive = isActive || c.ActiveVersion == version
+		for _, sidecar := range s.Sidecars {
+			isActive = isActive || sidecar.ActiveVersion == version
 		}
 		if !isActive {
 			delete(s.Superseded, version)
--- a/internal/agreement/council_test.go
+++ b/internal/agreement/council_test.go
@@ -86,9 +86,9 @@
 	first := doc("k1", 0)
 	first.Floor = Rules{"class/a": 1}
 	for _, c := range []struct {
-		level uint64
-		ends  Entry
-		err   error
+		level   uint64
+		unblock Entry
+		err     error
 	}{
 		{1, Entry{}, nil}, // the floor already gives level 1
 		{2, Entry{Kind: KindRemove, Sidecar: "b"}, ErrStaleSidecar},
@@ -108,17 +108,17 @@
 		if err == nil {
 			continue
 		}
-		if err := s.Apply(&c.ends); err != nil {
+		if err := s.Apply(&c.unblock); err != nil {
 			t.Error(err)
 		}
 		if err := s.Apply(&next); err != nil {
-			t.Errorf("level %d after %s: %v", c.level, c.ends.Kind, err)
+			t.Errorf("level %d after %s: %v", c.level, c.unblock.Kind, err)
 		}
 		// Its lease expires again during the preparation: the proposal must wait.
 		if err := s.Apply(&Entry{Kind: KindPrepared, Sidecar: "a", Incarnation: 1, Version: 2}); err != nil {
 			t.Error(err)
 		}
-		if c.ends.Kind == KindJoin {
+		if c.unblock.Kind == KindJoin {
 			if err := s.Apply(&Entry{Kind: KindLeaseExpired, Sidecar: "b", Incarnation: 2}); err != nil || s.InForce.Version != 1 {
 				t.Errorf("version %d is in force while an expired sidecar has version 1 active, error %v", s.InForce.Version, err)
 			}
@@ -127,22 +127,22 @@
 			}
 		}
 		if s.InForce.Version != 2 {
-			t.Errorf("after %s: version %d is in force, want 2", c.ends.Kind, s.InForce.Version)
+			t.Errorf("after %s: version %d is in force, want 2", c.unblock.Kind, s.InForce.Version)
 		}
 	}
 }
 
 // Invalid documents and lease times are rejected with an error that names the field or key.
 func TestInvalidDocumentsAndTimes(t *testing.T) {
-	for want, spoil := range map[string]func(*Doc){
-		"key:":            func(d *Doc) { d.Key = "" },
-		"who:":            func(d *Doc) { d.Who = strings.Repeat("x", 97) },
-		"reason:":         func(d *Doc) { d.Reason = "" },
-		"body:":           func(d *Doc) { d.Body = make([]byte, MaxBodyBytes+1) },
-		`"class/" names`:  func(d *Doc) { d.Rules["class/"] = 1 },
-		"class/a: level":  func(d *Doc) { d.Rules["class/a"] = 3 },
-		"server/s: level": func(d *Doc) { d.Rules["server/s"] = 2 },
-		`"what" is no`:    func(d *Doc) { d.Rules["what"] = 1 },
+	for want, invalidate := range map[string]func(*Doc){
+		"key:":                      func(d *Doc) { d.Key = "" },
+		"who:":                      func(d *Doc) { d.Who = strings.Repeat("x", 97) },
+		"reason:":                   func(d *Doc) { d.Reason = "" },
+		"body:":                     func(d *Doc) { d.Body = make([]byte, MaxBodyBytes+1) },
+		`"class/" has no name`:      func(d *Doc) { d.Rules["class/"] = 1 },
+		"class/a: level":            func(d *Doc) { d.Rules["class/a"] = 3 },
+		"server/s: level":           func(d *Doc) { d.Rules["server/s"] = 2 },
+		`"what" is not a valid key`: func(d *Doc) { d.Rules["what"] = 1 },
 		"513 keys": func(d *Doc) {
 			for n := range MaxRules {
 				d.Rules["class/"+strings.Repeat("x", n%50)+string(rune('0'+n))] = 1
@@ -152,7 +152,7 @@
 		"below the rule's": func(d *Doc) { d.Rules["class/a"] = 2; d.Floor = Rules{"class/a": 1} },
 	} {
 		d := doc("k", 1)
-		spoil(d)
+		invalidate(d)
 		if err := d.Validate(); !errors.Is(err, ErrInvalidDoc) || !strings.Contains(err.Error(), want) {
 			t.Errorf("want error %q, got %v", want, err)
 		}
@@ -161,14 +161,14 @@
 	if err := good.Validate(); err != nil || good.MaxStaleness() < 12*time.Second || good.MaxStaleness() > 12200*time.Millisecond {
 		t.Errorf("valid times: error %v, bound %v, want 12s to 12.2s", err, good.MaxStaleness())
 	}
-	for field, spoil := range map[string]func(*LeaseTimes){
+	for field, invalidate := range map[string]func(*LeaseTimes){
 		"council.lease":  func(x *LeaseTimes) { x.Lease = 0 },
 		"council.drift":  func(x *LeaseTimes) { x.Drift = 0.2 },
 		"council.margin": func(x *LeaseTimes) { x.Margin = 3 * time.Second },
 		"council.call":   func(x *LeaseTimes) { x.Call = 0 },
 	} {
 		x := good
-		spoil(&x)
+		invalidate(&x)
 		if err := x.Validate(); err == nil || !strings.HasPrefix(err.Error(), field) {
 			t.Errorf("want an error of %s, got %v", field, err)
 		}
--- a/internal/agreement/explore_test.go
+++ b/internal/agreement/explore_test.go
@@ -100,9 +100,9 @@
 	h := *w.leases
 	h.last = maps.Clone(h.last)
 	x.leases = &h
-	for n, c := range w.sidecars {
-		y := *c
-		y.outstanding = slices.Clone(c.outstanding)
+	for n, sidecar := range w.sidecars {
+		y := *sidecar
+		y.outstanding = slices.Clone(sidecar.outstanding)
 		x.sidecars[n] = &y
 	}
 	x.messages, x.inForceSince = slices.Clone(w.messages), slices.Clone(w.inForceSince)
@@ -114,12 +114,12 @@
 // a lost one is never delivered.
 func (w *modelState) normalize() {
 	w.messages = slices.DeleteFunc(w.messages, func(m message) bool {
-		c := w.sidecars[m.sidecar]
+		sidecar := w.sidecars[m.sidecar]
 		if m.request != nil {
-			return m.request.Incarnation < w.state.Sidecars[c.name].Incarnation
+			return m.request.Incarnation < w.state.Sidecars[sidecar.name].Incarnation
 		}
-		known := slices.ContainsFunc(c.outstanding, func(a sentRequest) bool { return a.seq == m.response.Seq })
-		return !known || m.incarnation != c.incarnation
+		known := slices.ContainsFunc(sidecar.outstanding, func(a sentRequest) bool { return a.seq == m.response.Seq })
+		return !known || m.incarnation != sidecar.incarnation
 	})
 	slices.SortFunc(w.messages, func(a, b message) int {
 		key := func(m message) int {
@@ -134,7 +134,7 @@
 
 var modelSeed = maphash.MakeSeed()
 
-// hash returns a hash that is the same for equivalent worlds.
+// hash returns a hash that is the same for equivalent states.
 func (w *modelState) hash() uint64 {
 	var h maphash.Hash
 	h.SetSeed(modelSeed)
@@ -153,12 +153,12 @@
 	}
 	put(w.now, int(w.index), w.restarts, w.leaderChanges, w.duplicates, w.proposedVersions, int(w.state.LastVersion), int(w.state.InForce.Version), len(w.state.Results), len(w.state.Superseded))
 	doc(w.state.Pending)
-	for n, c := range w.sidecars {
-		s, ok := w.state.Sidecars[c.name]
-		put(w.requestsLeft[n], int(c.incarnation), int(c.leaseEnd), int(c.index), int(c.seq), int(c.rejectedVersion), int(c.active.Version), int(s.Incarnation), int(s.ActiveVersion), int(s.PreparedVersion))
-		put(map[bool]int{true: 1}[ok], map[bool]int{true: 1}[s.LeaseExpired], int(w.leases.last[c.name]))
-		doc(c.prepared)
-		for _, a := range c.outstanding {
+	for n, sidecar := range w.sidecars {
+		s, ok := w.state.Sidecars[sidecar.name]
+		put(w.requestsLeft[n], int(sidecar.incarnation), int(sidecar.leaseEnd), int(sidecar.index), int(sidecar.seq), int(sidecar.rejectedVersion), int(sidecar.active.Version), int(s.Incarnation), int(s.ActiveVersion), int(s.PreparedVersion))
+		put(map[bool]int{true: 1}[ok], map[bool]int{true: 1}[s.LeaseExpired], int(w.leases.last[sidecar.name]))
+		doc(sidecar.prepared)
+		for _, a := range sidecar.outstanding {
 			put(int(a.seq), int(a.sentAt))
 		}
 	}
@@ -182,14 +182,14 @@
 }
 
 // applyEntry appends an entry to the log and applies it.
-func (w *modelState) applyEntry(f defect, e *Entry) {
-	if f == skipsPreparation && e.Kind == KindPrepared {
-		for name, c := range w.state.Sidecars {
-			c.PreparedVersion = e.Version
-			w.state.Sidecars[name] = c
+func (w *modelState) applyEntry(injected defect, e *Entry) {
+	if injected == skipsPreparation && e.Kind == KindPrepared {
+		for name, sidecar := range w.state.Sidecars {
+			sidecar.PreparedVersion = e.Version
+			w.state.Sidecars[name] = sidecar
 		}
 	}
-	if f == skipsStaleCheck && w.state.Pending != nil { // without floors, every expired sidecar counts as applying LevelOnce
+	if injected == skipsStaleCheck && w.state.Pending != nil { // without floors, every expired sidecar counts as applying LevelOnce
 		for v, d := range w.state.Superseded {
 			d.Floor = nil
 			w.state.Superseded[v] = d
@@ -207,15 +207,15 @@
 }
 
 // handleRequest has the council process a request, and returns the response.
-func (w *modelState) handleRequest(f defect, m message) message {
+func (w *modelState) handleRequest(injected defect, m message) message {
 	r := m.request
-	w.applyEntry(f, &Entry{Kind: KindJoin, Sidecar: r.Sidecar, Incarnation: r.Incarnation, Version: r.ActiveVersion})
-	w.applyEntry(f, &Entry{Kind: KindActive, Sidecar: r.Sidecar, Incarnation: r.Incarnation, Version: r.ActiveVersion})
+	w.applyEntry(injected, &Entry{Kind: KindJoin, Sidecar: r.Sidecar, Incarnation: r.Incarnation, Version: r.ActiveVersion})
+	w.applyEntry(injected, &Entry{Kind: KindActive, Sidecar: r.Sidecar, Incarnation: r.Incarnation, Version: r.ActiveVersion})
 	if r.PreparedVersion > 0 {
-		w.applyEntry(f, &Entry{Kind: KindPrepared, Sidecar: r.Sidecar, Incarnation: r.Incarnation, Version: r.PreparedVersion})
+		w.applyEntry(injected, &Entry{Kind: KindPrepared, Sidecar: r.Sidecar, Incarnation: r.Incarnation, Version: r.PreparedVersion})
 	}
 	a := &Response{Seq: r.Seq, Index: w.index}
-	if c, ok := w.state.Sidecars[r.Sidecar]; ok && c.Incarnation == r.Incarnation && !c.LeaseExpired {
+	if sidecar, ok := w.state.Sidecars[r.Sidecar]; ok && sidecar.Incarnation == r.Incarnation && !sidecar.LeaseExpired {
 		w.leases.RecordGrant(r.Sidecar, w.leaderNow())
 		a.LeaseGranted = true
 	}
@@ -224,8 +224,8 @@
 	return message{sidecar: m.sidecar, incarnation: m.incarnation, response: a}
 }
 
-// successors returns all worlds that can be reached in one step.
-func (w *modelState) successors(f defect, b modelBounds) (successors []*modelState) {
+// successors returns all states that can be reached in one step.
+func (w *modelState) successors(injected defect, b modelBounds) (successors []*modelState) {
 	add := func(do func(x *modelState)) {
 		x := w.clone()
 		do(x)
@@ -246,12 +246,12 @@
 		if w.restarts < b.restarts {
 			add(func(x *modelState) {
 				x.restarts++
-				c := x.sidecars[n]
-				k := c.PersistentState()
-				if f == losesPrepared {
+				sidecar := x.sidecars[n]
+				k := sidecar.PersistentState()
+				if injected == losesPrepared {
 					k.Prepared = nil
 				}
-				x.sidecars[n] = NewParticipant(c.name, c.incarnation+1, modelTimes, k)
+				x.sidecars[n] = NewParticipant(sidecar.name, sidecar.incarnation+1, modelTimes, k)
 			})
 		}
 	}
@@ -267,13 +267,13 @@
 					x.messages = slices.Delete(x.messages, i, i+1)
 				}
 				if m.request != nil {
-					x.messages = append(x.messages, x.handleRequest(f, m))
+					x.messages = append(x.messages, x.handleRequest(injected, m))
 					return
 				}
-				x.deliverResponse(f, m)
+				x.deliverResponse(injected, m)
 			})
 		}
-		if m.request != nil && f == deposedLeaderGrants && w.deposedState != nil {
+		if m.request != nil && injected == deposedLeaderGrants && w.deposedState != nil {
 			add(func(x *modelState) {
 				force := x.deposedState.InForce
 				x.messages[i] = message{sidecar: m.sidecar, incarnation: m.incarnation, response: &Response{Seq: m.request.Seq, Index: x.index, LeaseGranted: true, InForce: &force, Pending: x.deposedState.Pending}}
@@ -281,24 +281,24 @@
 		}
 	}
 	expired := w.leases.Expired(w.leaderNow(), &w.state)
-	if f == ignoresDrift {
+	if injected == ignoresDrift {
 		h := *w.leases
 		h.times.Lease, h.times.Drift = h.times.Lease-2, 0 // makes up for rounding up, which would hide the defect
 		expired = h.Expired(time.Duration(w.now)*modelTick, &w.state)
 	}
 	for _, name := range expired {
 		add(func(x *modelState) {
-			x.applyEntry(f, &Entry{Kind: KindLeaseExpired, Sidecar: name, Incarnation: x.state.Sidecars[name].Incarnation})
+			x.applyEntry(injected, &Entry{Kind: KindLeaseExpired, Sidecar: name, Incarnation: x.state.Sidecars[name].Incarnation})
 			x.leases.Prune(&x.state)
 		})
 	}
 	if w.leaderChanges < b.leaderChanges {
 		add(func(x *modelState) {
 			x.leaderChanges++
-			was := x.state
-			x.deposedState = &was
+			deposed := x.state
+			x.deposedState = &deposed
 			since := x.leaderNow()
-			if f == newLeaderForgetsLeases {
+			if injected == newLeaderForgetsLeases {
 				since -= modelTimes.ExpiryDelay()
 			}
 			x.leases = NewLeaseTracker(modelTimes, since)
@@ -308,63 +308,65 @@
 	case 1, 2:
 		add(func(x *modelState) {
 			if x.state.IsSettled() && x.state.Pending == nil && x.state.InForce.Version == uint64(x.proposedVersions) {
-				x.applyEntry(f, &Entry{Kind: KindPropose, BaseVersion: uint64(x.proposedVersions), Doc: modelDoc(x.proposedVersions+1, false)})
+				x.applyEntry(injected, &Entry{Kind: KindPropose, BaseVersion: uint64(x.proposedVersions), Doc: modelDoc(x.proposedVersions+1, false)})
 				x.proposedVersions++
 			}
 		})
 	}
 	if w.state.Pending != nil && w.proposedVersions == 2 {
-		add(func(x *modelState) { x.applyEntry(f, &Entry{Kind: KindWithdraw, Version: x.state.Pending.Version}) })
+		add(func(x *modelState) {
+			x.applyEntry(injected, &Entry{Kind: KindWithdraw, Version: x.state.Pending.Version})
+		})
 	}
 	return successors
 }
 
 // deliverResponse delivers a response to its sidecar.
-func (w *modelState) deliverResponse(f defect, m message) {
-	c, a := w.sidecars[m.sidecar], *m.response
-	if f == leaseFromResponse {
-		for n := range c.outstanding {
-			c.outstanding[n].sentAt = w.sidecarNow(m.sidecar)
+func (w *modelState) deliverResponse(injected defect, m message) {
+	sidecar, a := w.sidecars[m.sidecar], *m.response
+	if injected == leaseFromResponse {
+		for n := range sidecar.outstanding {
+			sidecar.outstanding[n].sentAt = w.sidecarNow(m.sidecar)
 		}
 	}
-	if f == acceptsOldResponses && a.Index < c.index {
-		a.Index = c.index
-		if a.InForce.Version < c.active.Version {
-			c.active = *a.InForce
+	if injected == acceptsOldResponses && a.Index < sidecar.index {
+		a.Index = sidecar.index
+		if a.InForce.Version < sidecar.active.Version {
+			sidecar.active = *a.InForce
 		}
 	}
-	if wants := c.HandleResponse(w.sidecarNow(m.sidecar), a); wants.Prepare != nil {
-		c.RecordPrepareResult(wants.Prepare, nil)
+	if actions := sidecar.HandleResponse(w.sidecarNow(m.sidecar), a); actions.Prepare != nil {
+		sidecar.RecordPrepareResult(actions.Prepare, nil)
 	}
 }
 
-// violation describes the property that the world violates, or returns "": a sidecar applies a
+// violation describes the property that the state violates, or returns "": a sidecar applies a
 // lower level than every version that was in force within T, or a version is in force that a
 // sidecar with a lease has neither active nor prepared.
-func (w *modelState) violation(f defect) string {
+func (w *modelState) violation(injected defect) string {
 	now := time.Duration(w.now) * modelTick
-	least := versionLevels[len(w.inForceSince)]
+	minLevel := versionLevels[len(w.inForceSince)]
 	for v := len(w.inForceSince); v > 0 && now-time.Duration(w.inForceSince[v-1])*modelTick <= modelTimes.MaxStaleness()-modelTimes.Call; v-- {
-		least = min(least, versionLevels[v-1])
+		minLevel = min(minLevel, versionLevels[v-1])
 	}
-	for n, c := range w.sidecars {
-		level := c.Level(w.sidecarNow(n), modelKey)
-		if f == keepsLevelWithoutLease {
-			level = c.active.Rules[modelKey]
+	for n, sidecar := range w.sidecars {
+		level := sidecar.Level(w.sidecarNow(n), modelKey)
+		if injected == keepsLevelWithoutLease {
+			level = sidecar.active.Rules[modelKey]
 		}
-		if level < least {
-			return fmt.Sprintf("sidecar %d applies level %d with version %d active, has lease: %v, lowest level in force within T: %d", n, level, c.active.Version, c.HasLease(w.sidecarNow(n)), least)
+		if level < minLevel {
+			return fmt.Sprintf("sidecar %d applies level %d with version %d active, has lease: %v, lowest level in force within T: %d", n, level, sidecar.active.Version, sidecar.HasLease(w.sidecarNow(n)), minLevel)
 		}
-		if in := w.state.InForce.Version; c.HasLease(w.sidecarNow(n)) && c.active.Version < in && (c.prepared == nil || c.prepared.Version != in) {
-			return fmt.Sprintf("version %d is in force, but sidecar %d has a lease with version %d active and has not prepared it", in, n, c.active.Version)
+		if in := w.state.InForce.Version; sidecar.HasLease(w.sidecarNow(n)) && sidecar.active.Version < in && (sidecar.prepared == nil || sidecar.prepared.Version != in) {
+			return fmt.Sprintf("version %d is in force, but sidecar %d has a lease with version %d active and has not prepared it", in, n, sidecar.active.Version)
 		}
 	}
 	return ""
 }
 
-// exploreModel visits all worlds within the bounds, until one violates a property. It returns the
-// number of worlds found and a description of the violation.
-func exploreModel(f defect, b modelBounds) (seen int, violation string) {
+// exploreModel visits all states within the bounds, until one violates a property. It returns the
+// number of states found and a description of the violation.
+func exploreModel(injected defect, b modelBounds) (seen int, violation string) {
 	w := &modelState{leases: NewLeaseTracker(modelTimes, 0), proposedVersions: 1}
 	w.state.InForce, w.state.LastVersion = *modelDoc(1, b.hasFloor), 1
 	for n := range w.sidecars {
@@ -392,11 +394,11 @@
 	for len(todo) > 0 {
 		w := todo[len(todo)-1]
 		todo = todo[:len(todo)-1]
-		if violation := w.violation(f); violation != "" {
+		if violation := w.violation(injected); violation != "" {
 			text, _ := json.Marshal(w.state)
 			return len(known), fmt.Sprintf("tick %d: %s; versions from 2 in force since ticks %v; state %s", w.now, violation, w.inForceSince, text)
 		}
-		for _, x := range w.successors(f, b) {
+		for _, x := range w.successors(injected, b) {
 			if s := x.hash(); !known[s] {
 				known[s] = true
 				todo = append(todo, x)
@@ -409,9 +411,9 @@
 // initialBounds returns the initial conditions to explore: which sidecars know of the proposal of
 // version 2, and whether version 1 has a floor.
 func initialBounds(b modelBounds) (variants []modelBounds) {
-	for _, heard := range [][2]bool{{true, true}, {true, false}, {false, true}, {false, false}} {
+	for _, knows := range [][2]bool{{true, true}, {true, false}, {false, true}, {false, false}} {
 		for _, floor := range []bool{false, true} {
-			b.knowsProposal, b.hasFloor = heard, floor
+			b.knowsProposal, b.hasFloor = knows, floor
 			variants = append(variants, b)
 		}
 	}
@@ -424,17 +426,17 @@
 // unless it has prepared the one in force. With FAWN_EXPLORE set, to be run by hand, the bounds are
 // wider and include restarts, changes of leader and duplicated messages.
 func TestModelHoldsBounds(t *testing.T) {
-	one := [2]int{1, 1}
-	further := []modelBounds{{ticks: 4, requests: one}}
+	oneRequest := [2]int{1, 1}
+	further := []modelBounds{{ticks: 4, requests: oneRequest}}
 	if os.Getenv("FAWN_EXPLORE") != "" {
-		further = append(further, modelBounds{ticks: 5, requests: one}, modelBounds{ticks: 4, requests: one, duplicates: 1}, modelBounds{ticks: 4, requests: one, restarts: 1, leaderChanges: 1})
+		further = append(further, modelBounds{ticks: 5, requests: oneRequest}, modelBounds{ticks: 4, requests: oneRequest, duplicates: 1}, modelBounds{ticks: 4, requests: oneRequest, restarts: 1, leaderChanges: 1})
 	}
 	for _, b := range further {
 		all, began := 0, time.Now()
 		for _, b := range initialBounds(b) {
-			seen, wrong := exploreModel(noDefect, b)
-			if all += seen; wrong != "" {
-				t.Errorf("bounds %+v: %s", b, wrong)
+			seen, violation := exploreModel(noDefect, b)
+			if all += seen; violation != "" {
+				t.Errorf("bounds %+v: %s", b, violation)
 			}
 		}
 		t.Logf("bounds %+v: %d states in %v", b, all, time.Since(began))
@@ -444,22 +446,22 @@
 // The exploration must find each defect injected into the state machines; otherwise
 // TestModelHoldsBounds would not detect it either.
 func TestModelFindsInjectedDefects(t *testing.T) {
-	one := [2]int{1, 1}
-	for f, b := range map[defect]modelBounds{
-		leaseFromResponse:      {ticks: 4, requests: one, knowsProposal: [2]bool{true, true}},
-		ignoresDrift:           {ticks: 3, requests: one, knowsProposal: [2]bool{true, true}},
-		newLeaderForgetsLeases: {ticks: 2, requests: one, knowsProposal: [2]bool{false, true}, leaderChanges: 1},
+	oneRequest := [2]int{1, 1}
+	for injected, b := range map[defect]modelBounds{
+		leaseFromResponse:      {ticks: 4, requests: oneRequest, knowsProposal: [2]bool{true, true}},
+		ignoresDrift:           {ticks: 3, requests: oneRequest, knowsProposal: [2]bool{true, true}},
+		newLeaderForgetsLeases: {ticks: 2, requests: oneRequest, knowsProposal: [2]bool{false, true}, leaderChanges: 1},
 		acceptsOldResponses:    {ticks: 4, requests: [2]int{2, 1}, knowsProposal: [2]bool{true, true}},
-		skipsPreparation:       {ticks: 2, requests: one, knowsProposal: [2]bool{false, true}},
-		keepsLevelWithoutLease: {ticks: 3, requests: one, knowsProposal: [2]bool{true, true}},
-		deposedLeaderGrants:    {ticks: 4, requests: one, knowsProposal: [2]bool{false, true}, leaderChanges: 1},
-		losesPrepared:          {ticks: 3, requests: one, knowsProposal: [2]bool{true, true}, restarts: 1, hasFloor: true},
-		skipsStaleCheck:        {ticks: 6, requests: one, knowsProposal: [2]bool{false, true}, hasFloor: true},
+		skipsPreparation:       {ticks: 2, requests: oneRequest, knowsProposal: [2]bool{false, true}},
+		keepsLevelWithoutLease: {ticks: 3, requests: oneRequest, knowsProposal: [2]bool{true, true}},
+		deposedLeaderGrants:    {ticks: 4, requests: oneRequest, knowsProposal: [2]bool{false, true}, leaderChanges: 1},
+		losesPrepared:          {ticks: 3, requests: oneRequest, knowsProposal: [2]bool{true, true}, restarts: 1, hasFloor: true},
+		skipsStaleCheck:        {ticks: 6, requests: oneRequest, knowsProposal: [2]bool{false, true}, hasFloor: true},
 	} {
-		seen, wrong := exploreModel(f, b)
-		t.Logf("fault %d: %d states: %.120s", f, seen, wrong)
-		if wrong == "" {
-			t.Errorf("fault %d was not found in %d states", f, seen)
+		seen, violation := exploreModel(injected, b)
+		t.Logf("defect %d: %d states: %.120s", injected, seen, violation)
+		if violation == "" {
+			t.Errorf("defect %d was not found in %d states", injected, seen)
 		}
 	}
 }
--- a/internal/agreement/leases.go
+++ b/internal/agreement/leases.go
@@ -7,7 +7,7 @@
 
 // LeaseTracker tracks, at the leader, when each sidecar's lease was last granted, and so which
 // leases have expired. Its times come from a monotonic clock that also counts while the machine is
-// suspended. It covers a single leadership: a new leader starts with a new one.
+// suspended. It covers a single leadership: a new leader creates a new tracker.
 type LeaseTracker struct {
 	times LeaseTimes
 	since time.Duration            // start of this leadership; an earlier leader may have granted leases until then
--- a/internal/agreement/participant.go
+++ b/internal/agreement/participant.go
@@ -4,7 +4,7 @@
 	"time"
 )
 
-// maxOutstandingRequests bounds the requests for which a sidecar still accepts a response.
+// maxOutstandingRequests limits the requests for which a sidecar still accepts a response.
 const maxOutstandingRequests = 8
 
 // Request is sent periodically by a sidecar to renew its lease and to report which versions it
@@ -12,10 +12,10 @@
 type Request struct {
 	Sidecar         string `json:"car"`
 	Incarnation     uint64 `json:"inc"`
-	Seq             uint64 `json:"seq"`   // numbers the requests of one incarnation
-	ActiveVersion   uint64 `json:"acts"`  // the active version
-	PreparedVersion uint64 `json:"ready"` // the prepared version; 0: none
-	RejectedVersion uint64 `json:"no"`    // the rejected version; 0: none
+	Seq             uint64 `json:"seq"` // numbers the requests of one incarnation
+	ActiveVersion   uint64 `json:"acts"`
+	PreparedVersion uint64 `json:"ready"` // 0: none
+	RejectedVersion uint64 `json:"no"`    // 0: none
 	RejectReason    string `json:"why,omitempty"`
 	SeenIndex       uint64 `json:"seen"` // log index of the newest response received; older ones are ignored
 }
@@ -37,7 +37,7 @@
 // reported to the council.
 type PersistentState struct {
 	Active   Doc  `json:"acts"`
-	Prepared *Doc `json:"next,omitempty"` // prepared
+	Prepared *Doc `json:"next,omitempty"` // nil: none
 }
 
 // Participant decides which version and levels one sidecar may apply. It is not safe for concurrent
@@ -48,7 +48,7 @@
 	times       LeaseTimes
 
 	active          Doc
-	prepared        *Doc // prepared, outcome not known yet; nil: none
+	prepared        *Doc // it is not known yet whether this version comes into force; nil: none
 	rejectedVersion uint64
 	rejectReason    string
 	leaseEnd        time.Duration // end of the lease; negative before the first one
@@ -133,16 +133,16 @@
 	return actions
 }
 
-// RecordPrepareResult records that a version was checked and can be applied, or with err why it
-// can't. A prepared version becomes part of the persistent state; either result is reported with
-// the next request.
-func (p *Participant) RecordPrepareResult(d *Doc, err error) {
+// RecordPrepareResult records that a version was checked and can be applied, or, if err is not nil,
+// why it can't be. A prepared version becomes part of the persistent state; either result is
+// reported with the next request.
+func (p *Participant) RecordPrepareResult(doc *Doc, err error) {
 	switch {
-	case d.Version <= p.active.Version:
+	case doc.Version <= p.active.Version:
 	case err != nil:
-		p.rejectedVersion, p.rejectReason = d.Version, truncateReason(err.Error())
+		p.rejectedVersion, p.rejectReason = doc.Version, truncateReason(err.Error())
 	default:
-		p.prepared, p.rejectedVersion, p.rejectReason = d, 0, ""
+		p.prepared, p.rejectedVersion, p.rejectReason = doc, 0, ""
 	}
 }
 
@@ -152,8 +152,8 @@
 // HasLease reports whether the sidecar holds a lease at now. The lease ends Margin early.
 func (p *Participant) HasLease(now time.Duration) bool { return now < p.leaseEnd-p.times.Margin }
 
-// LeaseExpiry returns the time from which the sidecar counts as possibly stale unless the lease is
-// renewed before.
+// LeaseExpiry returns the time from which HasLease is false unless the lease is renewed before. The
+// sidecar may then be stale: a stricter version may come into force without it.
 func (p *Participant) LeaseExpiry() time.Duration { return p.leaseEnd - p.times.Margin }
 
 // Level returns the level of key to apply at now. Without a lease it is the highest of the
--- a/internal/agreement/rules.go
+++ b/internal/agreement/rules.go
@@ -22,7 +22,7 @@
 	MaxKeyBytes   = 96        // bytes in a key, name or reason
 	MaxBodyBytes  = 256 << 10 // bytes in the body of a document
 	MaxSidecars   = 8192      // sidecars in the state
-	MaxResults    = 256       // finished proposals whose result is kept
+	MaxResults    = 256       // finished proposals whose results are kept
 	maxSuperseded = 64        // superseded versions that expired sidecars may still have active
 )
 
@@ -30,7 +30,7 @@
 // level is stricter.
 type Rules map[string]uint64
 
-// Strictest returns the rules with the higher of both levels for each key.
+// Strictest returns the rules that have for each key the higher level of r and other.
 func (r Rules) Strictest(other Rules) Rules {
 	merged := maps.Clone(r)
 	if merged == nil {
@@ -82,13 +82,13 @@
 				name, maxLevel = k[len(ServerPrefix):], 1
 			}
 			if name == "" {
-				return fmt.Errorf("rules: %q names nothing", k)
+				return fmt.Errorf("rules: %q has no name after its prefix", k)
 			}
 		default:
-			return fmt.Errorf("rules: %q is no key: class/NAME, server/ID or list", k)
+			return fmt.Errorf("rules: %q is not a valid key: must be class/NAME, server/ID or list", k)
 		}
 		if len(k) > MaxKeyBytes {
-			return fmt.Errorf("rules: %.20q...: a key has %d bytes at most", k, MaxKeyBytes)
+			return fmt.Errorf("rules: %.20q...: a key must have at most %d bytes", k, MaxKeyBytes)
 		}
 		if level > maxLevel {
 			return fmt.Errorf("rules: %s: level %d, %d at most", k, level, maxLevel)
@@ -128,7 +128,7 @@
 // Errors of documents.
 var (
 	// ErrInvalidDoc is wrapped by the errors of Doc.Validate.
-	ErrInvalidDoc = errors.New("the document can't be used")
+	ErrInvalidDoc = errors.New("invalid document")
 )
 
 // Validate returns an error that wraps ErrInvalidDoc and names the field if the document can't be
@@ -153,7 +153,7 @@
 	}
 	for _, k := range slices.Sorted(maps.Keys(d.Floor)) {
 		if !strings.HasPrefix(k, ClassPrefix) {
-			return invalid("floor: %s: only classes have one", k)
+			return invalid("floor: %s: only classes have a floor", k)
 		}
 		if d.Floor[k] < d.Rules[k] {
 			return invalid("floor: %s: level %d is below the rule's, %d", k, d.Floor[k], d.Rules[k])
@@ -189,8 +189,9 @@
 	return nil
 }
 
-// MaxStaleness returns T, the maximum time by an exact clock, from when a version comes into force,
-// for which a sidecar may still apply less strict rules and calls sent under them may still run.
+// MaxStaleness returns the bound T: the maximum time after a version comes into force, by an exact
+// clock, for which a sidecar may still apply less strict rules or calls sent under such rules may
+// still run.
 func (t LeaseTimes) MaxStaleness() time.Duration { return t.maxRealTime(t.Lease-t.Margin) + t.Call }
 
 // maxRealTime returns the maximum real time that passes while a clock within the drift counts d.
@@ -198,8 +199,8 @@
 	return time.Duration(float64(d)/(1-t.Drift)) + 1
 }
 
-// ExpiryDelay returns how long the leader waits, by its own clock, before it takes a lease as
-// expired by the clock of any sidecar.
+// ExpiryDelay returns how long the leader waits after it granted a lease, by its own clock, until
+// the lease has expired by the clock of any sidecar.
 func (t LeaseTimes) ExpiryDelay() time.Duration {
 	return time.Duration(float64(t.maxRealTime(t.Lease))*(1+t.Drift)) + 1
 }
