--- a/cmd/fawncouncil/main.go
+++ b/cmd/fawncouncil/main.go
@@ -1,6 +1,7 @@
-// Command fawncouncil is one member of a fleet's council: docs/design/agreement.md. It takes the
-// path of its configuration, serves until SIGTERM, and hands its lead over then. No sidecar needs
-// it to serve a call.
+// Command fawncouncil runs one member of a fleet's council, which docs/design/agreement.md
+// describes. Its argument is the path of its configuration. It serves until SIGTERM or an
+// interrupt, and then transfers the leadership if it is the leader. Sidecars serve calls without
+// it.
 package main
 
 import (
--- a/internal/consensus/bound_test.go
+++ b/internal/consensus/bound_test.go
@@ -37,19 +37,19 @@
 // sidecar may apply a lower one.
 func (a *boundChecker) lowestLevel(now, bound time.Duration) uint64 {
 	v := len(a.inForceSince) - 1
-	least := a.levels[v]
+	lowest := a.levels[v]
 	for ; v > 0 && now-a.inForceSince[v] <= bound; v-- {
-		least = min(least, a.levels[v-1])
+		lowest = min(lowest, a.levels[v-1])
 	}
-	return least
+	return lowest
 }
 
 // check checks the level that a sidecar applies, read after the time before, against the bound.
-func (a *boundChecker) check(who int, before time.Duration, level uint64, bound time.Duration) {
+func (a *boundChecker) check(sidecar int, before time.Duration, level uint64, bound time.Duration) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if least := a.lowestLevel(before, bound); level < least && len(a.violations) < 5 {
-		a.violations = append(a.violations, fmt.Sprintf("sidecar %d applies level %d at %v, want at least %d, the lowest level in force within %v (in force since %v, levels %v)", who, level, before, least, bound, a.inForceSince, a.levels))
+	if lowest := a.lowestLevel(before, bound); level < lowest && len(a.violations) < 5 {
+		a.violations = append(a.violations, fmt.Sprintf("sidecar %d applies level %d at %v, want at least %d, the lowest level in force within %v (in force since %v, levels %v)", sidecar, level, before, lowest, bound, a.inForceSince, a.levels))
 	}
 	for v := len(a.inForceSince) - 1; v > 0; v-- { // the newest version with a higher level
 		if level < a.levels[v] {
@@ -78,11 +78,11 @@
 	var wait sync.WaitGroup
 	wait.Go(func() { // checks all sidecars
 		for ctx.Err() == nil {
-			for n, k := range sidecars {
+			for n, sidecar := range sidecars {
 				before := time.Since(a.began)
-				k.mu.Lock()
-				level, version := k.participant.Level(bootTime(), "class/a"), k.participant.Active().Version
-				k.mu.Unlock()
+				sidecar.mu.Lock()
+				level, version := sidecar.participant.Level(bootTime(), "class/a"), sidecar.participant.Active().Version
+				sidecar.mu.Unlock()
 				a.recordInForce(version)
 				a.check(n, before, level, bound)
 			}
@@ -90,11 +90,11 @@
 		}
 	})
 	wait.Go(func() { // the operator
-		draw := rand.New(rand.NewPCG(seed, 4))
+		random := rand.New(rand.NewPCG(seed, 4))
 		c := g.client(0)
 		for version := uint64(0); ctx.Err() == nil; {
 			// The level rises twice, then falls to 0. Some versions stay in force for longer than T.
-			time.Sleep(time.Duration(draw.IntN(2500)) * time.Millisecond)
+			time.Sleep(time.Duration(random.IntN(2500)) * time.Millisecond)
 			level := (version + 1) % 3
 			a.mu.Lock()
 			a.levels = append(a.levels[:version+1], level)
@@ -115,18 +115,18 @@
 		}
 	})
 	wait.Go(func() { // sidecars stop sending for less than a lease, or for long enough to lose it
-		draw := rand.New(rand.NewPCG(seed, 5))
+		random := rand.New(rand.NewPCG(seed, 5))
 		for ctx.Err() == nil {
-			k := sidecars[draw.IntN(len(sidecars))]
-			k.setSilent(true)
-			time.Sleep([]time.Duration{time.Second, 6 * time.Second}[draw.IntN(2)])
-			k.setSilent(false)
+			sidecar := sidecars[random.IntN(len(sidecars))]
+			sidecar.setSilent(true)
+			time.Sleep([]time.Duration{time.Second, 6 * time.Second}[random.IntN(2)])
+			sidecar.setSilent(false)
 			time.Sleep(200 * time.Millisecond)
 		}
 	})
 	for ctx.Err() == nil {
 		p := g.procs[rng.IntN(len(g.procs))]
-		pause := func(most int) { time.Sleep(time.Duration(50+rng.IntN(most)) * time.Millisecond) }
+		pause := func(maxMillis int) { time.Sleep(time.Duration(50+rng.IntN(maxMillis)) * time.Millisecond) }
 		if rng.IntN(2) == 0 {
 			g.killProcess(p)
 			pause(800)
--- a/internal/consensus/client.go
+++ b/internal/consensus/client.go
@@ -25,7 +25,7 @@
 	names []string
 
 	mu         sync.Mutex
-	next       int    // index into names, modulo their number, of the member last tried without a known leader
+	next       int    // index, modulo len(names), of the member last tried while no leader was known
 	leaderAddr string // address of the last known leader; empty: none
 }
 
@@ -111,34 +111,34 @@
 
 // Renew sends a sidecar's request. The council may delay the response for up to hold while there
 // is nothing new to report.
-func (c *Client) Renew(ctx context.Context, r agreement.Request, hold time.Duration) (a agreement.Response, err error) {
-	err = c.callLeader(ctx, "/v1/renew", hold+commitTimeout, r, &a)
-	return a, err
+func (c *Client) Renew(ctx context.Context, request agreement.Request, hold time.Duration) (response agreement.Response, err error) {
+	err = c.callLeader(ctx, "/v1/renew", hold+commitTimeout, request, &response)
+	return response, err
 }
 
 // Apply submits an operator's entry to the log and returns the status after it was applied. It may
 // be repeated safely: a proposal is identified by its key, other entries by the version or sidecar
 // that they name.
-func (c *Client) Apply(ctx context.Context, e agreement.Entry) (s Status, err error) {
-	err = c.callLeader(ctx, "/v1/entry", commitTimeout+time.Second, e, &s)
-	return s, err
+func (c *Client) Apply(ctx context.Context, e agreement.Entry) (status Status, err error) {
+	err = c.callLeader(ctx, "/v1/entry", commitTimeout+time.Second, e, &status)
+	return status, err
 }
 
 // Status returns the status of the first member that responds, which may be out of date.
-func (c *Client) Status(ctx context.Context) (s Status, err error) {
-	err = c.callLeader(ctx, "/v1/status", time.Second, statusRequest{}, &s)
-	return s, err
+func (c *Client) Status(ctx context.Context) (status Status, err error) {
+	err = c.callLeader(ctx, "/v1/status", time.Second, statusRequest{}, &status)
+	return status, err
 }
 
 // Latest returns the leader's status after a linearizable read: it includes everything that was
 // committed before the call.
-func (c *Client) Latest(ctx context.Context) (s Status, err error) {
-	err = c.callLeader(ctx, "/v1/status", commitTimeout+time.Second, statusRequest{Confirmed: true}, &s)
-	return s, err
+func (c *Client) Latest(ctx context.Context) (status Status, err error) {
+	err = c.callLeader(ctx, "/v1/status", commitTimeout+time.Second, statusRequest{Confirmed: true}, &status)
+	return status, err
 }
 
 // ChangeMember proposes to add or remove a member, as Member.ProposeMemberChange does.
-func (c *Client) ChangeMember(ctx context.Context, id uint64, info Endpoint, remove bool) (s Status, err error) {
-	err = c.callLeader(ctx, "/v1/members", commitTimeout+time.Second, memberChange{Remove: remove, ID: id, Endpoint: info}, &s)
-	return s, err
+func (c *Client) ChangeMember(ctx context.Context, id uint64, endpoint Endpoint, remove bool) (status Status, err error) {
+	err = c.callLeader(ctx, "/v1/members", commitTimeout+time.Second, memberChange{Remove: remove, ID: id, Endpoint: endpoint}, &status)
+	return status, err
 }
--- a/internal/consensus/config.go
+++ b/internal/consensus/config.go
@@ -1,7 +1,7 @@
 // Package consensus implements a member of a fleet's council, a raft cluster of usually three or
-// five processes, and a client for it. The council replicates the log from which package agreed
+// five processes, and a client for it. The council replicates the log from which package agreement
 // derives the settings version that the sidecars apply. This package supplies storage, network and
-// clock to package agreed and to the raft state machine, both of which run in one goroutine.
+// clock to package agreement and to the raft state machine, both of which run in one goroutine.
 // docs/design/agreement.md describes the design and its reasons.
 package consensus
 
@@ -37,20 +37,21 @@
 	// Members maps the names of all founding members, this one included, to their addresses. It
 	// is empty for a member that joins later, which waits until the others add it.
 	Members map[string]string `toml:"members"`
-	Join    bool              `toml:"join"`
+	Join    bool              `toml:"join"` // joins an existing council
 
-	Lease  duration.Duration `toml:"lease"`
-	Drift  float64           `toml:"drift"`
-	Margin duration.Duration `toml:"margin"`
-	Call   duration.Duration `toml:"call"`
-	// Beat is the interval of the leader's heartbeats. A member that receives none for ten
-	// intervals starts an election.
-	Beat duration.Duration `toml:"beat"`
+	// Lease, Drift, Margin and MaxCallTime are described at agreement.LeaseTimes.
+	Lease       duration.Duration `toml:"lease"`
+	Drift       float64           `toml:"drift"`
+	Margin      duration.Duration `toml:"margin"`
+	MaxCallTime duration.Duration `toml:"call"`
+	// HeartbeatInterval is the interval of the leader's heartbeats. A member that receives none for
+	// ten intervals starts an election.
+	HeartbeatInterval duration.Duration `toml:"beat"`
 }
 
 // Default returns a configuration with the default times and no other fields.
 func Default() Config {
-	return Config{Lease: duration.Duration(10 * time.Second), Drift: 0.01, Margin: duration.Duration(time.Second), Call: duration.Duration(5 * time.Second), Beat: duration.Duration(100 * time.Millisecond)}
+	return Config{Lease: duration.Duration(10 * time.Second), Drift: 0.01, Margin: duration.Duration(time.Second), MaxCallTime: duration.Duration(5 * time.Second), HeartbeatInterval: duration.Duration(100 * time.Millisecond)}
 }
 
 // Read parses and validates a configuration in TOML. Errors name the field.
@@ -65,9 +66,9 @@
 // decodeConfig parses a configuration without validating it. Unknown fields are errors.
 func decodeConfig(text []byte) (Config, error) {
 	c := Default()
-	d := toml.NewDecoder(bytes.NewReader(text))
-	d.DisallowUnknownFields()
-	if err := d.Decode(&c); err != nil {
+	decoder := toml.NewDecoder(bytes.NewReader(text))
+	decoder.DisallowUnknownFields()
+	if err := decoder.Decode(&c); err != nil {
 		var strict *toml.StrictMissingError
 		if errors.As(err, &strict) {
 			return c, fmt.Errorf("council: %s: unknown field", strict.Errors[0].Key())
@@ -79,7 +80,7 @@
 
 // LeaseTimes returns the parameters of the leases.
 func (c *Config) LeaseTimes() agreement.LeaseTimes {
-	return agreement.LeaseTimes{Lease: time.Duration(c.Lease), Drift: c.Drift, Margin: time.Duration(c.Margin), Call: time.Duration(c.Call)}
+	return agreement.LeaseTimes{Lease: time.Duration(c.Lease), Drift: c.Drift, Margin: time.Duration(c.Margin), Call: time.Duration(c.MaxCallTime)}
 }
 
 // Validate returns an error that names the first invalid field.
@@ -96,7 +97,7 @@
 		return invalid("folder", "is missing: without a disk a member loses its votes and its log on a restart")
 	case len(c.Key) < minKeyBytes:
 		return invalid("key", "must have at least %d bytes", minKeyBytes)
-	case time.Duration(c.Beat) < 10*time.Millisecond || time.Duration(c.Beat) > 5*time.Second:
+	case time.Duration(c.HeartbeatInterval) < 10*time.Millisecond || time.Duration(c.HeartbeatInterval) > 5*time.Second:
 		return invalid("beat", "must be between 10ms and 5s")
 	}
 	if _, _, err := net.SplitHostPort(c.Listen); err != nil {
@@ -105,7 +106,7 @@
 	if err := c.LeaseTimes().Validate(); err != nil {
 		return err
 	}
-	if time.Duration(c.Lease) < 30*time.Duration(c.Beat) {
+	if time.Duration(c.Lease) < 30*time.Duration(c.HeartbeatInterval) {
 		return invalid("lease", "must be at least 30 times council.beat, so that an election fits into a lease")
 	}
 	if c.Join {
@@ -141,23 +142,24 @@
 	return max(1, h.Sum64())
 }
 
-// ClientConfig holds what a client needs to call a council. It can be read from the configuration file
-// of any founding member, or from a file with just the key and the members.
+// ClientConfig holds the key and the addresses by which a client calls a council. It can be read
+// from the configuration file of any founding member, or from a file with just the key and the
+// members. Members maps names to addresses.
 type ClientConfig struct {
 	Key     string
 	Members map[string]string
 }
 
-// ReadClientConfig parses what a client needs from a configuration in TOML. Errors name the field.
-func ReadClientConfig(text []byte) (r ClientConfig, err error) {
+// ReadClientConfig parses a ClientConfig from a configuration in TOML. Errors name the field.
+func ReadClientConfig(text []byte) (clientConfig ClientConfig, err error) {
 	c, err := decodeConfig(text)
 	switch {
 	case err != nil:
-		return r, err
+		return clientConfig, err
 	case len(c.Key) < minKeyBytes:
-		return r, fmt.Errorf("council.key: must have at least %d bytes", minKeyBytes)
+		return clientConfig, fmt.Errorf("council.key: must have at least %d bytes", minKeyBytes)
 	case len(c.Members) == 0:
-		return r, errors.New("council.members: is missing: must map the name of each member to its address")
+		return clientConfig, errors.New("council.members: is missing: must map the name of each member to its address")
 	}
 	return ClientConfig{c.Key, c.Members}, nil
 }
--- a/internal/consensus/council_test.go
+++ b/internal/consensus/council_test.go
@@ -77,27 +77,27 @@
 	}
 }
 
-// notifyingTransport is a transport that calls tell when a response body is closed.
+// notifyingTransport is a transport that calls onClose when a response body is closed.
 type notifyingTransport struct {
 	*http.Transport
-	tell func()
+	onClose func()
 }
 
 func (a notifyingTransport) RoundTrip(r *http.Request) (*http.Response, error) {
 	resp, err := a.Transport.RoundTrip(r)
 	if err == nil {
-		resp.Body = notifyingBody{resp.Body, a.tell}
+		resp.Body = notifyingBody{resp.Body, a.onClose}
 	}
 	return resp, err
 }
 
 type notifyingBody struct {
 	io.ReadCloser
-	tell func()
+	onClose func()
 }
 
 func (b notifyingBody) Close() error {
-	b.tell()
+	b.onClose()
 	return b.ReadCloser.Close()
 }
 
@@ -106,14 +106,14 @@
 // leads.
 func TestCancelledCallKeepsEarlierError(t *testing.T) {
 	for name, first := range map[string]struct {
-		does http.HandlerFunc
-		want error
+		handle http.HandlerFunc
+		want   error
 	}{
 		"another key": {func(w http.ResponseWriter, _ *http.Request) { http.Error(w, "no", http.StatusForbidden) }, ErrWrongKey},
 		"no leader": {func(w http.ResponseWriter, r *http.Request) {
 			body, _ := io.ReadAll(r.Body)
-			asked, text := computeMAC([]byte(testKey), []byte(r.URL.Path), body), []byte("nobody leads")
-			w.Header().Set(macHeader, hex.EncodeToString(computeMAC([]byte(testKey), asked, text)))
+			requestMAC, text := computeMAC([]byte(testKey), []byte(r.URL.Path), body), []byte("nobody leads")
+			w.Header().Set(macHeader, hex.EncodeToString(computeMAC([]byte(testKey), requestMAC, text)))
 			w.WriteHeader(http.StatusMisdirectedRequest)
 			w.Write(text)
 		}, ErrNotLeader},
@@ -124,7 +124,7 @@
 			var calls atomic.Int64
 			s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 				if calls.Add(1) == 1 {
-					first.does(w, r)
+					first.handle(w, r)
 					return
 				}
 				io.Copy(io.Discard, r.Body)
@@ -160,7 +160,7 @@
 	statusCtx, stop := context.WithCancel(ctx)
 	other.httpClient.Transport = notifyingTransport{other.httpClient.Transport.(*http.Transport), stop}
 	if _, err := other.Status(statusCtx); !errors.Is(err, ErrWrongKey) {
-		t.Errorf("another key: got error %v, want ErrKey", err)
+		t.Errorf("another key: got error %v, want ErrWrongKey", err)
 	}
 	resp, err := http.Post("http://"+s.Addr()+"/v1/entry", "", strings.NewReader(strings.Repeat("x", maxRequestBytes+1)))
 	if err != nil || resp.StatusCode != http.StatusRequestEntityTooLarge {
@@ -170,13 +170,13 @@
 	resp.Body.Close()
 	for body, want := range map[string]string{
 		`{"kind":"withdraw","more":1}`: "unknown field",
-		"{":                            "makes no sense",
-		`{"kind":"yes"}`:               "nothing that an operator does",
+		"{":                            "invalid request",
+		`{"kind":"yes"}`:               "not an entry that an operator can propose",
 		`{"kind":"forget"}`:            "no such sidecar",
-		`{"kind":"propose","base":1,"doc":{"key":"k","who":"w","reason":"r","rules":{"what":1}}}`: `"what" is no key`,
+		`{"kind":"propose","base":1,"doc":{"key":"k","who":"w","reason":"r","rules":{"what":1}}}`: `"what" is not a valid key`,
 	} {
-		var no *Refusal
-		if _, err := postRequest(ctx, http.DefaultClient, []byte(testKey), s.Addr(), "/v1/entry", []byte(body)); !errors.As(err, &no) || !strings.Contains(no.Text, want) {
+		var refusal *Refusal
+		if _, err := postRequest(ctx, http.DefaultClient, []byte(testKey), s.Addr(), "/v1/entry", []byte(body)); !errors.As(err, &refusal) || !strings.Contains(refusal.Text, want) {
 			t.Errorf("request %s: wrong error: %v", body, err)
 		}
 	}
@@ -243,26 +243,26 @@
 			t.Fatal(err)
 		}
 	}
-	was := m.Status()
+	before := m.Status()
 	first, _ := m.raftStorage.FirstIndex()
-	if was.Index-first > 2*compactKeepEntries+compactInterval/2 || first < compactInterval/2 {
-		t.Errorf("the log holds entries %d to %d, want it compacted", first, was.Index)
+	if before.Index-first > 2*compactKeepEntries+compactInterval/2 || first < compactInterval/2 {
+		t.Errorf("the log holds entries %d to %d, want it compacted", first, before.Index)
 	}
 	end()
 	_, c, end = startSingleMember(t, folder)
 	st, err := c.Apply(ctx, agreement.Entry{Kind: agreement.KindPropose, BaseVersion: 1, Doc: level("k1", 1)}) // succeeds once the member leads
-	if err != nil || st.InForce.Version != 1 || len(st.Sidecars) != 7 || st.Sidecars["car3"] != was.Sidecars["car3"] {
+	if err != nil || st.InForce.Version != 1 || len(st.Sidecars) != 7 || st.Sidecars["car3"] != before.Sidecars["car3"] {
 		t.Errorf("after the restart: status %+v, error %v", st, err)
 	}
 	end()
 	cfg := Default()
 	cfg.Fleet, cfg.Name, cfg.Listen, cfg.Folder, cfg.Key, cfg.Join = "f", "b", "127.0.0.1:0", folder, testKey, true
 	if _, err := Open(cfg); !errors.Is(err, ErrForeignFolder) {
-		t.Errorf("folder of another member: got error %v, want ErrOther", err)
+		t.Errorf("folder of another member: got error %v, want ErrForeignFolder", err)
 	}
-	for name, spoil := range map[string]func(tx *bbolt.Tx) error{
-		"an entry":         func(tx *bbolt.Tx) error { return tx.Bucket(logBucket).Put(entryKey(was.Index), []byte("12345678")) },
-		"the last entries": func(tx *bbolt.Tx) error { return deleteEntries(tx.Bucket(logBucket), was.Index-1, 1<<62) },
+	for name, corrupt := range map[string]func(tx *bbolt.Tx) error{
+		"an entry":         func(tx *bbolt.Tx) error { return tx.Bucket(logBucket).Put(entryKey(before.Index), []byte("12345678")) },
+		"the last entries": func(tx *bbolt.Tx) error { return deleteEntries(tx.Bucket(logBucket), before.Index-1, 1<<62) },
 		"the snapshot":     func(tx *bbolt.Tx) error { return tx.Bucket(metaBucket).Put(snapshotKey, withChecksum([]byte{0xff})) },
 		"the hard state":   func(tx *bbolt.Tx) error { return tx.Bucket(metaBucket).Put(hardStateKey, []byte{1}) },
 	} {
@@ -280,7 +280,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := db.db.Update(spoil); err != nil {
+		if err := db.db.Update(corrupt); err != nil {
 			t.Fatal(err)
 		}
 		db.close()
@@ -300,7 +300,7 @@
 	f.Add(appendFrame(nil, []byte(`{}`)))
 	f.Add([]byte{0, 0, 0, 9, 1})
 	f.Fuzz(func(t *testing.T, b []byte) {
-		from, all, err := decodeBatch(b)
+		sentBy, all, err := decodeBatch(b)
 		if err != nil {
 			return
 		}
@@ -308,9 +308,9 @@
 		for _, m := range all {
 			again = appendMessage(again, m)
 		}
-		_, two, err := decodeBatch(again)
-		if err != nil || len(two) != len(all) {
-			t.Errorf("sender %+v: %d messages, after encoding and decoding %d, error %v", from, len(all), len(two), err)
+		_, decodedAgain, err := decodeBatch(again)
+		if err != nil || len(decodedAgain) != len(all) {
+			t.Errorf("sender %+v: %d messages, after encoding and decoding %d, error %v", sentBy, len(all), len(decodedAgain), err)
 		}
 	})
 }
--- a/internal/consensus/history_test.go
+++ b/internal/consensus/history_test.go
@@ -37,14 +37,14 @@
 var versionModel = porcupine.Model{
 	Init: func() any { return uint64(0) },
 	Step: func(state, in, out any) (bool, any) {
-		v, d, o := state.(uint64), in.(operation), out.(result)
+		version, op, res := state.(uint64), in.(operation), out.(result)
 		switch {
-		case d.key == "":
-			return o.version == v, v
-		case o.version == 0:
-			return v != d.base, v
+		case op.key == "":
+			return res.version == version, version
+		case res.version == 0:
+			return version != op.base, version
 		default:
-			return v == d.base && o.version == v+1, v + 1
+			return version == op.base && res.version == version+1, version + 1
 		}
 	},
 	Equal: func(a, b any) bool { return a == b },
@@ -65,13 +65,13 @@
 	var mu sync.Mutex
 	var wait sync.WaitGroup
 	for n := range 3 {
-		draw := rand.New(rand.NewPCG(seed, uint64(n)+7))
+		random := rand.New(rand.NewPCG(seed, uint64(n)+7))
 		c := g.client(n)
 		wait.Go(func() {
 			known := uint64(0)
 			for i := 0; ctx.Err() == nil; i++ {
 				d := operation{}
-				if draw.IntN(2) == 0 {
+				if random.IntN(2) == 0 {
 					d = operation{known, fmt.Sprintf("%d-%d", n, i)}
 				}
 				call := time.Since(began)
@@ -87,9 +87,9 @@
 				}
 				stop()
 				o := result{version: st.InForce.Version}
-				var no *Refusal
+				var refusal *Refusal
 				switch {
-				case errors.As(err, &no) && strings.Contains(no.Text, agreement.ErrBaseVersion.Error()):
+				case errors.As(err, &refusal) && strings.Contains(refusal.Text, agreement.ErrBaseVersion.Error()):
 					o.version = 0
 					known++
 				case err != nil:
@@ -107,13 +107,13 @@
 				mu.Lock()
 				all = append(all, porcupine.Operation{ClientId: n, Input: d, Call: int64(call), Output: o, Return: int64(time.Since(began))})
 				mu.Unlock()
-				time.Sleep(time.Duration(draw.IntN(20)) * time.Millisecond)
+				time.Sleep(time.Duration(random.IntN(20)) * time.Millisecond)
 			}
 		})
 	}
 	for ctx.Err() == nil {
 		p := g.procs[rng.IntN(len(g.procs))]
-		pause := func(most int) { time.Sleep(time.Duration(50+rng.IntN(most)) * time.Millisecond) }
+		pause := func(maxMillis int) { time.Sleep(time.Duration(50+rng.IntN(maxMillis)) * time.Millisecond) }
 		q := g.otherMembers(p)[rng.IntN(len(g.procs)-1)]
 		switch rng.IntN(6) {
 		case 0:
@@ -141,19 +141,19 @@
 			pause(1500)
 			g.setCut(p, q, false)
 		case 5: // all messages to one member, or all from it, are lost
-			deaf := rng.IntN(2) == 0
-			all := func(is bool) {
+			receivesNothing := rng.IntN(2) == 0
+			setAllCut := func(isCut bool) {
 				for _, q := range g.otherMembers(p) {
-					if deaf {
-						g.setCut(q, p, is)
+					if receivesNothing {
+						g.setCut(q, p, isCut)
 					} else {
-						g.setCut(p, q, is)
+						g.setCut(p, q, isCut)
 					}
 				}
 			}
-			all(true)
+			setAllCut(true)
 			pause(1500)
-			all(false)
+			setAllCut(false)
 		}
 		pause(1500)
 	}
@@ -208,10 +208,10 @@
 		all []porcupine.Operation
 		ok  bool
 	}{
-		"well":             {[]porcupine.Operation{first, op(2, 3, operation{}, result{version: 1})}, true},
-		"an old look":      {[]porcupine.Operation{first, op(2, 3, operation{}, result{version: 0})}, false},
-		"two by one base":  {[]porcupine.Operation{first, op(2, 3, operation{0, "b"}, result{version: 2})}, false},
-		"one number twice": {[]porcupine.Operation{first, op(0, 9, operation{0, "b"}, result{version: 1})}, false},
+		"valid":                    {[]porcupine.Operation{first, op(2, 3, operation{}, result{version: 1})}, true},
+		"a stale read":             {[]porcupine.Operation{first, op(2, 3, operation{}, result{version: 0})}, false},
+		"two versions by one base": {[]porcupine.Operation{first, op(2, 3, operation{0, "b"}, result{version: 2})}, false},
+		"one version twice":        {[]porcupine.Operation{first, op(0, 9, operation{0, "b"}, result{version: 1})}, false},
 	} {
 		if got := porcupine.CheckOperations(versionModel, c.all); got != c.ok {
 			t.Errorf("%s: wrong verdict: linearizable %v", name, got)
--- a/internal/consensus/links_test.go
+++ b/internal/consensus/links_test.go
@@ -43,16 +43,16 @@
 	g := startCouncil(t, 3)
 	base := uint64(0)
 	g.commitVersions(&base, 2, 20*time.Second)
-	stays := func(what string, lead *proc, most time.Duration) {
+	requireLeader := func(condition string, leader *proc, period time.Duration) {
 		t.Helper()
-		for end := time.Now().Add(most); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
+		for end := time.Now().Add(period); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
 			ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
-			c := clientOf(lead)
+			c := clientOf(leader)
 			st, err := c.Status(ctx)
 			c.Close()
 			cancel()
 			if err != nil || !st.IsLeader {
-				t.Fatalf("%s: %s is no longer the leader, error %v", what, lead.name, err)
+				t.Fatalf("%s: %s is no longer the leader, error %v", condition, leader.name, err)
 			}
 		}
 	}
@@ -61,18 +61,18 @@
 	// The link between the leader and one other member is cut in both directions.
 	g.setCut(lead, b, true)
 	g.setCut(b, lead, true)
-	stays("leader cut off from one member", lead, 2*time.Second)
+	requireLeader("leader cut off from one member", lead, 2*time.Second)
 	g.commitVersions(&base, 2, 20*time.Second)
 	g.setCut(lead, b, false)
 	g.setCut(b, lead, false)
 	// One member receives nothing, but the others receive its messages.
 	g.setCut(lead, b, true)
 	g.setCut(a, b, true)
-	stays("one member receives nothing", lead, 2*time.Second)
+	requireLeader("one member receives nothing", lead, 2*time.Second)
 	g.commitVersions(&base, 2, 20*time.Second)
 	g.setCut(lead, b, false)
 	g.setCut(a, b, false)
-	stays("links restored", lead, time.Second)
+	requireLeader("links restored", lead, time.Second)
 	// The leader receives nothing, but the others receive its messages.
 	g.setCut(a, lead, true)
 	g.setCut(b, lead, true)
@@ -91,21 +91,21 @@
 	g := startCouncil(t, 3)
 	base := uint64(0)
 	g.commitVersions(&base, 1, 20*time.Second) // level 0
-	at := make(map[string]string)
+	addrs := make(map[string]string)
 	for _, p := range g.procs {
-		at[p.name] = g.addLink("old", p).Addr()
+		addrs[p.name] = g.addLink("old", p).Addr()
 	}
 	slow := g.startSidecar("old", 0)
 	slow.c.Close()
-	slow.setClient(NewClient(testKey, 0, at))
-	well := g.startSidecar("well", 1)
-	waitUntil(t, "both sidecars have a lease", func() bool { return slow.level() == 0 && well.level() == 0 })
+	slow.setClient(NewClient(testKey, 0, addrs))
+	other := g.startSidecar("well", 1)
+	waitUntil(t, "both sidecars have a lease", func() bool { return slow.level() == 0 && other.level() == 0 })
 	for _, p := range g.procs {
 		g.links[[2]string{"old", p.name}].SetDelay(3 * time.Second)
 	}
 	waitUntil(t, "the delayed sidecar applies the strictest level", func() bool { return slow.level() == agreement.LevelOnce })
 	g.commitVersions(&base, 1, 20*time.Second) // level 1
-	waitUntil(t, "the new version is active at the other sidecar", func() bool { return well.activeVersion() == base })
+	waitUntil(t, "the new version is active at the other sidecar", func() bool { return other.activeVersion() == base })
 	for end := time.Now().Add(5 * time.Second); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
 		if now := slow.level(); now != agreement.LevelOnce {
 			t.Fatalf("the delayed sidecar applies level %d after a response older than its lease", now)
--- a/internal/consensus/member.go
+++ b/internal/consensus/member.go
@@ -36,9 +36,9 @@
 
 // Errors returned to callers.
 var (
-	ErrNotLeader = errors.New("another member leads")
-	ErrStopping  = errors.New("this member ends")
-	ErrTimeout   = errors.New("no majority of the members has agreed in time; it may still come to be")
+	ErrNotLeader = errors.New("this member is not the leader")
+	ErrStopping  = errors.New("this member is stopping")
+	ErrTimeout   = errors.New("no majority of the members confirmed the request in time; it may still take effect")
 )
 
 // Endpoint holds the name and address of a member.
@@ -54,7 +54,7 @@
 	Members map[uint64]Endpoint `json:"members"`
 }
 
-// logRecord is the data of a raft entry: an entry of package agreed, and a number by which the
+// logRecord is the data of a raft entry: an entry of package agreement, and a number by which the
 // member that proposed it finds the waiting caller.
 type logRecord struct {
 	Number uint64          `json:"n"`
@@ -87,14 +87,14 @@
 	readWaiters   map[uint64]chan error   // callers that wait for a linearizable read, by its number
 	readIndexes   map[uint64]uint64       // by number of a read that a majority has confirmed, the index that must be applied first
 	lastNumber    uint64                  // the last number used for an entry or a read
-	// hasChangedMembers means that the members have changed since the newest snapshot.
+	// hasChangedMembers is set if the members have changed since the newest snapshot.
 	hasChangedMembers bool
 
 	mu          sync.Mutex // the goroutine holds it to write the fields below, other goroutines to read them
 	content     replicatedState
 	leaderID    uint64 // raft id of the leader; 0: not known
 	isLeader    bool
-	statusIndex uint64
+	statusIndex uint64        // copy of appliedIndex
 	changed     chan struct{} // closed and replaced when the version in force or the pending proposal changes
 }
 
@@ -108,12 +108,12 @@
 }
 
 // startMember starts the goroutine of a member from the state in its store.
-func startMember(cfg Config, id uint64, st *store, tr *transport) (*Member, error) {
-	raftStorage, err := st.loadRaftStorage()
+func startMember(cfg Config, id uint64, store *store, transport *transport) (*Member, error) {
+	raftStorage, err := store.loadRaftStorage()
 	if err != nil {
 		return nil, err
 	}
-	m := &Member{cfg: cfg, id: id, store: st, raftStorage: raftStorage, transport: tr, work: make(chan func(), maxQueuedWork), stop: make(chan struct{}), done: make(chan struct{}),
+	m := &Member{cfg: cfg, id: id, store: store, raftStorage: raftStorage, transport: transport, work: make(chan func(), maxQueuedWork), stop: make(chan struct{}), done: make(chan struct{}),
 		expiring: make(map[string]bool), entryWaiters: make(map[uint64]chan error), readWaiters: make(map[uint64]chan error), readIndexes: make(map[uint64]uint64),
 		lastNumber: rand.Uint64(), changed: make(chan struct{})}
 	m.content.Members = make(map[uint64]Endpoint)
@@ -138,7 +138,7 @@
 // run is the member's goroutine. It ends when stop is closed or on an error of storage or state.
 func (m *Member) run() {
 	defer close(m.done)
-	beat := time.NewTicker(time.Duration(m.cfg.Beat))
+	beat := time.NewTicker(time.Duration(m.cfg.HeartbeatInterval))
 	defer beat.Stop()
 	for {
 		select {
@@ -158,7 +158,7 @@
 		m.drainQueues()
 		for m.node.HasReady() {
 			if err := m.handleReady(); err != nil {
-				slog.Error("council: member stops on an error", "err", err)
+				slog.Error("council: the member stops because of an error", "err", err)
 				m.failed = err
 				m.failWaiters(err)
 				return
@@ -170,7 +170,8 @@
 // maxBatchWork is the maximum number of queued functions and messages handled per write to disk.
 const maxBatchWork = 256
 
-// drainQueues handles what else is queued, so that one write to disk covers all of it.
+// drainQueues handles further queued functions and messages, up to maxBatchWork, so that one write
+// to disk covers all of them.
 func (m *Member) drainQueues() {
 	for range maxBatchWork {
 		select {
@@ -335,7 +336,7 @@
 		return nil
 	case raftpb.EntryNormal:
 	default:
-		return fmt.Errorf("entry %d: of a kind that this program does not know", m.appliedIndex)
+		return fmt.Errorf("entry %d: unknown type of raft entry", m.appliedIndex)
 	}
 	if len(e.GetData()) == 0 { // appended by raft when a leader is elected
 		return nil
@@ -366,10 +367,10 @@
 func (m *Member) restoreSnapshot(snap *raftpb.Snapshot) error {
 	var state replicatedState
 	if err := json.Unmarshal(snap.GetData(), &state); err != nil {
-		return fmt.Errorf("council: the snapshot: %w", err)
+		return fmt.Errorf("council: decode the snapshot: %w", err)
 	}
 	if state.Fleet != m.cfg.Fleet {
-		return fmt.Errorf("council: the snapshot is of fleet %q, not %q: %w", state.Fleet, m.cfg.Fleet, ErrForeignFolder)
+		return fmt.Errorf("council: the snapshot belongs to fleet %q, not %q: %w", state.Fleet, m.cfg.Fleet, ErrForeignFolder)
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -399,14 +400,14 @@
 		return fmt.Errorf("council: snapshot: %w", err)
 	}
 	m.snapshotIndex = m.appliedIndex
-	keep := uint64(0)
+	firstKept := uint64(0)
 	if m.appliedIndex > compactKeepEntries {
-		keep = m.appliedIndex - compactKeepEntries
-		if err := m.raftStorage.Compact(keep); err != nil && !errors.Is(err, raft.ErrCompacted) {
+		firstKept = m.appliedIndex - compactKeepEntries
+		if err := m.raftStorage.Compact(firstKept); err != nil && !errors.Is(err, raft.ErrCompacted) {
 			return fmt.Errorf("council: %w", err)
 		}
 	}
-	return m.store.compact(snap, keep+1)
+	return m.store.compact(snap, firstKept+1)
 }
 
 // enqueue queues a function for the goroutine and does not wait until it has run.
@@ -451,14 +452,15 @@
 	return err
 }
 
-// ProposeEntry proposes an entry and waits until it is applied. An error of package agreed says why
-// the entry has no effect. After ErrTimeout or ErrStopping the entry may still be applied.
+// ProposeEntry proposes an entry and waits until it is applied. An error of package agreement says
+// why the entry has no effect. After ErrTimeout or ErrStopping the entry may still be applied.
 func (m *Member) ProposeEntry(ctx context.Context, e agreement.Entry) error {
 	return m.awaitAsLeader(ctx, func(result chan error) error { return m.propose(&e, result) })
 }
 
 // ConfirmRead is the barrier of a linearizable read: it waits until a majority has confirmed, after
-// the call, that this member leads, and until all entries committed before are applied here.
+// the call, that this member leads, and until all entries committed before the call are applied
+// here.
 func (m *Member) ConfirmRead(ctx context.Context) error {
 	return m.awaitAsLeader(ctx, func(result chan error) error {
 		m.lastNumber++
@@ -471,14 +473,15 @@
 	})
 }
 
-// Renew records what a sidecar's request reports, renews its lease if possible, and returns the
-// response. While there is nothing new to report, it delays the response for up to hold.
-func (m *Member) Renew(ctx context.Context, r agreement.Request, hold time.Duration) (response agreement.Response, err error) {
+// Renew records the versions that a sidecar's request reports, renews its lease if possible, and
+// returns the response. While there is nothing new to report, it delays the response for up to
+// hold.
+func (m *Member) Renew(ctx context.Context, request agreement.Request, hold time.Duration) (response agreement.Response, err error) {
 	arrived := bootTime()
 	if err := m.ConfirmRead(ctx); err != nil {
 		return response, err
 	}
-	for _, e := range m.reportedEntries(&r) {
+	for _, e := range m.reportedEntries(&request) {
 		// An entry without effect, such as an outdated report, does not prevent a response.
 		if err := m.ProposeEntry(ctx, e); errors.Is(err, ErrNotLeader) || errors.Is(err, ErrTimeout) || errors.Is(err, ErrStopping) {
 			return response, err
@@ -486,10 +489,10 @@
 	}
 	granted := make(chan bool, 1)
 	err = m.enqueue(ctx, func() {
-		c, ok := m.content.State.Sidecars[r.Sidecar]
-		hasLease := m.leases != nil && ok && c.Incarnation == r.Incarnation && !c.LeaseExpired && !m.expiring[r.Sidecar]
+		c, ok := m.content.State.Sidecars[request.Sidecar]
+		hasLease := m.leases != nil && ok && c.Incarnation == request.Incarnation && !c.LeaseExpired && !m.expiring[request.Sidecar]
 		if hasLease {
-			m.leases.RecordGrant(r.Sidecar, arrived)
+			m.leases.RecordGrant(request.Sidecar, arrived)
 		}
 		granted <- hasLease
 	})
@@ -506,9 +509,9 @@
 	for {
 		m.mu.Lock()
 		s, changed := &m.content.State, m.changed
-		isUpToDate := s.InForce.Version == r.ActiveVersion && (s.Pending == nil || s.Pending.Version == r.PreparedVersion || s.Pending.Version == r.RejectedVersion) && (s.Pending != nil || r.PreparedVersion <= s.InForce.Version)
+		isUpToDate := s.InForce.Version == request.ActiveVersion && (s.Pending == nil || s.Pending.Version == request.PreparedVersion || s.Pending.Version == request.RejectedVersion) && (s.Pending != nil || request.PreparedVersion <= s.InForce.Version)
 		inForce := s.InForce
-		response.Seq, response.Index, response.Pending, response.InForceOmitted = r.Seq, m.statusIndex, s.Pending, inForce.Version == r.ActiveVersion
+		response.Seq, response.Index, response.Pending, response.InForceOmitted = request.Seq, m.statusIndex, s.Pending, inForce.Version == request.ActiveVersion
 		m.mu.Unlock()
 		if response.InForce = nil; !response.InForceOmitted {
 			response.InForce = &inForce
@@ -529,24 +532,24 @@
 }
 
 // reportedEntries returns the entries that record in the log what a request reports.
-func (m *Member) reportedEntries(r *agreement.Request) (entries []agreement.Entry) {
+func (m *Member) reportedEntries(request *agreement.Request) (entries []agreement.Entry) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	s := &m.content.State
-	c, ok := s.Sidecars[r.Sidecar]
-	if !ok || c.LeaseExpired || c.Incarnation != r.Incarnation {
-		entries = append(entries, agreement.Entry{Kind: agreement.KindJoin, Sidecar: r.Sidecar, Incarnation: r.Incarnation, Version: r.ActiveVersion})
-		c = agreement.Sidecar{Incarnation: r.Incarnation, ActiveVersion: r.ActiveVersion}
+	c, ok := s.Sidecars[request.Sidecar]
+	if !ok || c.LeaseExpired || c.Incarnation != request.Incarnation {
+		entries = append(entries, agreement.Entry{Kind: agreement.KindJoin, Sidecar: request.Sidecar, Incarnation: request.Incarnation, Version: request.ActiveVersion})
+		c = agreement.Sidecar{Incarnation: request.Incarnation, ActiveVersion: request.ActiveVersion}
 	}
-	if r.ActiveVersion > c.ActiveVersion {
-		entries = append(entries, agreement.Entry{Kind: agreement.KindActive, Sidecar: r.Sidecar, Incarnation: r.Incarnation, Version: r.ActiveVersion})
+	if request.ActiveVersion > c.ActiveVersion {
+		entries = append(entries, agreement.Entry{Kind: agreement.KindActive, Sidecar: request.Sidecar, Incarnation: request.Incarnation, Version: request.ActiveVersion})
 	}
 	switch next := s.Pending; {
 	case next == nil:
-	case r.PreparedVersion == next.Version && c.PreparedVersion < r.PreparedVersion:
-		entries = append(entries, agreement.Entry{Kind: agreement.KindPrepared, Sidecar: r.Sidecar, Incarnation: r.Incarnation, Version: r.PreparedVersion})
-	case r.RejectedVersion == next.Version:
-		entries = append(entries, agreement.Entry{Kind: agreement.KindRejected, Sidecar: r.Sidecar, Incarnation: r.Incarnation, Version: r.RejectedVersion, Reason: r.RejectReason})
+	case request.PreparedVersion == next.Version && c.PreparedVersion < request.PreparedVersion:
+		entries = append(entries, agreement.Entry{Kind: agreement.KindPrepared, Sidecar: request.Sidecar, Incarnation: request.Incarnation, Version: request.PreparedVersion})
+	case request.RejectedVersion == next.Version:
+		entries = append(entries, agreement.Entry{Kind: agreement.KindRejected, Sidecar: request.Sidecar, Incarnation: request.Incarnation, Version: request.RejectedVersion, Reason: request.RejectReason})
 	}
 	return entries
 }
@@ -609,7 +612,7 @@
 		select {
 		case isTransferring := <-transferring:
 			for isTransferring && ctx.Err() == nil && m.Status().IsLeader {
-				time.Sleep(time.Duration(m.cfg.Beat) / 4)
+				time.Sleep(time.Duration(m.cfg.HeartbeatInterval) / 4)
 			}
 		case <-ctx.Done():
 		case <-m.done:
--- a/internal/consensus/process_test.go
+++ b/internal/consensus/process_test.go
@@ -70,8 +70,8 @@
 	procs    []*proc
 	times    agreement.LeaseTimes
 	host     string                    // address at which the links listen
-	links    map[[2]string]*fleet.Link // by the party that connects and the member it connects to
-	cutLinks map[[2]string][2]bool     // by the same, which directions are cut: requests, responses
+	links    map[[2]string]*fleet.Link // by the names of the connecting party and of the member
+	cutLinks map[[2]string][2]bool     // by the keys of links: whether requests and responses are cut
 }
 
 // addLink adds a proxied link from a party to a member, into which faults can be injected.
@@ -186,7 +186,7 @@
 // clientOf returns a client that knows a single member.
 func clientOf(p *proc) *Client { return NewClient(testKey, 0, map[string]string{p.name: p.addr}) }
 
-// client returns a client that knows all members.
+// client returns a client that knows all members. Different n start with different members.
 func (g *testCouncil) client(n int) *Client {
 	all := make(map[string]string)
 	for _, p := range g.procs {
@@ -224,7 +224,8 @@
 	return nil
 }
 
-// testSidecar is a simulated sidecar: an agreed.Participant and a goroutine that renews its lease.
+// testSidecar is a simulated sidecar: an agreement.Participant and a goroutine that renews its
+// lease.
 type testSidecar struct {
 	c           *Client
 	incarnation uint64
@@ -241,19 +242,19 @@
 // startSidecar starts a sidecar that renews its lease until the test ends.
 func (g *testCouncil) startSidecar(name string, n int) *testSidecar {
 	ctx, stop := context.WithCancel(context.Background())
-	inc := uint64(bootTime())
-	k := &testSidecar{c: g.client(n), incarnation: inc, stop: stop, done: make(chan struct{}), participant: agreement.NewParticipant(name, inc, g.times, agreement.PersistentState{})}
+	incarnation := uint64(bootTime())
+	k := &testSidecar{c: g.client(n), incarnation: incarnation, stop: stop, done: make(chan struct{}), participant: agreement.NewParticipant(name, incarnation, g.times, agreement.PersistentState{})}
 	go func() {
 		defer close(k.done)
 		for ctx.Err() == nil {
 			k.mu.Lock()
-			quiet := k.isSilent
+			isSilent := k.isSilent
 			var r agreement.Request
-			if !quiet {
+			if !isSilent {
 				r = k.participant.NextRequest(bootTime())
 			}
 			k.mu.Unlock()
-			if quiet {
+			if isSilent {
 				time.Sleep(10 * time.Millisecond)
 				continue
 			}
@@ -270,16 +271,16 @@
 				k.mu.Unlock()
 				continue
 			}
-			w := k.participant.HandleResponse(bootTime(), a)
-			if w.Activate != nil {
-				k.received = append(k.received, w.Activate.Version)
+			actions := k.participant.HandleResponse(bootTime(), a)
+			if actions.Activate != nil {
+				k.received = append(k.received, actions.Activate.Version)
 			}
-			if w.Prepare != nil {
+			if actions.Prepare != nil {
 				var err error
 				if k.rejectReason != "" {
 					err = fmt.Errorf("%s", k.rejectReason)
 				}
-				k.participant.RecordPrepareResult(w.Prepare, err)
+				k.participant.RecordPrepareResult(actions.Prepare, err)
 			}
 			k.mu.Unlock()
 		}
@@ -310,10 +311,10 @@
 }
 
 // setSilent stops or resumes the sidecar's requests.
-func (k *testSidecar) setSilent(quiet bool) {
+func (k *testSidecar) setSilent(isSilent bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.isSilent = quiet
+	k.isSilent = isSilent
 }
 
 // level returns a document that sets the level of the test's class.
@@ -335,11 +336,11 @@
 }
 
 // waitUntil waits for a condition, and fails the test if it is not met within 30 seconds.
-func waitUntil(t *testing.T, what string, isMet func() bool) {
+func waitUntil(t *testing.T, condition string, isMet func() bool) {
 	t.Helper()
 	for end := time.Now().Add(30 * time.Second); !isMet(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("condition not met within 30s: %s", what)
+			t.Fatalf("condition not met within 30s: %s", condition)
 		}
 	}
 }
@@ -386,21 +387,21 @@
 	if _, err := g.propose(2, level("k3", 2)); err != nil {
 		t.Fatal(err)
 	}
-	loose := func(k *testSidecar) bool { return k.level() < 2 }
+	isLax := func(k *testSidecar) bool { return k.level() < 2 }
 	waitUntil(t, "all other sidecars apply level 2", func() bool {
 		for n, k := range sidecars {
-			if n != 3 && loose(k) {
+			if n != 3 && isLax(k) {
 				return false
 			}
 		}
 		return true
 	})
-	if loose(sidecars[3]) || time.Since(began) < time.Second {
+	if isLax(sidecars[3]) || time.Since(began) < time.Second {
 		t.Errorf("version 3 came into force after %v, while the sidecar without contact applies level %d", time.Since(began), sidecars[3].level())
 	}
 	sidecars[3].setSilent(false)
 	waitUntil(t, "version 3 is active at all sidecars", all(3))
-	waitUntil(t, "settled", func() bool {
+	waitUntil(t, "version 3 is settled", func() bool {
 		ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 		defer cancel()
 		st, err := g.client(1).Status(ctx)
@@ -418,7 +419,7 @@
 		t.Fatal(err)
 	}
 	k := g.startSidecar("car", 0)
-	waitUntil(t, "leased", func() bool { return k.activeVersion() == 1 && k.level() == 0 })
+	waitUntil(t, "the sidecar has a lease", func() bool { return k.activeVersion() == 1 && k.level() == 0 })
 	for _, p := range g.procs {
 		g.killProcess(p)
 	}
@@ -450,7 +451,7 @@
 		t.Fatal(err)
 	}
 	k := g.startSidecar("car", 0)
-	waitUntil(t, "leased", func() bool { return k.activeVersion() == 1 })
+	waitUntil(t, "the sidecar has a lease", func() bool { return k.activeVersion() == 1 })
 	old := g.awaitLeader(10 * time.Second)
 	old.cmd.Process.Signal(syscall.SIGSTOP)
 	waitUntil(t, "another member leads", func() bool { return isLeading(g.otherMembers(old)[0]) || isLeading(g.otherMembers(old)[1]) })
@@ -498,7 +499,7 @@
 			t.Logf("last status: %+v", seen)
 		}
 	}()
-	waitUntil(t, "refused", func() bool {
+	waitUntil(t, "the proposal is refused", func() bool {
 		ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 		defer cancel()
 		st, err := g.client(0).Apply(ctx, agreement.Entry{Kind: agreement.KindPropose, BaseVersion: 2, Doc: level("k3", 1)}) // repeats the proposal
--- a/internal/consensus/serve.go
+++ b/internal/consensus/serve.go
@@ -26,8 +26,8 @@
 const (
 	// maxRequestBytes is the maximum size in bytes of a request of a sidecar or operator.
 	maxRequestBytes = agreement.MaxBodyBytes + 64<<10
-	// holdDivisor is the part of a lease, as a divisor, for which the response to a renewal is
-	// delayed while there is nothing new to report.
+	// holdDivisor divides the lease: the response to a renewal is delayed for up to this part of it
+	// while there is nothing new to report.
 	holdDivisor = 4
 	// founderPollInterval is the interval at which a founding member calls the others until all
 	// respond.
@@ -62,7 +62,7 @@
 	s := &Server{cfg: cfg, store: st, transport: newTransport(cfg.Key, cfg.Members)}
 	id, _, err := st.identity()
 	if err == nil && id != nil && (id.Fleet != cfg.Fleet || id.Name != cfg.Name) {
-		err = fmt.Errorf("council: folder %s is of %q in fleet %q: %w", cfg.Folder, id.Name, id.Fleet, ErrForeignFolder)
+		err = fmt.Errorf("council: folder %s belongs to %q in fleet %q: %w", cfg.Folder, id.Name, id.Fleet, ErrForeignFolder)
 	}
 	if err == nil {
 		s.ln, err = net.Listen("tcp", cfg.Listen)
@@ -96,7 +96,7 @@
 	return s, nil
 }
 
-// sender returns the identification of this member for the others. Its address is that of the
+// sender returns the sender that identifies this member to the others. Its address is that of the
 // configuration if there is one, else that of the listener.
 func (s *Server) sender(id uint64) sender {
 	return sender{id, Endpoint{s.cfg.Name, cmp.Or(s.cfg.Members[s.cfg.Name], s.Addr())}}
@@ -206,9 +206,9 @@
 				return false, err
 			}
 			text, err := postRequest(ctx, c, []byte(s.cfg.Key), addr, "/found", body)
-			var f founderStatus
+			var answer founderStatus
 			if err == nil {
-				err = json.Unmarshal(text, &f)
+				err = json.Unmarshal(text, &answer)
 			}
 			var refusal *Refusal
 			switch {
@@ -218,7 +218,7 @@
 				continue
 			}
 			responded++
-			if !f.HasLog {
+			if !answer.HasLog {
 				continue
 			}
 			// Before it started, the other founder must have called this member. A folder without
@@ -240,15 +240,15 @@
 
 // initialSnapshot returns the snapshot that the log begins with. It is the same at each founder.
 func (s *Server) initialSnapshot() (*raftpb.Snapshot, error) {
-	c := replicatedState{Fleet: s.cfg.Fleet, Members: make(map[uint64]Endpoint)}
+	state := replicatedState{Fleet: s.cfg.Fleet, Members: make(map[uint64]Endpoint)}
 	conf := new(raftpb.ConfState)
 	for name := range s.cfg.Members {
 		id := founderID(s.cfg.Fleet, name)
-		c.Members[id] = Endpoint{Name: name} // addresses come from each member's own configuration
+		state.Members[id] = Endpoint{Name: name} // addresses come from each member's own configuration
 		conf.Voters = append(conf.Voters, id)
 	}
 	slices.Sort(conf.Voters)
-	text, err := json.Marshal(&c)
+	text, err := json.Marshal(&state)
 	one := uint64(1)
 	return &raftpb.Snapshot{Data: text, Metadata: &raftpb.SnapshotMetadata{ConfState: conf, Index: &one, Term: &one}}, err
 }
@@ -261,7 +261,7 @@
 		return nil, err
 	}
 	if f.Fleet != s.cfg.Fleet {
-		return nil, &Refusal{Code: http.StatusConflict, Text: fmt.Sprintf("this member is of fleet %q", s.cfg.Fleet)}
+		return nil, &Refusal{Code: http.StatusConflict, Text: fmt.Sprintf("this member belongs to fleet %q", s.cfg.Fleet)}
 	}
 	hasLog := s.currentMember() != nil
 	if !hasLog {
@@ -282,7 +282,7 @@
 	return func(w http.ResponseWriter, r *http.Request) {
 		body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBytes))
 		if err != nil {
-			http.Error(w, "the call is too long, or did not come whole", http.StatusRequestEntityTooLarge)
+			http.Error(w, "the request is too long or incomplete", http.StatusRequestEntityTooLarge)
 			return
 		}
 		requestMAC := computeMAC(key, []byte(path), body)
@@ -320,10 +320,10 @@
 // decodeStrict decodes JSON and rejects unknown fields: an entry from a newer caller must not be
 // applied without the fields that this version does not know.
 func decodeStrict(body []byte, v any) error {
-	d := json.NewDecoder(bytes.NewReader(body))
-	d.DisallowUnknownFields()
-	if err := d.Decode(v); err != nil {
-		return &Refusal{Code: http.StatusBadRequest, Text: "the call makes no sense: " + err.Error()}
+	decoder := json.NewDecoder(bytes.NewReader(body))
+	decoder.DisallowUnknownFields()
+	if err := decoder.Decode(v); err != nil {
+		return &Refusal{Code: http.StatusBadRequest, Text: "invalid request: " + err.Error()}
 	}
 	return nil
 }
@@ -333,7 +333,7 @@
 	if m := s.currentMember(); m != nil {
 		return m, nil
 	}
-	return nil, &Refusal{Code: http.StatusServiceUnavailable, Text: "this member has not found all founders yet"}
+	return nil, &Refusal{Code: http.StatusServiceUnavailable, Text: "this member has not started: not all founding members have responded yet"}
 }
 
 // handleRaft handles a batch of raft messages.
@@ -386,7 +386,7 @@
 		return nil, err
 	}
 	if e.Kind != agreement.KindPropose && e.Kind != agreement.KindWithdraw && e.Kind != agreement.KindRemove {
-		return nil, &Refusal{Code: http.StatusBadRequest, Text: fmt.Sprintf("%q is nothing that an operator does", e.Kind)}
+		return nil, &Refusal{Code: http.StatusBadRequest, Text: fmt.Sprintf("%q is not an entry that an operator can propose", e.Kind)}
 	}
 	if err := m.ProposeEntry(ctx, e); err != nil {
 		return nil, err
@@ -394,7 +394,7 @@
 	return m.Status(), nil
 }
 
-// statusRequest is a request for the status.
+// statusRequest is the body of a request for the status.
 type statusRequest struct {
 	Confirmed bool `json:"sure"` // a linearizable read, which only the leader can serve
 }
@@ -417,7 +417,8 @@
 	return m.Status(), nil
 }
 
-// memberChange is a request to add or remove a member.
+// memberChange is the body of a request to add or remove a member. The endpoint is ignored if
+// Remove is set.
 type memberChange struct {
 	Remove bool   `json:"remove"`
 	ID     uint64 `json:"id"`
--- a/internal/consensus/store.go
+++ b/internal/consensus/store.go
@@ -28,7 +28,7 @@
 	// ErrCorrupt means that stored data is corrupt or missing.
 	ErrCorrupt = errors.New("the data on disk is corrupt: remove this member from the council, then add it again with an empty folder")
 	// ErrForeignFolder means that the folder belongs to another member or fleet.
-	ErrForeignFolder = errors.New("the folder is another member's")
+	ErrForeignFolder = errors.New("the folder belongs to another member or fleet")
 )
 
 // store holds a member's log, hard state and snapshot. Each write is on disk before it returns,
@@ -52,7 +52,7 @@
 // another process keeps the database open.
 func openStore(folder string) (*store, error) {
 	if err := os.MkdirAll(folder, 0o700); err != nil {
-		return nil, fmt.Errorf("council: folder: %w", err)
+		return nil, fmt.Errorf("council: create the folder: %w", err)
 	}
 	db, err := bbolt.Open(filepath.Join(folder, "council.db"), 0o600, &bbolt.Options{Timeout: lockTimeout})
 	if err != nil {
@@ -189,15 +189,15 @@
 }
 
 // compact stores a snapshot that this member has made and deletes the entries below index keep.
-func (s *store) compact(snap *raftpb.Snapshot, keep uint64) error {
+func (s *store) compact(snap *raftpb.Snapshot, firstKept uint64) error {
 	err := s.db.Update(func(tx *bbolt.Tx) error {
 		if err := putMeta(tx, snapshotKey, snap); err != nil {
 			return err
 		}
-		return deleteEntries(tx.Bucket(logBucket), 0, keep)
+		return deleteEntries(tx.Bucket(logBucket), 0, firstKept)
 	})
 	if err != nil {
-		return fmt.Errorf("council: the log can't be made shorter: %w", err)
+		return fmt.Errorf("council: the log can't be compacted: %w", err)
 	}
 	return nil
 }
--- a/internal/consensus/transport.go
+++ b/internal/consensus/transport.go
@@ -29,8 +29,8 @@
 	maxReceivedMessages = 1024
 	// maxBatchBytes is the maximum size in bytes of a received batch of messages or response.
 	maxBatchBytes = 32 << 20
-	// transportTimeout is the timeout of a call between members and for reading a request's header. A
-	// whole request may take twice as long to read.
+	// transportTimeout is the timeout of a call between members and for reading the header of a
+	// request. A whole request may take twice as long to read.
 	transportTimeout = 2 * time.Second
 	// macHeader carries the MAC of a request or response, in hex.
 	macHeader = "Fawn-Mac"
@@ -70,25 +70,27 @@
 }
 
 // setMembers sets the current members: it opens queues to new ones and closes those to members that
-// are gone or have another address.
+// have been removed or have another address.
 func (t *transport) setMembers(self uint64, members map[uint64]Endpoint) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for id, queue := range t.queues {
-		if info, ok := members[id]; !ok || t.addrOf(info) != "" && t.addrOf(info) != queue.addr {
+		if endpoint, ok := members[id]; !ok || t.addrOf(endpoint) != "" && t.addrOf(endpoint) != queue.addr {
 			queue.cancel()
 			delete(t.queues, id)
 		}
 	}
-	for id, info := range members {
-		if id != self && t.addrOf(info) != "" {
-			t.openQueue(id, t.addrOf(info))
+	for id, endpoint := range members {
+		if id != self && t.addrOf(endpoint) != "" {
+			t.openQueue(id, t.addrOf(endpoint))
 		}
 	}
 }
 
 // addrOf returns the address of a member: the one in this member's configuration if there is one.
-func (t *transport) addrOf(info Endpoint) string { return cmp.Or(t.addrs[info.Name], info.Addr) }
+func (t *transport) addrOf(endpoint Endpoint) string {
+	return cmp.Or(t.addrs[endpoint.Name], endpoint.Addr)
+}
 
 // addSender opens a queue to the sender of a batch, for a member that does not know the others yet.
 func (t *transport) addSender(from sender) {
@@ -179,7 +181,7 @@
 	return append(binary.BigEndian.AppendUint32(b, uint32(len(text))), text...)
 }
 
-var errInvalidBatch = errors.New("council: the batch of messages makes no sense")
+var errInvalidBatch = errors.New("council: invalid batch of messages")
 
 // decodeBatch decodes a batch into its sender and its messages.
 func decodeBatch(b []byte) (sentBy sender, messages []*raftpb.Message, err error) {
@@ -227,7 +229,7 @@
 }
 
 // ErrWrongKey means that a request or response was not authenticated with the fleet's key.
-var ErrWrongKey = errors.New("council: it was not written with the fleet's key")
+var ErrWrongKey = errors.New("council: not authenticated with the fleet's key")
 
 // Refusal is an error response of a member.
 type Refusal struct {
