--- a/internal/fleet/cases_test.go
+++ b/internal/fleet/cases_test.go
@@ -51,9 +51,9 @@
 
 // A zone becomes unreachable five times, and the time between two faults can be too short for all
 // sidecars to return. The test guards against many sends into the zone in the last half second of
-// each fault, in whatever stage each sidecar is. The first fault lasts long enough that some sidecars
-// try the zone during it, even if they have few calls. They must leave it again. In the other
-// faults it depends on chance whether any sidecar tries the zone.
+// each fault, in whatever stage each sidecar is. The first fault lasts long enough that some
+// sidecars try the zone during it, even if they have few calls. They must leave it again. In the
+// other faults it depends on chance whether any sidecar tries the zone.
 func TestFewSendsWhenZoneFailsRepeatedly(t *testing.T) {
 	t.Parallel()
 	s := shippedSchedule(t, "relapses")
@@ -129,7 +129,7 @@
 	s := shippedSchedule(t, "zone-vanishes")
 	s.Features, s.Length = zoneFeatures, duration.Duration(11*time.Second)
 	order := `{"zone":"b","action":"leave","who":"kim","reason":"a test"}`
-	s.Faults = []Fault{{Kind: AdminCall, On: "sidecar:3", At: duration.Duration(time.Second), Name: "zones/order", With: order},
+	s.Faults = []Fault{{Kind: AdminCall, On: "sidecar:3", At: duration.Duration(time.Second), Name: "zones/order", Argument: order},
 		{Kind: Cut, From: "sidecars", To: "zone:a", At: duration.Duration(3 * time.Second), For: duration.Duration(1500 * time.Millisecond)}}
 	// During the departure, while out, and in each stage of the return.
 	for n, at := range []time.Duration{2500, 3500, 4200, 5100, 5700, 6300} {
@@ -180,16 +180,16 @@
 	}
 }
 
-// During a partition an operator orders one half to hold a zone and the other half to leave it, with
-// the same version. Each half must obey its own order, and after the partition all must obey the
-// order that was given at the sidecar with the higher number. Otherwise the halves would disagree for
-// good.
+// During a partition an operator orders one half to hold a zone and the other half to leave it,
+// with the same version. Each half must obey its own order, and after the partition all must obey
+// the order that was given at the sidecar with the higher number. Otherwise the halves would
+// disagree for good.
 func TestConflictingOrdersInPartition(t *testing.T) {
 	t.Parallel()
 	s := shippedSchedule(t, "parted")
 	s.Features, s.Length = zoneFeatures, duration.Duration(8*time.Second)
 	order := func(at time.Duration, on, action string) Fault {
-		return Fault{At: duration.Duration(at), Kind: AdminCall, On: on, Name: "zones/order", With: `{"zone":"b","action":"` + action + `","who":"kim","reason":"a test"}`}
+		return Fault{At: duration.Duration(at), Kind: AdminCall, On: on, Name: "zones/order", Argument: `{"zone":"b","action":"` + action + `","who":"kim","reason":"a test"}`}
 	}
 	partitionEnd := time.Duration(s.Faults[0].At + s.Faults[0].For)
 	s.Faults = []Fault{s.Faults[0], order(1500*time.Millisecond, "sidecar:3", "hold"), order(1600*time.Millisecond, "sidecar:9", "leave")}
@@ -215,7 +215,7 @@
 func TestFalseNotesFromOneSidecar(t *testing.T) {
 	t.Parallel()
 	s := shippedSchedule(t, "zone-vanishes")
-	s.Features, s.Length, s.Quiet = zoneFeatures, duration.Duration(6*time.Second), 4
+	s.Features, s.Length, s.QuietSidecars = zoneFeatures, duration.Duration(6*time.Second), 4
 	falseSidecar := s.Sidecars - 1
 	s.Faults = []Fault{{Kind: Kill, On: string(sidecarParty(falseSidecar)), At: duration.Duration(time.Second)}}
 	path, err := rig.BuildDaemon()
@@ -246,8 +246,8 @@
 	}
 }
 
-// sendFalseNotes sends notes in the name of a sidecar to all others until ctx ends, and returns their
-// number.
+// sendFalseNotes sends notes in the name of a sidecar to all others until ctx ends, and returns
+// their number.
 func sendFalseNotes(ctx context.Context, fleet *Fleet, self int) (sent int) {
 	cfg := evacuation.Default()
 	cfg.Self, cfg.Peers, cfg.Seed = self, fleet.schedule.Sidecars, 1
@@ -261,7 +261,7 @@
 	}
 	defer conn.Close()
 	var servers []evacuation.Server
-	for i := range fleet.schedule.Servers * len(fleet.schedule.Zones) {
+	for i := range fleet.schedule.ServersPerZone * len(fleet.schedule.Zones) {
 		servers = append(servers, evacuation.Server{Name: serverName(i), Zone: fleet.schedule.serverZone(i)})
 	}
 	began, incarnation := time.Now(), uint64(time.Now().Add(time.Hour).UnixMilli())
--- a/internal/fleet/check.go
+++ b/internal/fleet/check.go
@@ -12,8 +12,8 @@
 	// answerSlack is how long after the client's deadline an answer may arrive.
 	answerSlack = 250 * time.Millisecond
 	// lateSendSlack is how long after the end of a call its sidecar may still send attempts: they
-	// were in flight, or a busy run read them late from its links. It is above maxWakeupDelay, from
-	// which on starvation excuses a finding.
+	// were in flight, or this program was busy and read them late from its links. It is above
+	// maxWakeupDelay, the delay from which starvation of the machine excuses a finding.
 	lateSendSlack = 300 * time.Millisecond
 	// drainSlack is added to drainGrace, the drain grace of 2 s in the settings.
 	drainSlack = 300 * time.Millisecond
@@ -46,12 +46,12 @@
 }
 
 // span is a period of time, both ends included.
-type span struct{ from, to time.Duration }
+type span struct{ start, end time.Duration }
 
-func (s span) overlaps(from, to time.Duration) bool { return from <= s.to && to >= s.from }
+func (s span) overlaps(from, to time.Duration) bool { return from <= s.end && to >= s.start }
 
-// downtimes returns the periods in which a sidecar did not serve: from when it was killed, was stopped,
-// was told to end or exited, until it continued or served again.
+// downtimes returns the periods in which a sidecar did not serve: from when it was killed, was
+// stopped, got SIGTERM or exited, until it continued or served again.
 func (h *History) downtimes(party Party) (spans []span) {
 	var open *span
 	for _, e := range h.Events {
@@ -65,7 +65,7 @@
 			}
 		case e.Detail == "goes on", e.Detail == "serves":
 			if open != nil {
-				open.to = e.At
+				open.end = e.At
 				spans, open = append(spans, *open), nil
 			}
 		}
@@ -137,8 +137,8 @@
 		}
 		knownSince := e.At - e.DrainingFor
 		for _, downtime := range downtimes[call.Party] { // a stopped sidecar learns of the drain when it continues
-			if downtime.from <= e.At && downtime.to > knownSince && downtime.to <= e.At {
-				knownSince = downtime.to
+			if downtime.start <= e.At && downtime.end > knownSince && downtime.end <= e.At {
+				knownSince = downtime.end
 			}
 		}
 		if e.DrainingFor > 0 && e.At-knownSince > drainGrace+drainSlack {
@@ -219,7 +219,7 @@
 
 // serverZone returns the zone of a server, or "" if the schedule has no such server.
 func (h *History) serverZone(server string) string {
-	for n := range h.Schedule.Servers * len(h.Schedule.Zones) {
+	for n := range h.Schedule.ServersPerZone * len(h.Schedule.Zones) {
 		if serverName(n) == server {
 			return h.Schedule.serverZone(n)
 		}
--- a/internal/fleet/check_test.go
+++ b/internal/fleet/check_test.go
@@ -26,8 +26,8 @@
 	}}
 }
 
-// Guards against a checker that misses a violation, reports one that is not there, or does not excuse
-// it on a starved machine.
+// Guards against a checker that misses a violation, reports one that is not there, or does not
+// excuse it on a starved machine.
 func TestCheckFindsEachViolation(t *testing.T) {
 	if all := Check(validHistory()); len(all) > 0 {
 		t.Errorf("findings in a valid history: %v", all)
@@ -96,8 +96,8 @@
 	}
 }
 
-// Guards against a history that changes when it is written and read again, and against invalid files
-// that are accepted.
+// Guards against a history that changes when it is written and read again, and against invalid
+// files that are accepted.
 func TestHistoryRoundTrip(t *testing.T) {
 	h := validHistory()
 	var b bytes.Buffer
--- a/internal/fleet/datagrams.go
+++ b/internal/fleet/datagrams.go
@@ -24,7 +24,7 @@
 
 	queueMu       sync.Mutex
 	held          [][]byte
-	delayed       []byte // is sent after the next datagram; nil: none
+	delayed       []byte // a datagram to be sent after the next one; nil: none
 	byteCount     int64
 	datagramCount int64
 }
@@ -44,7 +44,7 @@
 // Addr returns the address to which From sends datagrams for To.
 func (n *NoteLink) Addr() string { return n.conn.LocalAddr().String() }
 
-// Sent returns the number of datagrams that From has sent, and of their bytes.
+// Sent returns the number of datagrams that From has sent and the number of their bytes.
 func (n *NoteLink) Sent() (count, bytes int64) {
 	n.queueMu.Lock()
 	defer n.queueMu.Unlock()
@@ -69,12 +69,12 @@
 // forward counts a datagram and forwards it with the impairment of the link.
 func (n *NoteLink) forward(datagram []byte) {
 	n.mu.Lock()
-	imp := n.impairments[outbound]
+	current := n.impairments[outbound]
 	n.mu.Unlock()
 	n.queueMu.Lock()
 	n.datagramCount++
 	n.byteCount += int64(len(datagram))
-	if imp.hold {
+	if current.hold {
 		if len(n.held) < maxHeldDatagrams {
 			n.held = append(n.held, datagram)
 		}
@@ -82,23 +82,23 @@
 		return
 	}
 	n.queueMu.Unlock()
-	if imp.cut || n.randomChance(imp.lossShare) {
+	if current.cut || n.randomChance(current.lossShare) {
 		return
 	}
 	outgoing := [][]byte{datagram}
-	if n.randomChance(imp.duplicateShare) {
+	if n.randomChance(current.duplicateShare) {
 		outgoing = append(outgoing, datagram)
 	}
 	n.queueMu.Lock()
 	switch {
 	case n.delayed != nil:
 		outgoing, n.delayed = append(outgoing, n.delayed), nil
-	case n.randomChance(imp.reorderShare):
+	case n.randomChance(current.reorderShare):
 		n.delayed, outgoing = datagram, nil
 	}
 	n.queueMu.Unlock()
 	for _, datagram := range outgoing {
-		if delay := n.randomDelay(imp); delay > 0 {
+		if delay := n.randomDelay(current); delay > 0 {
 			time.AfterFunc(delay, func() { n.send(datagram) })
 		} else {
 			n.send(datagram)
@@ -108,8 +108,8 @@
 
 func (n *NoteLink) send(datagram []byte) { n.conn.WriteToUDP(datagram, n.target) }
 
-// setImpairment changes the impairment of the link. If it does not hold datagrams, the held ones are
-// sent.
+// setImpairment changes the impairment of the link. If it does not hold datagrams, the held ones
+// are sent.
 func (n *NoteLink) setImpairment(modify func(imp *impairment)) {
 	n.update(func() { modify(&n.impairments[outbound]) })
 	n.mu.Lock()
--- a/internal/fleet/figures.go
+++ b/internal/fleet/figures.go
@@ -117,7 +117,7 @@
 func (h *History) ZoneExits() (exits []ZoneExit) {
 	zones, spans := h.zoneFaults()
 	for n, zone := range zones {
-		exits = append(exits, h.MeasureExit(zone, spans[n].from, spans[n].to, time.Duration(h.Schedule.Length)))
+		exits = append(exits, h.MeasureExit(zone, spans[n].start, spans[n].end, time.Duration(h.Schedule.Length)))
 	}
 	return exits
 }
@@ -126,7 +126,7 @@
 func (h *History) WriteReport(w io.Writer) error {
 	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	schedule := h.Schedule
-	fmt.Fprintf(table, "schedule\t%s, seed %d: %d sidecars, %d servers in each of %d zones, runs for %v\n", schedule.Name, schedule.Seed, schedule.Sidecars, schedule.Servers, len(schedule.Zones), time.Duration(schedule.Length))
+	fmt.Fprintf(table, "schedule\t%s, seed %d: %d sidecars, %d servers in each of %d zones, runs for %v\n", schedule.Name, schedule.Seed, schedule.Sidecars, schedule.ServersPerZone, len(schedule.Zones), time.Duration(schedule.Length))
 	verdicts := make(map[string]int)
 	for _, e := range h.Events {
 		if e.Kind == EventCall {
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -35,21 +35,21 @@
 	activeFaults map[int]Fault
 }
 
-// classes returns the classes for the settings of the sidecars, with the deadlines replaced if the
-// schedule has Wait.
+// classes returns the classes for the settings of the sidecars, with the deadlines replaced by
+// CallDeadline if the schedule has one.
 func (s *Schedule) classes() []rig.Class {
 	classes := rig.ActivationClasses()
-	if s.Wait > 0 {
+	if s.CallDeadline > 0 {
 		for n := range classes {
-			classes[n].Deadline = time.Duration(s.Wait)
+			classes[n].Deadline = time.Duration(s.CallDeadline)
 			classes[n].Aim = min(classes[n].Aim, classes[n].Deadline)
 		}
 	}
 	return classes
 }
 
-// New starts the stand-ins and the sidecar processes, and blocks until all sidecars serve. binary is
-// the path of the built daemon. The caller must close the Fleet.
+// New starts the stand-ins and the sidecar processes, and blocks until all sidecars serve. binary
+// is the path of the built daemon. The caller must close the Fleet.
 func New(ctx context.Context, schedule *Schedule, binary string) (*Fleet, error) {
 	if err := schedule.Validate(); err != nil {
 		return nil, err
@@ -67,11 +67,11 @@
 		return nil, err
 	}
 	var zones []string
-	for n := range schedule.Servers * len(schedule.Zones) {
+	for n := range schedule.ServersPerZone * len(schedule.Zones) {
 		zones = append(zones, schedule.serverZone(n))
 	}
-	fleet.site, err = rig.NewSite(rig.SiteConfig{Servers: len(zones), Classes: schedule.classes(), Zones: zones, StartWarm: true, ColdShare: schedule.ColdFrom, WarmUpTime: time.Duration(schedule.ColdFor),
-		Server: standin.ServerConfig{Script: fleet.script(standin.Action{}), RequestsPerSecond: schedule.Capacity, ColdShare: schedule.ColdFrom, WarmUpTime: time.Duration(schedule.ColdFor), FallFactor: schedule.Fall, FallFor: time.Duration(schedule.FallFor)}})
+	fleet.site, err = rig.NewSite(rig.SiteConfig{Servers: len(zones), Classes: schedule.classes(), Zones: zones, StartWarm: true, ColdShare: schedule.ColdShare, WarmUpTime: time.Duration(schedule.WarmUpTime),
+		Server: standin.ServerConfig{Script: fleet.script(standin.Action{}), RequestsPerSecond: schedule.ServerCapacity, ColdShare: schedule.ColdShare, WarmUpTime: time.Duration(schedule.WarmUpTime), FallFactor: schedule.FallFactor, FallFor: time.Duration(schedule.FallTime)}})
 	if err != nil {
 		return nil, err
 	}
@@ -110,22 +110,22 @@
 	return line
 }
 
-// script returns a script that always does act, by default after the Work time of the schedule.
+// script returns a script that always does act, by default after the WorkTime of the schedule.
 func (f *Fleet) script(act standin.Action) standin.Script {
 	if act.Delay == 0 {
-		act.Delay = time.Duration(f.schedule.Work)
+		act.Delay = time.Duration(f.schedule.WorkTime)
 	}
 	return standin.Always(act)
 }
 
-// startedRuns counts the fleets that this process has started.
+// startedRuns counts the fleets that this program has started.
 var startedRuns atomic.Uint32
 
-// pickHosts returns the loopback addresses on which the sidecars and the links of a run listen. They
-// differ from 127.0.0.1, so that no outgoing connection takes a port of a link that refuses or of a
-// sidecar that was killed before it listens there again. Each run has its own addresses: a port is
-// free from the time it is chosen until its sidecar listens, and a sidecar of another run could
-// otherwise take it and answer instead.
+// pickHosts returns the loopback addresses on which the sidecars and the links of a run listen.
+// They differ from 127.0.0.1, so that no outgoing connection takes a port of a link that refuses or
+// of a sidecar that was killed before it listens there again. Each run has its own addresses: a
+// port is free from the time it is chosen until its sidecar listens, and a sidecar of another run
+// could otherwise take it and answer instead.
 func pickHosts() (sidecars, links string) {
 	pid, run := os.Getpid(), 2+2*(int(startedRuns.Add(1))%120)
 	base := fmt.Sprintf("127.%d.%d.", 1+pid>>8&0x7f, pid&0xff)
@@ -204,8 +204,8 @@
 	settings := config["settings"].(map[string]any)
 	settings["rank"], settings["zone"] = n, f.schedule.sidecarZone(n)
 	settings["replicasOfMe"] = f.schedule.Sidecars
-	if f.schedule.Claimed > 0 {
-		settings["replicasOfMe"] = f.schedule.Claimed
+	if f.schedule.ClaimedSidecars > 0 {
+		settings["replicasOfMe"] = f.schedule.ClaimedSidecars
 	}
 	configJSON, err := json.Marshal(config)
 	if err != nil {
@@ -219,8 +219,8 @@
 	return os.WriteFile(p.featuresPath(), []byte(features), 0o600)
 }
 
-// createNoteLinks assigns each sidecar an address for notes and creates a link for each ordered pair
-// of sidecars.
+// createNoteLinks assigns each sidecar an address for notes and creates a link for each ordered
+// pair of sidecars.
 func (f *Fleet) createNoteLinks() error {
 	var conns []*net.UDPConn
 	defer func() {
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -35,13 +35,13 @@
 // unexcused finding fails the test.
 func runSchedule(t *testing.T, s *Schedule) *History {
 	t.Helper()
-	path, err := rig.BuildDaemon()
+	binary, err := rig.BuildDaemon()
 	if err != nil {
 		t.Fatal(err)
 	}
 	for try := 0; ; try++ {
 		ctx, stop := context.WithTimeout(context.Background(), time.Minute+time.Duration(s.Length))
-		h, err := Run(ctx, s, path)
+		h, err := Run(ctx, s, binary)
 		stop()
 		if err != nil {
 			t.Fatal(err)
--- a/internal/fleet/history.go
+++ b/internal/fleet/history.go
@@ -17,7 +17,7 @@
 const (
 	EventCall        = "call"    // a client called the sidecar Party, with Verdict after Elapsed
 	EventArrival     = "arrive"  // a whole request arrived at the server Party
-	EventSend        = "sent"    // the sidecar Party wrote the first byte of a request to the server Detail, and the last so far after Elapsed
+	EventSend        = "sent"    // the sidecar Party wrote the first byte of a request to the server Detail, and the last recorded byte after Elapsed
 	EventFaultStart  = "fault"   // the fault Detail began
 	EventFaultEnd    = "mended"  // the fault Detail ended
 	EventProcess     = "process" // the process of Party changed its state, as Detail says
@@ -33,7 +33,7 @@
 	Party       Party         `json:"who,omitempty"`
 	ID          string        `json:"id,omitempty"`
 	Class       string        `json:"class,omitempty"`
-	Verdict     string        `json:"verdict,omitempty"` // of a call: served, refused, failed, none or unsent; of a send: doubtful, or empty
+	Verdict     string        `json:"verdict,omitempty"` // of a call: served, refused, failed, none or unsent; of a send: doubtful if the time is uncertain, or empty
 	Elapsed     time.Duration `json:"took_ns,omitempty"`
 	Deadline    time.Duration `json:"wait_ns,omitempty"` // time that the client allows for the call
 	Zone        string        `json:"zone,omitempty"`
--- a/internal/fleet/link.go
+++ b/internal/fleet/link.go
@@ -122,7 +122,7 @@
 	id                    string
 	firstChunk, lastChunk time.Time // when the first chunk was read, and the last so far
 	// maybeQueued is set if the connection was accepted soon after a cut: the request may have been
-	// written long before and have waited in a queue.
+	// written long before firstChunk and have waited in a queue.
 	maybeQueued bool
 }
 
@@ -153,8 +153,8 @@
 	}
 }
 
-// NewLink starts a link to the address target. It listens on a free port of the IP address host. The
-// caller must close it.
+// NewLink starts a link to the address target. It listens on a free port of the IP address host.
+// The caller must close it.
 func NewLink(host string, from, to Party, target string, seed uint64) (*Link, error) {
 	l := &Link{From: from, To: to, linkState: newLinkState(seed), target: target, parked: make(chan struct{}, 1), conns: make(map[*proxyConn]struct{}), queueFillers: make(map[string]net.Conn)}
 	ln, err := net.Listen("tcp", host+":0")
@@ -289,11 +289,13 @@
 	err    error
 }
 
-// maxBufferedChunks limits the data that one direction buffers, in addition to the kernel's buffers.
+// maxBufferedChunks limits the data that one direction buffers, in addition to the kernel's
+// buffers.
 const maxBufferedChunks = 64
 
 // forward forwards one direction of a connection with its impairment. Reading continues while the
-// link is cut, because the time of the read tells when a sidecar wrote the data.
+// link is cut, because the time of the read is recorded as the time at which a sidecar wrote the
+// data.
 func (l *Link) forward(conn *proxyConn, dst, src *net.TCPConn, direction int) {
 	chunks := make(chan chunk, maxBufferedChunks)
 	go l.readChunks(conn, src, direction, chunks)
@@ -364,14 +366,16 @@
 	return true
 }
 
-// Limits for the connections that fill an accept queue during a cut, and for those accepted after it.
+// Limits for the connections that fill an accept queue during a cut, and for those accepted after
+// it.
 const (
 	// maxQueueFillers limits the connections that fill an accept queue.
 	maxQueueFillers = 8
-	// fillerTimeout is how long the dial of a filler may take. A timeout means that the queue is full.
+	// fillerTimeout is how long establishing a filling connection may take. A timeout means that the
+	// queue is full.
 	fillerTimeout = 40 * time.Millisecond
-	// queuedConnPeriod is the time after a cut in which an accepted connection may be one that was
-	// begun before the end of the cut.
+	// queuedConnPeriod is the time after a cut in which an accepted connection may have been started
+	// before the end of the cut.
 	queuedConnPeriod = 5 * time.Second
 )
 
@@ -393,8 +397,8 @@
 	}
 }
 
-// SetCut sets for each direction of the link whether it is cut. outboundCut is the direction from the
-// party that opens connections.
+// SetCut sets for each direction of the link whether it is cut. outboundCut is the direction from
+// the party that opens connections.
 func (l *Link) SetCut(outboundCut, inboundCut bool) {
 	l.setImpairments(func(imps *[2]impairment) { imps[outbound].cut, imps[inbound].cut = outboundCut, inboundCut })
 }
@@ -404,8 +408,8 @@
 	l.setImpairments(func(imps *[2]impairment) { imps[inbound].delay = inboundDelay })
 }
 
-// blockConnects prevents new connections from being established. It pauses the accept loop and fills
-// the accept queue: the kernel drops the first packet of a connection while the queue is full
+// blockConnects prevents new connections from being established. It pauses the accept loop and
+// fills the accept queue: the kernel drops the first packet of a connection while the queue is full
 // (listen(2), tcp(7)).
 func (l *Link) blockConnects(ln *net.TCPListener) {
 	ln.SetDeadline(time.Unix(1, 0))
@@ -423,7 +427,7 @@
 }
 
 // unblockConnects ends blockConnects. It resets the connections that entered the queue when the cut
-// began, as a machine that was away does not know them.
+// began, as a machine that was unreachable does not know them.
 func (l *Link) unblockConnects(ln *net.TCPListener) {
 	for range maxQueueFillers {
 		ln.SetDeadline(time.Now().Add(5 * time.Millisecond))
--- a/internal/fleet/link_test.go
+++ b/internal/fleet/link_test.go
@@ -106,8 +106,8 @@
 	}
 }
 
-// Guards against a cut of one direction that also affects the other: the request must arrive, and the
-// answer only after the cut.
+// Guards against a cut of one direction that also affects the other: the request must arrive, and
+// the answer only after the cut.
 func TestCutInOneDirection(t *testing.T) {
 	var mu sync.Mutex
 	got := ""
@@ -148,7 +148,8 @@
 	}
 }
 
-// Guards against resets, refusals, delays and rate limits of a link that have no effect or do not end.
+// Guards against resets, refusals, delays and rate limits of a link that have no effect or do not
+// end.
 func TestResetRefuseDelayTrickle(t *testing.T) {
 	l := newTestLink(t)
 	c := dialLink(t, l)
@@ -180,8 +181,8 @@
 	}
 }
 
-// Guards against faults of datagrams that have no effect, change the order or the number of datagrams
-// in another way, or do not end.
+// Guards against faults of datagrams that have no effect, change the order or the number of
+// datagrams in another way, or do not end.
 func TestNoteLinkFaults(t *testing.T) {
 	receiver, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 2)})
 	if err != nil {
--- a/internal/fleet/names.go
+++ b/internal/fleet/names.go
@@ -37,8 +37,8 @@
 
 // resolve returns the parties that a comma-separated selection names. Its elements are sidecars,
 // sidecar:3, sidecar:2-5, home:ZONE (the sidecars in the zone), servers, server:s3, zone:ZONE (the
-// servers in the zone), zone:ZONE:2/3 (every third of these servers, from the second on) and discovery.
-// An element that selects no party is an error.
+// servers in the zone), zone:ZONE:2/3 (every third of these servers, from the second on) and
+// discovery. An element that selects no party is an error.
 func (p partySelector) resolve(text string) (parties []Party, err error) {
 	for _, word := range strings.Split(text, ",") {
 		word = strings.TrimSpace(word)
@@ -68,17 +68,17 @@
 			argument, part, hasPart := strings.Cut(argument, ":")
 			partNumber, parts := 1, 1
 			if hasPart {
-				if fields, _ := fmt.Sscanf(part, "%d/%d", &partNumber, &parts); fields != 2 || partNumber < 1 || partNumber > parts || parts > p.schedule.Servers {
-					return nil, fmt.Errorf("%q: a part of the %d servers of a zone must have the form 1/2", word, p.schedule.Servers)
+				if fields, _ := fmt.Sscanf(part, "%d/%d", &partNumber, &parts); fields != 2 || partNumber < 1 || partNumber > parts || parts > p.schedule.ServersPerZone {
+					return nil, fmt.Errorf("%q: a part of the %d servers of a zone must have the form 1/2", word, p.schedule.ServersPerZone)
 				}
 			}
-			for i := range p.schedule.Servers * len(p.schedule.Zones) {
+			for i := range p.schedule.ServersPerZone * len(p.schedule.Zones) {
 				if (kind == "servers" || p.schedule.serverZone(i) == argument) && i/len(p.schedule.Zones)%parts == partNumber-1 {
 					parties = append(parties, serverParty(serverName(i)))
 				}
 			}
 		case "server":
-			for i := range p.schedule.Servers * len(p.schedule.Zones) {
+			for i := range p.schedule.ServersPerZone * len(p.schedule.Zones) {
 				if serverName(i) == argument {
 					parties = append(parties, serverParty(argument))
 				}
--- a/internal/fleet/page.go
+++ b/internal/fleet/page.go
@@ -24,9 +24,9 @@
 
 // mark is a rectangle of the chart, with the CSS class Class and the tooltip Title.
 type mark struct {
-	X, Y, W, H float64
-	Class      string
-	Title      string
+	X, Y, Width, Height float64
+	Class               string
+	Title               string
 }
 
 // label is a text in the chart.
@@ -84,11 +84,11 @@
 		party := sidecarParty(n)
 		laneTops[party] = addLane(string(party) + " " + h.Schedule.sidecarZone(n))
 		for _, downtime := range h.downtimes(party) {
-			from := x(downtime.from)
-			data.Marks = append(data.Marks, mark{from, laneTops[party], max(1, x(downtime.to)-from), laneHeight, "down", "not running"})
+			from := x(downtime.start)
+			data.Marks = append(data.Marks, mark{from, laneTops[party], max(1, x(downtime.end)-from), laneHeight, "down", "not running"})
 		}
 	}
-	for n := range h.Schedule.Servers * len(h.Schedule.Zones) {
+	for n := range h.Schedule.ServersPerZone * len(h.Schedule.Zones) {
 		laneTops[serverParty(serverName(n))] = addLane(serverName(n) + " in " + h.Schedule.serverZone(n))
 	}
 	for _, e := range h.Events {
@@ -96,14 +96,14 @@
 		if !ok || e.At < 0 {
 			continue
 		}
-		eventMark := mark{X: x(e.At), Y: at + 3, W: 1.5, H: laneHeight - 6}
+		eventMark := mark{X: x(e.At), Y: at + 3, Width: 1.5, Height: laneHeight - 6}
 		switch {
 		case e.Kind == EventCall:
 			eventMark.Class, eventMark.Title = e.Verdict, fmt.Sprintf("%s %s after %v", e.Class, e.Verdict, e.Elapsed.Round(time.Millisecond))
 		case e.Kind == EventArrival:
 			eventMark.Class = "arrive"
 		case e.Kind == EventLogLine && strings.Contains(e.Detail, "msg=zone"):
-			eventMark.Class, eventMark.Title, eventMark.W, eventMark.Y, eventMark.H = "zone", e.Detail, 4, at, laneHeight
+			eventMark.Class, eventMark.Title, eventMark.Width, eventMark.Y, eventMark.Height = "zone", e.Detail, 4, at, laneHeight
 		default:
 			continue
 		}
--- a/internal/fleet/process.go
+++ b/internal/fleet/process.go
@@ -26,7 +26,7 @@
 	exitTimeout = 15 * time.Second
 	// maxLogLines limits the log lines of one sidecar that are added to a history.
 	maxLogLines = 20000
-	// starvePeriod is the period in which a starved process runs once for its share.
+	// starvePeriod is the period in which a starved process runs once, for its share of the period.
 	starvePeriod = 100 * time.Millisecond
 )
 
@@ -118,7 +118,7 @@
 		if p.cmd == cmd {
 			p.cmd = nil
 		} else {
-			detail = "the process before " + detail
+			detail = "the process before " + detail // a prefix other than "ended", which begins a downtime
 		}
 		p.mu.Unlock()
 		p.history.add(Event{Kind: EventProcess, Party: p.party, Detail: detail})
@@ -158,8 +158,8 @@
 	}
 }
 
-// upgrade starts a second process and sends the first one SIGTERM when the second is ready. It blocks
-// until the first has exited.
+// upgrade starts a second process and sends the first one SIGTERM when the second is ready. It
+// blocks until the first has exited.
 func (p *process) upgrade() error {
 	p.mu.Lock()
 	first, firstExited := p.cmd, p.exited
@@ -190,8 +190,8 @@
 	return nil
 }
 
-// recordServing blocks until the process serves and records that. Until then Check expects no answers
-// from it.
+// recordServing blocks until the process serves and records that. Until then Check expects no
+// answers from it.
 func (p *process) recordServing() {
 	if p.awaitReady(p.ctx) == nil {
 		p.history.add(Event{Kind: EventProcess, Party: p.party, Detail: "serves"})
@@ -238,8 +238,8 @@
 	p.awaitExit(exitTimeout)
 }
 
-// breakConfig replaces the configuration by an invalid one so that starts fail, or restores it if on
-// is false.
+// breakConfig replaces the configuration by an invalid one so that starts fail, or restores it if
+// on is false.
 func (p *process) breakConfig(on bool) error {
 	intactPath := p.configPath() + ".whole"
 	if !on {
@@ -251,7 +251,8 @@
 	return os.WriteFile(p.configPath(), []byte("{"), 0o600)
 }
 
-// terminate ends the process with SIGTERM, as a planned restart does, or kills it after exitTimeout.
+// terminate ends the process with SIGTERM, as a planned restart does. It kills the process if it
+// has not exited after exitTimeout.
 func (p *process) terminate() {
 	p.signal(syscall.SIGTERM)
 	if p.awaitExit(exitTimeout) != nil {
--- a/internal/fleet/run.go
+++ b/internal/fleet/run.go
@@ -41,11 +41,11 @@
 }
 
 // Play sends the load and plays the faults of the schedule. It blocks until all calls have ended.
-// Times in the history are relative to its start. It may be called once.
+// Times in the history are relative to the start of Play. It may be called once.
 func (f *Fleet) Play(ctx context.Context) error {
 	ctx, f.cancel = context.WithCancel(ctx)
-	for _, p := range f.sidecars {
-		p.ctx, p.wg = ctx, &f.wg
+	for _, sidecar := range f.sidecars {
+		sidecar.ctx, sidecar.wg = ctx, &f.wg
 	}
 	f.history.mu.Lock()
 	created := f.history.started
@@ -91,7 +91,7 @@
 // ends; runCtx aborts open calls.
 func (f *Fleet) runClient(loadCtx, runCtx context.Context, n int) {
 	rate := f.schedule.Rate
-	if n >= len(f.sidecars)-f.schedule.Quiet {
+	if n >= len(f.sidecars)-f.schedule.QuietSidecars {
 		rate /= 20
 	}
 	rng := rand.New(rand.NewPCG(f.schedule.Seed, uint64(n)<<8|1))
@@ -120,7 +120,7 @@
 		openCalls.Go(func() {
 			defer func() { <-slots }()
 			start := f.history.now()
-			ctx, cancel := context.WithTimeout(runCtx, call.Deadline+time.Duration(f.schedule.Linger))
+			ctx, cancel := context.WithTimeout(runCtx, call.Deadline+time.Duration(f.schedule.LingerTime))
 			defer cancel()
 			reply := client.Do(ctx, call)
 			f.history.add(Event{At: start, Kind: EventCall, Party: f.sidecars[n].party, ID: call.ID, Class: call.Class.Name, Verdict: reply.Verdict(), Elapsed: reply.Elapsed, Deadline: call.Deadline})
@@ -185,19 +185,19 @@
 }
 
 // String describes a fault on one line.
-func (x Fault) String() string {
-	text := string(x.Kind)
-	if x.On != "" {
-		text += " " + x.On
+func (f Fault) String() string {
+	text := string(f.Kind)
+	if f.On != "" {
+		text += " " + f.On
 	}
-	if x.From != "" {
-		text += " " + x.From + " to " + x.To
+	if f.From != "" {
+		text += " " + f.From + " to " + f.To
 	}
-	if x.OneWay {
+	if f.OneWay {
 		text += ", one way"
 	}
-	if x.Kind == AdminCall || x.Kind == Marker || x.Kind == SetStatus {
-		text += " " + x.Name + " " + x.With
+	if f.Kind == AdminCall || f.Kind == Marker || f.Kind == SetStatus {
+		text += " " + f.Name + " " + f.Argument
 	}
 	return text
 }
@@ -249,7 +249,7 @@
 	case fault.Kind == AdminCall && begin:
 		f.wg.Go(func() {
 			var answer any
-			request := strings.ReplaceAll(fault.With, "@SOCKET@", sidecar.socketPath())
+			request := strings.ReplaceAll(fault.Argument, "@SOCKET@", sidecar.socketPath())
 			err := admin.Do(context.Background(), sidecar.socketPath(), fault.Name, json.RawMessage(request), &answer)
 			detail := fmt.Sprintf("deed %s: done", fault.Name)
 			if err != nil {
@@ -318,7 +318,7 @@
 	}
 	if fault.Kind == SetStatus {
 		if begin {
-			return f.setStatus(server, index, fault.With)
+			return f.setStatus(server, index, fault.Argument)
 		}
 		return nil
 	}
@@ -338,7 +338,7 @@
 		case Decline:
 			act.Kind = standin.Decline
 		case Slow:
-			act.Delay = time.Duration(fault.Factor * float64(f.schedule.Work))
+			act.Delay = time.Duration(fault.Factor * float64(f.schedule.WorkTime))
 		}
 	}
 	server.SetScript(f.script(act))
@@ -385,7 +385,7 @@
 		case fault.Kind == Kill:
 			discovery.SetDown(begin)
 		case begin:
-			discovery.SetDelay(time.Duration(fault.By))
+			discovery.SetDelay(time.Duration(fault.AddedDelay))
 		default:
 			discovery.SetDelay(0)
 		}
@@ -469,11 +469,11 @@
 	case Cut:
 		imp.cut = true
 	case Delay:
-		imp.delay += time.Duration(fault.By)
-		imp.jitter += time.Duration(fault.Spread)
+		imp.delay += time.Duration(fault.AddedDelay)
+		imp.jitter += time.Duration(fault.DelaySpread)
 	case Trickle:
-		if imp.bytesPerSecond == 0 || fault.Rate < imp.bytesPerSecond {
-			imp.bytesPerSecond = fault.Rate
+		if imp.bytesPerSecond == 0 || fault.BytesPerSecond < imp.bytesPerSecond {
+			imp.bytesPerSecond = fault.BytesPerSecond
 		}
 	case Loss:
 		imp.lossShare = 1 - (1-imp.lossShare)*(1-fault.Share)
--- a/internal/fleet/schedule.go
+++ b/internal/fleet/schedule.go
@@ -37,8 +37,8 @@
 const (
 	Cut       FaultKind = "cut"     // no data passes, no connection is reset, new connections are not established
 	Reset     FaultKind = "reset"   // open and new connections are reset
-	Delay     FaultKind = "delay"   // data is delayed by By plus a random time below Spread
-	Trickle   FaultKind = "trickle" // each connection passes Rate bytes per second
+	Delay     FaultKind = "delay"   // data is delayed by AddedDelay plus a random time below DelaySpread
+	Trickle   FaultKind = "trickle" // each connection passes BytesPerSecond
 	Loss      FaultKind = "loss"    // a Share of the datagrams is lost
 	Duplicate FaultKind = "double"  // a Share of the datagrams is delivered twice
 	Reorder   FaultKind = "reorder" // a Share of the datagrams is delivered after the next one
@@ -46,8 +46,8 @@
 )
 
 // Faults of the processes that On selects. Sidecars support Kill, Stop, Terminate, Upgrade, Starve,
-// BreakConfig and AdminCall, servers Kill, Freeze, Fail, Slow, Decline and SetStatus, discovery Kill
-// and Lag.
+// BreakConfig and AdminCall, servers Kill, Freeze, Fail, Slow, Decline and SetStatus, discovery
+// Kill and Lag.
 const (
 	Kill        FaultKind = "kill"    // ends the process at once; it starts again when the fault ends
 	Stop        FaultKind = "stop"    // SIGSTOP, and SIGCONT when the fault ends
@@ -59,10 +59,10 @@
 	Fail        FaultKind = "fail"    // answers 500
 	Slow        FaultKind = "slow"    // takes Factor times as long to answer
 	Decline     FaultKind = "decline" // declines all requests
-	SetStatus   FaultKind = "list"    // discovery lists the server as With: up, draining, removed, or new (just started)
-	Lag         FaultKind = "lag"     // discovery delays changes of its list by By
-	AdminCall   FaultKind = "deed"    // calls Name with the request With on a sidecar's admin socket
-	Marker      FaultKind = "mark"    // has no effect: a time span that the report names
+	SetStatus   FaultKind = "list"    // discovery lists the server as Argument: up, draining, removed, or new (just started)
+	Lag         FaultKind = "lag"     // discovery delays changes of its list by AddedDelay
+	AdminCall   FaultKind = "deed"    // calls Name on the admin socket of a sidecar, with the request Argument
+	Marker      FaultKind = "mark"    // has no effect; it marks a time span in the history and on the page
 )
 
 var linkFaultKinds = []FaultKind{Cut, Reset, Delay, Trickle, Loss, Duplicate, Reorder, Hold}
@@ -73,60 +73,61 @@
 	Freeze: "server", Fail: "server", Slow: "server", Decline: "server", SetStatus: "server", Lag: "discovery",
 }
 
-// Fault is one fault of a schedule.
+// Fault is one fault of a schedule. The json tags are the names of the fields in histories.
 type Fault struct {
-	At     duration.Duration `toml:"at"`  // since the start of the load
-	For    duration.Duration `toml:"for"` // 0: until the end of the run
-	Kind   FaultKind         `toml:"kind"`
-	On     string            `toml:"on,omitempty"`   // selects the processes
-	From   string            `toml:"from,omitempty"` // selects one end of the links
-	To     string            `toml:"to,omitempty"`   // selects the other end
-	OneWay bool              `toml:"one_way,omitempty"`
-	By     duration.Duration `toml:"by,omitempty"` // delay
-	Spread duration.Duration `toml:"spread,omitempty"`
-	Rate   int               `toml:"rate,omitempty"` // bytes per second
-	Share  float64           `toml:"share,omitempty"`
-	Factor float64           `toml:"factor,omitempty"`
-	Name   string            `toml:"name,omitempty"`
-	With   string            `toml:"with,omitempty"` // a status, or the request of an admin call in JSON
+	At             duration.Duration `toml:"at"`  // since the start of the load
+	For            duration.Duration `toml:"for"` // 0: until the end of the run
+	Kind           FaultKind         `toml:"kind"`
+	On             string            `toml:"on,omitempty"`   // selects the processes
+	From           string            `toml:"from,omitempty"` // selects one end of the links
+	To             string            `toml:"to,omitempty"`   // selects the other end
+	OneWay         bool              `toml:"one_way,omitempty"`
+	AddedDelay     duration.Duration `toml:"by,omitempty" json:"By"`
+	DelaySpread    duration.Duration `toml:"spread,omitempty" json:"Spread"`
+	BytesPerSecond int               `toml:"rate,omitempty" json:"Rate"`
+	Share          float64           `toml:"share,omitempty"`
+	Factor         float64           `toml:"factor,omitempty"`
+	Name           string            `toml:"name,omitempty"`
+	Argument       string            `toml:"with,omitempty" json:"With"` // a status, or the request of an admin call in JSON
 }
 
 // Schedule describes a fleet, its load and the faults that are injected. It is read from a file or
-// generated from a seed.
+// generated from a seed. The json tags are the names of the fields in histories.
 type Schedule struct {
-	Name     string            `toml:"name"`
-	Seed     uint64            `toml:"seed"`
-	Sidecars int               `toml:"sidecars"`
-	Zones    []string          `toml:"zones"`
-	Servers  int               `toml:"servers"`  // in each zone
-	Rate     float64           `toml:"rate"`     // calls per second of each client
-	Quiet    int               `toml:"quiet"`    // the last Quiet sidecars get a twentieth of Rate
-	Work     duration.Duration `toml:"work"`     // time that a server takes to process a call
-	Capacity float64           `toml:"capacity"` // requests per second of a warm server; 0: unlimited
-	// A restarted server is cold: it starts with the share ColdFrom of its capacity and is warm
-	// after ColdFor. It fails permanently when it gets Fall times its current capacity for FallFor.
-	ColdFrom float64           `toml:"cold_from"`
-	ColdFor  duration.Duration `toml:"cold_for"`
-	Fall     float64           `toml:"fall"`
-	FallFor  duration.Duration `toml:"fall_for"`
-	Length   duration.Duration `toml:"length"`
-	// Wait replaces the deadlines of the classes if it is above 0. Linger is how long clients
-	// keep a connection open after the deadline.
-	Wait   duration.Duration `toml:"wait"`
-	Linger duration.Duration `toml:"linger"`
-	Class  string            `toml:"class"` // the only class that clients call; empty: all three
+	Name           string            `toml:"name"`
+	Seed           uint64            `toml:"seed"`
+	Sidecars       int               `toml:"sidecars"`
+	Zones          []string          `toml:"zones"`
+	ServersPerZone int               `toml:"servers" json:"Servers"`   // in each zone
+	Rate           float64           `toml:"rate"`                     // calls per second of each client
+	QuietSidecars  int               `toml:"quiet" json:"Quiet"`       // number of sidecars, the last ones, whose clients have a twentieth of Rate
+	WorkTime       duration.Duration `toml:"work" json:"Work"`         // time that a server takes to process a call
+	ServerCapacity float64           `toml:"capacity" json:"Capacity"` // requests per second of a warm server; 0: unlimited
+	// A restarted server is cold: it starts with the share ColdShare of its capacity and is warm
+	// after WarmUpTime. It fails permanently when it gets FallFactor times its current capacity for
+	// FallTime.
+	ColdShare  float64           `toml:"cold_from" json:"ColdFrom"`
+	WarmUpTime duration.Duration `toml:"cold_for" json:"ColdFor"`
+	FallFactor float64           `toml:"fall" json:"Fall"`
+	FallTime   duration.Duration `toml:"fall_for" json:"FallFor"`
+	Length     duration.Duration `toml:"length"`
+	// CallDeadline replaces the deadlines of the classes if it is above 0. LingerTime is how long
+	// clients keep a connection open after the deadline.
+	CallDeadline duration.Duration `toml:"wait" json:"Wait"`
+	LingerTime   duration.Duration `toml:"linger" json:"Linger"`
+	Class        string            `toml:"class"` // the only class that clients call; empty: all three
 	// Features is the features file of each sidecar. @SOCKET@ is replaced by the path of its admin
 	// socket and @DIR@ by its directory.
-	Features string  `toml:"features"`
-	Claimed  int     `toml:"claimed"` // number of sidecars that the settings state; 0: the actual number
-	Faults   []Fault `toml:"faults"`
+	Features        string  `toml:"features"`
+	ClaimedSidecars int     `toml:"claimed" json:"Claimed"` // number of sidecars that the settings state; 0: the actual number
+	Faults          []Fault `toml:"faults"`
 }
 
 // ParseSchedule decodes a schedule from TOML, fills in defaults and validates it. Errors name the
 // field or the line.
 func ParseSchedule(text []byte) (*Schedule, error) {
-	schedule := &Schedule{Seed: 1, Sidecars: 12, Zones: []string{"a", "b", "c"}, Servers: 3, Rate: 10, Length: duration.Duration(5 * time.Second),
-		Work: duration.Duration(20 * time.Millisecond), Linger: duration.Duration(300 * time.Millisecond)}
+	schedule := &Schedule{Seed: 1, Sidecars: 12, Zones: []string{"a", "b", "c"}, ServersPerZone: 3, Rate: 10, Length: duration.Duration(5 * time.Second),
+		WorkTime: duration.Duration(20 * time.Millisecond), LingerTime: duration.Duration(300 * time.Millisecond)}
 	decoder := toml.NewDecoder(bytes.NewReader(text)).DisallowUnknownFields()
 	if err := decoder.Decode(schedule); err != nil {
 		var strict *toml.StrictMissingError
@@ -155,12 +156,12 @@
 	for n, zone := range s.Zones {
 		require(zone != "" && !slices.Contains(s.Zones[:n], zone), "zones", "%q is duplicate or empty", zone)
 	}
-	require(s.Servers >= 1 && s.Servers*len(s.Zones) <= MaxServers, "servers", "must be at least 1, and at most %d in all zones together", MaxServers)
+	require(s.ServersPerZone >= 1 && s.ServersPerZone*len(s.Zones) <= MaxServers, "servers", "must be at least 1, and at most %d in all zones together", MaxServers)
 	require(s.Rate > 0 && s.Rate <= MaxRate, "rate", "must be above 0 and at most %v", MaxRate)
-	require(s.Quiet >= 0 && s.Quiet <= s.Sidecars, "quiet", "must be between 0 and the number of sidecars")
+	require(s.QuietSidecars >= 0 && s.QuietSidecars <= s.Sidecars, "quiet", "must be between 0 and the number of sidecars")
 	require(s.Length > 0 && time.Duration(s.Length) <= MaxLength, "length", "must be above 0 and at most %v", MaxLength)
-	require(s.ColdFrom >= 0 && s.ColdFrom <= 1, "cold_from", "must be between 0 and 1")
-	require(s.Claimed >= 0, "claimed", "must be 0 or more")
+	require(s.ColdShare >= 0 && s.ColdShare <= 1, "cold_from", "must be between 0 and 1")
+	require(s.ClaimedSidecars >= 0, "claimed", "must be 0 or more")
 	require(len(s.Faults) <= MaxFaults, "faults", "must be at most %d", MaxFaults)
 	if err != nil {
 		return err
@@ -190,13 +191,13 @@
 		}
 		switch fault.Kind {
 		case Trickle:
-			require(fault.Rate > 0, faultField("rate"), "must be above 0")
+			require(fault.BytesPerSecond > 0, faultField("rate"), "must be above 0")
 		case Slow:
 			require(fault.Factor >= 1, faultField("factor"), "must be 1 or more")
 		case Starve:
 			require(fault.Share > 0 && fault.Share < 1, faultField("share"), "must be above 0 and below 1")
 		case SetStatus:
-			require(slices.Contains([]string{"up", "draining", "removed", "new"}, fault.With), faultField("with"), "must be up, draining, removed or new")
+			require(slices.Contains([]string{"up", "draining", "removed", "new"}, fault.Argument), faultField("with"), "must be up, draining, removed or new")
 		case AdminCall:
 			require(fault.Name != "", faultField("name"), "must name an admin call")
 		}
@@ -247,7 +248,7 @@
 	case 2:
 		fault.Kind, fault.From, fault.To, fault.OneWay = Cut, randomSidecar(), randomZone(), source.IntN(2) == 0
 	case 3:
-		fault.Kind, fault.From, fault.To, fault.By, fault.Spread = Delay, "sidecars", randomZone(), randomMillis(5, 200), randomMillis(0, 50)
+		fault.Kind, fault.From, fault.To, fault.AddedDelay, fault.DelaySpread = Delay, "sidecars", randomZone(), randomMillis(5, 200), randomMillis(0, 50)
 	case 4:
 		fault.Kind, fault.From, fault.To = Reset, "sidecars", randomZone()
 	case 5:
@@ -275,7 +276,7 @@
 		s.Rate = rate
 	}
 	if servers > 0 {
-		s.Servers = servers
+		s.ServersPerZone = servers
 	}
 	if sidecars <= 0 || sidecars == s.Sidecars {
 		return
@@ -297,5 +298,5 @@
 		fault := &s.Faults[n]
 		fault.On, fault.From, fault.To = scaleRanges(fault.On), scaleRanges(fault.From), scaleRanges(fault.To)
 	}
-	s.Sidecars, s.Quiet = sidecars, s.Quiet*sidecars/oldSidecars
+	s.Sidecars, s.QuietSidecars = sidecars, s.QuietSidecars*sidecars/oldSidecars
 }
--- a/internal/fleet/shrink_test.go
+++ b/internal/fleet/shrink_test.go
@@ -43,8 +43,8 @@
 func (s *silentTB) Fatalf(string, ...any) { s.failed = true }
 func (s *silentTB) Logf(string, ...any)   {}
 
-// findShrunk lets rapid search for a schedule for which breaks is true, and shrink it. It returns nil
-// if there is none.
+// findShrunk lets rapid search for a schedule for which breaks is true, and shrink it. It returns
+// nil if there is none.
 func findShrunk(t *testing.T, base Schedule, breaks func(*Schedule) bool) (s *Schedule) {
 	t.Helper()
 	if err := flag.Set("rapid.nofailfile", "true"); err != nil {
@@ -60,8 +60,8 @@
 	return s
 }
 
-// Guards against random faults that rapid cannot shrink: a failing schedule of up to six faults must
-// be reduced to the one or two faults that cause the failure, as short as possible.
+// Guards against random faults that rapid cannot shrink: a failing schedule of up to six faults
+// must be reduced to the one or two faults that cause the failure, as short as possible.
 func TestRapidShrinksSchedules(t *testing.T) {
 	base := shippedSchedule(t, "zone-vanishes")
 	base.Length = duration.Duration(9 * time.Second)
@@ -104,8 +104,8 @@
 	}
 }
 
-// Searches for schedules that break a rule, over real processes. Runs only with FAWN_HUNT set. rapid
-// generates as many schedules as -rapid.checks says, and shrinks one that breaks a rule for
+// Searches for schedules that break a rule, over real processes. Runs only with FAWN_HUNT set.
+// rapid generates as many schedules as -rapid.checks says, and shrinks one that breaks a rule for
 // -rapid.shrinktime. With FAWN_PLANT=1 the test adds an artificial violation that requires two
 // faults: a sidecar is stopped while a zone is cut off.
 func TestHuntByRapid(t *testing.T) {
@@ -117,7 +117,7 @@
 		t.Fatal(err)
 	}
 	base := shippedSchedule(t, "zone-vanishes")
-	base.Features, base.Sidecars, base.Quiet, base.Length = zoneFeatures, 4, 1, duration.Duration(3*time.Second)
+	base.Features, base.Sidecars, base.QuietSidecars, base.Length = zoneFeatures, 4, 1, duration.Duration(3*time.Second)
 	runs := 0
 	s := findShrunk(t, *base, func(s *Schedule) bool {
 		runs++
@@ -138,8 +138,8 @@
 	}
 }
 
-// plantedFindings returns a finding for each time that the artificial violation of FAWN_PLANT occurs
-// in a history.
+// plantedFindings returns a finding for each time that the artificial violation of FAWN_PLANT
+// occurs in a history.
 func plantedFindings(h *History) (findings []Finding) {
 	activeCuts := 0
 	for _, e := range h.Events {
--- a/internal/fleet/zones_test.go
+++ b/internal/fleet/zones_test.go
@@ -23,8 +23,8 @@
 proof = "500ms"
 `
 
-// shortSchedule returns an embedded schedule with zoneFeatures, whose faults last maxFault at most. The
-// run ends at 2 s plus maxFault plus after.
+// shortSchedule returns an embedded schedule with zoneFeatures, whose faults last maxFault at most.
+// The run ends at 2 s plus maxFault plus after.
 func shortSchedule(t *testing.T, name string, maxFault, after time.Duration) *Schedule {
 	s := shippedSchedule(t, name)
 	s.Features = zoneFeatures
@@ -93,8 +93,9 @@
 }
 
 // departures returns the sidecars that left a zone, with the time when each first did so: when it
-// went from a stage in which it sends normally to one in which it sends nothing or little. A sidecar
-// that learns of a departure late, after a partition, enters a stage of the return directly.
+// went from a stage in which it sends normally to one in which it sends nothing or little. A
+// sidecar that learns of a departure late, after a partition, enters a stage of the return
+// directly.
 func (h *History) departures(zone string) map[Party]time.Duration {
 	departed, sendingStages := make(map[Party]time.Duration), map[string]bool{"all": true, "part": true, "left alone": true}
 	for _, l := range h.stageLines() {
@@ -110,15 +111,15 @@
 const departureLimit = 2*time.Second + 700*time.Millisecond
 
 // A zone becomes unreachable, or its servers die with resets, and is back later. The test guards
-// against sidecars that leave too late, also those with very few calls, against many lost calls, and
-// against a return that is not gradual or not complete.
+// against sidecars that leave too late, also those with very few calls, against many lost calls,
+// and against a return that is not gradual or not complete.
 func TestFleetLeavesAndReturns(t *testing.T) {
 	t.Parallel()
 	for _, name := range []string{"zone-vanishes", "zone-dies"} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			s := shortSchedule(t, name, 1500*time.Millisecond, 12*time.Second)
-			s.Quiet = 2
+			s.QuietSidecars = 2
 			h := runSchedule(t, s)
 			exit := h.ZoneExits()[0]
 			departed := h.departures("a")
@@ -172,9 +173,9 @@
 	}
 }
 
-// finalStages returns the stage of each sidecar for a zone at the end, according to its log. Sidecars
-// that logged no change since their last start are omitted: they are in the stage in which all may
-// send, which is the first one.
+// finalStages returns the stage of each sidecar for a zone at the end, according to its log.
+// Sidecars that logged no change since their last start are omitted: they are in the stage in which
+// all may send, which is the first one.
 func (h *History) finalStages(zone string) map[Party]string {
 	stages, started := make(map[Party]string), make(map[Party]time.Duration)
 	for _, e := range h.Events {
@@ -190,9 +191,9 @@
 	return stages
 }
 
-// Guards against a fleet that leaves a zone which has not failed for the fleet: half of the sidecars
-// are cut off from it, one has a bad link, or all zones fail at once. Only the sidecars that are cut
-// off may leave, each for itself.
+// Guards against a fleet that leaves a zone which has not failed for the fleet: half of the
+// sidecars are cut off from it, one has a bad link, or all zones fail at once. Only the sidecars
+// that are cut off may leave, each for itself.
 func TestNoDepartureFromWorkingZones(t *testing.T) {
 	t.Parallel()
 	for name, cutOff := range map[string]int{"half-cut": 6, "bad-link": 1, "all-zones": 0} {
@@ -229,9 +230,9 @@
 	}
 }
 
-// Sidecars are killed and started again while the fleet leaves a zone and afterwards. The test guards
-// against a restarted sidecar that does not soon adopt the stage of the fleet, and sends into the
-// zone that the fleet has left.
+// Sidecars are killed and started again while the fleet leaves a zone and afterwards. The test
+// guards against a restarted sidecar that does not soon adopt the stage of the fleet, and sends
+// into the zone that the fleet has left.
 func TestRestartedSidecarsAdoptStage(t *testing.T) {
 	t.Parallel()
 	s := shortSchedule(t, "restarts", 5*time.Second, 500*time.Millisecond)
@@ -293,7 +294,7 @@
 	s := shippedSchedule(t, "zone-vanishes")
 	s.Features, s.Length = zoneFeatures, duration.Duration(9*time.Second)
 	order := func(at time.Duration, on, action string) Fault {
-		return Fault{At: duration.Duration(at), Kind: AdminCall, On: on, Name: "zones/order", With: `{"zone":"b","action":"` + action + `","who":"kim","reason":"a test"}`}
+		return Fault{At: duration.Duration(at), Kind: AdminCall, On: on, Name: "zones/order", Argument: `{"zone":"b","action":"` + action + `","who":"kim","reason":"a test"}`}
 	}
 	s.Faults = []Fault{{At: 0, Kind: Loss, From: "sidecars", To: "sidecars", Share: 0.5},
 		order(1500*time.Millisecond, "sidecar:3", "leave"), order(5*time.Second, "sidecar:9", "return")}
