--- a/cmd/fawncouncil/main.go
+++ b/cmd/fawncouncil/main.go
@@ -33,7 +33,7 @@
 	if err != nil {
 		return err
 	}
-	cfg, err := consensus.Read(text)
+	cfg, err := consensus.ParseConfig(text)
 	if err != nil {
 		return err
 	}
--- a/cmd/fawnctl/council.go
+++ b/cmd/fawnctl/council.go
@@ -206,7 +206,7 @@
 // latestStatus returns the leader's status, with everything committed before the call.
 func (c *councilFlags) latestStatus() (consensus.Status, error) {
 	return c.callCouncil(func(ctx context.Context, client *consensus.Client) (consensus.Status, error) {
-		return client.Latest(ctx)
+		return client.ConfirmedStatus(ctx)
 	})
 }
 
--- a/cmd/fawnctl/council_test.go
+++ b/cmd/fawnctl/council_test.go
@@ -16,7 +16,7 @@
 // member: proposals that are repeated, outdated or invalid, and a council that can't be reached.
 func TestCouncilCommands(t *testing.T) {
 	dir := t.TempDir()
-	cfg := consensus.Default()
+	cfg := consensus.DefaultConfig()
 	cfg.Fleet, cfg.Name, cfg.Listen, cfg.Folder, cfg.Key = "f", "a", "127.0.0.1:0", filepath.Join(dir, "log"), "sixteen bytes and more"
 	cfg.Members = map[string]string{"a": "127.0.0.1:1"}
 	runningMember, err := consensus.Open(cfg)
--- a/internal/agreement/council_test.go
+++ b/internal/agreement/council_test.go
@@ -157,7 +157,7 @@
 			t.Errorf("want error %q, got %v", want, err)
 		}
 	}
-	good := LeaseTimes{Lease: 10 * time.Second, Drift: 0.01, Margin: time.Second, Call: 3 * time.Second}
+	good := LeaseTimes{Lease: 10 * time.Second, Drift: 0.01, Margin: time.Second, MaxCallTime: 3 * time.Second}
 	if err := good.Validate(); err != nil || good.MaxStaleness() < 12*time.Second || good.MaxStaleness() > 12200*time.Millisecond {
 		t.Errorf("valid times: error %v, bound %v, want 12s to 12.2s", err, good.MaxStaleness())
 	}
@@ -165,7 +165,7 @@
 		"council.lease":  func(x *LeaseTimes) { x.Lease = 0 },
 		"council.drift":  func(x *LeaseTimes) { x.Drift = 0.2 },
 		"council.margin": func(x *LeaseTimes) { x.Margin = 3 * time.Second },
-		"council.call":   func(x *LeaseTimes) { x.Call = 0 },
+		"council.call":   func(x *LeaseTimes) { x.MaxCallTime = 0 },
 	} {
 		x := good
 		invalidate(&x)
--- a/internal/agreement/explore_test.go
+++ b/internal/agreement/explore_test.go
@@ -14,7 +14,7 @@
 // modelTick is the model's unit of time. A lease lasts two ticks.
 const modelTick = time.Microsecond
 
-var modelTimes = LeaseTimes{Lease: 2 * modelTick, Drift: 0.25, Call: 1}
+var modelTimes = LeaseTimes{Lease: 2 * modelTick, Drift: 0.25, MaxCallTime: 1}
 
 // defect is a defect injected into the state machines, or none.
 type defect int
@@ -346,7 +346,7 @@
 func (w *modelState) violation(injected defect) string {
 	now := time.Duration(w.now) * modelTick
 	minLevel := versionLevels[len(w.inForceSince)]
-	for v := len(w.inForceSince); v > 0 && now-time.Duration(w.inForceSince[v-1])*modelTick <= modelTimes.MaxStaleness()-modelTimes.Call; v-- {
+	for v := len(w.inForceSince); v > 0 && now-time.Duration(w.inForceSince[v-1])*modelTick <= modelTimes.MaxStaleness()-modelTimes.MaxCallTime; v-- {
 		minLevel = min(minLevel, versionLevels[v-1])
 	}
 	for n, sidecar := range w.sidecars {
--- a/internal/agreement/rules.go
+++ b/internal/agreement/rules.go
@@ -169,9 +169,9 @@
 	// Margin is how long before the end of its lease, by its own clock, a sidecar already acts
 	// as if the lease had expired.
 	Margin time.Duration
-	// Call is the maximum duration of a call. A call sent under a rule may run for this long
+	// MaxCallTime is the maximum duration of a call. A call sent under a rule may run for this long
 	// after the sidecar has stopped applying the rule.
-	Call time.Duration
+	MaxCallTime time.Duration
 }
 
 // Validate returns an error that names the invalid field as in the configuration file.
@@ -183,7 +183,7 @@
 		return errors.New("council.drift: must be between 0.0001 and 0.1")
 	case t.Margin < 0 || t.Margin > t.Lease/4:
 		return errors.New("council.margin: must be between 0 and a quarter of council.lease")
-	case t.Call <= 0 || t.Call > time.Hour:
+	case t.MaxCallTime <= 0 || t.MaxCallTime > time.Hour:
 		return errors.New("council.call: must be greater than 0 and at most 1h")
 	}
 	return nil
@@ -192,7 +192,9 @@
 // MaxStaleness returns the bound T: the maximum time after a version comes into force, by an exact
 // clock, for which a sidecar may still apply less strict rules or calls sent under such rules may
 // still run.
-func (t LeaseTimes) MaxStaleness() time.Duration { return t.maxRealTime(t.Lease-t.Margin) + t.Call }
+func (t LeaseTimes) MaxStaleness() time.Duration {
+	return t.maxRealTime(t.Lease-t.Margin) + t.MaxCallTime
+}
 
 // maxRealTime returns the maximum real time that passes while a clock within the drift counts d.
 func (t LeaseTimes) maxRealTime(d time.Duration) time.Duration {
--- a/internal/consensus/bound_test.go
+++ b/internal/consensus/bound_test.go
@@ -68,7 +68,7 @@
 	rng := rand.New(rand.NewPCG(seed, 3))
 	g := startCouncil(t, 3)
 	a := &boundChecker{began: time.Now(), inForceSince: []time.Duration{0}, levels: []uint64{0}} // version 0: none in force yet, and leases are granted for it
-	bound := g.times.MaxStaleness() - g.times.Call                                               // only levels are checked, no call is sent
+	bound := g.times.MaxStaleness() - g.times.MaxCallTime                                        // only levels are checked, no call is sent
 	var sidecars []*testSidecar
 	for n := range 8 {
 		sidecars = append(sidecars, g.startSidecar(fmt.Sprintf("car%d", n), n))
@@ -105,7 +105,7 @@
 				if err != nil { // not settled yet, or no response: repeat the proposal
 					st, err = c.Apply(ctx, agreement.Entry{Kind: agreement.KindPropose, BaseVersion: version, Doc: &agreement.Doc{Key: fmt.Sprint("k", version), Who: "kim", Reason: "a test", Rules: agreement.Rules{"class/a": level}}})
 				} else {
-					st, err = c.Latest(ctx)
+					st, err = c.ConfirmedStatus(ctx)
 				}
 				if err == nil {
 					a.recordInForce(min(st.InForce.Version, version+1))
--- a/internal/consensus/client.go
+++ b/internal/consensus/client.go
@@ -130,9 +130,9 @@
 	return status, err
 }
 
-// Latest returns the leader's status after a linearizable read: it includes everything that was
-// committed before the call.
-func (c *Client) Latest(ctx context.Context) (status Status, err error) {
+// ConfirmedStatus returns the leader's status after a linearizable read: it includes everything
+// that was committed before the call.
+func (c *Client) ConfirmedStatus(ctx context.Context) (status Status, err error) {
 	err = c.callLeader(ctx, "/v1/status", commitTimeout+time.Second, statusRequest{Confirmed: true}, &status)
 	return status, err
 }
--- a/internal/consensus/config.go
+++ b/internal/consensus/config.go
@@ -49,13 +49,13 @@
 	HeartbeatInterval duration.Duration `toml:"beat"`
 }
 
-// Default returns a configuration with the default times and no other fields.
-func Default() Config {
+// DefaultConfig returns a configuration with the default times and no other fields.
+func DefaultConfig() Config {
 	return Config{Lease: duration.Duration(10 * time.Second), Drift: 0.01, Margin: duration.Duration(time.Second), MaxCallTime: duration.Duration(5 * time.Second), HeartbeatInterval: duration.Duration(100 * time.Millisecond)}
 }
 
-// Read parses and validates a configuration in TOML. Errors name the field.
-func Read(text []byte) (Config, error) {
+// ParseConfig parses and validates a configuration in TOML. Errors name the field.
+func ParseConfig(text []byte) (Config, error) {
 	c, err := decodeConfig(text)
 	if err != nil {
 		return c, err
@@ -65,7 +65,7 @@
 
 // decodeConfig parses a configuration without validating it. Unknown fields are errors.
 func decodeConfig(text []byte) (Config, error) {
-	c := Default()
+	c := DefaultConfig()
 	decoder := toml.NewDecoder(bytes.NewReader(text))
 	decoder.DisallowUnknownFields()
 	if err := decoder.Decode(&c); err != nil {
@@ -80,7 +80,7 @@
 
 // LeaseTimes returns the parameters of the leases.
 func (c *Config) LeaseTimes() agreement.LeaseTimes {
-	return agreement.LeaseTimes{Lease: time.Duration(c.Lease), Drift: c.Drift, Margin: time.Duration(c.Margin), Call: time.Duration(c.MaxCallTime)}
+	return agreement.LeaseTimes{Lease: time.Duration(c.Lease), Drift: c.Drift, Margin: time.Duration(c.Margin), MaxCallTime: time.Duration(c.MaxCallTime)}
 }
 
 // Validate returns an error that names the first invalid field.
--- a/internal/consensus/council_test.go
+++ b/internal/consensus/council_test.go
@@ -26,10 +26,10 @@
 
 // An invalid configuration is rejected with an error that names the field.
 func TestInvalidConfig(t *testing.T) {
-	if _, err := Read([]byte(validConfig + "[members]\na = \"127.0.0.1:1\"\n")); err != nil {
+	if _, err := ParseConfig([]byte(validConfig + "[members]\na = \"127.0.0.1:1\"\n")); err != nil {
 		t.Error(err)
 	}
-	if _, err := Read([]byte(validConfig + "join = true\n")); err != nil {
+	if _, err := ParseConfig([]byte(validConfig + "join = true\n")); err != nil {
 		t.Error(err)
 	}
 	for text, want := range map[string]string{
@@ -48,7 +48,7 @@
 		strings.Replace(validConfig, `"a"`, `""`, 1):                                                      "council.name",
 		strings.Replace(validConfig, "127.0.0.1:1", "here", 1):                                            "council.listen",
 	} {
-		if _, err := Read([]byte(text)); err == nil || !strings.Contains(err.Error(), want) {
+		if _, err := ParseConfig([]byte(text)); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("want error %q, got %v", want, err)
 		}
 	}
@@ -57,7 +57,7 @@
 // startSingleMember starts a council of one member in this process. The returned function stops it.
 func startSingleMember(t *testing.T, folder string) (*Server, *Client, func()) {
 	t.Helper()
-	cfg := Default()
+	cfg := DefaultConfig()
 	cfg.Fleet, cfg.Name, cfg.Listen, cfg.Folder, cfg.Key = "f", "a", "127.0.0.1:0", folder, testKey
 	cfg.Members = map[string]string{"a": "127.0.0.1:1"}
 	cfg.Lease = duration.Duration(time.Hour) // no lease expires during the test
@@ -255,7 +255,7 @@
 		t.Errorf("after the restart: status %+v, error %v", st, err)
 	}
 	end()
-	cfg := Default()
+	cfg := DefaultConfig()
 	cfg.Fleet, cfg.Name, cfg.Listen, cfg.Folder, cfg.Key, cfg.Join = "f", "b", "127.0.0.1:0", folder, testKey, true
 	if _, err := Open(cfg); !errors.Is(err, ErrForeignFolder) {
 		t.Errorf("folder of another member: got error %v, want ErrForeignFolder", err)
@@ -266,7 +266,7 @@
 		"the snapshot":     func(tx *bbolt.Tx) error { return tx.Bucket(metaBucket).Put(snapshotKey, withChecksum([]byte{0xff})) },
 		"the hard state":   func(tx *bbolt.Tx) error { return tx.Bucket(metaBucket).Put(hardStateKey, []byte{1}) },
 	} {
-		cfg := Default()
+		cfg := DefaultConfig()
 		cfg.Fleet, cfg.Name, cfg.Listen, cfg.Folder, cfg.Key = "f", "a", "127.0.0.1:0", t.TempDir(), testKey
 		cfg.Members = map[string]string{"a": "127.0.0.1:1"}
 		text, err := os.ReadFile(filepath.Join(folder, "council.db"))
--- a/internal/consensus/history_test.go
+++ b/internal/consensus/history_test.go
@@ -81,7 +81,7 @@
 				var st Status
 				var err error
 				if d.key == "" {
-					st, err = c.Latest(opCtx)
+					st, err = c.ConfirmedStatus(opCtx)
 				} else {
 					st, err = c.Apply(opCtx, agreement.Entry{Kind: agreement.KindPropose, BaseVersion: d.base, Doc: level(d.key, uint64(i)%3)})
 				}
--- a/internal/consensus/process_test.go
+++ b/internal/consensus/process_test.go
@@ -125,7 +125,7 @@
 // startCouncil starts a council and waits until a member leads.
 func startCouncil(t *testing.T, count int) *testCouncil {
 	t.Helper()
-	g := &testCouncil{t: t, host: newHost(), links: make(map[[2]string]*fleet.Link), cutLinks: make(map[[2]string][2]bool), times: agreement.LeaseTimes{Lease: 2 * time.Second, Margin: 200 * time.Millisecond, Drift: 0.01, Call: time.Second}}
+	g := &testCouncil{t: t, host: newHost(), links: make(map[[2]string]*fleet.Link), cutLinks: make(map[[2]string][2]bool), times: agreement.LeaseTimes{Lease: 2 * time.Second, Margin: 200 * time.Millisecond, Drift: 0.01, MaxCallTime: time.Second}}
 	dir := t.TempDir()
 	for n := range count {
 		p := &proc{name: fmt.Sprintf("m%d", n+1), addr: freeAddr(t)}
