--- a/internal/consensus/harness_test.go
+++ b/internal/consensus/harness_test.go
@@ -243,50 +243,50 @@
 func (g *testCouncil) startSidecar(name string, n int) *testSidecar {
 	ctx, stop := context.WithCancel(context.Background())
 	incarnation := uint64(bootTime())
-	k := &testSidecar{c: g.client(n), incarnation: incarnation, stop: stop, done: make(chan struct{}), participant: agreement.NewParticipant(name, incarnation, g.times, agreement.PersistentState{})}
+	sidecar := &testSidecar{c: g.client(n), incarnation: incarnation, stop: stop, done: make(chan struct{}), participant: agreement.NewParticipant(name, incarnation, g.times, agreement.PersistentState{})}
 	go func() {
-		defer close(k.done)
+		defer close(sidecar.done)
 		for ctx.Err() == nil {
-			k.mu.Lock()
-			isSilent := k.isSilent
+			sidecar.mu.Lock()
+			isSilent := sidecar.isSilent
 			var r agreement.Request
 			if !isSilent {
-				r = k.participant.NextRequest(bootTime())
+				r = sidecar.participant.NextRequest(bootTime())
 			}
-			k.mu.Unlock()
+			sidecar.mu.Unlock()
 			if isSilent {
 				time.Sleep(10 * time.Millisecond)
 				continue
 			}
-			k.mu.Lock()
-			c := k.c
-			k.mu.Unlock()
+			sidecar.mu.Lock()
+			c := sidecar.c
+			sidecar.mu.Unlock()
 			a, err := c.Renew(ctx, r, g.times.Lease/4)
 			if err != nil {
 				time.Sleep(10 * time.Millisecond)
 				continue
 			}
-			k.mu.Lock()
-			if k.isSilent { // the response is lost
-				k.mu.Unlock()
+			sidecar.mu.Lock()
+			if sidecar.isSilent { // the response is lost
+				sidecar.mu.Unlock()
 				continue
 			}
-			actions := k.participant.HandleResponse(bootTime(), a)
+			actions := sidecar.participant.HandleResponse(bootTime(), a)
 			if actions.Activate != nil {
-				k.received = append(k.received, actions.Activate.Version)
+				sidecar.received = append(sidecar.received, actions.Activate.Version)
 			}
 			if actions.Prepare != nil {
 				var err error
-				if k.rejectReason != "" {
-					err = fmt.Errorf("%s", k.rejectReason)
+				if sidecar.rejectReason != "" {
+					err = fmt.Errorf("%s", sidecar.rejectReason)
 				}
-				k.participant.RecordPrepareResult(actions.Prepare, err)
+				sidecar.participant.RecordPrepareResult(actions.Prepare, err)
 			}
-			k.mu.Unlock()
+			sidecar.mu.Unlock()
 		}
 	}()
-	g.t.Cleanup(func() { stop(); <-k.done })
-	return k
+	g.t.Cleanup(func() { stop(); <-sidecar.done })
+	return sidecar
 }
 
 // level returns the level of the test's class that the sidecar applies now.
--- a/internal/consensus/process_test.go
+++ b/internal/consensus/process_test.go
@@ -29,8 +29,8 @@
 	}
 	all := func(version uint64) func() bool {
 		return func() bool {
-			for _, k := range sidecars {
-				if k.activeVersion() != version {
+			for _, sidecar := range sidecars {
+				if sidecar.activeVersion() != version {
 					return false
 				}
 			}
@@ -55,10 +55,10 @@
 	if _, err := g.propose(2, level("k3", 2)); err != nil {
 		t.Fatal(err)
 	}
-	isLax := func(k *testSidecar) bool { return k.level() < 2 }
+	isLax := func(sidecar *testSidecar) bool { return sidecar.level() < 2 }
 	waitUntil(t, "all other sidecars apply level 2", func() bool {
-		for n, k := range sidecars {
-			if n != 3 && isLax(k) {
+		for n, sidecar := range sidecars {
+			if n != 3 && isLax(sidecar) {
 				return false
 			}
 		}
@@ -86,16 +86,16 @@
 	if _, err := g.propose(0, level("k1", 0)); err != nil {
 		t.Fatal(err)
 	}
-	k := g.startSidecar("car", 0)
-	waitUntil(t, "the sidecar has a lease", func() bool { return k.activeVersion() == 1 && k.level() == 0 })
+	sidecar := g.startSidecar("car", 0)
+	waitUntil(t, "the sidecar has a lease", func() bool { return sidecar.activeVersion() == 1 && sidecar.level() == 0 })
 	for _, p := range g.procs {
 		g.killProcess(p)
 	}
-	waitUntil(t, "the sidecar applies the strictest level", func() bool { return k.level() == agreement.LevelOnce })
+	waitUntil(t, "the sidecar applies the strictest level", func() bool { return sidecar.level() == agreement.LevelOnce })
 	for _, p := range g.procs {
 		g.startProcess(p)
 	}
-	waitUntil(t, "the sidecar has a lease again", func() bool { return k.level() == 0 })
+	waitUntil(t, "the sidecar has a lease again", func() bool { return sidecar.level() == 0 })
 	lead := g.awaitLeader(20 * time.Second)
 	for _, p := range g.procs {
 		if p != lead {
@@ -107,7 +107,7 @@
 	if _, err := g.client(0).Apply(ctx, agreement.Entry{Kind: agreement.KindPropose, BaseVersion: 1, Doc: level("k2", 1)}); err == nil {
 		t.Error("one of three members accepted a proposal")
 	}
-	waitUntil(t, "the sidecar applies the strictest level again", func() bool { return k.level() == agreement.LevelOnce })
+	waitUntil(t, "the sidecar applies the strictest level again", func() bool { return sidecar.level() == agreement.LevelOnce })
 }
 
 // A leader that is suspended and resumed after another member has become leader must grant no lease
@@ -118,21 +118,21 @@
 	if _, err := g.propose(0, level("k1", 0)); err != nil {
 		t.Fatal(err)
 	}
-	k := g.startSidecar("car", 0)
-	waitUntil(t, "the sidecar has a lease", func() bool { return k.activeVersion() == 1 })
+	sidecar := g.startSidecar("car", 0)
+	waitUntil(t, "the sidecar has a lease", func() bool { return sidecar.activeVersion() == 1 })
 	old := g.awaitLeader(10 * time.Second)
 	old.cmd.Process.Signal(syscall.SIGSTOP)
 	waitUntil(t, "another member leads", func() bool { return isLeading(g.otherMembers(old)[0]) || isLeading(g.otherMembers(old)[1]) })
 	if st, err := g.propose(1, level("k2", 2)); err != nil || st.Pending == nil && st.InForce.Version != 2 {
 		t.Fatalf("status %+v, error %v, want version 2 in force or pending", st, err)
 	}
-	waitUntil(t, "version 2 is active at the sidecar", func() bool { return k.activeVersion() == 2 })
+	waitUntil(t, "version 2 is active at the sidecar", func() bool { return sidecar.activeVersion() == 2 })
 	// Requests wait in the old leader's socket when it resumes. They come from a sidecar that it
 	// knows, with the version active that was in force when it was suspended: it must not grant a
 	// lease without a majority.
-	k.mu.Lock()
-	r := agreement.Request{Sidecar: "car", Incarnation: k.incarnation, Seq: 1, ActiveVersion: 1}
-	k.mu.Unlock()
+	sidecar.mu.Lock()
+	r := agreement.Request{Sidecar: "car", Incarnation: sidecar.incarnation, Seq: 1, ActiveVersion: 1}
+	sidecar.mu.Unlock()
 	answers := make(chan agreement.Response, 20)
 	var wait sync.WaitGroup
 	for range cap(answers) {
@@ -155,9 +155,9 @@
 			t.Errorf("the old leader granted a lease for version 1: %+v", a)
 		}
 	}
-	k.mu.Lock()
-	k.rejectReason = "class a can't be that"
-	k.mu.Unlock()
+	sidecar.mu.Lock()
+	sidecar.rejectReason = "class a can't be that"
+	sidecar.mu.Unlock()
 	if _, err := g.propose(2, level("k3", 1)); err != nil {
 		t.Fatal(err)
 	}
