--- a/internal/components/changes/changes.go
+++ b/internal/components/changes/changes.go
@@ -229,7 +229,7 @@
 	g.trialCount++
 	began := time.Now()
 	err := g.host.StartTrial(next.Generation(id), configtrial.Config{
-		Share: f.TrialShare, FalseUndo: f.FalseUndoProbability, Notice: f.DetectableShare, Bake: time.Duration(f.TrialDuration), ThinUndo: f.OnFewCalls == "undo",
+		Share: f.TrialShare, FalseUndo: f.FalseUndoProbability, DetectableShare: f.DetectableShare, Duration: time.Duration(f.TrialDuration), ThinUndo: f.OnFewCalls == "undo",
 	}, g.current.Seed^g.trialCount)
 	if err != nil {
 		closeListener(ln)
--- a/internal/configtrial/judge.go
+++ b/internal/configtrial/judge.go
@@ -40,11 +40,11 @@
 
 // Config configures a Judge.
 type Config struct {
-	Classes   int           // 1 to 1,024
-	Share     float64       // fraction of calls that the new generation takes, 0.05 to 0.95
-	FalseUndo float64       // maximum probability of undoing a good change, 1e-9 to 0.2
-	Notice    float64       // smallest fraction of bad calls that must be detected, above 0 and at most 1
-	Bake      time.Duration // length of the trial
+	Classes         int           // 1 to 1,024
+	Share           float64       // fraction of calls that the new generation takes, 0.05 to 0.95
+	FalseUndo       float64       // maximum probability of undoing a good change, 1e-9 to 0.2
+	DetectableShare float64       // smallest fraction of bad calls that must be detected, above 0 and at most 1
+	Duration        time.Duration // length of the trial
 	// ThinUndo undoes a change that got fewer calls than a verdict needs; otherwise such a
 	// change is kept.
 	ThinUndo bool
@@ -59,10 +59,10 @@
 		return fmt.Errorf("bake: Share must be within 0.05 and 0.95")
 	case !(c.FalseUndo >= 1e-9 && c.FalseUndo <= 0.2):
 		return fmt.Errorf("bake: FalseUndo must be within 1e-9 and 0.2")
-	case !(c.Notice > 0 && c.Notice <= 1):
-		return fmt.Errorf("bake: Notice must be above 0 and at most 1")
-	case c.Bake <= 0:
-		return fmt.Errorf("bake: Bake must be above 0")
+	case !(c.DetectableShare > 0 && c.DetectableShare <= 1):
+		return fmt.Errorf("bake: DetectableShare must be above 0 and at most 1")
+	case c.Duration <= 0:
+		return fmt.Errorf("bake: Duration must be above 0")
 	}
 	return nil
 }
@@ -191,13 +191,13 @@
 }
 
 // RequiredCalls returns the number of calls of the new generation that it takes to detect a
-// fault which makes a fraction Notice of one class's calls bad, and none of the old
+// fault which makes a fraction DetectableShare of one class's calls bad, and none of the old
 // generation's, if all calls are of that class. With that many calls, enough of them are
 // bad with a probability of about 0.98.
 func (j *Judge) RequiredCalls() int {
 	evidencePerCall := math.Log(1 / j.cfg.Share)
 	badCalls := math.Ceil(math.Log(float64(maxWindows*len(rateRatios)*len(j.counts))/j.cfg.FalseUndo) / evidencePerCall)
-	return int(math.Ceil((badCalls + 2*math.Sqrt(badCalls) + 2) / j.cfg.Notice))
+	return int(math.Ceil((badCalls + 2*math.Sqrt(badCalls) + 2) / j.cfg.DetectableShare))
 }
 
 // Evaluate returns the ruling at a time after the switch. The caller must call it a few
@@ -207,7 +207,7 @@
 	if j.result != nil {
 		return *j.result
 	}
-	for len(j.windowStarts) < maxWindows && since >= j.cfg.Bake/maxWindows*time.Duration(len(j.windowStarts)) {
+	for len(j.windowStarts) < maxWindows && since >= j.cfg.Duration/maxWindows*time.Duration(len(j.windowStarts)) {
 		j.windowStarts = append(j.windowStarts, slices.Clone(j.counts))
 	}
 	ruling := Result{Calls: j.newCalls, Needed: j.RequiredCalls()}
@@ -226,7 +226,7 @@
 	switch {
 	case logMeanExp(windowLogs[:]) >= -math.Log(j.cfg.FalseUndo):
 		ruling.Verdict = Undo
-	case since < j.cfg.Bake:
+	case since < j.cfg.Duration:
 		return ruling
 	case j.newCalls < ruling.Needed:
 		ruling.Thin, ruling.Verdict = true, Keep
--- a/internal/configtrial/judge_test.go
+++ b/internal/configtrial/judge_test.go
@@ -13,7 +13,7 @@
 )
 
 func testConfig() Config {
-	return Config{Classes: 3, Share: 0.5, FalseUndo: 0.001, Notice: 0.05, Bake: time.Minute}
+	return Config{Classes: 3, Share: 0.5, FalseUndo: 0.001, DetectableShare: 0.05, Duration: time.Minute}
 }
 
 func newTestJudge(t testing.TB, change func(*Config)) *Judge {
@@ -220,13 +220,13 @@
 	if r := j.Evaluate(time.Minute); r.Thin || r.Verdict != Keep {
 		t.Errorf("%+v", r)
 	}
-	// RequiredCalls is enough to detect a fault of size Notice.
+	// RequiredCalls is enough to detect a fault of size DetectableShare.
 	missed := 0
 	for seed := range 1000 {
 		rng := rand.New(rand.NewPCG(uint64(seed), 9))
 		j := newTestJudge(t, nil)
 		for range j.RequiredCalls() {
-			if rng.Float64() < j.cfg.Notice {
+			if rng.Float64() < j.cfg.DetectableShare {
 				j.RecordBad(0, Failed, true)
 			} else {
 				j.RecordGood(true)
@@ -276,8 +276,8 @@
 		func(c *Config) { c.Classes = 0 }, func(c *Config) { c.Classes = 1 << 20 },
 		func(c *Config) { c.Share = 0 }, func(c *Config) { c.Share = 1 }, func(c *Config) { c.Share = math.NaN() },
 		func(c *Config) { c.FalseUndo = 0 }, func(c *Config) { c.FalseUndo = 1 },
-		func(c *Config) { c.Notice = 0 }, func(c *Config) { c.Notice = 2 },
-		func(c *Config) { c.Bake = 0 },
+		func(c *Config) { c.DetectableShare = 0 }, func(c *Config) { c.DetectableShare = 2 },
+		func(c *Config) { c.Duration = 0 },
 	} {
 		c := testConfig()
 		change(&c)
--- a/internal/core/trial_test.go
+++ b/internal/core/trial_test.go
@@ -97,7 +97,7 @@
 		}
 		next := newGeneration(t, 2, `"attemptsCap":4`, `"attemptsCap":1`)
 		next = &generation.Generation{ID: 2, Settings: next.Settings, Paths: map[string]string{"/b": "a"}}
-		if err := h.StartTrial(next, configtrial.Config{Share: 0.5, FalseUndo: 0.01, Notice: 0.5, Bake: time.Minute}, 1); err != nil {
+		if err := h.StartTrial(next, configtrial.Config{Share: 0.5, FalseUndo: 0.01, DetectableShare: 0.5, Duration: time.Minute}, 1); err != nil {
 			t.Fatal(err)
 		}
 		if err := h.StartTrial(newGeneration(t, 3, "", ""), configtrial.Config{}, 1); err == nil {
@@ -149,7 +149,7 @@
 	defer h.Close()
 	h.ApplyList(&membership.List{Complete: true, Entries: []membership.Entry{{Endpoint: chalkrack.Endpoint{Name: "s0", Zone: "z", Hint: 1}, Address: "x"}}})
 	_, early, _ := h.Route("/u")
-	if err := h.StartTrial(newGeneration(t, 2, `"name":"u"`, `"name":"v"`), configtrial.Config{Share: 0.5, FalseUndo: 0.01, Notice: 0.5, Bake: time.Minute}, 1); err != nil {
+	if err := h.StartTrial(newGeneration(t, 2, `"name":"u"`, `"name":"v"`), configtrial.Config{Share: 0.5, FalseUndo: 0.01, DetectableShare: 0.5, Duration: time.Minute}, 1); err != nil {
 		t.Fatal(err)
 	}
 	c := new(countingCaller)
@@ -236,7 +236,7 @@
 				}
 				defer h.Close()
 				h.ApplyList(&membership.List{Complete: true, Entries: []membership.Entry{{Endpoint: chalkrack.Endpoint{Name: "s0", Zone: "z", Hint: 1}, Address: "x"}}})
-				if err := h.StartTrial(newGeneration(t, 2, c.next[0], c.next[1]), configtrial.Config{Share: 0.5, FalseUndo: 0.01, Notice: 0.5, Bake: time.Hour}, 1); err != nil {
+				if err := h.StartTrial(newGeneration(t, 2, c.next[0], c.next[1]), configtrial.Config{Share: 0.5, FalseUndo: 0.01, DetectableShare: 0.5, Duration: time.Hour}, 1); err != nil {
 					t.Fatal(err)
 				}
 				var under generation.Stamp
--- a/internal/generation/generation_test.go
+++ b/internal/generation/generation_test.go
@@ -34,7 +34,7 @@
 	return &Generation{ID: id, Settings: testSettings}
 }
 
-var testBake = configtrial.Config{Share: 0.3, FalseUndo: 0.01, Notice: 0.5, Bake: time.Minute}
+var testBake = configtrial.Config{Share: 0.3, FalseUndo: 0.01, DetectableShare: 0.5, Duration: time.Minute}
 
 // Over any sequence of changes a class keeps its index, a generation's rules do not
 // change, a class that a generation does not have stays unknown to it, and during a trial
