--- a/balancer.go
+++ b/balancer.go
@@ -63,7 +63,7 @@
 type Class struct {
 	Aim       time.Duration // target latency; an answer within it earns the full worth
 	LateWorth float64       // share of the worth that a later answer earns
-	Worth     float64
+	Worth     float64       // points that an answer within the aim earns
 	Effect    Effect
 	Scope     Scope
 	Window    time.Duration // for Keyed: how long repeats are dropped
@@ -73,27 +73,27 @@
 type Config struct {
 	Instances      int // balancers in the tier, this one included
 	Classes        []Class
-	Tenants        []float64 // requests a second, over all balancers, within each tenant's share
-	OverShareWorth float64   // factor on the worth of a request above its tenant's share
-	Zone           string
-	MaxAttempts    int
-	MayCancel      bool
-	SecondCopies   bool
-	MaxRetryAfter  time.Duration
-	CrossZoneCost  float64
-	WarmKeys       bool
-	ConnectionCost float64 // points lost for each 100 open connections of a server
-	WasteCost      float64
-	Probes         bool // servers report their load when probed, and only then
-	ProbeCost      float64
+	Tenants        []float64     // requests a second, over all balancers, within each tenant's share
+	OverShareWorth float64       // factor on the worth of a request above its tenant's share
+	Zone           string        // of this balancer
+	MaxAttempts    int           // attempts of a request, copies included
+	MayCancel      bool          // attempts that are no longer needed are cancelled
+	SecondCopies   bool          // a request may have a further attempt while one is outstanding
+	MaxRetryAfter  time.Duration // upper bound of the random retry delay sent with a refusal, unless the DegradationPolicy requires more
+	CrossZoneCost  float64       // above 0: servers of the own zone are preferred
+	WarmKeys       bool          // requests of one key go to the same server where possible
+	ConnectionCost float64       // points lost for each 100 open connections of a server
+	WasteCost      float64       // cost of wasted work; limits copies
+	Probes         bool          // servers report their load when probed, and only then
+	ProbeCost      float64       // cost of one probe; above a bound no probes are sent
 
 	// AskWithin above 0 means that discovery sends the server list only to
 	// subscribers, and that a balancer that has not subscribed within this time
 	// counts as informed.
 	AskWithin time.Duration
 
-	ColdFrom       float64 // share of its capacity that a server has right after its start
-	ColdFor        time.Duration
+	ColdFrom       float64       // share of its capacity that a server has right after its start
+	ColdFor        time.Duration // how long a server is cold after its start
 	OverloadFactor float64       // multiple of its capacity that overloads a cold server
 	OverloadFor    time.Duration // when sent for this long
 }
--- a/client/parity_test.go
+++ b/client/parity_test.go
@@ -81,7 +81,7 @@
 	return tr
 }
 
-// newRequest converts an Ask to a request as a user of net/http would make it.
+// newRequest converts a ClientRequest to a request as a user of net/http would make it.
 func newRequest(ctx context.Context, a standin.ClientRequest) *http.Request {
 	method, body := "POST", io.Reader(strings.NewReader(a.Body))
 	if a.Class.Effect == standin.Safe {
@@ -217,9 +217,9 @@
 }
 
 // violations lists the calls that break one of the rules: no unknown calls, no second run
-// unless safe, no more than most attempts, no refusal of an unsafe call that ran, and an
+// unless safe, no more than maxAttempts attempts, no refusal of an unsafe call that ran, and an
 // answer for every call.
-func (p runResult) violations(most int) (broken []string) {
+func (p runResult) violations(maxAttempts int) (broken []string) {
 	for id, c := range p.counts {
 		class := p.classOf[id]
 		switch {
@@ -227,7 +227,7 @@
 			broken = append(broken, id+": no call has this id")
 		case class != "status-check" && c.Effects > 1:
 			broken = append(broken, fmt.Sprintf("%s %s: ran %d times", class, id, c.Effects))
-		case c.Attempts > most:
+		case c.Attempts > maxAttempts:
 			broken = append(broken, fmt.Sprintf("%s %s: %d attempts", class, id, c.Attempts))
 		case class == "activate" && c.Effects > 0 && p.verdicts[id] == "refused":
 			broken = append(broken, fmt.Sprintf("%s %s: ran and was refused", class, id))
--- a/internal/body/body.go
+++ b/internal/body/body.go
@@ -230,8 +230,7 @@
 }
 
 // spillToFile creates the file and moves the segments in memory to it; later pieces go there
-// too. Segments that cannot be written stay in memory, and spillToFile returns
-// false.
+// too. Segments that cannot be written stay in memory, and spillToFile returns false.
 func (b *Body) spillToFile() (ok bool) {
 	s := b.store
 	b.file = s.cfg.Spool.File(b.class)
--- a/internal/body/body_test.go
+++ b/internal/body/body_test.go
@@ -93,11 +93,11 @@
 	}
 }
 
-func eventually(tb testing.TB, what string, ok func() bool) {
+func eventually(tb testing.TB, failure string, ok func() bool) {
 	tb.Helper()
 	for end := time.Now().Add(testTimeout); !ok(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			tb.Fatal(what)
+			tb.Fatal(failure)
 		}
 	}
 }
--- a/internal/body/store.go
+++ b/internal/body/store.go
@@ -1,6 +1,6 @@
-// Package body stores the bodies of calls where package keep decides: in memory, in a file of
-// package spool, or not at all while they are streamed to one server. Listeners pass them to a
-// Store, and each attempt reads them from the beginning.
+// Package body stores the bodies of calls where package bodypolicy decides: in memory, in a
+// file of package spool, or not at all while they are streamed to one server. Listeners pass
+// them to a Store, and each attempt reads them from the beginning.
 package body
 
 import (
@@ -25,10 +25,10 @@
 
 // Errors of receiving and reading bodies.
 var (
-	ErrNoRoom        = errors.New("body: no room to keep it or to pass it on")
-	ErrLost          = errors.New("body: a kept piece can't be read")
-	ErrOnce          = errors.New("body: not kept, and read already")
-	ErrBroken        = errors.New("body: its sender broke it off")
+	ErrNoRoom        = errors.New("body: no capacity to keep or to stream it")
+	ErrLost          = errors.New("body: a kept piece cannot be read")
+	ErrOnce          = errors.New("body: not kept, so it can be read only once")
+	ErrBroken        = errors.New("body: aborted by its sender")
 	errReadingClosed = errors.New("body: reading closed")
 )
 
@@ -58,7 +58,7 @@
 	wg        sync.WaitGroup
 }
 
-// New returns a Store. An error names the invalid limit.
+// New returns a Store, or an error that names the invalid limit.
 func New(cfg Config) (*Store, error) {
 	if len(cfg.Limits.Shares) != len(cfg.Classes) {
 		return nil, fmt.Errorf("body: Shares must be %d, one for each class", len(cfg.Classes))
@@ -234,8 +234,8 @@
 }
 
 // Receive reads a body until it is complete, or until it is known that it is not kept. In that
-// case a first part has been received, and Forward receives the rest. The
-// error is ErrNoRoom or that of the read; the body is dropped then.
+// case a first part has been received, and Body.Forward receives the rest. The error is
+// ErrNoRoom or that of the read; the body is dropped then.
 func (s *Store) Receive(in Incoming) (*Body, error) {
 	b := &Body{store: s, class: in.Class, length: in.Length, incoming: in}
 	b.changed.L = &s.mu
--- a/internal/bodypolicy/keep.go
+++ b/internal/bodypolicy/keep.go
@@ -307,8 +307,8 @@
 	b.movableIndex = -1
 }
 
-// SelectForMove selects a body to be moved from memory to a file, and books the file and its space. It
-// returns nil unless memory has reached its high mark and is not yet back at the low one.
+// SelectForMove selects a body to be moved from memory to a file, and books the file and its
+// space. It returns nil unless memory has reached its high mark and is not yet back at the low one.
 // Bodies of classes that borrow come first, then longer ones; those being read are left out.
 // The caller must report the outcome with RecordMove.
 func (k *Keeper) SelectForMove(canCreate bool) *Body {
--- a/internal/bodypolicy/keep_test.go
+++ b/internal/bodypolicy/keep_test.go
@@ -101,7 +101,7 @@
 	l.mem -= n
 }
 
-// Written moves the bytes in memory to the body's file, as a Store does at once.
+// Written moves the bytes in memory to the body's file, as a body.Store does at once.
 func (m *model) Written(t *rapid.T) {
 	l := m.pick(t, func(l *record) bool { return !l.dropped && !l.whole && l.place == File && l.mem > 0 && !l.broken })
 	m.keeper.RecordWritten(l.body, l.mem)
--- a/internal/bodypolicy/limits.go
+++ b/internal/bodypolicy/limits.go
@@ -31,7 +31,7 @@
 	var err error
 	require := func(valid bool, field, want string) {
 		if !valid && err == nil {
-			err = fmt.Errorf("keep: %s must be %s", field, want)
+			err = fmt.Errorf("bodypolicy: %s must be %s", field, want)
 		}
 	}
 	require(l.Memory > 0, "Memory", "above 0")
--- a/internal/change/rules.go
+++ b/internal/change/rules.go
@@ -105,10 +105,10 @@
 }
 
 // refuseBelowUse returns a check that refuses a limit below what is in use.
-func refuseBelowUse(what string, used func(Usage) int) func(*transition) string {
+func refuseBelowUse(resource string, used func(Usage) int) func(*transition) string {
 	return func(t *transition) string {
 		if n := used(t.use); n > 0 && t.new.number() < float64(n) && (t.new.number() > 0 || t.removed()) {
-			return fmt.Sprintf("%d %s are in use", n, what)
+			return fmt.Sprintf("%d %s are in use", n, resource)
 		}
 		return ""
 	}
--- a/internal/components/changes/admin.go
+++ b/internal/components/changes/admin.go
@@ -45,7 +45,8 @@
 	err   error
 }
 
-// request runs a function in the goroutine that receives from Asks, and returns its result.
+// request runs a function in the goroutine that receives from Requests, and returns its
+// result.
 // It blocks until then, and returns an error if g is closed first.
 func (g *Manager) request(do func() (any, error)) (any, error) {
 	a := Request{do, make(chan response, 1)}
--- a/internal/components/changes/changes.go
+++ b/internal/components/changes/changes.go
@@ -61,7 +61,7 @@
 }
 
 // Manager owns the current configuration, the one on trial and their listeners. All its
-// methods run in one goroutine, which also serves the requests from Asks; the handlers that
+// methods run in one goroutine, which also serves the requests from Requests; the handlers that
 // Pages returns may be called from any goroutine.
 type Manager struct {
 	current *config.Config // the current configuration; during a trial, the one before it
@@ -144,9 +144,9 @@
 		switch {
 		case !ch.Live || !strings.HasPrefix(ch.Field, "settings."):
 		case running.Features.Radius.Enabled:
-			why = append(why, fmt.Errorf("%s: %s -> %s: [radius] goes by it and %w", ch.Field, ch.Old, ch.New, errNeedsRestart))
+			why = append(why, fmt.Errorf("%s: %s -> %s: [radius] depends on it and %w", ch.Field, ch.Old, ch.New, errNeedsRestart))
 		case running.Features.Bodies.Enabled && strings.HasSuffix(ch.Field, "].name"):
-			why = append(why, fmt.Errorf("%s: %s -> %s: [bodies] has shares by it and %w", ch.Field, ch.Old, ch.New, errNeedsRestart))
+			why = append(why, fmt.Errorf("%s: %s -> %s: [bodies] has shares for each of them and %w", ch.Field, ch.Old, ch.New, errNeedsRestart))
 		}
 	}
 	return p, why, nil
@@ -173,7 +173,7 @@
 		return out, nil
 	}
 	if g.unsaved != nil {
-		return nil, fmt.Errorf("the memory of changes can't be written, so the last verdict is not in it: %s", g.storeError)
+		return nil, fmt.Errorf("the result of the last trial could not be saved: %s", g.storeError)
 	}
 	out.ID, err = g.startTrial(next, why)
 	return out, err
@@ -274,7 +274,7 @@
 const saveRetryInterval = time.Second
 
 // saveResult persists the result of a trial. If that fails, the result still applies to this
-// process and Watch retries the write. Until it succeeds no other change is put on trial,
+// process and CheckTrial retries the write. Until it succeeds no other change is put on trial,
 // and a start of the process finds the trial still on.
 func (g *Manager) saveResult(v trialResult) {
 	write := g.current.History.Undo
--- a/internal/components/duties/duties.go
+++ b/internal/components/duties/duties.go
@@ -160,8 +160,8 @@
 // SetPayload sets the function that returns the payload of each note, given the number of bytes
 // available, and the function that receives payloads with the number and incarnation of their
 // sender. It must be called before notes are sent and received.
-func (s *Runner) SetPayload(payload func(room int) []byte, onPayload func(number int, inc uint64, payload []byte)) {
-	s.duty.SetPayload(func(_ time.Duration, room int) []byte { return payload(room) })
+func (s *Runner) SetPayload(payload func(maxBytes int) []byte, onPayload func(number int, inc uint64, payload []byte)) {
+	s.duty.SetPayload(func(_ time.Duration, maxBytes int) []byte { return payload(maxBytes) })
 	s.onPayload = onPayload
 }
 
--- a/internal/components/operating/handover.go
+++ b/internal/components/operating/handover.go
@@ -161,7 +161,7 @@
 		// The change is in force here, but a later process would not know of it.
 		slog.Error("operators' changes can't be written", "err", writeErr)
 		if err == nil {
-			err = errors.New("done here, but not written down: it would not outlive this process")
+			err = errors.New("in force in this process, but not saved: later processes will not know of the change")
 		}
 	}
 	return err
--- a/internal/components/operating/operating.go
+++ b/internal/components/operating/operating.go
@@ -143,7 +143,8 @@
 	})
 }
 
-func (o *Operation) changeServer(what, id string, do func(string) (*membership.List, error)) error {
+// changeServer changes a server with do, passes the resulting list on and logs logMessage.
+func (o *Operation) changeServer(logMessage, id string, do func(string) (*membership.List, error)) error {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.updateOperatorState(func() error {
@@ -154,7 +155,7 @@
 		if l != nil {
 			o.config.ApplyList(l)
 		}
-		slog.Info(what, "server", id)
+		slog.Info(logMessage, "server", id)
 		return nil
 	})
 }
--- a/internal/components/weighted/weighted_test.go
+++ b/internal/components/weighted/weighted_test.go
@@ -50,10 +50,10 @@
 	}
 	list.Entries = list.Entries[:2]
 	w.ApplyList(list)
-	check := func(what string, a, b float64) {
+	check := func(when string, a, b float64) {
 		t.Helper()
 		if x, y := hints["a"], hints["b"]; x != a || y != b {
-			t.Errorf("%s: hints %v and %v, want %v and %v", what, x, y, a, b)
+			t.Errorf("%s: hints %v and %v, want %v and %v", when, x, y, a, b)
 		}
 	}
 	check("at the start", 3, 1)
--- a/internal/components/zones/zones.go
+++ b/internal/components/zones/zones.go
@@ -58,7 +58,7 @@
 	savedState []evacuation.ZoneState
 }
 
-// New returns a Zones, or an error if cfg is invalid. Begin loads the state file.
+// New returns a Zones, or an error if cfg is invalid. Start loads the state file.
 func New(cfg Config) (*Zones, error) {
 	m, err := evacuation.New(cfg.Machine)
 	if err != nil {
@@ -75,9 +75,9 @@
 	return z, nil
 }
 
-// Connect connects z to its neighbours and must be called before any other method. core provides the
-// clock, forward receives the server lists after filtering, and sendNotes sends notes at once to n
-// random peers and to the peers with the given numbers.
+// Connect connects z to the packages around it and must be called before any other method. core
+// provides the clock, forward receives the server lists after filtering, and sendNotes sends
+// notes at once to n random peers and to the peers with the given numbers.
 func (z *Zones) Connect(core Core, forward func(*membership.List), sendNotes func(n int, numbers []int)) {
 	z.core, z.forward, z.sendNotes = core, forward, sendNotes
 }
@@ -218,7 +218,8 @@
 	return e
 }
 
-// ApplyList applies a list from discovery and passes it on with the servers of unused zones draining.
+// ApplyList applies a list from discovery and passes it on with the servers of unused zones
+// draining.
 func (z *Zones) ApplyList(list *membership.List) {
 	z.forwardMu.Lock()
 	defer z.forwardMu.Unlock()
@@ -294,12 +295,12 @@
 	return z.machine.PreferredZone(now, repeats)
 }
 
-// NotePart returns this sidecar's part of a note, at most room bytes long.
-func (z *Zones) NotePart(room int) []byte {
+// NotePart returns this sidecar's part of a note, at most maxBytes long.
+func (z *Zones) NotePart(maxBytes int) []byte {
 	now := z.core.Now()
 	z.mu.Lock()
 	defer z.mu.Unlock()
-	return z.machine.EncodeNote(now, room)
+	return z.machine.EncodeNote(now, maxBytes)
 }
 
 // ReceiveNote handles the part of a note from the peer with the given number, in incarnation inc.
@@ -341,8 +342,8 @@
 	Reason string `json:"reason"`
 }
 
-// ExecuteOrder executes an Order given as JSON and returns the resulting View. It returns the first error
-// of any zone; the order still applies to the other zones of the region.
+// ExecuteOrder executes an Order given as JSON and returns the resulting View. It returns the
+// first error of any zone; the order still applies to the other zones of the region.
 func (z *Zones) ExecuteOrder(text []byte) (any, error) {
 	var order Order
 	if err := json.Unmarshal(text, &order); err != nil {
--- a/internal/configtrial/judge.go
+++ b/internal/configtrial/judge.go
@@ -1,7 +1,7 @@
 // Package configtrial judges a new configuration (generation) against the one before it while
 // both serve. It has no I/O, clock, random source or goroutines.
 //
-// During the bake each call is assigned at random, and unpredictably for the caller, to one
+// During the trial each call is assigned at random, and unpredictably for the caller, to one
 // of the two generations, a fraction Share of them to the new one. If both do equally well,
 // a bad call belongs to the new generation with probability Share, whatever the load and
 // the servers do, because trouble that affects all calls affects both. Therefore only the
@@ -54,15 +54,15 @@
 func (c *Config) Validate() error {
 	switch {
 	case c.Classes < 1 || c.Classes > 1024:
-		return fmt.Errorf("bake: Classes must be within 1 and 1024")
+		return fmt.Errorf("configtrial: Classes must be within 1 and 1024")
 	case !(c.Share >= 0.05 && c.Share <= 0.95):
-		return fmt.Errorf("bake: Share must be within 0.05 and 0.95")
+		return fmt.Errorf("configtrial: Share must be within 0.05 and 0.95")
 	case !(c.FalseUndo >= 1e-9 && c.FalseUndo <= 0.2):
-		return fmt.Errorf("bake: FalseUndo must be within 1e-9 and 0.2")
+		return fmt.Errorf("configtrial: FalseUndo must be within 1e-9 and 0.2")
 	case !(c.DetectableShare > 0 && c.DetectableShare <= 1):
-		return fmt.Errorf("bake: DetectableShare must be above 0 and at most 1")
+		return fmt.Errorf("configtrial: DetectableShare must be above 0 and at most 1")
 	case c.Duration <= 0:
-		return fmt.Errorf("bake: Duration must be above 0")
+		return fmt.Errorf("configtrial: Duration must be above 0")
 	}
 	return nil
 }
@@ -85,7 +85,7 @@
 	// Thin reports that there were too few calls for a verdict, so that Config.ThinUndo
 	// decided.
 	Thin bool
-	// Class and Kind are those with the strongest evidence for an Undo that is not Thin.
+	// Class and Kind are the ones with the strongest evidence for an Undo that is not Thin.
 	Class int
 	Kind  Kind
 	// Calls is the number of calls of the new generation so far, Needed the number that
@@ -98,8 +98,8 @@
 	old, new float64
 }
 
-// maxWindows is the number of windows over which bad calls are counted: one begins at the
-// switch and one at each further eighth of the bake; all of them end now. Trouble at the
+// maxWindows is the number of windows over which bad calls are counted: one begins with the
+// trial and one at each further eighth of the trial; all of them end now. Trouble at the
 // servers may hide a fault at first; it shows in a window that began after the trouble. A
 // window that has not begun counts as a ratio of 1, so the same bound holds for the mean
 // over the windows.
@@ -111,7 +111,7 @@
 	cfg          Config
 	counts       []badCounts
 	newCalls     int           // calls of the new generation
-	windowStarts [][]badCounts // counts at the start of each window so far, the switch first
+	windowStarts [][]badCounts // counts at the start of each window so far
 	result       *Result
 	// For each of rateRatios, the logarithm of the factor by which a bad call of the new
 	// or the old generation changes the likelihood ratio.
@@ -200,8 +200,8 @@
 	return int(math.Ceil((badCalls + 2*math.Sqrt(badCalls) + 2) / j.cfg.DetectableShare))
 }
 
-// Evaluate returns the ruling at a time after the switch. The caller must call it a few
-// times in each eighth of the bake, at times that do not depend on the outcomes of calls.
+// Evaluate returns the ruling at a time after the start of the trial. The caller must call it a few
+// times in each eighth of the trial, at times that do not depend on the outcomes of calls.
 // A verdict other than Watching is final.
 func (j *Judge) Evaluate(since time.Duration) Result {
 	if j.result != nil {
--- a/internal/core/action.go
+++ b/internal/core/action.go
@@ -39,7 +39,8 @@
 // actionLists recycles the lists of queued actions.
 var actionLists = sync.Pool{New: func() any { l := make([]action, 0, 4); return &l }}
 
-// queueAction adds an action that is executed after the lock is released. It is called with the lock held.
+// queueAction adds an action that is executed after the lock is released. It is called with the
+// lock held.
 func (h *Host) queueAction(a action) {
 	if h.actions == nil {
 		h.actions = actionLists.Get().(*[]action)
--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -153,8 +153,8 @@
 	}
 }
 
-// AbandonAttempts stops waiting for the attempts with the given tickets of the observer, so that their
-// calls can be attempted again. Attempts of calls that must not run twice go on: those calls
+// AbandonAttempts stops waiting for the attempts with the given tickets of the observer, so that
+// their calls can be attempted again. Attempts of calls that must not run twice go on: those calls
 // cannot be attempted again, and the attempt may still be answered.
 func (h *Host) AbandonAttempts(tickets []uint64) {
 	if len(tickets) == 0 {
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -130,9 +130,9 @@
 	RetainServers(listed map[string]bool)
 	// CloseIdle closes a server's idle connections.
 	CloseIdle(server string)
-	// Probe requests a server's load report. told is called at most once, from any
+	// Probe requests a server's load report. onReport is called at most once, from any
 	// goroutine, and not at all if the report takes longer than wait.
-	Probe(server string, wait time.Duration, told func(chalkrack.LoadReport))
+	Probe(server string, wait time.Duration, onReport func(chalkrack.LoadReport))
 }
 
 // Attempt is one send of a call to one server. It has begun once the server may act on it.
--- a/internal/core/degradation.go
+++ b/internal/core/degradation.go
@@ -20,9 +20,9 @@
 	h.balancer.SetDegradationPolicy(policy)
 }
 
-// WithPolicyLock calls do with the lock that guards the degradation policy held. It passes the current time, the
-// counts of attempts, the number of serving servers and the number of those that are
-// ejected. do must not call the Host.
+// WithPolicyLock calls do while it holds the lock that guards the degradation policy. It passes
+// the current time, the counts of attempts, the number of serving servers and the number of those
+// that are ejected. do must not call the Host.
 func (h *Host) WithPolicyLock(do func(now time.Duration, seen AttemptCounts, members, ejected int)) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/core/host_test.go
+++ b/internal/core/host_test.go
@@ -94,10 +94,10 @@
 	return newSettings(10*time.Second, 20*time.Second, "all", 8*time.Second)
 }
 
-// newSettings returns settings of three classes, safe, unsafe and keyed, with the given times. scope
-// and window apply to the keyed class.
-func newSettings(promise, limit time.Duration, scope string, window time.Duration) *settings.Settings {
-	times := fmt.Sprintf(`"promiseUs":%d,"hardLimitUs":%d,"worth":1`, promise.Microseconds(), limit.Microseconds())
+// newSettings returns settings of three classes, safe, unsafe and keyed, with the given times.
+// scope and window apply to the keyed class.
+func newSettings(aim, deadline time.Duration, scope string, window time.Duration) *settings.Settings {
+	times := fmt.Sprintf(`"promiseUs":%d,"hardLimitUs":%d,"worth":1`, aim.Microseconds(), deadline.Microseconds())
 	s, err := settings.Parse(fmt.Appendf(nil, `{"replicasOfMe":1,"zone":"z","caps":{"attemptsCap":4,"mayCancel":true,"secondCopies":true,"retryAfter":true,
 		"maxRetryAfterUs":1000000,"connIdleUs":30000000,"dialTimeoutUs":2000000,"mostHeld":1000},
 		"guarantees":{"drainGraceUs":2000000},"classes":[
@@ -109,7 +109,8 @@
 	return s
 }
 
-// startHost runs a host that listens on a socket in front of the given servers, and returns its address.
+// startHost runs a host that listens on a socket in front of the given servers, and returns its
+// address.
 func startHost(tb testing.TB, config *settings.Settings, servers ...*fakeServer) (*core.Host, *front.Server, string) {
 	tb.Helper()
 	return startHostOn(tb, config, func(t core.Transport) core.Transport { return t }, servers...)
@@ -177,12 +178,12 @@
 	return c
 }
 
-// waitFor waits until ok returns true and fails the test with what if that takes too long.
-func waitFor(tb testing.TB, what string, ok func() bool) {
+// waitFor waits until ok returns true and fails the test with failure if that takes too long.
+func waitFor(tb testing.TB, failure string, ok func() bool) {
 	tb.Helper()
 	for end := time.Now().Add(testTimeout); !ok(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			tb.Fatal(what)
+			tb.Fatal(failure)
 		}
 	}
 }
@@ -343,8 +344,8 @@
 	}
 }
 
-// Guards against shedding load because of a slow client. A streamed answer must count as served when
-// it begins, however slowly its client reads it.
+// Guards against shedding load because of a slow client. A streamed answer must count as served
+// when it begins, however slowly its client reads it.
 func TestSlowReaderCausesNoShedding(t *testing.T) {
 	config := testSettings()
 	config.Config.Classes[0].Aim = time.Second
--- a/internal/core/races_test.go
+++ b/internal/core/races_test.go
@@ -113,7 +113,8 @@
 	return h
 }
 
-// shortSettings returns settings with an aim of 200 ms, a deadline of 500 ms and a window of 150 ms.
+// shortSettings returns settings with an aim of 200 ms, a deadline of 500 ms and a window of
+// 150 ms.
 func shortSettings() *settings.Settings {
 	return newSettings(200*time.Millisecond, 500*time.Millisecond, "cell", 150*time.Millisecond)
 }
--- a/internal/core/watch_test.go
+++ b/internal/core/watch_test.go
@@ -57,7 +57,8 @@
 	return all
 }
 
-// startWatchedHost runs a host with an observer in front of the given servers and returns its address.
+// startWatchedHost runs a host with an observer in front of the given servers and returns its
+// address.
 func startWatchedHost(tb testing.TB, watch core.AttemptObserver, servers ...*fakeServer) (*core.Host, string) {
 	tb.Helper()
 	config := testSettings()
--- a/internal/duty/config.go
+++ b/internal/duty/config.go
@@ -76,25 +76,25 @@
 	seen := map[ID]string{c.id(): c.Self}
 	for _, p := range c.Peers {
 		id := p.id()
-		require(p.Name != "" && seen[id] == "", "peers", "%q is there twice, or has the hash of %q", p.Name, seen[id])
+		require(p.Name != "" && seen[id] == "", "peers", "%q is listed twice, or has the same hash as %q", p.Name, seen[id])
 		seen[id] = cmp.Or(p.Name, "?")
 	}
 	require(c.Watchers >= 1 && c.Watchers <= 16, "watchers", "must be within 1 and 16")
 	require(c.ProbeInterval >= 50*time.Millisecond && c.ProbeInterval <= time.Hour, "every", "must be within 50ms and 1h")
 	require(c.TakeoverStep > 0, "step", "must be above 0")
-	require(c.PingInterval >= 50*time.Millisecond, "period", "must be 50ms at least")
-	require(c.AckTimeout > 0 && 2*c.AckTimeout < c.PingInterval, "ack_wait", "must be above 0, and twice of it below period")
+	require(c.PingInterval >= 50*time.Millisecond, "period", "must be at least 50ms")
+	require(c.AckTimeout > 0 && 2*c.AckTimeout < c.PingInterval, "ack_wait", "must be above 0 and below half of period")
 	require(c.IndirectPings >= 0 && c.IndirectPings <= 16, "helpers", "must be within 0 and 16")
-	require(c.SuspectTimeout >= c.PingInterval, "suspect", "must be period at the least")
+	require(c.SuspectTimeout >= c.PingInterval, "suspect", "must be at least period")
 	require(c.Fanout >= 1 && c.Fanout <= 16, "spread", "must be within 1 and 16")
 	require(c.MaxProbeRate > 0, "probes", "must be above 0")
-	require(c.MaxServerProbeRate > 0 && c.MaxServerProbeRate >= 2*float64(c.Watchers)/c.ProbeInterval.Seconds(), "per_node", "must be twice what %d watchers probe each %v, or more", c.Watchers, c.ProbeInterval)
-	require(c.MaxNoteRate >= float64(c.Fanout+c.IndirectPings+2)/c.PingInterval.Seconds(), "notes", "must be enough for spread, helpers and signs in a period")
+	require(c.MaxServerProbeRate > 0 && c.MaxServerProbeRate >= 2*float64(c.Watchers)/c.ProbeInterval.Seconds(), "per_node", "must be at least twice the rate of %d watchers that each probe every %v", c.Watchers, c.ProbeInterval)
+	require(c.MaxNoteRate >= float64(c.Fanout+c.IndirectPings+2)/c.PingInterval.Seconds(), "notes", "must allow spread + helpers + 2 notes in a period")
 	require(c.DeadPingInterval > 0, "remember", "must be above 0")
 	return errors.Join(errs...)
 }
 
-// MaxWatchedGap returns the maximum time between probes of a server while one of its watchers is
+// MaxWatchedGap returns the maximum time between probes of a server while any of its watchers is
 // alive.
 func (c *Config) MaxWatchedGap() time.Duration { return c.ProbeInterval + maxTickDelay }
 
--- a/internal/duty/duty.go
+++ b/internal/duty/duty.go
@@ -106,9 +106,9 @@
 	nextPeriod    time.Duration // when the next period begins
 	seq           uint32
 	pendingPings  []pendingPing
-	ranksOutdated bool                                     // ranks must be recomputed
-	lastFinding   int                                      // index of the finding that was last sent in turn
-	payload       func(now time.Duration, room int) []byte // returns the payload of a note; nil: none
+	ranksOutdated bool                                         // ranks must be recomputed
+	lastFinding   int                                          // index of the finding that was last sent in turn
+	payload       func(now time.Duration, maxBytes int) []byte // returns the payload of a note; nil: none
 
 	probeBudget, noteBudget tokenBucket
 	takeoverRate            float64 // maximum takeovers per second
@@ -148,7 +148,9 @@
 
 // SetPayload sets the function that returns the payload of each note, given the number of bytes
 // available. An empty payload is not added.
-func (d *Detector) SetPayload(payload func(now time.Duration, room int) []byte) { d.payload = payload }
+func (d *Detector) SetPayload(payload func(now time.Duration, maxBytes int) []byte) {
+	d.payload = payload
+}
 
 // SendNotes returns notes with current updates and findings to n randomly chosen living peers and
 // to the named ones, within the budget for notes.
--- a/internal/duty/duty_test.go
+++ b/internal/duty/duty_test.go
@@ -150,8 +150,8 @@
 	w.execute(to, to.duty.Receive(w.Now+to.clockOffset, n))
 }
 
-// probeStats returns, for a time range: the mean probes per server and second, the maximum probes of
-// one server in a second, and the longest gap between probes of one server.
+// probeStats returns, for a time range: the mean probes per server and second, the maximum probes
+// of one server in a second, and the longest gap between probes of one server.
 func (w *sim) probeStats(from, to time.Duration) (mean float64, maxPerSecond int, gap time.Duration) {
 	for _, n := range w.servers {
 		last := from
--- a/internal/duty/membership.go
+++ b/internal/duty/membership.go
@@ -118,9 +118,9 @@
 	out.Notes = append(out.Notes, OutgoingNote{to.Name, note})
 }
 
-// nextFindings returns the next findings to send, up to capacity: first this sidecar's own that were
-// sent least often, then all others in turn. Those too old to defer anybody's probe are left
-// out.
+// nextFindings returns the next findings to send, up to capacity: first this sidecar's own that
+// were sent least often, then all others in turn. Findings too old to defer the probe of another
+// sidecar are left out.
 func (d *Detector) nextFindings(capacity int) (findings []Finding) {
 	isRecent := func(srv *server) bool { return srv.foundAt >= 0 && d.now-srv.foundAt < 4*d.cfg.ProbeInterval }
 	var ownFindings []*server
--- a/internal/evacuation/cases_test.go
+++ b/internal/evacuation/cases_test.go
@@ -512,7 +512,7 @@
 	f.requireUsers("b", 40)
 	for _, c := range []struct{ zone, action, who, why, want string }{
 		{"x", "leave", "a", "b", `zone "x": there is no such zone`},
-		{"a", "go", "a", "b", `zones: "go" is no order: leave, return, hold or auto`},
+		{"a", "go", "a", "b", `zones: "go" is not an order: expected leave, return, hold or auto`},
 		{"a", "leave", "", "b", evacuation.ErrOrderText.Error()},
 		{"a", "leave", "a", "this reason is far too long to be told in a note", evacuation.ErrOrderText.Error()},
 	} {
--- a/internal/evacuation/config.go
+++ b/internal/evacuation/config.go
@@ -31,7 +31,8 @@
 	// MinWitnesses is the number of sidecars that must report a failure before the fleet leaves a
 	// zone. A fleet too small for it needs half of its sidecars, rounded up.
 	MinWitnesses int
-	// MinFailingShare is the least share of the sidecars with an opinion that must vote that the zone fails.
+	// MinFailingShare is the least share of the sidecars with an opinion that must vote that the
+	// zone fails.
 	MinFailingShare float64
 	// FailingRatio is the ratio of bad results to all results at which a zone fails.
 	FailingRatio float64
@@ -39,15 +40,15 @@
 	DegradedRatio float64
 	// ResponseTimeout is the least time without a response after which an attempt counts as late.
 	ResponseTimeout time.Duration
-	// SlowFactor is the factor over the response time of the fastest zone above which an attempt counts
-	// as late.
+	// SlowFactor is the factor over the response time of the fastest zone above which an attempt
+	// counts as late.
 	SlowFactor float64
 	// EvidenceWindow is the time constant with which evidence decays.
 	EvidenceWindow time.Duration
 	// SettleDelay is how long peers have to contradict before the fleet leaves a zone.
 	SettleDelay time.Duration
-	// LocalDepartureDelay is how long a sidecar sees a zone fail, without agreement of its peers, before it
-	// leaves the zone by itself.
+	// LocalDepartureDelay is how long a sidecar sees a zone fail, without agreement of its peers,
+	// before it leaves the zone by itself.
 	LocalDepartureDelay time.Duration
 	// MinDwell is how long a zone stays out before its first return.
 	MinDwell time.Duration
@@ -65,8 +66,8 @@
 	// HighWorthClasses marks the classes, by index, that are worth more than the mean. Only
 	// they leave a zone that is left in part.
 	HighWorthClasses []bool
-	// RegionByZone maps a zone to its region. Once more than half of a region's zones are out, the vote
-	// of a single sidecar is enough to leave another of them.
+	// RegionByZone maps a zone to its region. Once more than half of a region's zones are out, the
+	// vote of a single sidecar is enough to leave another of them.
 	RegionByZone map[string]string
 	// CapacityWithoutZone maps a zone to the share of the fleet's calls that the other zones
 	// can carry without it, as 'fawnctl plan' computes it for the loss of that zone. A zone
@@ -90,25 +91,25 @@
 		}
 	}
 	require(c.Peers >= 1 && c.Peers <= MaxPeers, "peers", "within 1 and %d", MaxPeers)
-	require(c.Self >= 0 && c.Self < c.Peers, "self", "one of the peers")
+	require(c.Self >= 0 && c.Self < c.Peers, "self", "the number of a peer")
 	require(c.MinWitnesses >= 1 && c.MinWitnesses <= 64, "witnesses", "within 1 and 64")
 	require(c.MinFailingShare >= 0.5 && c.MinFailingShare <= 1, "share", "within 0.5 and 1")
-	require(c.FailingRatio > 0 && c.FailingRatio <= 1, "fails", "above 0, 1 at most")
+	require(c.FailingRatio > 0 && c.FailingRatio <= 1, "fails", "above 0 and at most 1")
 	require(c.DegradedRatio > 0 && c.DegradedRatio < c.FailingRatio, "limps", "above 0 and below fails")
 	require(c.ResponseTimeout >= 50*time.Millisecond && c.ResponseTimeout <= 10*time.Second, "silence", "within 50ms and 10s")
 	require(c.SlowFactor >= 1.5 && c.SlowFactor <= 100, "slow", "within 1.5 and 100")
-	require(c.EvidenceWindow >= c.ResponseTimeout && c.EvidenceWindow <= time.Minute, "window", "silence at least, 1m at most")
+	require(c.EvidenceWindow >= c.ResponseTimeout && c.EvidenceWindow <= time.Minute, "window", "within silence and 1m")
 	require(c.SettleDelay >= 0 && c.SettleDelay < c.EvidenceWindow, "settle", "0 or more, and below window")
-	require(c.LocalDepartureDelay >= c.SettleDelay && c.LocalDepartureDelay <= time.Minute, "alone", "settle at least, 1m at most")
-	require(c.MinStageDuration >= c.ResponseTimeout && c.MinStageDuration <= time.Hour, "proof", "silence at least, 1h at most: a stage is judged by what has had time to fail")
-	require(c.MinDwell >= c.MinStageDuration && c.MinDwell <= time.Hour, "dwell", "proof at least, 1h at most")
-	require(c.MaxDwell >= c.MinDwell && c.MaxDwell <= 24*time.Hour, "dwell_most", "dwell at least, 24h at most")
-	require(c.ServerCapacity > 0 && c.ServerCapacity <= 1e6, "bears", "above 0, 1000000 at most")
+	require(c.LocalDepartureDelay >= c.SettleDelay && c.LocalDepartureDelay <= time.Minute, "alone", "within settle and 1m")
+	require(c.MinStageDuration >= c.ResponseTimeout && c.MinStageDuration <= time.Hour, "proof", "within silence and 1h, because an attempt counts as late only after silence")
+	require(c.MinDwell >= c.MinStageDuration && c.MinDwell <= time.Hour, "dwell", "within proof and 1h")
+	require(c.MaxDwell >= c.MinDwell && c.MaxDwell <= 24*time.Hour, "dwell_most", "within dwell and 24h")
+	require(c.ServerCapacity > 0 && c.ServerCapacity <= 1e6, "bears", "above 0 and at most 1000000")
 	require(c.Fanout >= 1 && c.Fanout <= 16, "spread", "within 1 and 16")
 	for zone, share := range c.CapacityWithoutZone {
 		require(share >= 0 && share <= 1, "carried."+zone, "within 0 and 1")
 	}
-	require(c.MaxRefusalShare > 0 && c.MaxRefusalShare <= 1, "full", "above 0, 1 at most")
+	require(c.MaxRefusalShare > 0 && c.MaxRefusalShare <= 1, "full", "above 0 and at most 1")
 	return err
 }
 
@@ -123,7 +124,7 @@
 	return ZoneID(x ^ x>>16)
 }
 
-// Stage tells which part of the fleet sends to a zone.
+// Stage determines which part of the fleet sends to a zone.
 type Stage uint8
 
 const (
@@ -211,7 +212,7 @@
 	return o.Author > p.Author
 }
 
-// Vote is what a sidecar concludes about a zone from its own evidence.
+// Vote is the conclusion of a sidecar about a zone from its own evidence.
 type Vote uint8
 
 const (
@@ -232,6 +233,6 @@
 // Errors of orders.
 var (
 	ErrUnknownZone = errors.New("there is no such zone")
-	ErrLastZone    = errors.New("it is all there is")
-	ErrOrderText   = fmt.Errorf("the reason may have %d bytes, the name %d, and neither may be empty", MaxReasonBytes, MaxWhoBytes)
+	ErrLastZone    = errors.New("it is the last zone in use and cannot be left")
+	ErrOrderText   = fmt.Errorf("the reason must have 1 to %d bytes and the name of the operator 1 to %d", MaxReasonBytes, MaxWhoBytes)
 )
--- a/internal/evacuation/evidence.go
+++ b/internal/evacuation/evidence.go
@@ -73,7 +73,7 @@
 
 // evidence summarizes a sidecar's own evidence on a zone. Only the latest result of each server
 // counts, weighted by its age. Otherwise a single server that fails fast, and therefore often,
-// would speak for the whole zone.
+// would determine the evidence on the whole zone.
 type evidence struct {
 	badRatio      float64 // weight of bad results divided by weight
 	weight        float64 // total weight of good and bad results
@@ -124,8 +124,8 @@
 	return e
 }
 
-// RecordSend records that an attempt was sent to a server. It returns the ticket that identifies the
-// attempt in Ended.
+// RecordSend records that an attempt was sent to a server. It returns the ticket that identifies
+// the attempt in RecordEnd.
 func (m *Machine) RecordSend(now time.Duration, name string) uint64 {
 	m.lastTicket++
 	if s := m.servers[name]; s != nil && len(m.openAttempts) < maxOpenAttempts {
@@ -135,13 +135,13 @@
 }
 
 // RecordEnd records the result of an attempt. A cancelled attempt is no evidence.
-func (m *Machine) RecordEnd(now time.Duration, ticket uint64, k ResultKind, calledOff bool) {
+func (m *Machine) RecordEnd(now time.Duration, ticket uint64, k ResultKind, cancelled bool) {
 	a, ok := m.openAttempts[ticket]
 	if !ok {
 		return
 	}
 	delete(m.openAttempts, ticket)
-	if calledOff || a.countedLate || m.servers[a.server.name] != a.server {
+	if cancelled || a.countedLate || m.servers[a.server.name] != a.server {
 		return
 	}
 	if k == ResultGood {
--- a/internal/evacuation/fleet_test.go
+++ b/internal/evacuation/fleet_test.go
@@ -17,7 +17,7 @@
 type fleet struct {
 	*zonal.World
 	t       testing.TB
-	results map[string]evacuation.ResultKind // result of calls by zone; default Good
+	results map[string]evacuation.ResultKind // result of calls by zone; default ResultGood
 	affects func(n int) bool                 // sidecars that the failures affect; nil: all
 }
 
@@ -52,11 +52,11 @@
 
 // waitFor runs the fleet until holds returns true. It fails the test if that takes longer than
 // maxTime.
-func (f *fleet) waitFor(what string, maxTime time.Duration, holds func() bool) time.Duration {
+func (f *fleet) waitFor(condition string, maxTime time.Duration, holds func() bool) time.Duration {
 	f.t.Helper()
 	took, ok := f.RunUntil(maxTime, 10*ms, holds)
 	if !ok {
-		f.t.Errorf("at %v: condition %q not met within %v", f.Now, what, maxTime)
+		f.t.Errorf("at %v: condition %q not met within %v", f.Now, condition, maxTime)
 	}
 	return took
 }
--- a/internal/evacuation/machine.go
+++ b/internal/evacuation/machine.go
@@ -39,7 +39,7 @@
 	heldSince  time.Duration // since when the peer is known to hold record
 }
 
-// peer is what this sidecar knows of another one.
+// peer is the state of another sidecar as known to this one.
 type peer struct {
 	incarnation uint64
 	seq         uint32
@@ -214,14 +214,14 @@
 	return nil
 }
 
-// Output tells the owner of a Machine what to do after a call.
+// Output lists what the owner of a Machine has to do after a call.
 type Output struct {
 	RandomNotes      int           // number of notes to send now, to randomly chosen peers
 	Recipients       []int         // peers to send a note to now, by number
 	Changes          []Change      // stage changes to log
 	HopelessAttempts []uint64      // tickets of attempts that are not worth waiting for
 	NextTick         time.Duration // longest time until the next call of Tick; 0: unchanged
-	UsesChanged      bool          // the result of Uses has changed for a zone
+	UsesChanged      bool          // the result of UsesZone has changed for a zone
 }
 
 // Tick evaluates the evidence, votes and timers of all zones.
@@ -276,7 +276,7 @@
 	return out
 }
 
-// zoneUses returns the result of Uses for each zone, in the order of m.zones.
+// zoneUses returns the result of UsesZone for each zone, in the order of m.zones.
 func (m *Machine) zoneUses() (all []bool) {
 	for _, z := range m.zones {
 		all = append(all, m.usesZone(z))
--- a/internal/evacuation/note.go
+++ b/internal/evacuation/note.go
@@ -20,14 +20,14 @@
 	flagHello    = 1 // flag: the sender asks for a reply
 )
 
-// MinNoteBytes is the length of a note's part with one zone, in bytes. With more room the part
-// holds more zones.
+// MinNoteBytes is the length of a note's part with one zone, in bytes. With more bytes the
+// part holds more zones.
 const MinNoteBytes = headerLen + zoneEntryLen + 1
 
-// EncodeNote returns this sidecar's part of a note, at most room bytes long. It returns nil if room is
-// below MinNoteBytes or no zone is known.
-func (m *Machine) EncodeNote(now time.Duration, room int) []byte {
-	if room < MinNoteBytes || len(m.zones) == 0 {
+// EncodeNote returns this sidecar's part of a note, at most maxBytes long. It returns nil if
+// maxBytes is below MinNoteBytes or no zone is known.
+func (m *Machine) EncodeNote(now time.Duration, maxBytes int) []byte {
+	if maxBytes < MinNoteBytes || len(m.zones) == 0 {
 		return nil
 	}
 	m.lastSeq++
@@ -36,8 +36,8 @@
 		flags |= flagHello
 	}
 	zones := m.zonesByAnnouncement()
-	zones = zones[:min(len(zones), maxNoteZones, (room-headerLen-1)/zoneEntryLen)]
-	buf := make([]byte, 0, room)
+	zones = zones[:min(len(zones), maxNoteZones, (maxBytes-headerLen-1)/zoneEntryLen)]
+	buf := make([]byte, 0, maxBytes)
 	buf = append(buf, noteVersion)
 	buf = binary.BigEndian.AppendUint16(buf, uint16(m.cfg.Self))
 	buf = binary.BigEndian.AppendUint32(buf, m.lastSeq)
@@ -58,7 +58,7 @@
 			newest = z
 		}
 	}
-	if newest != nil && len(buf)+4+len(newest.order.Who)+len(newest.order.Reason) <= room {
+	if newest != nil && len(buf)+4+len(newest.order.Who)+len(newest.order.Reason) <= maxBytes {
 		buf = binary.BigEndian.AppendUint16(buf, uint16(newest.id))
 		buf = append(buf, byte(len(newest.order.Who)), byte(len(newest.order.Reason)))
 		buf = append(buf, newest.order.Who...)
@@ -187,7 +187,7 @@
 	who, reason string
 }
 
-// parseNote decodes a note's part. It accepts only what Note can write.
+// parseNote decodes a note's part. It accepts only what EncodeNote can write.
 func parseNote(b []byte) (note parsedNote, ok bool) {
 	if len(b) < headerLen || b[0] != noteVersion {
 		return note, false
--- a/internal/evacuation/note_test.go
+++ b/internal/evacuation/note_test.go
@@ -34,7 +34,7 @@
 func TestOrderCannotLeaveLastZone(t *testing.T) {
 	a, _ := pair(t)
 	a.SetServers(sec, []Server{{"s1", "a"}})
-	if err := a.SubmitOrder(sec, "a", "leave", "x", "y"); err == nil || err.Error() != `zone "a": it is all there is` {
+	if err := a.SubmitOrder(sec, "a", "leave", "x", "y"); err == nil || err.Error() != `zone "a": it is the last zone in use and cannot be left` {
 		t.Error(err)
 	}
 }
--- a/internal/evacuation/stages.go
+++ b/internal/evacuation/stages.go
@@ -134,8 +134,8 @@
 	return max(1, min(m.cfg.Peers, int(sendingShare[s]*float64(m.cfg.Peers)+0.999)))
 }
 
-// isCanary reports whether sidecar n is a canary: one of those that send in the current return
-// stage of a zone. The threshold is computed once for each record, because this runs for each
+// isCanary reports whether sidecar n is a canary, which sends in the current return stage of a
+// zone. The threshold is computed once for each record, because this runs for each
 // candidate of each call and for each peer at each tick.
 func (m *Machine) isCanary(z *zone, n int) bool {
 	if z.minCanaryWeightRecord != z.record || z.minCanaryWeight == 0 {
@@ -286,9 +286,10 @@
 	return z.tokens >= 1
 }
 
-// PreferredZone returns a zone whose return waits for this sidecar's first call in the current stage, or ""
-// if there is none. Without it the return would depend on chance: what a zone's servers did before
-// the departure keeps them a bad choice for long, and some are in no working set.
+// PreferredZone returns a zone whose return waits for this sidecar's first call in the current
+// stage, or "" if there is none. Without it the return would depend on chance: the
+// results of a zone's servers before the departure keep them a bad choice for long, and some are
+// in no working set.
 func (m *Machine) PreferredZone(now time.Duration, repeats bool) string {
 	if !repeats { // a call that must not run twice is no test
 		return ""
@@ -304,7 +305,7 @@
 	return ""
 }
 
-// TakeToken takes a token for a call that is sent to a zone for which Room returned true.
+// TakeToken takes a token for a call that is sent to a zone for which HasRoom returned true.
 func (m *Machine) TakeToken(now time.Duration, name string) {
 	if z := m.findZone(name); z != nil && z.record.Stage >= StageOneIn64 {
 		m.refillTokens(z, now)
@@ -353,7 +354,7 @@
 	case "return", "auto":
 		order.Action = ActionAuto
 	default:
-		return fmt.Errorf("zones: %q is no order: leave, return, hold or auto", action)
+		return fmt.Errorf("zones: %q is not an order: expected leave, return, hold or auto", action)
 	}
 	m.setOrder(z, order)
 	if action == "return" && z.record.Stage == StageOut {
@@ -390,8 +391,8 @@
 	return all
 }
 
-// RestoreState restores the state that another process of the same sidecar held. Invalid entries are
-// skipped and counted.
+// RestoreState restores the state that another process of the same sidecar held. Invalid entries
+// are skipped and counted.
 func (m *Machine) RestoreState(now time.Duration, states []ZoneState) {
 	m.now = now
 	for _, s := range states {
--- a/internal/figures/figures_test.go
+++ b/internal/figures/figures_test.go
@@ -10,7 +10,7 @@
 )
 
 // In any order of calls each accepted request has exactly one end or is outstanding. It
-// would be counted twice if a second Take or Over had an effect.
+// would be counted twice if a second CountRequest or CountEnd had an effect.
 func TestEachRequestIsCountedOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		classes := []string{"a", "b"}
--- a/internal/front/front_test.go
+++ b/internal/front/front_test.go
@@ -125,12 +125,12 @@
 	return err != nil && !(ok && ne.Timeout())
 }
 
-// waitFor waits until ok returns true, and fails the test with what after testTimeout.
-func waitFor(t *testing.T, what string, ok func() bool) {
+// waitFor waits until ok returns true, and fails the test with failure after testTimeout.
+func waitFor(t *testing.T, failure string, ok func() bool) {
 	t.Helper()
 	for end := time.Now().Add(testTimeout); !ok(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal(what)
+			t.Fatal(failure)
 		}
 	}
 }
--- a/internal/generation/generation.go
+++ b/internal/generation/generation.go
@@ -3,8 +3,8 @@
 //
 // A generation is one configuration. A call is assigned to a generation when it arrives
 // and keeps it until it ends. During a trial, two generations take calls and a judge
-// (package bake) compares them. State that all calls share (cold servers, what was
-// learned per class) follows the stricter rules of the two.
+// (package configtrial) compares them. State that all calls share (cold servers, what
+// was learned per class) follows the stricter rules of the two.
 package generation
 
 import (
@@ -66,7 +66,7 @@
 
 // ErrTooManyNames reports that a generation would bring the process over its limit of
 // distinct class or tenant names.
-var ErrTooManyNames = errors.New("generation: over 1024 classes or tenants since the start: a start forgets those that are gone")
+var ErrTooManyNames = errors.New("generation: over 1024 classes or tenants since the start of the process; a restart removes unused ones")
 
 // nameTable assigns each class and tenant name an index for the life of the process, so
 // that the learned state of a name carries over to the next generation and is there again
--- a/internal/generation/generation_test.go
+++ b/internal/generation/generation_test.go
@@ -34,7 +34,7 @@
 	return &Generation{ID: id, Settings: testSettings}
 }
 
-var testBake = configtrial.Config{Share: 0.3, FalseUndo: 0.01, DetectableShare: 0.5, Duration: time.Minute}
+var testTrialConfig = configtrial.Config{Share: 0.3, FalseUndo: 0.01, DetectableShare: 0.5, Duration: time.Minute}
 
 // Over any sequence of changes a class keeps its index, a generation's rules do not
 // change, a class that a generation does not have stays unknown to it, and during a trial
@@ -64,9 +64,9 @@
 			case 0:
 				cold := rapid.Float64Range(0, 1).Draw(t, "cold")
 				g := newTestGeneration(t, step+2, names.Draw(t, "next"), func(c *chalkrack.Config) { c.ColdFrom, c.ColdFor = cold, time.Duration(cold*float64(20*time.Second)) })
-				rules, err = m.BeginTrial(0, g, testBake, 1)
+				rules, err = m.BeginTrial(0, g, testTrialConfig, 1)
 				if (v.Next != nil) != errors.Is(err, ErrTrial) {
-					t.Fatalf("Begin with a trial on: %v: got error %v", v.Next != nil, err)
+					t.Fatalf("BeginTrial with a trial on: %v: got error %v", v.Next != nil, err)
 				}
 				if err != nil {
 					continue
@@ -126,7 +126,7 @@
 		t.Fatal(err)
 	}
 	early := m.View().Stamp(0)
-	if _, err := m.BeginTrial(0, next, testBake, 77); err != nil {
+	if _, err := m.BeginTrial(0, next, testTrialConfig, 77); err != nil {
 		t.Fatal(err)
 	}
 	nextCalls := 0
@@ -159,7 +159,7 @@
 	if _, err := m.EndTrial(false); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := m.BeginTrial(0, newTestGeneration(t, 3, []string{"a"}, nil), testBake, 78); err != nil {
+	if _, err := m.BeginTrial(0, newTestGeneration(t, 3, []string{"a"}, nil), testTrialConfig, 78); err != nil {
 		t.Fatal(err)
 	}
 	// If calls of an ended trial, or from before any trial, counted, they would hide the
@@ -177,7 +177,7 @@
 	if _, err := m.EndTrial(false); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := m.BeginTrial(0, newTestGeneration(t, 4, []string{"a"}, nil), testBake, 79); err != nil {
+	if _, err := m.BeginTrial(0, newTestGeneration(t, 4, []string{"a"}, nil), testTrialConfig, 79); err != nil {
 		t.Fatal(err)
 	}
 	// A change that removes a class which clients still use is undone.
@@ -200,11 +200,11 @@
 	for n := range maxNames {
 		many = append(many, fmt.Sprint("class", n))
 	}
-	if _, err := m.BeginTrial(0, newTestGeneration(t, 2, many, nil), testBake, 1); !errors.Is(err, ErrTooManyNames) {
-		t.Errorf("Begin with too many classes: got error %v, want ErrTooManyNames", err)
+	if _, err := m.BeginTrial(0, newTestGeneration(t, 2, many, nil), testTrialConfig, 1); !errors.Is(err, ErrTooManyNames) {
+		t.Errorf("BeginTrial with too many classes: got error %v, want ErrTooManyNames", err)
 	}
 	if _, err := m.BeginTrial(0, newTestGeneration(t, 2, []string{"b"}, nil), configtrial.Config{}, 1); err == nil {
-		t.Error("Begin accepted an empty bake.Config")
+		t.Error("BeginTrial accepted an empty configtrial.Config")
 	}
 	if m.View() != v || len(m.Classes()) != 1 {
 		t.Errorf("a rejected trial changed the machine: view %+v, classes %v", m.View(), m.Classes())
@@ -213,7 +213,7 @@
 		t.Errorf("Rule without a trial: got error %v, want ErrIdle", err)
 	}
 	// Classes of a change that was undone keep their index and learned state.
-	if _, err := m.BeginTrial(0, newTestGeneration(t, 3, []string{"b"}, nil), testBake, 1); err != nil {
+	if _, err := m.BeginTrial(0, newTestGeneration(t, 3, []string{"b"}, nil), testTrialConfig, 1); err != nil {
 		t.Fatal(err)
 	}
 	if rules, err := m.EndTrial(false); err != nil || len(rules.Classes) != 2 || rules.Validate() != nil {
--- a/internal/generation/trial.go
+++ b/internal/generation/trial.go
@@ -75,7 +75,7 @@
 func (m *Machine) Classes() []string { return m.names.classes }
 
 // BeginTrial starts a trial of next beside the current generation, with a judge configured by
-// cfg (Begin sets its Classes). It returns the rules for state that both share. On an
+// cfg (BeginTrial sets its Classes). It returns the rules for state that both share. On an
 // error m does not change.
 func (m *Machine) BeginTrial(now time.Duration, next *Generation, cfg configtrial.Config, seed uint64) (chalkrack.Config, error) {
 	if m.view.Next != nil {
@@ -115,9 +115,9 @@
 	}
 }
 
-// RecordUnknownClass records a call whose class its generation does not have. It counts as failed if
-// the generation is the one on trial and the current one has the class: the change removed
-// a class that clients still use.
+// RecordUnknownClass records a call whose class its generation does not have. It counts as
+// failed if the generation is the one on trial and the current one has the class: the change
+// removed a class that clients still use.
 func (m *Machine) RecordUnknownClass(s Stamp, class string) {
 	if m.inTrial(s) && s.Gen == m.view.Next {
 		if index := m.view.Current.Class(class); index >= 0 {
--- a/internal/history/store.go
+++ b/internal/history/store.go
@@ -65,7 +65,7 @@
 	}
 	lock, err := durable.Lock(filepath.Join(folder, lockFile), lockTimeout)
 	if err != nil {
-		return nil, fmt.Errorf("history: %s: another process has it: %w", folder, err)
+		return nil, fmt.Errorf("history: %s is in use by another process: %w", folder, err)
 	}
 	s, err := open(folderDisk(folder), time.Now)
 	if err != nil {
--- a/internal/spool/spool_test.go
+++ b/internal/spool/spool_test.go
@@ -77,11 +77,11 @@
 	return nil
 }
 
-func eventually(t *testing.T, what string, ok func() bool) {
+func eventually(t *testing.T, failure string, ok func() bool) {
 	t.Helper()
 	for end := time.Now().Add(testTimeout); !ok(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal(what)
+			t.Fatal(failure)
 		}
 	}
 }
--- a/internal/upstream/departed_client_test.go
+++ b/internal/upstream/departed_client_test.go
@@ -14,11 +14,11 @@
 	"chalkrack/internal/message"
 )
 
-// leaver is a client that counts as present for a number of calls of Left and has left after
+// leaver is a client that counts as present for a number of calls of HasLeft and has left after
 // them.
 type leaver struct {
-	polls   atomic.Int32 // further calls of Left that report the client as present
-	onCheck func()       // called after each call of Left; may be nil
+	polls   atomic.Int32 // further calls of HasLeft that report the client as present
+	onCheck func()       // called after each call of HasLeft; may be nil
 }
 
 func (g *leaver) HasLeft() bool {
@@ -33,13 +33,13 @@
 // byte was held back or before a further attempt, nor after the attempt's deadline. A request
 // that was not written never ran, and its server is not blamed.
 func TestNothingIsSentForDepartedClient(t *testing.T) {
-	heard := make(chan string, 10)
+	received := make(chan string, 10)
 	addr, _ := startFakeServer(t, func(c net.Conn, br *bufio.Reader) {
 		for readRequest(br) == nil {
-			heard <- "a request"
+			received <- "a request"
 			c.Write([]byte("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"))
 		}
-		heard <- "the end"
+		received <- "the end"
 	})
 	for _, c := range []struct {
 		name  string
@@ -67,7 +67,7 @@
 		}
 		p.Close()
 		for over := false; !over; {
-			switch word := <-heard; {
+			switch word := <-received; {
 			case word == "the end":
 				over = true
 			case c.want != chalkrack.OK:
@@ -176,7 +176,7 @@
 // The process is suspended during the check itself, in its system call, where a signal stops it.
 // The result of that check is out of date, and the check is repeated.
 func TestSuspensionDuringSendCheckRepeatsCheck(t *testing.T) {
-	addr, heard := startRecordingServer(t)
+	addr, received := startRecordingServer(t)
 	p := newPool(1)
 	p.AddServer("s", addr, 0)
 	s, g := newSink(), new(leaver)
@@ -191,7 +191,7 @@
 	if r := s.wait(t); r.outcome != chalkrack.NotSent {
 		t.Errorf("outcome %v", r.outcome)
 	}
-	if line := <-heard; line != "" {
+	if line := <-received; line != "" {
 		t.Errorf("server received %q, want nothing", line)
 	}
 	// When every check takes this long, checking ends after maxChecks and the request is sent.
@@ -204,7 +204,7 @@
 	a = newGetAttempt(s)
 	a.Request.Client = g
 	p.Start(a)
-	if line := <-heard; line == "" {
+	if line := <-received; line == "" {
 		t.Error("nothing was sent for a client that still waits")
 	}
 	if n := 100 - g.polls.Load(); n > maxChecks {
--- a/internal/upstream/races_test.go
+++ b/internal/upstream/races_test.go
@@ -69,7 +69,7 @@
 // unsolicited bytes.
 func TestUnsolicitedAnswerBeforeWritePreventsSend(t *testing.T) {
 	for _, speaks := range []bool{true, false} {
-		heard := make(chan string, 1)
+		received := make(chan string, 1)
 		addr, _ := startFakeServer(t, func(c net.Conn, br *bufio.Reader) {
 			if !speaks {
 				c.(*net.TCPConn).CloseWrite()
@@ -77,7 +77,7 @@
 				io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nbad")
 			}
 			line, _ := br.ReadString('\n')
-			heard <- line
+			received <- line
 		})
 		p := newPool(1)
 		p.AddServer("s", addr, 0)
@@ -97,7 +97,7 @@
 		if r := s.wait(t); r.outcome != chalkrack.ConnectFailed {
 			t.Errorf("outcome %v", r.outcome)
 		}
-		if line := <-heard; line != "" {
+		if line := <-received; line != "" {
 			t.Errorf("server received %q, want nothing", line)
 		}
 		p.mu.Lock()
@@ -113,10 +113,10 @@
 // such bytes, connections are reused at once.
 func TestConnectionsAreReusedAfterDelay(t *testing.T) {
 	addr, conns := startFakeServer(t, answerEach("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi"))
-	for _, unasked := range []bool{false, true} {
+	for _, unsolicited := range []bool{false, true} {
 		p := newPool(10)
 		p.AddServer("s", addr, 0)
-		if unasked {
+		if unsolicited {
 			p.recordUnsolicited("s")
 		}
 		for range 3 {
@@ -124,14 +124,14 @@
 				t.Fatal(r)
 			}
 			waitUntil(t, "connection is not idle", func() bool { return p.idleCount("s") == 1 })
-			if unasked {
+			if unsolicited {
 				p.mu.Lock()
 				p.servers["s"].idle[0].idleSince = time.Now().Add(-minReuseDelay)
 				p.mu.Unlock()
 			}
 		}
 		if p.Conns() != 1 {
-			t.Errorf("unsolicited bytes %v: %d connections, want 1", unasked, p.Conns())
+			t.Errorf("unsolicited bytes %v: %d connections, want 1", unsolicited, p.Conns())
 		}
 		p.Close()
 		<-conns
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -467,10 +467,10 @@
 		c.Close()
 	}
 	for _, c := range []struct {
-		name          string
-		script        func(net.Conn, *bufio.Reader)
-		brittle, once bool
-		want          chalkrack.Outcome
+		name                    string
+		script                  func(net.Conn, *bufio.Reader)
+		recentBreak, atMostOnce bool
+		want                    chalkrack.Outcome
 	}{
 		{"breaks", breaks, true, true, chalkrack.ConnectFailed},
 		{"breaks under one that may repeat", breaks, true, false, chalkrack.Reset},
@@ -487,7 +487,7 @@
 			}
 			p.AddServer("s", addr, 0)
 			for range 5 {
-				if p.mu.Lock(); c.brittle {
+				if p.mu.Lock(); c.recentBreak {
 					p.lastBreakAt = time.Now()
 				} else {
 					p.lastBreakAt = time.Time{}
@@ -495,7 +495,7 @@
 				p.mu.Unlock()
 				s := newSink()
 				a := newGetAttempt(s)
-				a.AtMostOnce = c.once
+				a.AtMostOnce = c.atMostOnce
 				a.Request = &message.Request{Method: "POST", Head: []byte("POST /x HTTP/1.1\r\nHost: h\r\nContent-Length: 5\r\n"), Body: [][]byte{[]byte("hello")}}
 				p.Start(a)
 				if r := s.wait(t); r.outcome != c.want {
@@ -512,8 +512,8 @@
 
 // An attempt abandoned while its last byte is held back has not begun.
 func TestAbandonWhileHeldBackNeverBegan(t *testing.T) {
-	heard := make(chan error, 1)
-	addr, _ := startFakeServer(t, func(c net.Conn, br *bufio.Reader) { heard <- readRequest(br) })
+	received := make(chan error, 1)
+	addr, _ := startFakeServer(t, func(c net.Conn, br *bufio.Reader) { received <- readRequest(br) })
 	p := newPool(9)
 	p.lastBreakAt = time.Now().Add(time.Hour) // in the future, so that it counts as recent for the whole test
 	p.AddServer("s", addr, 0)
@@ -537,7 +537,7 @@
 		t.Error("Abandon reports that the attempt began")
 	}
 	a.Close()
-	if err := <-heard; err == nil {
+	if err := <-received; err == nil {
 		t.Error("server received the whole request")
 	}
 	if r := s.wait(t); r.outcome != chalkrack.ConnectFailed || p.Conns() != 0 {
@@ -561,20 +561,20 @@
 
 // startRecordingServer starts a server that reports the first line of its one connection; the
 // line is empty if nothing was received.
-func startRecordingServer(t *testing.T) (addr string, heard chan string) {
+func startRecordingServer(t *testing.T) (addr string, received chan string) {
 	t.Helper()
-	heard = make(chan string, 1)
+	received = make(chan string, 1)
 	addr, _ = startFakeServer(t, func(c net.Conn, br *bufio.Reader) {
 		line, _ := br.ReadString('\n')
-		heard <- line
+		received <- line
 	})
-	return addr, heard
+	return addr, received
 }
 
 // Nothing is sent to a server after its drain grace, not even an attempt that was already being
 // dialled when the server left.
 func TestNothingIsSentAfterDrainGrace(t *testing.T) {
-	addr, heard := startRecordingServer(t)
+	addr, received := startRecordingServer(t)
 	p := New(Config{ConnIdleTimeout: time.Minute, DialTimeout: 5 * time.Second, MaxConns: 9}) // no drain grace
 	p.AddServer("s", addr, 0)
 	s := newSink()
@@ -590,14 +590,14 @@
 	if r := s.wait(t); r.outcome != chalkrack.ConnectFailed {
 		t.Errorf("outcome %d", r.outcome)
 	}
-	if line := <-heard; line != "" {
+	if line := <-received; line != "" {
 		t.Errorf("server received %q, want nothing", line)
 	}
 }
 
 // An attempt whose connection is established after NotAfter is not sent.
 func TestNothingIsSentPastNotAfter(t *testing.T) {
-	addr, heard := startRecordingServer(t)
+	addr, received := startRecordingServer(t)
 	p := newPool(9)
 	p.AddServer("s", addr, 0)
 	s := newSink()
@@ -607,14 +607,14 @@
 	if r := s.wait(t); r.outcome != chalkrack.ConnectFailed {
 		t.Errorf("outcome %d", r.outcome)
 	}
-	if line := <-heard; line != "" {
+	if line := <-received; line != "" {
 		t.Errorf("server received %q, want nothing", line)
 	}
 }
 
 // An attempt abandoned while its connection is being dialled never begins.
 func TestAbandonBeforeConnectNeverBegins(t *testing.T) {
-	addr, heard := startRecordingServer(t)
+	addr, received := startRecordingServer(t)
 	p := newPool(9)
 	p.AddServer("s", addr, 0)
 	s := newSink()
@@ -625,7 +625,7 @@
 		t.Error("Abandon reports that the attempt began")
 	}
 	a.dial(to)
-	if line := <-heard; line != "" {
+	if line := <-received; line != "" {
 		t.Errorf("server received %q, want nothing", line)
 	}
 	if p.Conns() != 0 {
--- a/pick_test.go
+++ b/pick_test.go
@@ -78,7 +78,8 @@
 		}
 		b.AttemptDone(now, id, 0, OK, true, LoadReport{})
 	}
-	// The run lasts 2 s and a quarter of the sends would be 100; the server has 0.2 to 0.36 of its capacity.
+	// The run lasts 2 s and a quarter of the sends would be 100; the server has 0.2 to 0.36 of its
+	// capacity.
 	if cold == 0 || cold > 60 {
 		t.Errorf("%d of 400 sends went to a server that just started, want 1 to 60", cold)
 	}
