--- a/internal/change/rules.go
+++ b/internal/change/rules.go
@@ -128,10 +128,10 @@
 	{classField("repeatWindowUs"), forKeyedClass(refuseIncrease("servers drop repeats for as long as they promised, and no longer"))},
 	{classField("dedupScope"), forKeyedClass(refuseHigherRank("a repeat would reach servers that do not know the first", "cell", "zone", "all"))},
 	{field("settings.guarantees.drainGraceUs"), refuseIncrease("a draining server would get new calls for longer than the platform allows")},
-	{field("settings.guarantees.coldFrom"), refuseIncrease("a cold server would be sent more than it can do")},
+	{field("settings.guarantees.coldFrom"), refuseIncrease("a cold server would be sent more than its capacity")},
 	{field("settings.guarantees.coldUs"), refuseDecrease("a cold server would count as warm too early")},
-	{field("settings.guarantees.overloadFactor"), refuseIncrease("a cold server could be pushed over")},
-	{field("settings.guarantees.overloadForUs"), refuseIncrease("a cold server could be pushed over")},
+	{field("settings.guarantees.overloadFactor"), refuseIncrease("a cold server could be overloaded")},
+	{field("settings.guarantees.overloadForUs"), refuseIncrease("a cold server could be overloaded")},
 	{field("settings.guarantees.askWithinUs"), func(t *transition) string {
 		if t.new.number() == 0 && t.old.number() > 0 || t.new.number() > t.old.number() && t.old.number() > 0 {
 			return "a server that left would count as told for longer than the platform allows"
@@ -161,13 +161,13 @@
 	{field("features.radius.access.effect"), refuseHigherRank("access that was asked once could be asked twice", "once", "safe")},
 	{field("features.radius.rest"), func(t *transition) string {
 		if patience := max(t.oldFields["features.radius.access.patience"].number(), 0); t.new.number() < t.old.number() && t.new.number() < patience {
-			return "a late answer could meet another call under its identifier"
+			return "a late answer could be taken for that to another call with the same identifier"
 		}
 		return ""
 	}},
 	{field("features.radius.remember_for"), func(t *transition) string {
 		if t.new.number() < t.newFields["features.radius.accounting.deadline"].number() && t.new.number() < t.old.number() {
-			return "an event would be forgotten within the time that it may take, and counted twice"
+			return "an event would be forgotten before its deadline, and could be counted twice"
 		}
 		return ""
 	}},
@@ -199,7 +199,7 @@
 
 func refuseUnsigned(t *transition) string {
 	if t.new.text == "true" {
-		return "packets that were vouched for could be forged (CVE-2024-3596)"
+		return "packets that were authenticated could be forged (CVE-2024-3596)"
 	}
 	return ""
 }
--- a/internal/components/changes/changes.go
+++ b/internal/components/changes/changes.go
@@ -305,9 +305,9 @@
 		why := fmt.Sprintf("%d calls", r.Calls)
 		switch {
 		case r.Thin:
-			why = fmt.Sprintf("too few calls for a verdict: %d of %d; [config] thin says so", r.Calls, r.Needed)
+			why = fmt.Sprintf("too few calls for a verdict: %d of %d; [config] thin decides", r.Calls, r.Needed)
 		case r.Verdict == configtrial.Undo:
-			why = fmt.Sprintf("more calls %v than under the one before, most of class %s, after %d calls", r.Kind, class, r.Calls)
+			why = fmt.Sprintf("more calls %v than under the previous configuration, most of class %s, after %d calls", r.Kind, class, r.Calls)
 		}
 		g.finishTrial(r.Verdict == configtrial.Keep, why)
 	case g.current.OnTrial && time.Since(g.startTime) >= time.Duration(g.current.Features.Config.TrialDuration):
--- a/internal/components/changes/files.go
+++ b/internal/components/changes/files.go
@@ -59,7 +59,7 @@
 		return nil
 	case history.FilesRevert:
 		g.setStoreError(g.current.History.SetSeen(sum))
-		_, err := g.endTrialNow("the files hold the one before again")
+		_, err := g.endTrialNow("the files hold the previous configuration again")
 		return err
 	case history.FilesWaiting:
 		g.reloadPending = true
--- a/internal/evacuation/departure.go
+++ b/internal/evacuation/departure.go
@@ -124,7 +124,7 @@
 	if !isDue {
 		z.departureDueSince = -1
 		if z.record.Stage == StagePart && z.vote == VoteFine && m.now-z.stageSince > m.cfg.MinDwell {
-			m.stepToStage(z, StageAll, "it is fine again")
+			m.stepToStage(z, StageAll, "the zone works again")
 		}
 		return
 	}
@@ -134,13 +134,13 @@
 	if m.now-z.departureDueSince < m.cfg.SettleDelay {
 		return // peers have time to contradict
 	}
-	why := fmt.Sprintf("%d say that it fails, %d speak against that", failing, against)
+	why := fmt.Sprintf("%d sidecars vote that it fails, %d contradict", failing, against)
 	// If the other zones already refuse calls, or can't carry all of them, and this zone still
 	// serves some, only the calls of classes in Config.HighWorthClasses move.
 	refused, carried := m.refusalShareElsewhere(z), m.capacityWithout(z)
 	if (refused > m.cfg.MaxRefusalShare || carried < 1) && z.isServing() {
 		if z.record.Stage == StageAll {
-			m.stepToStage(z, StagePart, fmt.Sprintf("%s; the others turn away %.0f%% and carry %.0f%%", why, 100*refused, 100*carried))
+			m.stepToStage(z, StagePart, fmt.Sprintf("%s; the other zones refuse %.0f%% of calls and can carry %.0f%%", why, 100*refused, 100*carried))
 		}
 		return
 	}
@@ -200,7 +200,7 @@
 		z.leftLocally, z.locallyFailingSince = true, -1
 		z.localRetryAt = m.now + m.dwellTime(z.localDepartures)
 		z.localDepartures = min(z.localDepartures+1, 30)
-		why := "nobody else has said so"
+		why := "no peer agrees that it fails"
 		if z.vote == VoteCutOff {
 			why = "this sidecar is cut off from it"
 		}
--- a/internal/evacuation/stages.go
+++ b/internal/evacuation/stages.go
@@ -33,7 +33,7 @@
 	// of them is enough for the next stage, and a single one for a step back.
 	if ahead >= min(m.requiredVotes(), m.canaryCount(z.record.Stage)) && next.Stage == nextStage[z.record.Stage] || ahead > 0 && next.Stage == relapseStage[z.record.Stage] {
 		z.record = Record{next.Gen, next.Step, next.Fails, z.record.Stage}
-		m.enterStage(z, next.Stage, fmt.Sprintf("%d of those that go first have gone on", ahead))
+		m.enterStage(z, next.Stage, fmt.Sprintf("%d canaries have moved to this stage", ahead))
 		return
 	}
 	if len(held) == 0 {
@@ -73,7 +73,7 @@
 	}
 	to := best.Stage
 	z.record.Stage = from
-	m.enterStage(z, to, fmt.Sprintf("%d others hold it so", len(held)))
+	m.enterStage(z, to, fmt.Sprintf("%d peers hold this stage", len(held)))
 }
 
 // rejoinLocallyLeftZones uses the zones again that this sidecar has left by itself, when the fleet
@@ -152,12 +152,12 @@
 // advanceReturn advances the return to a zone that was left.
 func (m *Machine) advanceReturn(z *zone) {
 	if m.isLeftBehind(z) {
-		m.stepToStage(z, StageAll, "the others are all back")
+		m.stepToStage(z, StageAll, "most peers use the zone again")
 		return
 	}
 	if z.record.Stage == StageOut {
 		if len(z.servers) > 0 && m.now-z.stageSince >= m.dwellTime(int(z.record.Fails)) {
-			m.stepToStage(z, StageOneIn64, "it has been out for long enough")
+			m.stepToStage(z, StageOneIn64, "the dwell time is over")
 		}
 		return
 	}
@@ -192,7 +192,7 @@
 		m.stepToStage(z, nextStage[z.record.Stage], fmt.Sprintf("%d that went first say that it is fine", fine))
 	// None of the chosen sidecars has calls, or all are gone.
 	case m.now-since >= 4*m.minStageDuration(z) || m.now-since >= 3*m.minStageDuration(z)/2 && silent >= m.canaryCount(z.record.Stage):
-		m.stepToStage(z, z.record.Stage, "nobody of those that went first has seen it; others go")
+		m.stepToStage(z, z.record.Stage, "no canary has evidence; other sidecars become canaries")
 	}
 }
 
@@ -408,7 +408,7 @@
 			stage := s.Record.Stage
 			s.Record.Stage = z.record.Stage
 			z.record = s.Record
-			m.enterStage(z, stage, "held before the start")
+			m.enterStage(z, stage, "restored from before the start")
 		}
 		if s.Order.isLater(z.order) {
 			m.setOrder(z, s.Order)
