--- a/internal/components/changes/changes.go
+++ b/internal/components/changes/changes.go
@@ -173,7 +173,7 @@
 		return out, nil
 	}
 	if g.unsaved != nil {
-		return nil, fmt.Errorf("the result of the last trial could not be saved: %s", g.storeError)
+		return nil, fmt.Errorf("the history of configuration changes can't be written, so the result of the last trial is not saved: %s", g.storeError)
 	}
 	out.ID, err = g.startTrial(next, why)
 	return out, err
--- a/internal/components/changes/files.go
+++ b/internal/components/changes/files.go
@@ -28,7 +28,7 @@
 	}
 	if err != nil {
 		g.figures.CountReload(false)
-		slog.Error("new configuration rejected: the old one stays in force", "err", err)
+		slog.Error("new configuration not taken: the old one stays in force", "err", err)
 		return
 	}
 	if next.Discovery != g.current.Discovery {
@@ -39,7 +39,7 @@
 	if !g.Enabled() {
 		g.logDifferences(next)
 	} else if err = g.reloadChange(next); err != nil {
-		slog.Error("new configuration rejected: the old one stays in force", "err", err)
+		slog.Error("new configuration not taken: the old one stays in force", "err", err)
 	}
 	g.figures.CountReload(err == nil)
 	slog.Info("configuration files reloaded", "discovery", g.current.Discovery)
