--- a/internal/configtrial/judge.go
+++ b/internal/configtrial/judge.go
@@ -1,7 +1,7 @@
 // Package configtrial judges a new configuration (generation) against the one before it while
 // both serve. It has no I/O, clock, random source or goroutines.
 //
-// During the bake each call is assigned at random, and unpredictably for the caller, to one
+// During the trial each call is assigned at random, and unpredictably for the caller, to one
 // of the two generations, a fraction Share of them to the new one. If both do equally well,
 // a bad call belongs to the new generation with probability Share, whatever the load and
 // the servers do, because trouble that affects all calls affects both. Therefore only the
@@ -40,11 +40,11 @@
 
 // Config configures a Judge.
 type Config struct {
-	Classes   int           // 1 to 1,024
-	Share     float64       // fraction of calls that the new generation takes, 0.05 to 0.95
-	FalseUndo float64       // maximum probability of undoing a good change, 1e-9 to 0.2
-	Notice    float64       // smallest fraction of bad calls that must be detected, above 0 and at most 1
-	Bake      time.Duration // length of the trial
+	Classes         int           // 1 to 1,024
+	Share           float64       // fraction of calls that the new generation takes, 0.05 to 0.95
+	FalseUndo       float64       // maximum probability of undoing a good change, 1e-9 to 0.2
+	DetectableShare float64       // smallest fraction of bad calls that must be detected, above 0 and at most 1
+	Duration        time.Duration // length of the trial
 	// ThinUndo undoes a change that got fewer calls than a verdict needs; otherwise such a
 	// change is kept.
 	ThinUndo bool
@@ -54,15 +54,15 @@
 func (c *Config) Validate() error {
 	switch {
 	case c.Classes < 1 || c.Classes > 1024:
-		return fmt.Errorf("bake: Classes must be within 1 and 1024")
+		return fmt.Errorf("configtrial: Classes must be within 1 and 1024")
 	case !(c.Share >= 0.05 && c.Share <= 0.95):
-		return fmt.Errorf("bake: Share must be within 0.05 and 0.95")
+		return fmt.Errorf("configtrial: Share must be within 0.05 and 0.95")
 	case !(c.FalseUndo >= 1e-9 && c.FalseUndo <= 0.2):
-		return fmt.Errorf("bake: FalseUndo must be within 1e-9 and 0.2")
-	case !(c.Notice > 0 && c.Notice <= 1):
-		return fmt.Errorf("bake: Notice must be above 0 and at most 1")
-	case c.Bake <= 0:
-		return fmt.Errorf("bake: Bake must be above 0")
+		return fmt.Errorf("configtrial: FalseUndo must be within 1e-9 and 0.2")
+	case !(c.DetectableShare > 0 && c.DetectableShare <= 1):
+		return fmt.Errorf("configtrial: DetectableShare must be above 0 and at most 1")
+	case c.Duration <= 0:
+		return fmt.Errorf("configtrial: Duration must be above 0")
 	}
 	return nil
 }
@@ -85,7 +85,7 @@
 	// Thin reports that there were too few calls for a verdict, so that Config.ThinUndo
 	// decided.
 	Thin bool
-	// Class and Kind are those with the strongest evidence for an Undo that is not Thin.
+	// Class and Kind are the ones with the strongest evidence for an Undo that is not Thin.
 	Class int
 	Kind  Kind
 	// Calls is the number of calls of the new generation so far, Needed the number that
@@ -98,8 +98,8 @@
 	old, new float64
 }
 
-// maxWindows is the number of windows over which bad calls are counted: one begins at the
-// switch and one at each further eighth of the bake; all of them end now. Trouble at the
+// maxWindows is the number of windows over which bad calls are counted: one begins with the
+// trial and one at each further eighth of the trial; all of them end now. Trouble at the
 // servers may hide a fault at first; it shows in a window that began after the trouble. A
 // window that has not begun counts as a ratio of 1, so the same bound holds for the mean
 // over the windows.
@@ -111,7 +111,7 @@
 	cfg          Config
 	counts       []badCounts
 	newCalls     int           // calls of the new generation
-	windowStarts [][]badCounts // counts at the start of each window so far, the switch first
+	windowStarts [][]badCounts // counts at the start of each window so far
 	result       *Result
 	// For each of rateRatios, the logarithm of the factor by which a bad call of the new
 	// or the old generation changes the likelihood ratio.
@@ -191,23 +191,23 @@
 }
 
 // RequiredCalls returns the number of calls of the new generation that it takes to detect a
-// fault which makes a fraction Notice of one class's calls bad, and none of the old
+// fault which makes a fraction DetectableShare of one class's calls bad, and none of the old
 // generation's, if all calls are of that class. With that many calls, enough of them are
 // bad with a probability of about 0.98.
 func (j *Judge) RequiredCalls() int {
 	evidencePerCall := math.Log(1 / j.cfg.Share)
 	badCalls := math.Ceil(math.Log(float64(maxWindows*len(rateRatios)*len(j.counts))/j.cfg.FalseUndo) / evidencePerCall)
-	return int(math.Ceil((badCalls + 2*math.Sqrt(badCalls) + 2) / j.cfg.Notice))
+	return int(math.Ceil((badCalls + 2*math.Sqrt(badCalls) + 2) / j.cfg.DetectableShare))
 }
 
-// Evaluate returns the ruling at a time after the switch. The caller must call it a few
-// times in each eighth of the bake, at times that do not depend on the outcomes of calls.
+// Evaluate returns the ruling at a time after the start of the trial. The caller must call it a few
+// times in each eighth of the trial, at times that do not depend on the outcomes of calls.
 // A verdict other than Watching is final.
 func (j *Judge) Evaluate(since time.Duration) Result {
 	if j.result != nil {
 		return *j.result
 	}
-	for len(j.windowStarts) < maxWindows && since >= j.cfg.Bake/maxWindows*time.Duration(len(j.windowStarts)) {
+	for len(j.windowStarts) < maxWindows && since >= j.cfg.Duration/maxWindows*time.Duration(len(j.windowStarts)) {
 		j.windowStarts = append(j.windowStarts, slices.Clone(j.counts))
 	}
 	ruling := Result{Calls: j.newCalls, Needed: j.RequiredCalls()}
@@ -226,7 +226,7 @@
 	switch {
 	case logMeanExp(windowLogs[:]) >= -math.Log(j.cfg.FalseUndo):
 		ruling.Verdict = Undo
-	case since < j.cfg.Bake:
+	case since < j.cfg.Duration:
 		return ruling
 	case j.newCalls < ruling.Needed:
 		ruling.Thin, ruling.Verdict = true, Keep
