--- a/internal/radius/client/client.go
+++ b/internal/radius/client/client.go
@@ -51,7 +51,7 @@
 // with a wrong secret, all answers are.
 func Ask(ctx context.Context, cfg Config, request *radius.Packet) (reply Reply, err error) {
 	if cfg.MaxPackets < 1 || cfg.MaxPackets > maxPacketsLimit || cfg.ResendInterval <= 0 {
-		return reply, fmt.Errorf("radius: MaxPackets must be 1 to %d, and ResendInterval above 0", maxPacketsLimit)
+		return reply, fmt.Errorf("radius: tries must be within 1 and %d, and the wait above 0", maxPacketsLimit)
 	}
 	if request.Code != radius.AccountingRequest && request.Authenticator == (radius.Authenticator{}) {
 		rand.Read(request.Authenticator[:])
