--- a/internal/agreement/council.go
+++ b/internal/agreement/council.go
@@ -77,7 +77,7 @@
 // Errors of Apply. An entry that fails changes nothing. The messages call a sidecar silent if its
 // lease has expired.
 var (
-	ErrBaseVersion      = errors.New("the base version of the proposal is not in force")
+	ErrBaseVersion      = errors.New("another version is in force than the one that this was written against")
 	ErrProposalPending  = errors.New("another proposal is pending")
 	ErrNotSettled       = errors.New("the version in force is not settled yet")
 	ErrNoProposal       = errors.New("no such proposal is pending")
